--- a/crates/benchlink/src/link.rs
+++ b/balancer/bench-adapter/src/link.rs
@@ -7,7 +7,7 @@
 
 use whinspindle::decide::Balancer;
 use whinspindle::host::{Arrival, Ending, Entry, Host, LoadReport, Outcome, Standing};
-use whinspindle_terms as terms;
+use whinspindle_deployment_settings as terms;
 
 use crate::wire::Reader;
 
--- a/crates/benchlink/src/main.rs
+++ b/balancer/bench-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! `whinspindle-benchlink`: plays the decisions on the bench's wire, from standard input to standard output.
+//! `whinspindle-bench-adapter`: plays the decisions on the bench's wire, from standard input to standard output.
 
 mod link;
 mod wire;
@@ -12,7 +12,7 @@
     match play(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("whinspindle-benchlink: {fault}");
+            eprintln!("whinspindle-bench-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/reducer/src/desk.rs
+++ b/balancer/core/src/desk.rs
@@ -5,10 +5,10 @@
 
 use http::HeaderValue;
 use whinspindle::host::{Host, Outcome};
-use whinspindle_logline::log_line;
-use whinspindle_messages::answer::{Answer, Because, Served};
-use whinspindle_messages::query::Forwarded;
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
+use whinspindle_protocol::answer::{Answer, Because, Served};
+use whinspindle_protocol::query::Forwarded;
+use whinspindle_rate_limited_log::log_line;
 
 use crate::servers::Servers;
 use crate::{Effects, Execution, Tally};
--- a/crates/reducer/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -11,10 +11,10 @@
 
 use whinspindle::decide::Balancer;
 use whinspindle::host::{Arrival, Conditions, Ending, Entry, LoadReport, Outcome};
-use whinspindle_messages::answer::{Answer, Served};
-use whinspindle_messages::list::{ListNews, ListedServer};
-use whinspindle_messages::query::Forwarded;
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
+use whinspindle_protocol::answer::{Answer, Served};
+use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_protocol::query::Forwarded;
 
 use desk::Desk;
 pub use desk::Ticket;
--- a/crates/reducer/src/servers.rs
+++ b/balancer/core/src/servers.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 use whinspindle::host::{Entry, Standing};
-use whinspindle_messages::list::{ListNews, ListedServer};
+use whinspindle_protocol::list::{ListNews, ListedServer};
 
 use crate::Place;
 
@@ -77,7 +77,7 @@
             self.renew(server, listed, standing);
             let entry = Entry {
                 server,
-                key: whinspindle_terms::key(listed.name.as_bytes()),
+                key: whinspindle_deployment_settings::key(listed.name.as_bytes()),
                 zone: index(&mut self.zones, &listed.zone),
                 cell: listed.cell,
                 kind: index(&mut self.kinds, &listed.kind),
--- a/crates/reducer/tests/reducer.rs
+++ b/balancer/core/tests/reducer.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use whinspindle::host::{Arrival, LoadReport, Outcome};
-use whinspindle_messages::answer::{Answer, Because, Served};
-use whinspindle_messages::list::ListNews;
-use whinspindle_messages::query::Forwarded;
-use whinspindle_reducer::{Effects, Ended, Execution, Place, Reducer, Ticket};
+use whinspindle_balancer_core::{Effects, Ended, Execution, Place, Reducer, Ticket};
+use whinspindle_protocol::answer::{Answer, Because, Served};
+use whinspindle_protocol::list::ListNews;
+use whinspindle_protocol::query::Forwarded;
 
 use Outcome::{
     Broken, Cancelled, Completed, Error, Moot, NotConnected, Spoilt, Stale, TimedOut, TurnedAway, Unfit,
@@ -67,7 +67,7 @@
                 "secondCopies": false}}, "loadInfo": {{}},
             "obligations": {{"coldFrom": 0.3, "coldNs": 1, "fallMultiple": 3.0, "tipAfterNs": 1}}}}"#
         );
-        let deployment = whinspindle_terms::parse(settings.as_bytes()).expect("settings");
+        let deployment = whinspindle_deployment_settings::parse(settings.as_bytes()).expect("settings");
         let (said, sent) = <(Rc<RefCell<Vec<String>>>, Rc<RefCell<Vec<_>>>)>::default();
         let notes = Notes(Rc::clone(&said), Rc::clone(&sent));
         let mut bench = Bench { reducer: Reducer::new(notes, &deployment, 7, NOW), said, sent };
@@ -307,7 +307,7 @@
 
 #[test]
 fn servers_that_the_fleet_lets_out_drain_whatever_the_list_says() {
-    let key = |port: &str| whinspindle_terms::key(format!("s-{port}").as_bytes());
+    let key = |port: &str| whinspindle_deployment_settings::key(format!("s-{port}").as_bytes());
     let let_out = |bench: &mut Bench, ports: &[&str]| {
         bench.reducer.let_out(NOW, &ports.iter().map(|port| key(port)).collect());
     };
--- a/crates/terms/tests/defaults.rs
+++ b/balancer/deployment-settings/tests/defaults.rs
@@ -24,7 +24,8 @@
         (json!([product(400, 900), product(2_000, 7_000)]), json!({}), 7_000, 100),
         (json!([product(400, 900)]), told, 6_000, 150),
     ] {
-        let deployment = whinspindle_terms::parse(&settings(products, limits)).expect("settings");
+        let deployment =
+            whinspindle_deployment_settings::parse(&settings(products, limits)).expect("settings");
         assert_eq!((deployment.idle_time / 1000, deployment.connect_time_out / 1000), (idle, connect));
     }
 }
--- a/crates/serverlist/src/lib.rs
+++ b/balancer/discovery/src/lib.rs
@@ -16,8 +16,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, timeout_at};
-use whinspindle_logline::log_line;
-use whinspindle_messages::list::ListNews;
+use whinspindle_protocol::list::ListNews;
+use whinspindle_rate_limited_log::log_line;
 
 mod objects;
 
--- a/crates/serverlist/tests/watch.rs
+++ b/balancer/discovery/tests/watch.rs
@@ -10,7 +10,7 @@
 
 use tokio::task::yield_now;
 use tokio::time::{Instant, advance, pause};
-use whinspindle_serverlist::{Source, follow};
+use whinspindle_discovery::{Source, follow};
 
 fn line(generation: u64) -> String {
     format!(r#"{{"generation": {generation}, "reset": false, "instances": []}}"#)
--- a/crates/recall/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -12,7 +12,7 @@
 
 use serde::{Deserialize, Serialize};
 use whinspindle::host::Standing;
-use whinspindle_messages::list::{ListNews, ListedServer};
+use whinspindle_protocol::list::{ListNews, ListedServer};
 
 pub use neighbours::{Neighbours, Word};
 pub use ramp::Ramp;
--- a/crates/recall/src/neighbours.rs
+++ b/balancer/endpoint-cache/src/neighbours.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_messages::list::{ListNews, ListedServer};
+use whinspindle_protocol::list::{ListNews, ListedServer};
 
 use crate::{Ages, Trust, decode, encode};
 
--- a/crates/recall/tests/neighbours.rs
+++ b/balancer/endpoint-cache/tests/neighbours.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use whinspindle::host::Standing;
-use whinspindle_messages::list::ListedServer;
-use whinspindle_recall::{Ages, Neighbours, Ramp, Second, Trust, Whole, Word};
+use whinspindle_endpoint_cache::{Ages, Neighbours, Ramp, Second, Trust, Whole, Word};
+use whinspindle_protocol::list::ListedServer;
 
 const SECOND: u64 = 1_000_000;
 const AGES: Ages = Ages { fresh: 10 * SECOND, old: 100 * SECOND };
--- a/crates/recall/tests/recall.rs
+++ b/balancer/endpoint-cache/tests/recall.rs
@@ -1,8 +1,8 @@
 //! How far a saved list is believed.
 
 use whinspindle::host::Standing::{self, Draining, Gone, Ready};
-use whinspindle_messages::list::ListedServer;
-use whinspindle_recall::{Ages, Trust, encode, recall};
+use whinspindle_endpoint_cache::{Ages, Trust, encode, recall};
+use whinspindle_protocol::list::ListedServer;
 
 const SECOND: u64 = 1_000_000;
 const NOW: u64 = 1_800_000_000 * SECOND;
--- a/crates/policy/src/lib.rs
+++ b/balancer/fleet-policy/src/lib.rs
@@ -16,5 +16,5 @@
     Step, Wish,
 };
 pub use texts::PIECE;
-pub use whinspindle_agreement::{AsPublished, Ballot, Voter};
-pub use whinspindle_release::{No, Plan, Row, Unit, Way};
+pub use whinspindle_consensus::{AsPublished, Ballot, Voter};
+pub use whinspindle_rollout::{No, Plan, Row, Unit, Way};
--- a/crates/policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -18,8 +18,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::marker::PhantomData;
 
-use whinspindle_agreement::{AsPublished, Voter, Votes};
-use whinspindle_release::Way;
+use whinspindle_consensus::{AsPublished, Voter, Votes};
+use whinspindle_rollout::Way;
 
 pub use acceptor::Heard;
 pub use environment::{Memory, Outside};
--- a/crates/policy/src/member/acceptor.rs
+++ b/balancer/fleet-policy/src/member/acceptor.rs
@@ -1,6 +1,6 @@
 //! A voter's answers: leases granted to followers, and votes in the rounds of others.
 
-use whinspindle_agreement::Ballot;
+use whinspindle_consensus::Ballot;
 
 use super::{Laws, Member, Outside};
 use crate::message::{Message, Readiness, Right};
--- a/crates/policy/src/member/environment.rs
+++ b/balancer/fleet-policy/src/member/environment.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_agreement::Votes;
-use whinspindle_release::{No, Plan, Row, Unit};
+use whinspindle_consensus::Votes;
+use whinspindle_rollout::{No, Plan, Row, Unit};
 
 use crate::message::Message;
 use crate::record::{Hash, Policy, Record};
--- a/crates/policy/src/member/leader.rs
+++ b/balancer/fleet-policy/src/member/leader.rs
@@ -1,6 +1,6 @@
 //! The leader among the voters, and the step of the record that it has to bring about next.
 
-use whinspindle_agreement::Voter;
+use whinspindle_consensus::Voter;
 
 use super::proposer::OngoingRound;
 use super::requests::PendingRequest;
--- a/crates/policy/src/member/learn.rs
+++ b/balancer/fleet-policy/src/member/learn.rs
@@ -1,6 +1,6 @@
 //! A newer record takes the place of the one known, and what changes by it is told in the log.
 
-use whinspindle_release::Way;
+use whinspindle_rollout::Way;
 
 use super::lease::Lease;
 use super::{Laws, Member, Outside};
--- a/crates/policy/src/member/lease.rs
+++ b/balancer/fleet-policy/src/member/lease.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use whinspindle_agreement::Voter;
+use whinspindle_consensus::Voter;
 
 use super::{Laws, Member, Outside};
 use crate::message::{Message, Right};
--- a/crates/policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use whinspindle_agreement::{Ballot, Round, Voter};
+use whinspindle_consensus::{Ballot, Round, Voter};
 
 use super::{Laws, Member, Outside};
 use crate::message::Message;
--- a/crates/policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use whinspindle_release::{Evidence, Next, No, Progress, Row, Unit, Way};
+use whinspindle_rollout::{Evidence, Next, No, Progress, Row, Unit, Way};
 
 use super::{Laws, Member, Outside};
 use crate::message::{Message, Want};
--- a/crates/policy/src/member/restarts.rs
+++ b/balancer/fleet-policy/src/member/restarts.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use whinspindle_release::{Unit, Way};
+use whinspindle_rollout::{Unit, Way};
 
 use super::requests::PendingRequest;
 use super::{Laws, Member, Outside};
--- a/crates/policy/src/member/rules.rs
+++ b/balancer/fleet-policy/src/member/rules.rs
@@ -3,14 +3,14 @@
 
 use std::collections::BTreeSet;
 
-use whinspindle_agreement::AsPublished;
-use whinspindle_release::{Next, No, Progress};
+use whinspindle_consensus::AsPublished;
+use whinspindle_rollout::{Next, No, Progress};
 
 use super::Terms;
 use crate::record::{Record, Wish};
 
 /// The rules of a member, beside those of counting; the lab plants faults in their place.
-pub trait Laws: whinspindle_agreement::Laws {
+pub trait Laws: whinspindle_consensus::Laws {
     /// When a right that was asked for at `asked`, and granted by an answer that came at `now`, runs out.
     fn right_until(asked: u64, _now: u64, terms: &Terms) -> u64 {
         asked + terms.right
--- a/crates/policy/src/message.rs
+++ b/balancer/fleet-policy/src/message.rs
@@ -1,8 +1,8 @@
 //! What members of a fleet say to one another.
 
 use serde::{Deserialize, Serialize};
-use whinspindle_agreement::{Ballot, Voter};
-use whinspindle_release::{Row, Unit};
+use whinspindle_consensus::{Ballot, Voter};
+use whinspindle_rollout::{Row, Unit};
 
 use crate::record::{Hash, Record, Wish};
 
--- a/crates/policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_agreement::{Agreed, Voter};
-use whinspindle_release::{Places, Unit, Way};
+use whinspindle_consensus::{Agreed, Voter};
+use whinspindle_rollout::{Places, Unit, Way};
 
 /// Wishes about units and voters that are remembered as done.
 const DONE: usize = 32;
--- a/crates/policy/tests/member.rs
+++ b/balancer/fleet-policy/tests/member.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use whinspindle_policy::{
+use whinspindle_fleet_policy::{
     Ballot, Member, Memory, Message, No, Out, Outside, Policy, Readiness, Record, Right, Terms, Unit, Voter,
     Want, Wish,
 };
--- a/crates/operator/src/draw.rs
+++ b/balancer/operator-file/src/draw.rs
@@ -1,7 +1,7 @@
 //! Faults drawn into the lines of the file, as a compiler would.
 
 use annotate_snippets::{AnnotationKind, Group, Level, Renderer, Snippet};
-use whinspindle_tables::Fault;
+use whinspindle_toml_config::Fault;
 
 /// Longer lines are not drawn, only named.
 const MOST_DRAWN: usize = 500;
--- a/crates/operator/src/fleet.rs
+++ b/balancer/operator-file/src/fleet.rs
@@ -3,8 +3,8 @@
 
 use std::path::PathBuf;
 
-use whinspindle_tables::Table;
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
+use whinspindle_toml_config::Table;
 
 /// Fewer and more voters than this don't pay: three outlive one, seven outlive three.
 const VOTERS: (usize, usize) = (1, 7);
--- a/crates/operator/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -10,10 +10,10 @@
 use std::path::PathBuf;
 
 use whinspindle::host;
-use whinspindle_release::Limits;
+use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_rollout::Limits;
 use whinspindle_routes::{Bounds, Conditions, RouteTable};
-use whinspindle_tables::Fault;
-use whinspindle_terms::{Deployment, index};
+use whinspindle_toml_config::Fault;
 
 pub use draw::draw;
 pub use fleet::FleetTerms;
@@ -97,13 +97,13 @@
 
 /// Reads and proves a file for a deployment.
 pub fn read(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
-    whinspindle_tables::read(text, |table| read::operator(table, deployment, true))
+    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, true))
 }
 
 /// Reads and proves the text of a policy, which the whole fleet goes by: routes, and what holds for those
 /// that are cut off, but nothing that is a balancer's own.
 pub fn read_policy(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
-    whinspindle_tables::read(text, |table| read::operator(table, deployment, false))
+    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, false))
 }
 
 /// What the deployment allows and demands, as far as the proof needs it.
--- a/crates/operator/src/plan.rs
+++ b/balancer/operator-file/src/plan.rs
@@ -1,14 +1,14 @@
 //! The plan of a release, as an operator writes it.
 
-use whinspindle_release::{MOST_UNITS, Plan, Unit};
-use whinspindle_tables::{Fault, Place, Table};
+use whinspindle_rollout::{MOST_UNITS, Plan, Unit};
+use whinspindle_toml_config::{Fault, Place, Table};
 
 /// A wave that is watched for less tells nothing; for more is forgotten.
 const WATCHED: (u64, u64) = (1_000_000, 86_400_000_000);
 
 /// Reads and checks a plan; `balancers` is how many the fleet has, if that is known.
 pub fn read_plan(text: &str, balancers: Option<usize>) -> Result<Plan, Vec<Fault>> {
-    whinspindle_tables::read(text, |table| plan(table, balancers))
+    whinspindle_toml_config::read(text, |table| plan(table, balancers))
 }
 
 fn plan(t: &Table, balancers: Option<usize>) -> Plan {
@@ -101,7 +101,9 @@
 pub fn unit(name: &str) -> Option<Unit> {
     match name.split_once(':') {
         Some(("balancer", number)) => number.parse().ok().map(Unit::Balancer),
-        Some(("server", id)) if !id.is_empty() => Some(Unit::Server(whinspindle_terms::key(id.as_bytes()))),
+        Some(("server", id)) if !id.is_empty() => {
+            Some(Unit::Server(whinspindle_deployment_settings::key(id.as_bytes())))
+        }
         _ => None,
     }
 }
--- a/crates/operator/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -4,15 +4,15 @@
 use std::path::PathBuf;
 
 use whinspindle::host::Effect;
-use whinspindle_release::Limits;
+use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_rollout::Limits;
 use whinspindle_routes::pattern::Pattern;
 use whinspindle_routes::proof::{self, Field};
 use whinspindle_routes::{
     Conditions, Matches, ProductRow, RepeatAfter, Route, RouteTable, SecondCopy, Servers,
 };
-use whinspindle_tables::units::Unit;
-use whinspindle_tables::{Place, Table, units};
-use whinspindle_terms::{Deployment, index};
+use whinspindle_toml_config::units::Unit;
+use whinspindle_toml_config::{Place, Table, units};
 
 use crate::{CutOff, Keep, LARGEST_BODY, Operator, bounds};
 
--- a/crates/operator/tests/common/mod.rs
+++ b/balancer/operator-file/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! The deployment that files are held against.
 
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
 
 /// Three products: `read` is idempotent, `order` deduplicated in the pod for 5 s, `pay` non-idempotent; 3 s
 /// each.
@@ -18,5 +18,5 @@
             "secondCopies": false, "connIdleNs": 15000000000, "connectTimeoutNs": 250000000},
         "loadInfo": {"columns": []},
         "obligations": {"coldFrom": 0.3, "coldNs": 1, "fallMultiple": 3.0, "tipAfterNs": 1}}"#;
-    whinspindle_terms::parse(settings.as_bytes()).expect("settings")
+    whinspindle_deployment_settings::parse(settings.as_bytes()).expect("settings")
 }
--- a/crates/operator/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::deployment;
-use whinspindle_operator::{CutOff, LARGEST_BODY, Operator, draw, read, read_policy};
+use whinspindle_operator_file::{CutOff, LARGEST_BODY, Operator, draw, read, read_policy};
 use whinspindle_routes::RepeatAfter;
-use whinspindle_tables::Fault;
+use whinspindle_toml_config::Fault;
 
 fn faults(text: &str) -> Vec<Fault> {
     read(text, &deployment()).err().unwrap_or_default()
@@ -260,7 +260,8 @@
     let config = std::fs::read_to_string(root.join("examples/balancer.json")).expect("an example");
     // The settings are the last field of the example.
     let settings = config.split("\"settings\":").nth(1).and_then(|rest| rest.trim_end().strip_suffix('}'));
-    let deployment = whinspindle_terms::parse(settings.unwrap_or_default().as_bytes()).expect("settings");
+    let deployment =
+        whinspindle_deployment_settings::parse(settings.unwrap_or_default().as_bytes()).expect("settings");
     let text = std::fs::read_to_string(root.join("deploy/operator.toml")).expect("an example");
     let read = read(&text, &deployment);
     assert!(
--- a/crates/operator/tests/random.rs
+++ b/balancer/operator-file/tests/random.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use whinspindle_operator::{draw, read};
+use whinspindle_operator_file::{draw, read};
 
 mod common;
 
--- a/crates/peers/tests/peers.rs
+++ b/balancer/peer-transport/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Datagrams that are taken, and those that are passed over and counted.
 
-use whinspindle_peers::{DATAGRAM, PassedOver, Peers};
+use whinspindle_peer_transport::{DATAGRAM, PassedOver, Peers};
 
 fn peers(me: u16, fleet: &str, secret: &str, start: u32) -> Peers {
     Peers::new(me, 3, fleet, secret, start, DATAGRAM)
--- a/crates/messages/src/query.rs
+++ b/balancer/protocol/src/query.rs
@@ -7,7 +7,7 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, StatusCode, Uri};
 use whinspindle::host::Effect;
-use whinspindle_terms::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index};
 
 use crate::headers;
 
--- a/crates/messages/tests/messages.rs
+++ b/balancer/protocol/tests/messages.rs
@@ -4,11 +4,11 @@
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::BodyExt;
 use whinspindle::host::{Outcome, Standing};
-use whinspindle_messages::answer::{Answer, Because, Served};
-use whinspindle_messages::execution::{self, Reply};
-use whinspindle_messages::list::ListNews;
-use whinspindle_messages::query::Head;
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
+use whinspindle_protocol::answer::{Answer, Because, Served};
+use whinspindle_protocol::execution::{self, Reply};
+use whinspindle_protocol::list::ListNews;
+use whinspindle_protocol::query::Head;
 
 fn deployment() -> Deployment {
     let settings = r#"{"balancers": 1, "tier": 0, "membershipMode": "pushed", "tickNs": 1,
@@ -21,7 +21,7 @@
             "secondCopies": true},
         "loadInfo": {"columns": ["outstanding", "utilization", "throughput"]},
         "obligations": {"coldFrom": 0.3, "coldNs": 1, "fallMultiple": 3.0, "tipAfterNs": 1}}"#;
-    whinspindle_terms::parse(settings.as_bytes()).expect("settings")
+    whinspindle_deployment_settings::parse(settings.as_bytes()).expect("settings")
 }
 
 fn head(method: Method, headers: &[(&str, &str)]) -> Result<Head, (u16, String)> {
--- a/crates/store/tests/store.rs
+++ b/balancer/record-store/tests/store.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use whinspindle_store::{Fault, Store};
+use whinspindle_record_store::{Fault, Store};
 
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("whinspindle-store-{}-{name}", std::process::id()));
--- a/crates/release/tests/release.rs
+++ b/balancer/rollout/tests/release.rs
@@ -1,6 +1,6 @@
 //! Whether one more may go.
 
-use whinspindle_release::{Limits, Next, No, Place, Places, Plan, Progress, Scene, Unit, Way};
+use whinspindle_rollout::{Limits, Next, No, Place, Places, Plan, Progress, Scene, Unit, Way};
 
 use Unit::{Balancer, Server};
 
--- a/crates/upstreams/src/exchange.rs
+++ b/balancer/upstream-pool/src/exchange.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until};
-use whinspindle_sockets::{Meter, Metered};
+use whinspindle_metered_sockets::{Meter, Metered};
 
 use crate::failure::{Cause, Failure, Progress};
 use crate::pool::Terms;
--- a/crates/upstreams/tests/exchange.rs
+++ b/balancer/upstream-pool/tests/exchange.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::Full;
-use whinspindle_upstreams::{Connections, Failure, Progress, Room, Terms, Trail, Upstream};
+use whinspindle_upstream_pool::{Connections, Failure, Progress, Room, Terms, Trail, Upstream};
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
 const CLOSE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi";
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -12,7 +12,7 @@
 use whinspindle_controller::{Action, AsDesigned, CallId, Controller, ControllerSettings, Event, Laws};
 use whinspindle_distribution::frame::FrameKind;
 use whinspindle_distribution::{ControllerAddress, Link, Report, SubscriberId, ToBalancer, Update};
-use whinspindle_lab_cluster::{
+use whinspindle_lab_simulated_cluster::{
     Cluster, DiskTiming, Effect, Event as Happening, NetworkTiming, Pcg, Process, Start,
 };
 use whinspindle_replica::{DurableWrite, Message, Replica, ReplicaSettings, Timing, Tolerance};
--- a/controlplane/controller/tests/common/world.rs
+++ b/controlplane/controller/tests/common/world.rs
@@ -15,7 +15,7 @@
 use whinspindle_controller::CallId;
 use whinspindle_controller::api::Call;
 use whinspindle_distribution::ToBalancer;
-use whinspindle_lab_cluster::{Occurrence, Pcg};
+use whinspindle_lab_simulated_cluster::{Occurrence, Pcg};
 
 pub use self::controllers::{Direction, Reach};
 use self::operators::{Race, ZoneOrder};
--- a/coordination/replica/src/chain.rs
+++ b/coordination/replica/src/chain.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use whinspindle_agreement::Voter;
+use whinspindle_consensus::Voter;
 
 use crate::application::{Answer, Application};
 use crate::disk::Afterwards;
--- a/coordination/replica/src/change.rs
+++ b/coordination/replica/src/change.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use whinspindle_agreement::{Ballot, Round, Voter};
+use whinspindle_consensus::{Ballot, Round, Voter};
 
 use crate::application::Application;
 use crate::disk::Afterwards;
@@ -461,7 +461,7 @@
         }
     }
 
-    fn record_votes(&mut self, votes: whinspindle_agreement::Votes<View>) {
+    fn record_votes(&mut self, votes: whinspindle_consensus::Votes<View>) {
         if votes != self.state.votes {
             self.record(DurableRecord::Votes(votes), true);
         }
--- a/coordination/replica/src/codec/agreement.rs
+++ b/coordination/replica/src/codec/agreement.rs
@@ -1,6 +1,6 @@
 //! The rounds of the agreed register on the wire.
 
-use whinspindle_agreement::{Ballot, Voter};
+use whinspindle_consensus::{Ballot, Voter};
 
 use super::DecodeError;
 use super::parts::{
--- a/coordination/replica/src/codec/parts.rs
+++ b/coordination/replica/src/codec/parts.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 use snafu::OptionExt;
-use whinspindle_agreement::{Ballot, Voter};
+use whinspindle_consensus::{Ballot, Voter};
 use whinspindle_digests::{Digest, KeyRange, RangeDigest};
 use whinspindle_encoding::{DigestLengthSnafu, address_octets};
 
--- a/coordination/replica/src/durable.rs
+++ b/coordination/replica/src/durable.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
-use whinspindle_agreement::{Ballot, Votes};
+use whinspindle_consensus::{Ballot, Votes};
 
 use crate::entry::{Entry, Origin, Outcome};
 use crate::records::Records;
--- a/coordination/replica/src/laws.rs
+++ b/coordination/replica/src/laws.rs
@@ -2,14 +2,14 @@
 
 use std::fmt::Debug;
 
-use whinspindle_agreement::AsPublished;
+use whinspindle_consensus::AsPublished;
 
 use crate::settings::ReplicaSettings;
 
 /// What must hold. The defaults are what the program runs; tests plant faults in their place.
 pub trait Laws: Clone + Debug {
     /// How the votes for a view are counted.
-    type Agreement: whinspindle_agreement::Laws;
+    type Agreement: whinspindle_consensus::Laws;
 
     /// Up to which entry a member may acknowledge, pass on and commit.
     fn settled(durable: u64, _last: u64) -> u64 {
--- a/coordination/replica/src/lib.rs
+++ b/coordination/replica/src/lib.rs
@@ -44,4 +44,4 @@
 pub use replica::{Input, Output, Replica, Reply, SubmitError};
 pub use settings::{ReplicaSettings, Timing};
 pub use view::{ChainLink, Member, View};
-pub use whinspindle_agreement::{AsPublished, Laws as AgreementLaws, Voter};
+pub use whinspindle_consensus::{AsPublished, Laws as AgreementLaws, Voter};
--- a/coordination/replica/src/message.rs
+++ b/coordination/replica/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use whinspindle_agreement::{Ballot, Voter};
+use whinspindle_consensus::{Ballot, Voter};
 use whinspindle_digests::RangeDigest;
 
 use crate::durable::Decided;
--- a/coordination/replica/src/peers.rs
+++ b/coordination/replica/src/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use whinspindle_agreement::Voter;
+use whinspindle_consensus::Voter;
 
 use crate::message::{Heard, Heartbeat};
 use crate::settings::Timing;
--- a/coordination/replica/src/plan.rs
+++ b/coordination/replica/src/plan.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use whinspindle_agreement::Voter;
+use whinspindle_consensus::Voter;
 
 use crate::message::Report;
 use crate::placement::{Crowding, Place, Tolerance};
--- a/coordination/replica/src/replica.rs
+++ b/coordination/replica/src/replica.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use snafu::Snafu;
-use whinspindle_agreement::Voter;
+use whinspindle_consensus::Voter;
 
 use crate::application::{Application, RecordWrite};
 use crate::chance::Chance;
--- a/coordination/replica/src/view.rs
+++ b/coordination/replica/src/view.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_agreement::{Agreed, Voter};
+use whinspindle_consensus::{Agreed, Voter};
 
 use crate::placement::Place;
 
--- a/coordination/replica/tests/catch_up.rs
+++ b/coordination/replica/tests/catch_up.rs
@@ -6,7 +6,7 @@
 
 use common::changes::{Changes, Load};
 use common::node::endpoint;
-use whinspindle_lab_cluster::{DiskTiming, NetworkTiming};
+use whinspindle_lab_simulated_cluster::{DiskTiming, NetworkTiming};
 
 /// A configuration of about 400 routes.
 const BODY_BYTES: usize = 120_000;
--- a/coordination/replica/tests/chain_length.rs
+++ b/coordination/replica/tests/chain_length.rs
@@ -7,7 +7,7 @@
 use common::clients::Clients;
 use common::history::{Asked, check};
 use common::node::{cluster, endpoint};
-use whinspindle_lab_cluster::NetworkTiming;
+use whinspindle_lab_simulated_cluster::NetworkTiming;
 use whinspindle_replica::{AsDesigned, ChainLink, View, Voter};
 
 const MOST_VOTERS: u16 = 7;
--- a/coordination/replica/tests/common/changes.rs
+++ b/coordination/replica/tests/common/changes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use whinspindle_lab_cluster::{Cluster, DiskTiming, NetworkTiming, Occurrence};
+use whinspindle_lab_simulated_cluster::{Cluster, DiskTiming, NetworkTiming, Occurrence};
 use whinspindle_replica::{AsDesigned, View};
 
 use super::node::{
--- a/coordination/replica/tests/common/clients.rs
+++ b/coordination/replica/tests/common/clients.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use whinspindle_lab_cluster::{Cluster, Occurrence, Pcg};
+use whinspindle_lab_simulated_cluster::{Cluster, Occurrence, Pcg};
 use whinspindle_replica::{Laws, SubmitError};
 
 use super::history::{Answered, Asked, Operation};
--- a/coordination/replica/tests/common/faulty.rs
+++ b/coordination/replica/tests/common/faulty.rs
@@ -1,6 +1,6 @@
 //! Faults planted in the place of the laws.
 
-use whinspindle_agreement::Agreed;
+use whinspindle_consensus::Agreed;
 use whinspindle_replica::{AgreementLaws, AsPublished, Laws, ReplicaSettings, Voter};
 
 /// A member acknowledges, passes on and commits what its disk does not have yet.
--- a/coordination/replica/tests/common/node.rs
+++ b/coordination/replica/tests/common/node.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use whinspindle_lab_cluster::{Cluster, DiskTiming, Effect, Event, NetworkTiming, Process, Start};
+use whinspindle_lab_simulated_cluster::{Cluster, DiskTiming, Effect, Event, NetworkTiming, Process, Start};
 use whinspindle_replica::{
     Answer, Application, AsDesigned, ChainLink, DurableWrite, Evaluation, Input, Laws, Message, Output,
     Place, RecordWrite, Records, Replica, ReplicaSettings, Reply, SubmitError, Timing, Tolerance, Voter,
--- a/coordination/replica/tests/common/schedule.rs
+++ b/coordination/replica/tests/common/schedule.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use quickcheck::{Arbitrary, Gen};
-use whinspindle_lab_cluster::{Cluster, NetworkTiming, Pcg};
+use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming, Pcg};
 
 use whinspindle_replica::Laws;
 
@@ -337,7 +337,11 @@
         }
     }
 
-    fn with_disk(&mut self, at: SocketAddr, change: impl FnOnce(&mut whinspindle_lab_cluster::Disk)) {
+    fn with_disk(
+        &mut self,
+        at: SocketAddr,
+        change: impl FnOnce(&mut whinspindle_lab_simulated_cluster::Disk),
+    ) {
         if let Some(disk) = self.cluster.disk(at) {
             change(disk);
         }
--- a/coordination/replica/tests/faults.rs
+++ b/coordination/replica/tests/faults.rs
@@ -7,7 +7,7 @@
 use common::clients::Clients;
 use common::history::{Asked, check};
 use common::node::{Command, Node, cluster, endpoint};
-use whinspindle_lab_cluster::{Cluster, NetworkTiming, Pcg};
+use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming, Pcg};
 
 /// Operations drawn at random go to so many registers.
 const REGISTERS: usize = 2;
--- a/coordination/replica/tests/fence.rs
+++ b/coordination/replica/tests/fence.rs
@@ -8,7 +8,7 @@
 use common::clients::Clients;
 use common::history::{Asked, check};
 use common::node::{cluster, endpoint};
-use whinspindle_lab_cluster::NetworkTiming;
+use whinspindle_lab_simulated_cluster::NetworkTiming;
 use whinspindle_replica::{AsDesigned, Message};
 
 /// The head is silent, and hears nothing but what others have committed without it: it does not know the view in which
--- a/coordination/replica/tests/heartbeats.rs
+++ b/coordination/replica/tests/heartbeats.rs
@@ -4,7 +4,7 @@
 
 use common::clients::Clients;
 use common::node::{Node, cluster, endpoint};
-use whinspindle_lab_cluster::{Cluster, Effect, Event, NetworkTiming, Process};
+use whinspindle_lab_simulated_cluster::{Cluster, Effect, Event, NetworkTiming, Process};
 use whinspindle_replica::{AsDesigned, Message};
 
 /// A write is acknowledged within this, in milliseconds.
--- a/coordination/replica/tests/messages.rs
+++ b/coordination/replica/tests/messages.rs
@@ -4,7 +4,7 @@
 
 use common::node::{cluster, endpoint};
 use quickcheck::quickcheck;
-use whinspindle_lab_cluster::{Effect, Event, NetworkTiming, Process};
+use whinspindle_lab_simulated_cluster::{Effect, Event, NetworkTiming, Process};
 use whinspindle_replica::{AsDesigned, Message};
 
 /// Messages that a running replica sends.
--- a/coordination/replica/tests/ordinary.rs
+++ b/coordination/replica/tests/ordinary.rs
@@ -5,7 +5,7 @@
 use common::clients::Clients;
 use common::history::{Asked, check};
 use common::node::{cluster, endpoint};
-use whinspindle_lab_cluster::NetworkTiming;
+use whinspindle_lab_simulated_cluster::NetworkTiming;
 use whinspindle_replica::AsDesigned;
 
 #[test]
--- a/coordination/replica/tests/overlap.rs
+++ b/coordination/replica/tests/overlap.rs
@@ -9,7 +9,7 @@
 use common::faulty::{DropsEntriesWhenLeftOut, TakesIncompleteLeaders};
 use common::history::{Asked, check};
 use common::node::{Node, cluster, endpoint};
-use whinspindle_lab_cluster::{Cluster, NetworkTiming};
+use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::{AsDesigned, Laws, Message};
 
 /// Each order of roles is played with so many seeds.
--- a/coordination/replica/tests/placement.rs
+++ b/coordination/replica/tests/placement.rs
@@ -7,7 +7,7 @@
 use common::clients::Clients;
 use common::history::check;
 use common::node::{Node, cluster_at, endpoint, place};
-use whinspindle_lab_cluster::{Cluster, NetworkTiming};
+use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::{LossKind, Place, Tolerance};
 
 /// All voters are where they should be by then, in milliseconds.
--- a/coordination/replica/tests/planted.rs
+++ b/coordination/replica/tests/planted.rs
@@ -10,7 +10,7 @@
 };
 use common::node::{Moment, Node, cluster, endpoint};
 use common::schedule::{Fault, Schedule, Step, Trigger, play};
-use whinspindle_lab_cluster::{Cluster, NetworkTiming};
+use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::{AsDesigned, Laws, View};
 
 /// A schedule is played with so many seeds at most.
--- a/coordination/replica/tests/repair.rs
+++ b/coordination/replica/tests/repair.rs
@@ -11,7 +11,7 @@
 use common::clients::Clients;
 use common::history::{Asked, check};
 use common::node::{Command, Node, cluster_at, endpoint, place};
-use whinspindle_lab_cluster::{Cluster, NetworkTiming};
+use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::Tolerance;
 
 /// All founding members and those that join them vote by then, in milliseconds.
--- a/crates/tables/tests/tables.rs
+++ b/crates/toml-config/tests/tables.rs
@@ -1,7 +1,7 @@
 //! Faults are told all at once, each at its line; values come with their units.
 
-use whinspindle_tables::units::time_text;
-use whinspindle_tables::{Fault, read};
+use whinspindle_toml_config::units::time_text;
+use whinspindle_toml_config::{Fault, read};
 
 /// The line, the field, and words of the fault.
 type Wanted = (usize, &'static str, &'static str);
--- a/dataplane/proxy/src/clients.rs
+++ b/dataplane/proxy/src/clients.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use whinspindle_sockets::{Ending, Meter, Metered};
+use whinspindle_metered_sockets::{Ending, Meter, Metered};
 
 use crate::answers::{Answer, AnswerBody};
 use crate::connect::{BoxedSocket, accepted};
@@ -282,7 +282,7 @@
             () = &mut accepting_ends => break,
         }
     }
-    for socket in whinspindle_sockets::drain(listener) {
+    for socket in whinspindle_metered_sockets::drain(listener) {
         clients.serve(&node, accepted(socket));
     }
     finish(&node, &clients).await;
--- a/dataplane/proxy/src/lane.rs
+++ b/dataplane/proxy/src/lane.rs
@@ -12,7 +12,7 @@
 use hyper::body::{Body, Frame, Incoming};
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use hyper_util::rt::TokioIo;
-use whinspindle_sockets::{Meter, Metered};
+use whinspindle_metered_sockets::{Meter, Metered};
 
 use crate::connect::BoxedSocket;
 
--- a/lab/tool/src/compare.rs
+++ b/lab/cli/src/compare.rs
@@ -6,9 +6,9 @@
 use clap::Args;
 use rayon::prelude::*;
 use serde::Serialize;
-use whinspindle_lab_figures::Run;
-use whinspindle_lab_figures::compare::{Difference, bootstrap};
-use whinspindle_lab_world::dice::{Concern, Dice};
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_report::Run;
+use whinspindle_lab_report::compare::{Difference, bootstrap};
 
 use crate::file::{self, Changes};
 use crate::play;
--- a/lab/tool/src/file.rs
+++ b/lab/cli/src/file.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use whinspindle_lab_fleet::Policy;
 use whinspindle_lab_scenario::{Scenario, change};
+use whinspindle_lab_simulation::Policy;
 
 /// What may be changed of a scenario without touching its file.
 #[derive(Args, Clone)]
--- a/lab/tool/src/fleet.rs
+++ b/lab/cli/src/fleet.rs
@@ -4,9 +4,9 @@
 
 use clap::Args;
 use rayon::prelude::*;
-use whinspindle_lab_explore::members::{Plan, World, hunt, search};
-use whinspindle_lab_explore::sizes::{Fleet, measure, schedule};
-use whinspindle_policy::AsPublished;
+use whinspindle_fleet_policy::AsPublished;
+use whinspindle_lab_model_checker::members::{Plan, World, hunt, search};
+use whinspindle_lab_model_checker::sizes::{Fleet, measure, schedule};
 
 #[derive(Args)]
 pub struct FleetLine {
@@ -60,8 +60,8 @@
             plays.sort_by_key(|play| play.to_last.unwrap_or(u64::MAX));
             let Some(play) = plays.get(plays.len() / 2) else { continue };
             let last = play.to_last.map_or("never".to_string(), |us| format!("{:.2}", us as f64 / 1e6));
-            let sent = |sent: [whinspindle_lab_explore::sizes::Sent; 2]| {
-                let one = |sent: whinspindle_lab_explore::sizes::Sent| {
+            let sent = |sent: [whinspindle_lab_model_checker::sizes::Sent; 2]| {
+                let one = |sent: whinspindle_lab_model_checker::sizes::Sent| {
                     format!("{:.1} ({:.0})", sent.datagrams, sent.bytes)
                 };
                 format!("{}, {}", one(sent[0]), one(sent[1]))
--- a/lab/tool/src/hunt.rs
+++ b/lab/cli/src/hunt.rs
@@ -10,9 +10,9 @@
 use rayon::prelude::*;
 use serde::Serialize;
 use toml::{Table, Value};
-use whinspindle_lab_fleet::{Fleet, Policy};
+use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_scenario::{Scenario, change};
-use whinspindle_lab_world::dice::{Concern, Dice};
+use whinspindle_lab_simulation::{Fleet, Policy};
 
 use crate::file;
 
--- a/lab/tool/src/play.rs
+++ b/lab/cli/src/play.rs
@@ -7,9 +7,9 @@
 
 use clap::Args;
 use indicatif::{ProgressBar, ProgressStyle};
-use whinspindle_lab_figures::{Run, page, table};
-use whinspindle_lab_fleet::{Fleet, Policy};
+use whinspindle_lab_report::{Run, page, table};
 use whinspindle_lab_scenario::Scenario;
+use whinspindle_lab_simulation::{Fleet, Policy};
 
 use crate::file::{self, Changes};
 
@@ -58,7 +58,7 @@
     let run = if line.real {
         let bar = progress(!line.json);
         let program = line.program.clone().unwrap_or_else(beside);
-        let run = whinspindle_lab_stage::play(&scenario, &program, &mut |part, words| {
+        let run = whinspindle_lab_testbed::play(&scenario, &program, &mut |part, words| {
             bar.set_position((part * 1000.0) as u64);
             bar.set_message(words.to_string());
         })?;
--- a/lab/tool/src/recovery.rs
+++ b/lab/cli/src/recovery.rs
@@ -5,10 +5,10 @@
 
 use clap::Args;
 use rayon::prelude::*;
-use whinspindle_lab_figures::recovery::{Recovery, recovery};
-use whinspindle_lab_figures::{Run, table};
-use whinspindle_lab_fleet::Policy;
+use whinspindle_lab_report::recovery::{Recovery, recovery};
+use whinspindle_lab_report::{Run, table};
 use whinspindle_lab_scenario::Scenario;
+use whinspindle_lab_simulation::Policy;
 
 use crate::file::{self, Changes};
 use crate::play;
@@ -48,7 +48,7 @@
     let program = line.program.clone().unwrap_or_else(play::beside);
     let played = |scenario: &Scenario| -> Result<Run, String> {
         if line.real {
-            return whinspindle_lab_stage::play(scenario, &program, &mut |_, _| {});
+            return whinspindle_lab_testbed::play(scenario, &program, &mut |_, _| {});
         }
         Ok(play::virtually(scenario, "", Policy::Module, false))
     };
--- a/lab/tool/src/sweep.rs
+++ b/lab/cli/src/sweep.rs
@@ -8,7 +8,7 @@
 use indicatif::ProgressBar;
 use rayon::prelude::*;
 use serde::Serialize;
-use whinspindle_lab_figures::Run;
+use whinspindle_lab_report::Run;
 
 use crate::file::{self, Changes};
 use crate::play;
--- a/lab/relays/examples/hunt.rs
+++ b/lab/fault-proxies/examples/hunt.rs
@@ -1,10 +1,10 @@
 //! Drawn schedules of faults over real processes, several at once:
-//! `cargo run --release -p whinspindle-lab-relays --example hunt -- FROM TO [MEMBERS] [AT ONCE]`.
+//! `cargo run --release -p whinspindle-lab-fault-proxies --example hunt -- FROM TO [MEMBERS] [AT ONCE]`.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
-use whinspindle_lab_relays::hunt::{draw, play, shrink};
+use whinspindle_lab_fault_proxies::hunt::{draw, play, shrink};
 
 fn main() {
     let numbers: Vec<u64> = std::env::args().skip(1).filter_map(|word| word.parse().ok()).collect();
--- a/lab/relays/examples/times.rs
+++ b/lab/fault-proxies/examples/times.rs
@@ -1,10 +1,10 @@
 //! How long a change takes to reach the last of several processes of the program, in real time on loopback:
-//! `cargo run --release -p whinspindle-lab-relays --example times -- target/release/whinspindle 3 9 31`.
+//! `cargo run --release -p whinspindle-lab-fault-proxies --example times -- target/release/whinspindle 3 9 31`.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use whinspindle_lab_relays::{Referee, Stand, Way};
+use whinspindle_lab_fault_proxies::{Referee, Stand, Way};
 
 const FLEET: &str = "name = \"times\"\nvoters = [0, 1, 2]\n";
 
--- a/lab/relays/src/hunt.rs
+++ b/lab/fault-proxies/src/hunt.rs
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use whinspindle_lab_world::dice::{Concern, Dice};
+use whinspindle_lab_model::dice::{Concern, Dice};
 
 use crate::{Referee, Stand, Way};
 
--- a/lab/relays/src/relay.rs
+++ b/lab/fault-proxies/src/relay.rs
@@ -10,7 +10,7 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
-use whinspindle_lab_world::dice::{Concern, Dice};
+use whinspindle_lab_model::dice::{Concern, Dice};
 
 /// What happens to datagrams one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/lab/relays/tests/referee.rs
+++ b/lab/fault-proxies/tests/referee.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use whinspindle_lab_relays::{Seen, judged};
+use whinspindle_lab_fault_proxies::{Seen, judged};
 
 /// When a member answered, in tenths of a second, and with which limit.
 type Answers<'a> = &'a [(u64, u64)];
--- a/lab/referee/tests/referee.rs
+++ b/lab/invariants/tests/referee.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use whinspindle_lab_referee::*;
+use whinspindle_lab_invariants::*;
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
--- a/lab/explore/src/members/judge.rs
+++ b/lab/model-checker/src/members/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use whinspindle_policy::{Laws, Record, Right, Unit, Way};
+use whinspindle_fleet_policy::{Laws, Record, Right, Unit, Way};
 
 use super::schedule::{DRIFT, RIGHT, STEP, WATCHED, clock};
 use super::world::{Place, World};
--- a/lab/explore/src/members/outcome.rs
+++ b/lab/model-checker/src/members/outcome.rs
@@ -1,6 +1,6 @@
 //! What became of a schedule: questions that tests ask of its end.
 
-use whinspindle_policy::{Laws, Member, Record, Right};
+use whinspindle_fleet_policy::{Laws, Member, Record, Right};
 
 use super::schedule::{VOTERS, clock};
 use super::world::{Place, World};
--- a/lab/explore/src/members/schedule.rs
+++ b/lab/model-checker/src/members/schedule.rs
@@ -1,6 +1,6 @@
 //! What operators do and which faults there are: the parts of a schedule.
 
-use whinspindle_policy::{Plan as Release, Terms, Unit};
+use whinspindle_fleet_policy::{Plan as Release, Terms, Unit};
 
 /// Steps of true time; in each every member ticks once and all that is due is delivered.
 pub const STEPS: u64 = 30;
--- a/lab/explore/src/members/search.rs
+++ b/lab/model-checker/src/members/search.rs
@@ -2,8 +2,8 @@
 
 use std::collections::HashMap;
 
-use whinspindle_lab_world::dice::{Concern, Dice};
-use whinspindle_policy::Laws;
+use whinspindle_fleet_policy::Laws;
+use whinspindle_lab_model::dice::{Concern, Dice};
 
 use super::schedule::{Departure, FAULTS, Plan};
 use super::world::World;
--- a/lab/explore/src/members/world.rs
+++ b/lab/model-checker/src/members/world.rs
@@ -3,7 +3,9 @@
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
-use whinspindle_policy::{Hash as Name, Laws, Member, Memory, Message, Objection, Record, Unit, Want, Way};
+use whinspindle_fleet_policy::{
+    Hash as Name, Laws, Member, Memory, Message, Objection, Record, Unit, Want, Way,
+};
 
 use super::judge::{Judge, hash_of};
 use super::schedule::{Departure, Fault, MEMBERS, Plan, VOTERS, clock, terms};
--- a/lab/explore/src/net.rs
+++ b/lab/model-checker/src/net.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use whinspindle_policy::{Hash, Memory, Message, No, Outside, Plan, Policy, Record, Unit};
-use whinspindle_release::{Limits, Scene};
+use whinspindle_fleet_policy::{Hash, Memory, Message, No, Outside, Plan, Policy, Record, Unit};
+use whinspindle_rollout::{Limits, Scene};
 
 #[derive(Default)]
 pub struct Out {
--- a/lab/explore/src/plants.rs
+++ b/lab/model-checker/src/plants.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use whinspindle_agreement::{Agreed, Ballot, Laws as Counting, Voter};
-use whinspindle_policy::{Laws, No, Record, Terms, Wish};
-use whinspindle_release::{Next, Progress};
+use whinspindle_consensus::{Agreed, Ballot, Laws as Counting, Voter};
+use whinspindle_fleet_policy::{Laws, No, Record, Terms, Wish};
+use whinspindle_rollout::{Next, Progress};
 
 macro_rules! plant {
     ($(#[$what:meta])* $name:ident, counting { $($counting:item)* }, member { $($member:item)* }) => {
--- a/lab/explore/src/register.rs
+++ b/lab/model-checker/src/register.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use whinspindle_agreement::{Agreed, Ballot, Laws, Round, Voter, Votes};
+use whinspindle_consensus::{Agreed, Ballot, Laws, Round, Voter, Votes};
 
 /// A value whose changes are letters; each that is agreed on must begin with those before it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/lab/explore/src/sizes.rs
+++ b/lab/model-checker/src/sizes.rs
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use whinspindle_lab_world::dice::{Concern, Dice};
-use whinspindle_peers::{DATAGRAM, Peers};
-use whinspindle_policy::{AsPublished, Fate, Member, Memory, Message, Objection, Right, Terms};
+use whinspindle_fleet_policy::{AsPublished, Fate, Member, Memory, Message, Objection, Right, Terms};
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_peer_transport::{DATAGRAM, Peers};
 
 use crate::net::Net;
 
--- a/lab/explore/src/verdicts.rs
+++ b/lab/model-checker/src/verdicts.rs
@@ -2,8 +2,8 @@
 //! failures and slowness that come and go with it for all, and a build that may be bad. Only the counts are
 //! drawn; what is judged is the evidence as it ships. Simulated.
 
-use whinspindle_lab_world::dice::{Concern, Dice};
-use whinspindle_release::{Count, Evidence, Places, Plan, Progress, Unit, Way, rows};
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_rollout::{Count, Evidence, Places, Plan, Progress, Unit, Way, rows};
 
 /// What is wrong with a build.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -142,8 +142,8 @@
         let progress = Progress { plan: &plan, way: Way::Forth, wave, changed: &changed, out: &out_now };
         watched = if progress.next(u64::MAX).is_some() { watched + WINDOW } else { 0.0 };
         match progress.next((watched * 1e6) as u64) {
-            Some(whinspindle_release::Next::Wave(next)) => (wave, watched) = (next, 0.0),
-            Some(whinspindle_release::Next::Over) => {
+            Some(whinspindle_rollout::Next::Wave(next)) => (wave, watched) = (next, 0.0),
+            Some(whinspindle_rollout::Next::Over) => {
                 return End { halted: false, touched: all, after };
             }
             None => {}
--- a/lab/explore/tests/members.rs
+++ b/lab/model-checker/tests/members.rs
@@ -1,8 +1,8 @@
 //! Whole members, with departures from the plain schedule at every delivery, and the faults that these find.
 
-use whinspindle_lab_explore::members::{Fault, PLAIN, Plan, World, hunt, search};
-use whinspindle_lab_explore::plants::*;
-use whinspindle_policy::{AsPublished, Laws, Right};
+use whinspindle_fleet_policy::{AsPublished, Laws, Right};
+use whinspindle_lab_model_checker::members::{Fault, PLAIN, Plan, World, hunt, search};
+use whinspindle_lab_model_checker::plants::*;
 
 #[test]
 fn undisturbed_both_changes_take_hold_everywhere() {
--- a/lab/explore/tests/register.rs
+++ b/lab/model-checker/tests/register.rs
@@ -1,8 +1,8 @@
 //! Every order of deliveries, and the faults that it finds.
 
-use whinspindle_agreement::{AsPublished, Laws};
-use whinspindle_lab_explore::plants::*;
-use whinspindle_lab_explore::register::{Bound, Searched, search};
+use whinspindle_consensus::{AsPublished, Laws};
+use whinspindle_lab_model_checker::plants::*;
+use whinspindle_lab_model_checker::register::{Bound, Searched, search};
 
 const TWO: Bound =
     Bound { rounds: [1, 1], memories: 0, steps: ['a', 'b'], prompt: false, before: &[], most_states: 40_000 };
--- a/lab/explore/tests/sizes.rs
+++ b/lab/model-checker/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Whole fleets in virtual time.
 
-use whinspindle_lab_explore::sizes::{Fleet, measure, refused, schedule};
-use whinspindle_policy::Fate;
+use whinspindle_fleet_policy::Fate;
+use whinspindle_lab_model_checker::sizes::{Fleet, measure, refused, schedule};
 
 #[test]
 fn a_change_reaches_the_last_member_at_every_size_and_under_loss() {
--- a/lab/explore/tests/verdicts.rs
+++ b/lab/model-checker/tests/verdicts.rs
@@ -1,6 +1,6 @@
 //! Good builds are let through, and bad ones halted while few units carry them.
 
-use whinspindle_lab_explore::verdicts::{BUILDS, Build, Fleet, play};
+use whinspindle_lab_model_checker::verdicts::{BUILDS, Build, Fleet, play};
 
 #[test]
 fn false_halts_are_as_rare_as_stated_and_bad_builds_touch_few_units() {
--- a/lab/figures/src/lib.rs
+++ b/lab/report/src/lib.rs
@@ -8,7 +8,7 @@
 mod tally;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_lab_referee::Verdict;
+use whinspindle_lab_invariants::Verdict;
 
 pub use tally::{Tally, Told};
 
--- a/lab/figures/src/table.rs
+++ b/lab/report/src/table.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use whinspindle_lab_scenario::{Ill, Scenario, Trouble};
-use whinspindle_tables::units::time_text;
+use whinspindle_toml_config::units::time_text;
 
 use crate::{Row, Run};
 
--- a/lab/figures/tests/figures.rs
+++ b/lab/report/tests/figures.rs
@@ -1,8 +1,8 @@
 //! Figures of whole runs: what is noise, what is kept, what is drawn.
 
-use whinspindle_lab_figures::compare::bootstrap;
-use whinspindle_lab_figures::{Run, Second, Span, page, table};
-use whinspindle_lab_referee::Break;
+use whinspindle_lab_invariants::Break;
+use whinspindle_lab_report::compare::bootstrap;
+use whinspindle_lab_report::{Run, Second, Span, page, table};
 
 /// Whole numbers that repeat only after long.
 fn chance(state: &mut u64, n: usize) -> usize {
--- a/lab/scenario/src/lib.rs
+++ b/lab/scenario/src/lib.rs
@@ -1,7 +1,7 @@
 //! Scenario files: a fleet, its network, the load on it and a timetable of troubles. Everything is checked
 //! when the file is read, and all faults are told at once.
 
-use whinspindle_tables::Fault;
+use whinspindle_toml_config::Fault;
 
 pub mod change;
 mod read;
@@ -386,7 +386,7 @@
 impl Scenario {
     /// Reads and checks a scenario file.
     pub fn read(text: &str) -> Result<Scenario, Vec<Fault>> {
-        whinspindle_tables::read(text, read::scenario)
+        whinspindle_toml_config::read(text, read::scenario)
     }
 
     /// Servers of a tier, by kind and zone, in the order of their numbers.
--- a/lab/scenario/src/read.rs
+++ b/lab/scenario/src/read.rs
@@ -1,6 +1,6 @@
 //! From the tables of a file to a scenario. Every check that looks at one value or at several stands here.
 
-use whinspindle_tables::{Place, Table};
+use whinspindle_toml_config::{Place, Table};
 
 use crate::*;
 
--- a/lab/fleet/src/decider.rs
+++ b/lab/simulation/src/decider.rs
@@ -2,7 +2,7 @@
 
 use whinspindle::decide::Balancer;
 use whinspindle::host::{Arrival, Conditions, Ending, Entry, Host, LoadReport, Terms};
-use whinspindle_lab_world::dice::Dice;
+use whinspindle_lab_model::dice::Dice;
 
 use crate::plain::Plain;
 
--- a/lab/fleet/src/plain.rs
+++ b/lab/simulation/src/plain.rs
@@ -2,7 +2,7 @@
 //! that breaks them would say nothing, and send a cold server a part of its share by its warmth.
 
 use whinspindle::host::{Arrival, Effect, Ending, Entry, Group, Outcome, Standing, Terms};
-use whinspindle_lab_world::dice::Dice;
+use whinspindle_lab_model::dice::Dice;
 
 use crate::decider::{Policy, Sight, Wish};
 
--- a/lab/fleet/src/play.rs
+++ b/lab/simulation/src/play.rs
@@ -13,14 +13,14 @@
 
 use slotmap::SlotMap;
 use whinspindle::host::Standing;
-use whinspindle_lab_figures::{Run, Tally};
-use whinspindle_lab_referee::Referee;
+use whinspindle_lab_invariants::Referee;
+use whinspindle_lab_model::arrivals::{Arrivals, Wanted};
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::links::Links;
+use whinspindle_lab_model::machine::{Did, Machine};
+use whinspindle_lab_model::registry::Registry;
+use whinspindle_lab_report::{Run, Tally};
 use whinspindle_lab_scenario::Scenario;
-use whinspindle_lab_world::arrivals::{Arrivals, Wanted};
-use whinspindle_lab_world::dice::{Concern, Dice};
-use whinspindle_lab_world::links::Links;
-use whinspindle_lab_world::machine::{Did, Machine};
-use whinspindle_lab_world::registry::Registry;
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::decider::Policy;
--- a/lab/fleet/src/play/balancers.rs
+++ b/lab/simulation/src/play/balancers.rs
@@ -1,8 +1,8 @@
 //! Queries at their balancers: decided on, carried out and answered.
 
 use whinspindle::host::{Arrival, Outcome};
-use whinspindle_lab_figures::Told;
-use whinspindle_lab_referee::Final;
+use whinspindle_lab_invariants::Final;
+use whinspindle_lab_report::Told;
 
 use super::Fleet;
 use super::event::Event;
--- a/lab/fleet/src/play/clients.rs
+++ b/lab/simulation/src/play/clients.rs
@@ -1,9 +1,9 @@
 //! Clients: they come, try, wait, leave and try again.
 
 use slotmap::Key;
-use whinspindle_lab_figures::Told;
+use whinspindle_lab_model::arrivals::Wanted;
+use whinspindle_lab_report::Told;
 use whinspindle_lab_scenario::{Effect, Group};
-use whinspindle_lab_world::arrivals::Wanted;
 
 use super::event::Event;
 use super::state::{ExecKey, Origin, Query, QueryKey, WantKey};
--- a/lab/fleet/src/play/discovery.rs
+++ b/lab/simulation/src/play/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery: the list of each tier's servers, and how balancers hear of it.
 
 use whinspindle::host::{Entry, Standing};
+use whinspindle_lab_model::registry::{Listing, News, Site};
 use whinspindle_lab_scenario::Scenario;
-use whinspindle_lab_world::registry::{Listing, News, Site};
 
 use super::Fleet;
 use super::event::Event;
--- a/lab/fleet/src/play/event.rs
+++ b/lab/simulation/src/play/event.rs
@@ -1,8 +1,8 @@
 //! What can happen at a moment of virtual time.
 
 use whinspindle::host::Outcome;
-use whinspindle_lab_figures::Told;
-use whinspindle_lab_world::machine::Report;
+use whinspindle_lab_model::machine::Report;
+use whinspindle_lab_report::Told;
 
 use super::state::{ExecKey, QueryKey, WantKey};
 
--- a/lab/fleet/src/play/executions.rs
+++ b/lab/simulation/src/play/executions.rs
@@ -2,8 +2,8 @@
 
 use slotmap::Key;
 use whinspindle::host::{Ending, Outcome};
-use whinspindle_lab_figures::Told;
-use whinspindle_lab_world::machine::{Report, Taken, Task};
+use whinspindle_lab_model::machine::{Report, Taken, Task};
+use whinspindle_lab_report::Told;
 
 use super::Fleet;
 use super::event::Event;
--- a/lab/fleet/src/play/lifecycle.rs
+++ b/lab/simulation/src/play/lifecycle.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use whinspindle::host::Outcome;
-use whinspindle_lab_figures::Told;
-use whinspindle_lab_world::dice::{Concern, Dice};
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_report::Told;
 
 use super::Fleet;
 use super::event::{Event, Step};
--- a/lab/fleet/src/play/servers.rs
+++ b/lab/simulation/src/play/servers.rs
@@ -2,8 +2,8 @@
 
 use slotmap::{Key, KeyData};
 use whinspindle::host::{Outcome, Standing};
-use whinspindle_lab_world::dice::{Concern, Dice};
-use whinspindle_lab_world::machine::Did;
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::machine::Did;
 
 use super::Fleet;
 use super::discovery::DISCOVERY_NOTICES;
--- a/lab/fleet/src/play/state.rs
+++ b/lab/simulation/src/play/state.rs
@@ -4,9 +4,9 @@
 
 use slotmap::new_key_type;
 use whinspindle::host::LoadReport;
-use whinspindle_lab_world::arrivals::Wanted;
-use whinspindle_lab_world::machine::{Machine, Report};
-use whinspindle_lab_world::registry::Registry;
+use whinspindle_lab_model::arrivals::Wanted;
+use whinspindle_lab_model::machine::{Machine, Report};
+use whinspindle_lab_model::registry::Registry;
 
 use super::event::Event;
 use crate::decider::{Decider, Sight};
--- a/lab/fleet/src/release.rs
+++ b/lab/simulation/src/release.rs
@@ -6,7 +6,7 @@
 
 use whinspindle::host::Outcome;
 use whinspindle_lab_scenario::{How, Release};
-use whinspindle_release::{
+use whinspindle_rollout::{
     Count, Evidence, Limits, Next, Place, Places, Plan, Progress, Scene, Seen, Unit, Way, rows,
 };
 
--- a/lab/fleet/src/rules.rs
+++ b/lab/simulation/src/rules.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 
 use whinspindle::host::{Conditions, Effect, Group, Product, RepeatAfter, SecondCopy, Standing, Terms};
-use whinspindle_lab_referee::{Demands, Listed, Referee, Repeats, Scope};
+use whinspindle_lab_invariants::{Demands, Listed, Referee, Repeats, Scope};
+use whinspindle_lab_model::registry::{Listing, News};
 use whinspindle_lab_scenario::Scenario;
-use whinspindle_lab_world::registry::{Listing, News};
 
 /// The shortest step of the clock that the decisions are told of.
 const TICK: u64 = 1_000;
--- a/lab/fleet/src/troubles.rs
+++ b/lab/simulation/src/troubles.rs
@@ -1,9 +1,9 @@
 //! The timetable: what each trouble does when it begins and when it is over.
 
 use whinspindle::host::Standing;
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::machine::Machine;
 use whinspindle_lab_scenario::{Ill, Trouble};
-use whinspindle_lab_world::dice::{Concern, Dice};
-use whinspindle_lab_world::machine::Machine;
 
 use crate::play::{DISCOVERY_NOTICES, Event, Fleet, Host, Step};
 
@@ -97,7 +97,7 @@
             // In virtual time there is no file to read again.
             Ill::BalancerReload(_) => {}
             Ill::Surge(factor) => self.surge(*factor),
-            // Nor do balancers speak to one another or keep anything; `lab/explore` plays that.
+            // Nor do balancers speak to one another or keep anything; `lab/model-checker` plays that.
             Ill::PeerCut(..)
             | Ill::PeerLoss(_)
             | Ill::PeerRepeat(_)
@@ -216,7 +216,7 @@
         self.nodes[node].dealt = true;
     }
 
-    fn registries(&mut self, change: impl Fn(&mut whinspindle_lab_world::registry::Registry)) {
+    fn registries(&mut self, change: impl Fn(&mut whinspindle_lab_model::registry::Registry)) {
         self.tiers.iter_mut().for_each(|tier| change(&mut tier.registry));
     }
 
--- a/lab/fleet/tests/fleet.rs
+++ b/lab/simulation/tests/fleet.rs
@@ -3,9 +3,9 @@
 
 use std::path::Path;
 
-use whinspindle_lab_figures::{Row, Run};
-use whinspindle_lab_fleet::{Fleet, Policy};
+use whinspindle_lab_report::{Row, Run};
 use whinspindle_lab_scenario::{Ill, Scenario, Trouble, Whom, change};
+use whinspindle_lab_simulation::{Fleet, Policy};
 
 /// A file of `lab/scenarios`, with some values changed.
 fn scenario(name: &str, changes: &[(&str, &str)]) -> Scenario {
@@ -92,7 +92,7 @@
     }
     // The referee sees what a balancer owes that holds queries to the end of their own time.
     let run = play(&scenario("full-roll", &[]), Policy::LeastRequests);
-    let lost = |broken: &whinspindle_lab_referee::Break| broken.what.starts_with("told to end and killed");
+    let lost = |broken: &whinspindle_lab_invariants::Break| broken.what.starts_with("told to end and killed");
     assert!(run.verdict.breaks.iter().any(lost), "{:?}", run.verdict.breaks.first());
 }
 
--- a/lab/fleet/tests/laws.rs
+++ b/lab/simulation/tests/laws.rs
@@ -1,8 +1,8 @@
 //! The model against what is known in closed form.
 
-use whinspindle_lab_figures::Run;
-use whinspindle_lab_fleet::{Fleet, Policy};
+use whinspindle_lab_report::Run;
 use whinspindle_lab_scenario::Scenario;
+use whinspindle_lab_simulation::{Fleet, Policy};
 
 /// One server without network, connections or a waiting room that ends.
 fn queue(cores: usize, slots: usize, rate: f64, varies: f64, lasts: u64, more: &str) -> Run {
--- a/lab/fleet/tests/routes.rs
+++ b/lab/simulation/tests/routes.rs
@@ -6,8 +6,8 @@
 
 use whinspindle::host::{RepeatAfter, SecondCopy};
 use whinspindle::pcg::Pcg;
-use whinspindle_lab_fleet::{Fleet, Policy};
 use whinspindle_lab_scenario::{Route, Scenario};
+use whinspindle_lab_simulation::{Fleet, Policy};
 use whinspindle_routes::{Bounds, Conditions, ProductRow, Servers, proof};
 
 const ROUTES: u64 = 20_000;
--- a/lab/stage/src/clients.rs
+++ b/lab/testbed/src/clients.rs
@@ -9,10 +9,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use whinspindle::host::{Effect, Group};
-use whinspindle_lab_figures::Told;
-use whinspindle_lab_referee::Final;
-use whinspindle_lab_world::arrivals::{Arrivals, Wanted};
-use whinspindle_lab_world::dice::{Concern, Dice};
+use whinspindle_lab_invariants::Final;
+use whinspindle_lab_model::arrivals::{Arrivals, Wanted};
+use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_report::Told;
 
 use crate::http::{self, Message, Reader};
 use crate::servers;
@@ -323,7 +323,7 @@
             host.machine.returned(now, job, well, &mut did);
         }
         for did in did {
-            if let whinspindle_lab_world::machine::Did::Answered(job, well) = did
+            if let whinspindle_lab_model::machine::Did::Answered(job, well) = did
                 && let Some(waits) = world.jobs.remove(&job)
             {
                 let _ = waits.send(well);
--- a/lab/stage/src/discovery.rs
+++ b/lab/testbed/src/discovery.rs
@@ -9,8 +9,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use whinspindle::host::Standing;
-use whinspindle_lab_fleet::tell_referee;
-use whinspindle_lab_world::registry::News;
+use whinspindle_lab_model::registry::News;
+use whinspindle_lab_simulation::tell_referee;
 
 use crate::http::{self, Reader};
 use crate::state::Stage;
--- a/lab/stage/src/fleet.rs
+++ b/lab/testbed/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use tokio::task::{spawn_blocking, spawn_local};
 use whinspindle::host::Effect;
-use whinspindle_lab_relays::{Question, Referee, Relays, Way};
+use whinspindle_lab_fault_proxies::{Question, Referee, Relays, Way};
 use whinspindle_lab_scenario::{Deed, Ill, Ways};
 
 use crate::state::Stage;
--- a/lab/stage/src/lib.rs
+++ b/lab/testbed/src/lib.rs
@@ -18,7 +18,7 @@
 
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
-use whinspindle_lab_figures::Run;
+use whinspindle_lab_report::Run;
 use whinspindle_lab_scenario::Scenario;
 
 use state::Stage;
--- a/lab/stage/src/program.rs
+++ b/lab/testbed/src/program.rs
@@ -32,10 +32,10 @@
     let count = stage.world.borrow().nodes.len();
     // Datagrams arrive where no other process picks a port: one that is free for connections may be another's
     // for these.
-    let stand = whinspindle_lab_relays::next_stand();
+    let stand = whinspindle_lab_fault_proxies::next_stand();
     for node in 0..count {
         let listen = free_address()?;
-        let peer_listen = whinspindle_lab_relays::address(stand, node % 250, 2 + (node / 250) as u16);
+        let peer_listen = whinspindle_lab_fault_proxies::address(stand, node % 250, 2 + (node / 250) as u16);
         let mut world = stage.world.borrow_mut();
         (world.nodes[node].listen, world.nodes[node].peer_listen) = (listen, peer_listen);
     }
--- a/lab/stage/src/servers.rs
+++ b/lab/testbed/src/servers.rs
@@ -11,8 +11,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use whinspindle::host::Standing;
-use whinspindle_lab_fleet::server_id;
-use whinspindle_lab_world::machine::{Did, Report, Taken, Task};
+use whinspindle_lab_model::machine::{Did, Report, Taken, Task};
+use whinspindle_lab_simulation::server_id;
 
 use crate::clients;
 use crate::http::{self, Message, Reader};
--- a/lab/stage/src/troubles.rs
+++ b/lab/testbed/src/troubles.rs
@@ -6,8 +6,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 use whinspindle::host::Standing;
+use whinspindle_lab_model::machine::Machine;
 use whinspindle_lab_scenario::{How, Ill, Trouble};
-use whinspindle_lab_world::machine::Machine;
 
 use crate::state::Stage;
 use crate::{clients, fleet, program, release};
@@ -29,7 +29,7 @@
     stage.stirred.notify_one();
 }
 
-fn registries(stage: &Stage, change: impl Fn(&mut whinspindle_lab_world::registry::Registry)) {
+fn registries(stage: &Stage, change: impl Fn(&mut whinspindle_lab_model::registry::Registry)) {
     for tier in &mut stage.world.borrow_mut().tiers {
         change(&mut tier.registry);
         tier.changed.send_modify(|count| *count += 1);
@@ -89,7 +89,7 @@
         host.server = server;
         host.machine.start(now);
         host.up.send_replace(Some(server));
-        world.referee.started(now, whinspindle_lab_fleet::server_id(tier, server));
+        world.referee.started(now, whinspindle_lab_simulation::server_id(tier, server));
     }
     stage.list(tier, place, Standing::Ready, start);
     if let Some(node) = node {
@@ -109,7 +109,7 @@
         let server = host.server;
         host.machine.start(now);
         host.up.send_replace(Some(server));
-        world.referee.started(now, whinspindle_lab_fleet::server_id(tier, server));
+        world.referee.started(now, whinspindle_lab_simulation::server_id(tier, server));
     }
     stage.list(tier, place, Standing::Ready, start);
 }
--- a/programs/balancer/src/accept.rs
+++ b/programs/balancer/src/accept.rs
@@ -21,8 +21,8 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use tower::{BoxError, Service};
-use whinspindle_logline::log_line;
-use whinspindle_sockets::{Ending, Meter, Metered, drain};
+use whinspindle_metered_sockets::{Ending, Meter, Metered, drain};
+use whinspindle_rate_limited_log::log_line;
 
 use crate::front::{self, Due, Reply, ReplyBody};
 use crate::node::Node;
--- a/programs/balancer/src/accept/tests.rs
+++ b/programs/balancer/src/accept/tests.rs
@@ -4,7 +4,7 @@
 use http::StatusCode;
 use http_body_util::BodyExt;
 use tokio::task::LocalSet;
-use whinspindle_messages::answer::plain;
+use whinspindle_protocol::answer::plain;
 
 use super::*;
 
--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -9,9 +9,9 @@
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand, ValueHint};
 use clap_complete::Shell;
 use serde_json::json;
-use whinspindle_operator::{Operator, RULES};
+use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_operator_file::{Operator, RULES};
 use whinspindle_routes::{Lookup, Route, SecondCopy, proof};
-use whinspindle_terms::{Deployment, index};
 
 use crate::fleet_command::FleetLine;
 use crate::placement::{self, Fault};
@@ -151,7 +151,7 @@
     let deployment = deployment(line.files.config.as_deref())?;
     let text = text(&line.files.file)?;
     let name = line.files.file.display().to_string();
-    let (routes, faults) = match whinspindle_operator::read(&text, &deployment) {
+    let (routes, faults) = match whinspindle_operator_file::read(&text, &deployment) {
         Ok(operator) => (operator.routes.routes().len(), Vec::new()),
         Err(faults) => (0, faults),
     };
@@ -167,7 +167,7 @@
     } else if faults.is_empty() {
         println!("{name}: good, {routes} routes");
     } else {
-        eprint!("{}", whinspindle_operator::draw(&name, &text, &faults));
+        eprint!("{}", whinspindle_operator_file::draw(&name, &text, &faults));
         eprintln!("{name}: {} faults", faults.len());
     }
     Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -176,8 +176,8 @@
 fn route(line: &RouteLine) -> Result<ExitCode, String> {
     let deployment = deployment(line.files.config.as_deref())?;
     let text = text(&line.files.file)?;
-    let operator = whinspindle_operator::read(&text, &deployment).map_err(|faults| {
-        whinspindle_operator::draw(&line.files.file.display().to_string(), &text, &faults)
+    let operator = whinspindle_operator_file::read(&text, &deployment).map_err(|faults| {
+        whinspindle_operator_file::draw(&line.files.file.display().to_string(), &text, &faults)
     })?;
     let named = |names: &[String], name: &str, what: &str| {
         index(names, name)
@@ -228,7 +228,7 @@
         let _ = writeln!(text, "  more particular than {}", others.join(", "));
     }
     let c = &route.conditions[lookup.product];
-    let schedule = proof::worst(c, &whinspindle_operator::bounds(deployment));
+    let schedule = proof::worst(c, &whinspindle_operator_file::bounds(deployment));
     text.push_str("  the worst schedule that it allows:\n");
     let at = |text: &mut String, us: u64, what: &str| {
         let _ = writeln!(text, "  {:>12.3} ms  {what}", us as f64 / 1e3);
--- a/programs/balancer/src/control.rs
+++ b/programs/balancer/src/control.rs
@@ -11,8 +11,8 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use whinspindle_logline::log_line;
-use whinspindle_policy::Unit;
+use whinspindle_fleet_policy::Unit;
+use whinspindle_rate_limited_log::log_line;
 
 use crate::fleet::Asks;
 
--- a/programs/balancer/src/fleet.rs
+++ b/programs/balancer/src/fleet.rs
@@ -15,12 +15,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use whinspindle_messages::list::{ListNews, ListedServer};
-use whinspindle_operator::{CutOff, FleetTerms, Operator};
-use whinspindle_policy::Right;
-use whinspindle_recall::Trust;
-use whinspindle_release::{Count, Place};
-use whinspindle_store::Store;
+use whinspindle_endpoint_cache::Trust;
+use whinspindle_fleet_policy::Right;
+use whinspindle_operator_file::{CutOff, FleetTerms, Operator};
+use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_record_store::Store;
+use whinspindle_rollout::{Count, Place};
 
 use crate::control::{Answer, Request};
 use crate::placement::Placement;
--- a/programs/balancer/src/fleet/environment.rs
+++ b/programs/balancer/src/fleet/environment.rs
@@ -5,11 +5,11 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-use whinspindle_logline::log_line;
-use whinspindle_peers::Peers;
-use whinspindle_policy::{Hash, Memory, Message, No, Outside, Policy, Record, Unit};
-use whinspindle_release::{Count, Limits, OF_BALANCERS, Place, Plan, Row, Scene};
-use whinspindle_store::Store;
+use whinspindle_fleet_policy::{Hash, Memory, Message, No, Outside, Policy, Record, Unit};
+use whinspindle_peer_transport::Peers;
+use whinspindle_rate_limited_log::log_line;
+use whinspindle_record_store::Store;
+use whinspindle_rollout::{Count, Limits, OF_BALANCERS, Place, Plan, Row, Scene};
 
 /// The outside of the member's core.
 pub(super) struct Environment {
@@ -74,7 +74,8 @@
     }
 
     fn plan_came(&mut self, hash: Hash, text: Rc<[u8]>) {
-        let read = std::str::from_utf8(&text).ok().map(|text| whinspindle_operator::read_plan(text, None));
+        let read =
+            std::str::from_utf8(&text).ok().map(|text| whinspindle_operator_file::read_plan(text, None));
         match read {
             Some(Ok(plan)) => {
                 // It has to outlive a restart of all: nothing can go on without it.
@@ -115,11 +116,11 @@
         let own =
             (has_balancers && record.out_as(me).is_none()).then_some((OF_BALANCERS, is_changed(me), own));
         let servers = servers.map(|((key, stratum), count)| (stratum, is_changed(Unit::Server(key)), count));
-        whinspindle_release::rows(servers.chain(own))
+        whinspindle_rollout::rows(servers.chain(own))
     }
 
     fn tell(&mut self, words: String) {
         // Each is a step of the fleet or a change of the right, which are few: none is kept back.
-        whinspindle_logline::write(format_args!("whinspindle fleet: member {}: {words}", self.me));
+        whinspindle_rate_limited_log::write(format_args!("whinspindle fleet: member {}: {words}", self.me));
     }
 }
--- a/programs/balancer/src/fleet/published.rs
+++ b/programs/balancer/src/fleet/published.rs
@@ -4,11 +4,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-use whinspindle_messages::list::{ListNews, ListedServer};
-use whinspindle_operator::Operator;
-use whinspindle_policy::Right;
-use whinspindle_recall::Trust;
-use whinspindle_release::{Count, Place};
+use whinspindle_endpoint_cache::Trust;
+use whinspindle_fleet_policy::Right;
+use whinspindle_operator_file::Operator;
+use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_rollout::{Count, Place};
 
 /// What the thread has published.
 pub(super) struct Published {
--- a/programs/balancer/src/fleet/requests.rs
+++ b/programs/balancer/src/fleet/requests.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use serde_json::json;
-use whinspindle_policy::{Hash, LONGEST_TEXT, No, Outside, Right, Unit, Want};
-use whinspindle_release::Way;
+use whinspindle_fleet_policy::{Hash, LONGEST_TEXT, No, Outside, Right, Unit, Want};
+use whinspindle_rollout::Way;
 
 use super::worker::{Worker, shortened};
 use crate::control::{Answer, Request};
@@ -45,8 +45,8 @@
                     return Err(format!("{} bytes; a policy has {LONGEST_TEXT} at most", text.len()));
                 }
                 // What can't be proved here is not proposed to others.
-                if let Err(faults) = whinspindle_operator::read_policy(&text, &self.deployment) {
-                    let drawn = whinspindle_operator::draw("the policy", &text, &faults);
+                if let Err(faults) = whinspindle_operator_file::read_policy(&text, &self.deployment) {
+                    let drawn = whinspindle_operator_file::draw("the policy", &text, &faults);
                     return Err(format!("{} faults\n{drawn}", faults.len()));
                 }
                 if let Some(change) = record.next {
@@ -154,8 +154,8 @@
             return Err(format!("release {} is under way; leave it, or wait", release.number));
         }
         let members = self.member.terms().members as usize;
-        let plan = whinspindle_operator::read_plan(text, Some(members)).map_err(|faults| {
-            format!("{} faults\n{}", faults.len(), whinspindle_operator::draw("the plan", text, &faults))
+        let plan = whinspindle_operator_file::read_plan(text, Some(members)).map_err(|faults| {
+            format!("{} faults\n{}", faults.len(), whinspindle_operator_file::draw("the plan", text, &faults))
         })?;
         // A release that could never begin is refused now, not found out later.
         for unit in &plan.units {
--- a/programs/balancer/src/fleet/status.rs
+++ b/programs/balancer/src/fleet/status.rs
@@ -1,8 +1,8 @@
 //! What `whinspindle fleet status` and its like are told.
 
 use serde_json::{Value, json};
-use whinspindle_policy::{Fate, Outside, Policy, Readiness, Right, Unit};
-use whinspindle_release::{Count, Way};
+use whinspindle_fleet_policy::{Fate, Outside, Policy, Readiness, Right, Unit};
+use whinspindle_rollout::{Count, Way};
 
 use super::worker::Worker;
 
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -8,14 +8,14 @@
 use std::sync::mpsc::{Receiver, SyncSender};
 use std::sync::{Arc, Mutex};
 
-use whinspindle_logline::log_line;
-use whinspindle_operator::{FleetTerms, Operator};
-use whinspindle_peers::Peers;
-use whinspindle_policy::{Member, Memory, Message, Objection, Outside, Right, Terms, Unit};
-use whinspindle_recall::{Ages, Neighbours};
-use whinspindle_release::Count;
-use whinspindle_store::Store;
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
+use whinspindle_endpoint_cache::{Ages, Neighbours};
+use whinspindle_fleet_policy::{Member, Memory, Message, Objection, Outside, Right, Terms, Unit};
+use whinspindle_operator_file::{FleetTerms, Operator};
+use whinspindle_peer_transport::Peers;
+use whinspindle_rate_limited_log::log_line;
+use whinspindle_record_store::Store;
+use whinspindle_rollout::Count;
 
 use super::environment::Environment;
 use super::published::{FleetClock, Published, held};
@@ -216,7 +216,7 @@
         let Ok(text) = std::str::from_utf8(text) else {
             return Err(Objection { line: 0, words: "is not UTF-8 text".to_string() });
         };
-        whinspindle_operator::read_policy(text, &self.deployment).map_err(|faults| {
+        whinspindle_operator_file::read_policy(text, &self.deployment).map_err(|faults| {
             let first = faults.first();
             let words = first.map_or(String::new(), |fault| {
                 format!("{}: {} ({} faults)", fault.field, fault.fault, faults.len())
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -8,8 +8,8 @@
 
 use clap::{Args, Subcommand, ValueHint};
 use serde_json::Value;
-use whinspindle_operator::{draw, read_plan};
-use whinspindle_policy::{Hash, Unit};
+use whinspindle_fleet_policy::{Hash, Unit};
+use whinspindle_operator_file::{draw, read_plan};
 
 use crate::command;
 use crate::control::{self, Request};
@@ -235,7 +235,7 @@
 }
 
 fn unit(text: &str) -> Result<Unit, String> {
-    whinspindle_operator::unit(text)
+    whinspindle_operator_file::unit(text)
         .ok_or_else(|| format!("{text:?} is no unit: balancer:NUMBER or server:ID"))
 }
 
@@ -248,7 +248,7 @@
     ask: impl Fn(&Request) -> Result<Value, String>,
 ) -> Result<ExitCode, String> {
     let unit = unit(text)?;
-    let serial = whinspindle_terms::key(format!("{word} {text}").as_bytes());
+    let serial = whinspindle_deployment_settings::key(format!("{word} {text}").as_bytes());
     let until = Instant::now() + Duration::from_secs(wait.wait);
     loop {
         let answer = ask(&Request::Out { unit, serial, release })?;
--- a/programs/balancer/src/front.rs
+++ b/programs/balancer/src/front.rs
@@ -17,10 +17,10 @@
 use tower_http::catch_panic::CatchPanicLayer;
 use tower_http::limit::RequestBodyLimitLayer;
 use whinspindle::host::Arrival;
-use whinspindle_logline::log_line;
-use whinspindle_messages::answer::{Answer, Because, plain};
-use whinspindle_messages::query::{Head, MOST_BODY, TAKEN};
-use whinspindle_reducer::Ticket;
+use whinspindle_balancer_core::Ticket;
+use whinspindle_protocol::answer::{Answer, Because, plain};
+use whinspindle_protocol::query::{Head, MOST_BODY, TAKEN};
+use whinspindle_rate_limited_log::log_line;
 use whinspindle_routes::Lookup;
 
 use crate::fleet::Fleet;
--- a/programs/balancer/src/keeper.rs
+++ b/programs/balancer/src/keeper.rs
@@ -5,11 +5,11 @@
 use std::thread;
 use std::time::Duration;
 
-use whinspindle_logline::log_line;
-use whinspindle_messages::list::{ListNews, ListedServer};
-use whinspindle_operator::Keep;
-use whinspindle_recall::{Ages, Trust};
-use whinspindle_store::Store;
+use whinspindle_endpoint_cache::{Ages, Trust};
+use whinspindle_operator_file::Keep;
+use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_rate_limited_log::log_line;
+use whinspindle_record_store::Store;
 
 const LIST: &str = "list";
 /// Between two writes at the least: so many an hour at most, however often the list changes.
@@ -34,7 +34,7 @@
         }
     };
     let ages = Ages { fresh: keep.fresh, old: keep.old };
-    let recalled = store.read(LIST).and_then(|bytes| whinspindle_recall::recall(&bytes, now, &ages));
+    let recalled = store.read(LIST).and_then(|bytes| whinspindle_endpoint_cache::recall(&bytes, now, &ages));
     let known = recalled.map(|(news, trust)| {
         log_line!("keep", "{} servers are remembered, {trust}", news.servers.len());
         (news, trust)
@@ -65,7 +65,7 @@
         if servers.is_empty() || known {
             return;
         }
-        let bytes = whinspindle_recall::encode(&servers, 0, now);
+        let bytes = whinspindle_endpoint_cache::encode(&servers, 0, now);
         if !matches!(self.bytes.try_send(bytes), Err(TrySendError::Full(_))) {
             self.last = Some((servers, now));
         }
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -30,11 +30,11 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
-use whinspindle_logline::log_line;
-use whinspindle_operator::Operator;
-use whinspindle_recall::{Second, Whole};
-use whinspindle_serverlist::Source;
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
+use whinspindle_discovery::Source;
+use whinspindle_endpoint_cache::{Second, Whole};
+use whinspindle_operator_file::Operator;
+use whinspindle_rate_limited_log::log_line;
 
 use crate::accept::Accepted;
 use crate::clock::Clock;
@@ -83,9 +83,9 @@
 /// Reads the operator's file; all its faults, drawn, if it has any.
 fn operator(file: &Path, deployment: &Deployment) -> Result<Operator, String> {
     let text = command::text(file)?;
-    whinspindle_operator::read(&text, deployment).map_err(|faults| {
+    whinspindle_operator_file::read(&text, deployment).map_err(|faults| {
         let name = file.display().to_string();
-        format!("{name}: {} faults\n{}", faults.len(), whinspindle_operator::draw(&name, &text, &faults))
+        format!("{name}: {} faults\n{}", faults.len(), whinspindle_operator_file::draw(&name, &text, &faults))
     })
 }
 
@@ -162,7 +162,7 @@
     let followed = Rc::clone(&source);
     spawn_local(unending("list", move || {
         let told = Rc::clone(&told);
-        whinspindle_serverlist::follow(Rc::clone(&followed), move |news| told.told(&news))
+        whinspindle_discovery::follow(Rc::clone(&followed), move |news| told.told(&news))
     }));
     let (waiting, tried) = (Rc::clone(&node), Rc::clone(&source));
     spawn_local(async move {
--- a/programs/balancer/src/placement.rs
+++ b/programs/balancer/src/placement.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 
 use serde_json::Value;
-use whinspindle_messages::list::ListNews;
-use whinspindle_terms::Deployment;
+use whinspindle_deployment_settings::Deployment;
+use whinspindle_protocol::list::ListNews;
 
 pub struct Placement {
     pub name: String,
@@ -82,7 +82,8 @@
         known,
         peer_listen: peer(&json["peer_listen"]),
         peers: peers.unwrap_or_default(),
-        deployment: whinspindle_terms::parse(settings.as_bytes()).map_err(|e| format!("settings: {e}"))?,
+        deployment: whinspindle_deployment_settings::parse(settings.as_bytes())
+            .map_err(|e| format!("settings: {e}"))?,
         lasting,
     })
 }
--- a/programs/balancer/src/shares.rs
+++ b/programs/balancer/src/shares.rs
@@ -1,6 +1,6 @@
 //! How memory and descriptors are shared out among what the program holds.
 
-use whinspindle_messages::query::MOST_BODY;
+use whinspindle_protocol::query::MOST_BODY;
 
 use crate::placement::Limits;
 
--- a/programs/balancer/tests/fleet.rs
+++ b/programs/balancer/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-use whinspindle_lab_relays::{Referee, Stand, Way};
+use whinspindle_lab_fault_proxies::{Referee, Stand, Way};
 
 const FLEET: &str = "name = \"try\"\nsecret = \"s\"\nvoters = [0, 1, 2]\nright = \"2s\"\nlearn = \"1s\"\n\
     give-up = \"40s\"\n";
