--- a/balancer/fleet-policy/src/lib.rs
+++ b/balancer/fleet-policy/src/lib.rs
@@ -9,12 +9,12 @@
 mod record;
 mod texts;
 
-pub use member::{Heard, Laws, Member, Memory, Outside, Terms};
+pub use member::{Heard, Member, MemberRules, Memory, Outside, Terms};
 pub use message::{Message, Objection, Readiness, Right, Want};
 pub use record::{
     Change, Close, Fate, Halt, Hash, LONGEST_TEXT, Out, Part, Past, PastRelease, Policy, Record, Release,
     Step, Wish,
 };
 pub use texts::PIECE;
-pub use whinspindle_consensus::{AsPublished, Ballot, Voter};
+pub use whinspindle_consensus::{Ballot, StandardConsensusRules, Voter};
 pub use whinspindle_rollout::{No, Plan, Row, Unit, Way};
--- a/balancer/fleet-policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::marker::PhantomData;
 
-use whinspindle_consensus::{AsPublished, Voter, Votes};
+use whinspindle_consensus::{AcceptorState, StandardConsensusRules, Voter};
 use whinspindle_rollout::Way;
 
 pub use acceptor::Heard;
@@ -27,7 +27,7 @@
 use proposer::OngoingRound;
 use releases::Case;
 use requests::PendingRequest;
-pub use rules::Laws;
+pub use rules::MemberRules;
 pub use timing::Terms;
 
 use crate::message::{Message, Objection, Right};
@@ -36,7 +36,7 @@
 
 /// A member of the fleet: its record of what is agreed, its lease, and its part as a voter.
 #[derive(Clone)]
-pub struct Member<O: Outside, L: Laws = AsPublished> {
+pub struct Member<O: Outside, L: MemberRules = StandardConsensusRules> {
     /// What the member acts through; the shell looks after it between calls.
     pub outside: O,
     terms: Terms,
@@ -77,15 +77,15 @@
     fetches: usize,
     /// Who has given pieces since the last question for some.
     source: Option<u16>,
-    laws: PhantomData<L>,
+    rules: PhantomData<L>,
 }
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// `start` is drawn anew at each start of the process.
     pub fn new(outside: O, terms: Terms, memory: Option<Memory>, start: u64, now: u64) -> Self {
         let memory = memory.unwrap_or_else(|| Memory {
-            birth: start,
-            votes: Votes::default(),
+            incarnation: start,
+            votes: AcceptorState::default(),
             record: Record::default(),
         });
         let record = memory.record.clone();
@@ -119,7 +119,7 @@
             fetching: None,
             fetches: terms.me as usize,
             source: None,
-            laws: PhantomData,
+            rules: PhantomData,
             memory,
             record,
             terms,
@@ -153,9 +153,9 @@
         &self.memory
     }
 
-    /// How it counts as a voter: its number, and the birth of its memory.
+    /// How it counts as a voter: its number, and the incarnation of its memory.
     pub fn voter(&self) -> Voter {
-        Voter { member: self.terms.me, birth: self.memory.birth }
+        Voter { member: self.terms.me, incarnation: self.memory.incarnation }
     }
 
     /// What this member last heard of each; only voters are told.
@@ -192,8 +192,8 @@
             return;
         }
         match message {
-            Message::Ask { at, birth, start, founding, version, right, readiness } => {
-                let heard = Heard { at: now, birth, start, founding, version, right, readiness };
+            Message::Ask { at, incarnation, start, founding, version, right, readiness } => {
+                let heard = Heard { at: now, incarnation, start, founding, version, right, readiness };
                 self.answer(now, from, at, heard);
             }
             Message::Grant { at, start, voter, board, number } => {
@@ -221,7 +221,7 @@
     }
 }
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// What two members must have in common to be alike for a search: all that decides what they do next.
     pub fn state(&self) -> impl std::hash::Hash + '_ {
         let held = (&self.lease, &self.previous_lease, self.had_lease);
--- a/balancer/fleet-policy/src/member/acceptor.rs
+++ b/balancer/fleet-policy/src/member/acceptor.rs
@@ -2,7 +2,7 @@
 
 use whinspindle_consensus::Ballot;
 
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::{Message, Readiness, Right};
 use crate::record::Record;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Heard {
     pub at: u64,
-    pub birth: u64,
+    pub incarnation: u64,
     pub start: u64,
     pub founding: u64,
     pub version: u64,
@@ -18,7 +18,7 @@
     pub readiness: Readiness,
 }
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     pub(super) fn answer(&mut self, now: u64, from: u16, at: u64, heard: Heard) {
         let (order, start) = ((heard.founding, heard.version), heard.start);
         self.heard[from as usize] = Some(heard);
--- a/balancer/fleet-policy/src/member/environment.rs
+++ b/balancer/fleet-policy/src/member/environment.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_consensus::Votes;
+use whinspindle_consensus::AcceptorState;
 use whinspindle_rollout::{No, Plan, Row, Unit};
 
 use crate::message::Message;
@@ -15,9 +15,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Memory {
     /// Drawn when the memory began; a voter that lost its memory comes back with another.
-    pub birth: u64,
+    pub incarnation: u64,
     /// What it has promised and accepted as a voter.
-    pub votes: Votes<Record>,
+    pub votes: AcceptorState<Record>,
     /// What is known to be agreed.
     pub record: Record,
 }
--- a/balancer/fleet-policy/src/member/leader.rs
+++ b/balancer/fleet-policy/src/member/leader.rs
@@ -4,11 +4,11 @@
 
 use super::proposer::OngoingRound;
 use super::requests::PendingRequest;
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::{Readiness, Want};
 use crate::record::{Fate, Step};
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     pub(super) fn is_here(&self, now: u64, member: u16) -> bool {
         let heard = self.heard.get(member as usize).and_then(Option::as_ref);
         heard.is_some_and(|heard| now < heard.at + self.terms.absent)
@@ -21,11 +21,12 @@
         let me = self.voter();
         let counts = |voter: &&Voter| {
             let heard = self.heard.get(voter.member as usize).and_then(Option::as_ref);
-            let birth = heard.filter(|_| self.is_here(now, voter.member)).map(|heard| heard.birth);
-            **voter == me || (voter.member != me.member && birth == Some(voter.birth))
+            let incarnation =
+                heard.filter(|_| self.is_here(now, voter.member)).map(|heard| heard.incarnation);
+            **voter == me || (voter.member != me.member && incarnation == Some(voter.incarnation))
         };
-        let boards = self.record.boards.iter().flatten();
-        boards.filter(counts).min_by_key(|voter| voter.member) == Some(&me)
+        let voter_sets = self.record.voter_sets.iter().flatten();
+        voter_sets.filter(counts).min_by_key(|voter| voter.member) == Some(&me)
     }
 
     /// Goes on with the round of this member, or begins one if something has to be done.
@@ -60,17 +61,21 @@
         if voted > self.record.order() {
             return Some(Step::Finish);
         }
-        if self.record.boards.len() > 1 {
+        if self.record.voter_sets.len() > 1 {
             return Some(Step::Settle);
         }
         let reborn = |voter: &&Voter| {
             let heard =
                 self.heard[voter.member as usize].as_ref().filter(|_| self.is_here(now, voter.member));
-            heard.is_some_and(|heard| heard.birth != voter.birth)
+            heard.is_some_and(|heard| heard.incarnation != voter.incarnation)
         };
-        if let Some(old) = self.record.boards.iter().flatten().find(reborn) {
-            let birth = self.heard[old.member as usize].as_ref().map_or(0, |heard| heard.birth);
-            return Some(Step::Replace { old: *old, new: Voter { member: old.member, birth }, wish: None });
+        if let Some(old) = self.record.voter_sets.iter().flatten().find(reborn) {
+            let incarnation = self.heard[old.member as usize].as_ref().map_or(0, |heard| heard.incarnation);
+            return Some(Step::Replace {
+                old: *old,
+                new: Voter { member: old.member, incarnation },
+                wish: None,
+            });
         }
         let step = || self.replace_voter(now).or_else(|| self.halt_for_cause()).or_else(|| self.units(now));
         if let Some(step) = step().or_else(|| self.release(now)) {
@@ -119,16 +124,18 @@
     }
 
     /// One voter makes way for another, if an operator wants it and the new one is heard. It votes from then
-    /// on with the birth that it has now.
+    /// on with the incarnation that it has now.
     pub(super) fn replace_voter(&self, now: u64) -> Option<Step> {
-        let voter_of = |member: u16| self.record.boards[0].iter().find(|voter| voter.member == member);
+        let voter_of = |member: u16| self.record.voter_sets[0].iter().find(|voter| voter.member == member);
         self.requests.iter().filter(|wanted| !self.record.knows(wanted.wish)).find_map(|wanted| {
             let Want::Voters { old, new } = wanted.want else { return None };
-            let birth = match new == self.terms.me {
-                true => self.memory.birth,
-                false => self.heard.get(new as usize)?.as_ref().filter(|_| self.is_here(now, new))?.birth,
+            let incarnation = match new == self.terms.me {
+                true => self.memory.incarnation,
+                false => {
+                    self.heard.get(new as usize)?.as_ref().filter(|_| self.is_here(now, new))?.incarnation
+                }
             };
-            let new = Voter { member: new, birth };
+            let new = Voter { member: new, incarnation };
             voter_of(new.member).is_none().then_some(())?;
             Some(Step::Replace { old: *voter_of(old)?, new, wish: Some(wanted.wish) })
         })
--- a/balancer/fleet-policy/src/member/learn.rs
+++ b/balancer/fleet-policy/src/member/learn.rs
@@ -3,10 +3,10 @@
 use whinspindle_rollout::Way;
 
 use super::lease::Lease;
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::record::{Change, Fate, Record};
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// What is agreed on, as another tells it or as this member's own round has brought it about.
     pub(super) fn learn(&mut self, now: u64, record: Record) {
         if record.order() <= self.record.order() {
@@ -53,7 +53,7 @@
 fn describe_changes(old: &Record, new: &Record) -> Vec<String> {
     let mut words = Vec::new();
     if old.founding != new.founding {
-        words.push(format!("the fleet is founded, {} voters", new.boards.iter().flatten().count()));
+        words.push(format!("the fleet is founded, {} voters", new.voter_sets.iter().flatten().count()));
     }
     for past in new.past.iter().filter(|past| !old.past.contains(past)) {
         let number = past.change.policy.number;
--- a/balancer/fleet-policy/src/member/lease.rs
+++ b/balancer/fleet-policy/src/member/lease.rs
@@ -5,7 +5,7 @@
 
 use whinspindle_consensus::Voter;
 
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::{Message, Right};
 use crate::record::Record;
 
@@ -17,7 +17,7 @@
 pub(super) struct Lease {
     pub(super) number: u64,
     pub(super) board: u64,
-    pub(super) boards: Vec<Vec<Voter>>,
+    pub(super) voter_sets: Vec<Vec<Voter>>,
     /// Until when, and for which board and number.
     pub(super) grants: BTreeMap<Voter, (u64, (u64, u64))>,
 }
@@ -27,28 +27,28 @@
         Lease {
             number: record.policy.number,
             board: record.board,
-            boards: record.boards.clone(),
+            voter_sets: record.voter_sets.clone(),
             grants: BTreeMap::new(),
         }
     }
 
     /// Until when there is a right: as long as a majority of each board grants it.
-    pub(super) fn until<L: Laws>(&self) -> u64 {
+    pub(super) fn until<L: MemberRules>(&self) -> u64 {
         let grant = |voter: &Voter| {
             let (until, granted) = self.grants.get(voter)?;
             L::is_for(*granted, self.board, self.number).then_some(*until)
         };
-        let of_board = |board: &Vec<Voter>| {
-            let mut ends: Vec<u64> = board.iter().filter_map(grant).collect();
+        let of_voter_set = |voter_set: &Vec<Voter>| {
+            let mut ends: Vec<u64> = voter_set.iter().filter_map(grant).collect();
             ends.sort_unstable();
-            let needed = (0..=board.len()).find(|votes| L::is_majority(*votes, board.len()));
+            let needed = (0..=voter_set.len()).find(|votes| L::is_majority(*votes, voter_set.len()));
             needed.and_then(|needed| ends.len().checked_sub(needed)).map_or(0, |place| ends[place])
         };
-        self.boards.iter().map(of_board).min().unwrap_or(0)
+        self.voter_sets.iter().map(of_voter_set).min().unwrap_or(0)
     }
 }
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// By what a query that is taken now is decided. Asked for each query: a process that was stopped finds
     /// its right over before it does anything by it.
     pub fn right(&self, now: u64) -> Right {
@@ -69,7 +69,7 @@
     }
 
     pub(super) fn voters(&self) -> BTreeSet<u16> {
-        let agreed = self.record.boards.iter().flatten().map(|voter| voter.member);
+        let agreed = self.record.voter_sets.iter().flatten().map(|voter| voter.member);
         if self.record.founding == 0 { self.terms.voters.iter().copied().collect() } else { agreed.collect() }
     }
 
@@ -109,7 +109,7 @@
     pub(super) fn question(&self, now: u64) -> Message {
         Message::Ask {
             at: now,
-            birth: self.memory.birth,
+            incarnation: self.memory.incarnation,
             start: self.start,
             founding: self.record.founding,
             version: self.record.version,
--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -5,7 +5,7 @@
 
 use whinspindle_consensus::{Ballot, Round, Voter};
 
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::Message;
 use crate::record::{Record, Step};
 
@@ -19,17 +19,17 @@
     pub(super) thought_of: (u64, u64),
 }
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     pub(super) fn begin(&mut self, now: u64, step: Step) {
         let founds = matches!(step, Step::Found { .. });
         let known = if founds {
-            let birth = |member: &u16| {
+            let incarnation = |member: &u16| {
                 let heard = self.heard.get(*member as usize)?.as_ref();
-                let own = (*member == self.terms.me).then_some(self.memory.birth);
-                Some(Voter { member: *member, birth: own.or(heard.map(|heard| heard.birth))? })
+                let own = (*member == self.terms.me).then_some(self.memory.incarnation);
+                Some(Voter { member: *member, incarnation: own.or(heard.map(|heard| heard.incarnation))? })
             };
             // Founding needs every voter of the file.
-            let voters: Option<Vec<Voter>> = self.terms.voters.iter().map(birth).collect();
+            let voters: Option<Vec<Voter>> = self.terms.voters.iter().map(incarnation).collect();
             let Some(voters) = voters else { return };
             Record::unfounded(voters)
         } else {
@@ -42,8 +42,8 @@
         if self.memory.votes.prepare(ballot).is_err() || !self.persist() {
             return;
         }
-        round.promised(self.voter(), self.memory.votes.accepted.clone());
-        for voter in round.unheard::<L>() {
+        round.record_promise(self.voter(), self.memory.votes.accepted.clone());
+        for voter in round.awaiting_promise::<L>() {
             self.outside.send(voter.member, Message::Prepare { ballot });
         }
         self.round = Some(OngoingRound { round, step, began: now, thought_of: self.record.order() });
@@ -54,7 +54,7 @@
     pub(super) fn repeat_round(&mut self) {
         let Some(OngoingRound { round, .. }) = &self.round else { return };
         let ballot = round.ballot;
-        let again: Vec<(u16, Message)> = match round.unvoted() {
+        let again: Vec<(u16, Message)> = match round.awaiting_vote() {
             Some((record, voters)) => {
                 let accept =
                     |voter: Voter| (voter.member, Message::Accept { ballot, record: record.clone() });
@@ -62,7 +62,7 @@
             }
             None => {
                 let prepare = |voter: Voter| (voter.member, Message::Prepare { ballot });
-                round.unheard::<L>().into_iter().map(prepare).collect()
+                round.awaiting_promise::<L>().into_iter().map(prepare).collect()
             }
         };
         let me = self.terms.me;
@@ -78,10 +78,10 @@
         // have stood still, and balancers may have gone or objected.
         let due = self.next_step(now);
         let Some(OngoingRound { round, step, thought_of, .. }) = &mut self.round else { return };
-        if round.is_writing() {
+        if round.is_proposing() {
             return;
         }
-        let Some(found) = round.found::<L>().cloned() else { return };
+        let Some(found) = round.prepared_value::<L>().cloned() else { return };
         // Guards against a step that was thought of for another record: limits and times were looked at in
         // that one. What has been agreed on or begun since is only brought to its end.
         let is_known = found.order() == *thought_of || found.founding == 0;
@@ -91,7 +91,7 @@
             return;
         };
         let ballot = round.ballot;
-        let voters = round.write::<L>(record.clone());
+        let voters = round.propose::<L>(record.clone());
         let me = self.voter();
         if self.memory.votes.accept::<L>(ballot, record.clone()).is_err() || !self.persist() {
             self.round = None;
@@ -105,7 +105,7 @@
 
     pub(super) fn voted(&mut self, now: u64, voter: Voter) {
         let Some(OngoingRound { round, .. }) = &mut self.round else { return };
-        let Some(record) = round.voted::<L>(voter).cloned() else { return };
+        let Some(record) = round.record_vote::<L>(voter).cloned() else { return };
         self.round = None;
         self.learn(now, record);
         // The others would learn it by their next question.
@@ -127,7 +127,7 @@
         accepted: Option<(Ballot, Record)>,
     ) {
         if let Some(ongoing) = self.round.as_mut().filter(|on| on.round.ballot == ballot) {
-            ongoing.round.promised(voter, accepted);
+            ongoing.round.record_promise(voter, accepted);
             self.write(now);
         }
     }
--- a/balancer/fleet-policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -4,7 +4,7 @@
 
 use whinspindle_rollout::{Evidence, Next, No, Progress, Row, Unit, Way};
 
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::{Message, Want};
 use crate::record::{Close, Halt, Part, Step, Wish};
 
@@ -22,7 +22,7 @@
     pub(super) against: Option<(String, u64)>,
 }
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// The release whose units are watched now.
     pub fn watched(&self) -> Option<u64> {
         let forth = self.record.release.as_ref().filter(|release| release.way == Way::Forth);
--- a/balancer/fleet-policy/src/member/requests.rs
+++ b/balancer/fleet-policy/src/member/requests.rs
@@ -1,7 +1,7 @@
 //! What operators and supervisors ask for at this member, and what other members pass on, until the record
 //! knows it.
 
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::{Message, Want};
 use crate::record::Wish;
 
@@ -16,7 +16,7 @@
     pub(super) since: u64,
 }
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// An operator proposes a policy here. The wish is known by its serial number, drawn by the caller.
     pub fn propose(&mut self, now: u64, text: &[u8], serial: u64) -> Wish {
         let hash = self.texts.put(text);
@@ -40,9 +40,9 @@
         wish
     }
 
-    /// An operator founds the fleet: the voters of the file begin to agree, each of them, with whatever birth
+    /// An operator founds the fleet: the voters of the file begin to agree, each of them, with whatever incarnation
     /// it has now. Goes on until it is done. Anew it is for a fleet whose voters have lost their memories: as
-    /// each voter of the file has to promise, those with the births of before can't be a majority of their
+    /// each voter of the file has to promise, those with the incarnations of before can't be a majority of their
     /// own any more. What is known here of the founding before is taken over.
     pub fn found(&mut self, now: u64, nonce: u64) {
         self.found = Some(self.record.next_founding(nonce));
@@ -66,7 +66,9 @@
                 Want::Turn { number } | Want::Leave { number } => {
                     record.release.as_ref().is_some_and(|release| release.number == *number)
                 }
-                Want::Voters { old, .. } => record.boards.iter().flatten().any(|voter| voter.member == *old),
+                Want::Voters { old, .. } => {
+                    record.voter_sets.iter().flatten().any(|voter| voter.member == *old)
+                }
             };
             // Guards against a unit let out when its supervisor has long given up: it has to go on asking.
             let lasts = if matches!(wanted.want, Want::Out { .. }) { 3 * pace } else { give_up };
--- a/balancer/fleet-policy/src/member/restarts.rs
+++ b/balancer/fleet-policy/src/member/restarts.rs
@@ -6,11 +6,11 @@
 use whinspindle_rollout::{Unit, Way};
 
 use super::requests::PendingRequest;
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::{Right, Want};
 use crate::record::{Halt, Out, Part, Step};
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// Balancers that are not in full service, as this leader hears them.
     pub(super) fn away(&self, now: u64) -> BTreeSet<u16> {
         let serves = |member: &u16| match &self.heard[*member as usize] {
--- a/balancer/fleet-policy/src/member/rules.rs
+++ b/balancer/fleet-policy/src/member/rules.rs
@@ -3,14 +3,14 @@
 
 use std::collections::BTreeSet;
 
-use whinspindle_consensus::AsPublished;
+use whinspindle_consensus::StandardConsensusRules;
 use whinspindle_rollout::{Next, No, Progress};
 
 use super::Terms;
 use crate::record::{Record, Wish};
 
 /// The rules of a member, beside those of counting; the lab plants faults in their place.
-pub trait Laws: whinspindle_consensus::Laws {
+pub trait MemberRules: whinspindle_consensus::ConsensusRules {
     /// When a right that was asked for at `asked`, and granted by an answer that came at `now`, runs out.
     fn right_until(asked: u64, _now: u64, terms: &Terms) -> u64 {
         asked + terms.right
@@ -56,4 +56,4 @@
     }
 }
 
-impl Laws for AsPublished {}
+impl MemberRules for StandardConsensusRules {}
--- a/balancer/fleet-policy/src/member/texts.rs
+++ b/balancer/fleet-policy/src/member/texts.rs
@@ -4,14 +4,14 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use super::{Laws, Member, Outside};
+use super::{Member, MemberRules, Outside};
 use crate::message::{Message, Objection, Readiness};
 use crate::record::{Hash, Policy};
 
 /// Verdicts that are remembered, those of the newest policies.
 const MOST_VERDICTS: usize = 8;
 
-impl<O: Outside, L: Laws> Member<O, L> {
+impl<O: Outside, L: MemberRules> Member<O, L> {
     /// The text of a policy or plan, once it is whole here.
     pub fn text(&self, hash: Hash) -> Option<Rc<[u8]>> {
         self.texts.get(hash)
--- a/balancer/fleet-policy/src/message.rs
+++ b/balancer/fleet-policy/src/message.rs
@@ -41,7 +41,7 @@
     /// A follower to a voter: may I go on? `at` is the asker's clock, from which a right counts.
     Ask {
         at: u64,
-        birth: u64,
+        incarnation: u64,
         start: u64,
         founding: u64,
         version: u64,
--- a/balancer/fleet-policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_consensus::{Agreed, Voter};
+use whinspindle_consensus::{RegisterValue, Voter};
 use whinspindle_rollout::{Places, Unit, Way};
 
 /// Wishes about units and voters that are remembered as done.
@@ -200,7 +200,7 @@
     Resume {
         wish: Wish,
     },
-    /// One voter makes way for another; both boards vote until `Settle`. By an operator's wish, or of itself
+    /// One voter makes way for another; both voter_sets vote until `Settle`. By an operator's wish, or of itself
     /// where one is born anew.
     Replace {
         old: Voter,
@@ -218,7 +218,7 @@
     pub version: u64,
     /// Grows with each change of the voters.
     pub board: u64,
-    pub boards: Vec<Vec<Voter>>,
+    pub voter_sets: Vec<Vec<Voter>>,
     pub policy: Policy,
     pub next: Option<Change>,
     /// The last changes that ended, the newest at the end.
@@ -236,12 +236,12 @@
     pub highest: u64,
 }
 
-impl Agreed for Record {
-    fn boards(&self) -> &[Vec<Voter>] {
-        &self.boards
+impl RegisterValue for Record {
+    fn voter_sets(&self) -> &[Vec<Voter>] {
+        &self.voter_sets
     }
 
-    fn is_founded(&self) -> bool {
+    fn is_bootstrapped(&self) -> bool {
         self.founding != 0
     }
 }
@@ -255,7 +255,7 @@
     /// What stands before the first agreement of these voters.
     pub fn unfounded(mut voters: Vec<Voter>) -> Record {
         voters.sort_unstable();
-        Record { boards: vec![voters], ..Record::default() }
+        Record { voter_sets: vec![voters], ..Record::default() }
     }
 
     /// How often the fleet was founded.
@@ -269,7 +269,7 @@
     }
 
     pub fn is_voter(&self, voter: Voter) -> bool {
-        self.boards.iter().flatten().any(|known| *known == voter)
+        self.voter_sets.iter().flatten().any(|known| *known == voter)
     }
 
     /// Whether the record has room for a grant of the unit; the limits are another matter.
@@ -303,9 +303,9 @@
         let mut next = Record { version: self.version + 1, ..self.clone() };
         match *step {
             Step::Found { founding, ref base } if self.founding == 0 => {
-                let boards = std::mem::take(&mut next.boards);
+                let voter_sets = std::mem::take(&mut next.voter_sets);
                 next = Record { version: base.version + 1, board: base.board + 1, ..(**base).clone() };
-                (next.founding, next.boards, next.next) = (founding, boards, None);
+                (next.founding, next.voter_sets, next.next) = (founding, voter_sets, None);
                 if base.founding != 0 {
                     // Numbers that only the lost have given out are not given out again.
                     next.highest = (base.highest / NUMBERS + 1) * NUMBERS;
@@ -373,19 +373,19 @@
                 next.halted = Some(halt.clone());
             }
             Step::Resume { wish } if self.halted.is_some() && next.do_once(wish) => next.halted = None,
-            Step::Replace { old, new, wish } if self.boards.len() == 1 && !self.is_voter(new) => {
+            Step::Replace { old, new, wish } if self.voter_sets.len() == 1 && !self.is_voter(new) => {
                 if wish.is_some_and(|wish| !next.do_once(wish)) {
                     return None;
                 }
-                let mut board = self.boards[0].clone();
+                let mut board = self.voter_sets[0].clone();
                 let place = board.iter().position(|voter| *voter == old)?;
                 board[place] = new;
                 board.sort_unstable();
-                next.boards.push(board);
+                next.voter_sets.push(board);
                 next.board += 1;
             }
-            Step::Settle if self.boards.len() == 2 => {
-                next.boards.remove(0);
+            Step::Settle if self.voter_sets.len() == 2 => {
+                next.voter_sets.remove(0);
                 next.board += 1;
             }
             _ => return None,
--- a/balancer/fleet-policy/tests/member.rs
+++ b/balancer/fleet-policy/tests/member.rs
@@ -46,14 +46,14 @@
 }
 
 fn founded() -> Record {
-    let voters = (0..3).map(|member| Voter { member, birth: 100 + u64::from(member) }).collect();
-    Record { founding: 1 << 48 | 7, version: 5, boards: vec![voters], ..Record::default() }
+    let voters = (0..3).map(|member| Voter { member, incarnation: 100 + u64::from(member) }).collect();
+    Record { founding: 1 << 48 | 7, version: 5, voter_sets: vec![voters], ..Record::default() }
 }
 
 /// The first voter of a founded fleet that has run for long, and hears the two others.
 fn steward() -> (Member<Notes>, Notes) {
     let notes = Notes::default();
-    let memory = Memory { birth: 100, votes: Default::default(), record: founded() };
+    let memory = Memory { incarnation: 100, votes: Default::default(), record: founded() };
     let mut member = Member::new(notes.clone(), terms(), Some(memory), 9, 0);
     for now in [0, 20 * SECOND] {
         member.tick(now);
@@ -61,7 +61,7 @@
             let record = founded();
             let ask = Message::Ask {
                 at: 1,
-                birth: 100 + u64::from(other),
+                incarnation: 100 + u64::from(other),
                 start: 1,
                 founding: record.founding,
                 version: record.version,
@@ -69,7 +69,7 @@
                 readiness: Readiness::Nothing,
             };
             member.heard(now, other, ask);
-            let voter = Voter { member: other, birth: 100 + u64::from(other) };
+            let voter = Voter { member: other, incarnation: 100 + u64::from(other) };
             member.heard(now, other, Message::Grant { at: now, start: 9, voter, board: 0, number: 0 });
         }
     }
@@ -107,7 +107,7 @@
         if other_went_first {
             member.heard(now, 1, Message::News { record: theirs });
         }
-        let voter = Voter { member: 1, birth: 101 };
+        let voter = Voter { member: 1, incarnation: 101 };
         member.heard(now, 1, Message::Promise { ballot, voter, accepted });
         let written = accepts(notes.sent.take());
         assert!(written.iter().all(|record| record.out.len() <= 1), "{written:?}");
@@ -124,7 +124,7 @@
         let now = 31 * SECOND;
         assert_eq!(member.right(now), Right::CutOff);
         for other in [1, 2] {
-            let voter = Voter { member: other, birth: 100 + u64::from(other) };
+            let voter = Voter { member: other, incarnation: 100 + u64::from(other) };
             member.heard(now, other, Message::Grant { at: 30 * SECOND, start, voter, board: 0, number: 0 });
         }
         assert_eq!(member.right(now), right, "{start}");
@@ -138,7 +138,7 @@
     let ballot = Ballot { epoch: 1, round: 9, member: 1, start: 5 };
     let ask = Message::Ask {
         at: 7,
-        birth: 101,
+        incarnation: 101,
         start: 1,
         founding: founded().founding,
         version: 5,
--- a/controlplane/configuration/src/heartbeat.rs
+++ b/controlplane/configuration/src/heartbeat.rs
@@ -28,7 +28,7 @@
     pub slots: u32,
     pub state: InstanceState,
     /// How much longer the upstream is slow from its start, in milliseconds.
-    pub cold_ms: u64,
+    pub slow_start_ms: u64,
     /// Time left before a short-notice end, in milliseconds.
     pub remaining_ms: Option<u64>,
     /// Rises with each call.
@@ -73,7 +73,7 @@
             generation: raw.generation.unwrap_or_default(),
             slots: raw.slots.unwrap_or(Whole(1)).saturated(),
             state: parse_state(&raw.state)?,
-            cold_ms: raw.cold_ms.unwrap_or_default().0,
+            slow_start_ms: raw.cold_ms.unwrap_or_default().0,
             remaining_ms: raw.remaining_ms.map(|remaining| remaining.0),
             sequence: raw.seq.0,
         })
--- a/controlplane/configuration/tests/heartbeat.rs
+++ b/controlplane/configuration/tests/heartbeat.rs
@@ -18,7 +18,7 @@
         generation: "v1".to_owned(),
         slots: 128,
         state: InstanceState::Ready,
-        cold_ms: 1200,
+        slow_start_ms: 1200,
         remaining_ms: None,
         sequence: 4,
     }
@@ -40,7 +40,7 @@
 fn optional_keys_may_be_absent() {
     let text = r#"{"backend":"b","address":"10.0.0.1:1","zone":"z","state":"ready","seq":1}"#;
     let heartbeat = parse(text).expect("only required keys");
-    assert_eq!((heartbeat.slots, heartbeat.cold_ms, heartbeat.remaining_ms), (1, 0, None));
+    assert_eq!((heartbeat.slots, heartbeat.slow_start_ms, heartbeat.remaining_ms), (1, 0, None));
 }
 
 #[test]
--- a/controlplane/controller/examples/load.rs
+++ b/controlplane/controller/examples/load.rs
@@ -116,7 +116,7 @@
             region: "north".to_owned(),
             front: SocketAddr::from(([10, 1, 0, balancer as u8], 8161)),
             ready: true,
-            leaving: false,
+            shutting_down: false,
             applied: Versions { instances, ..Versions::default() },
             sends: Vec::new(),
             failing: Vec::new(),
@@ -144,7 +144,7 @@
         generation: "v1".to_owned(),
         slots: 128,
         state: InstanceState::Ready,
-        cold_ms: 0,
+        slow_start_ms: 0,
         remaining_ms: None,
         sequence: now,
     }
@@ -160,7 +160,7 @@
         sequence: now,
         draining: false,
         gone: false,
-        cold_ms: 0,
+        slow_start_ms: 0,
         age_ms: 100,
     }
 }
@@ -173,7 +173,7 @@
         region: "north".to_owned(),
         seeds: vec![endpoint],
         bootstrap: true,
-        birth: 1,
+        incarnation: 1,
         start: 2,
         tolerance: Tolerance::of_machines(0),
         timing: Timing::default(),
--- a/controlplane/controller/src/controller.rs
+++ b/controlplane/controller/src/controller.rs
@@ -21,10 +21,10 @@
 use crate::acquaintances::Acquaintances;
 use crate::contact::Contact;
 use crate::fleet::FleetState;
-use crate::laws::{AsDesigned, Laws};
 use crate::memory::Memory;
 use crate::orders::{self, Orders};
 use crate::pending::PendingOrders;
+use crate::protocol_rules::{ProtocolRules, StandardRules};
 use crate::residency::Residency;
 
 /// Interval at which silent instances and balancers are looked for.
@@ -41,8 +41,8 @@
 }
 
 /// One controller.
-pub struct Controller<L = AsDesigned> {
-    laws: PhantomData<L>,
+pub struct Controller<L = StandardRules> {
+    rules: PhantomData<L>,
     settings: ControllerSettings,
     replica: Replica<Orders>,
     registry: InstanceRegistry,
@@ -61,7 +61,7 @@
     /// What an earlier process knew has been found, here or by another controller.
     has_recalled: bool,
     memory: Memory,
-    leaving: bool,
+    shutting_down: bool,
     compacting: bool,
     gossip_at: u64,
     gossip_sent_at: u64,
@@ -89,13 +89,13 @@
         outputs: Vec<Output>,
         now: u64,
     ) -> (Self, Vec<Action>) {
-        Controller::with_laws(settings, replica, outputs, now)
+        Controller::with_rules(settings, replica, outputs, now)
     }
 }
 
-impl<L: Laws> Controller<L> {
-    /// Like [`Controller::new`], under laws of the caller's choice.
-    pub fn with_laws(
+impl<L: ProtocolRules> Controller<L> {
+    /// Like [`Controller::new`], under rules of the caller's choice.
+    pub fn with_rules(
         settings: ControllerSettings,
         replica: Replica<Orders>,
         outputs: Vec<Output>,
@@ -104,7 +104,7 @@
         let timing = RegistryTiming { heartbeat_ms: settings.heartbeat_ms };
         let learning_ms = disclosure::learning_ms(settings.heartbeat_ms);
         let mut controller = Controller {
-            laws: PhantomData,
+            rules: PhantomData,
             settings,
             replica,
             registry: InstanceRegistry::new(timing),
@@ -120,7 +120,7 @@
             is_taught: false,
             has_recalled: false,
             memory: Memory::default(),
-            leaving: false,
+            shutting_down: false,
             compacting: false,
             gossip_at: now,
             gossip_sent_at: now,
--- a/controlplane/controller/src/controller/calls.rs
+++ b/controlplane/controller/src/controller/calls.rs
@@ -7,12 +7,12 @@
 use super::submission;
 use crate::api::{Call, Refusal, Response};
 use crate::directory::{self, Place};
-use crate::laws::Laws;
 use crate::orders::{self, Departure};
 use crate::pending::{CallId, Request};
+use crate::protocol_rules::ProtocolRules;
 use crate::status;
 
-impl<L: Laws> Controller<L> {
+impl<L: ProtocolRules> Controller<L> {
     pub(super) fn call(&mut self, now: u64, id: CallId, call: Call) {
         match call {
             Call::Replace { base, generation, body } => {
@@ -112,7 +112,7 @@
             publisher: &self.publisher,
             in_quorum: self.is_in_quorum(now),
             orders: &self.pending,
-            leaving: self.leaving,
+            shutting_down: self.shutting_down,
             now,
         }
     }
--- a/controlplane/controller/src/controller/disclosure.rs
+++ b/controlplane/controller/src/controller/disclosure.rs
@@ -2,13 +2,13 @@
 
 use super::Controller;
 use crate::contact::Standing;
-use crate::laws::Laws;
+use crate::protocol_rules::ProtocolRules;
 
 /// After a start all upstreams and balancers have been heard of within this time, and within so many heartbeats.
 const LEARNING_MS: u64 = 3_000;
 const LEARNING_HEARTBEATS: u64 = 2;
 
-impl<L: Laws> Controller<L> {
+impl<L: ProtocolRules> Controller<L> {
     /// Takes in whether there is a majority to rely on.
     pub(super) fn note_quorum(&mut self, now: u64) {
         let standing =
--- a/controlplane/controller/src/controller/gossip.rs
+++ b/controlplane/controller/src/controller/gossip.rs
@@ -9,7 +9,7 @@
 use super::Controller;
 use super::event::Action;
 use crate::exchange;
-use crate::laws::Laws;
+use crate::protocol_rules::ProtocolRules;
 
 /// Heartbeats and renewals that change nothing are told to the other controllers at this interval.
 const GOSSIP_REFRESH_MS: u64 = 400;
@@ -21,7 +21,7 @@
 const SNAPSHOT_PAUSE_MS: u64 = 2_000;
 const SNAPSHOT_PAUSE_MS_PER_INSTANCE: u64 = 5;
 
-impl<L: Laws> Controller<L> {
+impl<L: ProtocolRules> Controller<L> {
     /// Changes that are not urgent go along with the replica's own messages, in the same packets.
     pub(super) fn is_gossip_due(&self, now: u64) -> bool {
         let goes_along = self.actions.iter().any(|action| matches!(action, Action::SendPeer { .. }));
--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -10,7 +10,7 @@
 
 use super::Controller;
 use super::event::Action;
-use crate::laws::Laws;
+use crate::protocol_rules::ProtocolRules;
 use crate::{evidence, exchange, orders};
 
 /// Interval of the messages that show balancers that this controller is alive.
@@ -18,7 +18,7 @@
 /// Instances that come, or are cold for another time, are told at most this often: many do so together.
 const INSTANCES_INTERVAL_MS: u64 = 300;
 
-impl<L: Laws> Controller<L> {
+impl<L: ProtocolRules> Controller<L> {
     pub(super) fn take_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         let is_new = !self.publisher.subscribers().any(|known| known == subscriber);
         self.publisher.reported(now, subscriber, report);
@@ -48,7 +48,7 @@
     }
 
     fn link(&self, now: u64, controllers: Vec<ControllerAddress>) -> Link {
-        Link { in_quorum: self.is_in_quorum(now), leaving: self.leaving, controllers }
+        Link { in_quorum: self.is_in_quorum(now), shutting_down: self.shutting_down, controllers }
     }
 
     /// Publishes now if the instances are due, else at the next tick.
@@ -167,6 +167,6 @@
         zone: record.zone,
         slots: record.slots,
         draining: record.draining,
-        cold_ms: record.cold_ms,
+        slow_start_ms: record.slow_start_ms,
     }
 }
--- a/controlplane/controller/src/controller/recall.rs
+++ b/controlplane/controller/src/controller/recall.rs
@@ -5,9 +5,9 @@
 use super::Controller;
 use super::event::Action;
 use crate::exchange;
-use crate::laws::Laws;
+use crate::protocol_rules::ProtocolRules;
 
-impl<L: Laws> Controller<L> {
+impl<L: ProtocolRules> Controller<L> {
     pub(super) fn recall(&mut self, now: u64, memory: &[u8]) {
         let Ok(gossip) = decode_gossip(memory) else { return };
         self.take_recalled(now, gossip);
@@ -36,8 +36,8 @@
             return;
         }
         let gossip = exchange::memory(now, &self.registry, &self.leases);
-        let cold_ms = gossip.instances.iter().map(|instance| instance.cold_ms).max();
-        self.memory.writing(now, versions, cold_ms.unwrap_or(0));
+        let slow_start_ms = gossip.instances.iter().map(|instance| instance.slow_start_ms).max();
+        self.memory.writing(now, versions, slow_start_ms.unwrap_or(0));
         self.actions.push(Action::Remember { memory: encode_gossip(&gossip) });
     }
 }
--- a/controlplane/controller/src/controller/replication.rs
+++ b/controlplane/controller/src/controller/replication.rs
@@ -8,10 +8,10 @@
 
 use super::Controller;
 use super::event::Action;
-use crate::laws::Laws;
 use crate::orders::{self, Departure};
+use crate::protocol_rules::ProtocolRules;
 
-impl<L: Laws> Controller<L> {
+impl<L: ProtocolRules> Controller<L> {
     pub(super) fn step(&mut self, now: u64, input: Input) {
         let outputs = self.replica.handle(now, input);
         self.take_outputs(now, outputs);
@@ -92,7 +92,7 @@
     }
 
     pub(super) fn leave(&mut self, now: u64) {
-        self.leaving = true;
+        self.shutting_down = true;
         self.step(now, Input::Leave);
         self.send_links(now);
     }
--- a/controlplane/controller/src/controller/submission.rs
+++ b/controlplane/controller/src/controller/submission.rs
@@ -6,9 +6,9 @@
 
 use super::Controller;
 use crate::api::Response;
-use crate::laws::Laws;
 use crate::orders::{self, Outcome};
 use crate::pending::{CallId, PendingOrder, Request};
+use crate::protocol_rules::ProtocolRules;
 
 /// An order gets its answer within this time, since its caller gives up after a second of silence.
 const ORDER_MS: u64 = 900;
@@ -26,7 +26,7 @@
 /// caller has not gone on to another controller by then.
 const EVACUATION_RENEWAL_MS: u64 = 400;
 
-impl<L: Laws> Controller<L> {
+impl<L: ProtocolRules> Controller<L> {
     pub(super) fn order(&mut self, now: u64, call: CallId, request: Request) {
         let deadline = now + self.time_for(now, &request);
         let is_evacuation = matches!(request, Request::Evacuate { .. });
--- a/controlplane/controller/src/directory.rs
+++ b/controlplane/controller/src/directory.rs
@@ -78,7 +78,7 @@
 
 /// Those that take new clients, in a fixed order.
 fn open_in_order<'a>(leases: impl Iterator<Item = &'a Lease>) -> Vec<&'a Lease> {
-    let mut open: Vec<&Lease> = leases.filter(|lease| lease.ready && !lease.leaving).collect();
+    let mut open: Vec<&Lease> = leases.filter(|lease| lease.ready && !lease.shutting_down).collect();
     open.sort_by_key(|lease| lease.front);
     open
 }
--- a/controlplane/controller/src/exchange.rs
+++ b/controlplane/controller/src/exchange.rs
@@ -43,7 +43,7 @@
         slots: instance.slots,
         sequence: instance.sequence,
         draining: instance.draining,
-        cold_ms: instance.cold_ms,
+        slow_start_ms: instance.slow_start_ms,
         age_ms: instance.age_ms,
     }
 }
@@ -58,7 +58,7 @@
         region: lease.region,
         front: lease.front,
         ready: lease.ready,
-        leaving: lease.leaving,
+        shutting_down: lease.shutting_down,
         sends: lease.sends.into_iter().map(region_sends).collect(),
         failing: lease.failing.into_iter().map(seen_failures).collect(),
     };
@@ -74,7 +74,7 @@
         region: report.region.clone(),
         front: report.front,
         ready: report.ready,
-        leaving: report.leaving,
+        shutting_down: report.shutting_down,
         sends: report.sends.iter().cloned().map(region_sends).collect(),
         failing: report.failing.iter().cloned().map(seen_failures).collect(),
     }
@@ -122,7 +122,7 @@
         sequence: record.sequence,
         draining: record.draining,
         gone: false,
-        cold_ms: record.cold_ms,
+        slow_start_ms: record.slow_start_ms,
         age_ms: record.age_ms,
     }
 }
@@ -136,7 +136,7 @@
         region: lease.region,
         front: lease.front,
         ready: lease.ready,
-        leaving: lease.leaving,
+        shutting_down: lease.shutting_down,
         age_ms: record.age_ms,
         sends: lease.sends.into_iter().map(region_load).collect(),
         failing: lease.failing.into_iter().map(instance_failures).collect(),
--- a/controlplane/controller/src/lib.rs
+++ b/controlplane/controller/src/lib.rs
@@ -11,15 +11,15 @@
 pub mod evidence;
 mod exchange;
 mod fleet;
-mod laws;
 mod memory;
 pub mod orders;
 mod pending;
+mod protocol_rules;
 mod residency;
 mod shell;
 mod status;
 
 pub use controller::{Action, Controller, ControllerSettings, Event};
-pub use laws::{AsDesigned, Laws};
 pub use pending::CallId;
+pub use protocol_rules::{ProtocolRules, StandardRules};
 pub use shell::{ControllerError, DiskError, ListenError, run, run_directory};
--- a/controlplane/controller/src/memory.rs
+++ b/controlplane/controller/src/memory.rs
@@ -25,9 +25,9 @@
     }
 
     /// The state is being written; its instances are cold for so long at most.
-    pub fn writing(&mut self, now: u64, versions: Versions, cold_ms: u64) {
+    pub fn writing(&mut self, now: u64, versions: Versions, slow_start_ms: u64) {
         self.written = Some(versions);
-        self.outdated_at = (cold_ms > 0).then(|| now.saturating_add(cold_ms));
+        self.outdated_at = (slow_start_ms > 0).then(|| now.saturating_add(slow_start_ms));
         self.next_at = now + INTERVAL_MS;
         self.is_writing = true;
     }
--- a/controlplane/controller/src/laws.rs
+++ b/controlplane/controller/src/protocol_rules.rs
@@ -4,7 +4,7 @@
 use std::fmt::Debug;
 
 /// What must hold. The defaults are what the program runs; tests plant faults in their place.
-pub trait Laws: Clone + Debug {
+pub trait ProtocolRules: Clone + Debug {
     /// Whether a balancer that has nothing is told the records, if by contact and time it `may` be.
     fn hands_out(may: bool) -> bool {
         may
@@ -26,8 +26,8 @@
     }
 }
 
-/// The laws as the program keeps them.
+/// The rules as the program keeps them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AsDesigned;
+pub struct StandardRules;
 
-impl Laws for AsDesigned {}
+impl ProtocolRules for StandardRules {}
--- a/controlplane/controller/src/shell/program.rs
+++ b/controlplane/controller/src/shell/program.rs
@@ -155,7 +155,7 @@
         region: settings.region.clone(),
         seeds: seed_endpoints(settings),
         bootstrap,
-        birth: random(),
+        incarnation: random(),
         start: random(),
         tolerance: tolerance(settings),
         timing: Timing::default(),
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -22,7 +22,7 @@
     pub publisher: &'a Publisher,
     pub in_quorum: bool,
     pub orders: &'a PendingOrders,
-    pub leaving: bool,
+    pub shutting_down: bool,
     pub now: u64,
 }
 
@@ -66,7 +66,7 @@
     let orders_answered = summary.orders.counts();
     [
         ("in_quorum", u64::from(summary.in_quorum)),
-        ("leaving", u64::from(summary.leaving)),
+        ("leaving", u64::from(summary.shutting_down)),
         ("pending_orders", summary.orders.len() as u64),
         ("orders_confirmed", orders_answered.confirmed),
         ("orders_refused", orders_answered.refused),
@@ -109,7 +109,7 @@
         json.push_str("{\"node\":");
         push_json_string(json, &record.lease.node);
         push_number(json, "ready", u64::from(record.lease.ready));
-        push_number(json, "leaving", u64::from(record.lease.leaving));
+        push_number(json, "leaving", u64::from(record.lease.shutting_down));
         push_number(json, "age_ms", record.age_ms);
         json.push('}');
     });
--- a/controlplane/controller/tests/common/edge.rs
+++ b/controlplane/controller/tests/common/edge.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
 
-use whinspindle_agent::{Agent, AgentSettings, ConnectionId, Input, Laws, Output};
-use whinspindle_distribution::{Holder, Report, SubscriberId, ToBalancer};
+use whinspindle_agent::{Agent, AgentSettings, ConnectionId, Input, Output, ProtocolRules};
+use whinspindle_distribution::{AppliedState, Report, SubscriberId, ToBalancer};
 
 use super::zones;
 
@@ -31,7 +31,7 @@
 /// What the proxy process holds.
 #[derive(Default)]
 struct Proxy {
-    holder: Holder,
+    holder: AppliedState,
     report_at: u64,
 }
 
@@ -49,7 +49,7 @@
     pub reported: u64,
 }
 
-impl<L: Laws> Edge<L> {
+impl<L: ProtocolRules> Edge<L> {
     pub fn new(number: u8, seeds: Vec<SocketAddr>) -> Self {
         Edge {
             number,
@@ -69,7 +69,7 @@
     }
 
     /// What the proxy holds, if it runs.
-    pub fn held(&self) -> Option<&Holder> {
+    pub fn held(&self) -> Option<&AppliedState> {
         self.proxy.as_ref().map(|proxy| &proxy.holder)
     }
 
@@ -89,7 +89,7 @@
             grace_ms: GRACE_MS,
             incarnation: u64::from(self.number) << 32 | self.lives,
         };
-        self.agent = Some(Agent::with_laws(now, settings));
+        self.agent = Some(Agent::with_rules(now, settings));
         let mut wishes = Vec::new();
         if self.proxy.is_some() {
             wishes = self.give(now, Input::ProxyConnected);
@@ -101,7 +101,7 @@
         if self.proxy.is_some() {
             return Vec::new();
         }
-        self.proxy = Some(Proxy { holder: Holder::new(), report_at: now });
+        self.proxy = Some(Proxy { holder: AppliedState::new(), report_at: now });
         self.give(now, Input::ProxyConnected)
     }
 
@@ -173,7 +173,7 @@
             region,
             front: self.address,
             ready: applied.configured > 0 && applied.instances > 0,
-            leaving: false,
+            shutting_down: false,
             applied,
             sends: Vec::new(),
             failing: Vec::new(),
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -9,7 +9,9 @@
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
 use whinspindle_controller::orders::Orders;
-use whinspindle_controller::{Action, AsDesigned, CallId, Controller, ControllerSettings, Event, Laws};
+use whinspindle_controller::{
+    Action, CallId, Controller, ControllerSettings, Event, ProtocolRules, StandardRules,
+};
 use whinspindle_distribution::frame::FrameKind;
 use whinspindle_distribution::{ControllerAddress, Link, Report, SubscriberId, ToBalancer, Update};
 use whinspindle_lab_simulated_cluster::{
@@ -52,7 +54,7 @@
 type Memories = Rc<RefCell<HashMap<SocketAddr, Vec<u8>>>>;
 
 /// One controller of the fleet.
-pub struct Node<L = AsDesigned> {
+pub struct Node<L = StandardRules> {
     pub controller: Controller<L>,
     endpoint: SocketAddr,
     memories: Memories,
@@ -60,7 +62,7 @@
     lives: HashMap<SocketAddr, u64>,
 }
 
-impl<L: Laws> Process for Node<L> {
+impl<L: ProtocolRules> Process for Node<L> {
     type Message = Frame;
     type Command = Command;
     type Answer = Answer;
@@ -95,7 +97,7 @@
     }
 }
 
-impl<L: Laws> Node<L> {
+impl<L: ProtocolRules> Node<L> {
     fn receive(&mut self, now: u64, from: SocketAddr, frame: Frame) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.lives.insert(from, frame.life) != Some(frame.life) {
@@ -148,7 +150,7 @@
     SocketAddr::from(([10, 0, 0, number], 7700))
 }
 
-fn start_node<L: Laws>(start: Start, memories: Memories) -> (Node<L>, Vec<Effect<Node<L>>>) {
+fn start_node<L: ProtocolRules>(start: Start, memories: Memories) -> (Node<L>, Vec<Effect<Node<L>>>) {
     let zones: BTreeMap<String, String> = zones();
     let (zone, region) = zones.iter().nth(start.endpoint.port() as usize % zones.len()).unwrap();
     let replica_settings = ReplicaSettings {
@@ -157,7 +159,7 @@
         region: region.clone(),
         seeds: start.nodes.iter().copied().take(SEEDS).collect(),
         bootstrap: start.is_founding,
-        birth: start.chance,
+        incarnation: start.chance,
         start: start.chance,
         tolerance: Tolerance::of_machines(1),
         timing: Timing::default(),
@@ -167,7 +169,7 @@
     let address = ControllerAddress { endpoint: start.endpoint, zone: zone.clone(), region: region.clone() };
     let node = start.endpoint.to_string();
     let settings = ControllerSettings { node, address, zones, heartbeat_ms: HEARTBEAT_MS };
-    let (mut controller, mut actions) = Controller::with_laws(settings, replica, outputs, start.now);
+    let (mut controller, mut actions) = Controller::with_rules(settings, replica, outputs, start.now);
     let memory = memories.borrow().get(&start.endpoint).cloned();
     if let Some(memory) = memory {
         actions.extend(controller.handle(start.now, Event::Recalled { memory: memory.into() }));
@@ -188,7 +190,7 @@
 }
 
 /// Controllers, callers and what balancers were sent.
-pub struct Fleet<L: Laws = AsDesigned> {
+pub struct Fleet<L: ProtocolRules = StandardRules> {
     pub cluster: Cluster<Node<L>>,
     pub chance: Pcg,
     /// Share of the answers that don't reach their callers.
@@ -207,13 +209,13 @@
 impl Fleet {
     /// Controllers that have found each other.
     pub fn start(seed: u64, count: u8) -> Fleet {
-        Fleet::with_laws(seed, count)
+        Fleet::with_rules(seed, count)
     }
 }
 
-impl<L: Laws> Fleet<L> {
-    /// Like [`Fleet::start`], under laws of the caller's choice.
-    pub fn with_laws(seed: u64, count: u8) -> Self {
+impl<L: ProtocolRules> Fleet<L> {
+    /// Like [`Fleet::start`], under rules of the caller's choice.
+    pub fn with_rules(seed: u64, count: u8) -> Self {
         let memories = Memories::default();
         let recalled = Rc::clone(&memories);
         let starter = move |start| start_node(start, Rc::clone(&recalled));
--- a/controlplane/controller/tests/common/judge.rs
+++ b/controlplane/controller/tests/common/judge.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use whinspindle_distribution::Holder;
+use whinspindle_distribution::AppliedState;
 
 /// A machine is in touch if nothing has disturbed it or the core for this long.
 pub const CONTACT_MS: u64 = 4_000;
@@ -54,13 +54,13 @@
     }
 
     /// Whether what a balancer in touch holds is as new as it has to be.
-    pub fn check(&self, now: u64, held: &Holder) -> Result<(), String> {
+    pub fn check(&self, now: u64, held: &AppliedState) -> Result<(), String> {
         self.check_configuration(now, held)?;
         self.check_evacuations(now, held)?;
         self.check_departures(now, held)
     }
 
-    pub fn check_configuration(&self, now: u64, held: &Holder) -> Result<(), String> {
+    pub fn check_configuration(&self, now: u64, held: &AppliedState) -> Result<(), String> {
         let due = self.configurations.iter().filter(|(at, _)| at + CONVERGE_MS < now);
         let due = due.map(|(_, generation)| *generation).max().unwrap_or(0);
         let generation = held_generation(held);
@@ -70,7 +70,7 @@
         Ok(())
     }
 
-    fn check_evacuations(&self, now: u64, held: &Holder) -> Result<(), String> {
+    fn check_evacuations(&self, now: u64, held: &AppliedState) -> Result<(), String> {
         for (zone, (at, evacuated)) in &self.zones {
             let holds = held.evacuations().is_some_and(|section| section.zones.contains(zone));
             if at + EVACUATE_MS < now && holds != *evacuated {
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    fn check_departures(&self, now: u64, held: &Holder) -> Result<(), String> {
+    fn check_departures(&self, now: u64, held: &AppliedState) -> Result<(), String> {
         let listed = held.instances().map_or(&[][..], |section| &section.list);
         let is_due = |id: &String| self.left.get(id).is_some_and(|at| at + DRAIN_MS < now);
         match listed.iter().find(|instance| !instance.draining && is_due(&instance.id)) {
@@ -91,7 +91,7 @@
 }
 
 /// The generation of the configuration that a balancer holds, 0 without one.
-pub fn held_generation(held: &Holder) -> u64 {
+pub fn held_generation(held: &AppliedState) -> u64 {
     let Some(section) = held.configured() else { return 0 };
     let text = std::str::from_utf8(&section.body).expect("a configuration is text");
     let digits = text.split("\"generation\":").nth(1).expect("a generation");
--- a/controlplane/controller/tests/common/rules.rs
+++ b/controlplane/controller/tests/common/rules.rs
@@ -1,28 +1,28 @@
-//! The laws that controllers and agents are played under: as the programs keep them, or with a planted fault.
+//! The rules that controllers and agents are played under: as the programs keep them, or with a planted fault.
 
 use whinspindle_agent as agent;
 use whinspindle_controller as controller;
 
-/// Which laws hold in a play.
+/// Which rules hold in a play.
 pub trait Rules: Clone + std::fmt::Debug {
-    type Controller: controller::Laws + 'static;
-    type Agent: agent::Laws + 'static;
+    type Controller: controller::ProtocolRules + 'static;
+    type Agent: agent::ProtocolRules + 'static;
 }
 
 /// As the programs keep them.
 #[derive(Clone, Debug)]
-pub struct AsDesigned;
+pub struct StandardRules;
 
-impl Rules for AsDesigned {
-    type Controller = controller::AsDesigned;
-    type Agent = agent::AsDesigned;
+impl Rules for StandardRules {
+    type Controller = controller::StandardRules;
+    type Agent = agent::StandardRules;
 }
 
 /// A controller tells balancers its records whatever its contact with the others.
 #[derive(Clone, Debug)]
 pub struct TellsAlone;
 
-impl controller::Laws for TellsAlone {
+impl controller::ProtocolRules for TellsAlone {
     fn hands_out(_may: bool) -> bool {
         true
     }
@@ -32,14 +32,14 @@
 #[derive(Clone, Debug)]
 pub struct TakesAny;
 
-impl agent::Laws for TakesAny {
+impl agent::ProtocolRules for TakesAny {
     fn takes_first_records(_may: bool) -> bool {
         true
     }
 }
 
 impl Rules for TakesAny {
-    type Controller = controller::AsDesigned;
+    type Controller = controller::StandardRules;
     type Agent = TakesAny;
 }
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub struct ConfirmsEarly;
 
-impl controller::Laws for ConfirmsEarly {
+impl controller::ProtocolRules for ConfirmsEarly {
     fn confirms_departure(_is_committed: bool) -> bool {
         true
     }
@@ -64,14 +64,14 @@
 
 impl Rules for ConfirmsEarly {
     type Controller = ConfirmsEarly;
-    type Agent = agent::AsDesigned;
+    type Agent = agent::StandardRules;
 }
 
 /// A controller answers a read of the configuration by what it knows itself.
 #[derive(Clone, Debug)]
 pub struct ReadsAlone;
 
-impl controller::Laws for ReadsAlone {
+impl controller::ProtocolRules for ReadsAlone {
     fn answers_reads_alone() -> bool {
         true
     }
@@ -79,14 +79,14 @@
 
 impl Rules for ReadsAlone {
     type Controller = ReadsAlone;
-    type Agent = agent::AsDesigned;
+    type Agent = agent::StandardRules;
 }
 
 /// A heartbeat is confirmed by a controller that no other one hears.
 #[derive(Clone, Debug)]
 pub struct ConfirmsAlone;
 
-impl controller::Laws for ConfirmsAlone {
+impl controller::ProtocolRules for ConfirmsAlone {
     fn confirms_heartbeat(_in_quorum: bool) -> bool {
         true
     }
@@ -94,5 +94,5 @@
 
 impl Rules for ConfirmsAlone {
     type Controller = ConfirmsAlone;
-    type Agent = agent::AsDesigned;
+    type Agent = agent::StandardRules;
 }
--- a/controlplane/controller/tests/common/upstream.rs
+++ b/controlplane/controller/tests/common/upstream.rs
@@ -111,7 +111,7 @@
             generation: "v1".to_owned(),
             slots: 6,
             state,
-            cold_ms: 0,
+            slow_start_ms: 0,
             remaining_ms: None,
             sequence: self.sequence,
         };
--- a/controlplane/controller/tests/common/world.rs
+++ b/controlplane/controller/tests/common/world.rs
@@ -23,14 +23,14 @@
 use super::edge::Edge;
 use super::fleet::{Answer, Fleet, SEEDS};
 use super::judge::Judge;
-use super::rules::{AsDesigned, Rules};
+use super::rules::{Rules, StandardRules};
 use super::upstream::Upstream;
 
 const STEP_MS: u64 = 10;
 /// How often each controller is asked where clients connect.
 const RESOLVE_MS: u64 = 500;
 
-pub struct World<R: Rules = AsDesigned> {
+pub struct World<R: Rules = StandardRules> {
     pub fleet: Fleet<R::Controller>,
     pub edges: Vec<Edge<R::Agent>>,
     pub upstreams: Vec<Upstream>,
@@ -83,7 +83,7 @@
 impl<R: Rules> World<R> {
     /// Like [`World::start`], under these rules.
     pub fn under(seed: u64, controllers: u8, edges: u8, upstreams: u8) -> Self {
-        let fleet = Fleet::with_laws(seed, controllers);
+        let fleet = Fleet::with_rules(seed, controllers);
         let now = fleet.cluster.now();
         let seeds: Vec<SocketAddr> = fleet.cluster.endpoints().into_iter().take(SEEDS).collect();
         let mut world = World {
--- a/controlplane/controller/tests/controller.rs
+++ b/controlplane/controller/tests/controller.rs
@@ -355,7 +355,7 @@
 fn memory_is_written_again_once_a_cold_time_in_it_has_passed() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     let Call::Heartbeat { instance, heartbeat } = heartbeat("i-1", 1, Ready) else { unreachable!() };
-    let heartbeat = whinspindle_configuration::Heartbeat { cold_ms: 1_500, ..heartbeat };
+    let heartbeat = whinspindle_configuration::Heartbeat { slow_start_ms: 1_500, ..heartbeat };
     single.call(Call::Heartbeat { instance, heartbeat });
     single.pass(1_200);
     let written = single.memories.len();
@@ -382,7 +382,7 @@
 fn balancers_that_are_not_ready_leave_or_fall_silent_get_no_clients() {
     let mut single = settled_with_balancers(&[(1, "zone-a"), (2, "zone-a"), (3, "zone-a"), (4, "zone-a")]);
     single.report(2, Report { ready: false, ..report(2, "zone-a") });
-    single.report(3, Report { leaving: true, ..report(3, "zone-a") });
+    single.report(3, Report { shutting_down: true, ..report(3, "zone-a") });
     assert_eq!(addresses(&mut single, "north", "zone-a"), ["10.1.0.1:8161", "10.1.0.4:8161"]);
     for _ in 0..10 {
         single.pass(300);
@@ -399,10 +399,10 @@
     single.links.clear();
     single.pass(1_000);
     assert!(single.links.len() >= 3, "several a second");
-    assert!(single.links.iter().all(|(_, link)| !link.leaving));
+    assert!(single.links.iter().all(|(_, link)| !link.shutting_down));
     single.links.clear();
     single.handle(Event::Leave);
-    assert!(single.links.iter().any(|(_, link)| link.leaving), "at once");
+    assert!(single.links.iter().any(|(_, link)| link.shutting_down), "at once");
 }
 
 #[test]
--- a/controlplane/controller/tests/directory.rs
+++ b/controlplane/controller/tests/directory.rs
@@ -91,8 +91,8 @@
     named(single.answer(id).expect("a question is answered at once"))
 }
 
-fn leaving(number: u8) -> Report {
-    Report { leaving: true, ..balancer(number) }
+fn shutting_down(number: u8) -> Report {
+    Report { shutting_down: true, ..balancer(number) }
 }
 
 fn not_ready(number: u8) -> Report {
@@ -101,7 +101,7 @@
 
 /// A controller that knows of these balancers; the others leave by plan.
 fn with_balancers(staying: &[u8]) -> Single {
-    with_balancers_and(staying, leaving)
+    with_balancers_and(staying, shutting_down)
 }
 
 /// A controller that knows of these balancers; the others report something else.
@@ -153,7 +153,7 @@
         (&[SOUTH, WEST], FROM_NORTH, UNKNOWN, &[]),
     ];
     for (staying, from, host, expected) in cases {
-        for others in [leaving, not_ready] {
+        for others in [shutting_down, not_ready] {
             let mut single = with_balancers_and(staying, others);
             assert_eq!(single.status(replace_hosts(0, 3)), StatusCode::OK);
             let case = format!("{staying:?} stay, a client of {host} from {from:?}");
@@ -166,7 +166,7 @@
 #[test]
 fn no_loss_leads_clients_out_of_their_regions() {
     let losses: [fn(u8) -> Option<Report>; 3] =
-        [|number| Some(leaving(number)), |number| Some(not_ready(number)), |_| None];
+        [|number| Some(shutting_down(number)), |number| Some(not_ready(number)), |_| None];
     for (lost, loss) in (0..16_u8).flat_map(|lost| losses.map(|loss| (lost, loss))) {
         let mut single = with_balancers(&ALL);
         assert_eq!(single.status(replace_hosts(0, 3)), StatusCode::OK);
@@ -313,7 +313,7 @@
         assert_eq!(ask(&mut single, SOUTH_ALONE, ("north", zone)), told, "clients keep their connections");
         told.iter().for_each(|&number| clients_zones[usize::from(number)] += 1);
         let gone = told[0];
-        single.report(u64::from(gone), Report { leaving: true, ..southern(gone) });
+        single.report(u64::from(gone), Report { shutting_down: true, ..southern(gone) });
         let after = ask(&mut single, SOUTH_ALONE, ("north", zone));
         let kept = told.iter().filter(|number| after.contains(number)).count();
         assert_eq!((kept, after.len()), (MOST_NAMED - 1, MOST_NAMED), "{zone}: one goes, one comes");
--- a/controlplane/controller/tests/evidence.rs
+++ b/controlplane/controller/tests/evidence.rs
@@ -15,7 +15,7 @@
         region: "r".to_owned(),
         front: SocketAddr::from(([10, 0, 0, number], 80)),
         ready: true,
-        leaving: false,
+        shutting_down: false,
         sends: Vec::new(),
         failing: failures.iter().map(seen).collect(),
     }
--- a/controlplane/controller/tests/fleet.rs
+++ b/controlplane/controller/tests/fleet.rs
@@ -247,17 +247,17 @@
 
 #[test]
 fn a_controller_that_leaves_hands_over_without_a_lost_order() {
-    for leaving in 1..=3 {
+    for shutting_down in 1..=3 {
         let mut fleet = Fleet::start(6, 3);
         fleet.complete(replace(0, 1), CALM_ORDER_MS);
-        fleet.cluster.command(endpoint(leaving), common::fleet::Command::Leave);
+        fleet.cluster.command(endpoint(shutting_down), common::fleet::Command::Leave);
         let attempt = fleet.begin(replace(1, 2));
         fleet.pass(400);
-        fleet.cluster.stop(endpoint(leaving));
+        fleet.cluster.stop(endpoint(shutting_down));
         fleet.pass(2_000);
         let (at, answer) = fleet.attempts[attempt].answered.clone().expect("an answer");
         assert_eq!(answer.status, StatusCode::OK);
-        assert!(at < fleet.attempts[attempt].first_sent_at + 2_000, "controller {leaving}");
+        assert!(at < fleet.attempts[attempt].first_sent_at + 2_000, "controller {shutting_down}");
         assert_eq!(fleet.complete(replace(2, 3), 1_500).status, StatusCode::OK);
     }
 }
--- a/controlplane/controller/tests/safety_page.rs
+++ b/controlplane/controller/tests/safety_page.rs
@@ -9,8 +9,8 @@
 
 const PAGE: &str = "docs/control-plane-safety.md";
 /// Where the sources of the workspace are.
-const FOLDERS: [&str; 8] =
-    ["controlplane", "coordination", "crates", "dataplane", "lab", "programs", "src", "tests"];
+const FOLDERS: [&str; 9] =
+    ["balancer", "controlplane", "coordination", "crates", "dataplane", "lab", "programs", "src", "tests"];
 /// Stands for the beginning of a name that the page has given in full just before.
 const ELLIPSIS: &str = "...";
 /// A name of so many words is that of a test or of another function.
--- a/controlplane/controller/tests/schedules.rs
+++ b/controlplane/controller/tests/schedules.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::rules::{AsDesigned, ConfirmsAlone, ConfirmsEarly, CutOffTells, ReadsAlone, Rules, TakesAny};
+use common::rules::{ConfirmsAlone, ConfirmsEarly, CutOffTells, ReadsAlone, Rules, StandardRules, TakesAny};
 use common::schedule::{Overlapping, Schedule, Starting, play};
 use quickcheck::{Arbitrary, Gen};
 
@@ -25,7 +25,7 @@
 /// The smallest schedule made from this one by leaving out steps that still goes wrong, with what goes wrong.
 fn smallest(schedule: Schedule, fault: String) -> (Schedule, String) {
     let found =
-        schedule.shrink().find_map(|shorter| Some((shorter.clone(), play::<AsDesigned>(&shorter).err()?)));
+        schedule.shrink().find_map(|shorter| Some((shorter.clone(), play::<StandardRules>(&shorter).err()?)));
     match found {
         Some((shorter, fault)) => smallest(shorter, fault),
         None => (schedule, fault),
@@ -52,7 +52,7 @@
         for number in (share..count).step_by(THREADS) {
             let seed = first + number as u64;
             let schedule = draw(seed);
-            if let Err(fault) = play::<AsDesigned>(&schedule) {
+            if let Err(fault) = play::<StandardRules>(&schedule) {
                 let (schedule, fault) = smallest(schedule, fault);
                 panic!("seed {seed}: {fault}\n{schedule:#?}");
             }
@@ -83,10 +83,10 @@
     are_borne(overlapping);
 }
 
-/// What is planted shows first at `seed`, and as `problem`; the laws as designed bear all schedules up to there.
+/// What is planted shows first at `seed`, and as `problem`; the standard rules bear all schedules up to there.
 fn is_found<R: Rules>(draw: fn(u64) -> Schedule, seed: u64, problem: &str) {
     for earlier in FIRST_SEED..=seed {
-        play::<AsDesigned>(&draw(earlier)).unwrap();
+        play::<StandardRules>(&draw(earlier)).unwrap();
     }
     let shown = (FIRST_SEED..=seed).find_map(|earlier| Some((earlier, play::<R>(&draw(earlier)).err()?)));
     let (first, shown) = shown.expect("no schedule shows the fault");
--- a/controlplane/distribution/examples/publish.rs
+++ b/controlplane/distribution/examples/publish.rs
@@ -1,11 +1,11 @@
 //! A publisher hands sections to a subscriber, which acknowledges what it applies.
 
 use bytes::Bytes;
-use whinspindle_distribution::{Configured, Evacuations, Holder, Publisher, SubscriberId, Versions};
+use whinspindle_distribution::{AppliedState, Configured, Evacuations, Publisher, SubscriberId, Versions};
 
 fn main() {
     let subscriber = SubscriberId(1);
-    let (mut publisher, mut holder) = (Publisher::new(), Holder::new());
+    let (mut publisher, mut holder) = (Publisher::new(), AppliedState::new());
     publisher.configure(Configured { sequence: 1, body: Bytes::from_static(b"{}") });
     publisher.subscribe(subscriber, Versions::default());
     for now in [0, 10, 20] {
--- a/controlplane/distribution/src/holder.rs
+++ b/controlplane/distribution/src/applied_state.rs
@@ -10,7 +10,7 @@
 /// The newest sections received. Configurations and evacuations follow the replicated history and only go forward;
 /// instances and fleet are each controller's own view, so the newest received stands.
 #[derive(Clone, Debug, Default)]
-pub struct Holder {
+pub struct AppliedState {
     configured: Option<Configured>,
     evacuations: Option<Evacuations>,
     instances: Option<Instances>,
@@ -19,9 +19,9 @@
     draining: DrainingIds,
 }
 
-impl Holder {
+impl AppliedState {
     pub fn new() -> Self {
-        Holder::default()
+        AppliedState::default()
     }
 
     /// Takes the sections of an update that are news, and returns just these.
--- a/controlplane/distribution/src/codec/balancer.rs
+++ b/controlplane/distribution/src/codec/balancer.rs
@@ -37,7 +37,7 @@
 
 fn write_link(mut builder: link::Builder<'_>, link: &Link) {
     builder.set_in_quorum(link.in_quorum);
-    builder.set_leaving(link.leaving);
+    builder.set_leaving(link.shutting_down);
     let mut controllers = builder.init_controllers(link.controllers.len() as u32);
     for (index, controller) in (0..).zip(&link.controllers) {
         write_controller(controllers.reborrow().get(index), controller);
@@ -46,7 +46,7 @@
 
 fn read_link(reader: link::Reader<'_>) -> Result<Link, DecodeError> {
     let controllers = reader.get_controllers()?.iter().map(read_controller).collect::<Result<_, _>>()?;
-    Ok(Link { in_quorum: reader.get_in_quorum(), leaving: reader.get_leaving(), controllers })
+    Ok(Link { in_quorum: reader.get_in_quorum(), shutting_down: reader.get_leaving(), controllers })
 }
 
 fn write_controller(mut builder: controller_address::Builder<'_>, controller: &ControllerAddress) {
@@ -173,7 +173,7 @@
     builder.set_zone(&instance.zone);
     builder.set_slots(instance.slots);
     builder.set_draining(instance.draining);
-    builder.set_cold_ms(instance.cold_ms);
+    builder.set_cold_ms(instance.slow_start_ms);
     write_endpoint(builder.init_address(), instance.address);
 }
 
@@ -185,7 +185,7 @@
         zone: reader.get_zone()?.to_string()?,
         slots: reader.get_slots(),
         draining: reader.get_draining(),
-        cold_ms: reader.get_cold_ms(),
+        slow_start_ms: reader.get_cold_ms(),
     })
 }
 
--- a/controlplane/distribution/src/codec/gossip.rs
+++ b/controlplane/distribution/src/codec/gossip.rs
@@ -58,7 +58,7 @@
     builder.set_sequence(instance.sequence);
     builder.set_draining(instance.draining);
     builder.set_gone(instance.gone);
-    builder.set_cold_ms(instance.cold_ms);
+    builder.set_cold_ms(instance.slow_start_ms);
     builder.set_age_ms(instance.age_ms);
     write_endpoint(builder.init_address(), instance.address);
 }
@@ -73,7 +73,7 @@
         sequence: reader.get_sequence(),
         draining: reader.get_draining(),
         gone: reader.get_gone(),
-        cold_ms: reader.get_cold_ms(),
+        slow_start_ms: reader.get_cold_ms(),
         age_ms: reader.get_age_ms(),
     })
 }
@@ -84,7 +84,7 @@
     builder.set_zone(&lease.zone);
     builder.set_region(&lease.region);
     builder.set_ready(lease.ready);
-    builder.set_leaving(lease.leaving);
+    builder.set_leaving(lease.shutting_down);
     builder.set_age_ms(lease.age_ms);
     write_endpoint(builder.reborrow().init_front(), lease.front);
     write_loads(builder.reborrow().init_sends(lease.sends.len() as u32), &lease.sends);
@@ -99,7 +99,7 @@
         region: reader.get_region()?.to_string()?,
         front: read_endpoint(reader.get_front()?)?,
         ready: reader.get_ready(),
-        leaving: reader.get_leaving(),
+        shutting_down: reader.get_leaving(),
         age_ms: reader.get_age_ms(),
         sends: read_loads(reader.get_sends()?)?,
         failing: read_failures(reader.get_failing()?)?,
--- a/controlplane/distribution/src/codec/report.rs
+++ b/controlplane/distribution/src/codec/report.rs
@@ -41,7 +41,7 @@
     builder.set_zone(&report.zone);
     builder.set_region(&report.region);
     builder.set_ready(report.ready);
-    builder.set_leaving(report.leaving);
+    builder.set_leaving(report.shutting_down);
     write_endpoint(builder.reborrow().init_front(), report.front);
     write_versions(builder.reborrow().init_applied(), report.applied);
     write_loads(builder.reborrow().init_sends(report.sends.len() as u32), &report.sends);
@@ -59,7 +59,7 @@
         region: reader.get_region()?.to_string()?,
         front: read_endpoint(reader.get_front()?)?,
         ready: reader.get_ready(),
-        leaving: reader.get_leaving(),
+        shutting_down: reader.get_leaving(),
         applied: read_versions(reader.get_applied()?),
         sends: read_loads(reader.get_sends()?)?,
         failing: read_failures(reader.get_failing()?)?,
--- a/controlplane/distribution/src/gossip.rs
+++ b/controlplane/distribution/src/gossip.rs
@@ -41,7 +41,7 @@
     /// The upstream has signed off.
     pub gone: bool,
     /// Remaining time for which the upstream is cold, from the moment this was sent.
-    pub cold_ms: u64,
+    pub slow_start_ms: u64,
     /// Time since the heartbeat arrived.
     pub age_ms: u64,
 }
@@ -55,7 +55,7 @@
     pub region: String,
     pub front: SocketAddr,
     pub ready: bool,
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// Time since the last renewal.
     pub age_ms: u64,
     pub sends: Vec<RegionLoad>,
--- a/controlplane/distribution/src/lib.rs
+++ b/controlplane/distribution/src/lib.rs
@@ -3,6 +3,7 @@
 //! use the same framing.
 
 mod allowance;
+mod applied_state;
 mod changes;
 mod codec;
 pub mod connect;
@@ -10,16 +11,15 @@
 mod distribution_capnp;
 pub mod frame;
 mod gossip;
-mod holder;
 mod message;
 mod publisher;
 
+pub use applied_state::AppliedState;
 pub use codec::{
     DecodeError, decode_gossip, decode_hello, decode_report, decode_to_balancer, encode_gossip, encode_hello,
     encode_report, encode_to_balancer,
 };
 pub use gossip::{Gossip, GossipInstance, GossipLease, GossipScope};
-pub use holder::Holder;
 pub use message::{
     Configured, ControllerAddress, Evacuations, Fleet, Hello, Instance, InstanceChanges, InstanceFailures,
     Instances, Link, RegionLoad, Report, Role, ServiceRegion, ToBalancer, Update, Versions,
--- a/controlplane/distribution/src/message.rs
+++ b/controlplane/distribution/src/message.rs
@@ -35,7 +35,7 @@
     /// The sender is in a chain of the newest view that it knows and hears a majority of the voters.
     pub in_quorum: bool,
     /// The sender is about to stop: the receiver moves to another controller.
-    pub leaving: bool,
+    pub shutting_down: bool,
     /// Controllers that the sender knows of, itself included; empty where nothing has changed since the last one.
     pub controllers: Vec<ControllerAddress>,
 }
@@ -115,13 +115,13 @@
     /// Takes no new requests, now or ever again.
     pub draining: bool,
     /// Remaining time for which the instance is cold, from the moment this was sent, in milliseconds.
-    pub cold_ms: u64,
+    pub slow_start_ms: u64,
 }
 
 impl Instance {
     /// Counts the cold time down.
     pub fn age(&mut self, elapsed_ms: u64) {
-        self.cold_ms = self.cold_ms.saturating_sub(elapsed_ms);
+        self.slow_start_ms = self.slow_start_ms.saturating_sub(elapsed_ms);
     }
 
     /// Says of an instance that it has ended, and nothing else.
@@ -133,7 +133,7 @@
             zone: String::new(),
             slots: 0,
             draining: true,
-            cold_ms: 0,
+            slow_start_ms: 0,
         }
     }
 
@@ -197,7 +197,7 @@
     /// The proxy has a configuration and takes clients.
     pub ready: bool,
     /// The machine is stopping: no new clients are to be sent to it.
-    pub leaving: bool,
+    pub shutting_down: bool,
     pub applied: Versions,
     /// Requests a second that this balancer sends.
     pub sends: Vec<RegionLoad>,
--- a/controlplane/distribution/tests/holder.rs
+++ b/controlplane/distribution/tests/applied_state.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use common::Any;
 use quickcheck::quickcheck;
-use whinspindle_distribution::{Configured, Evacuations, Holder, Instance, Instances, Update};
+use whinspindle_distribution::{AppliedState, Configured, Evacuations, Instance, Instances, Update};
 
 fn configured(sequence: u64) -> Update {
     let body = Bytes::from(sequence.to_string());
@@ -17,7 +17,7 @@
     Update { evacuations: Some(Evacuations { sequence, zones }), ..Update::default() }
 }
 
-fn instance(id: &str, draining: bool, cold_ms: u64) -> Instance {
+fn instance(id: &str, draining: bool, slow_start_ms: u64) -> Instance {
     Instance {
         id: id.to_owned(),
         service: "model".to_owned(),
@@ -25,7 +25,7 @@
         zone: "a".to_owned(),
         slots: 4,
         draining,
-        cold_ms,
+        slow_start_ms,
     }
 }
 
@@ -35,7 +35,7 @@
 
 quickcheck! {
     fn the_replicated_sections_never_go_back(updates: Vec<Any<Update>>) -> bool {
-        let mut holder = Holder::new();
+        let mut holder = AppliedState::new();
         updates.into_iter().all(|update| {
             let before = holder.versions();
             let news = holder.apply(0, update.0);
@@ -47,11 +47,11 @@
     }
 
     fn a_snapshot_brings_another_holder_to_the_same_state(updates: Vec<Any<Update>>) -> bool {
-        let mut holder = Holder::new();
+        let mut holder = AppliedState::new();
         for update in updates {
             holder.apply(0, update.0);
         }
-        let mut other = Holder::new();
+        let mut other = AppliedState::new();
         other.apply(0, holder.snapshot(0));
         other.snapshot(0) == holder.snapshot(0) && other.versions() == holder.versions()
     }
@@ -59,7 +59,7 @@
 
 #[test]
 fn an_older_configuration_is_dropped() {
-    let mut holder = Holder::new();
+    let mut holder = AppliedState::new();
     assert_eq!(holder.apply(0, configured(7)), configured(7));
     assert_eq!(holder.apply(0, configured(6)), Update::default());
     assert_eq!(holder.apply(0, configured(7)), Update::default());
@@ -68,7 +68,7 @@
 
 #[test]
 fn an_older_evacuation_is_dropped() {
-    let mut holder = Holder::new();
+    let mut holder = AppliedState::new();
     holder.apply(0, evacuations(3, &["a"]));
     assert_eq!(holder.apply(0, evacuations(2, &[])), Update::default());
     assert_eq!(holder.evacuations().unwrap().zones, ["a"]);
@@ -77,7 +77,7 @@
 
 #[test]
 fn another_controllers_instances_stand_though_its_numbers_are_lower() {
-    let mut holder = Holder::new();
+    let mut holder = AppliedState::new();
     holder.apply(0, instances(900, vec![instance("i-1", false, 0)]));
     holder.apply(0, instances(5, vec![instance("i-2", false, 0)]));
     assert_eq!(holder.versions().instances, 5);
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_draining_instance_stays_so_whoever_speaks_of_it_later() {
-    let mut holder = Holder::new();
+    let mut holder = AppliedState::new();
     holder.apply(0, instances(1, vec![instance("i-1", true, 0)]));
     holder.apply(0, instances(2, vec![]));
     let news = holder.apply(0, instances(1, vec![instance("i-1", false, 0), instance("i-2", false, 0)]));
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_snapshot_counts_cold_times_down() {
-    let mut holder = Holder::new();
+    let mut holder = AppliedState::new();
     holder.apply(1_000, instances(1, vec![instance("i-1", false, 700), instance("i-2", false, 100)]));
     let list = vec![instance("i-1", false, 400), instance("i-2", false, 0)];
     assert_eq!(holder.snapshot(1_300), instances(1, list));
--- a/controlplane/distribution/tests/changes.rs
+++ b/controlplane/distribution/tests/changes.rs
@@ -11,7 +11,7 @@
 const FIRST: SubscriberId = SubscriberId(1);
 const SECOND: SubscriberId = SubscriberId(2);
 
-fn instance(number: u64, cold_ms: u64) -> Instance {
+fn instance(number: u64, slow_start_ms: u64) -> Instance {
     Instance {
         id: format!("i-{number}"),
         service: "model".to_owned(),
@@ -19,7 +19,7 @@
         zone: "a".to_owned(),
         slots: 4,
         draining: false,
-        cold_ms,
+        slow_start_ms,
     }
 }
 
@@ -127,8 +127,8 @@
 #[test]
 fn cold_times_that_pass_are_no_change() {
     let mut publisher = Publisher::new();
-    let cold = |version, cold_ms| {
-        let list = (0..10).map(|number| instance(number, cold_ms)).collect();
+    let cold = |version, slow_start_ms| {
+        let list = (0..10).map(|number| instance(number, slow_start_ms)).collect();
         Instances { version, list }
     };
     publisher.set_instances(0, cold(1, 3_000));
--- a/controlplane/distribution/tests/common/mod.rs
+++ b/controlplane/distribution/tests/common/mod.rs
@@ -69,7 +69,7 @@
         zone: text(source),
         slots: u32::arbitrary(source),
         draining: bool::arbitrary(source),
-        cold_ms: u64::arbitrary(source),
+        slow_start_ms: u64::arbitrary(source),
     }
 }
 
@@ -131,7 +131,7 @@
         }
         ToBalancer::Link(Link {
             in_quorum: bool::arbitrary(source),
-            leaving: bool::arbitrary(source),
+            shutting_down: bool::arbitrary(source),
             controllers: several(source, controller),
         })
     }
@@ -146,7 +146,7 @@
             region: text(source),
             front: address(source),
             ready: bool::arbitrary(source),
-            leaving: bool::arbitrary(source),
+            shutting_down: bool::arbitrary(source),
             applied: versions(source),
             sends: several(source, load),
             failing: several(source, failures),
@@ -175,7 +175,7 @@
         sequence: u64::arbitrary(source),
         draining: bool::arbitrary(source),
         gone: bool::arbitrary(source),
-        cold_ms: u64::arbitrary(source),
+        slow_start_ms: u64::arbitrary(source),
         age_ms: u64::arbitrary(source),
     }
 }
@@ -188,7 +188,7 @@
         region: text(source),
         front: address(source),
         ready: bool::arbitrary(source),
-        leaving: bool::arbitrary(source),
+        shutting_down: bool::arbitrary(source),
         age_ms: u64::arbitrary(source),
         sends: several(source, load),
         failing: several(source, failures),
--- a/controlplane/distribution/tests/publisher.rs
+++ b/controlplane/distribution/tests/publisher.rs
@@ -159,10 +159,10 @@
         zone: "a".to_owned(),
         slots: 4,
         draining: false,
-        cold_ms: 3_000,
+        slow_start_ms: 3_000,
     };
     publisher.set_instances(1_000, Instances { version: 1, list: vec![instance] });
     subscribed(&mut publisher);
     let update = publisher.update_for(1_800, FIRST).unwrap();
-    assert_eq!(update.instances.unwrap().list[0].cold_ms, 2_200);
+    assert_eq!(update.instances.unwrap().list[0].slow_start_ms, 2_200);
 }
--- a/controlplane/registry/src/instances.rs
+++ b/controlplane/registry/src/instances.rs
@@ -58,7 +58,7 @@
     /// Takes no new requests, now or ever again.
     pub draining: bool,
     /// For how much longer it is cold.
-    pub cold_ms: u64,
+    pub slow_start_ms: u64,
     /// Time since a controller last heard of it.
     pub age_ms: u64,
 }
@@ -160,7 +160,7 @@
         if record.draining {
             self.retired.raise(&record.id, Retirement::Announced);
         }
-        let cold_until = cold_end(now, record.cold_ms);
+        let cold_until = cold_end(now, record.slow_start_ms);
         let id = record.id.clone();
         self.known.put(&id, Known { recalled: true, ..Known::recorded(record, now, cold_until) });
         self.version += 1;
@@ -287,7 +287,7 @@
         if heard_at + self.timing.silence_ms() < now || self.is_address_taken(&record, heard_at) {
             return false;
         }
-        let cold_until = cold_end(now, record.cold_ms);
+        let cold_until = cold_end(now, record.slow_start_ms);
         match self.known.get(&record.id) {
             Some(held) if held.sequence > record.sequence => false,
             Some(held) if held.sequence == record.sequence => {
@@ -319,7 +319,7 @@
             slots: known.slots,
             sequence: known.sequence,
             draining: self.retired.stage(id).is_some(),
-            cold_ms: known.cold_until.saturating_sub(now),
+            slow_start_ms: known.cold_until.saturating_sub(now),
             age_ms: now.saturating_sub(known.heard_at),
         }
     }
--- a/controlplane/registry/src/known.rs
+++ b/controlplane/registry/src/known.rs
@@ -123,8 +123,8 @@
 
 /// When an instance ceases to be cold. A warm one has no such time: a record that arrives late would else say that it
 /// was cold until then.
-pub(crate) fn cold_end(now: u64, cold_ms: u64) -> u64 {
-    if cold_ms == 0 { 0 } else { now.saturating_add(cold_ms) }
+pub(crate) fn cold_end(now: u64, slow_start_ms: u64) -> u64 {
+    if slow_start_ms == 0 { 0 } else { now.saturating_add(slow_start_ms) }
 }
 
 impl Known {
@@ -142,7 +142,7 @@
             generation: heartbeat.generation.clone(),
             slots: heartbeat.slots,
             sequence: heartbeat.sequence,
-            cold_until: cold_end(now, heartbeat.cold_ms),
+            cold_until: cold_end(now, heartbeat.slow_start_ms),
             heard_at: now,
             excused_until: 0,
             recalled: false,
--- a/controlplane/registry/src/leases.rs
+++ b/controlplane/registry/src/leases.rs
@@ -50,7 +50,7 @@
     pub front: SocketAddr,
     pub ready: bool,
     /// No new clients are to be sent to it; holds for the rest of the incarnation.
-    pub leaving: bool,
+    pub shutting_down: bool,
     pub sends: Vec<RegionSends>,
     pub failing: Vec<SeenFailures>,
 }
@@ -224,7 +224,7 @@
     fn take(&mut self, mut lease: Lease, renewed_at: u64) -> bool {
         let held = self.held.get(&lease.node);
         let same_life = held.filter(|held| held.lease.incarnation == lease.incarnation);
-        lease.leaving |= same_life.is_some_and(|held| held.lease.leaving);
+        lease.shutting_down |= same_life.is_some_and(|held| held.lease.shutting_down);
         let changed = held.is_none_or(|held| held.lost || held.lease.differs_beyond_sends(&lease));
         if held.is_none() && self.held.len() >= LEASE_CAPACITY {
             return false;
@@ -239,7 +239,7 @@
     fn differs_beyond_sends(&self, other: &Lease) -> bool {
         self.incarnation != other.incarnation
             || self.ready != other.ready
-            || self.leaving != other.leaving
+            || self.shutting_down != other.shutting_down
             || self.front != other.front
             || self.zone != other.zone
             || self.region != other.region
--- a/controlplane/registry/tests/instances.rs
+++ b/controlplane/registry/tests/instances.rs
@@ -25,7 +25,7 @@
         generation: "v1".into(),
         slots: 8,
         state: InstanceState::Ready,
-        cold_ms: 0,
+        slow_start_ms: 0,
         remaining_ms: None,
         sequence,
     }
@@ -284,14 +284,14 @@
 #[test]
 fn the_cold_time_is_told_as_what_remains() {
     let mut registry = registry();
-    registry.heartbeat(1_000, "a", &Heartbeat { cold_ms: 3_000, ..ready(1, 1) });
-    assert_eq!(registry.snapshot(1_500)[0].cold_ms, 2_500);
+    registry.heartbeat(1_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 1) });
+    assert_eq!(registry.snapshot(1_500)[0].slow_start_ms, 2_500);
     let version = registry.version();
-    registry.heartbeat(2_000, "a", &Heartbeat { cold_ms: 2_010, ..ready(1, 2) });
+    registry.heartbeat(2_000, "a", &Heartbeat { slow_start_ms: 2_010, ..ready(1, 2) });
     assert_eq!(registry.version(), version, "it runs down as was told");
-    registry.heartbeat(3_000, "a", &Heartbeat { cold_ms: 3_000, ..ready(1, 3) });
+    registry.heartbeat(3_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 3) });
     assert!(registry.version() > version, "it has turned cold again");
-    assert_eq!(registry.snapshot(3_000)[0].cold_ms, 3_000);
+    assert_eq!(registry.snapshot(3_000)[0].slow_start_ms, 3_000);
 }
 
 #[test]
@@ -313,7 +313,7 @@
     instance: u8,
     sequence: u64,
     draining: bool,
-    cold_ms: u64,
+    slow_start_ms: u64,
 }
 
 impl Arbitrary for Beat {
@@ -322,14 +322,15 @@
             instance: u8::arbitrary(g) % 4,
             sequence: u64::arbitrary(g) % 16,
             draining: u8::arbitrary(g) % 8 == 0,
-            cold_ms: u64::arbitrary(g) % 3 * 1_000,
+            slow_start_ms: u64::arbitrary(g) % 3 * 1_000,
         }
     }
 }
 
 fn play(registry: &mut InstanceRegistry, now: u64, beat: &Beat) {
     let state = if beat.draining { InstanceState::Draining } else { InstanceState::Ready };
-    let heartbeat = Heartbeat { state, cold_ms: beat.cold_ms, ..ready(beat.instance, beat.sequence) };
+    let heartbeat =
+        Heartbeat { state, slow_start_ms: beat.slow_start_ms, ..ready(beat.instance, beat.sequence) };
     registry.heartbeat(now, &format!("i{}", beat.instance), &heartbeat);
 }
 
@@ -389,7 +390,7 @@
         slots: 8,
         sequence,
         draining: false,
-        cold_ms: 0,
+        slow_start_ms: 0,
         age_ms: 0,
     }
 }
@@ -454,6 +455,6 @@
 #[test]
 fn a_recalled_cold_time_counts_from_the_recall() {
     let mut registry = registry();
-    registry.recall(1_000, InstanceRecord { cold_ms: 2_000, ..record(1, "a", 3) });
-    assert_eq!(registry.snapshot(1_500)[0].cold_ms, 1_500);
+    registry.recall(1_000, InstanceRecord { slow_start_ms: 2_000, ..record(1, "a", 3) });
+    assert_eq!(registry.snapshot(1_500)[0].slow_start_ms, 1_500);
 }
--- a/controlplane/registry/tests/leases.rs
+++ b/controlplane/registry/tests/leases.rs
@@ -24,7 +24,7 @@
         region: region.into(),
         front: front(last),
         ready: true,
-        leaving: false,
+        shutting_down: false,
         sends: vec![RegionSends { service: "model".into(), region: "north".into(), requests_per_s: 2.5 }],
         failing: vec![],
     }
@@ -67,11 +67,11 @@
 #[test]
 fn leaving_holds_for_the_rest_of_an_incarnation() {
     let mut table = table();
-    table.renew(100, Lease { leaving: true, ..lease(1, "z1", "r1") });
+    table.renew(100, Lease { shutting_down: true, ..lease(1, "z1", "r1") });
     table.merge(105, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 0 });
-    assert!(table.live(105).all(|lease| lease.leaving));
+    assert!(table.live(105).all(|lease| lease.shutting_down));
     table.renew(200, Lease { incarnation: 2, ..lease(1, "z1", "r1") });
-    assert!(table.live(200).all(|lease| !lease.leaving));
+    assert!(table.live(200).all(|lease| !lease.shutting_down));
 }
 
 #[test]
@@ -155,9 +155,9 @@
     let mut table = table();
     table.recall(10_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 0 });
     table.recall(10_000, LeaseRecord { lease: lease(2, "z1", "r1"), age_ms: 0 });
-    let leaving = Lease { leaving: true, ..lease(1, "z1", "r1") };
-    assert!(table.merge(10_100, LeaseRecord { lease: leaving, age_ms: 1_000 }));
-    assert!(table.live(10_100).any(|lease| lease.leaving));
+    let shutting_down = Lease { shutting_down: true, ..lease(1, "z1", "r1") };
+    assert!(table.merge(10_100, LeaseRecord { lease: shutting_down, age_ms: 1_000 }));
+    assert!(table.live(10_100).any(|lease| lease.shutting_down));
     table.drop_recalled();
     assert_eq!(table.balancers(10_100), 1);
 }
--- a/coordination/replica/examples/three_replicas.rs
+++ b/coordination/replica/examples/three_replicas.rs
@@ -32,7 +32,7 @@
         region: "region".to_owned(),
         seeds: seeds.to_vec(),
         bootstrap: true,
-        birth: u64::from(endpoint.port()),
+        incarnation: u64::from(endpoint.port()),
         start: 1,
         tolerance: Tolerance::of_machines(1),
         timing: Timing::default(),
--- a/coordination/replica/src/chain.rs
+++ b/coordination/replica/src/chain.rs
@@ -9,8 +9,8 @@
 use crate::disk::Afterwards;
 use crate::durable::DurableRecord;
 use crate::entry::{Entry, Origin, Read};
-use crate::laws::Laws;
 use crate::message::Message;
+use crate::protocol_rules::ProtocolRules;
 use crate::replica::{Output, Replica};
 use crate::session::{Predecessor, Session, Successor};
 
@@ -23,7 +23,7 @@
 /// How much longer a member that is still being brought up to date may owe an acknowledgement.
 const JOINING_PATIENCE: u64 = 3;
 
-impl<A: Application, L: Laws> Replica<A, L> {
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
     /// Takes this replica's place in the view that was adopted or recovered.
     pub(crate) fn begin_session(&mut self, now: u64) {
         let view = &self.state.decided.view;
--- a/coordination/replica/src/change.rs
+++ b/coordination/replica/src/change.rs
@@ -8,14 +8,14 @@
 use crate::application::Application;
 use crate::disk::Afterwards;
 use crate::durable::{Decided, DurableRecord};
-use crate::laws::Laws;
 use crate::message::{Message, Report};
-use crate::placement::{LossKind, Place, fatal_losses};
+use crate::placement::{FailureDomain, LossKind, fatal_losses};
 use crate::plan::{Candidate, Situation, Standing, next_view};
+use crate::protocol_rules::ProtocolRules;
 use crate::replica::Replica;
 use crate::view::{Member, View};
 
-/// All rounds are of one founding.
+/// All rounds are of one bootstrap.
 const EPOCH: u64 = 1;
 /// Between the first attempts of one voter and the next in rank, in milliseconds.
 const RANK_DELAY: u64 = 150;
@@ -77,7 +77,7 @@
     }
 }
 
-impl<A: Application, L: Laws> Replica<A, L> {
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
     pub(crate) fn tick_change(&mut self, now: u64) {
         if self.change.proposal.is_some() {
             self.continue_proposal(now);
@@ -111,7 +111,7 @@
             });
         }
         let next = next_view(view, &self.expected_situation(now, me))?;
-        if self.is_leaving || next.is_alike(view) {
+        if self.is_shutting_down || next.is_alike(view) {
             return None;
         }
         let loses_one = view.chain.iter().any(|link| next.position(link.voter).is_none());
@@ -130,8 +130,9 @@
         let chain = view.chain.iter().map(|link| link.voter);
         let others = view.voters().into_iter().filter(|voter| view.position(*voter).is_none());
         let before = chain.chain(others).take_while(|voter| *voter != me);
-        before.filter(|voter| self.peers.well(now, view, *voter).is_some_and(|peer| !peer.is_leaving)).count()
-            as u64
+        before
+            .filter(|voter| self.peers.well(now, view, *voter).is_some_and(|peer| !peer.is_shutting_down))
+            .count() as u64
     }
 
     /// What the heartbeats tell, for the question whether a change is worth a round: as if all had promised.
@@ -146,7 +147,7 @@
 
     fn expected_standing(&self, now: u64, me: Voter, voter: Voter) -> Option<Standing> {
         if voter == me {
-            return Some(Standing::promised(self.report(), self.is_leaving));
+            return Some(Standing::promised(self.report(), self.is_shutting_down));
         }
         let view = self.view();
         let member = view.member(voter)?;
@@ -157,7 +158,7 @@
         let Some(link) = view.link(voter) else {
             let heartbeat = self.peers.well(now, view, voter)?;
             let is_steady = self.peers.get(member.endpoint)?.steady_since + STEADY <= now;
-            return is_steady.then(|| Standing::promised(heartbeat.report, heartbeat.is_leaving));
+            return is_steady.then(|| Standing::promised(heartbeat.report, heartbeat.is_shutting_down));
         };
         let is_neighbour = view.predecessor(voter) == Some(me) || view.successor(voter) == Some(me);
         let is_excused = !is_neighbour && self.peers.is_heard_by_another(now, member.endpoint);
@@ -165,9 +166,12 @@
         if is_suspected || self.owes_too_long(now, voter) {
             return None;
         }
-        let unheard = Standing { complete: link.since, committed: 0, is_leaving: false, has_promised: true };
+        let unheard =
+            Standing { complete: link.since, committed: 0, is_shutting_down: false, has_promised: true };
         Some(
-            heartbeat.map_or(unheard, |heartbeat| Standing::promised(heartbeat.report, heartbeat.is_leaving)),
+            heartbeat.map_or(unheard, |heartbeat| {
+                Standing::promised(heartbeat.report, heartbeat.is_shutting_down)
+            }),
         )
     }
 
@@ -182,39 +186,40 @@
             lost,
             candidates: self.candidates(now, view),
             apart: self.pairs_apart(now, view),
-            places: self.places(view),
+            failure_domains: self.failure_domains(view),
         }
     }
 
     /// Where the members are, as far as they were heard.
-    fn places(&self, view: &View) -> BTreeMap<SocketAddr, Place> {
+    fn failure_domains(&self, view: &View) -> BTreeMap<SocketAddr, FailureDomain> {
         let heard = |member: &Member| {
             let heartbeat = &self.peers.get(member.endpoint)?.heartbeat;
-            Some((member.endpoint, heartbeat.place()))
+            Some((member.endpoint, heartbeat.failure_domain()))
         };
-        let mut places: BTreeMap<SocketAddr, Place> = view.members.iter().filter_map(heard).collect();
-        let own = Place { zone: self.settings.zone.clone(), region: self.settings.region.clone() };
-        places.insert(self.settings.endpoint, own);
-        places
+        let mut failure_domains: BTreeMap<SocketAddr, FailureDomain> =
+            view.members.iter().filter_map(heard).collect();
+        let own = FailureDomain { zone: self.settings.zone.clone(), region: self.settings.region.clone() };
+        failure_domains.insert(self.settings.endpoint, own);
+        failure_domains
     }
 
-    /// The kinds of losses that are to be tolerated but would leave no majority of the voters, as far as their places
+    /// The kinds of losses that are to be tolerated but would leave no majority of the voters, as far as their failure domains
     /// are known.
     pub fn fatal_losses(&self) -> Vec<LossKind> {
         let view = self.view();
-        let heard = self.places(view);
+        let heard = self.failure_domains(view);
         let place = |voter: Voter| {
             let member = view.member(voter)?;
-            Some(heard.get(&member.endpoint).cloned().unwrap_or_else(|| member.place()))
+            Some(heard.get(&member.endpoint).cloned().unwrap_or_else(|| member.failure_domain()))
         };
-        let voters = view.boards.last().map(Vec::as_slice).unwrap_or_default();
-        let places: Vec<Place> = voters.iter().filter_map(|voter| place(*voter)).collect();
-        let are_known = !places.is_empty() && places.iter().all(Place::is_known);
-        let places: Vec<&Place> = places.iter().collect();
-        if are_known { fatal_losses(&places, self.settings.tolerance) } else { Vec::new() }
+        let voters = view.voter_sets.last().map(Vec::as_slice).unwrap_or_default();
+        let failure_domains: Vec<FailureDomain> = voters.iter().filter_map(|voter| place(*voter)).collect();
+        let are_known = !failure_domains.is_empty() && failure_domains.iter().all(FailureDomain::is_known);
+        let failure_domains: Vec<&FailureDomain> = failure_domains.iter().collect();
+        if are_known { fatal_losses(&failure_domains, self.settings.tolerance) } else { Vec::new() }
     }
 
-    /// Whether another may take this voter's place: its memory is gone, or nobody has heard it for long.
+    /// Whether another may take this voter's seat: its memory is gone, or nobody has heard it for long.
     fn is_lost(&self, now: u64, view: &View, voter: Voter) -> bool {
         let Some(member) = view.member(voter) else { return false };
         let is_silent = self.peers.silence(now, member.endpoint) > self.settings.timing.replacement;
@@ -224,19 +229,22 @@
 
     /// Replicas that are well and do not vote.
     fn candidates(&self, now: u64, view: &View) -> Vec<Candidate> {
-        let votes = |endpoint: SocketAddr, birth: u64| {
-            view.members.iter().any(|member| member.endpoint == endpoint && member.voter.birth == birth)
+        let votes = |endpoint: SocketAddr, incarnation: u64| {
+            view.members
+                .iter()
+                .any(|member| member.endpoint == endpoint && member.voter.incarnation == incarnation)
         };
         let mut candidates = Vec::new();
         for (endpoint, peer) in self.peers.iter() {
             let heartbeat = &peer.heartbeat;
-            let is_well =
-                self.peers.is_in_touch(now, *endpoint) && !heartbeat.is_stalled && !heartbeat.is_leaving;
-            if is_well && peer.steady_since + STEADY <= now && !votes(*endpoint, heartbeat.birth) {
+            let is_well = self.peers.is_in_touch(now, *endpoint)
+                && !heartbeat.is_stalled
+                && !heartbeat.is_shutting_down;
+            if is_well && peer.steady_since + STEADY <= now && !votes(*endpoint, heartbeat.incarnation) {
                 candidates.push(Candidate {
                     endpoint: *endpoint,
-                    birth: heartbeat.birth,
-                    place: heartbeat.place(),
+                    incarnation: heartbeat.incarnation,
+                    failure_domain: heartbeat.failure_domain(),
                     standing: Standing::told(heartbeat.report, false),
                 });
             }
@@ -289,7 +297,7 @@
         let Some(proposal) = &self.change.proposal else { return };
         let ballot = proposal.round.ballot;
         let known = self.view().number;
-        for voter in proposal.round.unheard::<L::Agreement>() {
+        for voter in proposal.round.awaiting_promise::<L::Consensus>() {
             if let Some(to) = self.endpoint_of(voter) {
                 self.send(to, Message::Prepare { voter, ballot, known });
             }
@@ -299,7 +307,7 @@
     fn ask_for_votes(&mut self) {
         let Some(proposal) = &self.change.proposal else { return };
         let ballot = proposal.round.ballot;
-        let Some((view, voters)) = proposal.round.unvoted() else { return };
+        let Some((view, voters)) = proposal.round.awaiting_vote() else { return };
         let view = view.clone();
         for voter in voters {
             if let Some(to) = view.endpoint(voter).or_else(|| self.endpoint_of(voter)) {
@@ -324,7 +332,7 @@
         }
         if now >= proposal.asked_at + timing.resend / 2 {
             proposal.asked_at = now;
-            if proposal.round.is_writing() {
+            if proposal.round.is_proposing() {
                 self.ask_for_votes();
             } else {
                 self.ask_for_promises();
@@ -343,10 +351,10 @@
     /// Writes the next view once enough have promised.
     fn try_to_write(&mut self, now: u64) {
         let Some(proposal) = &mut self.change.proposal else { return };
-        if proposal.round.is_writing() {
+        if proposal.round.is_proposing() {
             return;
         }
-        let Some(found) = proposal.round.found::<L::Agreement>().cloned() else { return };
+        let Some(found) = proposal.round.prepared_value::<L::Consensus>().cloned() else { return };
         let majority_at = *proposal.majority_at.get_or_insert(now);
         let reports = proposal.reports.clone();
         let is_awaited = |voter: Voter| !reports.contains_key(&voter) && self.is_awaited(now, &found, voter);
@@ -362,7 +370,7 @@
         let situation = self.situation(now, &found, present);
         let Some(next) = next_view(&found, &situation) else { return };
         let Some(proposal) = &mut self.change.proposal else { return };
-        proposal.round.write::<L::Agreement>(next);
+        proposal.round.propose::<L::Consensus>(next);
         proposal.asked_at = now;
         self.ask_for_votes();
     }
@@ -384,12 +392,12 @@
         let me = self.me();
         let standing = |voter: Voter| {
             if me == Some(voter) {
-                return Some((voter, Standing::told(self.report(), self.is_leaving)));
+                return Some((voter, Standing::told(self.report(), self.is_shutting_down)));
             }
             let heartbeat = self.peers.well(now, found, voter)?;
             let endpoint = found.endpoint(voter)?;
             let is_steady = self.peers.get(endpoint)?.steady_since + STEADY <= now;
-            is_steady.then(|| (voter, Standing::told(heartbeat.report, heartbeat.is_leaving)))
+            is_steady.then(|| (voter, Standing::told(heartbeat.report, heartbeat.is_shutting_down)))
         };
         found.voters().into_iter().filter(is_silent).filter_map(standing).collect()
     }
@@ -401,10 +409,11 @@
         let endpoint = self.view().endpoint(voter);
         let heartbeat = endpoint.and_then(|endpoint| self.peers.get(endpoint)).map(|peer| &peer.heartbeat);
         let is_own = endpoint == Some(self.settings.endpoint);
-        let is_leaving = if is_own { self.is_leaving } else { heartbeat.is_some_and(|peer| peer.is_leaving) };
+        let is_shutting_down =
+            if is_own { self.is_shutting_down } else { heartbeat.is_some_and(|peer| peer.is_shutting_down) };
         let since = found.link(voter).map_or(0, |link| link.since);
         let complete = L::complete(report.complete, since);
-        Some(Standing::promised(Report { complete, ..report }, is_leaving))
+        Some(Standing::promised(Report { complete, ..report }, is_shutting_down))
     }
 
     pub(crate) fn on_prepare(
@@ -416,7 +425,7 @@
         known: u64,
     ) {
         self.change.highest_round = self.change.highest_round.max(ballot.round);
-        if !L::is_same_birth(voter.birth, self.state.birth) {
+        if !L::is_same_birth(voter.incarnation, self.state.incarnation) {
             return;
         }
         if self.view().number > known {
@@ -447,11 +456,11 @@
 
     pub(crate) fn on_accept(&mut self, now: u64, from: SocketAddr, voter: Voter, ballot: Ballot, view: View) {
         self.change.highest_round = self.change.highest_round.max(ballot.round);
-        if !L::is_same_birth(voter.birth, self.state.birth) {
+        if !L::is_same_birth(voter.incarnation, self.state.incarnation) {
             return;
         }
         let mut votes = self.state.votes.clone();
-        match votes.accept::<L::Agreement>(ballot, view) {
+        match votes.accept::<L::Consensus>(ballot, view) {
             Err(promised) => self.send(from, Message::Rejected { ballot, promised }),
             Ok(()) => {
                 self.record_votes(votes);
@@ -461,9 +470,9 @@
         }
     }
 
-    fn record_votes(&mut self, votes: whinspindle_consensus::Votes<View>) {
+    fn record_votes(&mut self, votes: whinspindle_consensus::AcceptorState<View>) {
         if votes != self.state.votes {
-            self.record(DurableRecord::Votes(votes), true);
+            self.record(DurableRecord::AcceptorState(votes), true);
         }
     }
 
@@ -476,15 +485,15 @@
         report: Report,
     ) {
         let Some(proposal) = &mut self.change.proposal else { return };
-        if proposal.round.ballot != ballot || proposal.round.is_writing() {
+        if proposal.round.ballot != ballot || proposal.round.is_proposing() {
             return;
         }
-        let unheard = proposal.round.unheard::<L::Agreement>().len();
+        let unheard = proposal.round.awaiting_promise::<L::Consensus>().len();
         let members = accepted.iter().flat_map(|(_, view)| &view.members);
         proposal.endpoints.extend(members.map(|member| (member.voter, member.endpoint)));
-        proposal.round.promised(voter, accepted);
+        proposal.round.record_promise(voter, accepted);
         proposal.reports.insert(voter, report);
-        let has_grown = proposal.round.unheard::<L::Agreement>().len() >= unheard;
+        let has_grown = proposal.round.awaiting_promise::<L::Consensus>().len() >= unheard;
         if has_grown {
             self.ask_for_promises();
         }
@@ -496,7 +505,7 @@
         if proposal.round.ballot != ballot {
             return;
         }
-        let Some(view) = proposal.round.voted::<L::Agreement>(voter).cloned() else { return };
+        let Some(view) = proposal.round.record_vote::<L::Consensus>(voter).cloned() else { return };
         let decided = Decided { ballot, view };
         for member in &decided.view.members.clone() {
             self.send(member.endpoint, Message::Decided(decided.clone()));
--- a/coordination/replica/src/codec/heartbeat.rs
+++ b/coordination/replica/src/codec/heartbeat.rs
@@ -6,7 +6,7 @@
 use crate::replica_capnp::{heard, heartbeat as wire};
 
 pub fn write(heartbeat: &Heartbeat, mut to: wire::Builder) {
-    to.set_birth(heartbeat.birth);
+    to.set_birth(heartbeat.incarnation);
     to.set_start(heartbeat.start);
     to.set_zone(&heartbeat.zone);
     to.set_region(&heartbeat.region);
@@ -14,7 +14,7 @@
     to.set_sent_at(heartbeat.sent_at);
     to.set_is_sealed(heartbeat.is_sealed);
     to.set_is_stalled(heartbeat.is_stalled);
-    to.set_is_leaving(heartbeat.is_leaving);
+    to.set_is_leaving(heartbeat.is_shutting_down);
     write_report(&heartbeat.report, to.reborrow().init_report());
     let mut list = to.init_heard(length(&heartbeat.heard));
     for (index, heard) in (0..).zip(&heartbeat.heard) {
@@ -24,7 +24,7 @@
 
 pub fn read(from: wire::Reader) -> Result<Heartbeat, DecodeError> {
     Ok(Heartbeat {
-        birth: from.get_birth(),
+        incarnation: from.get_birth(),
         start: from.get_start(),
         zone: from.get_zone()?.to_string()?,
         region: from.get_region()?.to_string()?,
@@ -34,7 +34,7 @@
         heard: from.get_heard()?.iter().map(read_heard).collect::<Result<_, _>>()?,
         is_sealed: from.get_is_sealed(),
         is_stalled: from.get_is_stalled(),
-        is_leaving: from.get_is_leaving(),
+        is_shutting_down: from.get_is_leaving(),
     })
 }
 
--- a/coordination/replica/src/codec/parts.rs
+++ b/coordination/replica/src/codec/parts.rs
@@ -38,11 +38,11 @@
 
 pub fn write_voter(voter: Voter, mut to: wire::voter::Builder) {
     to.set_member(voter.member);
-    to.set_birth(voter.birth);
+    to.set_birth(voter.incarnation);
 }
 
 pub fn read_voter(from: wire::voter::Reader) -> Voter {
-    Voter { member: from.get_member(), birth: from.get_birth() }
+    Voter { member: from.get_member(), incarnation: from.get_birth() }
 }
 
 pub fn write_ballot(ballot: Ballot, mut to: wire::ballot::Builder) {
@@ -77,10 +77,10 @@
     for (index, member) in (0..).zip(&view.members) {
         write_member(member, members.reborrow().get(index));
     }
-    let mut boards = to.reborrow().init_boards(length(&view.boards));
-    for (index, board) in (0..).zip(&view.boards) {
-        let mut voters = boards.reborrow().init(index, length(board));
-        for (index, voter) in (0..).zip(board) {
+    let mut voter_sets = to.reborrow().init_boards(length(&view.voter_sets));
+    for (index, voter_set) in (0..).zip(&view.voter_sets) {
+        let mut voters = voter_sets.reborrow().init(index, length(voter_set));
+        for (index, voter) in (0..).zip(voter_set) {
             write_voter(*voter, voters.reborrow().get(index));
         }
     }
@@ -101,9 +101,9 @@
 
 pub fn read_view(from: wire::view::Reader) -> Result<View, DecodeError> {
     let members = from.get_members()?.iter().map(read_member).collect::<Result<_, _>>()?;
-    let mut boards = Vec::new();
-    for board in from.get_boards()?.iter() {
-        boards.push(board?.iter().map(read_voter).collect());
+    let mut voter_sets = Vec::new();
+    for voter_set in from.get_boards()?.iter() {
+        voter_sets.push(voter_set?.iter().map(read_voter).collect());
     }
     let chain = read_chain(from.get_chain()?)?;
     let mut former = Vec::new();
@@ -111,7 +111,7 @@
         former.push(read_chain(chain?)?);
     }
     let (number, next_member) = (from.get_number(), from.get_next_member());
-    Ok(View { number, members, boards, chain, former, next_member })
+    Ok(View { number, members, voter_sets, chain, former, next_member })
 }
 
 fn read_chain(
--- a/coordination/replica/src/durable.rs
+++ b/coordination/replica/src/durable.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu};
-use whinspindle_consensus::{Ballot, Votes};
+use whinspindle_consensus::{AcceptorState, Ballot};
 
 use crate::entry::{Entry, Origin, Outcome};
 use crate::records::Records;
 use crate::settings::ReplicaSettings;
 use crate::transfer::RangeContents;
-use crate::view::{FOUNDING_VIEW, View};
+use crate::view::{BOOTSTRAP_VIEW, View};
 
 /// What the shell makes durable; once it is, the replica is told by [`crate::Input::Persisted`].
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 /// One step of the durable state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DurableRecord {
-    Votes(Votes<View>),
+    AcceptorState(AcceptorState<View>),
     Decided(Decided),
     Entry(Entry),
     /// All entries up to this one are committed.
@@ -70,8 +70,8 @@
 /// The durable state as it will be once all records handed out are written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DurableState {
-    pub birth: u64,
-    pub votes: Votes<View>,
+    pub incarnation: u64,
+    pub votes: AcceptorState<View>,
     pub decided: Decided,
     /// The last view with a [`DurableRecord::Complete`].
     pub complete: u64,
@@ -85,14 +85,14 @@
 
 impl DurableState {
     /// The state of a replica with an empty disk.
-    pub fn fresh(settings: &ReplicaSettings, birth: u64) -> DurableState {
+    pub fn fresh(settings: &ReplicaSettings, incarnation: u64) -> DurableState {
         let founds = settings.bootstrap && settings.seeds.contains(&settings.endpoint);
-        let view = if settings.bootstrap { View::founding(&settings.seeds) } else { View::default() };
+        let view = if settings.bootstrap { View::bootstrap(&settings.seeds) } else { View::default() };
         DurableState {
-            birth,
-            votes: Votes::default(),
+            incarnation,
+            votes: AcceptorState::default(),
             decided: Decided { ballot: Ballot::default(), view },
-            complete: if founds { FOUNDING_VIEW } else { 0 },
+            complete: if founds { BOOTSTRAP_VIEW } else { 0 },
             records: Records::default(),
             committed: 0,
             log: VecDeque::new(),
@@ -103,13 +103,13 @@
     /// The state that a checkpoint and the log after it tell of.
     pub fn recover(
         settings: &ReplicaSettings,
-        birth: u64,
+        incarnation: u64,
         checkpoint: Option<&[u8]>,
         log: &[Vec<u8>],
     ) -> Result<DurableState, RecoverError> {
         let mut state = match checkpoint {
             Some(bytes) => postcard::from_bytes(bytes).context(CheckpointSnafu)?,
-            None => DurableState::fresh(settings, birth),
+            None => DurableState::fresh(settings, incarnation),
         };
         for (index, bytes) in log.iter().enumerate() {
             let record: DurableRecord = postcard::from_bytes(bytes).context(LogSnafu { index })?;
@@ -130,7 +130,7 @@
 
     pub fn apply(&mut self, record: DurableRecord) {
         match record {
-            DurableRecord::Votes(votes) => self.votes = votes,
+            DurableRecord::AcceptorState(votes) => self.votes = votes,
             DurableRecord::Decided(decided) => self.decided = decided,
             DurableRecord::Entry(entry) => {
                 if entry.sequence == self.last() + 1 {
--- a/coordination/replica/src/message.rs
+++ b/coordination/replica/src/message.rs
@@ -7,7 +7,7 @@
 
 use crate::durable::Decided;
 use crate::entry::{Entry, Origin, Read};
-use crate::placement::Place;
+use crate::placement::FailureDomain;
 use crate::transfer::Transfer;
 use crate::view::View;
 
@@ -103,7 +103,7 @@
 /// Says that a replica is alive and where it stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    pub birth: u64,
+    pub incarnation: u64,
     /// Another one after each start of the process.
     pub start: u64,
     pub zone: String,
@@ -118,7 +118,7 @@
     /// Its disk does not answer.
     pub is_stalled: bool,
     /// It is about to stop.
-    pub is_leaving: bool,
+    pub is_shutting_down: bool,
 }
 
 impl Heartbeat {
@@ -127,8 +127,8 @@
         self.heard.iter().any(|heard| heard.endpoint == endpoint)
     }
 
-    pub fn place(&self) -> Place {
-        Place { zone: self.zone.clone(), region: self.region.clone() }
+    pub fn failure_domain(&self) -> FailureDomain {
+        FailureDomain { zone: self.zone.clone(), region: self.region.clone() }
     }
 }
 
--- a/coordination/replica/src/peers.rs
+++ b/coordination/replica/src/peers.rs
@@ -149,10 +149,10 @@
         hears(one, other) && hears(other, one)
     }
 
-    /// The member's memory is gone: its endpoint is in use by one of another birth.
+    /// The member's memory is gone: its endpoint is in use by one of another incarnation.
     pub fn is_reborn(&self, member: &Member) -> bool {
         let peer = self.get(member.endpoint);
-        peer.is_some_and(|peer| peer.heartbeat.birth != member.voter.birth)
+        peer.is_some_and(|peer| peer.heartbeat.incarnation != member.voter.incarnation)
     }
 
     /// The last heartbeat of a voter that is in touch and well.
--- a/coordination/replica/src/placement.rs
+++ b/coordination/replica/src/placement.rs
@@ -16,7 +16,7 @@
         Tolerance { machines, zones: 0, regions: 0 }
     }
 
-    /// The least number of voters that can bear the losses, if they are spread evenly over enough places.
+    /// The least number of voters that can bear the losses, if they are spread evenly over enough failure domains.
     pub fn wanted_voters(&self) -> usize {
         2 * self.machines.max(self.zones).max(self.regions) + 1
     }
@@ -24,13 +24,13 @@
 
 /// The zone and the region of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct FailureDomain {
     pub zone: String,
     pub region: String,
 }
 
-impl Place {
-    /// The place of a founding member is not known until it was heard.
+impl FailureDomain {
+    /// The place of a bootstrap member is not known until it was heard.
     pub fn is_known(&self) -> bool {
         !self.zone.is_empty()
     }
@@ -46,9 +46,12 @@
 }
 
 impl Crowding {
-    pub fn of(places: &[&Place]) -> Crowding {
+    pub fn of(failure_domains: &[&FailureDomain]) -> Crowding {
         let squares = |counts: Vec<usize>| counts.iter().map(|count| count * count).sum();
-        Crowding { regions: squares(region_counts(places)), zones: squares(zone_counts(places)) }
+        Crowding {
+            regions: squares(region_counts(failure_domains)),
+            zones: squares(zone_counts(failure_domains)),
+        }
     }
 }
 
@@ -71,14 +74,14 @@
 }
 
 /// The kinds of tolerated losses after which no majority of these voters would be left.
-pub fn fatal_losses(places: &[&Place], tolerance: Tolerance) -> Vec<LossKind> {
-    let machines = vec![1; places.len()];
+pub fn fatal_losses(failure_domains: &[&FailureDomain], tolerance: Tolerance) -> Vec<LossKind> {
+    let machines = vec![1; failure_domains.len()];
     let kinds = [
         (LossKind::Machines, machines, tolerance.machines),
-        (LossKind::Zones, zone_counts(places), tolerance.zones),
-        (LossKind::Regions, region_counts(places), tolerance.regions),
+        (LossKind::Zones, zone_counts(failure_domains), tolerance.zones),
+        (LossKind::Regions, region_counts(failure_domains), tolerance.regions),
     ];
-    let is_fatal = |counts: Vec<usize>, losses: usize| 2 * largest(counts, losses) >= places.len();
+    let is_fatal = |counts: Vec<usize>, losses: usize| 2 * largest(counts, losses) >= failure_domains.len();
     let fatal = kinds.into_iter().filter(|(_, counts, losses)| is_fatal(counts.clone(), *losses));
     fatal.map(|(kind, _, _)| kind).collect()
 }
@@ -89,12 +92,12 @@
     counts.into_iter().take(number).sum()
 }
 
-fn zone_counts(places: &[&Place]) -> Vec<usize> {
-    counts(places.iter().map(|place| place.zone.as_str()))
+fn zone_counts(failure_domains: &[&FailureDomain]) -> Vec<usize> {
+    counts(failure_domains.iter().map(|place| place.zone.as_str()))
 }
 
-fn region_counts(places: &[&Place]) -> Vec<usize> {
-    counts(places.iter().map(|place| place.region.as_str()))
+fn region_counts(failure_domains: &[&FailureDomain]) -> Vec<usize> {
+    counts(failure_domains.iter().map(|place| place.region.as_str()))
 }
 
 fn counts<'a>(names: impl Iterator<Item = &'a str>) -> Vec<usize> {
--- a/coordination/replica/src/plan.rs
+++ b/coordination/replica/src/plan.rs
@@ -6,7 +6,7 @@
 use whinspindle_consensus::Voter;
 
 use crate::message::Report;
-use crate::placement::{Crowding, Place, Tolerance};
+use crate::placement::{Crowding, FailureDomain, Tolerance};
 use crate::view::{ChainLink, Member, View};
 
 /// A joiner that lacks no more entries than these is let in at once.
@@ -20,21 +20,21 @@
     /// The last view in which its log was durably complete.
     pub complete: u64,
     pub committed: u64,
-    pub is_leaving: bool,
+    pub is_shutting_down: bool,
     /// This was said with a promise: it takes no part any more in the view that was found, nor in one before.
     pub has_promised: bool,
 }
 
 impl Standing {
     /// What was said with a promise.
-    pub fn promised(report: Report, is_leaving: bool) -> Standing {
+    pub fn promised(report: Report, is_shutting_down: bool) -> Standing {
         let Report { complete, committed } = report;
-        Standing { complete, committed, is_leaving, has_promised: true }
+        Standing { complete, committed, is_shutting_down, has_promised: true }
     }
 
     /// What was said without one.
-    pub fn told(report: Report, is_leaving: bool) -> Standing {
-        Standing { has_promised: false, ..Standing::promised(report, is_leaving) }
+    pub fn told(report: Report, is_shutting_down: bool) -> Standing {
+        Standing { has_promised: false, ..Standing::promised(report, is_shutting_down) }
     }
 }
 
@@ -42,8 +42,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     pub endpoint: SocketAddr,
-    pub birth: u64,
-    pub place: Place,
+    pub incarnation: u64,
+    pub failure_domain: FailureDomain,
     pub standing: Standing,
 }
 
@@ -63,7 +63,7 @@
     /// Pairs of endpoints that do not hear each other.
     pub apart: BTreeSet<(SocketAddr, SocketAddr)>,
     /// What is known of zones and regions.
-    pub places: BTreeMap<SocketAddr, Place>,
+    pub failure_domains: BTreeMap<SocketAddr, FailureDomain>,
 }
 
 /// The next view; none if too few take part for a chain that may take writes.
@@ -91,16 +91,16 @@
 impl Plan<'_> {
     /// Ends a replacement of voters, or begins one.
     fn choose_boards(&mut self) {
-        if let [_, new] = self.next.boards.as_slice() {
+        if let [_, new] = self.next.voter_sets.as_slice() {
             let present = new.iter().filter(|voter| self.present.contains_key(voter)).count();
             // Until a new voter is complete, an old one may be needed that holds all.
             let is_complete = |link: &ChainLink| new.contains(&link.voter) && self.is_complete(link);
             if 2 * present > new.len() && self.next.chain.iter().any(is_complete) {
-                self.next.boards.remove(0);
+                self.next.voter_sets.remove(0);
             }
             return;
         }
-        let [old] = self.next.boards.as_slice() else { return };
+        let [old] = self.next.voter_sets.as_slice() else { return };
         let old = old.clone();
         let mut new = old.clone();
         let mut candidates = self.situation.candidates.clone();
@@ -110,26 +110,26 @@
             self.spread(&mut new, &candidates);
         }
         if old != new {
-            self.next.boards.push(new);
+            self.next.voter_sets.push(new);
         }
         if !self.situation.replaces_voters_jointly {
-            self.next.boards.drain(..self.next.boards.len() - 1);
+            self.next.voter_sets.drain(..self.next.voter_sets.len() - 1);
         }
     }
 
-    fn replace_lost(&mut self, board: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
+    fn replace_lost(&mut self, voter_set: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
         let lost: Vec<Voter> =
-            board.iter().copied().filter(|voter| self.situation.lost.contains(voter)).collect();
+            voter_set.iter().copied().filter(|voter| self.situation.lost.contains(voter)).collect();
         for voter in lost {
-            let others: Vec<Voter> = board.iter().copied().filter(|other| *other != voter).collect();
+            let others: Vec<Voter> = voter_set.iter().copied().filter(|other| *other != voter).collect();
             if let Some(candidate) = self.take_successor(voter, &others, candidates) {
-                *board = others;
-                board.push(self.admit(candidate));
+                *voter_set = others;
+                voter_set.push(self.admit(candidate));
             }
         }
     }
 
-    /// The best candidate for a lost voter's place: at its endpoint, else where fewest of the others are.
+    /// The best candidate for a lost voter's seat: at its endpoint, else where fewest of the others are.
     fn take_successor(
         &self,
         lost: Voter,
@@ -144,24 +144,25 @@
 
     /// The candidate that would crowd the voters least; of several the first.
     fn best_placed(&self, voters: &[Voter], candidates: &[Candidate]) -> Option<usize> {
-        let places: Vec<Place> = voters.iter().map(|voter| self.place(*voter)).collect();
+        let failure_domains: Vec<FailureDomain> =
+            voters.iter().map(|voter| self.failure_domain(*voter)).collect();
         let crowding = |index: &usize| {
-            let candidate = &candidates[*index].place;
-            Crowding::of(&places.iter().chain([candidate]).collect::<Vec<&Place>>())
+            let candidate = &candidates[*index].failure_domain;
+            Crowding::of(&failure_domains.iter().chain([candidate]).collect::<Vec<&FailureDomain>>())
         };
         (0..candidates.len()).min_by_key(crowding)
     }
 
-    fn place(&self, voter: Voter) -> Place {
-        let Some(member) = self.next.member(voter) else { return Place::default() };
-        let heard = self.situation.places.get(&member.endpoint).cloned();
-        heard.unwrap_or_else(|| member.place())
+    fn failure_domain(&self, voter: Voter) -> FailureDomain {
+        let Some(member) = self.next.member(voter) else { return FailureDomain::default() };
+        let heard = self.situation.failure_domains.get(&member.endpoint).cloned();
+        heard.unwrap_or_else(|| member.failure_domain())
     }
 
     fn admit(&mut self, candidate: Candidate) -> Voter {
-        let Candidate { endpoint, birth, place, standing } = candidate;
-        let voter = Voter { member: self.next.next_member, birth };
-        let Place { zone, region } = place;
+        let Candidate { endpoint, incarnation, failure_domain, standing } = candidate;
+        let voter = Voter { member: self.next.next_member, incarnation };
+        let FailureDomain { zone, region } = failure_domain;
         self.next.members.push(Member { voter, endpoint, zone, region });
         self.next.next_member += 1;
         self.present.insert(voter, standing);
@@ -169,29 +170,30 @@
     }
 
     /// Adds voters up to the wanted number, and keeps the number odd where it can.
-    fn grow(&mut self, board: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
+    fn grow(&mut self, voter_set: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
         let wanted = self.situation.tolerance.wanted_voters();
-        let mut reached = (board.len() + candidates.len()).min(wanted);
+        let mut reached = (voter_set.len() + candidates.len()).min(wanted);
         if reached.is_multiple_of(2) {
             reached -= 1;
         }
-        while board.len() < reached {
-            let Some(index) = self.best_placed(board, candidates) else { return };
+        while voter_set.len() < reached {
+            let Some(index) = self.best_placed(voter_set, candidates) else { return };
             let voter = self.admit(candidates.remove(index));
-            board.push(voter);
+            voter_set.push(voter);
         }
     }
 
     /// Replaces one voter where that spreads them more evenly over regions and zones, if nothing else is amiss.
-    fn spread(&mut self, board: &mut Vec<Voter>, candidates: &[Candidate]) {
-        let places: Vec<(Voter, Place)> = board.iter().map(|voter| (*voter, self.place(*voter))).collect();
-        let are_known = places.iter().all(|(_, place)| place.is_known());
-        if candidates.is_empty() || !are_known || !board.iter().all(|voter| self.is_settled(*voter)) {
+    fn spread(&mut self, voter_set: &mut Vec<Voter>, candidates: &[Candidate]) {
+        let failure_domains: Vec<(Voter, FailureDomain)> =
+            voter_set.iter().map(|voter| (*voter, self.failure_domain(*voter))).collect();
+        let are_known = failure_domains.iter().all(|(_, place)| place.is_known());
+        if candidates.is_empty() || !are_known || !voter_set.iter().all(|voter| self.is_settled(*voter)) {
             return;
         }
-        if let Some((voter, candidate)) = self.best_exchange(places, candidates) {
-            board.retain(|other| *other != voter);
-            board.push(self.admit(candidate));
+        if let Some((voter, candidate)) = self.best_exchange(failure_domains, candidates) {
+            voter_set.retain(|other| *other != voter);
+            voter_set.push(self.admit(candidate));
         }
     }
 
@@ -199,16 +201,17 @@
     /// are spread as evenly already.
     fn best_exchange(
         &self,
-        mut voters: Vec<(Voter, Place)>,
+        mut voters: Vec<(Voter, FailureDomain)>,
         candidates: &[Candidate],
     ) -> Option<(Voter, Candidate)> {
         voters.sort_by_key(|(voter, _)| std::cmp::Reverse(self.next.position(*voter)));
-        let mut best = Crowding::of(&voters.iter().map(|(_, place)| place).collect::<Vec<&Place>>());
+        let mut best = Crowding::of(&voters.iter().map(|(_, place)| place).collect::<Vec<&FailureDomain>>());
         let mut exchange = None;
         for (voter, _) in &voters {
             for candidate in candidates.iter().filter(|candidate| self.is_up_to_date(candidate.standing)) {
                 let others = voters.iter().filter(|(other, _)| other != voter).map(|(_, place)| place);
-                let crowding = Crowding::of(&others.chain([&candidate.place]).collect::<Vec<&Place>>());
+                let crowding =
+                    Crowding::of(&others.chain([&candidate.failure_domain]).collect::<Vec<&FailureDomain>>());
                 if crowding < best {
                     best = crowding;
                     exchange = Some((*voter, candidate.clone()));
@@ -221,7 +224,7 @@
     /// In the chain with a complete log, and not about to stop.
     fn is_settled(&self, voter: Voter) -> bool {
         let link = self.next.link(voter);
-        link.is_some_and(|link| self.is_complete(link)) && !self.is_leaving(voter)
+        link.is_some_and(|link| self.is_complete(link)) && !self.is_shutting_down(voter)
     }
 
     /// Whether a replica lacks so little that it can be let into the chain at once.
@@ -318,8 +321,8 @@
         self.next.former.drain(..whole.unwrap_or(0).max(excess));
     }
 
-    fn is_leaving(&self, voter: Voter) -> bool {
-        self.present.get(&voter).is_some_and(|standing| standing.is_leaving)
+    fn is_shutting_down(&self, voter: Voter) -> bool {
+        self.present.get(&voter).is_some_and(|standing| standing.is_shutting_down)
     }
 
     fn are_apart(&self, one: Voter, other: Voter) -> bool {
@@ -330,7 +333,7 @@
 
     /// Voters that are not in the chain but could be, the most advanced first.
     fn joiners(&self, found: &View, voters: &[Voter]) -> Vec<(Voter, Standing)> {
-        let is_outside = |voter: &Voter| found.position(*voter).is_none() && !self.is_leaving(*voter);
+        let is_outside = |voter: &Voter| found.position(*voter).is_none() && !self.is_shutting_down(*voter);
         let outside = voters.iter().copied().filter(is_outside);
         let mut joiners: Vec<(Voter, Standing)> =
             outside.filter_map(|voter| self.present.get(&voter).map(|standing| (voter, *standing))).collect();
@@ -341,7 +344,7 @@
     /// Those that are about to stop go at once where enough others stay, one of them with a complete log.
     fn drop_leaving(&self, chain: &mut Vec<ChainLink>, required: usize) {
         let rest: Vec<ChainLink> =
-            chain.iter().filter(|link| !self.is_leaving(link.voter)).copied().collect();
+            chain.iter().filter(|link| !self.is_shutting_down(link.voter)).copied().collect();
         if rest.len() >= required && rest.iter().any(|link| self.is_complete(link)) {
             *chain = rest;
         }
@@ -354,7 +357,7 @@
 
     fn learn_places(&mut self) {
         for member in &mut self.next.members {
-            if let Some(place) = self.situation.places.get(&member.endpoint) {
+            if let Some(place) = self.situation.failure_domains.get(&member.endpoint) {
                 member.zone.clone_from(&place.zone);
                 member.region.clone_from(&place.region);
             }
--- a/coordination/replica/src/laws.rs
+++ b/coordination/replica/src/protocol_rules.rs
@@ -2,14 +2,14 @@
 
 use std::fmt::Debug;
 
-use whinspindle_consensus::AsPublished;
+use whinspindle_consensus::StandardConsensusRules;
 
 use crate::settings::ReplicaSettings;
 
 /// What must hold. The defaults are what the program runs; tests plant faults in their place.
-pub trait Laws: Clone + Debug {
+pub trait ProtocolRules: Clone + Debug {
     /// How the votes for a view are counted.
-    type Agreement: whinspindle_consensus::Laws;
+    type Consensus: whinspindle_consensus::ConsensusRules;
 
     /// Up to which entry a member may acknowledge, pass on and commit.
     fn settled(durable: u64, _last: u64) -> u64 {
@@ -43,13 +43,13 @@
         recorded
     }
 
-    /// The identity taken with an empty disk: a founding member's only where the whole system begins.
-    fn birth(settings: &ReplicaSettings) -> u64 {
+    /// The identity taken with an empty disk: a bootstrap member's only where the whole system begins.
+    fn incarnation(settings: &ReplicaSettings) -> u64 {
         let founds = settings.bootstrap && settings.seeds.contains(&settings.endpoint);
-        if founds { 0 } else { settings.birth }
+        if founds { 0 } else { settings.incarnation }
     }
 
-    /// Whether a replica is the voter that is meant, by the births of both.
+    /// Whether a replica is the voter that is meant, by the incarnations of both.
     fn is_same_birth(meant: u64, own: u64) -> bool {
         meant == own
     }
@@ -86,10 +86,10 @@
     }
 }
 
-/// The laws as the program keeps them.
+/// The rules as the program keeps them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AsDesigned;
+pub struct StandardRules;
 
-impl Laws for AsDesigned {
-    type Agreement = AsPublished;
+impl ProtocolRules for StandardRules {
+    type Consensus = StandardConsensusRules;
 }
--- a/coordination/replica/src/replica.rs
+++ b/coordination/replica/src/replica.rs
@@ -13,9 +13,9 @@
 use crate::disk::{Afterwards, Disk};
 use crate::durable::{DurableRecord, DurableState, DurableWrite, RecoverError};
 use crate::entry::Origin;
-use crate::laws::{AsDesigned, Laws};
 use crate::message::{Heartbeat, Message, Report};
 use crate::peers::Peers;
+use crate::protocol_rules::{ProtocolRules, StandardRules};
 use crate::recent::Recent;
 use crate::records::Records;
 use crate::session::Session;
@@ -97,9 +97,9 @@
 
 /// One replica.
 #[derive(Clone, Debug)]
-pub struct Replica<A, L = AsDesigned> {
+pub struct Replica<A, L = StandardRules> {
     pub(crate) application: A,
-    laws: PhantomData<L>,
+    rules: PhantomData<L>,
     pub(crate) settings: ReplicaSettings,
     pub(crate) state: DurableState,
     pub(crate) disk: Disk,
@@ -115,7 +115,7 @@
     pub(crate) pull: Pull,
     pub(crate) change: ViewChange,
     pub(crate) chance: Chance,
-    pub(crate) is_leaving: bool,
+    pub(crate) is_shutting_down: bool,
     pub(crate) heartbeat_due: u64,
     pub(crate) outputs: Vec<Output>,
     submissions: Submissions,
@@ -138,24 +138,24 @@
         recovered: (Option<Vec<u8>>, Vec<Vec<u8>>),
         now: u64,
     ) -> Result<(Self, Vec<Output>), RecoverError> {
-        Replica::with_laws(settings, application, recovered, now)
+        Replica::with_rules(settings, application, recovered, now)
     }
 }
 
-impl<A: Application, L: Laws> Replica<A, L> {
-    /// Like [`Replica::new`], under laws of the caller's choice.
-    pub fn with_laws(
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
+    /// Like [`Replica::new`], under rules of the caller's choice.
+    pub fn with_rules(
         settings: ReplicaSettings,
         application: A,
         recovered: (Option<Vec<u8>>, Vec<Vec<u8>>),
         now: u64,
     ) -> Result<(Self, Vec<Output>), RecoverError> {
         let (checkpoint, log) = recovered;
-        let state = DurableState::recover(&settings, L::birth(&settings), checkpoint.as_deref(), &log)?;
+        let state = DurableState::recover(&settings, L::incarnation(&settings), checkpoint.as_deref(), &log)?;
         let log_bytes = log.iter().map(Vec::len).sum();
         let mut replica = Replica {
             application,
-            laws: PhantomData,
+            rules: PhantomData,
             disk: Disk::new(log_bytes, checkpoint.as_ref().map_or(0, Vec::len)),
             durable_last: state.last(),
             durable_complete: state.complete,
@@ -166,7 +166,7 @@
             pull: Pull::default(),
             change: ViewChange::default(),
             chance: Chance::new(settings.start),
-            is_leaving: false,
+            is_shutting_down: false,
             heartbeat_due: now,
             outputs: Vec::new(),
             submissions: Submissions::default(),
@@ -206,7 +206,7 @@
             Input::Persisted { token } => self.persisted(now, token),
             Input::PersistFailed { token } => self.disk.failed(now, token),
             Input::Leave => {
-                self.is_leaving = true;
+                self.is_shutting_down = true;
                 self.send_heartbeats(now);
             }
         }
@@ -284,7 +284,7 @@
     /// This replica as a voter of the view.
     pub(crate) fn me(&self) -> Option<Voter> {
         let member = self.view().member_at(self.settings.endpoint)?;
-        L::is_same_birth(member.voter.birth, self.state.birth).then_some(member.voter)
+        L::is_same_birth(member.voter.incarnation, self.state.incarnation).then_some(member.voter)
     }
 
     pub(crate) fn report(&self) -> Report {
@@ -395,7 +395,7 @@
 
     fn heartbeat(&self, now: u64) -> Heartbeat {
         Heartbeat {
-            birth: self.state.birth,
+            incarnation: self.state.incarnation,
             start: self.settings.start,
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
@@ -405,7 +405,7 @@
             heard: self.peers.heard_lately(now),
             is_sealed: self.state.is_sealed(),
             is_stalled: self.is_disk_stalled(now),
-            is_leaving: self.is_leaving,
+            is_shutting_down: self.is_shutting_down,
         }
     }
 
--- a/coordination/replica/src/settings.rs
+++ b/coordination/replica/src/settings.rs
@@ -11,12 +11,12 @@
     pub endpoint: SocketAddr,
     pub zone: String,
     pub region: String,
-    /// Endpoints of the founding members, or, later, of some replicas to ask.
+    /// Endpoints of the bootstrap members, or, later, of some replicas to ask.
     pub seeds: Vec<SocketAddr>,
     /// The whole system starts for the first time.
     pub bootstrap: bool,
-    /// Drawn at random: the identity taken with an empty disk, unless this is a founding member.
-    pub birth: u64,
+    /// Drawn at random: the identity taken with an empty disk, unless this is a bootstrap member.
+    pub incarnation: u64,
     /// Drawn at random at each start of the process; also the seed of the jitter.
     pub start: u64,
     /// What may be lost at once while commands are still taken.
--- a/coordination/replica/src/synchronize.rs
+++ b/coordination/replica/src/synchronize.rs
@@ -9,8 +9,8 @@
 use crate::disk::Afterwards;
 use crate::durable::DurableRecord;
 use crate::entry::Entry;
-use crate::laws::Laws;
 use crate::message::{ChainStanding, Message};
+use crate::protocol_rules::ProtocolRules;
 use crate::records::Records;
 use crate::replica::{Output, Replica};
 use crate::transfer::{RangeContents, Transfer};
@@ -40,7 +40,7 @@
     pub asked_at: Option<u64>,
 }
 
-impl<A: Application, L: Laws> Replica<A, L> {
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
     /// Tells the predecessor where this member stands.
     pub(crate) fn resume(&mut self, now: u64) {
         let (last, committed) = (self.durable_last, self.state.committed);
--- a/coordination/replica/src/view.rs
+++ b/coordination/replica/src/view.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_consensus::{Agreed, Voter};
+use whinspindle_consensus::{RegisterValue, Voter};
 
-use crate::placement::Place;
+use crate::placement::FailureDomain;
 
 /// A replica as the view knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -18,8 +18,8 @@
 }
 
 impl Member {
-    pub fn place(&self) -> Place {
-        Place { zone: self.zone.clone(), region: self.region.clone() }
+    pub fn failure_domain(&self) -> FailureDomain {
+        FailureDomain { zone: self.zone.clone(), region: self.region.clone() }
     }
 }
 
@@ -38,7 +38,7 @@
     pub number: u64,
     pub members: Vec<Member>,
     /// Who votes: a majority of each. Two stand while voters are replaced.
-    pub boards: Vec<Vec<Voter>>,
+    pub voter_sets: Vec<Vec<Voter>>,
     /// Head first, tail last.
     pub chain: Vec<ChainLink>,
     /// Chains of views before, oldest first, of which a member may be needed where no member of the present chain has
@@ -49,40 +49,40 @@
 }
 
 /// The number of the view with which a system begins.
-pub const FOUNDING_VIEW: u64 = 1;
+pub const BOOTSTRAP_VIEW: u64 = 1;
 
-impl Agreed for View {
-    fn boards(&self) -> &[Vec<Voter>] {
-        &self.boards
+impl RegisterValue for View {
+    fn voter_sets(&self) -> &[Vec<Voter>] {
+        &self.voter_sets
     }
 
-    /// All founding members compute the same first view, so that it needs no agreement.
-    fn is_founded(&self) -> bool {
+    /// All bootstrap members compute the same first view, so that it needs no agreement.
+    fn is_bootstrapped(&self) -> bool {
         true
     }
 }
 
 impl View {
     /// The first view: all seeds vote and are in the chain, in the order of their endpoints.
-    pub fn founding(seeds: &[SocketAddr]) -> View {
+    pub fn bootstrap(seeds: &[SocketAddr]) -> View {
         let mut endpoints = seeds.to_vec();
         endpoints.sort_unstable();
         endpoints.dedup();
         let member = |(number, endpoint): (usize, &SocketAddr)| Member {
-            voter: Voter { member: number as u16, birth: 0 },
+            voter: Voter { member: number as u16, incarnation: 0 },
             endpoint: *endpoint,
             zone: String::new(),
             region: String::new(),
         };
         let members: Vec<Member> = endpoints.iter().enumerate().map(member).collect();
         let voters: Vec<Voter> = members.iter().map(|member| member.voter).collect();
-        let link = |voter: &Voter| ChainLink { voter: *voter, since: FOUNDING_VIEW };
+        let link = |voter: &Voter| ChainLink { voter: *voter, since: BOOTSTRAP_VIEW };
         View {
-            number: FOUNDING_VIEW,
+            number: BOOTSTRAP_VIEW,
             chain: voters.iter().map(link).collect(),
             former: Vec::new(),
             next_member: voters.len() as u16,
-            boards: vec![voters],
+            voter_sets: vec![voters],
             members,
         }
     }
@@ -130,43 +130,44 @@
         self.chain.get(position + 1).map(|link| link.voter)
     }
 
-    /// All voters of all boards, each once.
+    /// All voters of all voter_sets, each once.
     pub fn voters(&self) -> Vec<Voter> {
-        let mut voters: Vec<Voter> = self.boards.iter().flatten().copied().collect();
+        let mut voters: Vec<Voter> = self.voter_sets.iter().flatten().copied().collect();
         voters.sort_unstable();
         voters.dedup();
         voters
     }
 
-    /// Whether the voters fulfil a condition in a majority of each board.
+    /// Whether the voters fulfil a condition in a majority of each voter_set.
     pub fn has_majority(&self, holds: impl Fn(Voter) -> bool) -> bool {
-        let counts =
-            |board: &Vec<Voter>| 2 * board.iter().filter(|voter| holds(**voter)).count() > board.len();
-        !self.boards.is_empty() && self.boards.iter().all(counts)
+        let counts = |voter_set: &Vec<Voter>| {
+            2 * voter_set.iter().filter(|voter| holds(**voter)).count() > voter_set.len()
+        };
+        !self.voter_sets.is_empty() && self.voter_sets.iter().all(counts)
     }
 
     /// The length of a chain that outlives the tolerated losses and has a member in every majority. Where there are too
     /// few voters for the tolerated losses, a majority of them is enough: those that are missing are lost already.
     pub fn required_chain(&self, tolerated_losses: usize) -> usize {
-        let voters = self.boards.iter().map(Vec::len).max().unwrap_or(0);
+        let voters = self.voter_sets.iter().map(Vec::len).max().unwrap_or(0);
         (tolerated_losses + 1).min(voters / 2 + 1).max(voters.div_ceil(2))
     }
 
     /// Whether the chain may take writes: it outlives the tolerated losses, and no majority that might agree on
     /// another view can do so without a member of the chain.
     pub fn takes_writes(&self, tolerated_losses: usize) -> bool {
-        let meets_all_majorities = |board: &Vec<Voter>| {
-            let inside = board.iter().filter(|voter| self.position(**voter).is_some()).count();
-            let majority = board.len() / 2 + 1;
-            inside + majority > board.len()
+        let meets_all_majorities = |voter_set: &Vec<Voter>| {
+            let inside = voter_set.iter().filter(|voter| self.position(**voter).is_some()).count();
+            let majority = voter_set.len() / 2 + 1;
+            inside + majority > voter_set.len()
         };
         let is_long_enough = self.chain.len() >= self.required_chain(tolerated_losses);
-        is_long_enough && self.boards.iter().any(meets_all_majorities)
+        is_long_enough && self.voter_sets.iter().any(meets_all_majorities)
     }
 
     /// Whether voters and chain are the same.
     pub fn is_alike(&self, other: &View) -> bool {
         let chain = |view: &View| view.chain.iter().map(|link| link.voter).collect::<Vec<Voter>>();
-        self.boards == other.boards && chain(self) == chain(other)
+        self.voter_sets == other.voter_sets && chain(self) == chain(other)
     }
 }
--- a/coordination/replica/tests/chain_length.rs
+++ b/coordination/replica/tests/chain_length.rs
@@ -8,28 +8,28 @@
 use common::history::{Asked, check};
 use common::node::{cluster, endpoint};
 use whinspindle_lab_simulated_cluster::NetworkTiming;
-use whinspindle_replica::{AsDesigned, ChainLink, View, Voter};
+use whinspindle_replica::{ChainLink, StandardRules, View, Voter};
 
 const MOST_VOTERS: u16 = 7;
 const MOST_LOSSES: usize = 4;
 
 fn voter(member: u16) -> Voter {
-    Voter { member, birth: 0 }
+    Voter { member, incarnation: 0 }
 }
 
-fn board(members: std::ops::Range<u16>) -> Vec<Voter> {
+fn voter_set(members: std::ops::Range<u16>) -> Vec<Voter> {
     members.map(voter).collect()
 }
 
-/// The boards of a settled system, and of one whose voters grow, shrink or are replaced in part.
+/// The voter_sets of a settled system, and of one whose voters grow, shrink or are replaced in part.
 fn all_boards() -> Vec<Vec<Vec<Voter>>> {
     let mut all = Vec::new();
     for count in 1..=MOST_VOTERS {
-        all.push(vec![board(0..count)]);
+        all.push(vec![voter_set(0..count)]);
         for begin in 0..=2 {
             for end in begin + 1..=MOST_VOTERS {
                 if end != count || begin > 0 {
-                    all.push(vec![board(0..count), board(begin..end)]);
+                    all.push(vec![voter_set(0..count), voter_set(begin..end)]);
                 }
             }
         }
@@ -43,17 +43,22 @@
     (0..1_u32 << MOST_VOTERS).map(move |set| members(set).map(voter).collect())
 }
 
-fn view(boards: &[Vec<Voter>], chain: &[Voter]) -> View {
+fn view(voter_sets: &[Vec<Voter>], chain: &[Voter]) -> View {
     let link = |voter: &Voter| ChainLink { voter: *voter, since: 1 };
-    View { number: 1, boards: boards.to_vec(), chain: chain.iter().map(link).collect(), ..View::default() }
+    View {
+        number: 1,
+        voter_sets: voter_sets.to_vec(),
+        chain: chain.iter().map(link).collect(),
+        ..View::default()
+    }
 }
 
-/// The views that may take writes, of all boards and all chains of their voters.
+/// The views that may take writes, of all voter_sets and all chains of their voters.
 fn views_that_take_writes(losses: usize) -> impl Iterator<Item = View> {
-    let views = all_boards().into_iter().flat_map(|boards| {
-        let voters = view(&boards, &[]).voters();
+    let views = all_boards().into_iter().flat_map(|voter_sets| {
+        let voters = view(&voter_sets, &[]).voters();
         let chains = all_sets().filter(move |chain| chain.iter().all(|voter| voters.contains(voter)));
-        chains.map(move |chain| view(&boards, &chain)).collect::<Vec<View>>()
+        chains.map(move |chain| view(&voter_sets, &chain)).collect::<Vec<View>>()
     });
     views.filter(move |view| view.takes_writes(losses))
 }
@@ -79,8 +84,8 @@
 fn a_chain_is_shorter_than_the_losses_only_where_no_majority_outlives_them() {
     for losses in 0..=MOST_LOSSES {
         for view in views_that_take_writes(losses) {
-            let fewest = view.boards.iter().map(Vec::len).min().unwrap_or(0);
-            let most = view.boards.iter().map(Vec::len).max().unwrap_or(0);
+            let fewest = view.voter_sets.iter().map(Vec::len).min().unwrap_or(0);
+            let most = view.voter_sets.iter().map(Vec::len).max().unwrap_or(0);
             if view.chain.len() <= losses {
                 assert!(most <= 2 * losses, "{losses} losses and {view:?}");
             }
@@ -98,7 +103,7 @@
     for seed in 0..8 {
         for outsider in 0..3 {
             let network = NetworkTiming { shortest: 1, longest: 20, ..NetworkTiming::default() };
-            let mut cluster = cluster::<AsDesigned>(seed, 3, 2, network);
+            let mut cluster = cluster::<StandardRules>(seed, 3, 2, network);
             let mut clients = Clients::default();
             clients.run_until(&mut cluster, 3_000);
             assert!(clients.write_within(&mut cluster, endpoint(0), 1_000).is_some());
--- a/coordination/replica/tests/common/changes.rs
+++ b/coordination/replica/tests/common/changes.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use whinspindle_lab_simulated_cluster::{Cluster, DiskTiming, NetworkTiming, Occurrence};
-use whinspindle_replica::{AsDesigned, View};
+use whinspindle_replica::{StandardRules, View};
 
 use super::node::{
     CONFIGURATION, Command, KEPT_CHANGES, KEPT_DRAINED, Node, Sent, Told, cluster_with_disks, endpoint,
@@ -28,7 +28,7 @@
 
 /// A cluster under changes, with an observer of every view and every acknowledgement.
 pub struct Changes {
-    pub cluster: Cluster<Node<AsDesigned>>,
+    pub cluster: Cluster<Node<StandardRules>>,
     load: Load,
     /// Replicas that callers don't use.
     pub avoided: Vec<SocketAddr>,
--- a/coordination/replica/tests/common/clients.rs
+++ b/coordination/replica/tests/common/clients.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use whinspindle_lab_simulated_cluster::{Cluster, Occurrence, Pcg};
-use whinspindle_replica::{Laws, SubmitError};
+use whinspindle_replica::{ProtocolRules, SubmitError};
 
 use super::history::{Answered, Asked, Operation};
 use super::node::{Command, Node, Told};
@@ -34,7 +34,7 @@
 
 impl Clients {
     /// Begins an operation at a replica, if one runs there.
-    pub fn begin<L: Laws>(
+    pub fn begin<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
         at: SocketAddr,
@@ -48,7 +48,7 @@
         }
     }
 
-    fn attempt<L: Laws>(
+    fn attempt<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
         at: SocketAddr,
@@ -70,7 +70,12 @@
 
     /// Asks another replica for each swap and read that has no answer after so long: a swap finds its own value if it
     /// took effect before.
-    pub fn ask_again<L: Laws>(&mut self, cluster: &mut Cluster<Node<L>>, at: SocketAddr, after: u64) {
+    pub fn ask_again<L: ProtocolRules>(
+        &mut self,
+        cluster: &mut Cluster<Node<L>>,
+        at: SocketAddr,
+        after: u64,
+    ) {
         let now = cluster.now();
         let is_late = |(key, attempt): (&(SocketAddr, u64), &Attempt)| {
             let operation = &self.operations[attempt.operation];
@@ -89,7 +94,7 @@
     }
 
     /// Begins an operation drawn at random, also one that guesses the present value.
-    pub fn begin_any<L: Laws>(
+    pub fn begin_any<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
         chance: &mut Pcg,
@@ -108,7 +113,7 @@
     }
 
     /// Lets time pass and writes down the answers.
-    pub fn run_until<L: Laws>(&mut self, cluster: &mut Cluster<Node<L>>, until: u64) {
+    pub fn run_until<L: ProtocolRules>(&mut self, cluster: &mut Cluster<Node<L>>, until: u64) {
         for occurrence in cluster.run_until(until) {
             self.note(occurrence);
         }
@@ -174,7 +179,7 @@
     }
 
     /// Asks one replica until it answers a write; returns how long that took, at most `longest`.
-    pub fn write_within<L: Laws>(
+    pub fn write_within<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
         at: SocketAddr,
--- a/coordination/replica/tests/common/faulty.rs
+++ b/coordination/replica/tests/common/faulty.rs
@@ -1,13 +1,13 @@
-//! Faults planted in the place of the laws.
+//! Faults planted in the place of the rules.
 
-use whinspindle_consensus::Agreed;
-use whinspindle_replica::{AgreementLaws, AsPublished, Laws, ReplicaSettings, Voter};
+use whinspindle_consensus::RegisterValue;
+use whinspindle_replica::{ConsensusRules, ProtocolRules, ReplicaSettings, StandardConsensusRules, Voter};
 
 /// A member acknowledges, passes on and commits what its disk does not have yet.
 #[derive(Clone, Debug)]
 pub struct AcknowledgesTooEarly;
-impl Laws for AcknowledgesTooEarly {
-    type Agreement = AsPublished;
+impl ProtocolRules for AcknowledgesTooEarly {
+    type Consensus = StandardConsensusRules;
 
     fn settled(_durable: u64, last: u64) -> u64 {
         last
@@ -17,30 +17,30 @@
 /// The head answers reads itself.
 #[derive(Clone, Debug)]
 pub struct HeadAnswersReads;
-impl Laws for HeadAnswersReads {
-    type Agreement = AsPublished;
+impl ProtocolRules for HeadAnswersReads {
+    type Consensus = StandardConsensusRules;
 
     fn head_answers_reads() -> bool {
         true
     }
 }
 
-/// A founding member whose disk was lost takes the identity that it had.
+/// A bootstrap member whose disk was lost takes the identity that it had.
 #[derive(Clone, Debug)]
 pub struct KeepsIdentityWithoutDisk;
-impl Laws for KeepsIdentityWithoutDisk {
-    type Agreement = AsPublished;
+impl ProtocolRules for KeepsIdentityWithoutDisk {
+    type Consensus = StandardConsensusRules;
 
-    fn birth(settings: &ReplicaSettings) -> u64 {
-        if settings.seeds.contains(&settings.endpoint) { 0 } else { settings.birth }
+    fn incarnation(settings: &ReplicaSettings) -> u64 {
+        if settings.seeds.contains(&settings.endpoint) { 0 } else { settings.incarnation }
     }
 }
 
 /// The tail answers reads that are submitted to it itself.
 #[derive(Clone, Debug)]
 pub struct TailAnswersReads;
-impl Laws for TailAnswersReads {
-    type Agreement = AsPublished;
+impl ProtocolRules for TailAnswersReads {
+    type Consensus = StandardConsensusRules;
 
     fn tail_answers_reads() -> bool {
         true
@@ -50,8 +50,8 @@
 /// A command that was sent again is carried out again.
 #[derive(Clone, Debug)]
 pub struct RepeatsCommands;
-impl Laws for RepeatsCommands {
-    type Agreement = AsPublished;
+impl ProtocolRules for RepeatsCommands {
+    type Consensus = StandardConsensusRules;
 
     fn is_repeat(_known: bool) -> bool {
         false
@@ -61,8 +61,8 @@
 /// The tickets of a process are taken for those of the process before it.
 #[derive(Clone, Debug)]
 pub struct ReusesTickets;
-impl Laws for ReusesTickets {
-    type Agreement = AsPublished;
+impl ProtocolRules for ReusesTickets {
+    type Consensus = StandardConsensusRules;
 
     fn start(_settings: &ReplicaSettings) -> u64 {
         0
@@ -72,8 +72,8 @@
 /// A member that joins the chain counts as complete before it has all.
 #[derive(Clone, Debug)]
 pub struct CompletesTooEarly;
-impl Laws for CompletesTooEarly {
-    type Agreement = AsPublished;
+impl ProtocolRules for CompletesTooEarly {
+    type Consensus = StandardConsensusRules;
 
     fn complete(recorded: u64, since: u64) -> u64 {
         recorded.max(since)
@@ -83,8 +83,8 @@
 /// A replica answers for the voter that had its endpoint before its disk was lost.
 #[derive(Clone, Debug)]
 pub struct AnswersForOldBirth;
-impl Laws for AnswersForOldBirth {
-    type Agreement = AsPublished;
+impl ProtocolRules for AnswersForOldBirth {
+    type Consensus = StandardConsensusRules;
 
     fn is_same_birth(_meant: u64, _own: u64) -> bool {
         true
@@ -94,8 +94,8 @@
 /// Records are transferred without the outcomes of the commands that made them.
 #[derive(Clone, Debug)]
 pub struct TransfersNoOutcomes;
-impl Laws for TransfersNoOutcomes {
-    type Agreement = AsPublished;
+impl ProtocolRules for TransfersNoOutcomes {
+    type Consensus = StandardConsensusRules;
 
     fn transfers_outcomes() -> bool {
         false
@@ -105,8 +105,8 @@
 /// Contact with a peer counts from the arrival of an answer, not from the sending of what it answers.
 #[derive(Clone, Debug)]
 pub struct CountsContactFromArrival;
-impl Laws for CountsContactFromArrival {
-    type Agreement = AsPublished;
+impl ProtocolRules for CountsContactFromArrival {
+    type Consensus = StandardConsensusRules;
 
     fn contact(_sent_at: u64, arrived_at: u64) -> u64 {
         arrived_at
@@ -116,8 +116,8 @@
 /// A promise is given before it is on the disk, and gone after a restart.
 #[derive(Clone, Debug)]
 pub struct ForgetsPromises;
-impl Laws for ForgetsPromises {
-    type Agreement = AsPublished;
+impl ProtocolRules for ForgetsPromises {
+    type Consensus = StandardConsensusRules;
 
     fn records_promises() -> bool {
         false
@@ -127,8 +127,8 @@
 /// Voters are replaced in one step, by the votes of the new ones alone.
 #[derive(Clone, Debug)]
 pub struct ReplacesVotersAtOnce;
-impl Laws for ReplacesVotersAtOnce {
-    type Agreement = NewVotersAlone;
+impl ProtocolRules for ReplacesVotersAtOnce {
+    type Consensus = NewVotersAlone;
 
     fn replaces_voters_jointly() -> bool {
         false
@@ -138,17 +138,17 @@
 /// Only the voters that are written have to accept, not those that were found.
 #[derive(Clone, Debug)]
 pub struct NewVotersAlone;
-impl AgreementLaws for NewVotersAlone {
-    fn boards_to_write<V: Agreed>(_found: &V, written: &V) -> Vec<Vec<Voter>> {
-        written.boards().to_vec()
+impl ConsensusRules for NewVotersAlone {
+    fn voter_sets_to_write<V: RegisterValue>(_found: &V, written: &V) -> Vec<Vec<Voter>> {
+        written.voter_sets().to_vec()
     }
 }
 
 /// A member of a former chain leads though it has not all that was committed.
 #[derive(Clone, Debug)]
 pub struct TakesIncompleteLeaders;
-impl Laws for TakesIncompleteLeaders {
-    type Agreement = AsPublished;
+impl ProtocolRules for TakesIncompleteLeaders {
+    type Consensus = StandardConsensusRules;
 
     fn asks_for_complete_leaders() -> bool {
         false
@@ -158,8 +158,8 @@
 /// A member that is left out of the chain drops the entries that it does not know to be committed.
 #[derive(Clone, Debug)]
 pub struct DropsEntriesWhenLeftOut;
-impl Laws for DropsEntriesWhenLeftOut {
-    type Agreement = AsPublished;
+impl ProtocolRules for DropsEntriesWhenLeftOut {
+    type Consensus = StandardConsensusRules;
 
     fn keeps_entries() -> bool {
         false
--- a/coordination/replica/tests/common/node.rs
+++ b/coordination/replica/tests/common/node.rs
@@ -5,8 +5,9 @@
 
 use whinspindle_lab_simulated_cluster::{Cluster, DiskTiming, Effect, Event, NetworkTiming, Process, Start};
 use whinspindle_replica::{
-    Answer, Application, AsDesigned, ChainLink, DurableWrite, Evaluation, Input, Laws, Message, Output,
-    Place, RecordWrite, Records, Replica, ReplicaSettings, Reply, SubmitError, Timing, Tolerance, Voter,
+    Answer, Application, ChainLink, DurableWrite, Evaluation, FailureDomain, Input, Message, Output,
+    ProtocolRules, RecordWrite, Records, Replica, ReplicaSettings, Reply, StandardRules, SubmitError, Timing,
+    Tolerance, Voter,
 };
 
 /// Registers: `put KEY VALUE`, `swap KEY OLD NEW` and `get KEY`. An empty register is `-`. A swap of another value
@@ -169,7 +170,7 @@
 const SHELL_TOKEN: u64 = 0;
 
 /// A replica, and what an observer of its outputs knows of its records.
-pub struct Node<L = AsDesigned> {
+pub struct Node<L = StandardRules> {
     pub replica: Replica<Registers, L>,
     /// Another one after each start.
     pub start: u64,
@@ -202,10 +203,10 @@
     }
 }
 
-impl<L: Laws> Node<L> {
+impl<L: ProtocolRules> Node<L> {
     pub fn start(settings: ReplicaSettings, start: Start) -> (Self, Vec<Effect<Self>>) {
         let number = settings.start;
-        let (replica, outputs) = Replica::with_laws(settings, Registers, start.recovered, start.now)
+        let (replica, outputs) = Replica::with_rules(settings, Registers, start.recovered, start.now)
             .expect("the disk is readable");
         let mut node = Node {
             committed: Some(replica.committed_sequence()),
@@ -260,7 +261,7 @@
     }
 }
 
-impl<L: Laws> Process for Node<L> {
+impl<L: ProtocolRules> Process for Node<L> {
     type Message = Message;
     type Command = Command;
     type Answer = Told;
@@ -310,9 +311,9 @@
 /// Nodes that a new one is told of.
 const SEEDS: usize = 3;
 
-/// A cluster of this many founding replicas, three of which at most are seeds; all are started. Each has a zone and a
+/// A cluster of this many bootstrap replicas, three of which at most are seeds; all are started. Each has a zone and a
 /// region of its own.
-pub fn cluster<L: Laws + 'static>(
+pub fn cluster<L: ProtocolRules + 'static>(
     seed: u64,
     count: usize,
     tolerated_losses: usize,
@@ -322,54 +323,54 @@
 }
 
 /// Like [`cluster`], with disks of this speed.
-pub fn cluster_with_disks<L: Laws + 'static>(
+pub fn cluster_with_disks<L: ProtocolRules + 'static>(
     seed: u64,
     count: usize,
     tolerated_losses: usize,
     network: NetworkTiming,
     disks: DiskTiming,
 ) -> Cluster<Node<L>> {
-    let own = |number: usize| place(&format!("zone-{number}"), &format!("region-{number}"));
+    let own = |number: usize| failure_domain(&format!("zone-{number}"), &format!("region-{number}"));
     start_cluster(seed, count, Tolerance::of_machines(tolerated_losses), network, disks, own)
 }
 
-pub fn place(zone: &str, region: &str) -> Place {
-    Place { zone: zone.to_string(), region: region.to_string() }
+pub fn failure_domain(zone: &str, region: &str) -> FailureDomain {
+    FailureDomain { zone: zone.to_string(), region: region.to_string() }
 }
 
-/// Like [`cluster`], with places and a tolerance of the caller's choice.
-pub fn cluster_at<L: Laws + 'static>(
+/// Like [`cluster`], with failure domains and a tolerance of the caller's choice.
+pub fn cluster_at<L: ProtocolRules + 'static>(
     seed: u64,
     count: usize,
     tolerance: Tolerance,
     network: NetworkTiming,
-    place: impl Fn(usize) -> Place + 'static,
+    failure_domain: impl Fn(usize) -> FailureDomain + 'static,
 ) -> Cluster<Node<L>> {
-    start_cluster(seed, count, tolerance, network, DiskTiming::default(), place)
+    start_cluster(seed, count, tolerance, network, DiskTiming::default(), failure_domain)
 }
 
-fn start_cluster<L: Laws + 'static>(
+fn start_cluster<L: ProtocolRules + 'static>(
     seed: u64,
     count: usize,
     tolerance: Tolerance,
     network: NetworkTiming,
     disks: DiskTiming,
-    place: impl Fn(usize) -> Place + 'static,
+    failure_domain: impl Fn(usize) -> FailureDomain + 'static,
 ) -> Cluster<Node<L>> {
-    let founding: Vec<SocketAddr> = (0..count.min(SEEDS)).map(endpoint).collect();
+    let bootstrap: Vec<SocketAddr> = (0..count.min(SEEDS)).map(endpoint).collect();
     let starter = move |start: Start| {
-        let Place { zone, region } = place(number(start.endpoint));
+        let FailureDomain { zone, region } = failure_domain(number(start.endpoint));
         let settings = ReplicaSettings {
             endpoint: start.endpoint,
             region,
             zone,
             seeds: if start.is_founding {
-                founding.clone()
+                bootstrap.clone()
             } else {
                 start.nodes.iter().copied().take(SEEDS).collect()
             },
             bootstrap: start.is_founding,
-            birth: start.chance >> 1 | 1,
+            incarnation: start.chance >> 1 | 1,
             start: start.chance,
             tolerance,
             timing: Timing::default(),
@@ -384,18 +385,18 @@
     cluster
 }
 
-impl<L: Laws> Node<L> {
+impl<L: ProtocolRules> Node<L> {
     /// One line for the message of a failed test.
     pub fn describe(&self, now: u64) -> String {
         let view = self.replica.view();
         let link = |link: &ChainLink| format!("{}/{}", link.voter.member, link.since);
         let chain: Vec<String> = view.chain.iter().map(link).collect();
-        let board = |board: &Vec<Voter>| board.iter().map(|voter| voter.member).collect();
-        let boards: Vec<Vec<u16>> = view.boards.iter().map(board).collect();
+        let voter_set = |voter_set: &Vec<Voter>| voter_set.iter().map(|voter| voter.member).collect();
+        let voter_sets: Vec<Vec<u16>> = view.voter_sets.iter().map(voter_set).collect();
         let committed = self.replica.committed_sequence();
         let in_quorum = self.replica.is_in_quorum(now);
         format!(
-            "view {} chain {chain:?} boards {boards:?} committed {committed} in quorum {in_quorum}",
+            "view {} chain {chain:?} voter_sets {voter_sets:?} committed {committed} in quorum {in_quorum}",
             view.number
         )
     }
--- a/coordination/replica/tests/common/schedule.rs
+++ b/coordination/replica/tests/common/schedule.rs
@@ -6,7 +6,7 @@
 use quickcheck::{Arbitrary, Gen};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming, Pcg};
 
-use whinspindle_replica::Laws;
+use whinspindle_replica::ProtocolRules;
 
 use super::clients::Clients;
 use super::history::check;
@@ -19,9 +19,9 @@
 const CONVERGED: u64 = 8_000;
 /// The longest that a disk or a process stands still.
 const STANDSTILL: u64 = 4_000;
-/// All founding members have their identities on their disks by then.
+/// All bootstrap members have their identities on their disks by then.
 const FOUNDED: u64 = 400;
-/// All replicas that are to vote beside the founding members do so by then.
+/// All replicas that are to vote beside the bootstrap members do so by then.
 const GROWN: u64 = 4_000;
 /// How long it takes until all that is well again counts.
 const CALM: u64 = 4_000;
@@ -192,7 +192,7 @@
     pub recovered_after: u64,
 }
 
-struct Play<L: Laws> {
+struct Play<L: ProtocolRules> {
     cluster: Cluster<Node<L>>,
     clients: Clients,
     chance: Pcg,
@@ -207,7 +207,7 @@
 }
 
 /// Plays a schedule; says what went wrong.
-pub fn play<L: Laws + 'static>(
+pub fn play<L: ProtocolRules + 'static>(
     schedule: &Schedule,
     count: usize,
     tolerated_losses: usize,
@@ -237,7 +237,7 @@
     play.end().map_err(|fault| format!("{fault}\n{schedule:?}"))
 }
 
-impl<L: Laws> Play<L> {
+impl<L: ProtocolRules> Play<L> {
     /// Lets time pass while clients ask.
     fn pass(&mut self, span: u64) {
         let until = self.cluster.now() + span;
@@ -300,13 +300,13 @@
     }
 
     /// `place` is struck in the place of the node that the fault names.
-    fn suffer(&mut self, fault: &Fault, place: Option<SocketAddr>) {
+    fn suffer(&mut self, fault: &Fault, at: Option<SocketAddr>) {
         let now = self.cluster.now();
         if let Fault::Freeze(_, span) | Fault::Stall(_, span) | Fault::Refuse(_, span) = *fault {
             self.standstill_until = self.standstill_until.max(now + span);
         }
         let endpoints = self.cluster.endpoints();
-        let node = |number: usize| place.unwrap_or(endpoints[number % endpoints.len()]);
+        let node = |number: usize| at.unwrap_or(endpoints[number % endpoints.len()]);
         match *fault {
             Fault::Stop(number) => self.cluster.stop(node(number)),
             Fault::Start(number) => self.cluster.start(node(number)),
@@ -489,7 +489,7 @@
         let first = &nodes[0].replica;
         let are_alike = nodes.iter().all(|node| node.replica.committed() == first.committed());
         let is_full =
-            first.view().chain.len() == first.view().voters().len() && first.view().boards.len() == 1;
+            first.view().chain.len() == first.view().voters().len() && first.view().voter_sets.len() == 1;
         let are_in = nodes.iter().all(|node| node.replica.is_in_quorum(self.cluster.now()));
         if are_alike && is_full && are_in {
             return Ok(());
--- a/coordination/replica/tests/exhaustive/beginnings.rs
+++ b/coordination/replica/tests/exhaustive/beginnings.rs
@@ -1,6 +1,6 @@
 //! States from which the searches depart.
 
-use whinspindle_replica::{Laws, Message};
+use whinspindle_replica::{Message, ProtocolRules};
 
 use crate::common::history::Asked;
 use crate::search::play;
@@ -34,7 +34,7 @@
 }
 
 impl Beginning {
-    pub fn world<L: Laws>(self) -> World<L> {
+    pub fn world<L: ProtocolRules>(self) -> World<L> {
         let empty = World::<L>::new(orders(), AMPLE);
         let crash = |machine| Action::Crash { machine, writes: true };
         match self {
@@ -68,7 +68,7 @@
 }
 
 /// Goes on until a view of two is voted for; nobody is told of what was committed.
-fn go_on_untaught<L: Laws>(mut world: World<L>) -> World<L> {
+fn go_on_untaught<L: ProtocolRules>(mut world: World<L>) -> World<L> {
     let is_voted_for = |message: &Message| matches!(message, Message::Accept { view, .. } if view.chain.iter().any(|link| link.since == view.number));
     while !world.carries(is_voted_for) {
         let next = match world.ordinary() {
@@ -89,7 +89,7 @@
 }
 
 fn is_joint(message: &Message) -> bool {
-    matches!(message, Message::Accept { view, .. } if view.boards.len() == 2)
+    matches!(message, Message::Accept { view, .. } if view.voter_sets.len() == 2)
 }
 
 /// Two orders on one base, and reads in between and at the end.
@@ -102,18 +102,18 @@
     vec![swap(3, 0, "one"), swap(6, 1, "two"), get(9, 2), get(16, 1), get(16, 2), get(16, 0)]
 }
 
-fn suffer<L: Laws>(mut world: World<L>, actions: &[Action]) -> World<L> {
+fn suffer<L: ProtocolRules>(mut world: World<L>, actions: &[Action]) -> World<L> {
     for action in actions {
         world.act(*action).expect("one fault breaks nothing");
     }
     world
 }
 
-fn pass<L: Laws>(world: World<L>, passes: u64) -> World<L> {
+fn pass<L: ProtocolRules>(world: World<L>, passes: u64) -> World<L> {
     let until = world.passed + passes;
     go_on(world, |world| world.passed >= until)
 }
 
-fn go_on<L: Laws>(world: World<L>, is_wanted: impl Fn(&World<L>) -> bool) -> World<L> {
+fn go_on<L: ProtocolRules>(world: World<L>, is_wanted: impl Fn(&World<L>) -> bool) -> World<L> {
     play(world, &[], is_wanted).expect("the ordinary schedule breaks nothing")
 }
--- a/coordination/replica/tests/exhaustive/main.rs
+++ b/coordination/replica/tests/exhaustive/main.rs
@@ -16,7 +16,7 @@
     RepeatsCommands, TailAnswersReads, TakesIncompleteLeaders,
 };
 use search::{Searched, departures, interleavings, play};
-use whinspindle_replica::{AsDesigned, Laws};
+use whinspindle_replica::{ProtocolRules, StandardRules};
 use world::{Action, Budget};
 
 /// Added to the depth of the searches over all interleavings.
@@ -41,7 +41,7 @@
 
 fn all_interleavings(beginning: Beginning, budget: Budget, depth: usize) {
     let begun = Instant::now();
-    let mut world = beginning.world::<AsDesigned>();
+    let mut world = beginning.world::<StandardRules>();
     world.budget = budget;
     let searched = interleavings(world, depth + number(MORE_DEPTH).unwrap_or(0));
     report(&format!("{beginning:?}, {budget:?}"), begun, &searched);
@@ -49,7 +49,7 @@
 
 fn all_departures(beginning: Beginning) {
     let begun = Instant::now();
-    let searched = departures(&beginning.world::<AsDesigned>(), number(DEPARTURES).unwrap_or(1), PASSES);
+    let searched = departures(&beginning.world::<StandardRules>(), number(DEPARTURES).unwrap_or(1), PASSES);
     report(&format!("{beginning:?}"), begun, &searched);
 }
 
@@ -125,7 +125,7 @@
 /// At each step the only complete member loses its disk: callers of the others are answered in the end.
 #[test]
 fn commands_are_answered_whenever_the_only_complete_member_loses_its_disk() {
-    let world = Beginning::Alone.world::<AsDesigned>();
+    let world = Beginning::Alone.world::<StandardRules>();
     let ordinary = play(world.clone(), &[], |world| world.passed >= PASSES).expect("nothing goes wrong");
     for step in world.steps..ordinary.steps {
         let path = [(step, Action::LoseDisk(1))];
@@ -169,16 +169,16 @@
 }
 
 /// One departure is enough to show the fault, and the search over all of them finds it.
-fn is_found<L: Laws>(beginning: Beginning) {
+fn is_found<L: ProtocolRules>(beginning: Beginning) {
     let searched = departures(&beginning.world::<L>(), 1, PASSES);
     let Some((fault, path)) = searched.broken else { panic!("{searched:?}") };
     println!("{path:?}: {}", fault.lines().next().unwrap_or_default());
     is_shown::<L>(beginning, &path);
 }
 
-/// These departures show the fault, and the laws as designed bear them.
-fn is_shown<L: Laws>(beginning: Beginning, path: &[(u64, Action)]) {
-    let designed = play(beginning.world::<AsDesigned>(), path, |world| world.passed >= PASSES);
+/// These departures show the fault, and the standard rules bear them.
+fn is_shown<L: ProtocolRules>(beginning: Beginning, path: &[(u64, Action)]) {
+    let designed = play(beginning.world::<StandardRules>(), path, |world| world.passed >= PASSES);
     assert!(designed.is_ok(), "{:?}", designed.err());
     let planted = play(beginning.world::<L>(), path, |world| world.passed >= PASSES);
     assert!(planted.is_err(), "the fault does not show");
--- a/coordination/replica/tests/exhaustive/search.rs
+++ b/coordination/replica/tests/exhaustive/search.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use whinspindle_replica::Laws;
+use whinspindle_replica::ProtocolRules;
 
 use crate::observer::hash_of;
 use crate::world::{Action, World};
@@ -28,7 +28,7 @@
 }
 
 /// All interleavings of everything that may happen, level by level, to this depth.
-pub fn interleavings<L: Laws>(from: World<L>, depth: usize) -> Searched {
+pub fn interleavings<L: ProtocolRules>(from: World<L>, depth: usize) -> Searched {
     let mut searched = Searched { states: 1, ..Searched::default() };
     let mut met = HashSet::from([from.fingerprint()]);
     let mut paths: Vec<(usize, Option<Action>)> = vec![(0, None)];
@@ -70,7 +70,7 @@
 }
 
 /// All schedules with up to `most` departures from the ordinary one, until the clock has gone `passes` steps.
-pub fn departures<L: Laws>(from: &World<L>, most: usize, passes: u64) -> Searched {
+pub fn departures<L: ProtocolRules>(from: &World<L>, most: usize, passes: u64) -> Searched {
     let mut walk = Walk { met: HashMap::new(), path: Vec::new(), passes, searched: Searched::default() };
     // Few departures first, so that what is found is the shortest.
     for left in 0..=most {
@@ -94,7 +94,7 @@
 }
 
 impl Walk {
-    fn go<L: Laws>(&mut self, mut world: World<L>, left: usize) {
+    fn go<L: ProtocolRules>(&mut self, mut world: World<L>, left: usize) {
         while world.passed < self.passes {
             let ordinary = world.ordinary();
             let fingerprint = hash_of((world.fingerprint(), world.order_of_links()));
@@ -117,7 +117,7 @@
         }
     }
 
-    fn depart<L: Laws>(&mut self, mut world: World<L>, departure: Action, left: usize) {
+    fn depart<L: ProtocolRules>(&mut self, mut world: World<L>, departure: Action, left: usize) {
         self.path.push((world.steps, departure));
         match self.step(&mut world, departure) {
             Ok(()) => self.go(world, left),
@@ -128,7 +128,7 @@
         }
     }
 
-    fn step<L: Laws>(&mut self, world: &mut World<L>, action: Action) -> Result<(), String> {
+    fn step<L: ProtocolRules>(&mut self, world: &mut World<L>, action: Action) -> Result<(), String> {
         self.searched.steps += 1;
         world.act(action)?;
         if action == Action::Pass { world.mend() } else { Ok(()) }
@@ -136,7 +136,7 @@
 }
 
 /// Plays the ordinary schedule with these departures until the world is as wanted.
-pub fn play<L: Laws>(
+pub fn play<L: ProtocolRules>(
     mut world: World<L>,
     departures: &[(u64, Action)],
     is_wanted: impl Fn(&World<L>) -> bool,
--- a/coordination/replica/tests/exhaustive/world.rs
+++ b/coordination/replica/tests/exhaustive/world.rs
@@ -7,7 +7,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-use whinspindle_replica::{Input, Laws, Message, Output, Replica, ReplicaSettings, Timing, Tolerance};
+use whinspindle_replica::{
+    Input, Message, Output, ProtocolRules, Replica, ReplicaSettings, Timing, Tolerance,
+};
 
 pub use self::choices::{Action, Budget};
 use self::machine::Machine;
@@ -77,7 +79,7 @@
     posted: u64,
 }
 
-impl<L: Laws> World<L> {
+impl<L: ProtocolRules> World<L> {
     /// Founding members with empty disks.
     pub fn new(orders: Vec<Order>, budget: Budget) -> World<L> {
         let mut world = World {
@@ -229,12 +231,12 @@
             region: String::new(),
             seeds: (0..FOUNDING).map(endpoint).collect(),
             bootstrap: number < FOUNDING && machine.starts == 1,
-            birth: drawn,
+            incarnation: drawn,
             start: drawn,
             tolerance: Tolerance::of_machines(1),
             timing: TIMING,
         };
-        let (replica, outputs) = Replica::with_laws(settings, Registers, machine.disk.clone(), now)
+        let (replica, outputs) = Replica::with_rules(settings, Registers, machine.disk.clone(), now)
             .map_err(|error| error.to_string())?;
         machine.replica = Some(replica);
         self.carry_out(number, outputs)
--- a/coordination/replica/tests/exhaustive/world/choices.rs
+++ b/coordination/replica/tests/exhaustive/world/choices.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use whinspindle_replica::Laws;
+use whinspindle_replica::ProtocolRules;
 
 use super::{Link, Mail, Order, World};
 
@@ -57,7 +57,7 @@
     pub passes: u8,
 }
 
-impl<L: Laws> World<L> {
+impl<L: ProtocolRules> World<L> {
     /// What may happen now.
     pub fn actions(&self) -> Vec<Action> {
         let mut actions = self.actions_on_messages();
--- a/coordination/replica/tests/exhaustive/world/machine.rs
+++ b/coordination/replica/tests/exhaustive/world/machine.rs
@@ -2,7 +2,7 @@
 
 use std::cell::OnceCell;
 
-use whinspindle_replica::{DurableWrite, Laws, Replica};
+use whinspindle_replica::{DurableWrite, ProtocolRules, Replica};
 
 use crate::common::node::Registers;
 use crate::observer::hash_of;
@@ -20,7 +20,7 @@
     pub(super) fingerprint: OnceCell<u64>,
 }
 
-impl<L: Laws> Machine<L> {
+impl<L: ProtocolRules> Machine<L> {
     pub(super) fn empty() -> Machine<L> {
         let (replica, disk, writing) = (None, (None, Vec::new()), None);
         Machine { replica, disk, writing, starts: 0, is_gone: false, fingerprint: OnceCell::new() }
--- a/coordination/replica/tests/fence.rs
+++ b/coordination/replica/tests/fence.rs
@@ -9,13 +9,13 @@
 use common::history::{Asked, check};
 use common::node::{cluster, endpoint};
 use whinspindle_lab_simulated_cluster::NetworkTiming;
-use whinspindle_replica::{AsDesigned, Message};
+use whinspindle_replica::{Message, StandardRules};
 
 /// The head is silent, and hears nothing but what others have committed without it: it does not know the view in which
 /// it is no member of the chain. Where its own log holds an entry that never left it, theirs holds another.
 #[test]
 fn a_head_does_not_take_its_own_entry_for_one_that_others_have_committed() {
-    let mut cluster = cluster::<AsDesigned>(1, 3, 1, NetworkTiming::default());
+    let mut cluster = cluster::<StandardRules>(1, 3, 1, NetworkTiming::default());
     let mut clients = Clients::default();
     clients.run_until(&mut cluster, 2_000);
     let head = endpoint(0);
--- a/coordination/replica/tests/heartbeats.rs
+++ b/coordination/replica/tests/heartbeats.rs
@@ -5,7 +5,7 @@
 use common::clients::Clients;
 use common::node::{Node, cluster, endpoint};
 use whinspindle_lab_simulated_cluster::{Cluster, Effect, Event, NetworkTiming, Process};
-use whinspindle_replica::{AsDesigned, Message};
+use whinspindle_replica::{Message, StandardRules};
 
 /// A write is acknowledged within this, in milliseconds.
 const ACKNOWLEDGED: u64 = 3_000;
@@ -37,7 +37,7 @@
 
 #[test]
 fn an_overtaken_heartbeat_does_not_take_back_what_is_known_to_be_committed() {
-    let mut cluster = cluster::<AsDesigned>(5, 3, 1, NetworkTiming::default());
+    let mut cluster = cluster::<StandardRules>(5, 3, 1, NetworkTiming::default());
     let mut clients = Clients::default();
     clients.write_within(&mut cluster, endpoint(0), ACKNOWLEDGED).expect("a write");
     let until = cluster.now() + ACKNOWLEDGED;
--- a/coordination/replica/tests/messages.rs
+++ b/coordination/replica/tests/messages.rs
@@ -5,11 +5,11 @@
 use common::node::{cluster, endpoint};
 use quickcheck::quickcheck;
 use whinspindle_lab_simulated_cluster::{Effect, Event, NetworkTiming, Process};
-use whinspindle_replica::{AsDesigned, Message};
+use whinspindle_replica::{Message, StandardRules};
 
 /// Messages that a running replica sends.
 fn messages() -> Vec<Message> {
-    let mut cluster = cluster::<AsDesigned>(1, 3, 1, NetworkTiming::default());
+    let mut cluster = cluster::<StandardRules>(1, 3, 1, NetworkTiming::default());
     cluster.run_until(3_000);
     let now = cluster.now();
     let process = cluster.process_mut(endpoint(0)).unwrap();
--- a/coordination/replica/tests/ordinary.rs
+++ b/coordination/replica/tests/ordinary.rs
@@ -6,11 +6,11 @@
 use common::history::{Asked, check};
 use common::node::{cluster, endpoint};
 use whinspindle_lab_simulated_cluster::NetworkTiming;
-use whinspindle_replica::AsDesigned;
+use whinspindle_replica::StandardRules;
 
 #[test]
 fn three_members_serve_writes_and_reads_at_every_replica() {
-    let mut cluster = cluster::<AsDesigned>(1, 3, 1, NetworkTiming::default());
+    let mut cluster = cluster::<StandardRules>(1, 3, 1, NetworkTiming::default());
     let mut clients = Clients::default();
     clients.run_until(&mut cluster, 1_500);
     for number in 0..3 {
--- a/coordination/replica/tests/overlap.rs
+++ b/coordination/replica/tests/overlap.rs
@@ -10,11 +10,11 @@
 use common::history::{Asked, check};
 use common::node::{Node, cluster, endpoint};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
-use whinspindle_replica::{AsDesigned, Laws, Message};
+use whinspindle_replica::{Message, ProtocolRules, StandardRules};
 
 /// Each order of roles is played with so many seeds.
 const SEEDS: u64 = 12;
-/// All founding members are in the chain by then, in milliseconds.
+/// All bootstrap members are in the chain by then, in milliseconds.
 const SETTLED: u64 = 2_000;
 /// A chain without a member that is cut off, and a chain with one that is back, are agreed on within this.
 const AGREED: u64 = 6_000;
@@ -47,14 +47,14 @@
     roles.map(|([joiner, wiped, apart], is_told)| Roles { joiner, wiped, apart, is_told }).collect()
 }
 
-struct Play<L: Laws> {
+struct Play<L: ProtocolRules> {
     cluster: Cluster<Node<L>>,
     clients: Clients,
     roles: Roles,
     asks_at: u64,
 }
 
-impl<L: Laws + 'static> Play<L> {
+impl<L: ProtocolRules + 'static> Play<L> {
     /// Lets time pass while clients ask the replicas in turn.
     fn pass(&mut self, span: u64) {
         let until = self.cluster.now() + span;
@@ -159,7 +159,7 @@
     }
 }
 
-fn play<L: Laws + 'static>(seed: u64, roles: Roles) -> Result<(), String> {
+fn play<L: ProtocolRules + 'static>(seed: u64, roles: Roles) -> Result<(), String> {
     let network = NetworkTiming { shortest: 1, longest: 10, ..NetworkTiming::default() };
     let cluster = cluster(seed, 3, 1, network);
     let mut play = Play::<L> { cluster, clients: Clients::default(), roles, asks_at: 0 };
@@ -173,12 +173,12 @@
 #[test]
 fn a_member_of_the_chain_before_leads_where_no_other_has_everything() {
     for (seed, roles) in all_plays() {
-        play::<AsDesigned>(seed, roles).unwrap_or_else(|fault| panic!("{fault}"));
+        play::<StandardRules>(seed, roles).unwrap_or_else(|fault| panic!("{fault}"));
     }
 }
 
 /// Whether one of the plays shows a history that has no order.
-fn loses_something<L: Laws + 'static>() -> bool {
+fn loses_something<L: ProtocolRules + 'static>() -> bool {
     all_plays()
         .any(|(seed, roles)| play::<L>(seed, roles).is_err_and(|fault| fault.contains("not linearizable")))
 }
--- a/coordination/replica/tests/placement.rs
+++ b/coordination/replica/tests/placement.rs
@@ -6,9 +6,9 @@
 
 use common::clients::Clients;
 use common::history::check;
-use common::node::{Node, cluster_at, endpoint, place};
+use common::node::{Node, cluster_at, endpoint, failure_domain};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
-use whinspindle_replica::{LossKind, Place, Tolerance};
+use whinspindle_replica::{FailureDomain, LossKind, Tolerance};
 
 /// All voters are where they should be by then, in milliseconds.
 const SETTLED: u64 = 8_000;
@@ -30,7 +30,7 @@
 impl Deployment {
     fn start(seed: u64, layout: Layout, tolerance: Tolerance) -> Deployment {
         let network = NetworkTiming { shortest: 1, longest: 40, ..NetworkTiming::default() };
-        let at = |number: usize| place(layout[number].0, layout[number].1);
+        let at = |number: usize| failure_domain(layout[number].0, layout[number].1);
         let cluster = cluster_at(seed, layout.len(), tolerance, network, at);
         let mut deployment = Deployment { cluster, clients: Clients::default(), layout };
         deployment.pass(SETTLED);
@@ -46,19 +46,19 @@
         self.cluster.process(endpoint(number)).expect("it runs")
     }
 
-    fn numbers(&self, belongs: impl Fn(&Place) -> bool) -> Vec<usize> {
-        let at = |number: &usize| place(self.layout[*number].0, self.layout[*number].1);
+    fn numbers(&self, belongs: impl Fn(&FailureDomain) -> bool) -> Vec<usize> {
+        let at = |number: &usize| failure_domain(self.layout[*number].0, self.layout[*number].1);
         (0..self.layout.len()).filter(|number| belongs(&at(number))).collect()
     }
 
     /// How many voters there are of each kind, as a running replica sees it.
-    fn voters_by(&self, observer: usize, kind: impl Fn(&Place) -> String) -> BTreeMap<String, usize> {
+    fn voters_by(&self, observer: usize, kind: impl Fn(&FailureDomain) -> String) -> BTreeMap<String, usize> {
         let view = self.node(observer).replica.view();
-        assert_eq!(view.boards.len(), 1, "{}", self.node(observer).describe(self.cluster.now()));
+        assert_eq!(view.voter_sets.len(), 1, "{}", self.node(observer).describe(self.cluster.now()));
         let mut counts = BTreeMap::new();
         for voter in view.voters() {
             let member = view.member(voter).expect("voters are members");
-            *counts.entry(kind(&member.place())).or_insert(0) += 1;
+            *counts.entry(kind(&member.failure_domain())).or_insert(0) += 1;
         }
         counts
     }
@@ -80,12 +80,12 @@
     }
 }
 
-fn zone(place: &Place) -> String {
-    place.zone.clone()
+fn zone(failure_domain: &FailureDomain) -> String {
+    failure_domain.zone.clone()
 }
 
-fn region(place: &Place) -> String {
-    place.region.clone()
+fn region(failure_domain: &FailureDomain) -> String {
+    failure_domain.region.clone()
 }
 
 /// Two seeds share a zone; the zone of the third holds two replicas; a zone of one has no seed.
@@ -110,7 +110,7 @@
         let spread = BTreeMap::from(["a", "b", "c"].map(|zone| (zone.to_string(), 1)));
         assert_eq!(deployment.voters_by(0, zone), spread, "seed {seed}");
         for name in ["a", "b", "c"] {
-            let lost = deployment.numbers(|place| place.zone == name);
+            let lost = deployment.numbers(|failure_domain| failure_domain.zone == name);
             deployment.survives(&lost);
         }
     }
@@ -124,7 +124,7 @@
     assert_eq!(regions.values().max(), Some(&2), "{regions:?}");
     assert_eq!(deployment.voters_by(0, zone).values().max(), Some(&1));
     for name in ["x", "y", "z"] {
-        let lost = deployment.numbers(|place| place.region == name);
+        let lost = deployment.numbers(|failure_domain| failure_domain.region == name);
         deployment.survives(&lost);
     }
     for one in 0..9 {
--- a/coordination/replica/tests/planted.rs
+++ b/coordination/replica/tests/planted.rs
@@ -1,4 +1,4 @@
-//! Faults planted in the place of the laws: schedules that the laws bear must show each of them, else they prove
+//! Faults planted in the place of the rules: schedules that the rules bear must show each of them, else they prove
 //! nothing.
 
 mod common;
@@ -11,7 +11,7 @@
 use common::node::{Moment, Node, cluster, endpoint};
 use common::schedule::{Fault, Schedule, Step, Trigger, play};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
-use whinspindle_replica::{AsDesigned, Laws, View};
+use whinspindle_replica::{ProtocolRules, StandardRules, View};
 
 /// A schedule is played with so many seeds at most.
 const SEEDS: u64 = 100;
@@ -37,9 +37,9 @@
     Step { wait, trigger: Some(Trigger { moment, strikes_there: false }), fault }
 }
 
-/// Whether the laws as designed bear the schedule with each seed, and others show a history that is not linearizable
+/// Whether the standard rules bear the schedule with each seed, and others show a history that is not linearizable
 /// with one of them.
-fn shows<L: Laws + 'static>(setting: Setting, steps: &[Step]) {
+fn shows<L: ProtocolRules + 'static>(setting: Setting, steps: &[Step]) {
     let Setting { count, tolerated_losses, is_busy } = setting;
     let schedule = |seed| Schedule {
         seed,
@@ -50,7 +50,7 @@
         steps: steps.to_vec(),
     };
     for seed in 0..SEEDS {
-        play::<AsDesigned>(&schedule(seed), count, tolerated_losses).unwrap();
+        play::<StandardRules>(&schedule(seed), count, tolerated_losses).unwrap();
     }
     let is_shown = |seed: u64| {
         let played = play::<L>(&schedule(seed), count, tolerated_losses);
@@ -174,7 +174,7 @@
 
 /// Whether a replica takes itself for one of the quorum though nothing that it sent has arrived for long: only old
 /// heartbeats of the others, which waited in the links to it, have come through.
-fn claims_old_contact<L: Laws + 'static>(seed: u64) -> bool {
+fn claims_old_contact<L: ProtocolRules + 'static>(seed: u64) -> bool {
     let mut cluster = cluster::<L>(seed, 3, 1, NetworkTiming::default());
     cluster.run_until(cluster.now() + 3_000);
     let (alone, others) = (endpoint(0), [endpoint(1), endpoint(2)]);
@@ -195,14 +195,14 @@
 
 #[test]
 fn contact_that_counts_from_the_arrival_of_an_answer_is_found() {
-    assert!(!(0..SEEDS).any(claims_old_contact::<AsDesigned>));
+    assert!(!(0..SEEDS).any(claims_old_contact::<StandardRules>));
     assert!((0..SEEDS).any(claims_old_contact::<CountsContactFromArrival>));
 }
 
 /// Whether two replicas know different views by one number after this: a voter is down, and a learner takes its place by
 /// a round that the head has no part in but its promise. Then the head hears no more of the others, but of the old voter
 /// again; together they are a majority of the old voters.
-fn agrees_on_two_views<L: Laws + 'static>(seed: u64) -> bool {
+fn agrees_on_two_views<L: ProtocolRules + 'static>(seed: u64) -> bool {
     let mut cluster = cluster::<L>(seed, 4, 1, NetworkTiming::default());
     let [head, tail, lost, learner] = [0, 1, 2, 3].map(endpoint);
     cluster.run_until(cluster.now() + 1_500);
@@ -232,6 +232,6 @@
 
 #[test]
 fn voters_that_are_replaced_without_joint_majorities_are_found() {
-    assert!(!(0..SEEDS).any(agrees_on_two_views::<AsDesigned>));
+    assert!(!(0..SEEDS).any(agrees_on_two_views::<StandardRules>));
     assert!((0..SEEDS).any(agrees_on_two_views::<ReplacesVotersAtOnce>));
 }
