--- a/coordination/replica/tests/repair.rs
+++ b/coordination/replica/tests/repair.rs
@@ -10,11 +10,11 @@
 
 use common::clients::Clients;
 use common::history::{Asked, check};
-use common::node::{Command, Node, cluster_at, endpoint, place};
+use common::node::{Command, Node, cluster_at, endpoint, failure_domain};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::Tolerance;
 
-/// All founding members and those that join them vote by then, in milliseconds.
+/// All bootstrap members and those that join them vote by then, in milliseconds.
 const SETTLED: u64 = 4_000;
 /// The second loss comes up to so long after the first.
 const WINDOW: u64 = 5_000;
@@ -48,7 +48,7 @@
     ReplacedByPlan,
     /// Its disk is lost; it comes back at its address.
     Wiped,
-    /// It stops for longer than its place is kept, and then comes back as it was.
+    /// It stops for longer than its failure domain is kept, and then comes back as it was.
     Displaced,
 }
 
@@ -137,13 +137,13 @@
     fn start(case: &Case) -> Play {
         let network = NetworkTiming { shortest: 1, longest: 20, ..NetworkTiming::default() };
         let zones = case.zones;
-        let place = move |number: usize| {
+        let failure_domain = move |number: usize| {
             let zone = number % zones;
-            place(&format!("zone-{zone}"), &format!("region-{zone}"))
+            failure_domain(&format!("zone-{zone}"), &format!("region-{zone}"))
         };
         let tolerance = Tolerance::of_machines(case.tolerated_losses);
         let mut play = Play {
-            cluster: cluster_at(case.seed, case.count, tolerance, network, place),
+            cluster: cluster_at(case.seed, case.count, tolerance, network, failure_domain),
             clients: Clients::default(),
             plan: Vec::new(),
             next_number: case.count,
@@ -283,7 +283,7 @@
         endpoints.iter().all(|at| {
             self.cluster.process(*at).is_some_and(|node| {
                 let view = node.replica.view();
-                let is_whole = view.boards.len() == 1 && view.chain.len() == voters;
+                let is_whole = view.voter_sets.len() == 1 && view.chain.len() == voters;
                 let are_there = view.members.iter().all(|member| endpoints.contains(&member.endpoint));
                 is_whole && are_there && node.replica.is_in_quorum(now)
             })
--- a/coordination/replica/tests/search.rs
+++ b/coordination/replica/tests/search.rs
@@ -6,7 +6,7 @@
 use common::node::Moment;
 use common::schedule::{Fault, Schedule, Step, Trigger, play};
 use quickcheck::{Gen, QuickCheck, TestResult};
-use whinspindle_replica::AsDesigned;
+use whinspindle_replica::StandardRules;
 
 /// Schedules in an ordinary run; more are drawn if this variable says so.
 const ORDINARY: u64 = 300;
@@ -26,7 +26,7 @@
 }
 
 fn holds(schedule: Schedule, count: usize, tolerated_losses: usize) -> TestResult {
-    match play::<AsDesigned>(&schedule, count, tolerated_losses) {
+    match play::<StandardRules>(&schedule, count, tolerated_losses) {
         Ok(_) => TestResult::passed(),
         Err(fault) => TestResult::error(fault),
     }
@@ -65,7 +65,7 @@
             at(168, Moment::Prepare, true, Fault::Deafen(3)),
         ],
     };
-    play::<AsDesigned>(&schedule, 5, 1).unwrap();
+    play::<StandardRules>(&schedule, 5, 1).unwrap();
 }
 
 /// A step without a trigger.
@@ -93,7 +93,7 @@
         step(335, Fault::Split(3)),
         step(9, Fault::Wipe(2)),
     ];
-    play::<AsDesigned>(&overlapping(574_005_985_990, 10, steps), 3, 1).unwrap();
+    play::<StandardRules>(&overlapping(574_005_985_990, 10, steps), 3, 1).unwrap();
 }
 
 /// Found by the drawn schedules, like the one before.
@@ -106,7 +106,7 @@
         step(0, Fault::Stop(0)),
         at(198, Moment::Accepted, true, Fault::StopAllAndWipe(0)),
     ];
-    play::<AsDesigned>(&overlapping(476_458_378_024, 40, steps), 5, 1).unwrap();
+    play::<StandardRules>(&overlapping(476_458_378_024, 40, steps), 5, 1).unwrap();
 }
 
 /// Found by the drawn schedules, like the one before.
@@ -121,7 +121,7 @@
         at(841, Moment::Accept, false, Fault::Stop(3)),
         at(9, Moment::Accept, false, Fault::Replace(4)),
     ];
-    play::<AsDesigned>(&overlapping(617_889_459_766, 40, steps), 5, 2).unwrap();
+    play::<StandardRules>(&overlapping(617_889_459_766, 40, steps), 5, 2).unwrap();
 }
 
 /// Found by the drawn schedules: a view was voted for with the only complete member and a learner in the place of a voter
@@ -137,5 +137,5 @@
         at(7, Moment::Accept, false, Fault::Deafen(2)),
         step(3, Fault::StopAllAndWipe(2)),
     ];
-    play::<AsDesigned>(&overlapping(0, 40, steps), 5, 1).unwrap();
+    play::<StandardRules>(&overlapping(0, 40, steps), 5, 1).unwrap();
 }
--- a/coordination/replica/tests/tickets.rs
+++ b/coordination/replica/tests/tickets.rs
@@ -36,7 +36,7 @@
             region: "region-0".to_owned(),
             seeds: (0..members).map(endpoint).collect(),
             bootstrap: true,
-            birth: 1,
+            incarnation: 1,
             start,
             tolerance: Tolerance::of_machines(0),
             timing: Timing::default(),
--- a/dataplane/agent/src/agent.rs
+++ b/dataplane/agent/src/agent.rs
@@ -7,7 +7,7 @@
 use crate::catalog::ControllerCatalog;
 use crate::connection::ConnectionId;
 use crate::figures::AgentFigures;
-use crate::laws::{AsDesigned, Laws};
+use crate::protocol_rules::{ProtocolRules, StandardRules};
 use crate::report::ProxyState;
 use crate::sections::GuardedSections;
 use crate::selector::{LinkEvent, LinkSelector, LossReason};
@@ -100,7 +100,7 @@
 
 /// The agent's state.
 #[derive(Clone, Debug)]
-pub struct Agent<L = AsDesigned> {
+pub struct Agent<L = StandardRules> {
     selector: LinkSelector,
     sections: GuardedSections<L>,
     proxy: ProxyState,
@@ -121,13 +121,13 @@
 
 impl Agent {
     pub fn new(now: u64, settings: AgentSettings) -> Self {
-        Agent::with_laws(now, settings)
+        Agent::with_rules(now, settings)
     }
 }
 
-impl<L: Laws> Agent<L> {
-    /// Like [`Agent::new`], under laws of the caller's choice.
-    pub fn with_laws(now: u64, settings: AgentSettings) -> Self {
+impl<L: ProtocolRules> Agent<L> {
+    /// Like [`Agent::new`], under rules of the caller's choice.
+    pub fn with_rules(now: u64, settings: AgentSettings) -> Self {
         let AgentSettings { node, machine, zone, region, seeds, grace_ms, incarnation } = settings;
         let mut catalog = ControllerCatalog::new(zone.clone(), region.clone(), incarnation);
         catalog.set_seeds(now, &seeds);
--- a/dataplane/agent/src/connection.rs
+++ b/dataplane/agent/src/connection.rs
@@ -31,7 +31,7 @@
 enum Phase {
     Connecting { since: u64 },
     Greeting { since: u64 },
-    Speaking { heard_at: u64, in_quorum: bool, leaving: bool },
+    Speaking { heard_at: u64, in_quorum: bool, shutting_down: bool },
 }
 
 impl Connection {
@@ -57,20 +57,21 @@
         } else if self.has_quorum() {
             self.quorum_lost_at = Some(now);
         }
-        self.phase = Phase::Speaking { heard_at: now, in_quorum: link.in_quorum, leaving: link.leaving };
+        self.phase =
+            Phase::Speaking { heard_at: now, in_quorum: link.in_quorum, shutting_down: link.shutting_down };
     }
 
     pub fn has_quorum(&self) -> bool {
         matches!(self.phase, Phase::Speaking { in_quorum: true, .. })
     }
 
-    pub fn is_leaving(&self) -> bool {
-        matches!(self.phase, Phase::Speaking { leaving: true, .. })
+    pub fn is_shutting_down(&self) -> bool {
+        matches!(self.phase, Phase::Speaking { shutting_down: true, .. })
     }
 
     /// The controller can serve as the link.
     pub fn is_usable(&self) -> bool {
-        self.has_quorum() && !self.is_leaving()
+        self.has_quorum() && !self.is_shutting_down()
     }
 
     /// When the connection is given up if nothing more arrives.
@@ -85,7 +86,7 @@
     /// From when on another link is to be looked for if nothing more arrives.
     pub fn unfit_from(&self) -> u64 {
         match self.phase {
-            Phase::Speaking { leaving: true, .. } => 0,
+            Phase::Speaking { shutting_down: true, .. } => 0,
             Phase::Speaking { heard_at, in_quorum: true, .. } => heard_at + SUSPECT_MS,
             Phase::Speaking { heard_at, .. } => {
                 let patience_ends = self.quorum_lost_at.map_or(0, |lost_at| lost_at + QUORUM_PATIENCE_MS);
--- a/dataplane/agent/src/figures.rs
+++ b/dataplane/agent/src/figures.rs
@@ -4,7 +4,7 @@
 use whinspindle_metrics::Figures;
 
 use crate::agent::Agent;
-use crate::laws::Laws;
+use crate::protocol_rules::ProtocolRules;
 
 /// What an agent knows of its link and its proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -22,7 +22,7 @@
 }
 
 /// The figures of this moment as OpenMetrics text.
-pub fn text<L: Laws>(agent: &Agent<L>, now: u64) -> String {
+pub fn text<L: ProtocolRules>(agent: &Agent<L>, now: u64) -> String {
     let told = agent.figures(now);
     let mut figures = Figures::default();
     let flags = [
--- a/dataplane/agent/src/laws.rs
+++ b/dataplane/agent/src/protocol_rules.rs
@@ -3,15 +3,15 @@
 use std::fmt::Debug;
 
 /// What must hold. The default is what the program runs; tests plant a fault in its place.
-pub trait Laws: Clone + Debug {
+pub trait ProtocolRules: Clone + Debug {
     /// Whether an agent that holds no records takes those of its link, if by quorum and time it `may`.
     fn takes_first_records(may: bool) -> bool {
         may
     }
 }
 
-/// The laws as the program keeps them.
+/// The rules as the program keeps them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AsDesigned;
+pub struct StandardRules;
 
-impl Laws for AsDesigned {}
+impl ProtocolRules for StandardRules {}
--- a/dataplane/agent/src/report.rs
+++ b/dataplane/agent/src/report.rs
@@ -34,7 +34,7 @@
             region,
             front: SocketAddr::new(machine, 0),
             ready: false,
-            leaving: false,
+            shutting_down: false,
             applied: Versions::default(),
             sends: Vec::new(),
             failing: Vec::new(),
@@ -75,10 +75,10 @@
 
     /// The report to send. An agent that leaves alone does so in a life of its own: a proxy that lives on is not left
     /// out once the next agent reports it. What the agent does not hold itself is not acknowledged: the next proxy would lack it.
-    pub fn upward(&self, now: u64, held: Versions, leaving: bool) -> Report {
+    pub fn upward(&self, now: u64, held: Versions, shutting_down: bool) -> Report {
         let mut report = self.report.clone();
-        if leaving && !report.leaving {
-            report.leaving = true;
+        if shutting_down && !report.shutting_down {
+            report.shutting_down = true;
             report.incarnation = self.incarnation;
         }
         report.applied = acknowledged(report.applied, held);
--- a/dataplane/agent/src/sections.rs
+++ b/dataplane/agent/src/sections.rs
@@ -7,10 +7,10 @@
 use std::collections::HashSet;
 use std::marker::PhantomData;
 
-use whinspindle_distribution::{Fleet, Holder, Instances, Update, Versions};
+use whinspindle_distribution::{AppliedState, Fleet, Instances, Update, Versions};
 
-use crate::laws::{AsDesigned, Laws};
 use crate::link_list::LinkList;
+use crate::protocol_rules::{ProtocolRules, StandardRules};
 
 /// For how long after it became the link a controller's lists take nothing away.
 const SETTLING_MS: u64 = 3_000;
@@ -21,9 +21,9 @@
 
 /// What is held, and what waits.
 #[derive(Clone, Debug)]
-pub(crate) struct GuardedSections<L = AsDesigned> {
-    laws: PhantomData<L>,
-    holder: Holder,
+pub(crate) struct GuardedSections<L = StandardRules> {
+    rules: PhantomData<L>,
+    holder: AppliedState,
     link_list: LinkList,
     settled_at: u64,
     in_quorum: bool,
@@ -44,12 +44,12 @@
     fleet: Option<Fleet>,
 }
 
-impl<L: Laws> GuardedSections<L> {
+impl<L: ProtocolRules> GuardedSections<L> {
     /// Nothing is held yet.
     pub fn new() -> Self {
         GuardedSections {
-            laws: PhantomData,
-            holder: Holder::default(),
+            rules: PhantomData,
+            holder: AppliedState::default(),
             link_list: LinkList::default(),
             settled_at: 0,
             in_quorum: false,
--- a/dataplane/agent/src/selector.rs
+++ b/dataplane/agent/src/selector.rs
@@ -164,7 +164,7 @@
         let Some(candidate) = self.connections.get(&id) else { return };
         let endpoint = candidate.endpoint;
         let better = match self.current_connection() {
-            None => !candidate.is_leaving(),
+            None => !candidate.is_shutting_down(),
             Some(current) => {
                 let nearer = self.catalog.rank(endpoint) < self.catalog.rank(current.endpoint);
                 candidate.is_usable() && (nearer || !self.is_fit(now))
--- a/dataplane/agent/tests/common/mod.rs
+++ b/dataplane/agent/tests/common/mod.rs
@@ -31,7 +31,7 @@
 pub struct Controller {
     pub mode: Mode,
     pub in_quorum: bool,
-    pub leaving: bool,
+    pub shutting_down: bool,
     pub zone: &'static str,
     pub region: &'static str,
     /// Sent once to each connection.
@@ -73,7 +73,7 @@
     Controller {
         mode: Mode::Up,
         in_quorum: true,
-        leaving: false,
+        shutting_down: false,
         zone,
         region,
         update: Update::default(),
@@ -89,7 +89,7 @@
         zone: "a".to_owned(),
         slots: 4,
         draining: false,
-        cold_ms: 0,
+        slow_start_ms: 0,
     }
 }
 
@@ -120,7 +120,7 @@
         region: "north".to_owned(),
         front: "10.0.0.99:8000".parse().unwrap(),
         ready: true,
-        leaving: false,
+        shutting_down: false,
         applied,
         sends: vec![],
         failing: vec![],
@@ -271,7 +271,7 @@
         });
         ToBalancer::Link(Link {
             in_quorum: state.in_quorum,
-            leaving: state.leaving,
+            shutting_down: state.shutting_down,
             controllers: told.collect(),
         })
     }
--- a/dataplane/agent/tests/connections.rs
+++ b/dataplane/agent/tests/connections.rs
@@ -49,7 +49,7 @@
 /// Makes the connection the link.
 fn adopt(agent: &mut Agent, now: u64, connection: ConnectionId) {
     agent.handle(now, Input::Connected(connection));
-    let link = Link { in_quorum: true, leaving: false, controllers: Vec::new() };
+    let link = Link { in_quorum: true, shutting_down: false, controllers: Vec::new() };
     agent.handle(now, Input::FromController(connection, ToBalancer::Link(link)));
 }
 
--- a/dataplane/agent/tests/feed.rs
+++ b/dataplane/agent/tests/feed.rs
@@ -58,7 +58,7 @@
     world.run_until(1_000);
     assert_eq!(world.to_proxy, []);
     world.give(Input::ProxyConnected);
-    let link = Link { in_quorum: true, leaving: false, controllers: vec![] };
+    let link = Link { in_quorum: true, shutting_down: false, controllers: vec![] };
     let held = controllers[0].1.update.clone();
     assert_eq!(world.to_proxy, [ToBalancer::Link(link), ToBalancer::Update(held)]);
 }
@@ -216,10 +216,10 @@
     let mut world = with_proxy(&one());
     world.run_until(1_000);
     world.give(Input::Terminate);
-    assert!(world.last_report().leaving);
+    assert!(world.last_report().shutting_down);
     assert_ne!(world.last_report().incarnation, proxy_report(Versions::default()).incarnation);
-    world.give(Input::FromProxy(Report { leaving: true, ..proxy_report(Versions::default()) }));
-    assert!(world.last_report().leaving);
+    world.give(Input::FromProxy(Report { shutting_down: true, ..proxy_report(Versions::default()) }));
+    assert!(world.last_report().shutting_down);
     assert_eq!(world.last_report().incarnation, proxy_report(Versions::default()).incarnation);
 }
 
@@ -228,16 +228,16 @@
     let mut world = with_proxy(&one());
     world.run_until(1_000);
     world.give(Input::Terminate);
-    assert!(world.last_report().leaving && world.last_report().ready);
+    assert!(world.last_report().shutting_down && world.last_report().ready);
     run_reporting(&mut world, 3_000, Versions::default());
     world.update(1, configured(4));
     run_reporting(&mut world, 4_000, Versions::default());
     assert_eq!(world.proxy_updates(), [configured(4)]);
-    assert!(world.last_report().leaving);
+    assert!(world.last_report().shutting_down);
     assert_eq!(world.exited_at, None);
     world.give(Input::ProxyClosed);
     assert_eq!(world.exited_at, Some(4_000));
-    assert!(world.last_report().leaving && !world.last_report().ready);
+    assert!(world.last_report().shutting_down && !world.last_report().ready);
 }
 
 #[test]
@@ -256,5 +256,5 @@
     world.run_until(1_000);
     world.give(Input::Terminate);
     assert_eq!(world.exited_at, Some(1_000));
-    assert!(world.last_report().leaving);
+    assert!(world.last_report().shutting_down);
 }
--- a/dataplane/agent/tests/link.rs
+++ b/dataplane/agent/tests/link.rs
@@ -116,7 +116,7 @@
 #[test]
 fn a_controller_that_leaves_is_left_before_it_ends() {
     let mut world = linked(&three());
-    world.controller(1).leaving = true;
+    world.controller(1).shutting_down = true;
     world.run_until(8_400);
     assert_eq!(world.linked_to(), [endpoint(2)]);
     assert!(!world.lost_link());
--- a/dataplane/proxy/src/feed.rs
+++ b/dataplane/proxy/src/feed.rs
@@ -144,7 +144,7 @@
         region: node.settings.region.clone(),
         front: identity.front,
         ready: node.is_ready(),
-        leaving: node.stop.is_ordered(),
+        shutting_down: node.stop.is_ordered(),
         applied: node.holder.borrow().versions(),
         sends: node.router.borrow().sends(node.clock.now_ms()),
         failing: node.router.borrow().failing(node.clock.now_ms()),
--- a/dataplane/proxy/src/node.rs
+++ b/dataplane/proxy/src/node.rs
@@ -6,7 +6,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout_at};
 use whinspindle_configuration::{Configuration, ConfigurationError, Settings};
-use whinspindle_distribution::{Holder, Update};
+use whinspindle_distribution::{AppliedState, Update};
 use whinspindle_routing::{Router, RouterSettings};
 
 use crate::clock::Clock;
@@ -31,7 +31,7 @@
     pub stop: Stop,
     /// Something has changed that the control plane wants to know at once.
     pub report_due: Notify,
-    pub holder: RefCell<Holder>,
+    pub holder: RefCell<AppliedState>,
     /// Something new is in force.
     news: Notify,
     pub tally: Tally,
--- a/dataplane/proxy/tests/common/mod.rs
+++ b/dataplane/proxy/tests/common/mod.rs
@@ -424,7 +424,7 @@
                     zone: "z1".to_owned(),
                     slots: 64,
                     draining: draining.contains(&id.as_str()),
-                    cold_ms: 0,
+                    slow_start_ms: 0,
                     id,
                 }
             })
--- a/dataplane/proxy/tests/feed.rs
+++ b/dataplane/proxy/tests/feed.rs
@@ -71,7 +71,7 @@
         let mut agent = Agent::connect(&world);
         agent.hello().await;
         let first = agent.report().await;
-        assert!(!first.ready && !first.leaving);
+        assert!(!first.ready && !first.shutting_down);
         assert_eq!((first.node.as_str(), first.incarnation, first.zone.as_str()), ("edge-1", 77, "z1"));
         let mut update = configured(5);
         update.instances = Some(Instances { version: 3, list: Vec::new() });
@@ -138,7 +138,7 @@
         world.node.stop.order();
         world.node.report_due.notify_one();
         let report = timeout(MOMENT, agent.report()).await.expect("at once");
-        assert!(report.leaving && !report.ready);
+        assert!(report.shutting_down && !report.ready);
     });
 }
 
--- a/dataplane/proxy/tests/rules.rs
+++ b/dataplane/proxy/tests/rules.rs
@@ -236,13 +236,13 @@
         client.send(&post("/safe/x")).await;
         sleep(MOMENT).await;
         world.node.stop.order();
-        let leaving = async {
+        let shutting_down = async {
             sleep(Duration::from_millis(300)).await;
             drop(client);
             sleep(MOMENT).await;
             assert_eq!(world.upstreams.open(), 0);
         };
-        tokio::join!(whinspindle_proxy::clients::finish(&world.node, &world.clients), leaving);
+        tokio::join!(whinspindle_proxy::clients::finish(&world.node, &world.clients), shutting_down);
     });
 }
 
--- a/dataplane/routing/src/instance.rs
+++ b/dataplane/routing/src/instance.rs
@@ -100,10 +100,10 @@
         self.slots = told.slots;
         self.retired |= told.draining;
         self.unlisted_since = None;
-        if told.cold_ms > 0 {
+        if told.slow_start_ms > 0 {
             self.turned_cold_at = if was_warm { Some(now) } else { self.turned_cold_at };
             self.cold_until =
-                self.cold_until.max(now.saturating_add(told.cold_ms).saturating_add(COLD_MARGIN_MS));
+                self.cold_until.max(now.saturating_add(told.slow_start_ms).saturating_add(COLD_MARGIN_MS));
         }
     }
 
--- a/dataplane/routing/tests/cold.rs
+++ b/dataplane/routing/tests/cold.rs
@@ -10,8 +10,8 @@
 
 const BEARS: f64 = 9.9;
 
-fn cold(number: u8, zone: &str, cold_ms: u64) -> Instance {
-    Instance { cold_ms, ..instance(number, zone) }
+fn cold(number: u8, zone: &str, slow_start_ms: u64) -> Instance {
+    Instance { slow_start_ms, ..instance(number, zone) }
 }
 
 fn router_of(settings: RouterSettings, bears: f64, balancers: u32, instances: Vec<Instance>) -> Router {
@@ -85,11 +85,11 @@
 /// last one was sent to.
 fn sends_to_the_last_that_tells_it() -> Vec<u64> {
     let told_cold = |now: u64| {
-        let cold_ms = |number: u64| {
+        let slow_start_ms = |number: u64| {
             let told_at = if number == 6 { 12_000 } else { 10_000 + 60 * number };
             if now >= told_at { 13_000 - now } else { 0 }
         };
-        list((1..=6).map(|number| cold(number as u8, "za", cold_ms(number))).collect())
+        list((1..=6).map(|number| cold(number as u8, "za", slow_start_ms(number))).collect())
     };
     let warm = || (1..=6).map(|number| instance(number, "za")).collect();
     let mut routers = [1, 2].map(|seed| router_of(settings("a", seed), BEARS, 6, warm()));
@@ -127,9 +127,9 @@
 }
 
 /// The refusal of a request after the share of a cold instance is used up, so long before the instance is warm.
-fn refused_before_warm(cold_ms: u64) -> Refusal {
-    let mut router = router_of(settings("a", 1), BEARS, 1, vec![cold(1, "za", cold_ms)]);
-    let first = (0..cold_ms).find(|&now| send_and_serve(&mut router, now).is_some()).expect("a send");
+fn refused_before_warm(slow_start_ms: u64) -> Refusal {
+    let mut router = router_of(settings("a", 1), BEARS, 1, vec![cold(1, "za", slow_start_ms)]);
+    let first = (0..slow_start_ms).find(|&now| send_and_serve(&mut router, now).is_some()).expect("a send");
     assert!(first < 150, "{first}");
     refusal(router.choose(first + 1, &facts(), &[]))
 }
--- a/dataplane/routing/tests/common/mod.rs
+++ b/dataplane/routing/tests/common/mod.rs
@@ -96,7 +96,7 @@
         zone: zone.to_owned(),
         slots: 16,
         draining: false,
-        cold_ms: 0,
+        slow_start_ms: 0,
     }
 }
 
--- a/dataplane/routing/tests/ordinary_path.rs
+++ b/dataplane/routing/tests/ordinary_path.rs
@@ -243,7 +243,7 @@
     let mut router = Router::new(settings("a", seed), 0);
     router.configure(0, &configuration(GENERATION, vec![split], services));
     let one = Instance { service: "one".into(), ..instance(1, "za") };
-    let two = Instance { service: "two".into(), cold_ms: second_cold_ms, ..instance(2, "za") };
+    let two = Instance { service: "two".into(), slow_start_ms: second_cold_ms, ..instance(2, "za") };
     router.instances(0, &list(vec![one, two]));
     router.fleet(0, &fleet(30, vec![]));
     router
@@ -285,10 +285,10 @@
 
 #[test]
 fn a_part_of_a_split_that_turns_requests_away_is_cold_or_rests_keeps_its_share() {
-    for (outcome, cold_ms) in
+    for (outcome, slow_start_ms) in
         [(Outcome::Served, 60_000), (Outcome::Rejected, 0), (Outcome::Broken, 0), (Outcome::Unreachable, 0)]
     {
-        let mut router = split_router(1, [50.0, 50.0], cold_ms);
+        let mut router = split_router(1, [50.0, 50.0], slow_start_ms);
         let mut second = 0;
         for request in 0..200 {
             let now = request * 20;
--- a/dataplane/routing/tests/rules.rs
+++ b/dataplane/routing/tests/rules.rs
@@ -181,7 +181,7 @@
                 let shown =
                     all.iter().filter(|instance| !is(*hidden, &instance.id)).map(|instance| Instance {
                         draining: is(*draining, &instance.id),
-                        cold_ms: if is(*cold, &instance.id) { 700 } else { 0 },
+                        slow_start_ms: if is(*cold, &instance.id) { 700 } else { 0 },
                         ..instance.clone()
                     });
                 router.instances(now, &list(shown.collect()));
--- a/lab/cli/src/fleet.rs
+++ b/lab/cli/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use clap::Args;
 use rayon::prelude::*;
-use whinspindle_fleet_policy::AsPublished;
+use whinspindle_fleet_policy::StandardConsensusRules;
 use whinspindle_lab_model_checker::members::{Plan, World, hunt, search};
 use whinspindle_lab_model_checker::sizes::{Fleet, measure, schedule};
 
@@ -82,9 +82,9 @@
         println!("BROKEN: {what}");
         Ok(ExitCode::from(3))
     };
-    let searched = search::<AsPublished>(Plan::default(), false, line.departures, line.states);
+    let searched = search::<StandardConsensusRules>(Plan::default(), false, line.departures, line.states);
     if let Some((what, departures)) = searched.broken {
-        World::<AsPublished>::new(Plan::default(), false)
+        World::<StandardConsensusRules>::new(Plan::default(), false)
             .tell(&departures)
             .iter()
             .for_each(|line| println!("{line}"));
@@ -109,7 +109,7 @@
             },
         ]
         .into_iter()
-        .find_map(|plan| hunt::<AsPublished>(plan, false, seeds.clone(), 6).broken)
+        .find_map(|plan| hunt::<StandardConsensusRules>(plan, false, seeds.clone(), 6).broken)
     };
     if let Some((what, departures)) = blocks.par_iter().find_map_any(drawn) {
         return broken(format!("{what}, by {departures:?}"));
--- a/lab/model-checker/src/members/judge.rs
+++ b/lab/model-checker/src/members/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use whinspindle_fleet_policy::{Laws, Record, Right, Unit, Way};
+use whinspindle_fleet_policy::{MemberRules, Record, Right, Unit, Way};
 
 use super::schedule::{DRIFT, RIGHT, STEP, WATCHED, clock};
 use super::world::{Place, World};
@@ -34,7 +34,7 @@
 impl Judge {
     /// What a step that is seen for the first time lets out: one at most, never after a halt, none twice, and
     /// none while another has been down for long.
-    fn units<L: Laws>(
+    fn units<L: MemberRules>(
         &mut self,
         record: &Record,
         places: &[Place<L>],
@@ -87,7 +87,7 @@
     }
 }
 
-impl<L: Laws> World<L> {
+impl<L: MemberRules> World<L> {
     /// What is wrong by now, if anything is.
     pub(super) fn judge(&mut self) -> Result<(), String> {
         let time = self.step * STEP;
--- a/lab/model-checker/src/members/outcome.rs
+++ b/lab/model-checker/src/members/outcome.rs
@@ -1,12 +1,12 @@
 //! What became of a schedule: questions that tests ask of its end.
 
-use whinspindle_fleet_policy::{Laws, Member, Record, Right};
+use whinspindle_fleet_policy::{Member, MemberRules, Record, Right};
 
 use super::schedule::{VOTERS, clock};
 use super::world::{Place, World};
 use crate::net::Net;
 
-impl<L: Laws> World<L> {
+impl<L: MemberRules> World<L> {
     /// The number in force in the end, as each running member knows it.
     pub fn in_force(&self) -> Vec<Option<u64>> {
         let number = |place: &Place<L>| place.member.as_ref().map(|member| member.record().policy.number);
@@ -36,7 +36,7 @@
     pub fn voters(&self) -> Vec<Vec<u16>> {
         let members = self.places.iter().filter_map(|place| place.member.as_ref());
         let voters = |member: &Member<Net, L>| {
-            member.record().boards.iter().flatten().map(|voter| voter.member).collect()
+            member.record().voter_sets.iter().flatten().map(|voter| voter.member).collect()
         };
         members.map(voters).collect()
     }
--- a/lab/model-checker/src/members/search.rs
+++ b/lab/model-checker/src/members/search.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use whinspindle_fleet_policy::Laws;
+use whinspindle_fleet_policy::MemberRules;
 use whinspindle_lab_model::dice::{Concern, Dice};
 
 use super::schedule::{Departure, FAULTS, Plan};
@@ -19,7 +19,7 @@
 
 /// Every schedule with up to `most` departures, each at any delivery and in any way. A state that was met
 /// before with as many departures left is not gone on from. `limit` bounds the states.
-pub fn search<L: Laws>(plan: Plan, forgets: bool, most: usize, limit: usize) -> Searched {
+pub fn search<L: MemberRules>(plan: Plan, forgets: bool, most: usize, limit: usize) -> Searched {
     let mut searched = Searched::default();
     // Few departures first, so that what is found is the shortest.
     for left in 0..=most {
@@ -34,7 +34,7 @@
     searched
 }
 
-fn walk<L: Laws>(
+fn walk<L: MemberRules>(
     mut world: World<L>,
     left: usize,
     met: &mut HashMap<u64, usize>,
@@ -84,7 +84,7 @@
 
 /// Schedules drawn by seed: from 1 to `most` departures at any place. The first that breaks something, shrunk
 /// to the departures that are needed for it.
-pub fn hunt<L: Laws>(plan: Plan, forgets: bool, seeds: std::ops::Range<u64>, most: usize) -> Searched {
+pub fn hunt<L: MemberRules>(plan: Plan, forgets: bool, seeds: std::ops::Range<u64>, most: usize) -> Searched {
     let mut searched = Searched::default();
     let deliveries = World::<L>::new(plan, forgets).play(&[]).map_or(0, |world| world.events);
     for seed in seeds {
--- a/lab/model-checker/src/members/world.rs
+++ b/lab/model-checker/src/members/world.rs
@@ -4,7 +4,7 @@
 use std::hash::{Hash, Hasher};
 
 use whinspindle_fleet_policy::{
-    Hash as Name, Laws, Member, Memory, Message, Objection, Record, Unit, Want, Way,
+    Hash as Name, Member, MemberRules, Memory, Message, Objection, Record, Unit, Want, Way,
 };
 
 use super::judge::{Judge, hash_of};
@@ -13,7 +13,7 @@
 
 /// A member's process, up or down, with its disk.
 #[derive(Clone)]
-pub(super) struct Place<L: Laws> {
+pub(super) struct Place<L: MemberRules> {
     pub(super) member: Option<Member<Net, L>>,
     pub(super) disk: Option<Memory>,
     /// Back from a crash at this step; standing still, cut off or deaf until then.
@@ -39,7 +39,7 @@
 
 /// A fleet in the middle of a schedule.
 #[derive(Clone)]
-pub struct World<L: Laws> {
+pub struct World<L: MemberRules> {
     pub(super) step: u64,
     /// The member that ticks next in this step.
     pub(super) turn: u16,
@@ -51,8 +51,8 @@
     pub(super) forgets: bool,
 }
 
-impl<L: Laws> World<L> {
-    /// `forgets`: a lost disk gives the birth back, and no votes.
+impl<L: MemberRules> World<L> {
+    /// `forgets`: a lost disk gives the incarnation back, and no votes.
     pub fn new(plan: Plan, forgets: bool) -> Self {
         let place = Place {
             member: None,
@@ -210,10 +210,13 @@
                 let place = &mut self.places[to];
                 (place.member, place.back, place.down_since) = (None, step + by, step);
                 if matches!(fault, Fault::LostDisk(_)) {
-                    let birth = place.disk.take().map(|disk| disk.birth);
-                    let memory =
-                        |birth| Memory { birth, votes: Default::default(), record: Record::default() };
-                    place.disk = birth.filter(|_| self.forgets).map(memory);
+                    let incarnation = place.disk.take().map(|disk| disk.incarnation);
+                    let memory = |incarnation| Memory {
+                        incarnation,
+                        votes: Default::default(),
+                        record: Record::default(),
+                    };
+                    place.disk = incarnation.filter(|_| self.forgets).map(memory);
                 }
             }
             Fault::Stop(by) => {
@@ -302,7 +305,7 @@
     }
 }
 
-impl<L: Laws> World<L> {
+impl<L: MemberRules> World<L> {
     /// A copy whose members write to places of their own.
     pub(super) fn clone_apart(&self) -> Self {
         let mut copy = self.clone();
--- a/lab/model-checker/src/plants.rs
+++ b/lab/model-checker/src/plants.rs
@@ -1,9 +1,9 @@
-//! Faults planted in the laws of the core: each is one rule left out, and each must be found.
+//! Faults planted in the rules of the core: each is one rule left out, and each must be found.
 
 use std::collections::BTreeSet;
 
-use whinspindle_consensus::{Agreed, Ballot, Laws as Counting, Voter};
-use whinspindle_fleet_policy::{Laws, No, Record, Terms, Wish};
+use whinspindle_consensus::{Ballot, ConsensusRules as Counting, RegisterValue, Voter};
+use whinspindle_fleet_policy::{MemberRules, No, Record, Terms, Wish};
 use whinspindle_rollout::{Next, Progress};
 
 macro_rules! plant {
@@ -12,7 +12,7 @@
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub struct $name;
         impl Counting for $name { $($counting)* }
-        impl Laws for $name { $($member)* }
+        impl MemberRules for $name { $($member)* }
     };
 }
 
@@ -35,7 +35,7 @@
 plant! {
     /// A round starts from the oldest that voters have accepted.
     OldestAdopted, counting {
-        fn newest<'a, V>(accepted: impl Iterator<Item = &'a (Ballot, V)>) -> Option<&'a V> {
+        fn newest_accepted<'a, V>(accepted: impl Iterator<Item = &'a (Ballot, V)>) -> Option<&'a V> {
             accepted.min_by_key(|(ballot, _)| *ballot).map(|(_, value)| value)
         }
     }, member {}
@@ -43,7 +43,7 @@
 plant! {
     /// A round takes no heed of what voters have accepted.
     NothingAdopted, counting {
-        fn newest<'a, V>(_: impl Iterator<Item = &'a (Ballot, V)>) -> Option<&'a V> {
+        fn newest_accepted<'a, V>(_: impl Iterator<Item = &'a (Ballot, V)>) -> Option<&'a V> {
             None
         }
     }, member {}
@@ -51,8 +51,8 @@
 plant! {
     /// Voters are replaced by a majority of the new board alone.
     NewBoardAlone, counting {
-        fn boards_to_write<V: Agreed>(_: &V, written: &V) -> Vec<Vec<Voter>> {
-            written.boards().last().cloned().into_iter().collect()
+        fn voter_sets_to_write<V: RegisterValue>(_: &V, written: &V) -> Vec<Vec<Voter>> {
+            written.voter_sets().last().cloned().into_iter().collect()
         }
     }, member {}
 }
--- a/lab/model-checker/src/register.rs
+++ b/lab/model-checker/src/register.rs
@@ -6,20 +6,20 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use whinspindle_consensus::{Agreed, Ballot, Laws, Round, Voter, Votes};
+use whinspindle_consensus::{AcceptorState, Ballot, ConsensusRules, RegisterValue, Round, Voter};
 
 /// A value whose changes are letters; each that is agreed on must begin with those before it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Word {
-    boards: Vec<Vec<Voter>>,
+    voter_sets: Vec<Vec<Voter>>,
     letters: String,
 }
 
-impl Agreed for Word {
-    fn boards(&self) -> &[Vec<Voter>] {
-        &self.boards
+impl RegisterValue for Word {
+    fn voter_sets(&self) -> &[Vec<Voter>] {
+        &self.voter_sets
     }
-    fn is_founded(&self) -> bool {
+    fn is_bootstrapped(&self) -> bool {
         !self.letters.is_empty()
     }
 }
@@ -33,9 +33,9 @@
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct State {
-    votes: BTreeMap<Voter, Votes<Word>>,
-    /// The present birth of each voter.
-    births: Vec<u64>,
+    votes: BTreeMap<Voter, AcceptorState<Word>>,
+    /// The present incarnation of each voter.
+    incarnations: Vec<u64>,
     rounds: Vec<Option<Round<Word>>>,
     left: Vec<u8>,
     memories: u8,
@@ -70,15 +70,15 @@
     pub broken: Option<(String, Vec<String>)>,
 }
 
-fn voter(member: u16, birth: u64) -> Voter {
-    Voter { member, birth }
+fn voter(member: u16, incarnation: u64) -> Voter {
+    Voter { member, incarnation }
 }
 
 impl State {
     fn new(bound: &Bound) -> State {
         State {
             votes: BTreeMap::new(),
-            births: vec![1; 4],
+            incarnations: vec![1; 4],
             rounds: vec![None, None],
             left: bound.rounds.to_vec(),
             memories: bound.memories,
@@ -89,23 +89,23 @@
     }
 
     fn known() -> Word {
-        Word { boards: vec![(0..3).map(|member| voter(member, 1)).collect()], letters: "0".to_string() }
+        Word { voter_sets: vec![(0..3).map(|member| voter(member, 1)).collect()], letters: "0".to_string() }
     }
 
     fn change(&self, proposer: usize, found: &Word) -> Word {
         let mut word = found.clone();
         let step = self.steps[proposer];
-        if step == 'r' && word.boards.len() == 1 && !word.letters.contains('r') {
-            word.boards.push([0, 1, 3].map(|member| voter(member, 1)).to_vec());
-        } else if word.boards.len() == 2 {
-            word.boards.remove(0);
+        if step == 'r' && word.voter_sets.len() == 1 && !word.letters.contains('r') {
+            word.voter_sets.push([0, 1, 3].map(|member| voter(member, 1)).to_vec());
+        } else if word.voter_sets.len() == 2 {
+            word.voter_sets.remove(0);
         }
         word.letters.push(step);
         word
     }
 
     /// All that can happen next, in words.
-    fn next<L: Laws>(&self, forgets: bool, prompt: bool) -> Vec<(String, State)> {
+    fn next<L: ConsensusRules>(&self, forgets: bool, prompt: bool) -> Vec<(String, State)> {
         let mut next = Vec::new();
         for proposer in 0..2 {
             if self.left[proposer] > 0 {
@@ -114,7 +114,7 @@
                 let round = u64::from(self.rounds_begun(proposer)) * 2 + proposer as u64 + 1;
                 let ballot = Ballot { epoch: 1, round, member: proposer as u16, start: 0 };
                 let begun = Round::new(ballot, State::known());
-                for asked in begun.unheard::<L>() {
+                for asked in begun.awaiting_promise::<L>() {
                     s.sent.insert(Sent::Prepare(ballot, asked.member));
                 }
                 s.rounds[proposer] = Some(begun);
@@ -124,10 +124,10 @@
         if self.memories > 0 {
             let mut s = self.clone();
             s.memories -= 1;
-            let old = voter(2, s.births[2]);
+            let old = voter(2, s.incarnations[2]);
             s.votes.remove(&old);
             if !forgets {
-                s.births[2] += 1;
+                s.incarnations[2] += 1;
             }
             next.push(("voter 2 loses its memory".to_string(), s));
         }
@@ -152,11 +152,11 @@
         ballots.collect::<BTreeSet<u64>>().len() as u8
     }
 
-    fn deliver<L: Laws>(&self, sent: &Sent) -> Option<(String, State)> {
+    fn deliver<L: ConsensusRules>(&self, sent: &Sent) -> Option<(String, State)> {
         let mut s = self.clone();
         let words = match sent {
             Sent::Prepare(ballot, member) => {
-                let me = voter(*member, s.births[*member as usize]);
+                let me = voter(*member, s.incarnations[*member as usize]);
                 let votes = s.votes.entry(me).or_default();
                 votes.prepare(*ballot).ok()?;
                 let accepted = votes.accepted.clone();
@@ -164,12 +164,12 @@
                 format!("voter {member} promises round {}", ballot.round)
             }
             Sent::Accept(ballot, member, word) => {
-                let me = voter(*member, s.births[*member as usize]);
+                let me = voter(*member, s.incarnations[*member as usize]);
                 s.votes.entry(me).or_default().accept::<L>(*ballot, word.clone()).ok()?;
                 // The vote is heard at once, or never if its proposer has gone on: both bring out the most.
                 let round = s.rounds[ballot.member as usize].as_mut();
                 let round = round.filter(|round| round.ballot == *ballot);
-                if let Some(word) = round.and_then(|round| round.voted::<L>(me)) {
+                if let Some(word) = round.and_then(|round| round.record_vote::<L>(me)) {
                     s.agreed.insert(word.letters.clone());
                 }
                 format!("voter {member} votes for {:?} of round {}", word.letters, ballot.round)
@@ -177,16 +177,16 @@
             Sent::Promise(ballot, from, accepted) => {
                 let proposer = ballot.member as usize;
                 let round = s.rounds[proposer].as_mut().filter(|round| round.ballot == *ballot)?;
-                if round.is_writing() {
+                if round.is_proposing() {
                     return None;
                 }
-                round.promised(*from, accepted.clone());
-                for asked in round.unheard::<L>() {
+                round.record_promise(*from, accepted.clone());
+                for asked in round.awaiting_promise::<L>() {
                     s.sent.insert(Sent::Prepare(*ballot, asked.member));
                 }
-                if let Some(found) = round.found::<L>().cloned() {
+                if let Some(found) = round.prepared_value::<L>().cloned() {
                     let word = self.change(proposer, &found);
-                    for asked in s.rounds[proposer].as_mut()?.write::<L>(word.clone()) {
+                    for asked in s.rounds[proposer].as_mut()?.propose::<L>(word.clone()) {
                         s.sent.insert(Sent::Accept(*ballot, asked.member, word.clone()));
                     }
                 }
@@ -214,8 +214,8 @@
 }
 
 /// Breadth first, so that what is found has the shortest way. `forgets` lets a voter without its memory keep its
-/// birth.
-pub fn search<L: Laws>(bound: &Bound, forgets: bool) -> Searched {
+/// incarnation.
+pub fn search<L: ConsensusRules>(bound: &Bound, forgets: bool) -> Searched {
     let mut first = State::new(bound);
     for words in bound.before {
         let next = first.next::<L>(forgets, bound.prompt);
--- a/lab/model-checker/src/sizes.rs
+++ b/lab/model-checker/src/sizes.rs
@@ -7,7 +7,9 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use whinspindle_fleet_policy::{AsPublished, Fate, Member, Memory, Message, Objection, Right, Terms};
+use whinspindle_fleet_policy::{
+    Fate, Member, Memory, Message, Objection, Right, StandardConsensusRules, Terms,
+};
 use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_peer_transport::{DATAGRAM, Peers};
 
@@ -87,7 +89,7 @@
 }
 
 struct Place {
-    member: Option<Member<Net, AsPublished>>,
+    member: Option<Member<Net, StandardConsensusRules>>,
     disk: Option<Memory>,
     texts: Vec<Rc<[u8]>>,
     peers: Peers,
@@ -326,19 +328,21 @@
     fn all_decide_by(&self, number: u64) -> bool {
         (0..self.fleet.members).all(|me| {
             let place = &self.places[me as usize];
-            let by =
-                |member: &Member<Net, AsPublished>| member.right(self.clock(me)) == Right::Policy(number);
+            let by = |member: &Member<Net, StandardConsensusRules>| {
+                member.right(self.clock(me)) == Right::Policy(number)
+            };
             !self.is_there(place) || place.member.as_ref().is_some_and(by)
         })
     }
 
-    /// Whether a majority of each board that the first member knows still has the births that it counts.
+    /// Whether a majority of each board that the first member knows still has the incarnations that it counts.
     fn can_decide(&self) -> bool {
         let members = || self.places.iter().filter_map(|place| place.member.as_ref());
-        let births: Vec<_> = members().map(Member::voter).collect();
-        let counts =
-            |board: &Vec<_>| 2 * board.iter().filter(|voter| births.contains(voter)).count() > board.len();
-        members().next().is_some_and(|member| member.record().boards.iter().all(counts))
+        let incarnations: Vec<_> = members().map(Member::voter).collect();
+        let counts = |voter_set: &Vec<_>| {
+            2 * voter_set.iter().filter(|voter| incarnations.contains(voter)).count() > voter_set.len()
+        };
+        members().next().is_some_and(|member| member.record().voter_sets.iter().all(counts))
     }
 
     fn sent(&self) -> [(u64, u64); 2] {
@@ -381,7 +385,7 @@
 pub fn measure(fleet: &Fleet) -> Result<Measured, String> {
     let mut world = World::new(fleet);
     world.run(SECOND);
-    // The voters know of one another's births by then, and the founding goes on until it is done.
+    // The voters know of one another's incarnations by then, and the founding goes on until it is done.
     world.found();
     // A steward must have been up for as long as one that is away is unheard.
     world.run(40 * SECOND);
--- a/lab/model-checker/tests/members.rs
+++ b/lab/model-checker/tests/members.rs
@@ -1,6 +1,6 @@
 //! Whole members, with departures from the plain schedule at every delivery, and the faults that these find.
 
-use whinspindle_fleet_policy::{AsPublished, Laws, Right};
+use whinspindle_fleet_policy::{MemberRules, Right, StandardConsensusRules};
 use whinspindle_lab_model_checker::members::{Fault, PLAIN, Plan, World, hunt, search};
 use whinspindle_lab_model_checker::plants::*;
 
@@ -14,7 +14,7 @@
         (OUTS, 0),
         (MOVES, 2),
     ] {
-        let end = World::<AsPublished>::new(plan, false).play(&[]).expect("nothing is broken");
+        let end = World::<StandardConsensusRules>::new(plan, false).play(&[]).expect("nothing is broken");
         assert_eq!(end.in_force(), vec![Some(number); 5], "{plan:?}");
         assert_eq!(end.released(), if plan.outs.is_some() { 2 } else { 0 }, "{plan:?}");
         assert_eq!(end.rights(), vec![Some(Right::Policy(number)); 5], "{plan:?}");
@@ -26,7 +26,7 @@
     // The halt was done again and again: voters kept the wish for it, and the one for its end.
     for halts in [[3, 4], [3, 5], [3, 3], [4, 8]] {
         let plan = Plan { proposed: [99, 99], halts: Some(halts), ..Plan::default() };
-        let end = World::<AsPublished>::new(plan, false).play(&[]).expect("nothing is broken");
+        let end = World::<StandardConsensusRules>::new(plan, false).play(&[]).expect("nothing is broken");
         // Founded, halted, resumed; where the end came first there was nothing to end.
         assert!(
             end.halted().iter().all(|(halted, steps)| *steps <= 3 && *halted == (*steps < 3)),
@@ -38,14 +38,14 @@
 #[test]
 fn a_release_goes_in_waves_and_back() {
     for (plan, end) in [(RELEASE, "Done 2"), (TURNED, "TakenBack 0")] {
-        let world = World::<AsPublished>::new(plan, false).play(&[]).expect("nothing is broken");
+        let world = World::<StandardConsensusRules>::new(plan, false).play(&[]).expect("nothing is broken");
         assert_eq!(world.releases(), vec![end; 5], "{plan:?}");
     }
 }
 
 #[test]
 fn a_voter_makes_way_and_the_new_board_goes_on() {
-    let end = World::<AsPublished>::new(MOVES, false).play(&[]).expect("nothing is broken");
+    let end = World::<StandardConsensusRules>::new(MOVES, false).play(&[]).expect("nothing is broken");
     assert_eq!(end.voters(), vec![vec![0, 1, 4]; 5]);
 }
 
@@ -55,7 +55,7 @@
     // down.
     let plan = Plan { outs: Some([6, 6]), ..Plan::default() };
     let departures = [(251, Fault::Late(4)), (244, Fault::Crash(9)), (279, Fault::Stop(7))];
-    assert_eq!(World::<AsPublished>::new(plan, false).play(&departures).err(), None);
+    assert_eq!(World::<StandardConsensusRules>::new(plan, false).play(&departures).err(), None);
 }
 
 #[test]
@@ -64,10 +64,12 @@
     // count.
     let plan = Plan { steps: 60, ..Plan::default() };
     let deliveries =
-        World::<AsPublished>::new(plan, false).play(&[]).expect("nothing is broken").deliveries();
+        World::<StandardConsensusRules>::new(plan, false).play(&[]).expect("nothing is broken").deliveries();
     for at in 1..deliveries.min(400) {
         for fault in [Fault::LostDisk(2), Fault::Crash(9), Fault::Deaf(9), Fault::Cut(9), Fault::Stop(7)] {
-            let end = World::<AsPublished>::new(plan, false).play(&[(at, fault)]).expect("nothing is broken");
+            let end = World::<StandardConsensusRules>::new(plan, false)
+                .play(&[(at, fault)])
+                .expect("nothing is broken");
             // A proposer that dies before its wish is heard takes it with it.
             let rights = end.rights();
             let same =
@@ -82,11 +84,11 @@
 
 #[test]
 fn as_published_no_departure_breaks_anything() {
-    let searched = search::<AsPublished>(Plan::default(), false, 1, 100_000);
+    let searched = search::<StandardConsensusRules>(Plan::default(), false, 1, 100_000);
     println!("one departure: {} states, {} schedules", searched.states, searched.schedules);
     assert_eq!(searched.broken, None);
     for plan in [Plan::default(), HASTY, OUTS, MOVES, RELEASE, TURNED] {
-        assert_eq!(hunt::<AsPublished>(plan, false, 0..300, 6).broken, None, "{plan:?}");
+        assert_eq!(hunt::<StandardConsensusRules>(plan, false, 0..300, 6).broken, None, "{plan:?}");
     }
 }
 
@@ -104,7 +106,7 @@
 const RELEASE: Plan = Plan { outs: Some([4, 4]), release: Some([4, 99]), steps: 45, ..PLAIN };
 const TURNED: Plan = Plan { release: Some([4, 18]), steps: 60, ..RELEASE };
 
-fn found<L: Laws>(plan: Plan, forgets: bool) {
+fn found<L: MemberRules>(plan: Plan, forgets: bool) {
     let searched = search::<L>(plan, forgets, 1, 50_000);
     let broken = searched.broken.or_else(|| hunt::<L>(plan, forgets, 0..20_000, 6).broken);
     let (broken, departures) =
--- a/lab/model-checker/tests/register.rs
+++ b/lab/model-checker/tests/register.rs
@@ -1,6 +1,6 @@
 //! Every order of deliveries, and the faults that it finds.
 
-use whinspindle_consensus::{AsPublished, Laws};
+use whinspindle_consensus::{ConsensusRules, StandardConsensusRules};
 use whinspindle_lab_model_checker::plants::*;
 use whinspindle_lab_model_checker::register::{Bound, Searched, search};
 
@@ -62,14 +62,14 @@
         ("three rounds", THREE, false),
         ("a voter replaced", REPLACED, false),
     ] {
-        let Searched { states, whole: seen, broken } = search::<AsPublished>(&bound, false);
+        let Searched { states, whole: seen, broken } = search::<StandardConsensusRules>(&bound, false);
         println!("{name}: {states} states");
         assert_eq!((broken, seen), (None, whole), "{name}");
         assert!(states > 1_000, "{name}: {states}");
     }
 }
 
-fn found<L: Laws>(bound: &Bound, forgets: bool, longest: usize) {
+fn found<L: ConsensusRules>(bound: &Bound, forgets: bool, longest: usize) {
     let (broken, way) = search::<L>(bound, forgets).broken.expect("the planted fault is found");
     println!("{}: {broken}\n  {}", std::any::type_name::<L>(), way.join("\n  "));
     assert!(way.len() <= longest, "{way:?}");
@@ -82,5 +82,5 @@
     found::<NothingAdopted>(&TWO, false, 20);
     found::<OldestAdopted>(&THREE, false, 24);
     found::<NewBoardAlone>(&REPLACED, false, 24);
-    found::<AsPublished>(&FORGOTTEN, true, 20);
+    found::<StandardConsensusRules>(&FORGOTTEN, true, 20);
 }
--- a/programs/balancer/src/fleet/requests.rs
+++ b/programs/balancer/src/fleet/requests.rs
@@ -86,7 +86,8 @@
                 Ok(json!({"begun": true}))
             }
             Request::Voters { old, new } => {
-                let votes = |member: u16| record.boards.iter().flatten().any(|voter| voter.member == member);
+                let votes =
+                    |member: u16| record.voter_sets.iter().flatten().any(|voter| voter.member == member);
                 if !votes(old) {
                     return Err(format!("member {old} does not vote"));
                 }
--- a/programs/balancer/src/fleet/status.rs
+++ b/programs/balancer/src/fleet/status.rs
@@ -89,7 +89,7 @@
                 Unit::Server(key) => json!({"server": format!("{key:016x}"), "by": out.wish.by}),
             })
             .collect();
-        let voters: Vec<u16> = record.boards.iter().flatten().map(|voter| voter.member).collect();
+        let voters: Vec<u16> = record.voter_sets.iter().flatten().map(|voter| voter.member).collect();
         json!({"me": member.terms().me, "founded": record.founding != 0, "epoch": record.epoch(), "version": record.version,
             "voters": voters, "isVoter": member.is_voter(), "right": right_words(member.right(now)),
             "why": if member.right(now) == Right::CutOff { member.why_cut_off(now) } else { String::new() },
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -102,7 +102,7 @@
             give_up: terms.give_up,
             learn: terms.learn,
         };
-        // A birth of 0 would pass for none.
+        // A incarnation of 0 would pass for none.
         let start = rand::random::<u64>() | 1;
         let mut member = Member::new(environment, terms, memory, start, clock.now());
         texts.iter().for_each(|text| member.hold(text));
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -99,7 +99,7 @@
         #[command(flatten)]
         wait: Wait,
     },
-    /// One voter makes way for another balancer. Exit 0 when both boards have agreed, 3 still under way
+    /// One voter makes way for another balancer. Exit 0 when both voter_sets have agreed, 3 still under way
     Voter {
         old: u16,
         /// The one that votes in its place
@@ -212,7 +212,7 @@
             waited(wait, ask, |status| {
                 let voters = status["voters"].as_array()?;
                 let votes = |member: &u16| voters.iter().any(|voter| *voter == *member);
-                // While both boards vote, the old one is still named.
+                // While both voter_sets vote, the old one is still named.
                 (votes(new) && !votes(old)).then(|| (format!("member {new} votes in place of {old}"), 0))
             })
         }
