--- /dev/null
+++ b/controlplane/distribution/tests/wire_fixtures.rs
@@ -0,0 +1,293 @@
+//! Messages and frames as earlier sources sent them: they mean the same, and the same bytes are written again.
+
+#[path = "../../../coordination/replica/tests/fixtures/mod.rs"]
+mod fixtures;
+
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+use std::net::SocketAddr;
+
+use bytes::Bytes;
+use whinspindle_distribution::frame::{FrameBuffer, FrameDecoder, FrameKind};
+use whinspindle_distribution::{
+    Configured, ControllerAddress, Evacuations, Fleet, Gossip, GossipInstance, GossipLease, GossipScope,
+    Hello, Instance, InstanceChanges, InstanceFailures, Instances, Link, RegionLoad, Report, Role,
+    ServiceRegion, ToBalancer, Update, Versions, decode_gossip, decode_hello, decode_report,
+    decode_to_balancer, encode_gossip, encode_hello, encode_report, encode_to_balancer,
+};
+
+fn v4() -> SocketAddr {
+    "10.1.2.3:7700".parse().unwrap()
+}
+
+fn v6() -> SocketAddr {
+    "[2001:db8::5:6]:7701".parse().unwrap()
+}
+
+/// The fixture means this message, and this message is written as the fixture.
+fn check<T: Debug + PartialEq, E: Debug>(
+    name: &str,
+    message: &T,
+    encode: impl Fn(&T) -> Vec<u8>,
+    decode: impl Fn(&[u8]) -> Result<T, E>,
+) {
+    let stored = fixtures::read(&format!("{name}.bin"), &encode(message));
+    let read = decode(&stored).expect(name);
+    assert_eq!(&read, message, "{name}");
+    assert_eq!(encode(&read), stored, "{name}");
+}
+
+fn loads() -> Vec<RegionLoad> {
+    let load = |service: &str, region: &str, requests_per_s| RegionLoad {
+        target: ServiceRegion { service: service.to_owned(), region: region.to_owned() },
+        requests_per_s,
+    };
+    vec![load("desk", "north", 12.625), load("modèle", "south", 0.1)]
+}
+
+fn failing() -> Vec<InstanceFailures> {
+    let failures = |id: &str, failures| InstanceFailures { id: id.to_owned(), failures };
+    vec![failures("desk-1", 3), failures("desk-2", u32::MAX)]
+}
+
+fn instances() -> Vec<Instance> {
+    let ready = Instance {
+        id: "desk-1".to_owned(),
+        service: "desk".to_owned(),
+        address: v4(),
+        zone: "zone-a".to_owned(),
+        slots: 6,
+        draining: false,
+        cold_ms: 2_500,
+    };
+    let draining = Instance {
+        id: "model-7".to_owned(),
+        service: "modèle".to_owned(),
+        address: v6(),
+        zone: "zone-c".to_owned(),
+        slots: u32::MAX,
+        draining: true,
+        cold_ms: u64::MAX,
+    };
+    vec![ready, draining, Instance::ended("desk-9".to_owned())]
+}
+
+const ROLES: usize = 2;
+
+fn role(hello: &Hello) -> usize {
+    let Hello { role, endpoint: _ } = hello;
+    match role {
+        Role::Peer => 0,
+        Role::Balancer => 1,
+    }
+}
+
+#[test]
+fn hellos_are_read_and_written_as_they_were() {
+    let hellos = [
+        ("hello-peer", Hello { role: Role::Peer, endpoint: v4() }),
+        ("hello-balancer", Hello { role: Role::Balancer, endpoint: v6() }),
+    ];
+    let roles: BTreeSet<usize> = hellos.iter().map(|(_, hello)| role(hello)).collect();
+    assert_eq!(roles, (0..ROLES).collect());
+    for (name, hello) in &hellos {
+        check(name, hello, encode_hello, decode_hello);
+    }
+}
+
+fn link() -> Link {
+    let controller = |endpoint, zone: &str, region: &str| ControllerAddress {
+        endpoint,
+        zone: zone.to_owned(),
+        region: region.to_owned(),
+    };
+    let controllers = vec![controller(v4(), "zone-a", "north"), controller(v6(), "zone-c", "south")];
+    Link { in_quorum: true, leaving: false, controllers }
+}
+
+fn update() -> Update {
+    let body = Bytes::from_static(b"{\"generation\": 7,  \"routes\": []}\n");
+    Update {
+        configured: Some(Configured { sequence: 901, body }),
+        evacuations: Some(Evacuations {
+            sequence: 902,
+            zones: vec!["zone-a".to_owned(), "zone-ü".to_owned()],
+        }),
+        instances: Some(Instances { version: 31, list: instances() }),
+        fleet: Some(Fleet {
+            version: 17,
+            balancers: 5,
+            loads: loads(),
+            failing: vec!["desk-1".to_owned(), "desk-2".to_owned()],
+        }),
+        changes: Some(InstanceChanges {
+            base: 29,
+            version: 30,
+            changed: instances(),
+            removed: vec!["desk-3".to_owned(), "desk-4".to_owned()],
+        }),
+    }
+}
+
+const TO_BALANCER_KINDS: usize = 2;
+
+fn to_balancer_kind(message: &ToBalancer) -> usize {
+    match message {
+        ToBalancer::Update(Update { configured: _, evacuations: _, instances: _, fleet: _, changes: _ }) => 0,
+        ToBalancer::Link(Link { in_quorum: _, leaving: _, controllers: _ }) => 1,
+    }
+}
+
+#[test]
+fn messages_to_balancers_are_read_and_written_as_they_were() {
+    let empty = Update {
+        configured: Some(Configured { sequence: 1, body: Bytes::new() }),
+        evacuations: Some(Evacuations::default()),
+        ..Update::default()
+    };
+    let messages = [
+        ("to-balancer-update", ToBalancer::Update(update())),
+        ("to-balancer-update-sections-empty", ToBalancer::Update(empty)),
+        ("to-balancer-update-sections-absent", ToBalancer::Update(Update::default())),
+        ("to-balancer-link", ToBalancer::Link(link())),
+        ("to-balancer-link-leaving", ToBalancer::Link(Link { leaving: true, ..Link::default() })),
+    ];
+    let kinds: BTreeSet<usize> = messages.iter().map(|(_, message)| to_balancer_kind(message)).collect();
+    assert_eq!(kinds, (0..TO_BALANCER_KINDS).collect());
+    for (name, message) in &messages {
+        check(name, message, encode_to_balancer, decode_to_balancer);
+    }
+}
+
+#[test]
+fn reports_are_read_and_written_as_they_were() {
+    let report = Report {
+        node: "edge-1".to_owned(),
+        incarnation: 0x0102_0304_0506_0708,
+        zone: "zone-a".to_owned(),
+        region: "north".to_owned(),
+        front: v4(),
+        ready: true,
+        leaving: false,
+        applied: Versions { configured: 901, evacuations: 902, instances: 31, fleet: 17 },
+        sends: loads(),
+        failing: failing(),
+    };
+    check("report", &report, encode_report, decode_report);
+    let leaving = Report {
+        node: "edge-2".to_owned(),
+        incarnation: 2,
+        zone: "zone-c".to_owned(),
+        region: "south".to_owned(),
+        front: v6(),
+        ready: false,
+        leaving: true,
+        applied: Versions::default(),
+        sends: Vec::new(),
+        failing: Vec::new(),
+    };
+    check("report-leaving", &leaving, encode_report, decode_report);
+}
+
+fn gossip(scope: GossipScope) -> Gossip {
+    let instance = |id: &str, address, draining, gone, sequence| GossipInstance {
+        id: id.to_owned(),
+        service: "desk".to_owned(),
+        address,
+        zone: "zone-a".to_owned(),
+        slots: 6,
+        sequence,
+        draining,
+        gone,
+        cold_ms: 2_500,
+        age_ms: 125,
+    };
+    let lease = |node: &str, front, ready, leaving, incarnation| GossipLease {
+        node: node.to_owned(),
+        incarnation,
+        zone: "zone-c".to_owned(),
+        region: "south".to_owned(),
+        front,
+        ready,
+        leaving,
+        age_ms: 375,
+        sends: loads(),
+        failing: failing(),
+    };
+    Gossip {
+        scope,
+        instances: vec![
+            instance("desk-1", v4(), true, false, 0x0102_0304_0506_0708),
+            instance("desk-2", v6(), false, true, 9),
+        ],
+        leases: vec![
+            lease("edge-1", v4(), true, false, 0x1112_1314_1516_1718),
+            lease("edge-2", v6(), false, true, 2),
+        ],
+    }
+}
+
+const SCOPES: usize = 4;
+
+fn scope(gossip: &Gossip) -> usize {
+    let Gossip { scope, instances: _, leases: _ } = gossip;
+    match scope {
+        GossipScope::Changes => 0,
+        GossipScope::Heard => 1,
+        GossipScope::Complete => 2,
+        GossipScope::Recalled => 3,
+    }
+}
+
+#[test]
+fn gossip_is_read_and_written_as_it_was() {
+    let gossips = [
+        ("gossip-changes", gossip(GossipScope::Changes)),
+        ("gossip-heard", gossip(GossipScope::Heard)),
+        ("gossip-complete", gossip(GossipScope::Complete)),
+        ("gossip-recalled", gossip(GossipScope::Recalled)),
+    ];
+    let scopes: BTreeSet<usize> = gossips.iter().map(|(_, gossip)| scope(gossip)).collect();
+    assert_eq!(scopes, (0..SCOPES).collect());
+    for (name, gossip) in &gossips {
+        check(name, gossip, encode_gossip, decode_gossip);
+    }
+}
+
+const FRAME_KINDS: usize = 5;
+
+fn frame_kind(kind: FrameKind) -> usize {
+    match kind {
+        FrameKind::Hello => 0,
+        FrameKind::Replica => 1,
+        FrameKind::Gossip => 2,
+        FrameKind::Report => 3,
+        FrameKind::ToBalancer => 4,
+    }
+}
+
+#[test]
+fn frames_are_read_and_written_as_they_were() {
+    let frames: [(FrameKind, &[u8]); FRAME_KINDS] = [
+        (FrameKind::Hello, b"a hello"),
+        (FrameKind::Replica, b""),
+        (FrameKind::Gossip, &[0xff; 300]),
+        (FrameKind::Report, b"\x00\x01\x02"),
+        (FrameKind::ToBalancer, b"an update"),
+    ];
+    let kinds: BTreeSet<usize> = frames.iter().map(|(kind, _)| frame_kind(*kind)).collect();
+    assert_eq!(kinds, (0..FRAME_KINDS).collect());
+    let mut buffer = FrameBuffer::default();
+    for (kind, payload) in frames {
+        buffer.push(kind, payload).unwrap();
+    }
+    let stored = fixtures::read("frames.bin", buffer.as_slice());
+    assert_eq!(buffer.as_slice(), stored);
+    let mut decoder = FrameDecoder::default();
+    decoder.extend(&stored);
+    for (kind, payload) in frames {
+        let frame = decoder.next_frame().unwrap().expect("a further frame");
+        assert_eq!((frame.kind, &frame.payload[..]), (kind, payload));
+    }
+    assert_eq!(decoder.next_frame().unwrap(), None);
+}
