--- /dev/null
+++ b/controlplane/controller/tests/folder_fixture.rs
@@ -0,0 +1,376 @@
+//! The folder of a controller as earlier sources wrote it: it is recovered with the same meaning, and the same bytes
+//! are written again.
+
+mod common;
+#[path = "../../../coordination/replica/tests/fixtures/mod.rs"]
+mod fixtures;
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::{env, fs, process};
+
+use bytes::Bytes;
+use common::{START, TICK_MS, configuration, deregister, evacuate, heartbeat, replace, report, zones};
+use whinspindle_configuration::InstanceState;
+use whinspindle_controller::api::{Call, Response};
+use whinspindle_controller::orders::{self, Departure, Orders};
+use whinspindle_controller::{Action, CallId, Controller, ControllerSettings, Event};
+use whinspindle_distribution::{
+    ControllerAddress, Gossip, GossipInstance, GossipLease, GossipScope, SubscriberId, decode_gossip,
+    encode_gossip,
+};
+use whinspindle_replica::{
+    ChainLink, DurableWrite, Member, Replica, ReplicaSettings, Timing, Tolerance, Voter,
+};
+use whinspindle_storage::{Directory, DirectoryError, FolderDirectory, Journal, Recovered};
+
+/// The files of both journals.
+const FILES: [&str; 8] =
+    ["slot-a", "slot-b", "log-a", "log-b", "memory-slot-a", "memory-slot-b", "memory-log-a", "memory-log-b"];
+/// The names of the files of the memory begin with this.
+const MEMORY_PREFIX: &str = "memory-";
+/// The start of the process that wrote the folder, and of the one that reads it.
+const FIRST_START: u64 = 2;
+const SECOND_START: u64 = 3;
+/// A call is answered within this time.
+const PATIENCE_MS: u64 = 5_000;
+
+/// A folder that is removed at the end of the test.
+struct TemporaryFolder(PathBuf);
+
+impl TemporaryFolder {
+    fn new(name: &str) -> Self {
+        TemporaryFolder(env::temp_dir().join(format!("whinspindle-controller-{name}-{}", process::id())))
+    }
+
+    /// With the files of the fixture.
+    fn of_fixture(name: &str) -> Self {
+        let folder = TemporaryFolder::new(name);
+        fs::create_dir_all(&folder.0).expect("the folder can be made");
+        for file in FILES {
+            fs::copy(fixtures::path(&format!("folder/{file}")), folder.0.join(file)).expect(file);
+        }
+        folder
+    }
+}
+
+impl Drop for TemporaryFolder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// The files of a folder whose names begin with a prefix, as the process around a controller divides its folder.
+struct Prefixed {
+    folder: FolderDirectory,
+    prefix: &'static str,
+}
+
+impl Prefixed {
+    fn open(path: &Path, prefix: &'static str) -> Prefixed {
+        Prefixed { folder: FolderDirectory::open(path).expect("the folder can be used"), prefix }
+    }
+
+    fn name(&self, name: &str) -> String {
+        format!("{}{name}", self.prefix)
+    }
+}
+
+impl Directory for Prefixed {
+    fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DirectoryError> {
+        self.folder.read(&self.name(name))
+    }
+
+    fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), DirectoryError> {
+        self.folder.write_at(&self.name(name), offset, bytes)
+    }
+
+    fn set_length(&mut self, name: &str, length: u64) -> Result<(), DirectoryError> {
+        self.folder.set_length(&self.name(name), length)
+    }
+
+    fn sync(&mut self, name: &str) -> Result<(), DirectoryError> {
+        self.folder.sync(&self.name(name))
+    }
+
+    fn sync_directory(&mut self) -> Result<(), DirectoryError> {
+        self.folder.sync_directory()
+    }
+}
+
+/// The journal of the replicated state, or that of the memory.
+fn open(path: &Path, prefix: &'static str) -> (Journal<Prefixed>, Recovered) {
+    Journal::open(Prefixed::open(path, prefix)).expect("the journal can be read")
+}
+
+fn endpoint() -> SocketAddr {
+    "10.0.0.1:7700".parse().unwrap()
+}
+
+/// A replica that is its own quorum. Each start of a process has another number.
+fn start_replica(recovered: Recovered, start: u64) -> (Replica<Orders>, Vec<whinspindle_replica::Output>) {
+    let settings = ReplicaSettings {
+        endpoint: endpoint(),
+        zone: "zone-a".to_owned(),
+        region: "north".to_owned(),
+        seeds: vec![endpoint()],
+        bootstrap: true,
+        birth: 0x0102_0304_0506_0708,
+        start,
+        tolerance: Tolerance::of_machines(0),
+        timing: Timing::default(),
+    };
+    let found = (recovered.checkpoint, recovered.log);
+    Replica::new(settings, Orders, found, START).expect("the state can be read")
+}
+
+fn start_controller(recovered: Recovered, start: u64) -> (Controller, Vec<Action>) {
+    let (replica, outputs) = start_replica(recovered, start);
+    let address =
+        ControllerAddress { endpoint: endpoint(), zone: "zone-a".to_owned(), region: "north".to_owned() };
+    let settings = ControllerSettings {
+        node: "core-1".to_owned(),
+        address,
+        zones: zones(),
+        heartbeat_ms: common::HEARTBEAT_MS,
+    };
+    Controller::new(settings, replica, outputs, START)
+}
+
+/// A controller over a journal in a folder; each write is durable at once.
+struct Written {
+    controller: Controller,
+    journal: Journal<Prefixed>,
+    now: u64,
+    /// The next write fails, after which the replica orders a checkpoint.
+    next_write_fails: bool,
+    memories: Vec<Vec<u8>>,
+    answers: Vec<Response>,
+}
+
+impl Written {
+    fn start(path: &Path, start: u64) -> Written {
+        let (journal, recovered) = open(path, "");
+        let (controller, actions) = start_controller(recovered, start);
+        let (memories, answers) = (Vec::new(), Vec::new());
+        let mut written =
+            Written { controller, journal, now: START, next_write_fails: false, memories, answers };
+        written.perform(actions);
+        written
+    }
+
+    fn handle(&mut self, event: Event) {
+        let actions = self.controller.handle(self.now, event);
+        self.perform(actions);
+    }
+
+    fn perform(&mut self, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Persist { token, .. } if std::mem::take(&mut self.next_write_fails) => {
+                    self.handle(Event::PersistFailed { token });
+                }
+                Action::Persist { token, write } => {
+                    match write {
+                        DurableWrite::Append(records) => self.journal.append(&records),
+                        DurableWrite::Checkpoint(state) => self.journal.checkpoint(&state),
+                    }
+                    .expect("the folder can be written");
+                    let log_bytes = self.journal.log_bytes();
+                    self.handle(Event::Persisted { token, log_bytes });
+                }
+                Action::Compact { state } => {
+                    self.journal.checkpoint(&state).expect("the folder can be written");
+                    self.handle(Event::Compacted);
+                }
+                Action::Remember { memory } => {
+                    self.memories.push(memory);
+                    self.handle(Event::Remembered);
+                }
+                Action::Answer { response, .. } => self.answers.push(response),
+                Action::SendBalancer { .. } | Action::SendPeer { .. } => {}
+            }
+        }
+    }
+
+    fn pass(&mut self, span_ms: u64) {
+        for _ in 0..span_ms / TICK_MS {
+            self.now += TICK_MS;
+            self.handle(Event::Tick);
+        }
+    }
+
+    /// Gives a call and waits for its answer.
+    fn call(&mut self, call: Call) {
+        let id = CallId(self.answers.len() as u64 + 1);
+        self.handle(Event::Call { id, call });
+        let end = self.now + PATIENCE_MS;
+        while self.answers.len() < id.0 as usize && self.now < end {
+            self.pass(TICK_MS);
+        }
+        assert_eq!(self.answers.len() as u64, id.0, "it is answered once");
+        let answer = &self.answers[self.answers.len() - 1];
+        assert!(answer.status.is_success(), "{answer:?}");
+    }
+}
+
+/// Writes the folder of a controller that took orders, before and after a checkpoint, and heard of an instance and a
+/// balancer.
+fn write_folder(path: &Path) {
+    let mut written = Written::start(path, FIRST_START);
+    written.pass(5_000);
+    written.call(replace(0, 3));
+    written.call(evacuate("zone-b", true));
+    written.call(evacuate("zone-c", true));
+    written.call(deregister("desk-9"));
+    written.next_write_fails = true;
+    written.call(replace(3, 7));
+    written.call(evacuate("zone-c", false));
+    written.call(heartbeat("desk-1", 5, InstanceState::Ready));
+    written.pass(200);
+    written.call(heartbeat("desk-2", 6, InstanceState::Draining));
+    written.pass(150);
+    written.handle(Event::Report { subscriber: SubscriberId(1), report: report(1, "zone-a") });
+    written.pass(2_000);
+    let memories = std::mem::take(&mut written.memories);
+    drop(written);
+    assert!(memories.len() > 1, "both slots of the memory are written");
+    let (mut journal, _) = open(path, MEMORY_PREFIX);
+    for memory in memories {
+        journal.checkpoint(&memory).expect("the folder can be written");
+    }
+}
+
+#[test]
+fn the_same_folder_is_written_again() {
+    let folder = TemporaryFolder::new("written");
+    write_folder(&folder.0);
+    for file in FILES {
+        let present = fs::read(folder.0.join(file)).expect(file);
+        let stored = fixtures::read(&format!("folder/{file}"), &present);
+        assert_eq!(present, stored, "{file}");
+    }
+}
+
+/// Keys, sequences and values of all records that are committed.
+fn committed(replica: &Replica<Orders>) -> Vec<(String, u64, Vec<u8>)> {
+    let records = replica.committed().iter();
+    records.map(|(key, record)| (key.clone(), record.sequence, record.value.to_vec())).collect()
+}
+
+#[test]
+fn the_replicated_state_is_recovered() {
+    let folder = TemporaryFolder::of_fixture("state");
+    let (_, recovered) = open(&folder.0, "");
+    assert!(recovered.checkpoint.is_some(), "the state of before is in a slot");
+    assert!(!recovered.log.is_empty(), "the orders since are in the log");
+    let (replica, _) = start_replica(recovered, SECOND_START);
+    let digest = |generation| blake3::hash(&configuration(generation)).as_bytes().to_vec();
+    let expected = [
+        ("configuration", 5, configuration(7).to_vec()),
+        ("drained/desk-2", 7, b"draining".to_vec()),
+        ("drained/desk-9", 4, b"gone".to_vec()),
+        ("evacuation/zone-b", 2, b"1".to_vec()),
+        ("evacuation/zone-c", 6, b"0".to_vec()),
+        ("generation", 5, b"7".to_vec()),
+        ("history/00000000000000000003", 1, digest(3)),
+        ("history/00000000000000000007", 5, digest(7)),
+    ];
+    assert_eq!(committed(&replica), expected.map(|(key, sequence, value)| (key.to_owned(), sequence, value)));
+    assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (7, 7));
+    let records = replica.committed();
+    assert_eq!(orders::current_generation(records), 7);
+    assert_eq!(orders::evacuated_zones(records), (6, vec!["zone-b".to_owned()]));
+    assert_eq!(orders::departure_of(records, "desk-2"), Some(Departure::Draining));
+    assert_eq!(orders::departure_of(records, "desk-9"), Some(Departure::Gone));
+    let view = replica.view();
+    let voter = Voter { member: 0, birth: 0 };
+    assert_eq!(view.number, 1);
+    assert_eq!(
+        view.members,
+        [Member { voter, endpoint: endpoint(), zone: String::new(), region: String::new() }]
+    );
+    assert_eq!(view.boards, [[voter]]);
+    assert_eq!(view.chain, [ChainLink { voter, since: 1 }]);
+    assert_eq!(view.former, [[]; 0]);
+    assert_eq!(view.next_member, 1);
+}
+
+/// The older slot and its log still stand where the newer slot is torn.
+#[test]
+fn the_state_is_recovered_by_way_of_the_older_slot() {
+    let folder = TemporaryFolder::of_fixture("older");
+    let (_, recovered) = open(&folder.0, "");
+    let (whole, _) = start_replica(recovered, SECOND_START);
+    let torn = folder.0.join("slot-a");
+    let mut bytes = fs::read(&torn).expect("it is there");
+    bytes.pop();
+    fs::write(&torn, bytes).expect("the folder can be written");
+    let (_, recovered) = open(&folder.0, "");
+    let (replica, _) = start_replica(recovered, SECOND_START);
+    assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (4, 4));
+    assert_eq!(orders::current_generation(replica.committed()), 3);
+    assert!(committed(&whole).len() > committed(&replica).len());
+}
+
+/// What the process writes to recall after a restart.
+fn memory() -> Gossip {
+    let instance = |id: &str, host, sequence, draining, age_ms| GossipInstance {
+        id: id.to_owned(),
+        service: "desk".to_owned(),
+        address: SocketAddr::from(([10, 128, 0, host], 8080)),
+        zone: "zone-a".to_owned(),
+        slots: 6,
+        sequence,
+        draining,
+        gone: false,
+        cold_ms: 0,
+        age_ms,
+    };
+    let lease = GossipLease {
+        node: "edge-1".to_owned(),
+        incarnation: 1,
+        zone: "zone-a".to_owned(),
+        region: "north".to_owned(),
+        front: SocketAddr::from(([10, 1, 0, 1], 8161)),
+        ready: true,
+        leaving: false,
+        age_ms: 350,
+        sends: Vec::new(),
+        failing: Vec::new(),
+    };
+    let instances = vec![instance("desk-1", 18, 5, false, 700), instance("desk-2", 19, 6, true, 500)];
+    Gossip { scope: GossipScope::Recalled, instances, leases: vec![lease] }
+}
+
+#[test]
+fn the_memory_is_recalled() {
+    let folder = TemporaryFolder::of_fixture("memory");
+    let (_, recovered) = open(&folder.0, MEMORY_PREFIX);
+    assert!(recovered.log.is_empty());
+    let stored = recovered.checkpoint.expect("a memory was written");
+    assert_eq!(decode_gossip(&stored).expect("it can be read"), memory());
+    assert_eq!(encode_gossip(&memory()), stored);
+}
+
+#[test]
+fn a_controller_goes_on_from_the_folder() {
+    let folder = TemporaryFolder::of_fixture("controller");
+    let (_, recovered) = open(&folder.0, MEMORY_PREFIX);
+    let memory = Bytes::from(recovered.checkpoint.expect("a memory was written"));
+    let mut written = Written::start(&folder.0, SECOND_START);
+    written.handle(Event::Recalled { memory });
+    assert!(written.controller.has_departed("desk-2"));
+    assert!(written.controller.has_departed("desk-9"));
+    assert!(!written.controller.has_departed("desk-1"));
+    written.pass(5_000);
+    assert!(written.controller.is_in_quorum(written.now));
+    written.call(Call::Fetch);
+    assert_eq!(written.answers[0].body, configuration(7));
+    written.call(replace(7, 8));
+    drop(written);
+    let (_, recovered) = open(&folder.0, "");
+    let (replica, _) = start_replica(recovered, SECOND_START);
+    assert_eq!(orders::current_generation(replica.committed()), 8);
+    assert_eq!(replica.committed_sequence(), 8);
+}
