--- /dev/null
+++ b/crates/policy/tests/common/records.rs
@@ -0,0 +1,100 @@
+//! A record with something in each field and every kind of what a field may be, for fixtures.
+
+use whinspindle_policy::{
+    Change, Close, Fate, Halt, Hash, Out, Part, Past, PastRelease, Policy, Record, Release, Unit, Voter, Way,
+    Wish,
+};
+use whinspindle_release::Places;
+
+pub const fn hash(first: u8) -> Hash {
+    let mut bytes = [0; 16];
+    let mut at = 0;
+    while at < 16 {
+        bytes[at] = first + at as u8;
+        at += 1;
+    }
+    Hash(bytes)
+}
+
+/// Wishes, numbers and hashes differ in every field, so that none can pass for another.
+pub fn record() -> Record {
+    let past = |number, by, fate| {
+        let policy = Policy { number, hash: hash(number as u8), length: 1000 + number as u32 };
+        Past { change: Change { policy, wish: Wish { by, serial: 70_000 + number } }, fate }
+    };
+    let closed = |number, by, close, changed| PastRelease {
+        number,
+        hash: hash(0x40 + number as u8),
+        wish: Wish { by, serial: 90_000 + number },
+        close,
+        changed,
+    };
+    let mut changed = Places::default();
+    [0, 3, 63, 64, 130].into_iter().for_each(|place| changed.set(place, true));
+    Record {
+        founding: 2 << 48 | 0x1234_5678_9abc,
+        version: 301,
+        board: 9,
+        boards: vec![
+            vec![
+                Voter { member: 0, birth: 0xfeed_0000_0000_0001 },
+                Voter { member: 2, birth: 17 },
+                Voter { member: 4, birth: 0x8000_0000 },
+            ],
+            vec![
+                Voter { member: 0, birth: 0xfeed_0000_0000_0001 },
+                Voter { member: 2, birth: 17 },
+                Voter { member: 300, birth: 19 },
+            ],
+        ],
+        policy: Policy { number: 1007, hash: hash(0x10), length: 65_536 },
+        next: Some(Change {
+            policy: Policy { number: 1008, hash: hash(0x20), length: 177 },
+            wish: Wish { by: 3, serial: 0xdead_beef_0000_0001 },
+        }),
+        past: vec![
+            past(4, 1, Fate::InForce),
+            past(5, 2, Fate::Withdrawn),
+            past(6, 3, Fate::Refused(513)),
+            past(7, 4, Fate::GivenUp),
+        ],
+        out: vec![
+            Out {
+                unit: Unit::Balancer(5),
+                wish: Wish { by: 6, serial: 600 },
+                start: 0x7000_0000_0000_0007,
+                part: Some(Part { release: 12, place: 300, way: Way::Back }),
+            },
+            Out {
+                unit: Unit::Server(0xabcd_ef01_2345_6789),
+                wish: Wish { by: 8, serial: 800 },
+                start: 0,
+                part: Some(Part { release: 11, place: 2, way: Way::Forth }),
+            },
+            Out { unit: Unit::Server(9), wish: Wish { by: 10, serial: 1000 }, start: 1, part: None },
+        ],
+        halted: Some(Halt { wish: Wish { by: 11, serial: 1100 }, why: "more fail: größer".to_string() }),
+        release: Some(Release {
+            number: 12,
+            hash: hash(0x30),
+            length: 412,
+            wish: Wish { by: 12, serial: 1200 },
+            way: Way::Back,
+            wave: 258,
+            changed,
+        }),
+        releases: 13,
+        past_releases: vec![
+            closed(1, 13, Close::Done, 2048),
+            closed(2, 14, Close::TakenBack, 0),
+            closed(3, 15, Close::Left, 128),
+        ],
+        done: vec![Wish { by: 16, serial: 1600 }, Wish { by: 65_535, serial: u64::MAX }],
+        highest: 1009,
+    }
+}
+
+/// One with nothing in it but its board: before the first agreement.
+pub fn unfounded() -> Record {
+    Record::unfounded(vec![Voter { member: 1, birth: 21 }, Voter { member: 0, birth: 22 }])
+}
--- /dev/null
+++ b/crates/policy/tests/wire_fixtures.rs
@@ -0,0 +1,180 @@
+//! Each kind of message between members, as the datagrams that carry it: read, compared by every field, and
+//! written as the same bytes again.
+
+mod common {
+    pub mod records;
+}
+#[path = "../../../tests/common/fixtures.rs"]
+mod fixtures;
+
+use std::collections::BTreeSet;
+
+use common::records::{hash, record, unfounded};
+use fixtures::fixture;
+use whinspindle_peers::{DATAGRAM, PassedOver, Peers};
+use whinspindle_policy::{Ballot, Message, Objection, Readiness, Right, Row, Unit, Voter, Want, Wish};
+use whinspindle_release::{Count, OF_BALANCERS};
+
+const FROM: u16 = 2;
+const TO: u16 = 1;
+
+fn peers(me: u16) -> Peers {
+    Peers::new(me, 5, "fixtures", "a secret of members", 0x0102_0304 + u32::from(me), DATAGRAM)
+}
+
+/// The name of a kind's fixtures. With a kind that is new this does not compile: it needs a name, a message in
+/// the list below, and its file.
+fn kind(message: &Message) -> &'static str {
+    match message {
+        Message::Ask { .. } => "ask",
+        Message::Grant { .. } => "grant",
+        Message::News { .. } => "news",
+        Message::Fetch { .. } => "fetch",
+        Message::Piece { .. } => "piece",
+        Message::Wanted { want, .. } => match want {
+            Want::Propose { .. } => "wanted-propose",
+            Want::Withdraw { .. } => "wanted-withdraw",
+            Want::Out { .. } => "wanted-out",
+            Want::Back { .. } => "wanted-back",
+            Want::Release { .. } => "wanted-release",
+            Want::Turn { .. } => "wanted-turn",
+            Want::Leave { .. } => "wanted-leave",
+            Want::Halt { .. } => "wanted-halt",
+            Want::Resume => "wanted-resume",
+            Want::Voters { .. } => "wanted-voters",
+        },
+        Message::Prepare { .. } => "prepare",
+        Message::Promise { .. } => "promise",
+        Message::Accept { .. } => "accept",
+        Message::Accepted { .. } => "accepted",
+        Message::Figures { .. } => "figures",
+        Message::Aside { .. } => "aside",
+        Message::Refuse { .. } => "refuse",
+    }
+}
+
+/// So many kinds of messages and of wants there are.
+const KINDS: u8 = 13;
+const WANTS: u8 = 10;
+
+fn ballot(first: u64) -> Ballot {
+    Ballot { epoch: first, round: first + 1000, member: first as u16 + 2, start: first << 56 | 3 }
+}
+
+fn ask(right: Right, readiness: Readiness) -> Message {
+    Message::Ask {
+        at: 1_800_000_000_000_001,
+        birth: 0xb1b2_b3b4_b5b6_b7b8,
+        start: 0xc1c2_c3c4_c5c6_c7c9,
+        founding: 1 << 48 | 77,
+        version: 300,
+        right,
+        readiness,
+    }
+}
+
+fn wanted(by: u16, want: Want) -> Message {
+    Message::Wanted { want, wish: Wish { by, serial: 0x5000_0000_0000_0000 + u64::from(by) } }
+}
+
+/// By what follows the kind in the fixture's name.
+fn messages() -> Vec<(&'static str, Message)> {
+    let objection = Objection { line: 40_000, words: "routes[2].to: no such zone: \"nörd\"".to_string() };
+    let (voter, other) = (Voter { member: 4, birth: 0xd1d2_d3d4 }, Voter { member: 3, birth: 0xe1e2 });
+    let rows = vec![
+        Row {
+            stratum: 7,
+            changed: true,
+            count: Count { executions: 100_001, bad: [11, 222, 3333] },
+            most: [4, 55, 666],
+        },
+        Row {
+            stratum: OF_BALANCERS,
+            changed: false,
+            count: Count { executions: u32::MAX, bad: [1, 2, 3] },
+            most: [7, 8, 9],
+        },
+    ];
+    vec![
+        ("-learning", ask(Right::Learning, Readiness::Nothing)),
+        ("-policy", ask(Right::Policy(1007), Readiness::Lacks(373))),
+        ("-ready", ask(Right::Policy(1008), Readiness::Ready(1009))),
+        ("-cut-off", ask(Right::CutOff, Readiness::Objects(1010, objection))),
+        (
+            "",
+            Message::Grant { at: 5_000_000_001, start: 0xa1a2_a3a4_a5a6_a7a9, voter, board: 9, number: 1007 },
+        ),
+        ("", Message::News { record: record() }),
+        ("-unfounded", Message::News { record: unfounded() }),
+        ("", Message::Fetch { hash: hash(0x50), piece: 300, wanting: 0x8000_0000_0000_0005 }),
+        (
+            "",
+            Message::Piece { hash: hash(0x60), piece: 301, length: 65_535, bytes: (0..176).rev().collect() },
+        ),
+        ("", wanted(1, Want::Propose { hash: hash(0x70), length: 40_001 })),
+        ("", wanted(2, Want::Withdraw { number: 1011 })),
+        ("", wanted(3, Want::Out { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) })),
+        ("-for-a-cause", wanted(4, Want::Out { unit: Unit::Balancer(258), release: None })),
+        ("", wanted(5, Want::Back { unit: Unit::Balancer(259), done: true })),
+        ("-undone", wanted(6, Want::Back { unit: Unit::Server(260), done: false })),
+        ("", wanted(7, Want::Release { hash: hash(0x80), length: 40_002 })),
+        ("", wanted(8, Want::Turn { number: 1012 })),
+        ("", wanted(9, Want::Leave { number: 1013 })),
+        ("", wanted(10, Want::Halt { why: "by hand: größer".to_string() })),
+        ("", wanted(11, Want::Resume)),
+        ("", wanted(12, Want::Voters { old: 261, new: 262 })),
+        ("", Message::Prepare { ballot: ballot(1) }),
+        ("", Message::Promise { ballot: ballot(2), voter, accepted: Some((ballot(3), record())) }),
+        ("-of-nothing", Message::Promise { ballot: ballot(4), voter: other, accepted: None }),
+        ("", Message::Accept { ballot: ballot(5), record: record() }),
+        ("", Message::Accepted { ballot: ballot(6), voter: other }),
+        ("", Message::Figures { release: 15, start: 0xf1f2_f3f4_f5f6_f7f9, serial: 0x0a0b_0c0d, rows }),
+        ("", Message::Aside { bytes: vec![0, 255, 128, 127, 1] }),
+        ("", Message::Refuse { ballot: ballot(7), promised: ballot(8) }),
+    ]
+}
+
+#[test]
+fn each_kind_of_message_is_read_from_its_datagrams_and_written_as_the_same_bytes() {
+    let mut names = BTreeSet::new();
+    for (of, message) in messages() {
+        let name = format!("message-{}{of}.bin", kind(&message));
+        let datagrams = peers(FROM).datagrams(TO, &message);
+        assert!(datagrams.iter().all(|datagram| datagram.len() <= DATAGRAM), "{name}");
+        // Each datagram but the last is as long as one may be, so that they can be told apart again.
+        let (last, full) = datagrams.split_last().expect("a datagram");
+        assert!(full.iter().all(|datagram| datagram.len() == DATAGRAM) && !last.is_empty(), "{name}");
+        let bytes = fixture(&name, &datagrams.concat());
+        let mut to = peers(TO);
+        let heard: Vec<(u16, Message)> =
+            bytes.chunks(DATAGRAM).filter_map(|datagram| to.take(0, Some(FROM), datagram)).collect();
+        assert_eq!(heard, [(FROM, message)], "{name}");
+        assert_eq!(to.passed_over, PassedOver::default(), "{name}");
+        assert!(names.insert(name.clone()), "{name}: two messages have this name");
+    }
+    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data");
+    let files = std::fs::read_dir(folder).expect("the folder").map(|file| file.expect("a file").file_name());
+    let files: BTreeSet<String> = files.map(|name| name.into_string().expect("UTF-8")).collect();
+    assert_eq!(files, names, "a file for each message, and none else");
+}
+
+/// Whether bytes are the start of some message, whatever it is, with zeros for all that follows.
+fn is_heard(first: [u8; 2]) -> bool {
+    let datagrams = peers(FROM).datagrams(TO, &(first, [0u8; 32], [0u8; 32]));
+    peers(TO).take::<Message>(0, Some(FROM), &datagrams[0]).is_some()
+}
+
+#[test]
+fn there_is_a_fixture_of_each_number_by_which_kinds_are_told_apart() {
+    // The first byte of a message is the number of its kind; that of a want follows it.
+    let payload = |message: &Message| peers(FROM).datagrams(TO, message)[0][17..19].to_vec();
+    let known: BTreeSet<u8> = messages().iter().map(|(_, message)| payload(message)[0]).collect();
+    assert_eq!(known, (0..KINDS).collect());
+    let wanted = messages().into_iter().filter(|(_, message)| matches!(message, Message::Wanted { .. }));
+    let wants: BTreeSet<u8> = wanted.map(|(_, message)| payload(&message)[1]).collect();
+    assert_eq!(wants, (0..WANTS).collect());
+    // Beyond them there is none, and each of them is one.
+    let wanted = payload(&messages()[9].1)[0];
+    assert!((0..KINDS).all(|kind| is_heard([kind, 0])) && !is_heard([KINDS, 0]));
+    assert!((0..WANTS).all(|want| is_heard([wanted, want])) && !is_heard([wanted, WANTS]));
+}
