--- /dev/null
+++ b/crates/recall/tests/stored_fixtures.rs
@@ -0,0 +1,110 @@
+//! The list of servers as it is kept on disk and told to neighbours: read, compared by every field, and written
+//! as the same bytes again.
+
+#[path = "../../../tests/common/fixtures.rs"]
+mod fixtures;
+
+use std::net::{Ipv6Addr, SocketAddr};
+
+use fixtures::fixture;
+use whinspindle::host::Standing;
+use whinspindle_messages::list::ListedServer;
+use whinspindle_recall::{Ages, Neighbours, Trust, Word, encode, recall};
+
+const AGES: Ages = Ages { fresh: 10_000_000, old: 3_600_000_000 };
+const AT: u64 = 1_800_000_000_123_456;
+const GENERATION: u64 = 41_000;
+
+/// What is kept: servers that are not gone and have an address.
+fn kept() -> [ListedServer; 2] {
+    let six = Ipv6Addr::new(0x2001, 0xdb8, 0, 0, 0, 0, 0, 0x17);
+    [
+        ListedServer {
+            name: "server-größer".to_string(),
+            zone: "zone-b".to_string(),
+            kind: "kind-large".to_string(),
+            cell: 300,
+            size: 2.75,
+            born: 1_799_000_000_654_321,
+            standing: Standing::Draining,
+            address: Some(SocketAddr::from((six, 8443))),
+        },
+        ListedServer {
+            name: "server-1".to_string(),
+            zone: "zone-a".to_string(),
+            kind: "kind-small".to_string(),
+            cell: 7,
+            size: 0.1,
+            born: 0,
+            standing: Standing::Ready,
+            address: Some(SocketAddr::from(([192, 0, 2, 17], 80))),
+        },
+    ]
+}
+
+fn told() -> Vec<ListedServer> {
+    let [first, second] = kept();
+    let gone = ListedServer { name: "gone".to_string(), standing: Standing::Gone, ..first.clone() };
+    let lost = ListedServer { name: "lost".to_string(), address: None, ..second.clone() };
+    vec![first, gone, second, lost]
+}
+
+/// Form, time, generation and how many servers there are, as numbers of seven bits to a byte, the lowest first.
+fn head(bytes: &[u8]) -> [u64; 4] {
+    let mut bytes = bytes.iter();
+    let mut number = || {
+        let mut number = 0;
+        for (at, byte) in bytes.by_ref().enumerate() {
+            number |= u64::from(byte & 127) << (7 * at);
+            if byte & 128 == 0 {
+                break;
+            }
+        }
+        number
+    };
+    [number(), number(), number(), number()]
+}
+
+#[test]
+fn a_kept_list_is_read_and_written_as_the_same_bytes() {
+    let bytes = fixture("list.bin", &encode(&told(), GENERATION, AT));
+    assert_eq!(head(&bytes), [1, AT, GENERATION, 2], "form, time, generation, servers");
+    for (age, trust) in [
+        (AGES.fresh, Trust::AsTold),
+        (AGES.fresh + 1, Trust::Doubted),
+        (AGES.old, Trust::Doubted),
+        (AGES.old + 1, Trust::ToTry),
+    ] {
+        let (news, told) = recall(&bytes, AT + age, &AGES).expect("a list");
+        assert_eq!((told, news.generation, news.whole, news.faults.len()), (trust, 0, true, 0));
+        let expected = kept().map(|server| match trust {
+            Trust::AsTold => server,
+            Trust::Doubted | Trust::ToTry => ListedServer { born: AT + age, ..server },
+        });
+        assert_eq!(news.servers, expected, "{age}");
+        if trust == Trust::AsTold {
+            assert_eq!(encode(&news.servers, GENERATION, AT), bytes);
+        }
+    }
+}
+
+#[test]
+fn a_list_is_told_to_neighbours_as_the_same_bytes_and_taken_from_them() {
+    let mut has = Neighbours::new(1, 2, AGES, 0, 0);
+    has.told(0, &told());
+    let ask = |has: &mut Neighbours, word: &Word| has.heard(0, 0, &word.to_bytes());
+    let [Word::Has { name, length, .. }] = ask(&mut has, &Word::Ask)[..] else { panic!("it has a list") };
+    let pieces = ask(&mut has, &Word::Fetch { name, from: 0 });
+    let pieces = pieces.into_iter().flat_map(|word| match word {
+        Word::Piece { bytes, .. } => bytes,
+        other => panic!("{other:?} is no piece"),
+    });
+    let bytes = fixture("list-of-neighbours.bin", &pieces.collect::<Vec<u8>>());
+    // Without its time and generation, in the order of the names.
+    assert_eq!(head(&bytes), [1, 0, 0, 2], "form, time, generation, servers");
+    assert_eq!(length as usize, bytes.len());
+    assert_eq!(name, blake3::hash(&bytes).as_bytes()[..16]);
+    let (news, _) = recall(&bytes, 0, &AGES).expect("a list");
+    let [first, second] = kept();
+    assert_eq!(news.servers, [second, first]);
+}
--- /dev/null
+++ b/crates/store/tests/stored_fixtures.rs
@@ -0,0 +1,61 @@
+//! The two files of a record as they lie on disk: read, compared by every field, and written as the same bytes
+//! again.
+
+#[path = "../../../tests/common/fixtures.rs"]
+mod fixtures;
+
+use std::fs;
+use std::path::PathBuf;
+
+use fixtures::fixture;
+use whinspindle_store::Store;
+
+const VERSIONS: [&[u8]; 3] = [b"the first version", b"", b"the third, with bytes \x00\x80\xff"];
+
+fn folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("whinspindle-stored-{}-{name}", std::process::id()));
+    let _ = fs::remove_dir_all(&folder);
+    folder
+}
+
+fn number(bytes: &[u8]) -> u64 {
+    bytes.iter().rev().fold(0, |number, byte| number << 8 | u64::from(*byte))
+}
+
+#[test]
+fn both_files_of_a_record_are_read_and_written_as_the_same_bytes() {
+    let written = folder("written");
+    let store = Store::open(&written).expect("a folder");
+    VERSIONS.iter().for_each(|version| store.write("record", version).expect("written"));
+    // The third version is written over the first, so that the second stays whole meanwhile.
+    let files = ["record.a", "record.b"].map(|file| {
+        let now = fs::read(written.join(file)).expect("a file");
+        (file, fixture(&format!("{file}.bin"), &now))
+    });
+    let mut names: Vec<_> = fs::read_dir(&written).expect("the folder").map(|f| f.expect("a file")).collect();
+    names.sort_by_key(fs::DirEntry::file_name);
+    let names: Vec<_> = names.iter().map(fs::DirEntry::file_name).collect();
+    assert_eq!(names, ["lock", "record.a", "record.b"]);
+    assert_eq!(fs::read(written.join("lock")).expect("the lock"), b"");
+    for ((file, bytes), generation) in files.iter().zip([3, 2u64]) {
+        let version = VERSIONS[generation as usize - 1];
+        assert_eq!(&bytes[..8], b"whspin-1", "{file}: magic");
+        assert_eq!(number(&bytes[8..16]), generation, "{file}: generation");
+        assert_eq!(number(&bytes[16..24]), version.len() as u64, "{file}: length");
+        let hashed = [&generation.to_le_bytes(), version].concat();
+        assert_eq!(&bytes[24..56], blake3::hash(&hashed).as_bytes(), "{file}: hash");
+        assert_eq!(&bytes[56..], version, "{file}: record");
+    }
+    // Read from the fixtures alone: the newest, and the other one where the newest is gone.
+    let read = folder("read");
+    let store = Store::open(&read).expect("a folder");
+    files.iter().for_each(|(file, bytes)| fs::write(read.join(file), bytes).expect("laid there"));
+    assert_eq!(store.read("record").as_deref(), Some(VERSIONS[2]));
+    fs::remove_file(read.join("record.a")).expect("removed");
+    assert_eq!(store.read("record").as_deref(), Some(VERSIONS[1]));
+    // From there the third is written as it was.
+    store.write("record", VERSIONS[2]).expect("written");
+    assert_eq!(fs::read(read.join("record.a")).expect("a file"), files[0].1);
+    let _ = fs::remove_dir_all(&written);
+    let _ = fs::remove_dir_all(&read);
+}
