--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -11,7 +11,9 @@
 
 use fixtures::fixture;
 use records::{record, unfounded};
+use serde_json::json;
 use whinspindle::host::Standing;
+use whinspindle_lab_relays::Stand;
 use whinspindle_messages::list::ListedServer;
 use whinspindle_policy::{Ballot, Memory, Plan, Unit};
 use whinspindle_recall::{Ages, Trust};
@@ -134,3 +136,53 @@
     let (news, trust) = whinspindle_recall::recall(&fixture_record("list.a.bin"), AT, &ages).expect("a list");
     assert_eq!((news.servers[0].name.as_str(), trust), ("s-1", Trust::ToTry));
 }
+
+#[test]
+fn the_program_finds_the_files_by_their_names_and_knows_what_they_say() {
+    let kept = folder("kept");
+    fs::create_dir_all(&kept).expect("a folder");
+    let fleet = format!(
+        "name = \"try\"\nsecret = \"s\"\nvoters = [0, 1, 2]\nright = \"2s\"\nlearn = \"1s\"\ngive-up = \"40s\"\n\
+         [keep]\nfolder = {:?}\nfresh = \"20s\"\n",
+        kept.display().to_string()
+    );
+    let program = Path::new(env!("CARGO_BIN_EXE_whinspindle"));
+    let mut stand = Stand::new(program, "stored-fixtures", 3, &fleet);
+    stand.known = vec![false; 3];
+    let store = stand.store(0);
+    fs::create_dir_all(&store).expect("a folder");
+    let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
+    for file in fs::read_dir(&data).expect("the fixtures") {
+        let file = file.expect("a file").file_name().into_string().expect("UTF-8");
+        let laid = file.strip_suffix(".bin").expect("a fixture");
+        let bytes = fs::read(data.join(&file)).expect("a fixture");
+        lay(if laid.starts_with("list.") { &kept } else { &store }, laid, &bytes);
+    }
+    stand.start(0);
+    stand.until("what it remembers", || stand.log(0).contains("member 0: remembers policy 1007"));
+    stand.until("the list", || stand.log(0).contains("2 servers are remembered"));
+    stand.until("a status", || stand.status(0)["founded"] == true);
+    let status = stand.status(0);
+    // Its own birth is that of a voter: a memory that began anew would have another.
+    assert_eq!(status["isVoter"], true, "{status}");
+    assert_eq!(
+        status["policy"],
+        json!({"number": 1007, "hash": record().policy.hash.to_string()}),
+        "{status}"
+    );
+    assert_eq!(status["next"]["number"], 1008, "{status}");
+    assert_eq!(status["halted"], json!({"by": 11, "why": "more fail: größer"}), "{status}");
+    let fates: Vec<&str> = (0..4).map(|at| status["past"][at]["fate"].as_str().unwrap_or_default()).collect();
+    assert_eq!(fates, ["in force", "withdrawn", "refused by member 513", "given up"], "{status}");
+    let ends: Vec<&str> =
+        (0..3).map(|at| status["release"]["past"][at]["end"].as_str().unwrap_or_default()).collect();
+    assert_eq!(ends, ["Done", "TakenBack", "Left"], "{status}");
+    assert_eq!(status["release"]["now"]["changed"], 5, "{status}");
+    assert_eq!(
+        status["out"],
+        json!([{"balancer": 5, "by": 6}, {"server": "abcdef0123456789", "by": 8},
+            {"server": "0000000000000009", "by": 10}]),
+        "{status}"
+    );
+    let _ = fs::remove_dir_all(&kept);
+}
