--- a/crates/policy/tests/wire_fixtures.rs
+++ b/crates/policy/tests/wire_fixtures.rs
@@ -12,7 +12,9 @@
 use common::records::{hash, record, unfounded};
 use fixtures::fixture;
 use whinspindle_peers::{DATAGRAM, PassedOver, Peers};
-use whinspindle_policy::{Ballot, Message, Objection, Readiness, Right, Row, Unit, Voter, Want, Wish};
+use whinspindle_policy::{
+    Ballot, Close, Fate, Message, Objection, Readiness, Right, Row, Unit, Voter, Want, Way, Wish,
+};
 use whinspindle_release::{Count, OF_BALANCERS};
 
 const FROM: u16 = 2;
@@ -178,3 +180,52 @@
     assert!((0..KINDS).all(|kind| is_heard([kind, 0])) && !is_heard([KINDS, 0]));
     assert!((0..WANTS).all(|want| is_heard([wanted, want])) && !is_heard([wanted, WANTS]));
 }
+
+#[test]
+fn the_fixtures_have_each_kind_of_what_a_field_may_be() {
+    // A kind that is new does not compile here: it needs a place in what the fixtures are made of.
+    let unit = |unit: Unit| match unit {
+        Unit::Balancer(_) => 0,
+        Unit::Server(_) => 1,
+    };
+    let way = |way: Way| match way {
+        Way::Forth => 0,
+        Way::Back => 1,
+    };
+    let fate = |fate: Fate| match fate {
+        Fate::InForce => 0,
+        Fate::Withdrawn => 1,
+        Fate::Refused(_) => 2,
+        Fate::GivenUp => 3,
+    };
+    let close = |close: Close| match close {
+        Close::Done => 0,
+        Close::TakenBack => 1,
+        Close::Left => 2,
+    };
+    let right = |right: Right| match right {
+        Right::Learning => 0,
+        Right::Policy(_) => 1,
+        Right::CutOff => 2,
+    };
+    let readiness = |readiness: Readiness| match readiness {
+        Readiness::Nothing => 0,
+        Readiness::Lacks(_) => 1,
+        Readiness::Ready(_) => 2,
+        Readiness::Objects(..) => 3,
+    };
+    let all = |count: usize| -> BTreeSet<usize> { (0..count).collect() };
+    let known = record();
+    assert_eq!(known.out.iter().map(|out| unit(out.unit)).collect::<BTreeSet<_>>(), all(2));
+    let ways = known.out.iter().filter_map(|out| out.part).map(|part| way(part.way));
+    assert_eq!(ways.collect::<BTreeSet<_>>(), all(2));
+    assert_eq!(known.past.iter().map(|past| fate(past.fate)).collect::<BTreeSet<_>>(), all(4));
+    assert_eq!(known.past_releases.iter().map(|past| close(past.close)).collect::<BTreeSet<_>>(), all(3));
+    let asks = messages().into_iter().filter_map(|(_, message)| match message {
+        Message::Ask { right, readiness, .. } => Some((right, readiness)),
+        _ => None,
+    });
+    let (rights, states): (BTreeSet<_>, BTreeSet<_>) =
+        asks.map(|(of, how)| (right(of), readiness(how))).unzip();
+    assert_eq!((rights, states), (all(3), all(4)));
+}
