--- a/controlplane/controller/tests/folder_fixture.rs
+++ b/controlplane/controller/tests/folder_fixture.rs
@@ -115,7 +115,7 @@
         region: "north".to_owned(),
         seeds: vec![endpoint()],
         bootstrap: true,
-        birth: 0x0102_0304_0506_0708,
+        incarnation: 0x0102_0304_0506_0708,
         start,
         tolerance: Tolerance::of_machines(0),
         timing: Timing::default(),
@@ -284,13 +284,13 @@
     assert_eq!(orders::departure_of(records, "desk-2"), Some(Departure::Draining));
     assert_eq!(orders::departure_of(records, "desk-9"), Some(Departure::Gone));
     let view = replica.view();
-    let voter = Voter { member: 0, birth: 0 };
+    let voter = Voter { member: 0, incarnation: 0 };
     assert_eq!(view.number, 1);
     assert_eq!(
         view.members,
         [Member { voter, endpoint: endpoint(), zone: String::new(), region: String::new() }]
     );
-    assert_eq!(view.boards, [[voter]]);
+    assert_eq!(view.voter_sets, [[voter]]);
     assert_eq!(view.chain, [ChainLink { voter, since: 1 }]);
     assert_eq!(view.former, [[]; 0]);
     assert_eq!(view.next_member, 1);
@@ -324,7 +324,7 @@
         sequence,
         draining,
         gone: false,
-        cold_ms: 0,
+        slow_start_ms: 0,
         age_ms,
     };
     let lease = GossipLease {
@@ -334,7 +334,7 @@
         region: "north".to_owned(),
         front: SocketAddr::from(([10, 1, 0, 1], 8161)),
         ready: true,
-        leaving: false,
+        shutting_down: false,
         age_ms: 350,
         sends: Vec::new(),
         failing: Vec::new(),
--- a/controlplane/distribution/tests/wire_fixtures.rs
+++ b/controlplane/distribution/tests/wire_fixtures.rs
@@ -58,7 +58,7 @@
         zone: "zone-a".to_owned(),
         slots: 6,
         draining: false,
-        cold_ms: 2_500,
+        slow_start_ms: 2_500,
     };
     let draining = Instance {
         id: "model-7".to_owned(),
@@ -67,7 +67,7 @@
         zone: "zone-c".to_owned(),
         slots: u32::MAX,
         draining: true,
-        cold_ms: u64::MAX,
+        slow_start_ms: u64::MAX,
     };
     vec![ready, draining, Instance::ended("desk-9".to_owned())]
 }
@@ -102,7 +102,7 @@
         region: region.to_owned(),
     };
     let controllers = vec![controller(v4(), "zone-a", "north"), controller(v6(), "zone-c", "south")];
-    Link { in_quorum: true, leaving: false, controllers }
+    Link { in_quorum: true, shutting_down: false, controllers }
 }
 
 fn update() -> Update {
@@ -134,7 +134,7 @@
 fn to_balancer_kind(message: &ToBalancer) -> usize {
     match message {
         ToBalancer::Update(Update { configured: _, evacuations: _, instances: _, fleet: _, changes: _ }) => 0,
-        ToBalancer::Link(Link { in_quorum: _, leaving: _, controllers: _ }) => 1,
+        ToBalancer::Link(Link { in_quorum: _, shutting_down: _, controllers: _ }) => 1,
     }
 }
 
@@ -150,7 +150,7 @@
         ("to-balancer-update-sections-empty", ToBalancer::Update(empty)),
         ("to-balancer-update-sections-absent", ToBalancer::Update(Update::default())),
         ("to-balancer-link", ToBalancer::Link(link())),
-        ("to-balancer-link-leaving", ToBalancer::Link(Link { leaving: true, ..Link::default() })),
+        ("to-balancer-link-leaving", ToBalancer::Link(Link { shutting_down: true, ..Link::default() })),
     ];
     let kinds: BTreeSet<usize> = messages.iter().map(|(_, message)| to_balancer_kind(message)).collect();
     assert_eq!(kinds, (0..TO_BALANCER_KINDS).collect());
@@ -168,25 +168,25 @@
         region: "north".to_owned(),
         front: v4(),
         ready: true,
-        leaving: false,
+        shutting_down: false,
         applied: Versions { configured: 901, evacuations: 902, instances: 31, fleet: 17 },
         sends: loads(),
         failing: failing(),
     };
     check("report", &report, encode_report, decode_report);
-    let leaving = Report {
+    let shutting_down = Report {
         node: "edge-2".to_owned(),
         incarnation: 2,
         zone: "zone-c".to_owned(),
         region: "south".to_owned(),
         front: v6(),
         ready: false,
-        leaving: true,
+        shutting_down: true,
         applied: Versions::default(),
         sends: Vec::new(),
         failing: Vec::new(),
     };
-    check("report-leaving", &leaving, encode_report, decode_report);
+    check("report-leaving", &shutting_down, encode_report, decode_report);
 }
 
 fn gossip(scope: GossipScope) -> Gossip {
@@ -199,17 +199,17 @@
         sequence,
         draining,
         gone,
-        cold_ms: 2_500,
+        slow_start_ms: 2_500,
         age_ms: 125,
     };
-    let lease = |node: &str, front, ready, leaving, incarnation| GossipLease {
+    let lease = |node: &str, front, ready, shutting_down, incarnation| GossipLease {
         node: node.to_owned(),
         incarnation,
         zone: "zone-c".to_owned(),
         region: "south".to_owned(),
         front,
         ready,
-        leaving,
+        shutting_down,
         age_ms: 375,
         sends: loads(),
         failing: failing(),
--- a/coordination/replica/tests/wire_fixtures.rs
+++ b/coordination/replica/tests/wire_fixtures.rs
@@ -10,12 +10,12 @@
 use common::node::{Registers, cluster};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use whinspindle_agreement::{Ballot, Votes};
+use whinspindle_consensus::{AcceptorState, Ballot};
 use whinspindle_digests::{Digest, KeyRange, RangeDigest};
-use whinspindle_lab_cluster::{Effect, Event, NetworkTiming, Process};
+use whinspindle_lab_simulated_cluster::{Effect, Event, NetworkTiming, Process};
 use whinspindle_replica::{
-    Answer, AsDesigned, ChainLink, Member, Message, Origin, Record, RecordWrite, Records, RecoverError,
-    Replica, ReplicaSettings, Timing, Tolerance, View, Voter,
+    Answer, ChainLink, Member, Message, Origin, Record, RecordWrite, Records, RecoverError, Replica,
+    ReplicaSettings, StandardRules, Timing, Tolerance, View, Voter,
 };
 
 /// An entry as its fields: sequence, view, writes, answer and origin.
@@ -24,9 +24,9 @@
 type OutcomeFields = (u64, Answer, Origin);
 /// The contents of a range as their fields.
 type RangeFields = (KeyRange, Vec<(String, Record)>);
-/// The durable state as its fields: birth, votes, decided, complete, records, committed, log and outcomes.
+/// The durable state as its fields: incarnation, votes, decided, complete, records, committed, log and outcomes.
 type StateFields =
-    (u64, Votes<View>, (Ballot, View), u64, Records, u64, Vec<EntryFields>, Vec<OutcomeFields>);
+    (u64, AcceptorState<View>, (Ballot, View), u64, Records, u64, Vec<EntryFields>, Vec<OutcomeFields>);
 
 /// A value of a type without a public name, of its fields in their order.
 fn made<T: DeserializeOwned>(fields: impl Serialize) -> T {
@@ -46,7 +46,7 @@
 }
 
 fn voter(member: u16) -> Voter {
-    Voter { member, birth: 0x1122_3344_5566_0000 + u64::from(member) }
+    Voter { member, incarnation: 0x1122_3344_5566_0000 + u64::from(member) }
 }
 
 fn ballot(round: u64) -> Ballot {
@@ -71,7 +71,7 @@
             member(2, v6(), "zone-ü", "south"),
             member(3, v4(), "", ""),
         ],
-        boards: vec![vec![voter(1), voter(2), voter(3)], vec![voter(2)]],
+        voter_sets: vec![vec![voter(1), voter(2), voter(3)], vec![voter(2)]],
         chain: vec![link(2, 40), link(1, 17)],
         former: vec![vec![link(1, 16), link(3, 15)], vec![], vec![link(3, 14)]],
         next_member: 4,
@@ -125,7 +125,7 @@
 
 /// Any message of a running replica that says whom it has heard.
 fn running_heartbeat() -> Message {
-    let mut cluster = cluster::<AsDesigned>(1, 3, 1, NetworkTiming::default());
+    let mut cluster = cluster::<StandardRules>(1, 3, 1, NetworkTiming::default());
     cluster.run_until(3_000);
     let now = cluster.now();
     let process = cluster.process_mut(common::node::endpoint(0)).unwrap();
@@ -141,7 +141,7 @@
 fn heartbeat() -> Message {
     let mut message = running_heartbeat();
     let Message::Heartbeat(heartbeat) = &mut message else { unreachable!("it was found as one") };
-    heartbeat.birth = 0x0102_0304_0506_0708;
+    heartbeat.incarnation = 0x0102_0304_0506_0708;
     heartbeat.start = 0x1112_1314_1516_1718;
     heartbeat.zone = "zone-a".to_string();
     heartbeat.region = "north".to_string();
@@ -151,7 +151,7 @@
     heartbeat.sent_at = 123_456_789;
     heartbeat.is_sealed = true;
     heartbeat.is_stalled = false;
-    heartbeat.is_leaving = true;
+    heartbeat.is_shutting_down = true;
     let (mut first, mut second) = (heartbeat.heard[0], heartbeat.heard[0]);
     (first.endpoint, first.start, first.sent_at) = (v4(), 0x21, 0x22);
     (second.endpoint, second.start, second.sent_at) = (v6(), 0x31, 0x32);
@@ -166,7 +166,7 @@
     heartbeat.heard.clear();
     heartbeat.is_sealed = false;
     heartbeat.is_stalled = true;
-    heartbeat.is_leaving = false;
+    heartbeat.is_shutting_down = false;
     message
 }
 
@@ -294,7 +294,7 @@
         region: "south".to_string(),
         seeds: vec![v4()],
         bootstrap: false,
-        birth: 5,
+        incarnation: 5,
         start: 6,
         tolerance: Tolerance::of_machines(1),
         timing: Timing::default(),
@@ -304,15 +304,19 @@
 fn state() -> StateFields {
     let mut records = Records::default();
     records.apply(898, &[write("key/b", Some(b"old")), write("key/zero", Some(b"zero"))]);
-    let votes = Votes { promised: ballot(10), accepted: Some((ballot(9), view())) };
+    let votes = AcceptorState { promised: ballot(10), accepted: Some((ballot(9), view())) };
     (0x0102_0304_0506_0708, votes, (ballot(8), view()), 40, records, 900, entries(), outcomes())
 }
 
 /// The state as the replica writes it that found this on its disk.
 fn rewritten(checkpoint: &[u8], log: Vec<Vec<u8>>) -> Vec<u8> {
-    let (replica, _) =
-        Replica::<_, AsDesigned>::with_laws(settings(), Registers, (Some(checkpoint.to_vec()), log), 1_000)
-            .expect("it can be read");
+    let (replica, _) = Replica::<_, StandardRules>::with_rules(
+        settings(),
+        Registers,
+        (Some(checkpoint.to_vec()), log),
+        1_000,
+    )
+    .expect("it can be read");
     replica.checkpoint_due(usize::MAX).expect("nothing waits for the disk")
 }
 
@@ -337,7 +341,7 @@
         change(&mut state);
         state
     };
-    let votes = Votes { promised: ballot(21), accepted: Some((ballot(20), other_view.clone())) };
+    let votes = AcceptorState { promised: ballot(21), accepted: Some((ballot(20), other_view.clone())) };
     let decided = (ballot(22), other_view);
     let entry: EntryFields = (903, 42, vec![write("key/d", Some(b"four"))], Answer::default(), origin(74));
     let replacement = (900_u64, ranges(), outcomes()[1..].to_vec());
