--- a/balancer/bench-adapter/src/link.rs
+++ b/balancer/bench-adapter/src/link.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use whinspindle::decide::Balancer;
-use whinspindle::host::{Arrival, Ending, Entry, Host, LoadReport, Outcome, Standing};
+use whinspindle::host::{Arrival, Endpoint, EndpointState, ExecutionEnd, Host, LoadReport, Outcome};
 use whinspindle_deployment_settings as terms;
 
 use crate::wire::Reader;
@@ -15,7 +15,7 @@
 
 struct Listed {
     upstream: [u8; 6],
-    entry: Entry,
+    entry: Endpoint,
 }
 
 /// A query between its arrival and the outcome of its last execution.
@@ -60,33 +60,33 @@
 
     fn take(&mut self, txn: u32) -> usize {
         let open = Open { txn, executions_out: 0, ended: false };
-        let qry = match self.free.pop() {
-            Some(qry) => {
-                self.open[qry] = open;
-                qry
+        let query = match self.free.pop() {
+            Some(query) => {
+                self.open[query] = open;
+                query
             }
             None => {
                 self.open.push(open);
                 self.open.len() - 1
             }
         };
-        self.qry_of.insert(txn, qry);
-        qry
+        self.qry_of.insert(txn, query);
+        query
     }
 
-    fn release(&mut self, qry: usize) {
-        if self.open[qry].ended
-            && self.open[qry].executions_out == 0
-            && self.qry_of.remove(&self.open[qry].txn).is_some()
+    fn release(&mut self, query: usize) {
+        if self.open[query].ended
+            && self.open[query].executions_out == 0
+            && self.qry_of.remove(&self.open[query].txn).is_some()
         {
-            self.free.push(qry);
+            self.free.push(query);
         }
     }
 
-    fn finish(&mut self, qry: usize, code: u8, fields: &[u8]) {
-        self.record(code, &[&self.open[qry].txn.to_le_bytes(), fields]);
-        self.open[qry].ended = true;
-        self.release(qry);
+    fn finish(&mut self, query: usize, code: u8, fields: &[u8]) {
+        self.record(code, &[&self.open[query].txn.to_le_bytes(), fields]);
+        self.open[query].ended = true;
+        self.release(query);
     }
 
     fn report(&self, fields: &mut Reader) -> Result<LoadReport, String> {
@@ -108,23 +108,23 @@
 }
 
 impl Host for Link {
-    fn execute(&mut self, qry: usize, server: usize, time_out: u64) {
-        let open = &mut self.open[qry];
+    fn execute(&mut self, query: usize, server: usize, time_out: u64) {
+        let open = &mut self.open[query];
         open.executions_out += 1;
         let txn = open.txn.to_le_bytes();
         self.record(16, &[&txn, &self.upstreams[server], &(time_out.saturating_mul(1000)).to_le_bytes()]);
     }
 
-    fn cancel(&mut self, qry: usize, exec: usize) {
-        self.record(25, &[&self.open[qry].txn.to_le_bytes(), &[exec as u8]]);
+    fn cancel(&mut self, query: usize, exec: usize) {
+        self.record(25, &[&self.open[query].txn.to_le_bytes(), &[exec as u8]]);
     }
 
-    fn reject(&mut self, qry: usize, retry_after: u64) {
-        self.finish(qry, 22, &(retry_after * 1000).to_le_bytes());
+    fn reject(&mut self, query: usize, retry_after: u64) {
+        self.finish(query, 22, &(retry_after * 1000).to_le_bytes());
     }
 
-    fn abort(&mut self, qry: usize) {
-        self.finish(qry, 19, &[]);
+    fn abort(&mut self, query: usize) {
+        self.finish(query, 19, &[]);
     }
 
     fn wake(&mut self, wait: u64, label: u32) {
@@ -135,7 +135,7 @@
         self.record(24, &[&self.upstreams[server]]);
     }
 
-    fn follow_list(&mut self) {
+    fn follow_endpoints(&mut self) {
         self.record(23, &[&[1]]);
     }
 }
@@ -195,17 +195,17 @@
                 fields.u32("epoch")?;
                 let bank = fields.u16("bank")?;
                 if form == 1 {
-                    instance.list_failed(now);
+                    instance.endpoint_watch_failed(now);
                     return fields.done();
                 }
                 let listed = self.banks.get(&bank).ok_or_else(|| format!("endpoints: no list {bank}"))?;
-                let entries: Vec<Entry> = listed
+                let entries: Vec<Endpoint> = listed
                     .iter()
-                    .map(|l| Entry { server: instance.host.server(l.upstream), ..l.entry })
+                    .map(|l| Endpoint { server: instance.host.server(l.upstream), ..l.entry })
                     .collect();
                 match form {
-                    3 => instance.list_changed(now, &entries),
-                    0 | 4 => instance.list_whole(now, &entries),
+                    3 => instance.endpoints_changed(now, &entries),
+                    0 | 4 => instance.endpoints_replaced(now, &entries),
                     other => return Err(format!("endpoints: unknown form {other}")),
                 }
             }
@@ -217,15 +217,15 @@
                 fields.u64("hintNs")?;
                 fields.u64("object")?;
                 let deadline = fields.u64("deadlineNs")? / 1000;
-                let qry = instance.host.take(txn);
-                instance.query(now, qry, Arrival { product, tenant, deadline, route: None });
+                let query = instance.host.take(txn);
+                instance.query(now, query, Arrival { product, tenant, deadline, route: None });
             }
             19 => {
                 let txn = fields.u32("txn")?;
                 let shot = usize::from(fields.u8("shot")?);
                 fields.bytes("spentNs and upstream", 14)?;
-                if let Some(&qry) = instance.host.qry_of.get(&txn) {
-                    instance.started(now, qry, shot);
+                if let Some(&query) = instance.host.qry_of.get(&txn) {
+                    instance.started(now, query, shot);
                 }
             }
             20 => {
@@ -236,20 +236,20 @@
                 let outcome = outcome(fields.u8("stateCode")?)?;
                 let over = fields.u8("noMore")? != 0;
                 let report = instance.host.report(&mut fields)?;
-                if let Some(&qry) = instance.host.qry_of.get(&txn) {
-                    let open = &mut instance.host.open[qry];
+                if let Some(&query) = instance.host.qry_of.get(&txn) {
+                    let open = &mut instance.host.open[query];
                     open.executions_out = open.executions_out.saturating_sub(1);
                     open.ended |= over;
-                    instance.completed(now, qry, shot, Ending { outcome, over, spent, report });
-                    instance.host.release(qry);
+                    instance.completed(now, query, shot, ExecutionEnd { outcome, over, spent, report });
+                    instance.host.release(query);
                 }
             }
             21 => {
                 let txn = fields.u32("txn")?;
-                if let Some(&qry) = instance.host.qry_of.get(&txn) {
-                    instance.host.open[qry].ended = true;
-                    instance.withdrawn(now, qry);
-                    instance.host.release(qry);
+                if let Some(&query) = instance.host.qry_of.get(&txn) {
+                    instance.host.open[query].ended = true;
+                    instance.withdrawn(now, query);
+                    instance.host.release(query);
                 }
             }
             22 => {
@@ -305,26 +305,26 @@
             let zone = usize::from(entry.u16("hall")?);
             let kind = usize::from(entry.u16("sku")?);
             let cell = usize::from(entry.u16("group")?);
-            let standing = match entry.u8("availability")? {
-                0 => Standing::Gone,
-                1 => Standing::Ready,
-                2 => Standing::Draining,
+            let state = match entry.u8("availability")? {
+                0 => EndpointState::Gone,
+                1 => EndpointState::Ready,
+                2 => EndpointState::Draining,
                 other => return Err(format!("list: unknown availability {other}")),
             };
             let size = f64::from(entry.f32("size")?);
-            let born = entry.u64("bornNs")? / 1000;
+            let started_at = entry.u64("bornNs")? / 1000;
             let size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
             listed.push(Listed {
                 upstream,
-                entry: Entry {
+                entry: Endpoint {
                     server: 0,
                     key: terms::key(&upstream),
                     zone,
                     cell,
                     kind,
-                    standing,
+                    state,
                     size,
-                    born,
+                    started_at,
                 },
             });
         }
@@ -338,8 +338,8 @@
         0 => Outcome::Completed,
         1 => Outcome::Cancelled,
         4 => Outcome::TimedOut,
-        8 => Outcome::TurnedAway,
-        9 => Outcome::Moot,
+        8 => Outcome::Rejected,
+        9 => Outcome::NeverSent,
         10 => Outcome::Broken,
         13 => Outcome::Error,
         14 => Outcome::NotConnected,
--- a/balancer/core/src/desk.rs
+++ b/balancer/core/src/desk.rs
@@ -16,7 +16,7 @@
 /// Stands for one open query; its index may stand for another one later, the serial number never does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    pub(crate) qry: usize,
+    pub(crate) query_index: usize,
     serial: u64,
 }
 
@@ -72,40 +72,40 @@
             executions_out: 0,
             last_outcome: None,
         };
-        let qry = self.free.pop().unwrap_or_else(|| {
+        let query_index = self.free.pop().unwrap_or_else(|| {
             self.open.push(None);
             self.open.len() - 1
         });
-        self.open[qry] = Some(open);
-        Some(Ticket { qry, serial })
+        self.open[query_index] = Some(open);
+        Some(Ticket { query_index, serial })
     }
 
     /// Whether the query was still open; nobody waits for it from now on.
     pub fn leave(&mut self, ticket: Ticket) -> bool {
-        let open = self.open[ticket.qry].as_mut().filter(|open| open.serial == ticket.serial);
+        let open = self.open[ticket.query_index].as_mut().filter(|open| open.serial == ticket.serial);
         let left = open.and_then(|open| open.caller.take()).is_some();
         self.tally.left += u64::from(left);
         left
     }
 
     /// Whether somebody still waits for the query's answer.
-    pub fn is_open(&self, qry: usize) -> bool {
-        self.open[qry].as_ref().is_some_and(|open| open.caller.is_some())
+    pub fn is_open(&self, query_index: usize) -> bool {
+        self.open[query_index].as_ref().is_some_and(|open| open.caller.is_some())
     }
 
     /// Whether the query has its final answer now, by this end or before it.
-    pub fn execution_ended(&mut self, qry: usize, outcome: Outcome, served: Option<Served>) -> bool {
-        let Some(open) = &mut self.open[qry] else { return true };
+    pub fn execution_ended(&mut self, query_index: usize, outcome: Outcome, served: Option<Served>) -> bool {
+        let Some(open) = &mut self.open[query_index] else { return true };
         open.executions_out -= 1;
         open.last_outcome = Some(outcome);
         if let Some(served) = served {
-            self.answer(qry, Answer::Completed(served));
+            self.answer(query_index, Answer::Completed(served));
         }
-        !self.is_open(qry)
+        !self.is_open(query_index)
     }
 
-    fn answer(&mut self, qry: usize, answer: Answer) {
-        let open = self.open[qry].as_mut();
+    fn answer(&mut self, query_index: usize, answer: Answer) {
+        let open = self.open[query_index].as_mut();
         let Some(caller) = open.and_then(|open| open.caller.take()) else { return };
         match answer {
             Answer::Completed(_) => self.tally.completed += 1,
@@ -116,20 +116,20 @@
     }
 
     /// Frees the index once the query is answered and nothing of it is out.
-    pub fn release(&mut self, qry: usize) {
+    pub fn release(&mut self, query_index: usize) {
         let done = |open: &Open<_>| open.caller.is_none() && open.executions_out == 0;
-        if let Some(open) = self.open[qry].take_if(|open| done(open)) {
+        if let Some(open) = self.open[query_index].take_if(|open| done(open)) {
             self.traces.remove(&open.query.trace);
             open.servers.iter().for_each(|&server| self.servers.release(server));
-            self.free.push(qry);
+            self.free.push(query_index);
         }
     }
 }
 
 impl<E: Effects> Host for Desk<E> {
-    fn execute(&mut self, qry: usize, server: usize, time_out: u64) {
+    fn execute(&mut self, query_index: usize, server: usize, time_out: u64) {
         let place = self.servers.hold(server);
-        let (Some(open), Some(place)) = (&mut self.open[qry], place) else {
+        let (Some(open), Some(place)) = (&mut self.open[query_index], place) else {
             log_line!("fault", "an execution of no open query, or at a server without an address");
             return;
         };
@@ -138,26 +138,26 @@
         open.executions_out += 1;
         self.tally.executions += 1;
         let (query, product) = (Rc::clone(&open.query), open.product);
-        self.effects.execute(Execution { qry, exec, server, place, product, query, time_out });
+        self.effects.execute(Execution { query_index, exec, server, place, product, query, time_out });
     }
 
-    fn cancel(&mut self, qry: usize, exec: usize) {
-        self.effects.cancel(qry, exec);
+    fn cancel(&mut self, query_index: usize, exec: usize) {
+        self.effects.cancel(query_index, exec);
     }
 
-    fn reject(&mut self, qry: usize, retry_after: u64) {
-        self.answer(qry, Answer::Rejected(retry_after));
+    fn reject(&mut self, query_index: usize, retry_after: u64) {
+        self.answer(query_index, Answer::Rejected(retry_after));
     }
 
-    fn abort(&mut self, qry: usize) {
-        let last = self.open[qry].as_ref().and_then(|open| open.last_outcome);
+    fn abort(&mut self, query_index: usize) {
+        let last = self.open[query_index].as_ref().and_then(|open| open.last_outcome);
         let because = match last {
             None | Some(Outcome::TimedOut) => Because::OutOfTime,
             // While the query was open, only the silence of a server has called an execution off.
             Some(Outcome::Cancelled) => Because::Silent,
             Some(_) => Because::Failed,
         };
-        self.answer(qry, Answer::Aborted(because));
+        self.answer(query_index, Answer::Aborted(because));
     }
 
     fn wake(&mut self, wait: u64, label: u32) {
@@ -171,5 +171,5 @@
     }
 
     /// The program watches the list from its start on, and opens the watch again by itself.
-    fn follow_list(&mut self) {}
+    fn follow_endpoints(&mut self) {}
 }
--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 use whinspindle::decide::Balancer;
-use whinspindle::host::{Arrival, Conditions, Ending, Entry, LoadReport, Outcome};
+use whinspindle::host::{Arrival, Endpoint, ExecutionEnd, LoadReport, Outcome, RoutePolicy};
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_protocol::answer::{Answer, Served};
 use whinspindle_protocol::list::{ListNews, ListedServer};
@@ -28,7 +28,7 @@
     /// Sends the query to the server once; `Reducer::execution_ended` tells what came of it.
     fn execute(&mut self, execution: Execution);
     /// Stops waiting for an execution, whose connection is closed; its end is still told.
-    fn cancel(&mut self, qry: usize, exec: usize);
+    fn cancel(&mut self, query_index: usize, exec: usize);
     fn answer(&mut self, caller: Self::Caller, answer: Answer);
     /// Calls `Reducer::timer` after so many microseconds.
     fn wake(&mut self, wait: u64, label: u32);
@@ -44,7 +44,7 @@
 }
 
 pub struct Execution {
-    pub qry: usize,
+    pub query_index: usize,
     pub exec: usize,
     pub server: usize,
     pub place: Place,
@@ -55,7 +55,7 @@
 
 /// How an execution ended.
 pub struct Ended {
-    pub qry: usize,
+    pub query_index: usize,
     pub exec: usize,
     pub outcome: Outcome,
     pub spent: u64,
@@ -74,16 +74,16 @@
     }
 
     /// Queries come by these routes from now on; those in hand keep theirs.
-    pub fn routes(&mut self, routes: Vec<Vec<Conditions>>) {
+    pub fn routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
         self.balancer.routes(routes);
     }
 
     pub fn list(&mut self, now: u64, news: &ListNews) {
         let entries = self.balancer.host.servers.learn(news);
         if news.whole {
-            self.balancer.list_whole(now, &entries);
+            self.balancer.endpoints_replaced(now, &entries);
         } else {
-            self.balancer.list_changed(now, &entries);
+            self.balancer.endpoints_changed(now, &entries);
         }
         self.let_go();
     }
@@ -93,7 +93,7 @@
     pub fn let_out(&mut self, now: u64, keys: &BTreeSet<u64>) {
         let entries = self.balancer.host.servers.let_out(keys);
         if !entries.is_empty() {
-            self.balancer.list_changed(now, &entries);
+            self.balancer.endpoints_changed(now, &entries);
         }
     }
 
@@ -103,14 +103,14 @@
     }
 
     /// The servers as the list told them last.
-    pub fn listed(&self) -> Vec<Entry> {
+    pub fn listed(&self) -> Vec<Endpoint> {
         self.balancer.host.servers.listed().copied().collect()
     }
 
     /// Servers that are gone and that nothing in flight holds any more make way for others.
     fn let_go(&mut self) {
         while let Some(server) = self.balancer.host.servers.let_go() {
-            self.balancer.let_go(server);
+            self.balancer.endpoint_forgotten(server);
         }
     }
 
@@ -123,30 +123,30 @@
         caller: E::Caller,
     ) -> Option<Ticket> {
         let ticket = self.balancer.host.take(query, arrival.product, caller)?;
-        self.balancer.query(now, ticket.qry, arrival);
+        self.balancer.query(now, ticket.query_index, arrival);
         // It may have its answer already.
-        self.release(ticket.qry);
+        self.release(ticket.query_index);
         Some(ticket)
     }
 
     /// The client has gone; nobody waits for the answer any more.
     pub fn left(&mut self, now: u64, ticket: Ticket) {
         if self.balancer.host.leave(ticket) {
-            self.balancer.withdrawn(now, ticket.qry);
-            self.release(ticket.qry);
+            self.balancer.withdrawn(now, ticket.query_index);
+            self.release(ticket.query_index);
         }
     }
 
-    fn release(&mut self, qry: usize) {
-        self.balancer.host.release(qry);
+    fn release(&mut self, query_index: usize) {
+        self.balancer.host.release(query_index);
         self.let_go();
     }
 
     pub fn execution_ended(&mut self, now: u64, ended: Ended) {
-        let Ended { qry, exec, outcome, spent, report, served } = ended;
-        let over = self.balancer.host.execution_ended(qry, outcome, served);
-        self.balancer.completed(now, qry, exec, Ending { outcome, over, spent, report });
-        self.release(qry);
+        let Ended { query_index, exec, outcome, spent, report, served } = ended;
+        let over = self.balancer.host.execution_ended(query_index, outcome, served);
+        self.balancer.completed(now, query_index, exec, ExecutionEnd { outcome, over, spent, report });
+        self.release(query_index);
     }
 
     /// The program ends at `until`.
@@ -167,8 +167,10 @@
     /// Whether an execution may still begin: asked again right before its first byte goes out. Guards against
     /// a query that was answered, a server that has left the list, and a window for repeats that has run out
     /// while the connection came up.
-    pub fn may_begin(&mut self, now: u64, qry: usize, exec: usize, server: usize) -> bool {
-        self.balancer.host.is_open(qry) && self.is_ready(server) && self.balancer.may_begin(now, qry, exec)
+    pub fn may_begin(&mut self, now: u64, query_index: usize, exec: usize, server: usize) -> bool {
+        self.balancer.host.is_open(query_index)
+            && self.is_ready(server)
+            && self.balancer.may_begin(now, query_index, exec)
     }
 
     /// Whether the last list has the server ready.
--- a/balancer/core/src/servers.rs
+++ b/balancer/core/src/servers.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use whinspindle::host::{Entry, Standing};
+use whinspindle::host::{Endpoint, EndpointState};
 use whinspindle_protocol::list::{ListNews, ListedServer};
 
 use crate::Place;
@@ -27,11 +27,11 @@
 struct Known {
     name: String,
     place: Option<Place>,
-    born: u64,
+    started_at: u64,
     ready: bool,
     gone: bool,
     /// As the list told it last.
-    entry: Option<Entry>,
+    entry: Option<Endpoint>,
     /// Open queries that were sent to it, and probes that are out.
     held: usize,
 }
@@ -53,7 +53,7 @@
     /// Takes the news in and turns it into entries for the decisions. Guards against a list that is older
     /// than what was told before, as from a discovery that is back from an earlier state: a server that was
     /// told to drain, and has not started anew, drains on.
-    pub fn learn(&mut self, news: &ListNews) -> Vec<Entry> {
+    pub fn learn(&mut self, news: &ListNews) -> Vec<Endpoint> {
         let is_older = news.generation < self.generation;
         self.generation = news.generation;
         if news.whole {
@@ -63,27 +63,27 @@
         let mut entries = Vec::with_capacity(news.servers.len());
         for listed in &news.servers {
             // Of one that was never known, nothing need be kept.
-            if listed.standing == Standing::Gone && !self.index.contains_key(&listed.name) {
+            if listed.state == EndpointState::Gone && !self.index.contains_key(&listed.name) {
                 continue;
             }
             let server = self.index_of(&listed.name);
             let before = &self.known[server];
-            let drains = before.entry.is_some_and(|entry| entry.standing != Standing::Ready);
-            let drains_on = is_older && drains && before.born == listed.born;
-            let standing = match listed.standing {
-                Standing::Ready if drains_on => Standing::Draining,
+            let drains = before.entry.is_some_and(|entry| entry.state != EndpointState::Ready);
+            let drains_on = is_older && drains && before.started_at == listed.started_at;
+            let state = match listed.state {
+                EndpointState::Ready if drains_on => EndpointState::Draining,
                 told => told,
             };
-            self.renew(server, listed, standing);
-            let entry = Entry {
+            self.renew(server, listed, state);
+            let entry = Endpoint {
                 server,
                 key: whinspindle_deployment_settings::key(listed.name.as_bytes()),
                 zone: index(&mut self.zones, &listed.zone),
                 cell: listed.cell,
                 kind: index(&mut self.kinds, &listed.kind),
-                standing,
+                state,
                 size: listed.size,
-                born: listed.born,
+                started_at: listed.started_at,
             };
             self.known[server].entry = Some(entry);
             entries.push(self.as_let_out(entry));
@@ -91,19 +91,19 @@
         entries
     }
 
-    fn as_let_out(&mut self, entry: Entry) -> Entry {
-        let drains = entry.standing == Standing::Ready && self.let_out.contains(&entry.key);
+    fn as_let_out(&mut self, entry: Endpoint) -> Endpoint {
+        let drains = entry.state == EndpointState::Ready && self.let_out.contains(&entry.key);
         let known = &mut self.known[entry.server];
-        known.ready = entry.standing == Standing::Ready && !drains && known.place.is_some();
-        if drains { Entry { standing: Standing::Draining, ..entry } } else { entry }
+        known.ready = entry.state == EndpointState::Ready && !drains && known.place.is_some();
+        if drains { Endpoint { state: EndpointState::Draining, ..entry } } else { entry }
     }
 
     /// The fleet has let these out; returns what that changes for the decisions.
-    pub fn let_out(&mut self, keys: &BTreeSet<u64>) -> Vec<Entry> {
+    pub fn let_out(&mut self, keys: &BTreeSet<u64>) -> Vec<Endpoint> {
         let before = std::mem::replace(&mut self.let_out, keys.clone());
-        let changed = |entry: &Entry| before.contains(&entry.key) != keys.contains(&entry.key);
+        let changed = |entry: &Endpoint| before.contains(&entry.key) != keys.contains(&entry.key);
         let listed = self.known.iter().filter(|known| !known.gone).filter_map(|known| known.entry);
-        let entries: Vec<Entry> = listed.filter(changed).collect();
+        let entries: Vec<Endpoint> = listed.filter(changed).collect();
         entries.into_iter().map(|entry| self.as_let_out(entry)).collect()
     }
 
@@ -118,8 +118,8 @@
                 kind: self.kinds.get(entry.kind).cloned().unwrap_or_default(),
                 cell: entry.cell,
                 size: entry.size,
-                born: entry.born,
-                standing: entry.standing,
+                started_at: entry.started_at,
+                state: entry.state,
                 address: known.place.map(|place| place.address),
             })
         });
@@ -127,7 +127,7 @@
     }
 
     /// Those that the list names, as it told them last.
-    pub fn listed(&self) -> impl Iterator<Item = &Entry> {
+    pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.known.iter().filter(|known| !known.gone).filter_map(|known| known.entry.as_ref())
     }
 
@@ -144,17 +144,18 @@
         server
     }
 
-    fn renew(&mut self, server: usize, listed: &ListedServer, standing: Standing) {
+    fn renew(&mut self, server: usize, listed: &ListedServer, state: EndpointState) {
         let known = &mut self.known[server];
         if let Some(address) = listed.address
-            && (known.place.is_none_or(|place| place.address != address) || known.born != listed.born)
+            && (known.place.is_none_or(|place| place.address != address)
+                || known.started_at != listed.started_at)
         {
             self.processes += 1;
             known.place = Some(Place { address, process: self.processes });
         }
-        known.born = listed.born;
-        known.gone = standing == Standing::Gone;
-        known.ready = standing == Standing::Ready && known.place.is_some();
+        known.started_at = listed.started_at;
+        known.gone = state == EndpointState::Gone;
+        known.ready = state == EndpointState::Ready && known.place.is_some();
     }
 
     /// Where to reach a server for something that holds it until `release`.
--- a/balancer/core/tests/reducer.rs
+++ b/balancer/core/tests/reducer.rs
@@ -10,7 +10,7 @@
 use whinspindle_protocol::query::Forwarded;
 
 use Outcome::{
-    Broken, Cancelled, Completed, Error, Moot, NotConnected, Spoilt, Stale, TimedOut, TurnedAway, Unfit,
+    Broken, Cancelled, Completed, Error, Malformed, NeverSent, NotConnected, Rejected, Stale, TimedOut, Unfit,
 };
 
 const NOW: u64 = 1_000_000_000;
@@ -22,14 +22,14 @@
     type Caller = &'static str;
 
     fn execute(&mut self, execution: Execution) {
-        let Execution { qry, exec, place, server, .. } = execution;
-        let line = format!("execute {qry}.{exec} at {}", place.address);
+        let Execution { query_index, exec, place, server, .. } = execution;
+        let line = format!("execute {query_index}.{exec} at {}", place.address);
         self.0.borrow_mut().push(line);
         self.1.borrow_mut().push((server, place.process));
     }
 
-    fn cancel(&mut self, qry: usize, exec: usize) {
-        self.0.borrow_mut().push(format!("cancel {qry}.{exec}"));
+    fn cancel(&mut self, query_index: usize, exec: usize) {
+        self.0.borrow_mut().push(format!("cancel {query_index}.{exec}"));
     }
 
     fn answer(&mut self, caller: &'static str, answer: Answer) {
@@ -111,10 +111,10 @@
         self.reducer.query(NOW, arrival, query, caller)
     }
 
-    fn ended(&mut self, qry: usize, exec: usize, outcome: Outcome) {
+    fn ended(&mut self, query_index: usize, exec: usize, outcome: Outcome) {
         let served = (outcome == Completed)
             .then(|| Served { headers: http::HeaderMap::new(), body: bytes::Bytes::from_static(b"x") });
-        let ended = Ended { qry, exec, outcome, spent: 1000, report: LoadReport::default(), served };
+        let ended = Ended { query_index, exec, outcome, spent: 1000, report: LoadReport::default(), served };
         self.reducer.execution_ended(NOW + 1000, ended);
     }
 
@@ -128,15 +128,15 @@
     for (effect, outcomes, answers) in [
         ("keyed", &[Completed][..], &["completed"][..]),
         ("keyed", &[Error], &["aborted"]),
-        ("keyed", &[Spoilt, Spoilt, Spoilt], &["aborted"]),
+        ("keyed", &[Malformed, Malformed, Malformed], &["aborted"]),
         ("keyed", &[TimedOut], &["aborted, out of time"]),
-        ("keyed", &[TurnedAway], &["rejected"]),
+        ("keyed", &[Rejected], &["rejected"]),
         ("keyed", &[NotConnected], &["rejected"]),
-        ("keyed", &[Moot], &["rejected"]),
+        ("keyed", &[NeverSent], &["rejected"]),
         ("safe", &[Error], &["rejected"]),
         ("unsafe", &[Broken], &["aborted"]),
         ("keyed", &[Unfit], &["aborted"]),
-        ("keyed", &[Stale, Spoilt, Completed], &["completed"]),
+        ("keyed", &[Stale, Malformed, Completed], &["completed"]),
     ] {
         let mut bench = Bench::new(effect, &[("1", "ready")]);
         bench.query("client");
@@ -154,7 +154,7 @@
 #[test]
 fn what_never_ran_goes_to_another_server() {
     for (outcome, again) in
-        [(TurnedAway, true), (NotConnected, true), (Moot, true), (Error, false), (Unfit, false)]
+        [(Rejected, true), (NotConnected, true), (NeverSent, true), (Error, false), (Unfit, false)]
     {
         let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
         bench.query("client");
@@ -313,13 +313,13 @@
     };
     let mut bench = Bench::new("safe", &[("1", "ready"), ("2", "ready")]);
     let goes = |bench: &mut Bench, caller| {
-        let qry = bench.query(caller);
+        let query_index = bench.query(caller);
         let said = bench.said().remove(0);
         if said.starts_with("execute") {
             bench.ended(0, 0, Completed);
             bench.said();
         }
-        let _ = qry;
+        let _ = query_index;
         said
     };
     let_out(&mut bench, &["1"]);
--- a/balancer/deployment-settings/src/lib.rs
+++ b/balancer/deployment-settings/src/lib.rs
@@ -5,7 +5,7 @@
 #![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
 
 use serde::Deserialize;
-use whinspindle::host::{Effect, Group, Product, Terms};
+use whinspindle::host::{BalancerSettings, Effect, Group, Product};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -117,7 +117,7 @@
 /// What the settings tell of a deployment.
 #[derive(Clone)]
 pub struct Deployment {
-    pub terms: Terms,
+    pub terms: BalancerSettings,
     pub products: Vec<String>,
     /// How long clients of a product wait at most, a row a product.
     pub statement_timeouts: Vec<u64>,
@@ -216,7 +216,7 @@
     if !faults.is_empty() {
         return Err(faults.join("; "));
     }
-    let terms = Terms {
+    let terms = BalancerSettings {
         balancers: options.balancers.max(1),
         rank: options.rank,
         streams,
@@ -226,16 +226,16 @@
         cross_zone: options.deductions.cross_zone.max(0.0),
         products,
         tenant_quotas: options.projects.iter().map(|p| p.quota_per_s.unwrap_or(0.0)).collect(),
-        most_executions: limits.most_executions,
-        second_copies: limits.second_copies,
+        max_executions: limits.most_executions,
+        allow_hedging: limits.second_copies,
         cancel: limits.cancel,
         probes_pay,
         probe_dear: 4.0 * options.deductions.probe > options.deductions.late_fail,
-        most_retry_after: if limits.retry_after { limits.max_retry_after_ns / 1000 } else { 0 },
+        max_retry_after: if limits.retry_after { limits.max_retry_after_ns / 1000 } else { 0 },
         tick: options.tick_ns / 1000,
         must_ask_in: must_ask_in(&options.membership_mode, rules.must_ask_in_ns)?,
-        cold_from: rules.cold_from,
-        cold_time: rules.cold_ns / 1000,
+        slow_start_from: rules.cold_from,
+        slow_start_time: rules.cold_ns / 1000,
         fall_multiple: rules.fall_multiple,
         tip_after: rules.tip_after_ns / 1000,
     };
--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_protocol::list::{ListNews, ListedServer};
 
 pub use neighbours::{Neighbours, Word};
@@ -70,14 +70,14 @@
     kind: String,
     cell: u64,
     size: f64,
-    born: u64,
+    started_at: u64,
     draining: bool,
     address: SocketAddr,
 }
 
 /// What is kept of a list: those with an address that are not gone.
 pub fn encode(servers: &[ListedServer], generation: u64, at: u64) -> Vec<u8> {
-    let kept = servers.iter().filter(|listed| listed.standing != Standing::Gone).take(MOST_SERVERS);
+    let kept = servers.iter().filter(|listed| listed.state != EndpointState::Gone).take(MOST_SERVERS);
     let servers = kept.filter_map(|listed| {
         Some(SavedServer {
             name: listed.name.clone(),
@@ -85,8 +85,8 @@
             kind: listed.kind.clone(),
             cell: listed.cell as u64,
             size: listed.size,
-            born: listed.born,
-            draining: listed.standing == Standing::Draining,
+            started_at: listed.started_at,
+            draining: listed.state == EndpointState::Draining,
             address: listed.address?,
         })
     });
@@ -124,8 +124,8 @@
         kind: kept.kind,
         cell: kept.cell as usize,
         size: kept.size,
-        born: if trust == Trust::AsTold { kept.born } else { now },
-        standing: if kept.draining { Standing::Draining } else { Standing::Ready },
+        started_at: if trust == Trust::AsTold { kept.started_at } else { now },
+        state: if kept.draining { EndpointState::Draining } else { EndpointState::Ready },
         address: Some(kept.address),
     });
     let servers = servers.collect();
--- a/balancer/endpoint-cache/tests/neighbours.rs
+++ b/balancer/endpoint-cache/tests/neighbours.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_endpoint_cache::{Ages, Neighbours, Ramp, Second, Trust, Whole, Word};
 use whinspindle_protocol::list::ListedServer;
 
@@ -18,8 +18,8 @@
         kind: "m".to_string(),
         cell: 0,
         size: 1.0,
-        born: 5 * SECOND,
-        standing: if number == 1 { Standing::Draining } else { Standing::Ready },
+        started_at: 5 * SECOND,
+        state: if number == 1 { EndpointState::Draining } else { EndpointState::Ready },
         address: Some(SocketAddr::from(([127, 0, 0, 1], 9000 + number as u16))),
     };
     (0..count).map(server).collect()
@@ -52,8 +52,8 @@
             mail.extend(answers.into_iter().map(|word| (to, from, word)));
         }
         if let Some((news, trust)) = members[0].take(now, 7 * SECOND) {
-            assert!(news.whole && news.servers.iter().any(|s| s.standing == Standing::Draining));
-            taken = Some((news.servers.len(), trust, news.servers[0].born / SECOND));
+            assert!(news.whole && news.servers.iter().any(|s| s.state == EndpointState::Draining));
+            taken = Some((news.servers.len(), trust, news.servers[0].started_at / SECOND));
         }
     }
     (taken, messages)
--- a/balancer/endpoint-cache/tests/recall.rs
+++ b/balancer/endpoint-cache/tests/recall.rs
@@ -1,6 +1,6 @@
 //! How far a saved list is believed.
 
-use whinspindle::host::Standing::{self, Draining, Gone, Ready};
+use whinspindle::host::EndpointState::{self, Draining, Gone, Ready};
 use whinspindle_endpoint_cache::{Ages, Trust, encode, recall};
 use whinspindle_protocol::list::ListedServer;
 
@@ -8,15 +8,15 @@
 const NOW: u64 = 1_800_000_000 * SECOND;
 const AGES: Ages = Ages { fresh: 10 * SECOND, old: 3600 * SECOND };
 
-fn listed(name: &str, standing: Standing, born: u64) -> ListedServer {
+fn listed(name: &str, state: EndpointState, started_at: u64) -> ListedServer {
     ListedServer {
         name: name.to_string(),
         zone: "a".to_string(),
         kind: "m".to_string(),
         cell: 3,
         size: 1.5,
-        born,
-        standing,
+        started_at,
+        state,
         address: (name != "lost").then(|| ([127, 0, 0, 1], 80).into()),
     }
 }
@@ -26,7 +26,7 @@
     let servers =
         [listed("r", Ready, 5), listed("d", Draining, 6), listed("g", Gone, 7), listed("lost", Ready, 8)];
     let day = 24 * 3600;
-    for (age, trust, born) in [
+    for (age, trust, started_at) in [
         (2, Trust::AsTold, 5),
         (10, Trust::AsTold, 5),
         (120, Trust::Doubted, NOW),
@@ -38,9 +38,9 @@
         let bytes = encode(&servers, 41, (NOW as i64 - age * SECOND as i64) as u64);
         let (news, told) = recall(&bytes, NOW, &AGES).expect("a list");
         assert_eq!((told, news.whole, news.generation), (trust, true, 0), "{age}");
-        let kept: Vec<_> = news.servers.iter().map(|s| (s.name.as_str(), s.standing, s.born)).collect();
+        let kept: Vec<_> = news.servers.iter().map(|s| (s.name.as_str(), s.state, s.started_at)).collect();
         let drained = if trust == Trust::AsTold { 6 } else { NOW };
-        assert_eq!(kept, [("r", Ready, born), ("d", Draining, drained)], "{age}");
+        assert_eq!(kept, [("r", Ready, started_at), ("d", Draining, drained)], "{age}");
     }
 }
 
--- a/balancer/endpoint-cache/tests/stored_fixtures.rs
+++ b/balancer/endpoint-cache/tests/stored_fixtures.rs
@@ -7,7 +7,7 @@
 use std::net::{Ipv6Addr, SocketAddr};
 
 use fixtures::fixture;
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_endpoint_cache::{Ages, Neighbours, Trust, Word, encode, recall};
 use whinspindle_protocol::list::ListedServer;
 
@@ -25,8 +25,8 @@
             kind: "kind-large".to_string(),
             cell: 300,
             size: 2.75,
-            born: 1_799_000_000_654_321,
-            standing: Standing::Draining,
+            started_at: 1_799_000_000_654_321,
+            state: EndpointState::Draining,
             address: Some(SocketAddr::from((six, 8443))),
         },
         ListedServer {
@@ -35,8 +35,8 @@
             kind: "kind-small".to_string(),
             cell: 7,
             size: 0.1,
-            born: 0,
-            standing: Standing::Ready,
+            started_at: 0,
+            state: EndpointState::Ready,
             address: Some(SocketAddr::from(([192, 0, 2, 17], 80))),
         },
     ]
@@ -44,7 +44,7 @@
 
 fn told() -> Vec<ListedServer> {
     let [first, second] = kept();
-    let gone = ListedServer { name: "gone".to_string(), standing: Standing::Gone, ..first.clone() };
+    let gone = ListedServer { name: "gone".to_string(), state: EndpointState::Gone, ..first.clone() };
     let lost = ListedServer { name: "lost".to_string(), address: None, ..second.clone() };
     vec![first, gone, second, lost]
 }
@@ -79,7 +79,7 @@
         assert_eq!((told, news.generation, news.whole, news.faults.len()), (trust, 0, true, 0));
         let expected = kept().map(|server| match trust {
             Trust::AsTold => server,
-            Trust::Doubted | Trust::ToTry => ListedServer { born: AT + age, ..server },
+            Trust::Doubted | Trust::ToTry => ListedServer { started_at: AT + age, ..server },
         });
         assert_eq!(news.servers, expected, "{age}");
         if trust == Trust::AsTold {
--- a/balancer/fleet-policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -201,7 +201,7 @@
         wish: Wish,
     },
     /// One voter makes way for another; both voter_sets vote until `Settle`. By an operator's wish, or of itself
-    /// where one is born anew.
+    /// where one is started_at anew.
     Replace {
         old: Voter,
         new: Voter,
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -57,18 +57,18 @@
 
 impl Operator {
     /// The routes as the decisions take them: a row of conditions for each product.
-    pub fn rows(&self, deployment: &Deployment) -> Vec<Vec<host::Conditions>> {
+    pub fn rows(&self, deployment: &Deployment) -> Vec<Vec<host::RoutePolicy>> {
         let named = |names: &[String], known: &[String]| -> Vec<usize> {
             names.iter().filter_map(|name| index(known, name)).collect()
         };
-        let row = |c: &Conditions| host::Conditions {
+        let row = |c: &Conditions| host::RoutePolicy {
             time: c.time,
             execution_time: c.execution_time,
             executions: c.executions,
-            repeat_after: c.repeat_after,
+            retry_on: c.retry_on,
             wait: c.wait,
             spread: c.spread,
-            second_copy: c.second_copy,
+            hedge: c.hedge,
             budget: c.budget,
             zones: named(&c.servers.zones, &deployment.zones),
             kinds: named(&c.servers.kinds, &deployment.kinds),
@@ -113,8 +113,8 @@
 pub fn bounds(deployment: &Deployment) -> Bounds {
     let terms = &deployment.terms;
     Bounds {
-        executions: terms.most_executions,
-        second_copies: terms.second_copies,
+        executions: terms.max_executions,
+        allow_hedging: terms.allow_hedging,
         cancel: terms.cancel,
         connect_time_out: deployment.connect_time_out,
         tick: terms.tick,
--- a/balancer/operator-file/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -8,9 +8,7 @@
 use whinspindle_rollout::Limits;
 use whinspindle_routes::pattern::Pattern;
 use whinspindle_routes::proof::{self, Field};
-use whinspindle_routes::{
-    Conditions, Matches, ProductRow, RepeatAfter, Route, RouteTable, SecondCopy, Servers,
-};
+use whinspindle_routes::{Conditions, HedgePolicy, Matches, ProductRow, RetryOn, Route, RouteTable, Servers};
 use whinspindle_toml_config::units::Unit;
 use whinspindle_toml_config::{Place, Table, units};
 
@@ -176,9 +174,9 @@
             (Field::Time, place_of("time")),
             (Field::ExecutionTime, place_of("execution-time")),
             (Field::Executions, place_of("executions")),
-            (Field::RepeatAfter, place_of("repeat-after")),
+            (Field::RetryOn, place_of("repeat-after")),
             (Field::Wait, place_of("wait")),
-            (Field::SecondCopy, place_of("second-copy")),
+            (Field::HedgePolicy, place_of("second-copy")),
             (Field::Budget, place_of("budget")),
             (Field::LargestBody, place_of("largest-body")),
             (Field::Servers, place_of("servers")),
@@ -218,7 +216,7 @@
     time: Option<u64>,
     execution_time: Option<u64>,
     executions: Option<usize>,
-    repeat_after: Option<RepeatAfter>,
+    retry_on: Option<RetryOn>,
     repeats: Option<Repeats>,
 }
 
@@ -236,11 +234,11 @@
         let tick = deployment.terms.tick;
         let time = self.time.unwrap_or(row.statement_timeout.saturating_sub(tick));
         let ever = row.effect != Effect::NonIdempotent;
-        let by_effect = RepeatAfter { never_ran: true, error: ever, broken: ever, timed_out: ever };
-        let executions = self.executions.unwrap_or(deployment.terms.most_executions);
-        let repeat_after = match self.repeat_after {
+        let by_effect = RetryOn { never_ran: true, error: ever, broken: ever, timed_out: ever };
+        let executions = self.executions.unwrap_or(deployment.terms.max_executions);
+        let retry_on = match self.retry_on {
             Some(set) => set,
-            None if executions == 1 => RepeatAfter::NOTHING,
+            None if executions == 1 => RetryOn::NOTHING,
             None => by_effect,
         };
         // Without a route repeats stay where they are known by themselves.
@@ -253,7 +251,7 @@
             time,
             execution_time: self.execution_time.unwrap_or(time),
             executions,
-            repeat_after,
+            retry_on,
             servers: Servers {
                 repeats_in_zone: repeats == Repeats::Zone,
                 repeats_in_pod: repeats == Repeats::Pod,
@@ -272,8 +270,8 @@
                 n == 1 || (worst.sends.len() >= n && known)
             };
             filled.executions = (1..=executions).rev().find(|&n| fits(n)).unwrap_or(1);
-            if filled.executions == 1 && self.repeat_after.is_none() {
-                filled.repeat_after = RepeatAfter::NOTHING;
+            if filled.executions == 1 && self.retry_on.is_none() {
+                filled.retry_on = RetryOn::NOTHING;
             }
         }
         filled
@@ -293,7 +291,7 @@
         time,
         execution_time,
         executions,
-        repeat_after: t.holds("repeat-after").then(|| repeat_after(t)),
+        retry_on: t.holds("repeat-after").then(|| retry_on(t)),
         repeats: None,
     };
     let servers = t.table_or_defaults("servers");
@@ -303,10 +301,10 @@
         time: 0,
         execution_time: 0,
         executions: 1,
-        repeat_after: RepeatAfter::NOTHING,
+        retry_on: RetryOn::NOTHING,
         wait: t.time("wait", Some(0)),
         spread: t.number("spread", (0.0, 10.0), Some(0.0)),
-        second_copy: second_copy(t),
+        hedge: hedge(t),
         budget: t.number("budget", (0.0, 100.0), Some(100.0)),
         largest_body: t.size("largest-body", Some(LARGEST_BODY)),
         servers: Servers {
@@ -336,8 +334,8 @@
     texts.into_iter().map(|(name, _)| name).collect()
 }
 
-fn repeat_after(t: &Table) -> RepeatAfter {
-    let mut after = RepeatAfter::NOTHING;
+fn retry_on(t: &Table) -> RetryOn {
+    let mut after = RetryOn::NOTHING;
     for (word, place) in t.texts("repeat-after") {
         match word.as_str() {
             "never-ran" => after.never_ran = true,
@@ -354,19 +352,19 @@
 }
 
 /// `"100ms"`, or `"p95"` for the time that 95 of 100 answers take at most.
-fn second_copy(t: &Table) -> SecondCopy {
+fn hedge(t: &Table) -> HedgePolicy {
     if !t.holds("second-copy") {
-        return SecondCopy::Never;
+        return HedgePolicy::Never;
     }
     let text = t.text("second-copy", None);
     if let Some(number) = text.strip_prefix('p') {
         if let Some(part) = number.parse::<f64>().ok().filter(|part| *part >= 50.0 && *part < 100.0) {
-            return SecondCopy::Quantile(part / 100.0);
+            return HedgePolicy::Quantile(part / 100.0);
         }
     } else if let Ok(after) = units::Time::read(&text) {
-        return SecondCopy::After(after);
+        return HedgePolicy::After(after);
     }
     let way_out = "a time as in \"100ms\", or from \"p50\" to \"p99.9\"";
     t.fault(&t.place_of("second-copy"), format!("is neither a time nor a quantile: {text:?}"), way_out);
-    SecondCopy::Never
+    HedgePolicy::Never
 }
--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -5,7 +5,7 @@
 
 use common::deployment;
 use whinspindle_operator_file::{CutOff, LARGEST_BODY, Operator, draw, read, read_policy};
-use whinspindle_routes::RepeatAfter;
+use whinspindle_routes::RetryOn;
 use whinspindle_toml_config::Fault;
 
 fn faults(text: &str) -> Vec<Fault> {
@@ -230,13 +230,13 @@
 fn what_is_not_set_is_as_without_a_route() {
     let operator = good("[[route]]\nname = \"all\"\n");
     let rows = &operator.routes.routes()[0].conditions;
-    let all = RepeatAfter { never_ran: true, error: true, broken: true, timed_out: true };
-    let never_ran = RepeatAfter { never_ran: true, ..RepeatAfter::NOTHING };
+    let all = RetryOn { never_ran: true, error: true, broken: true, timed_out: true };
+    let never_ran = RetryOn { never_ran: true, ..RetryOn::NOTHING };
     for (product, executions, after, in_pod) in
-        [(0, 1, RepeatAfter::NOTHING, false), (2, 1, RepeatAfter::NOTHING, false)]
+        [(0, 1, RetryOn::NOTHING, false), (2, 1, RetryOn::NOTHING, false)]
     {
         let row = &rows[product];
-        assert_eq!((row.executions, row.repeat_after), (executions, after), "product {product}");
+        assert_eq!((row.executions, row.retry_on), (executions, after), "product {product}");
         assert_eq!(
             (row.servers.repeats_in_pod, row.largest_body),
             (in_pod, LARGEST_BODY),
@@ -249,7 +249,7 @@
     let wanted = [(0, 4, all, false), (1, 4, all, true), (2, 4, never_ran, false), (3, 2, all, false)];
     for (product, executions, after, in_pod) in wanted {
         let row = &rows[product];
-        assert_eq!((row.executions, row.repeat_after), (executions, after), "product {product}");
+        assert_eq!((row.executions, row.retry_on), (executions, after), "product {product}");
         assert_eq!(row.servers.repeats_in_pod, in_pod, "product {product}");
     }
 }
--- a/balancer/operator-file/tests/random.rs
+++ b/balancer/operator-file/tests/random.rs
@@ -136,7 +136,7 @@
             prop_assert_eq!(rows.len(), deployment.terms.products.len());
             for (row, most) in rows.iter().zip(&deployment.statement_timeouts) {
                 prop_assert!(
-                    row.time <= *most && row.executions <= deployment.terms.most_executions,
+                    row.time <= *most && row.executions <= deployment.terms.max_executions,
                     "{}",
                     text
                 );
--- a/balancer/protocol/src/execution.rs
+++ b/balancer/protocol/src/execution.rs
@@ -60,7 +60,7 @@
         let never_ran = parts.headers.get(headers::NEVER_RAN).is_some_and(|value| value == "1");
         let outcome = match parts.status {
             StatusCode::OK => Outcome::Completed,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::TurnedAway,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Rejected,
             // Guards against one client's bad queries making all servers look broken.
             StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
             status if status.is_client_error() => Outcome::Unfit,
--- a/balancer/protocol/src/list.rs
+++ b/balancer/protocol/src/list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::Deserialize;
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 
 #[derive(Debug)]
 pub struct ListNews {
@@ -23,8 +23,8 @@
     pub cell: usize,
     pub size: f64,
     /// Unix time of the last start in microseconds; 0: long ago.
-    pub born: u64,
-    pub standing: Standing,
+    pub started_at: u64,
+    pub state: EndpointState,
     /// Where it listens; one that is gone need not tell.
     pub address: Option<SocketAddr>,
 }
@@ -79,14 +79,14 @@
 fn entry(json: serde_json::Value) -> Result<ListedServer, String> {
     let instance = Instance::deserialize(json).map_err(|e| e.to_string())?;
     let name = instance.instance_id;
-    let standing = match instance.lifecycle.as_str() {
-        "ready" => Standing::Ready,
-        "draining" => Standing::Draining,
-        "gone" => Standing::Gone,
+    let state = match instance.lifecycle.as_str() {
+        "ready" => EndpointState::Ready,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Gone,
         other => return Err(format!("{name}: lifecycle: unknown: {other:?}")),
     };
     let address = instance.host_port.as_deref().and_then(|address| address.parse().ok());
-    if address.is_none() && standing != Standing::Gone {
+    if address.is_none() && state != EndpointState::Gone {
         return Err(format!("{name}: hostPort: no address and port"));
     }
     Ok(ListedServer {
@@ -95,8 +95,8 @@
         kind: instance.machine_type,
         cell: instance.cell,
         size: instance.weight.filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0),
-        born: instance.started_at_ms.saturating_mul(1000),
-        standing,
+        started_at: instance.started_at_ms.saturating_mul(1000),
+        state,
         address,
     })
 }
--- a/balancer/protocol/tests/messages.rs
+++ b/balancer/protocol/tests/messages.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
 use http_body_util::BodyExt;
-use whinspindle::host::{Outcome, Standing};
+use whinspindle::host::{EndpointState, Outcome};
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_protocol::answer::{Answer, Because, Served};
 use whinspindle_protocol::execution::{self, Reply};
@@ -142,8 +142,8 @@
         (500, &never_ran, Outcome::Error),
         (503, &[], Outcome::Error),
         (503, &[("x-never-ran", "0")], Outcome::Error),
-        (503, &never_ran, Outcome::TurnedAway),
-        (504, &never_ran, Outcome::TurnedAway),
+        (503, &never_ran, Outcome::Rejected),
+        (504, &never_ran, Outcome::Rejected),
     ] {
         let reply = reply(status, headers);
         assert_eq!((reply.outcome, reply.served.is_some()), (outcome, status == 200), "{status}");
@@ -214,13 +214,13 @@
             format!(
                 r#"{{"instanceId": "s", {whole}, "lifecycle": "ready", "weight": 2.5, "startedAtMs": 7}}"#
             ),
-            Ok((Standing::Ready, 2.5, 7000)),
+            Ok((EndpointState::Ready, 2.5, 7000)),
         ),
         (
             format!(r#"{{"instanceId": "s", {whole}, "lifecycle": "draining", "weight": -1}}"#),
-            Ok((Standing::Draining, 1.0, 0)),
+            Ok((EndpointState::Draining, 1.0, 0)),
         ),
-        (r#"{"instanceId": "s", "lifecycle": "gone"}"#.to_string(), Ok((Standing::Gone, 1.0, 0))),
+        (r#"{"instanceId": "s", "lifecycle": "gone"}"#.to_string(), Ok((EndpointState::Gone, 1.0, 0))),
         (r#"{"instanceId": "s", "lifecycle": "ready"}"#.to_string(), Err("s: hostPort: no address and port")),
         (
             r#"{"instanceId": "s", "hostPort": "upstream:80", "lifecycle": "ready"}"#.to_string(),
@@ -242,7 +242,7 @@
         match read {
             Ok(read) => {
                 let server = &news.servers[0];
-                assert_eq!((server.standing, server.size, server.born), read, "{entry}");
+                assert_eq!((server.state, server.size, server.started_at), read, "{entry}");
                 assert!(news.faults.is_empty());
             }
             Err(fault) => assert_eq!(news.faults, [fault], "{entry}"),
--- a/balancer/rollout/src/seen.rs
+++ b/balancer/rollout/src/seen.rs
@@ -27,9 +27,9 @@
         let mut bad = [false; SIGNS.len()];
         match outcome {
             Outcome::Completed => bad[SLOW] = self.lines.is_slow(product, spent),
-            Outcome::TurnedAway => bad[TURNED_AWAY] = true,
+            Outcome::Rejected => bad[TURNED_AWAY] = true,
             // The fault is the query's or this process's own, or nobody's.
-            Outcome::Unfit | Outcome::Stale | Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::Unfit | Outcome::Stale | Outcome::Cancelled | Outcome::NeverSent => return,
             _ => bad[FAILS] = true,
         }
         self.servers.entry(server).or_default().add(count(bad));
--- a/balancer/routes/src/lib.rs
+++ b/balancer/routes/src/lib.rs
@@ -9,7 +9,7 @@
 mod table;
 
 use whinspindle::host::Effect;
-pub use whinspindle::host::{RepeatAfter, SecondCopy};
+pub use whinspindle::host::{HedgePolicy, RetryOn};
 
 use pattern::Pattern;
 pub use table::{Lookup, RouteTable, Tie};
@@ -33,11 +33,11 @@
     /// For one execution, from its send to its end.
     pub execution_time: u64,
     pub executions: usize,
-    pub repeat_after: RepeatAfter,
+    pub retry_on: RetryOn,
     /// Before a repeat; the spread is the part of it that may come on top.
     pub wait: u64,
     pub spread: f64,
-    pub second_copy: SecondCopy,
+    pub hedge: HedgePolicy,
     /// Repeats as a part of the route's queries.
     pub budget: f64,
     pub largest_body: u64,
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     pub executions: usize,
-    pub second_copies: bool,
+    pub allow_hedging: bool,
     pub cancel: bool,
     pub connect_time_out: u64,
     /// Timers fire up to so much late.
--- a/balancer/routes/src/proof.rs
+++ b/balancer/routes/src/proof.rs
@@ -6,7 +6,7 @@
 
 use whinspindle::host::{Effect, Group};
 
-use crate::{Bounds, Conditions, ProductRow, SecondCopy};
+use crate::{Bounds, Conditions, HedgePolicy, ProductRow};
 
 /// What of a route a fault is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,9 +14,9 @@
     Time,
     ExecutionTime,
     Executions,
-    RepeatAfter,
+    RetryOn,
     Wait,
-    SecondCopy,
+    HedgePolicy,
     Budget,
     LargestBody,
     Servers,
@@ -132,8 +132,8 @@
         refusals.push(Refusal { check, field, fault, way_out });
     };
     let schedule = worst(c, bounds);
-    let repeats = c.executions > 1 && c.repeat_after.may_have_run();
-    let copies = c.second_copy != SecondCopy::Never;
+    let repeats = c.executions > 1 && c.retry_on.may_have_run();
+    let copies = c.hedge != HedgePolicy::Never;
     match check {
         Check::AnswerInTime => {
             if c.time + bounds.tick > product.statement_timeout {
@@ -161,11 +161,11 @@
         Check::NonIdempotent => {
             if product.effect == Effect::NonIdempotent && repeats {
                 let fault = "a non-idempotent query is sent again though it may have run".to_string();
-                refuse(Field::RepeatAfter, fault, "repeat only after outcomes that never ran".to_string());
+                refuse(Field::RetryOn, fault, "repeat only after outcomes that never ran".to_string());
             }
             if product.effect == Effect::NonIdempotent && copies {
                 let fault = "a non-idempotent query has a second copy".to_string();
-                refuse(Field::SecondCopy, fault, "leave it out".to_string());
+                refuse(Field::HedgePolicy, fault, "leave it out".to_string());
             }
         }
         Check::Memory => {
@@ -199,14 +199,14 @@
             }
         }
         Check::Overlap => {
-            if copies && !bounds.second_copies {
+            if copies && !bounds.allow_hedging {
                 let fault = "second copies are not allowed by the deployment".to_string();
-                refuse(Field::SecondCopy, fault, "leave it out".to_string());
+                refuse(Field::HedgePolicy, fault, "leave it out".to_string());
             }
-            if c.repeat_after.timed_out && c.executions > 1 && !bounds.cancel && !bounds.second_copies {
+            if c.retry_on.timed_out && c.executions > 1 && !bounds.cancel && !bounds.allow_hedging {
                 let fault =
                     "an execution that has timed out is still out, as the deployment can't call it off";
-                refuse(Field::RepeatAfter, fault.to_string(), "not after \"timed-out\"".to_string());
+                refuse(Field::RetryOn, fault.to_string(), "not after \"timed-out\"".to_string());
             }
         }
         Check::Body => {
@@ -217,7 +217,7 @@
             }
         }
         Check::Sense => {
-            if c.executions == 1 && (c.repeat_after != crate::RepeatAfter::NOTHING || copies) {
+            if c.executions == 1 && (c.retry_on != crate::RetryOn::NOTHING || copies) {
                 let fault = "repeats are set, but no execution is left for them".to_string();
                 refuse(Field::Executions, fault, "at least 2".to_string());
             }
--- a/balancer/routes/tests/common/mod.rs
+++ b/balancer/routes/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use whinspindle::host::{Effect, Group};
 use whinspindle_routes::pattern::Pattern;
-use whinspindle_routes::{Bounds, Conditions, Matches, ProductRow, RepeatAfter, Route, SecondCopy, Servers};
+use whinspindle_routes::{Bounds, Conditions, HedgePolicy, Matches, ProductRow, RetryOn, Route, Servers};
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 pub const MS: u64 = 1_000;
@@ -13,7 +13,7 @@
 pub fn bounds() -> Bounds {
     Bounds {
         executions: 4,
-        second_copies: false,
+        allow_hedging: false,
         cancel: true,
         connect_time_out: 250 * MS,
         tick: 5 * MS,
@@ -32,10 +32,10 @@
         time: 2 * S,
         execution_time: 500 * MS,
         executions: 3,
-        repeat_after: RepeatAfter { never_ran: true, error: true, broken: true, timed_out: true },
+        retry_on: RetryOn { never_ran: true, error: true, broken: true, timed_out: true },
         wait: 20 * MS,
         spread: 0.5,
-        second_copy: SecondCopy::Never,
+        hedge: HedgePolicy::Never,
         budget: 0.2,
         largest_body: 1024,
         servers: Servers::default(),
--- a/balancer/routes/tests/proof.rs
+++ b/balancer/routes/tests/proof.rs
@@ -5,7 +5,7 @@
 use common::{MS, S, bounds, conditions, order};
 use whinspindle::host::{Effect, Group};
 use whinspindle_routes::proof::{CHECKS, Check, prove, prove_by, worst};
-use whinspindle_routes::{Bounds, Conditions, ProductRow, RepeatAfter, SecondCopy, Servers};
+use whinspindle_routes::{Bounds, Conditions, HedgePolicy, ProductRow, RetryOn, Servers};
 
 type Change = fn(&mut Conditions, &mut ProductRow, &mut Bounds);
 
@@ -15,41 +15,41 @@
     ("time up to the last tick", None, |c, _, _| c.time = 3 * S - 5 * MS),
     ("a microsecond more", Some(Check::AnswerInTime), |c, _, _| c.time = 3 * S - 5 * MS + 1),
     ("an execution as long as its query", None, |c, _, _| {
-        (c.execution_time, c.executions, c.repeat_after) = (2 * S, 1, RepeatAfter::NOTHING);
+        (c.execution_time, c.executions, c.retry_on) = (2 * S, 1, RetryOn::NOTHING);
     }),
     ("a microsecond longer", Some(Check::ExecutionInTime), |c, _, _| {
-        (c.execution_time, c.executions, c.repeat_after) = (2 * S + 1, 1, RepeatAfter::NOTHING);
+        (c.execution_time, c.executions, c.retry_on) = (2 * S + 1, 1, RetryOn::NOTHING);
     }),
     ("as many executions as are allowed", None, |c, _, _| (c.executions, c.execution_time) = (4, 300 * MS)),
     ("one more", Some(Check::Executions), |c, _, _| (c.executions, c.execution_time) = (5, 300 * MS)),
     ("non-idempotent, sent again where it never ran", None, |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.repeat_after = RepeatAfter { never_ran: true, ..RepeatAfter::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
     }),
     ("non-idempotent, again after an error", Some(Check::NonIdempotent), |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.repeat_after = RepeatAfter { error: true, ..RepeatAfter::NOTHING };
+        c.retry_on = RetryOn { error: true, ..RetryOn::NOTHING };
     }),
     ("non-idempotent, again after a break", Some(Check::NonIdempotent), |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.repeat_after = RepeatAfter { broken: true, ..RepeatAfter::NOTHING };
+        c.retry_on = RetryOn { broken: true, ..RetryOn::NOTHING };
     }),
     ("non-idempotent, with a second copy", Some(Check::NonIdempotent), |c, p, b| {
         p.effect = Effect::NonIdempotent;
-        c.repeat_after = RepeatAfter { never_ran: true, ..RepeatAfter::NOTHING };
-        c.second_copy = SecondCopy::Quantile(0.95);
-        b.second_copies = true;
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
+        c.hedge = HedgePolicy::Quantile(0.95);
+        b.allow_hedging = true;
     }),
     // Sends at 0, 540 and 1080 ms; 250 ms to connect and 50 ms on the way: there by 1380 ms.
     ("remembered for a microsecond longer than needed", None, |_, p, _| p.memory_span = 1_380 * MS + 1),
     ("forgotten at that very moment", Some(Check::Memory), |_, p, _| p.memory_span = 1_380 * MS),
     ("forgotten, but nothing is sent again", None, |c, p, _| {
         p.memory_span = 1;
-        (c.executions, c.repeat_after) = (1, RepeatAfter::NOTHING);
+        (c.executions, c.retry_on) = (1, RetryOn::NOTHING);
     }),
     ("forgotten, but sent again only where it never ran", None, |c, p, _| {
         p.memory_span = 1;
-        c.repeat_after = RepeatAfter { never_ran: true, ..RepeatAfter::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
     }),
     ("waits that grow past the memory", Some(Check::Memory), |c, p, _| {
         (p.memory_span, c.wait) = (1_500 * MS, 100 * MS);
@@ -70,10 +70,10 @@
         c.servers = Servers { repeats_in_pod: true, ..Servers::default() };
     }),
     ("a second copy where none is allowed", Some(Check::Overlap), |c, _, _| {
-        c.second_copy = SecondCopy::After(100 * MS);
+        c.hedge = HedgePolicy::After(100 * MS);
     }),
     ("a second copy where it is", None, |c, _, b| {
-        (c.second_copy, b.second_copies) = (SecondCopy::After(100 * MS), true);
+        (c.hedge, b.allow_hedging) = (HedgePolicy::After(100 * MS), true);
     }),
     ("again after a time-out that can't be called off", Some(Check::Overlap), |_, _, b| b.cancel = false),
     ("the largest body", None, |c, _, _| c.largest_body = 64 * 1024),
--- a/lab/invariants/src/lib.rs
+++ b/lab/invariants/src/lib.rs
@@ -41,7 +41,7 @@
     /// A row a product.
     pub products: Vec<Repeats>,
     pub executions: usize,
-    pub second_copies: bool,
+    pub allow_hedging: bool,
     /// A final answer may come so long after the client's time.
     pub slack: u64,
     /// Nothing is sent to a server so long after it was told to drain or gone.
@@ -370,7 +370,7 @@
         if let Some(fault) = fault {
             self.broke(2, fault, now, of);
         }
-        if overlaps && !self.demands.second_copies {
+        if overlaps && !self.demands.allow_hedging {
             self.broke(2, "two executions of one query out together", now, of);
         }
         if count > self.demands.executions {
--- a/lab/invariants/tests/referee.rs
+++ b/lab/invariants/tests/referee.rs
@@ -12,7 +12,7 @@
 const PAY: usize = 2;
 const POD: usize = 3;
 
-fn demands(second_copies: bool) -> Demands {
+fn demands(allow_hedging: bool) -> Demands {
     Demands {
         products: vec![
             Repeats::Harmless,
@@ -21,7 +21,7 @@
             Repeats::Dropped(Scope::Pod, 5 * S),
         ],
         executions: 3,
-        second_copies,
+        allow_hedging,
         slack: 20 * MS,
         grace: 300 * MS,
         cold_lasts: 8 * S,
@@ -30,8 +30,8 @@
 }
 
 /// Two balancers that know three servers: 0 and 1 of one pod, 2 of another.
-fn referee(second_copies: bool) -> Referee {
-    let mut referee = Referee::new(demands(second_copies));
+fn referee(allow_hedging: bool) -> Referee {
+    let mut referee = Referee::new(demands(allow_hedging));
     for balancer in 0..2 {
         for (server, pod) in [(0, 0), (1, 0), (2, 1)] {
             referee.told(0, balancer, server, Listed::Ready, pod, pod);
--- a/lab/model/src/machine.rs
+++ b/lab/model/src/machine.rs
@@ -37,7 +37,7 @@
 pub enum Taken {
     Taken,
     /// The waiting room is full, it drains, or holds all connections that it may.
-    TurnedAway,
+    Rejected,
     /// Nobody listens.
     Down,
 }
@@ -99,7 +99,7 @@
     dice: Dice,
     state: State,
     /// 0: long ago.
-    born: u64,
+    started_at: u64,
     pub draining: bool,
     pub hung: bool,
     pub paused: bool,
@@ -131,7 +131,7 @@
 }
 
 impl Machine {
-    pub fn new(kind: &Kind, tier: &Tier, dice: Dice, born: u64) -> Self {
+    pub fn new(kind: &Kind, tier: &Tier, dice: Dice, started_at: u64) -> Self {
         Machine {
             cores: kind.cores,
             speed: kind.speed,
@@ -144,7 +144,7 @@
             cap: tier.connections.cap,
             dice,
             state: State::Up,
-            born,
+            started_at,
             draining: false,
             hung: false,
             paused: false,
@@ -156,7 +156,7 @@
             waiting: VecDeque::new(),
             working: BTreeSet::new(),
             service: 0.0,
-            updated: born,
+            updated: started_at,
             taken_slots: 0,
             failing: BTreeSet::new(),
             choked: false,
@@ -166,7 +166,7 @@
             used: 0.0,
             answered: 0,
             report: Report::default(),
-            reported: born,
+            reported: started_at,
         }
     }
 
@@ -198,8 +198,8 @@
     }
 
     pub fn warmth(&self, now: u64) -> f64 {
-        let age = now.saturating_sub(self.born);
-        if self.born == 0 || age >= self.cold.lasts {
+        let age = now.saturating_sub(self.started_at);
+        if self.started_at == 0 || age >= self.cold.lasts {
             return 1.0;
         }
         self.cold.from + (1.0 - self.cold.from) * age as f64 / self.cold.lasts as f64
@@ -250,7 +250,7 @@
             return Taken::Down;
         }
         if self.draining || self.waiting.len() >= self.room || self.connections > self.cap {
-            return Taken::TurnedAway;
+            return Taken::Rejected;
         }
         let piece = work / (task.calls + 1) as f64;
         let mut stage = Stage::Waits;
@@ -434,7 +434,7 @@
     /// A new process, cold.
     pub fn start(&mut self, now: u64) {
         self.clear();
-        (self.state, self.born, self.updated, self.reported) = (State::Up, now, now, now);
+        (self.state, self.started_at, self.updated, self.reported) = (State::Up, now, now, now);
         (self.draining, self.hung, self.paused, self.silent) = (false, false, false, false);
         (self.fails, self.slow) = (0.0, 1.0);
         (self.used, self.answered, self.report) = (0.0, 0, Report::default());
--- a/lab/model/src/registry.rs
+++ b/lab/model/src/registry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_lab_scenario::Scenario;
 
 /// Generations that are kept; who asks from an older one is told the whole list.
@@ -15,10 +15,10 @@
     pub zone: usize,
     pub kind: usize,
     pub cell: usize,
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub size: f64,
     /// 0: long ago.
-    pub born: u64,
+    pub started_at: u64,
     /// The machine that it listens on.
     pub place: usize,
 }
@@ -33,9 +33,15 @@
 }
 
 impl Listing {
-    pub fn new(scenario: &Scenario, site: Site, server: usize, standing: Standing, born: u64) -> Self {
+    pub fn new(
+        scenario: &Scenario,
+        site: Site,
+        server: usize,
+        standing: EndpointState,
+        started_at: u64,
+    ) -> Self {
         let Site { place, zone, kind, cell } = site;
-        Listing { server, zone, kind, cell, standing, size: scenario.kinds[kind].listed, born, place }
+        Listing { server, zone, kind, cell, standing, size: scenario.kinds[kind].listed, started_at, place }
     }
 }
 
@@ -75,7 +81,7 @@
             self.changes.pop_front();
         }
         self.changes.push_back((now, listing.clone()));
-        if listing.standing == Standing::Gone {
+        if listing.standing == EndpointState::Gone {
             self.listed.remove(&listing.server);
         } else {
             self.listed.insert(listing.server, listing);
@@ -117,7 +123,7 @@
         }
         for (_, listing) in self.changes.iter().filter(|(when, _)| *when <= at) {
             if later.iter().any(|(_, l)| l.server == listing.server) {
-                if listing.standing == Standing::Gone {
+                if listing.standing == EndpointState::Gone {
                     listed.remove(&listing.server);
                 } else {
                     listed.insert(listing.server, listing.clone());
--- a/lab/scenario/src/lib.rs
+++ b/lab/scenario/src/lib.rs
@@ -167,7 +167,7 @@
 #[derive(Clone, Debug)]
 pub struct Allowed {
     pub executions: usize,
-    pub second_copies: bool,
+    pub allow_hedging: bool,
     pub cancel: bool,
     pub probes: bool,
     /// 0: no advice is passed on.
@@ -188,7 +188,7 @@
     pub executions: Option<usize>,
     pub wait: u64,
     pub spread: f64,
-    pub second_copy: Option<u64>,
+    pub hedge: Option<u64>,
     pub budget: f64,
 }
 
--- a/lab/scenario/src/read.rs
+++ b/lab/scenario/src/read.rs
@@ -324,7 +324,7 @@
 fn allowed(table: &Table) -> Allowed {
     Allowed {
         executions: table.count("executions", (1, 20), Some(3)) as usize,
-        second_copies: table.flag("second-copies", false),
+        allow_hedging: table.flag("second-copies", false),
         cancel: table.flag("cancel", true),
         probes: table.flag("probes", false),
         retry_after: table.time("retry-after", Some(1_500_000)),
@@ -342,7 +342,7 @@
         executions: table.holds("executions").then(|| table.count("executions", (1, 20), None) as usize),
         wait: table.time("wait", Some(0)),
         spread: table.number("spread", (0.0, 10.0), Some(0.0)),
-        second_copy: time("second-copy"),
+        hedge: time("second-copy"),
         budget: table.number("budget", (0.0, 100.0), Some(100.0)),
     }
 }
--- a/lab/simulation/src/decider.rs
+++ b/lab/simulation/src/decider.rs
@@ -1,7 +1,7 @@
 //! What decides at a balancer: the module, or one of the plain policies that it is compared with.
 
 use whinspindle::decide::Balancer;
-use whinspindle::host::{Arrival, Conditions, Ending, Entry, Host, LoadReport, Terms};
+use whinspindle::host::{Arrival, BalancerSettings, Endpoint, ExecutionEnd, Host, LoadReport, RoutePolicy};
 use whinspindle_lab_model::dice::Dice;
 
 use crate::plain::Plain;
@@ -38,10 +38,10 @@
 /// One thing that was decided. Virtual time carries it out after the call that decided it.
 #[derive(Clone, Copy, Debug)]
 pub enum Wish {
-    Execute { qry: usize, server: usize, time_out: u64 },
-    Cancel { qry: usize, exec: usize },
-    Reject { qry: usize, retry_after: u64 },
-    Abort { qry: usize },
+    Execute { query_index: usize, server: usize, time_out: u64 },
+    Cancel { query_index: usize, exec: usize },
+    Reject { query_index: usize, retry_after: u64 },
+    Abort { query_index: usize },
     Wake { wait: u64, label: u32 },
     Probe { server: usize },
 }
@@ -51,17 +51,17 @@
 pub struct Wishes(pub Vec<Wish>);
 
 impl Host for Wishes {
-    fn execute(&mut self, qry: usize, server: usize, time_out: u64) {
-        self.0.push(Wish::Execute { qry, server, time_out });
+    fn execute(&mut self, query_index: usize, server: usize, time_out: u64) {
+        self.0.push(Wish::Execute { query_index, server, time_out });
     }
-    fn cancel(&mut self, qry: usize, exec: usize) {
-        self.0.push(Wish::Cancel { qry, exec });
+    fn cancel(&mut self, query_index: usize, exec: usize) {
+        self.0.push(Wish::Cancel { query_index, exec });
     }
-    fn reject(&mut self, qry: usize, retry_after: u64) {
-        self.0.push(Wish::Reject { qry, retry_after });
+    fn reject(&mut self, query_index: usize, retry_after: u64) {
+        self.0.push(Wish::Reject { query_index, retry_after });
     }
-    fn abort(&mut self, qry: usize) {
-        self.0.push(Wish::Abort { qry });
+    fn abort(&mut self, query_index: usize) {
+        self.0.push(Wish::Abort { query_index });
     }
     fn wake(&mut self, wait: u64, label: u32) {
         self.0.push(Wish::Wake { wait, label });
@@ -69,7 +69,7 @@
     fn probe(&mut self, server: usize) {
         self.0.push(Wish::Probe { server });
     }
-    fn follow_list(&mut self) {}
+    fn follow_endpoints(&mut self) {}
 }
 
 /// What is true of the servers, for the policy that sees it.
@@ -84,7 +84,7 @@
 }
 
 impl Decider {
-    pub fn new(policy: Policy, terms: Terms, seed: u64, dice: Dice, now: u64) -> Self {
+    pub fn new(policy: Policy, terms: BalancerSettings, seed: u64, dice: Dice, now: u64) -> Self {
         match policy {
             Policy::Module => Decider::Module(Box::new(Balancer::new(Wishes::default(), terms, seed, now))),
             plain => Decider::Plain(Box::new(Plain::new(plain, terms, dice))),
@@ -92,7 +92,7 @@
     }
 
     /// The plain policies know no routes.
-    pub fn route(&mut self, rows: Option<Vec<Conditions>>) {
+    pub fn route(&mut self, rows: Option<Vec<RoutePolicy>>) {
         if let (Decider::Module(balancer), Some(rows)) = (self, rows) {
             balancer.routes(vec![rows]);
         }
@@ -105,32 +105,39 @@
         }
     }
 
-    pub fn list(&mut self, now: u64, whole: bool, entries: &[Entry]) {
+    pub fn list(&mut self, now: u64, whole: bool, entries: &[Endpoint]) {
         match self {
-            Decider::Module(balancer) if whole => balancer.list_whole(now, entries),
-            Decider::Module(balancer) => balancer.list_changed(now, entries),
+            Decider::Module(balancer) if whole => balancer.endpoints_replaced(now, entries),
+            Decider::Module(balancer) => balancer.endpoints_changed(now, entries),
             Decider::Plain(plain) => plain.list(whole, entries),
         }
     }
 
-    pub fn query(&mut self, now: u64, qry: usize, arrival: Arrival, sight: &dyn Sight) {
+    pub fn query(&mut self, now: u64, query_index: usize, arrival: Arrival, sight: &dyn Sight) {
         match self {
-            Decider::Module(balancer) => balancer.query(now, qry, arrival),
-            Decider::Plain(plain) => plain.query(now, qry, arrival, sight),
+            Decider::Module(balancer) => balancer.query(now, query_index, arrival),
+            Decider::Plain(plain) => plain.query(now, query_index, arrival, sight),
         }
     }
 
-    pub fn completed(&mut self, now: u64, qry: usize, exec: usize, ending: Ending, sight: &dyn Sight) {
+    pub fn completed(
+        &mut self,
+        now: u64,
+        query_index: usize,
+        exec: usize,
+        ending: ExecutionEnd,
+        sight: &dyn Sight,
+    ) {
         match self {
-            Decider::Module(balancer) => balancer.completed(now, qry, exec, ending),
-            Decider::Plain(plain) => plain.completed(now, qry, exec, ending, sight),
+            Decider::Module(balancer) => balancer.completed(now, query_index, exec, ending),
+            Decider::Plain(plain) => plain.completed(now, query_index, exec, ending, sight),
         }
     }
 
-    pub fn withdrawn(&mut self, now: u64, qry: usize) {
+    pub fn withdrawn(&mut self, now: u64, query_index: usize) {
         match self {
-            Decider::Module(balancer) => balancer.withdrawn(now, qry),
-            Decider::Plain(plain) => plain.withdrawn(qry),
+            Decider::Module(balancer) => balancer.withdrawn(now, query_index),
+            Decider::Plain(plain) => plain.withdrawn(query_index),
         }
     }
 
--- a/lab/simulation/src/plain.rs
+++ b/lab/simulation/src/plain.rs
@@ -1,14 +1,16 @@
 //! Plain policies to compare with. They keep the rules on repeats and drains, since a comparison with one
 //! that breaks them would say nothing, and send a cold server a part of its share by its warmth.
 
-use whinspindle::host::{Arrival, Effect, Ending, Entry, Group, Outcome, Standing, Terms};
+use whinspindle::host::{
+    Arrival, BalancerSettings, Effect, Endpoint, EndpointState, ExecutionEnd, Group, Outcome,
+};
 use whinspindle_lab_model::dice::Dice;
 
 use crate::decider::{Policy, Sight, Wish};
 
 #[derive(Clone)]
 struct Server {
-    entry: Entry,
+    entry: Endpoint,
     own: usize,
 }
 
@@ -28,7 +30,7 @@
 
 pub struct Plain {
     policy: Policy,
-    terms: Terms,
+    terms: BalancerSettings,
     dice: Dice,
     servers: Vec<Option<Server>>,
     queries: Vec<Query>,
@@ -37,15 +39,15 @@
 }
 
 impl Plain {
-    pub fn new(policy: Policy, terms: Terms, dice: Dice) -> Self {
+    pub fn new(policy: Policy, terms: BalancerSettings, dice: Dice) -> Self {
         let (servers, queries, wishes) = Default::default();
         Plain { policy, terms, dice, servers, queries, turn: 0, wishes }
     }
 
-    pub fn list(&mut self, whole: bool, entries: &[Entry]) {
+    pub fn list(&mut self, whole: bool, entries: &[Endpoint]) {
         if whole && self.policy != Policy::Reckless {
             for server in self.servers.iter_mut().flatten() {
-                server.entry.standing = Standing::Gone;
+                server.entry.state = EndpointState::Gone;
             }
         }
         for entry in entries {
@@ -55,58 +57,68 @@
             let own = self.servers[entry.server].as_ref().map_or(0, |server| server.own);
             let mut entry = *entry;
             if self.policy == Policy::Reckless {
-                entry.standing = Standing::Ready;
+                entry.state = EndpointState::Ready;
             }
             self.servers[entry.server] = Some(Server { entry, own });
         }
     }
 
-    pub fn query(&mut self, now: u64, qry: usize, arrival: Arrival, sight: &dyn Sight) {
-        if qry >= self.queries.len() {
-            self.queries.resize_with(qry + 1, Query::default);
+    pub fn query(&mut self, now: u64, query_index: usize, arrival: Arrival, sight: &dyn Sight) {
+        if query_index >= self.queries.len() {
+            self.queries.resize_with(query_index + 1, Query::default);
         }
         let Arrival { product, deadline, .. } = arrival;
-        self.queries[qry] = Query { live: true, product, deadline, executions: Vec::new() };
-        if !self.place(now, qry, sight) {
-            self.give_up(qry);
+        self.queries[query_index] = Query { live: true, product, deadline, executions: Vec::new() };
+        if !self.place(now, query_index, sight) {
+            self.give_up(query_index);
         }
     }
 
-    pub fn completed(&mut self, now: u64, qry: usize, exec: usize, ending: Ending, sight: &dyn Sight) {
-        let Some(execution) = self.queries[qry].executions.get_mut(exec) else { return };
+    pub fn completed(
+        &mut self,
+        now: u64,
+        query_index: usize,
+        exec: usize,
+        ending: ExecutionEnd,
+        sight: &dyn Sight,
+    ) {
+        let Some(execution) = self.queries[query_index].executions.get_mut(exec) else { return };
         execution.ended = Some(ending.outcome);
         let server = execution.server;
         if let Some(server) = self.servers[server].as_mut() {
             server.own = server.own.saturating_sub(1);
         }
         if ending.over {
-            self.queries[qry].live = false;
+            self.queries[query_index].live = false;
         }
-        let query = &self.queries[qry];
-        if query.live && query.executions.iter().all(|e| e.ended.is_some()) && !self.place(now, qry, sight) {
-            self.give_up(qry);
+        let query = &self.queries[query_index];
+        if query.live
+            && query.executions.iter().all(|e| e.ended.is_some())
+            && !self.place(now, query_index, sight)
+        {
+            self.give_up(query_index);
         }
     }
 
-    pub fn withdrawn(&mut self, qry: usize) {
-        self.queries[qry].live = false;
-        for (exec, execution) in self.queries[qry].executions.iter().enumerate() {
+    pub fn withdrawn(&mut self, query_index: usize) {
+        self.queries[query_index].live = false;
+        for (exec, execution) in self.queries[query_index].executions.iter().enumerate() {
             if execution.ended.is_none() && self.terms.cancel {
-                self.wishes.push(Wish::Cancel { qry, exec });
+                self.wishes.push(Wish::Cancel { query_index, exec });
             }
         }
     }
 
-    fn give_up(&mut self, qry: usize) {
-        let query = &mut self.queries[qry];
+    fn give_up(&mut self, query_index: usize) {
+        let query = &mut self.queries[query_index];
         query.live = false;
         let effect = self.terms.products[query.product].effect;
         let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
         let never_ran = query.executions.iter().all(|e| e.ended.is_some_and(Outcome::never_ran));
         if harmless || never_ran || self.policy == Policy::Reckless {
-            self.wishes.push(Wish::Reject { qry, retry_after: 0 });
+            self.wishes.push(Wish::Reject { query_index, retry_after: 0 });
         } else {
-            self.wishes.push(Wish::Abort { qry });
+            self.wishes.push(Wish::Abort { query_index });
         }
     }
 
@@ -131,10 +143,10 @@
         }
     }
 
-    fn fits(&self, now: u64, qry: usize, number: usize) -> bool {
-        let query = &self.queries[qry];
+    fn fits(&self, now: u64, query_index: usize, number: usize) -> bool {
+        let query = &self.queries[query_index];
         self.servers[number].as_ref().is_some_and(|server| {
-            server.entry.standing == Standing::Ready
+            server.entry.state == EndpointState::Ready
                 && !query.executions.iter().any(|e| e.server == number)
                 && self.may_have(now, query, server)
         })
@@ -143,16 +155,16 @@
     /// A cold server is taken as often as it is warm.
     fn is_warm(&mut self, now: u64, number: usize) -> bool {
         let Some(server) = &self.servers[number] else { return false };
-        let age = now.saturating_sub(server.entry.born) as f64;
-        let part = age / self.terms.cold_time.max(1) as f64;
-        let warmth = self.terms.cold_from + (1.0 - self.terms.cold_from) * part;
-        server.entry.born == 0 || warmth >= 1.0 || self.dice.unit() < warmth
+        let age = now.saturating_sub(server.entry.started_at) as f64;
+        let part = age / self.terms.slow_start_time.max(1) as f64;
+        let warmth = self.terms.slow_start_from + (1.0 - self.terms.slow_start_from) * part;
+        server.entry.started_at == 0 || warmth >= 1.0 || self.dice.unit() < warmth
     }
 
-    fn place(&mut self, now: u64, qry: usize, sight: &dyn Sight) -> bool {
+    fn place(&mut self, now: u64, query_index: usize, sight: &dyn Sight) -> bool {
         let margin = 2 * self.terms.tick;
-        let query = &self.queries[qry];
-        if now + margin >= query.deadline || query.executions.len() >= self.terms.most_executions {
+        let query = &self.queries[query_index];
+        if now + margin >= query.deadline || query.executions.len() >= self.terms.max_executions {
             return false;
         }
         // Where any server will do, a few are drawn and only if none of them fits are all looked at, so that the
@@ -165,23 +177,23 @@
         let mut fit = Vec::new();
         for _ in 0..4 * drawn {
             let number = self.dice.below(self.servers.len());
-            if fit.len() < drawn && self.fits(now, qry, number) && self.is_warm(now, number) {
+            if fit.len() < drawn && self.fits(now, query_index, number) && self.is_warm(now, number) {
                 fit.push(number);
             }
         }
         if fit.is_empty() {
-            fit = (0..self.servers.len()).filter(|&number| self.fits(now, qry, number)).collect();
+            fit = (0..self.servers.len()).filter(|&number| self.fits(now, query_index, number)).collect();
             if self.policy != Policy::Reckless {
                 fit.retain(|&number| self.is_warm(now, number));
             }
         }
         let Some(server) = self.choose(&fit, sight) else { return false };
-        let query = &mut self.queries[qry];
+        let query = &mut self.queries[query_index];
         query.executions.push(Execution { server, sent: now, ended: None });
         if let Some(server) = self.servers[server].as_mut() {
             server.own += 1;
         }
-        self.wishes.push(Wish::Execute { qry, server, time_out: query.deadline - margin / 2 - now });
+        self.wishes.push(Wish::Execute { query_index, server, time_out: query.deadline - margin / 2 - now });
         true
     }
 
--- a/lab/simulation/src/play.rs
+++ b/lab/simulation/src/play.rs
@@ -12,7 +12,7 @@
 mod state;
 
 use slotmap::SlotMap;
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_lab_invariants::Referee;
 use whinspindle_lab_model::arrivals::{Arrivals, Wanted};
 use whinspindle_lab_model::dice::{Concern, Dice};
@@ -103,7 +103,7 @@
                 let machine = Machine::new(&scenario.kinds[kind], &scenario.tiers[tier], dice, 0);
                 state.hosts.push(Host::new(machine, zone, kind, cells[place], place));
                 state.place_of.push(place);
-                let listing = listing(scenario, &state.hosts[place], place, Standing::Ready, 0);
+                let listing = listing(scenario, &state.hosts[place], place, EndpointState::Ready, 0);
                 state.registry.set(BEGUN, listing);
             }
             fleet.tiers.push(state);
--- a/lab/simulation/src/play/balancers.rs
+++ b/lab/simulation/src/play/balancers.rs
@@ -38,14 +38,14 @@
             }
             return;
         }
-        let qry = n.free.pop().unwrap_or_else(|| {
+        let query_index = n.free.pop().unwrap_or_else(|| {
             n.qrys.push(None);
             n.qrys.len() - 1
         });
-        n.qrys[qry] = Some(key);
+        n.qrys[query_index] = Some(key);
         let (tier, incarnation) = (n.tier, n.incarnation);
         let query = &mut self.queries[key];
-        (query.qry, query.came, query.incarnation) = (Some(qry), self.now, incarnation);
+        (query.query_index, query.came, query.incarnation) = (Some(query_index), self.now, incarnation);
         self.note(2, id, node as u64);
         self.tally.taken += u64::from(self.tally.counts(self.now));
         self.referee.taken(self.now, node, id, product, deadline);
@@ -53,7 +53,7 @@
         if let Some(decider) = &mut self.nodes[node].decider {
             decider.query(
                 self.now,
-                qry,
+                query_index,
                 Arrival { product, tenant, deadline, route: self.scenario.route.as_ref().map(|_| 0) },
                 &eyes,
             );
@@ -75,26 +75,28 @@
         }
     }
 
-    pub(super) fn key_of(&self, node: usize, qry: usize) -> Option<QueryKey> {
-        self.nodes[node].qrys.get(qry).copied().flatten()
+    pub(super) fn key_of(&self, node: usize, query_index: usize) -> Option<QueryKey> {
+        self.nodes[node].qrys.get(query_index).copied().flatten()
     }
 
     pub(super) fn carry(&mut self, node: usize, wish: Wish) {
         match wish {
-            Wish::Execute { qry, server, time_out } => {
-                if let Some(key) = self.key_of(node, qry) {
+            Wish::Execute { query_index, server, time_out } => {
+                if let Some(key) = self.key_of(node, query_index) {
                     self.execute(node, key, server, time_out);
                 }
             }
-            Wish::Cancel { qry, exec } => {
-                let key = self.key_of(node, qry);
+            Wish::Cancel { query_index, exec } => {
+                let key = self.key_of(node, query_index);
                 let exec = key.and_then(|key| self.queries[key].execs.get(exec).copied());
                 if let Some(exec) = exec {
                     self.call_off(exec, Outcome::Cancelled);
                 }
             }
-            Wish::Reject { qry, retry_after } => self.answer(node, qry, Told::Rejected, retry_after),
-            Wish::Abort { qry } => self.answer(node, qry, Told::Failed, 0),
+            Wish::Reject { query_index, retry_after } => {
+                self.answer(node, query_index, Told::Rejected, retry_after)
+            }
+            Wish::Abort { query_index } => self.answer(node, query_index, Told::Failed, 0),
             Wish::Wake { wait, label } => {
                 let incarnation = self.nodes[node].incarnation;
                 self.queue.put(self.now + wait, Event::Wake(node, incarnation, label));
@@ -104,8 +106,8 @@
     }
 
     /// A final answer that is not a server's.
-    pub(super) fn answer(&mut self, node: usize, qry: usize, told: Told, wait: u64) {
-        if let Some(key) = self.key_of(node, qry) {
+    pub(super) fn answer(&mut self, node: usize, query_index: usize, told: Told, wait: u64) {
+        if let Some(key) = self.key_of(node, query_index) {
             self.say(node, key, told, wait);
         }
     }
@@ -148,11 +150,11 @@
         }
         // The index at the balancer is free as soon as nothing of it is out; the query itself stays until its
         // answer has arrived.
-        if let Some(qry) = query.qry {
+        if let Some(query_index) = query.query_index {
             let n = &mut self.nodes[query.node];
-            if n.incarnation == query.incarnation && n.qrys.get(qry).copied().flatten() == Some(key) {
-                n.qrys[qry] = None;
-                n.free.push(qry);
+            if n.incarnation == query.incarnation && n.qrys.get(query_index).copied().flatten() == Some(key) {
+                n.qrys[query_index] = None;
+                n.free.push(query_index);
             }
         }
         if heard && let Some(query) = self.queries.remove(key) {
--- a/lab/simulation/src/play/clients.rs
+++ b/lab/simulation/src/play/clients.rs
@@ -76,7 +76,7 @@
             origin,
             node,
             incarnation: 0,
-            qry: None,
+            query_index: None,
             product,
             tenant,
             came: 0,
@@ -116,8 +116,9 @@
             return;
         }
         query.answered = true;
-        let (node, qry, incarnation, id) = (query.node, query.qry, query.incarnation, query.id);
-        let Some(qry) = qry else {
+        let (node, query_index, incarnation, id) =
+            (query.node, query.query_index, query.incarnation, query.id);
+        let Some(query_index) = query_index else {
             self.queries.remove(key);
             return;
         };
@@ -126,7 +127,7 @@
         if n.up && n.incarnation == incarnation {
             self.referee.left(self.now, id);
             if let Some(decider) = &mut n.decider {
-                decider.withdrawn(self.now, qry);
+                decider.withdrawn(self.now, query_index);
             }
             self.carry_out(node);
         }
--- a/lab/simulation/src/play/discovery.rs
+++ b/lab/simulation/src/play/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the list of each tier's servers, and how balancers hear of it.
 
-use whinspindle::host::{Entry, Standing};
+use whinspindle::host::{Endpoint, EndpointState};
 use whinspindle_lab_model::registry::{Listing, News, Site};
 use whinspindle_lab_scenario::Scenario;
 
@@ -18,17 +18,17 @@
         rules::tell_referee(&mut self.referee, self.now, node, tier, &news);
         let mut entries = Vec::with_capacity(news.listings.len());
         for listing in &news.listings {
-            entries.push(Entry {
+            entries.push(Endpoint {
                 server: listing.server,
                 key: listing.server as u64,
                 zone: listing.zone,
                 cell: listing.cell,
                 kind: listing.kind,
-                standing: listing.standing,
+                state: listing.standing,
                 size: scenario.kinds[listing.kind].listed,
-                born: listing.born,
+                started_at: listing.started_at,
             });
-            if listing.standing == Standing::Gone {
+            if listing.standing == EndpointState::Gone {
                 self.nodes[node].kept.remove(&listing.server);
             }
         }
@@ -56,9 +56,9 @@
         }
     }
 
-    pub(crate) fn list(&mut self, tier: usize, place: usize, standing: Standing, born: u64) {
+    pub(crate) fn list(&mut self, tier: usize, place: usize, standing: EndpointState, started_at: u64) {
         let host = &self.tiers[tier].hosts[place];
-        let listing = listing(self.scenario, host, place, standing, born);
+        let listing = listing(self.scenario, host, place, standing, started_at);
         self.tiers[tier].registry.set(self.now, listing);
         self.spread_news(tier);
     }
@@ -69,9 +69,9 @@
     scenario: &Scenario,
     host: &Host,
     place: usize,
-    standing: Standing,
-    born: u64,
+    standing: EndpointState,
+    started_at: u64,
 ) -> Listing {
     let Host { zone, kind, cell, server, .. } = *host;
-    Listing::new(scenario, Site { place, zone, kind, cell }, server, standing, born)
+    Listing::new(scenario, Site { place, zone, kind, cell }, server, standing, started_at)
 }
--- a/lab/simulation/src/play/executions.rs
+++ b/lab/simulation/src/play/executions.rs
@@ -1,7 +1,7 @@
 //! Executions: sent to servers, timed out, called off and ended.
 
 use slotmap::Key;
-use whinspindle::host::{Ending, Outcome};
+use whinspindle::host::{ExecutionEnd, Outcome};
 use whinspindle_lab_model::machine::{Report, Taken, Task};
 use whinspindle_lab_report::Told;
 
@@ -99,9 +99,9 @@
                 self.execs[key].arrived = true;
                 self.schedule(tier, place);
             }
-            Taken::TurnedAway => {
+            Taken::Rejected => {
                 if let Some(way) = self.way_back(key) {
-                    self.queue.put(self.now + way, Event::Reply(key, Outcome::TurnedAway, None));
+                    self.queue.put(self.now + way, Event::Reply(key, Outcome::Rejected, None));
                 }
             }
             Taken::Down => {
@@ -140,13 +140,13 @@
         }
         // What has not arrived yet is not known not to have: only a fresh connection shows that.
         let outcome = match outcome {
-            Outcome::Cancelled if !arrived && self.execs[key].fresh => Outcome::Moot,
+            Outcome::Cancelled if !arrived && self.execs[key].fresh => Outcome::NeverSent,
             other => other,
         };
         if outcome == Outcome::TimedOut {
             self.ended(key, outcome, None, None);
         } else {
-            self.execs[key].arrived |= outcome != Outcome::Moot;
+            self.execs[key].arrived |= outcome != Outcome::NeverSent;
             self.queue.put(self.now, Event::Ended(key, outcome));
         }
     }
@@ -193,7 +193,7 @@
             return;
         }
         e.ended = true;
-        if kept.is_none() && !matches!(outcome, Outcome::Cancelled | Outcome::TimedOut | Outcome::Moot) {
+        if kept.is_none() && !matches!(outcome, Outcome::Cancelled | Outcome::TimedOut | Outcome::NeverSent) {
             // The connection broke: the others to that server are looked at again too.
             self.nodes[node].kept.remove(&server);
         }
@@ -206,7 +206,7 @@
         if !alive {
             return self.release(query);
         }
-        let (id, qry, product) = (q.id, q.qry.unwrap_or(0), q.product);
+        let (id, query_index, product) = (q.id, q.query_index.unwrap_or(0), q.product);
         self.watch_execution(node, tier, place, product, outcome, spent);
         self.note(6, id, outcome as u64);
         self.referee.ended(self.now, id, number, !outcome.never_ran());
@@ -220,10 +220,10 @@
         let over = self.queries.get(query).is_none_or(|q| q.answered);
         // Those that have moved hear of load by probes alone.
         let report = report.filter(|_| node >= self.scenario.tiers[self.nodes[node].tier].moved);
-        let ending = Ending { outcome, over, spent, report: load(report) };
+        let ending = ExecutionEnd { outcome, over, spent, report: load(report) };
         let eyes = Eyes(&self.tiers[tier], self.now);
         if let Some(decider) = &mut self.nodes[node].decider {
-            decider.completed(self.now, qry, number, ending, &eyes);
+            decider.completed(self.now, query_index, number, ending, &eyes);
         }
         self.carry_out(node);
         self.release(query);
--- a/lab/simulation/src/play/servers.rs
+++ b/lab/simulation/src/play/servers.rs
@@ -1,7 +1,7 @@
 //! Servers: what they have done goes out, they call the next tier, and cold ones are pushed over.
 
 use slotmap::{Key, KeyData};
-use whinspindle::host::{Outcome, Standing};
+use whinspindle::host::{EndpointState, Outcome};
 use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_model::machine::Did;
 
@@ -17,7 +17,7 @@
         let server = self.tiers[tier].hosts[place].server;
         let held = self.tiers[tier].hosts[place].machine.drop_all();
         if !held.is_empty()
-            || self.tiers[tier].registry.get(server).is_some_and(|l| l.standing == Standing::Ready)
+            || self.tiers[tier].registry.get(server).is_some_and(|l| l.standing == EndpointState::Ready)
         {
             self.referee.fell(self.now, rules::server_id(tier, server));
             self.tally.price.fallen += 1;
--- a/lab/simulation/src/play/state.rs
+++ b/lab/simulation/src/play/state.rs
@@ -37,7 +37,7 @@
     pub(super) node: usize,
     pub(super) incarnation: u32,
     /// Index at its balancer, once it is there.
-    pub(super) qry: Option<usize>,
+    pub(super) query_index: Option<usize>,
     pub(super) product: usize,
     pub(super) tenant: usize,
     pub(super) came: u64,
--- a/lab/simulation/src/rules.rs
+++ b/lab/simulation/src/rules.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use whinspindle::host::{Conditions, Effect, Group, Product, RepeatAfter, SecondCopy, Standing, Terms};
+use whinspindle::host::{
+    BalancerSettings, Effect, EndpointState, Group, HedgePolicy, Product, RetryOn, RoutePolicy,
+};
 use whinspindle_lab_invariants::{Demands, Listed, Referee, Repeats, Scope};
 use whinspindle_lab_model::registry::{Listing, News};
 use whinspindle_lab_scenario::Scenario;
@@ -11,7 +13,7 @@
 const TICK: u64 = 1_000;
 
 /// What a balancer of a tier in a zone is handed at its start.
-pub fn terms(scenario: &Scenario, tier: usize, home: usize, rank: usize) -> Terms {
+pub fn terms(scenario: &Scenario, tier: usize, home: usize, rank: usize) -> BalancerSettings {
     let row = &scenario.tiers[tier];
     let moved = rank < row.moved;
     let products = scenario.products.iter().map(|product| Product {
@@ -20,7 +22,7 @@
         memory_span: product.memory,
         tardy_importance: product.tardy_importance,
     });
-    Terms {
+    BalancerSettings {
         balancers: scenario.balancers(tier),
         rank,
         streams: if moved { 100 } else { 1 },
@@ -31,16 +33,16 @@
         cross_zone: scenario.allowed.crossing,
         products: products.collect(),
         tenant_quotas: scenario.tenants.iter().map(|tenant| tenant.quota).collect(),
-        most_executions: scenario.allowed.executions,
-        second_copies: scenario.allowed.second_copies,
+        max_executions: scenario.allowed.executions,
+        allow_hedging: scenario.allowed.allow_hedging,
         cancel: scenario.allowed.cancel,
         probes_pay: scenario.allowed.probes,
         probe_dear: false,
-        most_retry_after: scenario.allowed.retry_after,
+        max_retry_after: scenario.allowed.retry_after,
         tick: TICK,
         must_ask_in: None,
-        cold_from: row.cold.from,
-        cold_time: row.cold.lasts,
+        slow_start_from: row.cold.from,
+        slow_start_time: row.cold.lasts,
         fall_multiple: row.cold.multiple,
         tip_after: row.cold.tip_after,
     }
@@ -52,18 +54,18 @@
 }
 
 /// The scenario's route, a row a product.
-pub fn route(scenario: &Scenario) -> Option<Vec<Conditions>> {
+pub fn route(scenario: &Scenario) -> Option<Vec<RoutePolicy>> {
     let set = scenario.route.as_ref()?;
     let row = |product: &whinspindle_lab_scenario::Product| {
         let time = set.time.unwrap_or(product.statement_timeout).min(product.statement_timeout);
-        Conditions {
+        RoutePolicy {
             time,
             execution_time: set.execution_time.unwrap_or(time),
             executions: set.executions.unwrap_or(scenario.allowed.executions),
-            repeat_after: RepeatAfter { never_ran: true, error: true, broken: true, timed_out: true },
+            retry_on: RetryOn { never_ran: true, error: true, broken: true, timed_out: true },
             wait: set.wait,
             spread: set.spread,
-            second_copy: set.second_copy.map_or(SecondCopy::Never, SecondCopy::After),
+            hedge: set.hedge.map_or(HedgePolicy::Never, HedgePolicy::After),
             budget: set.budget,
             zones: Vec::new(),
             kinds: Vec::new(),
@@ -93,7 +95,7 @@
     Demands {
         products: scenario.products.iter().map(repeats).collect(),
         executions: scenario.allowed.executions,
-        second_copies: scenario.allowed.second_copies,
+        allow_hedging: scenario.allowed.allow_hedging,
         slack: scenario.allowed.slack,
         grace: scenario.allowed.grace,
         cold_lasts: cold(|cold| cold.lasts),
@@ -110,9 +112,9 @@
     }
     for listing in &news.listings {
         let listed = match listing.standing {
-            Standing::Ready => Listed::Ready,
-            Standing::Draining => Listed::Draining,
-            Standing::Gone => Listed::Gone,
+            EndpointState::Ready => Listed::Ready,
+            EndpointState::Draining => Listed::Draining,
+            EndpointState::Gone => Listed::Gone,
         };
         referee.told(now, node, id(listing), listed, listing.zone, listing.cell);
     }
--- a/lab/simulation/src/troubles.rs
+++ b/lab/simulation/src/troubles.rs
@@ -1,6 +1,6 @@
 //! The timetable: what each trouble does when it begins and when it is over.
 
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_model::machine::Machine;
 use whinspindle_lab_scenario::{Ill, Trouble};
@@ -124,9 +124,9 @@
             Ill::Neighbour(_) => self.change(&trouble, |machine| machine.neighbour = 0.0),
             Ill::Drain => {
                 for place in self.troubled(&trouble) {
-                    let born = self.born(tier, place);
+                    let started_at = self.started_at(tier, place);
                     self.tiers[tier].hosts[place].machine.draining = false;
-                    self.list(tier, place, Standing::Ready, born);
+                    self.list(tier, place, EndpointState::Ready, started_at);
                 }
             }
             Ill::Cut(a, b) => self.links.mend(*a, *b),
@@ -171,7 +171,7 @@
                 let place = self.tiers[tier].place_of[server];
                 let host = &self.tiers[tier].hosts[place];
                 if host.server == server && !host.machine.is_up() {
-                    self.list(tier, place, Standing::Gone, 0);
+                    self.list(tier, place, EndpointState::Gone, 0);
                 }
             }
             Step::Replaced { tier, place } => self.replace(tier, place),
@@ -230,15 +230,15 @@
         }
     }
 
-    fn born(&self, tier: usize, place: usize) -> u64 {
+    fn started_at(&self, tier: usize, place: usize) -> u64 {
         let registry = &self.tiers[tier].registry;
-        registry.get(self.tiers[tier].hosts[place].server).map_or(0, |listing| listing.born)
+        registry.get(self.tiers[tier].hosts[place].server).map_or(0, |listing| listing.started_at)
     }
 
     pub(crate) fn drain(&mut self, tier: usize, place: usize) {
-        let born = self.born(tier, place);
+        let started_at = self.started_at(tier, place);
         self.tiers[tier].hosts[place].machine.draining = true;
-        self.list(tier, place, Standing::Draining, born);
+        self.list(tier, place, EndpointState::Draining, started_at);
     }
 
     /// The process ends; so does the balancer of its calls.
@@ -263,7 +263,7 @@
         let server = self.tiers[tier].place_of.len();
         let old = self.tiers[tier].hosts[place].server;
         if self.tiers[tier].registry.get(old).is_some() {
-            self.list(tier, place, Standing::Gone, 0);
+            self.list(tier, place, EndpointState::Gone, 0);
         }
         self.tiers[tier].place_of.push(place);
         let now = self.now;
@@ -274,13 +274,13 @@
             self.start_front(node);
         }
         self.referee.started(now, crate::rules::server_id(tier, server));
-        self.list(tier, place, Standing::Ready, now);
+        self.list(tier, place, EndpointState::Ready, now);
         self.schedule(tier, place);
     }
 
     pub(crate) fn replace(&mut self, tier: usize, place: usize) {
         self.stop(tier, place);
-        self.list(tier, place, Standing::Gone, 0);
+        self.list(tier, place, EndpointState::Gone, 0);
         self.start(tier, place);
     }
 
--- a/lab/simulation/tests/routes.rs
+++ b/lab/simulation/tests/routes.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use whinspindle::host::{RepeatAfter, SecondCopy};
+use whinspindle::host::{HedgePolicy, RetryOn};
 use whinspindle::pcg::Pcg;
 use whinspindle_lab_scenario::{Route, Scenario};
 use whinspindle_lab_simulation::{Fleet, Policy};
@@ -20,7 +20,7 @@
     let text = std::fs::read_to_string(file).expect("the file");
     let mut scenario = Scenario::read(&text).unwrap_or_else(|faults| panic!("{faults:?}"));
     scenario.seed = seed;
-    scenario.allowed.second_copies = seed.is_multiple_of(2);
+    scenario.allowed.allow_hedging = seed.is_multiple_of(2);
     scenario
 }
 
@@ -34,7 +34,7 @@
         executions: Some(executions),
         wait: if chance.below(2) > 0 { wait } else { 0 },
         spread: chance.unit(),
-        second_copy: (chance.below(3) == 0).then_some(copy),
+        hedge: (chance.below(3) == 0).then_some(copy),
         budget: 100.0,
     }
 }
@@ -43,7 +43,7 @@
 fn is_accepted(scenario: &Scenario, route: &Route) -> bool {
     let bounds = Bounds {
         executions: scenario.allowed.executions,
-        second_copies: scenario.allowed.second_copies,
+        allow_hedging: scenario.allowed.allow_hedging,
         cancel: scenario.allowed.cancel,
         connect_time_out: scenario.tiers[0].connections.time_out,
         tick: TICK,
@@ -53,15 +53,15 @@
     scenario.products.iter().all(|product| {
         let time = route.time.unwrap_or(product.statement_timeout);
         let executions = route.executions.unwrap_or(1);
-        let after = RepeatAfter { never_ran: true, error: true, broken: true, timed_out: true };
+        let after = RetryOn { never_ran: true, error: true, broken: true, timed_out: true };
         let conditions = Conditions {
             time,
             execution_time: route.execution_time.unwrap_or(time),
             executions,
-            repeat_after: if executions > 1 { after } else { RepeatAfter::NOTHING },
+            retry_on: if executions > 1 { after } else { RetryOn::NOTHING },
             wait: route.wait,
             spread: route.spread,
-            second_copy: route.second_copy.map_or(SecondCopy::Never, SecondCopy::After),
+            hedge: route.hedge.map_or(HedgePolicy::Never, HedgePolicy::After),
             budget: route.budget,
             largest_body: 0,
             servers: Servers::default(),
--- a/lab/testbed/src/discovery.rs
+++ b/lab/testbed/src/discovery.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_lab_model::registry::News;
 use whinspindle_lab_simulation::tell_referee;
 
@@ -51,12 +51,12 @@
             "machineType": stage.scenario.kinds[listing.kind].name,
             "cell": listing.cell,
             "lifecycle": match listing.standing {
-                Standing::Ready => "ready",
-                Standing::Draining => "draining",
-                Standing::Gone => "gone",
+                EndpointState::Ready => "ready",
+                EndpointState::Draining => "draining",
+                EndpointState::Gone => "gone",
             },
             "weight": listing.size,
-            "startedAtMs": listing.born / 1000,
+            "startedAtMs": listing.started_at / 1000,
         })
     });
     let instances: Vec<_> = instances.collect();
--- a/lab/testbed/src/program.rs
+++ b/lab/testbed/src/program.rs
@@ -126,7 +126,7 @@
             "limits": {"cancel": allowed.cancel, "connIdleNs": ns(tier.connections.idle),
                 "connectTimeoutNs": ns(tier.connections.time_out), "mostExecutions": allowed.executions,
                 "maxRetryAfterNs": ns(allowed.retry_after), "retryAfter": allowed.retry_after > 0,
-                "probes": allowed.probes, "secondCopies": allowed.second_copies,
+                "probes": allowed.probes, "secondCopies": allowed.allow_hedging,
                 "streamsPerConn": if moved { 100 } else { 1 }},
             "loadInfo": {"columns": columns, "how": if moved { "pull" } else { "piggyback" }},
             "deductions": {"crossZone": allowed.crossing, "lateFail": if allowed.probes { 0.02 } else { 0.0 }},
--- a/lab/testbed/src/servers.rs
+++ b/lab/testbed/src/servers.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_lab_model::machine::{Did, Report, Taken, Task};
 use whinspindle_lab_simulation::server_id;
 
@@ -207,7 +207,7 @@
                 }
             }
         }
-        Taken::TurnedAway => {}
+        Taken::Rejected => {}
         Taken::Down => {
             fell(stage, tier, place, server);
             over(stage, id, number, false);
@@ -308,7 +308,7 @@
     spawn_local(async move {
         sleep(DISCOVERY_NOTICES).await;
         if stage.world.borrow().tiers[tier].hosts[place].server == server {
-            stage.list(tier, place, Standing::Gone, 0);
+            stage.list(tier, place, EndpointState::Gone, 0);
         }
     });
 }
--- a/lab/testbed/src/state.rs
+++ b/lab/testbed/src/state.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::sleep;
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_lab_invariants::Referee;
 use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_model::links::Links;
@@ -174,7 +174,7 @@
                     host.node = Some(nodes.len());
                     nodes.push(node(tier + 1, zone));
                 }
-                state.registry.set(0, listing(scenario, &host, place, Standing::Ready, 0));
+                state.registry.set(0, listing(scenario, &host, place, EndpointState::Ready, 0));
                 state.hosts.push(host);
                 state.place_of.push(place);
             }
@@ -261,11 +261,11 @@
     }
 
     /// The list of a tier changes; those that watch it hear of it in their time.
-    pub fn list(&self, tier: usize, place: usize, standing: Standing, born: u64) {
+    pub fn list(&self, tier: usize, place: usize, standing: EndpointState, started_at: u64) {
         let now = self.now();
         let mut world = self.world.borrow_mut();
         let state = &mut world.tiers[tier];
-        let listing = listing(&self.scenario, &state.hosts[place], place, standing, born);
+        let listing = listing(&self.scenario, &state.hosts[place], place, standing, started_at);
         state.registry.set(now, listing);
         state.changed.send_modify(|count| *count += 1);
     }
@@ -317,7 +317,13 @@
     }
 }
 
-pub fn listing(scenario: &Scenario, host: &Host, place: usize, standing: Standing, born: u64) -> Listing {
+pub fn listing(
+    scenario: &Scenario,
+    host: &Host,
+    place: usize,
+    standing: EndpointState,
+    started_at: u64,
+) -> Listing {
     let Host { zone, kind, cell, server, .. } = *host;
-    Listing::new(scenario, Site { place, zone, kind, cell }, server, standing, born)
+    Listing::new(scenario, Site { place, zone, kind, cell }, server, standing, started_at)
 }
--- a/lab/testbed/src/troubles.rs
+++ b/lab/testbed/src/troubles.rs
@@ -5,7 +5,7 @@
 
 use tokio::task::spawn_local;
 use tokio::time::sleep;
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_lab_model::machine::Machine;
 use whinspindle_lab_scenario::{How, Ill, Trouble};
 
@@ -36,16 +36,16 @@
     }
 }
 
-fn born(stage: &Stage, tier: usize, place: usize) -> u64 {
+fn started_at(stage: &Stage, tier: usize, place: usize) -> u64 {
     let world = stage.world.borrow();
     let state = &world.tiers[tier];
-    state.registry.get(state.hosts[place].server).map_or(0, |listing| listing.born)
+    state.registry.get(state.hosts[place].server).map_or(0, |listing| listing.started_at)
 }
 
 fn drain(stage: &Stage, tier: usize, place: usize) {
-    let born = born(stage, tier, place);
+    let started_at = started_at(stage, tier, place);
     stage.world.borrow_mut().tiers[tier].hosts[place].machine.draining = true;
-    stage.list(tier, place, Standing::Draining, born);
+    stage.list(tier, place, EndpointState::Draining, started_at);
 }
 
 /// The process of a server ends, and with it the balancer of its calls.
@@ -76,7 +76,7 @@
         (host.server, world.tiers[tier].registry.get(host.server).is_some(), host.node)
     };
     if listed {
-        stage.list(tier, place, Standing::Gone, 0);
+        stage.list(tier, place, EndpointState::Gone, 0);
     }
     // Discovery tells the start in milliseconds.
     let start = now / 1000 * 1000;
@@ -91,7 +91,7 @@
         host.up.send_replace(Some(server));
         world.referee.started(now, whinspindle_lab_simulation::server_id(tier, server));
     }
-    stage.list(tier, place, Standing::Ready, start);
+    stage.list(tier, place, EndpointState::Ready, start);
     if let Some(node) = node {
         let stage = Rc::clone(stage);
         spawn_local(async move { restart(&stage, node).await });
@@ -111,7 +111,7 @@
         host.up.send_replace(Some(server));
         world.referee.started(now, whinspindle_lab_simulation::server_id(tier, server));
     }
-    stage.list(tier, place, Standing::Ready, start);
+    stage.list(tier, place, EndpointState::Ready, start);
 }
 
 /// Starts a balancer that is down, and deals it clients once it is ready.
@@ -147,7 +147,7 @@
                         host.server == server && !host.machine.is_up()
                     };
                     if same {
-                        noticing.list(tier, place, Standing::Gone, 0);
+                        noticing.list(tier, place, EndpointState::Gone, 0);
                     }
                 }
             });
@@ -176,8 +176,8 @@
             sleep(lasts).await;
             for &place in &places {
                 stage.world.borrow_mut().tiers[tier].hosts[place].machine.draining = false;
-                let born = born(&stage, tier, place);
-                stage.list(tier, place, Standing::Ready, born);
+                let started_at = started_at(&stage, tier, place);
+                stage.list(tier, place, EndpointState::Ready, started_at);
             }
         }
         Ill::Replace(ends) => {
@@ -185,7 +185,7 @@
             sleep(Duration::from_micros(*ends)).await;
             for &place in &places {
                 stop(&stage, tier, place);
-                stage.list(tier, place, Standing::Gone, 0);
+                stage.list(tier, place, EndpointState::Gone, 0);
                 start(&stage, tier, place);
             }
         }
--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use whinspindle_deployment_settings::{Deployment, index};
 use whinspindle_operator_file::{Operator, RULES};
-use whinspindle_routes::{Lookup, Route, SecondCopy, proof};
+use whinspindle_routes::{HedgePolicy, Lookup, Route, proof};
 
 use crate::fleet_command::FleetLine;
 use crate::placement::{self, Fault};
@@ -239,10 +239,10 @@
     at(&mut text, schedule.last_arrival, "the last has reached its server");
     at(&mut text, schedule.last_end, "the last is over");
     at(&mut text, schedule.answer, "the client has its answer");
-    match c.second_copy {
-        SecondCopy::Never => {}
-        SecondCopy::After(us) => at(&mut text, us, "a second copy goes out beside the first"),
-        SecondCopy::Quantile(part) => {
+    match c.hedge {
+        HedgePolicy::Never => {}
+        HedgePolicy::After(us) => at(&mut text, us, "a second copy goes out beside the first"),
+        HedgePolicy::Quantile(part) => {
             let _ =
                 writeln!(text, "  a second copy once the first takes longer than {part} of the last answers");
         }
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use whinspindle::host::{Entry, LoadReport, Outcome, Standing};
+use whinspindle::host::{Endpoint, EndpointState, LoadReport, Outcome};
 use whinspindle_balancer_core::{Effects, Ended, Execution, Place, Reducer};
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_endpoint_cache::{Ramp, Trust};
@@ -239,18 +239,18 @@
                 self.trusted.set(Some((trust, true)));
                 self.reducer.borrow_mut().list(now, &news);
             }
-            let place = |entry: &Entry| Listed {
+            let place = |entry: &Endpoint| Listed {
                 key: entry.key,
                 zone: zones.get(entry.zone).cloned().unwrap_or_default(),
                 cell: entry.cell,
-                full: entry.standing == Standing::Ready
-                    && (entry.born == 0 || now >= entry.born + terms.cold_time),
+                full: entry.state == EndpointState::Ready
+                    && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_time),
             };
             let listed = self.reducer.borrow().listed();
             let (servers, own) = self.seen.borrow_mut().take();
             let kinds = self.deployment.kinds.len().max(1);
             // Servers that the list names no more are left out.
-            let count = |entry: &Entry| {
+            let count = |entry: &Endpoint| {
                 let count = servers.get(&entry.server)?;
                 Some((entry.key, (entry.zone * kinds + entry.kind) as u16, *count))
             };
@@ -282,7 +282,8 @@
         let prepare = || {
             let now = self.clock.now();
             let left = until.saturating_sub(now);
-            let wanted = self.reducer.borrow_mut().may_begin(now, order.qry, order.exec, order.server);
+            let wanted =
+                self.reducer.borrow_mut().may_begin(now, order.query_index, order.exec, order.server);
             wanted.then(|| execution::encode(&order.query, address, left))
         };
         let exchange = self.upstreams.exchange(upstream(order.place), prepare, &trail);
@@ -292,7 +293,7 @@
                 log_line!("upstream", "{address}: called off, request {:?}", trail.progress());
                 match trail.progress() {
                     Progress::Whole => (Outcome::Cancelled, None),
-                    Progress::Begun | Progress::Nothing => (Outcome::Moot, None),
+                    Progress::Begun | Progress::Nothing => (Outcome::NeverSent, None),
                 }
             }
             end = timeout(Duration::from_micros(order.time_out), exchange) => match end {
@@ -332,9 +333,9 @@
 /// What an exchange that came to nothing means for the decisions.
 fn outcome(failure: &Failure) -> Outcome {
     match failure.progress {
-        _ if failure.is_own() => Outcome::Moot,
+        _ if failure.is_own() => Outcome::NeverSent,
         Progress::Whole if failure.stale => Outcome::Stale,
-        Progress::Whole if failure.answered => Outcome::Spoilt,
+        Progress::Whole if failure.answered => Outcome::Malformed,
         Progress::Whole => Outcome::Broken,
         Progress::Begun | Progress::Nothing => Outcome::NotConnected,
     }
@@ -353,27 +354,27 @@
     fn execute(&mut self, order: Execution) {
         let (cancel, cancelled) = oneshot::channel();
         let Some(node) = self.node.upgrade() else { return };
-        node.cancels.borrow_mut().insert((order.qry, order.exec), cancel);
+        node.cancels.borrow_mut().insert((order.query_index, order.exec), cancel);
         spawn_local(async move {
             let sent = node.clock.now();
             // Guards against a fault in an exchange: a panic ends the execution and nothing else.
             let end = AssertUnwindSafe(node.execute(&order, cancelled)).catch_unwind().await;
             let (outcome, reply) = end.unwrap_or((Outcome::Broken, None));
-            node.cancels.borrow_mut().remove(&(order.qry, order.exec));
+            node.cancels.borrow_mut().remove(&(order.query_index, order.exec));
             let now = node.clock.now();
             if node.fleet.is_some() {
                 node.seen.borrow_mut().execution(order.server, order.product, outcome, now - sent);
             }
             let (report, served) = reply.map_or_else(Default::default, |reply| (reply.report, reply.served));
-            let Execution { qry, exec, .. } = order;
-            let ended = Ended { qry, exec, outcome, spent: now - sent, report, served };
+            let Execution { query_index, exec, .. } = order;
+            let ended = Ended { query_index, exec, outcome, spent: now - sent, report, served };
             node.reducer.borrow_mut().execution_ended(now, ended);
         });
     }
 
-    fn cancel(&mut self, qry: usize, exec: usize) {
+    fn cancel(&mut self, query_index: usize, exec: usize) {
         let node = self.node.upgrade();
-        if let Some(cancel) = node.and_then(|node| node.cancels.borrow_mut().remove(&(qry, exec))) {
+        if let Some(cancel) = node.and_then(|node| node.cancels.borrow_mut().remove(&(query_index, exec))) {
             let _ = cancel.send(());
         }
     }
--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -12,7 +12,7 @@
 use fixtures::fixture;
 use records::{record, unfounded};
 use serde_json::json;
-use whinspindle::host::Standing;
+use whinspindle::host::EndpointState;
 use whinspindle_endpoint_cache::{Ages, Trust};
 use whinspindle_fleet_policy::{Ballot, Memory, Plan, Unit};
 use whinspindle_lab_fault_proxies::Stand;
@@ -115,18 +115,18 @@
 #[test]
 fn the_kept_list_is_read_and_written_as_the_same_files() {
     const AT: u64 = 1_800_000_000_123_456;
-    let listed = |name: &str, standing, born| ListedServer {
+    let listed = |name: &str, state, started_at| ListedServer {
         name: name.to_string(),
         zone: format!("zone of {name}"),
         kind: format!("kind of {name}"),
         cell: 300,
         size: 2.75,
-        born,
-        standing,
+        started_at,
+        state,
         address: Some(([192, 0, 2, 17], 8443).into()),
     };
-    let before = [listed("s-1", Standing::Ready, 0)];
-    let now = [listed("s-2", Standing::Draining, AT - 1), listed("s-3", Standing::Ready, AT - 2)];
+    let before = [listed("s-1", EndpointState::Ready, 0)];
+    let now = [listed("s-2", EndpointState::Draining, AT - 1), listed("s-3", EndpointState::Ready, AT - 2)];
     let encoded = [(&before[..], AT - 5_000_000), (&now, AT)]
         .map(|(of, at)| whinspindle_endpoint_cache::encode(of, 0, at));
     let read = stored("list", &[("list", encoded.to_vec())]);
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -56,7 +56,7 @@
     kind: usize,
     size: f64,
     key: u64,
-    born: u64,
+    started_at: u64,
     /// Rounds this copy's part of the cold budget, up at as many copies as the budget needs.
     luck: f64,
     ready: bool,
@@ -105,7 +105,7 @@
 /// A route: its conditions, a row a product, and when its last queries and their repeats came.
 #[derive(Default)]
 struct Lane {
-    rows: Vec<Conditions>,
+    rows: Vec<RoutePolicy>,
     came: VecDeque<u64>,
     repeats: VecDeque<u64>,
 }
@@ -129,7 +129,7 @@
 
 pub struct Balancer<H: Host> {
     pub host: H,
-    terms: Terms,
+    terms: BalancerSettings,
     chance: Pcg,
     now: u64,
     start: u64,
@@ -156,7 +156,7 @@
 }
 
 impl<H: Host> Balancer<H> {
-    pub fn new(host: H, terms: Terms, seed: u64, now: u64) -> Self {
+    pub fn new(host: H, terms: BalancerSettings, seed: u64, now: u64) -> Self {
         let mut balancer = Balancer {
             host,
             chance: Pcg::new(seed),
@@ -182,19 +182,19 @@
         };
         balancer.wake_for_check();
         if balancer.terms.must_ask_in.is_some() {
-            balancer.host.follow_list();
+            balancer.host.follow_endpoints();
         }
         balancer
     }
 
-    pub fn list_whole(&mut self, now: u64, entries: &[Entry]) {
+    pub fn endpoints_replaced(&mut self, now: u64, entries: &[Endpoint]) {
         for server in &mut self.servers {
             (server.ready, server.gone) = (false, true);
         }
-        self.list_changed(now, entries);
+        self.endpoints_changed(now, entries);
     }
 
-    pub fn list_changed(&mut self, now: u64, entries: &[Entry]) {
+    pub fn endpoints_changed(&mut self, now: u64, entries: &[Endpoint]) {
         self.now = now;
         for entry in entries {
             if entry.server >= self.servers.len() {
@@ -204,15 +204,16 @@
                 self.zones.resize_with(entry.zone + 1, || Zone { each: 1.0, passes: 1.0, ..Zone::default() });
             }
             let s = &mut self.servers[entry.server];
-            if s.born != entry.born {
+            if s.started_at != entry.started_at {
                 // A new start forgets what the process before it did, but not the calls still out.
                 let askers = std::mem::take(&mut s.askers);
                 *s = Server { own: s.own, askers, luck: self.chance.unit(), ..Server::default() };
             }
             let size = if entry.size.is_finite() && entry.size > 0.0 { entry.size } else { 1.0 };
             (s.zone, s.cell, s.kind, s.size) = (entry.zone, entry.cell, entry.kind, size);
-            (s.key, s.born, s.ready) = (entry.key, entry.born, entry.standing == Standing::Ready);
-            s.gone = entry.standing == Standing::Gone;
+            (s.key, s.started_at, s.ready) =
+                (entry.key, entry.started_at, entry.state == EndpointState::Ready);
+            s.gone = entry.state == EndpointState::Gone;
         }
         self.listed = (0..self.servers.len()).filter(|&i| !self.servers[i].gone).collect();
         self.draw_reach();
@@ -249,14 +250,14 @@
     }
 
     /// Nothing in flight holds the server that is gone: its index may stand for another one now.
-    pub fn let_go(&mut self, server: usize) {
+    pub fn endpoint_forgotten(&mut self, server: usize) {
         if let Some(s) = self.servers.get_mut(server) {
             *s = Server { gone: true, ..Server::default() };
         }
     }
 
     /// The list stays and is asked for again, at a time drawn so that the copies don't flood discovery.
-    pub fn list_failed(&mut self, now: u64) {
+    pub fn endpoint_watch_failed(&mut self, now: u64) {
         self.now = now;
         if let Some(within) = self.terms.must_ask_in {
             let wait = (1.0 + self.chance.unit()) * within as f64 / 8.0;
@@ -264,15 +265,15 @@
         }
     }
 
-    pub fn routes(&mut self, routes: Vec<Vec<Conditions>>) {
+    pub fn routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
         let lane = |rows| Rc::new(RefCell::new(Lane { rows, ..Lane::default() }));
         self.lanes = routes.into_iter().map(lane).collect();
     }
 
-    pub fn query(&mut self, now: u64, qry: usize, arrival: Arrival) {
+    pub fn query(&mut self, now: u64, query: usize, arrival: Arrival) {
         self.now = now;
-        if qry >= self.queries.len() {
-            self.queries.resize_with(qry + 1, Query::default);
+        if query >= self.queries.len() {
+            self.queries.resize_with(query + 1, Query::default);
         }
         note_time(&mut self.arrivals, now, CHECK);
         let Arrival { product, tenant, mut deadline, route } = arrival;
@@ -287,25 +288,28 @@
         let give_up = give_up.saturating_sub(2 * self.terms.tick);
         let known = product < self.terms.products.len();
         let product = product.min(self.terms.products.len() - 1);
-        self.queries[qry] =
+        self.queries[query] =
             Query { live: true, product, came: now, deadline, give_up, lane, ..Query::default() };
-        if !known || self.full(tenant) || !(self.ask(qry) || (!self.terms.load_by_probe && self.place(qry))) {
-            return self.finish(qry);
+        if !known
+            || self.full(tenant)
+            || !(self.ask(query) || (!self.terms.load_by_probe && self.place(query)))
+        {
+            return self.finish(query);
         }
         let times = self.let_in.get_mut(tenant).into_iter().chain([&mut self.admitted]);
         times.for_each(|times| note_time(times, now, CHECK));
     }
 
-    pub fn started(&mut self, now: u64, qry: usize, exec: usize) {
+    pub fn started(&mut self, now: u64, query: usize, exec: usize) {
         self.now = now;
-        let Some(q) = self.queries.get_mut(qry) else { return };
+        let Some(q) = self.queries.get_mut(query) else { return };
         q.live = false;
-        self.cancel_all_but(qry, Some(exec));
+        self.cancel_all_but(query, Some(exec));
     }
 
-    pub fn completed(&mut self, now: u64, qry: usize, exec: usize, ending: Ending) {
+    pub fn completed(&mut self, now: u64, query: usize, exec: usize, ending: ExecutionEnd) {
         self.now = now;
-        let Some(q) = self.queries.get_mut(qry) else { return };
+        let Some(q) = self.queries.get_mut(query) else { return };
         let Some(e) = q.execs.get_mut(exec).filter(|e| e.ended.is_none()) else { return };
         e.ended = Some(ending.outcome);
         let (server, struck, product, was_live) = (e.server, e.struck, q.product, q.live);
@@ -314,39 +318,39 @@
         self.note_report(server, ending.report);
         match ending.outcome {
             Outcome::Completed => self.note_served(server, product, ending.spent),
-            outcome if struck || outcome.blames_nobody() => {}
+            outcome if struck || outcome.says_nothing_of_server() => {}
             _ => self.note_failure(server),
         }
-        let q = &self.queries[qry];
+        let q = &self.queries[query];
         if was_live && ending.over {
-            self.cancel_all_but(qry, None);
+            self.cancel_all_but(query, None);
         } else if q.live && q.execs.iter().all(|e| e.ended.is_some()) {
-            let wait = self.wait_to_repeat(qry, ending.outcome).unwrap_or(u64::MAX);
+            let wait = self.wait_to_repeat(query, ending.outcome).unwrap_or(u64::MAX);
             let late = now.saturating_add(wait).saturating_add(self.usual_latency(product))
-                >= self.queries[qry].give_up;
-            if late || ending.outcome == Outcome::Unfit || (wait == 0 && !self.place(qry)) {
-                self.finish(qry);
+                >= self.queries[query].give_up;
+            if late || ending.outcome == Outcome::Unfit || (wait == 0 && !self.place(query)) {
+                self.finish(query);
             } else if wait > 0 {
-                self.queries[qry].held = true;
-                self.look_in(qry, wait);
+                self.queries[query].held = true;
+                self.look_in(query, wait);
             }
         }
     }
 
-    pub fn withdrawn(&mut self, now: u64, qry: usize) {
+    pub fn withdrawn(&mut self, now: u64, query: usize) {
         self.now = now;
-        if let Some(q) = self.queries.get_mut(qry).filter(|q| q.live) {
+        if let Some(q) = self.queries.get_mut(query).filter(|q| q.live) {
             q.live = false;
-            self.cancel_all_but(qry, None);
+            self.cancel_all_but(query, None);
         }
     }
 
     /// The program ends at `until`, and what is in hand must have its answer by then.
     pub fn stopping(&mut self, now: u64, until: u64) {
         self.now = now;
-        for (qry, q) in self.queries.iter_mut().enumerate().filter(|(_, q)| q.live && q.give_up > until) {
+        for (query, q) in self.queries.iter_mut().enumerate().filter(|(_, q)| q.live && q.give_up > until) {
             (q.give_up, q.next_look) = (until, q.next_look.min(until));
-            self.host.wake(until.saturating_sub(now), LABEL_QUERIES + qry as u32);
+            self.host.wake(until.saturating_sub(now), LABEL_QUERIES + query as u32);
         }
     }
 
@@ -354,21 +358,21 @@
         self.now = now;
         let Some(_) = self.servers.get(server) else { return };
         self.note_report(server, report);
-        let Some((qry, came)) = self.servers[server].askers.pop_front() else { return };
+        let Some((query, came)) = self.servers[server].askers.pop_front() else { return };
         push(&mut self.waited, RESULTS, now - came);
         if answered {
             self.note_load(server);
         } else if self.terms.load_by_probe {
             self.note_failure(server);
         }
-        let waits = self.queries.get(qry).is_some_and(|q| q.live && q.came == came && q.execs.is_empty());
+        let waits = self.queries.get(query).is_some_and(|q| q.live && q.came == came && q.execs.is_empty());
         if waits && self.terms.load_by_probe {
-            self.queries[qry].unheard = self.queries[qry].unheard.saturating_sub(1);
-            if self.queries[qry].unheard == 0 && !self.settle(qry) {
-                self.finish(qry);
+            self.queries[query].unheard = self.queries[query].unheard.saturating_sub(1);
+            if self.queries[query].unheard == 0 && !self.settle(query) {
+                self.finish(query);
             }
         } else if waits && answered && self.fit(server) {
-            self.execute(qry, server);
+            self.execute(query, server);
         }
     }
 
@@ -376,20 +380,20 @@
         self.now = now;
         match label {
             LABEL_CHECK => self.check(),
-            LABEL_LIST => self.host.follow_list(),
+            LABEL_LIST => self.host.follow_endpoints(),
             _ => self.look((label - LABEL_QUERIES) as usize),
         }
     }
 
-    fn look(&mut self, qry: usize) {
-        let Some(q) = self.queries.get_mut(qry).filter(|q| q.live) else { return };
+    fn look(&mut self, query: usize) {
+        let Some(q) = self.queries.get_mut(query).filter(|q| q.live) else { return };
         if self.now < q.next_look {
             return;
         }
         let asks = q.execs.is_empty() || q.held;
         let (product, count) = (q.product, q.execs.len());
-        if self.now >= q.give_up || (asks && !self.settle(qry)) {
-            return self.finish(qry);
+        if self.now >= q.give_up || (asks && !self.settle(query)) {
+            return self.finish(query);
         } else if asks {
             return;
         }
@@ -398,71 +402,72 @@
             e.ended.is_none() && !e.struck && e.sent <= since && self.servers[e.server].last_answer < e.sent
         };
         // Guards against a server that has answered nobody since; where no other may have the query, it waits.
-        if let Some(exec) = self.queries[qry].execs.iter().rposition(silent) {
-            let e = &mut self.queries[qry].execs[exec];
+        if let Some(exec) = self.queries[query].execs.iter().rposition(silent) {
+            let e = &mut self.queries[query].execs[exec];
             e.struck = true;
             let server = e.server;
             self.note_failure(server);
-            let time = self.now + self.usual_latency(product) < self.queries[qry].give_up;
+            let time = self.now + self.usual_latency(product) < self.queries[query].give_up;
             let repeats = self.terms.products[product].effect != Effect::NonIdempotent;
-            if time && repeats && count < self.terms.most_executions {
-                if self.terms.second_copies && self.place(qry) {
+            if time && repeats && count < self.terms.max_executions {
+                if self.terms.allow_hedging && self.place(query) {
                     return;
                 }
-                if !self.terms.second_copies && self.terms.cancel && self.choose(qry, &[], false).is_some() {
-                    self.host.cancel(qry, exec);
+                if !self.terms.allow_hedging && self.terms.cancel && self.choose(query, &[], false).is_some()
+                {
+                    self.host.cancel(query, exec);
                 }
             }
         }
-        let copy_at = self.copy_at(qry).filter(|&at| at <= self.now);
-        if copy_at.is_some() && self.wait_to_repeat(qry, Outcome::TimedOut).is_some() && self.place(qry) {
+        let copy_at = self.copy_at(query).filter(|&at| at <= self.now);
+        if copy_at.is_some() && self.wait_to_repeat(query, Outcome::TimedOut).is_some() && self.place(query) {
             return;
         }
-        self.look_in(qry, self.patience(self.queries[qry].product));
+        self.look_in(query, self.patience(self.queries[query].product));
     }
 
-    fn look_in(&mut self, qry: usize, wait: u64) {
-        let copy_at = self.copy_at(qry).filter(|&at| at > self.now).unwrap_or(u64::MAX);
-        let q = &mut self.queries[qry];
+    fn look_in(&mut self, query: usize, wait: u64) {
+        let copy_at = self.copy_at(query).filter(|&at| at > self.now).unwrap_or(u64::MAX);
+        let q = &mut self.queries[query];
         q.next_look = q.give_up.min(self.now + wait).min(copy_at).max(self.now + 1);
-        self.host.wake(q.next_look - self.now, LABEL_QUERIES + qry as u32);
+        self.host.wake(q.next_look - self.now, LABEL_QUERIES + query as u32);
     }
 
-    fn conditions<T>(&self, qry: usize, of: impl FnOnce(&Conditions) -> T) -> Option<T> {
-        let q = &self.queries[qry];
+    fn conditions<T>(&self, query: usize, of: impl FnOnce(&RoutePolicy) -> T) -> Option<T> {
+        let q = &self.queries[query];
         q.lane.as_ref().and_then(|lane| lane.borrow().rows.get(q.product).map(of))
     }
 
     /// The wait before another execution after this outcome; none where the route or its budget forbids one.
     /// Guards against repeats that multiply the traffic of an outage.
-    fn wait_to_repeat(&mut self, qry: usize, outcome: Outcome) -> Option<u64> {
-        let q = &self.queries[qry];
+    fn wait_to_repeat(&mut self, query: usize, outcome: Outcome) -> Option<u64> {
+        let q = &self.queries[query];
         let Some(mut lane) = q.lane.as_ref().map(|lane| lane.borrow_mut()) else { return Some(0) };
         let Lane { rows, came, repeats } = &mut *lane;
         let Some(row) = rows.get(q.product) else { return Some(0) };
         let room =
             count_times(repeats, self.now, CHECK) + 1.0 <= row.budget * count_times(came, self.now, CHECK);
         let spread = if row.wait > 0 { self.chance.unit() * row.spread } else { 0.0 };
-        (room && row.repeat_after.allows(outcome)).then(|| row.wait + (row.wait as f64 * spread) as u64)
+        (room && row.retry_on.allows(outcome)).then(|| row.wait + (row.wait as f64 * spread) as u64)
     }
 
     /// When a second copy of a query is due; never where no answer has told yet what is long.
-    fn copy_at(&self, qry: usize) -> Option<u64> {
-        let copy = self.conditions(qry, |row| row.second_copy)?;
-        let q = &self.queries[qry];
+    fn copy_at(&self, query: usize) -> Option<u64> {
+        let copy = self.conditions(query, |row| row.hedge)?;
+        let q = &self.queries[query];
         let [first] = q.execs.as_slice() else { return None };
         let after = match copy {
-            SecondCopy::Never => None,
-            SecondCopy::After(after) => Some(after),
-            SecondCopy::Quantile(rank) => self.latency_rank(q.product, rank),
+            HedgePolicy::Never => None,
+            HedgePolicy::After(after) => Some(after),
+            HedgePolicy::Quantile(rank) => self.latency_rank(q.product, rank),
         };
-        after.filter(|_| self.terms.second_copies && first.ended.is_none()).map(|after| first.sent + after)
+        after.filter(|_| self.terms.allow_hedging && first.ended.is_none()).map(|after| first.sent + after)
     }
 
     /// Where a copy hears too seldom of each server, it asks some, and the first to answer gets the query, or
     /// `settle` decides. Guards against servers slower than listed, choked, hung or crowded by other copies.
-    fn ask(&mut self, qry: usize) -> bool {
-        let slo_time = self.terms.products[self.queries[qry].product].slo_time;
+    fn ask(&mut self, query: usize) -> bool {
+        let slo_time = self.terms.products[self.queries[query].product].slo_time;
         let heard = SELDOM * slo_time as f64 * self.rate(&self.arrivals, CHECK) / 1e6;
         let quick = self.runs.latest() < QUICK * self.runs.least();
         let by_probe = self.terms.load_by_probe;
@@ -472,36 +477,36 @@
         let many = if by_probe && self.terms.probe_dear { 1 } else { ASKED };
         let (mut asked, mut unheard) = (Vec::with_capacity(many), 0);
         while asked.len() < many
-            && let Some(server) = self.choose(qry, &asked, false)
+            && let Some(server) = self.choose(query, &asked, false)
         {
             asked.push(server);
             if self.load(server).is_none() {
                 unheard += 1;
-                self.servers[server].askers.push_back((qry, self.now));
+                self.servers[server].askers.push_back((query, self.now));
                 note_time(&mut self.probes, self.now, CHECK);
                 self.host.probe(server);
             }
         }
-        self.look_in(qry, if by_probe { self.shortest } else { slo_time } / 8);
+        self.look_in(query, if by_probe { self.shortest } else { slo_time } / 8);
         let any = !asked.is_empty();
         if by_probe {
-            (self.queries[qry].asked, self.queries[qry].unheard) = (asked, unheard);
+            (self.queries[query].asked, self.queries[query].unheard) = (asked, unheard);
         }
-        any && (unheard > 0 || self.settle(qry))
+        any && (unheard > 0 || self.settle(query))
     }
 
     /// Of the servers asked that told their load and have room, the one with least for its strength gets the
     /// query. Guards against servers that other copies fill, of which own calls say nothing.
-    fn settle(&mut self, qry: usize) -> bool {
-        let asked = std::mem::take(&mut self.queries[qry].asked);
+    fn settle(&mut self, query: usize) -> bool {
+        let asked = std::mem::take(&mut self.queries[query].asked);
         if asked.is_empty() {
-            return self.place(qry);
+            return self.place(query);
         }
         let told = |&i: &usize| self.fit(i) && self.load(i).is_some() && self.has_room(i);
         let told: Vec<usize> = asked.into_iter().filter(told).collect();
         let load = |(&i, strength)| ((self.load(i).unwrap_or(0.0) + 1.0) / strength, i);
         let least = told.iter().zip(self.strengths(&told)).map(load).min_by(|a, b| a.0.total_cmp(&b.0));
-        least.is_some_and(|(_, server)| self.execute(qry, server))
+        least.is_some_and(|(_, server)| self.execute(query, server))
     }
 
     /// What the server holds by its last report and this copy's sends since, while that report is fresh.
@@ -540,28 +545,29 @@
 
     /// Sends the query somewhere, if any server may have it. Guards against groups so small that no other
     /// server may repeat what one has spoilt: that one may.
-    fn place(&mut self, qry: usize) -> bool {
-        let spoilt = self.queries[qry].execs.iter().any(|e| e.ended.is_some_and(Outcome::is_chance));
-        let first = self.choose(qry, &[], false);
-        let server = if first.is_none() && spoilt { self.choose(qry, &[], true) } else { first };
-        server.is_some_and(|server| self.execute(qry, server))
+    fn place(&mut self, query: usize) -> bool {
+        let spoilt = self.queries[query].execs.iter().any(|e| e.ended.is_some_and(Outcome::may_pass));
+        let first = self.choose(query, &[], false);
+        let server = if first.is_none() && spoilt { self.choose(query, &[], true) } else { first };
+        server.is_some_and(|server| self.execute(query, server))
     }
 
     /// The one way out for executions: rules 2 to 4 and the query's state are checked here.
-    fn execute(&mut self, qry: usize, server: usize) -> bool {
-        let q = &self.queries[qry];
-        let most = self.conditions(qry, |row| row.executions).unwrap_or(usize::MAX);
-        let open = q.live && self.now < q.give_up && q.execs.len() < most.min(self.terms.most_executions);
-        let alone = self.terms.second_copies || q.execs.iter().all(|e| e.ended.is_some());
+    fn execute(&mut self, query: usize, server: usize) -> bool {
+        let q = &self.queries[query];
+        let most = self.conditions(query, |row| row.executions).unwrap_or(usize::MAX);
+        let open = q.live && self.now < q.give_up && q.execs.len() < most.min(self.terms.max_executions);
+        let alone = self.terms.allow_hedging || q.execs.iter().all(|e| e.ended.is_some());
         let s = &self.servers[server];
-        if !open || !alone || !s.ready || !self.may_repeat_at(qry, server, None) || !self.cold_room(server) {
+        if !open || !alone || !s.ready || !self.may_repeat_at(query, server, None) || !self.cold_room(server)
+        {
             return false;
         }
         let exec = Exec { server, zone: s.zone, cell: s.cell, sent: self.now, ended: None, struck: false };
         let usual = mean((0..self.latencies.len()).map(|product| self.usual_latency(product) as f64));
         let work = (self.usual_latency(q.product) as f64 / usual.max(1.0)).max(1.0);
-        let longest = self.conditions(qry, |row| row.execution_time).unwrap_or(u64::MAX);
-        let q = &mut self.queries[qry];
+        let longest = self.conditions(query, |row| row.execution_time).unwrap_or(u64::MAX);
+        let q = &mut self.queries[query];
         if let Some(lane) = q.lane.as_ref().filter(|_| !q.execs.is_empty()) {
             note_time(&mut lane.borrow_mut().repeats, self.now, CHECK);
         }
@@ -569,20 +575,20 @@
         q.execs.push(exec);
         self.servers[server].own += 1;
         push(&mut self.servers[server].sent, 64, (self.now, work));
-        self.host.execute(qry, server, longest.min(q.deadline - self.now));
-        self.look_in(qry, self.patience(self.queries[qry].product));
+        self.host.execute(query, server, longest.min(q.deadline - self.now));
+        self.look_in(query, self.patience(self.queries[query].product));
         true
     }
 
     /// Asked right before an execution's first byte. Guards against a connection that comes up too late.
-    pub fn may_begin(&mut self, now: u64, qry: usize, exec: usize) -> bool {
+    pub fn may_begin(&mut self, now: u64, query: usize, exec: usize) -> bool {
         self.now = now;
-        self.may_repeat_at(qry, self.queries[qry].execs[exec].server, Some(exec))
+        self.may_repeat_at(query, self.queries[query].execs[exec].server, Some(exec))
     }
 
     /// Rule 2: whether another execution, or this one, on this server can do no harm after the others.
-    fn may_repeat_at(&self, qry: usize, server: usize, this: Option<usize>) -> bool {
-        let (q, s) = (&self.queries[qry], &self.servers[server]);
+    fn may_repeat_at(&self, query: usize, server: usize, this: Option<usize>) -> bool {
+        let (q, s) = (&self.queries[query], &self.servers[server]);
         let row = &self.terms.products[q.product];
         let others = q.execs.iter().enumerate().filter(|&(exec, _)| Some(exec) != this).map(|(_, e)| e);
         let mut ran = others.filter(|e| !e.ended.is_some_and(Outcome::never_ran));
@@ -592,11 +598,11 @@
             Group::Cell => e.cell == s.cell,
         };
         let named = |names: &[usize], name: usize| names.is_empty() || names.contains(&name);
-        let by_route = |row: &Conditions| {
+        let by_route = |row: &RoutePolicy| {
             let near = ran.clone().all(|e| within(row.near, e));
             near && named(&row.zones, s.zone) && named(&row.kinds, s.kind)
         };
-        if self.conditions(qry, by_route) == Some(false) {
+        if self.conditions(query, by_route) == Some(false) {
             return false;
         }
         match row.effect {
@@ -609,23 +615,23 @@
     }
 
     /// The one way out for final answers: a rejection where nothing can have happened, else an abort.
-    fn finish(&mut self, qry: usize) {
-        let Some(q) = self.queries.get_mut(qry).filter(|q| q.live) else { return };
+    fn finish(&mut self, query: usize) {
+        let Some(q) = self.queries.get_mut(query).filter(|q| q.live) else { return };
         q.live = false;
         let row = &self.terms.products[q.product];
         let repeatable = matches!(row.effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
         if repeatable || q.execs.iter().all(|e| e.ended.is_some_and(Outcome::never_ran)) {
-            self.host.reject(qry, (row.slo_time / 2).min(self.terms.most_retry_after));
+            self.host.reject(query, (row.slo_time / 2).min(self.terms.max_retry_after));
         } else {
-            self.host.abort(qry);
+            self.host.abort(query);
         }
-        self.cancel_all_but(qry, None);
+        self.cancel_all_but(query, None);
     }
 
-    fn cancel_all_but(&mut self, qry: usize, kept: Option<usize>) {
-        for (exec, e) in self.queries[qry].execs.iter().enumerate() {
+    fn cancel_all_but(&mut self, query: usize, kept: Option<usize>) {
+        for (exec, e) in self.queries[query].execs.iter().enumerate() {
             if self.terms.cancel && e.ended.is_none() && Some(exec) != kept {
-                self.host.cancel(qry, exec);
+                self.host.cancel(query, exec);
             }
         }
     }
@@ -664,20 +670,20 @@
 
     /// The design's ordinary path: a zone by its weight, inside it a random server (beside those `asked`, and
     /// those that had the query, but for spoilt answers if `again`), passing over the crowded.
-    fn choose(&mut self, qry: usize, asked: &[usize], again: bool) -> Option<usize> {
+    fn choose(&mut self, query: usize, asked: &[usize], again: bool) -> Option<usize> {
         let weights = self.weights();
         let mut fit: Vec<usize> = Vec::with_capacity(self.listed.len());
         let mut open = vec![0.0; weights.len()];
         let strict = self.terms.load_by_probe || self.reach.iter().any(|&i| self.fit(i) && self.has_room(i));
         for i in 0..self.reach.len() {
             let server = self.reach[i];
-            let had = |e: &Exec| e.server == server && !(again && e.ended.is_some_and(Outcome::is_chance));
-            let tried = self.queries[qry].execs.iter().any(had) || asked.contains(&server);
+            let had = |e: &Exec| e.server == server && !(again && e.ended.is_some_and(Outcome::may_pass));
+            let tried = self.queries[query].execs.iter().any(had) || asked.contains(&server);
             // Servers asked together share a zone, so that the ways to them are alike.
             let near = |&first: &usize| self.servers[first].zone == self.servers[server].zone;
             // A cold server gets the part of an even share that it can do.
             let warm = self.warmth(server) >= 1.0 || self.chance.unit() < self.warmth(server);
-            let may = self.fit(server) && self.cold_room(server) && self.may_repeat_at(qry, server, None);
+            let may = self.fit(server) && self.cold_room(server) && self.may_repeat_at(query, server, None);
             if may && warm && !tried && asked.first().is_none_or(near) && (!strict || self.has_room(server)) {
                 fit.push(server);
                 let zone = self.servers[server].zone;
@@ -781,12 +787,13 @@
 
     /// The least part of its capacity that a server can have reached since its start.
     fn warmth(&self, server: usize) -> f64 {
-        let born = self.servers[server].born;
-        let age = self.now.saturating_sub(born);
-        if born == 0 || age >= self.terms.cold_time {
+        let started_at = self.servers[server].started_at;
+        let age = self.now.saturating_sub(started_at);
+        if started_at == 0 || age >= self.terms.slow_start_time {
             return 1.0;
         }
-        self.terms.cold_from + (1.0 - self.terms.cold_from) * age as f64 / self.terms.cold_time as f64
+        self.terms.slow_start_from
+            + (1.0 - self.terms.slow_start_from) * age as f64 / self.terms.slow_start_time as f64
     }
 
     /// Rule 4: whether this copy's part of a cold server's budget has room for one more execution. With many
--- a/src/host.rs
+++ b/src/host.rs
@@ -4,20 +4,20 @@
 /// What a balancer may do to the world. One answer or one execution is one call.
 pub trait Host {
     /// Sends the query's next execution to a server; `time_out` counts from now.
-    fn execute(&mut self, qry: usize, server: usize, time_out: u64);
+    fn execute(&mut self, query: usize, server: usize, time_out: u64);
     /// Stops waiting for one execution; its outcome still comes.
-    fn cancel(&mut self, qry: usize, exec: usize);
+    fn cancel(&mut self, query: usize, exec: usize);
     /// Final answer: nothing has happened, trying again does no harm, best after `retry_after` (0: no
     /// advice).
-    fn reject(&mut self, qry: usize, retry_after: u64);
+    fn reject(&mut self, query: usize, retry_after: u64);
     /// Final answer: failed, and it may or may not have taken effect.
-    fn abort(&mut self, qry: usize);
+    fn abort(&mut self, query: usize);
     /// Calls `Balancer::timer` with this label after `wait`.
     fn wake(&mut self, wait: u64, label: u32);
     /// Asks a server for a sign of life and its load; `Balancer::probed` tells what came of it.
     fn probe(&mut self, server: usize);
     /// Subscribes to the changes of the server list.
-    fn follow_list(&mut self);
+    fn follow_endpoints(&mut self);
 }
 
 /// How far a product's effect may be repeated.
@@ -48,7 +48,7 @@
 
 /// What a deployment allows and demands, as handed over at the start.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct BalancerSettings {
     pub balancers: usize,
     /// This one's number among them, from 0.
     pub rank: usize,
@@ -64,36 +64,36 @@
     pub products: Vec<Product>,
     /// Queries a second within each tenant's share, over all balancers.
     pub tenant_quotas: Vec<f64>,
-    pub most_executions: usize,
-    pub second_copies: bool,
+    pub max_executions: usize,
+    pub allow_hedging: bool,
     pub cancel: bool,
     /// Probes are allowed, and two of them cost less than a query that fails late.
     pub probes_pay: bool,
     /// Four of them cost more than that: one server is asked a query, not several.
     pub probe_dear: bool,
     /// Longest wait that clients follow; 0 where no advice is passed on.
-    pub most_retry_after: u64,
+    pub max_retry_after: u64,
     pub tick: u64,
     /// The list comes only to those that ask; unheard for this long it counts as known all the same.
     pub must_ask_in: Option<u64>,
-    pub cold_from: f64,
-    pub cold_time: u64,
+    pub slow_start_from: f64,
+    pub slow_start_time: u64,
     pub fall_multiple: f64,
     pub tip_after: u64,
 }
 
 /// What a route sets for its queries of one product, within what the deployment allows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Conditions {
+pub struct RoutePolicy {
     /// For the whole query, and for one execution.
     pub time: u64,
     pub execution_time: u64,
     pub executions: usize,
-    pub repeat_after: RepeatAfter,
+    pub retry_on: RetryOn,
     /// Before a repeat; up to `spread` of it more, drawn anew each time.
     pub wait: u64,
     pub spread: f64,
-    pub second_copy: SecondCopy,
+    pub hedge: HedgePolicy,
     /// Repeats of the route's queries, as a part of these.
     pub budget: f64,
     /// The servers that may take them; none named: any.
@@ -105,7 +105,7 @@
 
 /// Which outcomes of an execution may be followed by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RepeatAfter {
+pub struct RetryOn {
     /// It surely never ran: no connection, turned away.
     pub never_ran: bool,
     /// An answer that says it failed.
@@ -116,9 +116,8 @@
     pub timed_out: bool,
 }
 
-impl RepeatAfter {
-    pub const NOTHING: RepeatAfter =
-        RepeatAfter { never_ran: false, error: false, broken: false, timed_out: false };
+impl RetryOn {
+    pub const NOTHING: RetryOn = RetryOn { never_ran: false, error: false, broken: false, timed_out: false };
 
     /// Whether an execution may be followed by another though it may have run.
     pub fn may_have_run(self) -> bool {
@@ -128,7 +127,7 @@
     pub fn allows(self, outcome: Outcome) -> bool {
         match outcome {
             _ if outcome.never_ran() => self.never_ran,
-            _ if outcome.is_chance() => self.broken,
+            _ if outcome.may_pass() => self.broken,
             Outcome::TimedOut | Outcome::Cancelled => self.timed_out,
             Outcome::Error => self.error,
             _ => false,
@@ -138,7 +137,7 @@
 
 /// When a second copy of a query goes out while the first is still out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SecondCopy {
+pub enum HedgePolicy {
     Never,
     After(u64),
     /// Once the first takes longer than this part of the last answers did.
@@ -146,7 +145,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     Gone,
@@ -154,7 +153,7 @@
 
 /// One line of the server list.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct Endpoint {
     pub server: usize,
     /// Drawn from its id: the same at every balancer.
     pub key: u64,
@@ -162,10 +161,10 @@
     pub cell: usize,
     /// The kind of machine; those of a kind are much alike.
     pub kind: usize,
-    pub standing: Standing,
+    pub state: EndpointState,
     pub size: f64,
     /// Clock time of its last start; 0: long ago.
-    pub born: u64,
+    pub started_at: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -185,39 +184,39 @@
     /// The server can't use the query: the fault is the query's, and another server would say the same.
     Unfit,
     /// Sent back unseen: the waiting room is full or the server drains.
-    TurnedAway,
+    Rejected,
     TimedOut,
     NotConnected,
     Broken,
     /// An answer came that can't be used, or only a part of one: it may have run.
-    Spoilt,
+    Malformed,
     /// A connection that had stood idle broke under it: it may have run, and nothing is told of the server.
     Stale,
     Cancelled,
     /// Never sent.
-    Moot,
+    NeverSent,
 }
 
 impl Outcome {
     /// Whether nothing follows from it for the server.
-    pub fn blames_nobody(self) -> bool {
+    pub fn says_nothing_of_server(self) -> bool {
         use Outcome::*;
-        matches!(self, Cancelled | Moot | TurnedAway | Unfit | Stale)
+        matches!(self, Cancelled | NeverSent | Rejected | Unfit | Stale)
     }
 
     /// Whether it may have run at a server that may well answer the next time.
-    pub fn is_chance(self) -> bool {
-        matches!(self, Outcome::Broken | Outcome::Spoilt | Outcome::Stale)
+    pub fn may_pass(self) -> bool {
+        matches!(self, Outcome::Broken | Outcome::Malformed | Outcome::Stale)
     }
 
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::NotConnected | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::NotConnected | Outcome::NeverSent)
     }
 }
 
 /// How an execution ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ending {
+pub struct ExecutionEnd {
     pub outcome: Outcome,
     /// The query has its final answer, by this outcome or before it.
     pub over: bool,
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -22,7 +22,7 @@
         if let Some(server) = sent_to(&ask(b, at, 0)) {
             let (spent, report) = took(server);
             got[server] += 1;
-            end(b, at + MS, 0, 0, Ending { report, ..ending(Completed, spent) });
+            end(b, at + MS, 0, 0, ExecutionEnd { report, ..ending(Completed, spent) });
         }
     }
     got
@@ -35,7 +35,7 @@
 #[test]
 fn starts_by_ready_counts_and_spreads_evenly() {
     for zones in [vec![0, 0, 0, 1], vec![0, 0, 1, 1], vec![2, 2, 2, 2]] {
-        let entries: Vec<Entry> = zones.iter().enumerate().map(|(i, &zone)| entry(i, zone)).collect();
+        let entries: Vec<Endpoint> = zones.iter().enumerate().map(|(i, &zone)| entry(i, zone)).collect();
         let mut b = start(terms(Effect::Idempotent), &entries);
         let got = serve(&mut b, NOON, 400, 4, steady);
         assert!(got.iter().all(|&n| (65..135).contains(&n)), "{zones:?}: {got:?}");
@@ -44,12 +44,12 @@
 
 #[test]
 fn a_server_above_twice_the_mean_is_passed_over() {
-    let entries: Vec<Entry> = (0..4).map(|server| entry(server, 0)).collect();
-    let mut b = start(Terms { tier: 1, ..terms(Effect::Idempotent) }, &entries);
+    let entries: Vec<Endpoint> = (0..4).map(|server| entry(server, 0)).collect();
+    let mut b = start(BalancerSettings { tier: 1, ..terms(Effect::Idempotent) }, &entries);
     // Queries stay out: no server may come to hold more than twice the mean, counting the new one.
     let mut held = [0usize; 4];
-    for qry in 0..200 {
-        let server = sent_to(&ask(&mut b, NOON, qry)).expect("sent");
+    for query in 0..200 {
+        let server = sent_to(&ask(&mut b, NOON, query)).expect("sent");
         let least = held.iter().min().copied();
         let fits = 2 * held.iter().sum::<usize>() >= 4 * (held[server] + 1);
         assert!(fits || Some(held[server]) == least, "{held:?} then {server}");
@@ -59,7 +59,7 @@
 
 #[test]
 fn weights_move_from_the_slow_zone_by_a_tenth_at_most() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, server / 3)).collect();
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     for (first, second, least, most) in [(100, 100, 0.40, 0.60), (100, 400, 0.25, 0.47)] {
         let mut b = start(terms(Effect::Idempotent), &entries);
         let took = |server: usize| {
@@ -106,7 +106,12 @@
 #[test]
 fn checks_of_a_tier_follow_those_of_its_parents() {
     for (tier, now, wait) in [(0, 0, 5000), (0, 1000, 4000), (1, 0, 3000), (1, 4000, 4000), (2, 0, 1000)] {
-        let b = Balancer::new(Notes::default(), Terms { tier, ..terms(Effect::Idempotent) }, 1, now * MS);
+        let b = Balancer::new(
+            Notes::default(),
+            BalancerSettings { tier, ..terms(Effect::Idempotent) },
+            1,
+            now * MS,
+        );
         assert_eq!(b.host.wakes, [(wait * MS, 0)], "{tier} {now}");
     }
 }
@@ -118,7 +123,7 @@
     for (pattern, aside) in
         [("bb", true), ("gb", false), ("gbgb", true), ("gggggb", false), ("uuu", false), ("sss", false)]
     {
-        let entries: Vec<Entry> = (0..4).map(|server| entry(server, 0)).collect();
+        let entries: Vec<Endpoint> = (0..4).map(|server| entry(server, 0)).collect();
         let mut b = start(terms(Effect::NonIdempotent), &entries);
         let mut signs = pattern.chars();
         while !signs.as_str().is_empty() {
@@ -156,18 +161,18 @@
     }
     assert_eq!(serve(&mut b, NOON + MS, 90, 4, steady)[0], 0);
     let now = NOON + 900 * MS;
-    b.list_changed(now, &[Entry { standing: Standing::Gone, ..entry(0, 0) }]);
-    b.let_go(0);
-    b.let_go(9);
-    b.list_changed(now, &[entry(0, 0)]);
+    b.endpoints_changed(now, &[Endpoint { state: EndpointState::Gone, ..entry(0, 0) }]);
+    b.endpoint_forgotten(0);
+    b.endpoint_forgotten(9);
+    b.endpoints_changed(now, &[entry(0, 0)]);
     assert!(serve(&mut b, now, 90, 4, steady)[0] > 0);
 }
 
 #[test]
 fn a_slow_server_rests() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, 0)).collect();
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, 0)).collect();
     for (slow, rests) in [(250, false), (900, true)] {
-        let mut b = start(Terms { tier: 1, ..terms(Effect::Idempotent) }, &entries);
+        let mut b = start(BalancerSettings { tier: 1, ..terms(Effect::Idempotent) }, &entries);
         let took = |server: usize| (if server == 0 { slow * MS } else { 100 * MS }, LoadReport::default());
         serve(&mut b, NOON, 90, 6, took);
         let got = serve(&mut b, NOON + 900 * MS, 60, 6, took);
@@ -180,9 +185,9 @@
     let told =
         |rate: f64| LoadReport { throughput: Some(rate), utilization: Some(0.5), ..LoadReport::default() };
     for (size, rate, least, most) in [(1.0, 10.0, 80, 125), (0.25, 10.0, 80, 125), (1.0, 2.0, 15, 60)] {
-        let mut entries: Vec<Entry> = (0..4).map(|server| entry(server, 0)).collect();
+        let mut entries: Vec<Endpoint> = (0..4).map(|server| entry(server, 0)).collect();
         (entries[0].size, entries[0].kind) = (size, 1);
-        let mut b = start(Terms { tier: 1, ..terms(Effect::Idempotent) }, &entries);
+        let mut b = start(BalancerSettings { tier: 1, ..terms(Effect::Idempotent) }, &entries);
         let took = |server: usize| (100 * MS, told(if server == 0 { rate } else { 10.0 }));
         serve(&mut b, NOON, 100, 4, took);
         let got = serve(&mut b, NOON + 1000 * MS, 400, 4, took);
@@ -192,7 +197,7 @@
 
 #[test]
 fn a_crossing_counts_at_its_price() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, server / 3)).collect();
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     // The copies, what servers tell of their rate (this copy lets in 100 a second), and which part of its
     // queries cross.
     for (cross_zone, balancers, told, least, most) in [
@@ -205,7 +210,7 @@
         // With one copy a zone the weights alone decide, by the price.
         (0.5, 2, 0.0, 0.35, 0.48),
     ] {
-        let mut b = start(Terms { cross_zone, balancers, ..terms(Effect::Idempotent) }, &entries);
+        let mut b = start(BalancerSettings { cross_zone, balancers, ..terms(Effect::Idempotent) }, &entries);
         let throughput = Some(told).filter(|&told| told > 0.0);
         let took = |_| (100 * MS, LoadReport { throughput, ..LoadReport::default() });
         serve(&mut b, NOON, 450, 6, took);
@@ -218,11 +223,12 @@
 
 #[test]
 fn a_home_zone_that_lost_servers_sends_the_rest_away() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, server / 3)).collect();
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     for (lost, least, most) in [(0, 0, 1), (1, 20, 140), (2, 130, 270), (3, 400, 401)] {
-        let mut b = start(Terms { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
-        let gone = |server: usize| Entry { standing: Standing::Gone, ..entry(server, 0) };
-        b.list_changed(NOON, &(0..lost).map(gone).collect::<Vec<_>>());
+        let mut b =
+            start(BalancerSettings { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
+        let gone = |server: usize| Endpoint { state: EndpointState::Gone, ..entry(server, 0) };
+        b.endpoints_changed(NOON, &(0..lost).map(gone).collect::<Vec<_>>());
         let got = serve(&mut b, NOON, 400, 6, steady);
         let crossed = got[3..].iter().sum::<usize>();
         assert!((least..most).contains(&crossed), "{lost}: {got:?}");
@@ -232,19 +238,26 @@
 /// A home zone whose servers are nearly all out of room must not get all that stays at home.
 #[test]
 fn a_home_zone_with_little_room_sends_some_away() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, server / 3)).collect();
-    let mut b = start(Terms { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
+    let mut b =
+        start(BalancerSettings { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
     // Four a second told: a server that holds one call has no room.
     let told = LoadReport { throughput: Some(4.0), ..LoadReport::default() };
     serve(&mut b, NOON, 450, 6, |_| (100 * MS, told));
     let mut crossed = 0;
     for trial in 0..100 {
         let now = NOON + (5000 + trial * 500) * MS;
-        let sent: Vec<usize> = (0..3).filter_map(|qry| sent_to(&ask(&mut b, now, qry))).collect();
+        let sent: Vec<usize> = (0..3).filter_map(|query| sent_to(&ask(&mut b, now, query))).collect();
         assert_eq!(sent.len(), 3);
         crossed += sent.iter().filter(|&&server| server >= 3).count();
-        (0..3).for_each(|qry| {
-            end(&mut b, now + 100 * MS, qry, 0, Ending { report: told, ..ending(Completed, 100 * MS) });
+        (0..3).for_each(|query| {
+            end(
+                &mut b,
+                now + 100 * MS,
+                query,
+                0,
+                ExecutionEnd { report: told, ..ending(Completed, 100 * MS) },
+            );
         });
     }
     assert!((15..120).contains(&crossed), "{crossed}");
@@ -254,9 +267,10 @@
 /// does.
 #[test]
 fn a_home_zone_whose_answers_take_long_sends_some_away() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, server / 3)).collect();
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     for (home, least, most) in [(100, 0, 1), (140, 0, 1), (300, 300, 900)] {
-        let mut b = start(Terms { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
+        let mut b =
+            start(BalancerSettings { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
         serve(&mut b, NOON, 450, 6, steady);
         let took = |server| (if server < 3 { home * MS } else { 100 * MS }, LoadReport::default());
         let got = serve(&mut b, NOON + 5000 * MS, 1000, 6, took);
@@ -267,7 +281,7 @@
 
 #[test]
 fn where_no_server_tells_its_rate_the_part_of_the_traffic_is_that_of_all_shares() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, server / 3)).collect();
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     // It lets in 100 a second: all tenants' shares, how many of 1,000 queries cross.
     for (quotas, least, most) in [
         (vec![], 0, 1),
@@ -275,8 +289,12 @@
         (vec![100.0, 100.0], 60, 300),
         (vec![60.0, 50.0], 130, 400),
     ] {
-        let rules =
-            Terms { cross_zone: 0.5, balancers: 10, tenant_quotas: quotas, ..terms(Effect::Idempotent) };
+        let rules = BalancerSettings {
+            cross_zone: 0.5,
+            balancers: 10,
+            tenant_quotas: quotas,
+            ..terms(Effect::Idempotent)
+        };
         let mut b = start(rules, &entries);
         serve(&mut b, NOON, 500, 6, steady);
         let got = serve(&mut b, NOON + 5000 * MS, 1000, 6, steady);
@@ -287,10 +305,10 @@
 
 #[test]
 fn copies_that_hear_little_ask_before_they_send() {
-    let entries: Vec<Entry> = (0..40).map(|server| entry(server, server % 2)).collect();
+    let entries: Vec<Endpoint> = (0..40).map(|server| entry(server, server % 2)).collect();
     // Whether probes pay, queries a second, and whether servers are asked.
     for (probes_pay, pace, asks) in [(true, 2, true), (true, 50, false), (false, 2, false)] {
-        let mut b = start(Terms { probes_pay, ..terms(Effect::Idempotent) }, &entries);
+        let mut b = start(BalancerSettings { probes_pay, ..terms(Effect::Idempotent) }, &entries);
         let asked = |said: &[String]| -> Vec<usize> {
             said.iter().filter_map(|line| line.strip_prefix("probe ")?.parse().ok()).collect()
         };
@@ -325,13 +343,14 @@
 fn a_copy_with_few_calls_in_flight_is_full_too() {
     // Hundreds of copies with two queries a second each: some calls get in, far fewer than servers listed.
     for (balancers, least, most) in [(1, 100, 112), (1000, 2, 8)] {
-        let entries: Vec<Entry> = (0..100).map(|server| entry(server, 0)).collect();
-        let mut b = start(Terms { balancers, ..terms(Effect::Idempotent) }, &entries);
+        let entries: Vec<Endpoint> = (0..100).map(|server| entry(server, 0)).collect();
+        let mut b = start(BalancerSettings { balancers, ..terms(Effect::Idempotent) }, &entries);
         for at in 0..20 {
             ask(&mut b, NOON + at * 500 * MS, 0);
             end(&mut b, NOON + at * 500 * MS + 300 * MS, 0, 0, ending(Completed, 300 * MS));
         }
-        let sent = (1..150).filter(|&qry| sent_to(&ask(&mut b, NOON + 10_000 * MS, qry)).is_some()).count();
+        let sent =
+            (1..150).filter(|&query| sent_to(&ask(&mut b, NOON + 10_000 * MS, query)).is_some()).count();
         assert!((least..=most).contains(&sent), "{balancers}: {sent}");
     }
 }
@@ -348,11 +367,11 @@
         (0, 120.0, Some(50.0), 2, 20),
         (0, 120.0, Some(25.0), 25, 40),
     ] {
-        let entries: Vec<Entry> = (0..4).map(|server| entry(server, 0)).collect();
-        let rules = Terms { tier, tenant_quotas: vec![quota], ..terms(Effect::Idempotent) };
+        let entries: Vec<Endpoint> = (0..4).map(|server| entry(server, 0)).collect();
+        let rules = BalancerSettings { tier, tenant_quotas: vec![quota], ..terms(Effect::Idempotent) };
         let mut b = start(rules, &entries);
         serve(&mut b, NOON, 500, 4, |_| (100 * MS, LoadReport { throughput: told, ..LoadReport::default() }));
-        let sent = (1..501).filter(|&qry| sent_to(&ask(&mut b, NOON + 5000 * MS, qry)).is_some()).count();
+        let sent = (1..501).filter(|&query| sent_to(&ask(&mut b, NOON + 5000 * MS, query)).is_some()).count();
         assert!((least..most).contains(&sent), "{tier} {quota} {told:?}: {sent}");
     }
 }
@@ -363,11 +382,11 @@
     // Where the other has no more room, what they could do is only guessed: all go out, and only a full tier
     // rejects.
     for (tier, other, held) in [(0, 900.0, 1..=2), (1, 900.0, 5..=15), (0, 20.0, 5..=15)] {
-        let rules = Terms { tier, ..terms(Effect::Idempotent) };
+        let rules = BalancerSettings { tier, ..terms(Effect::Idempotent) };
         let mut b = start(rules, &[entry(0, 0), entry(1, 0)]);
         let told = |server| LoadReport { throughput: Some([20.0, other][server]), ..LoadReport::default() };
         serve(&mut b, NOON, 64, 2, |server| (100 * MS, told(server)));
-        let sent = (1..21).filter_map(|qry| sent_to(&ask(&mut b, NOON + 640 * MS, qry)));
+        let sent = (1..21).filter_map(|query| sent_to(&ask(&mut b, NOON + 640 * MS, query)));
         let sent: Vec<usize> = sent.collect();
         assert_eq!(sent.len(), 20, "{tier} {other}");
         let first = sent.iter().filter(|&&server| server == 0).count();
@@ -376,9 +395,9 @@
 }
 
 /// As at a deployment with a balancer in each client: connections of many queries, load told to probes alone.
-fn spread_out(rank: usize) -> Terms {
+fn spread_out(rank: usize) -> BalancerSettings {
     let (streams, load_by_probe, probes_pay) = (100, true, true);
-    Terms { balancers: 20, rank, streams, load_by_probe, probes_pay, ..terms(Effect::Idempotent) }
+    BalancerSettings { balancers: 20, rank, streams, load_by_probe, probes_pay, ..terms(Effect::Idempotent) }
 }
 
 fn told(held: f64) -> LoadReport {
@@ -387,8 +406,13 @@
 
 /// Hands a query over and answers its probes; a server that holds `None` is silent. Where it went, and how
 /// many were asked.
-fn ask_about(b: &mut Balancer<Notes>, now: u64, qry: usize, held: &[Option<f64>]) -> (Option<usize>, usize) {
-    let said = ask(b, now, qry);
+fn ask_about(
+    b: &mut Balancer<Notes>,
+    now: u64,
+    query: usize,
+    held: &[Option<f64>],
+) -> (Option<usize>, usize) {
+    let said = ask(b, now, query);
     let asked: Vec<usize> =
         said.iter().filter_map(|line| line.strip_prefix("probe ")?.parse().ok()).collect();
     for &server in &asked {
@@ -396,7 +420,7 @@
             b.probed(now, server, true, told(held));
         }
     }
-    b.timer(now + 125 * MS, 2 + qry as u32);
+    b.timer(now + 125 * MS, 2 + query as u32);
     let sent = sent_to(&std::mem::take(&mut b.host.said));
     for &server in asked.iter().filter(|&&server| held[server].is_none()) {
         b.probed(now + 250 * MS, server, false, LoadReport::default());
@@ -407,8 +431,8 @@
 #[test]
 fn copies_keep_to_their_own_parts_and_cover_the_list_evenly() {
     for servers in [3, 15, 40] {
-        let mut entries: Vec<Entry> = (0..servers).map(|server| entry(server, 0)).collect();
-        let parts = |entries: &[Entry]| -> Vec<Vec<usize>> {
+        let mut entries: Vec<Endpoint> = (0..servers).map(|server| entry(server, 0)).collect();
+        let parts = |entries: &[Endpoint]| -> Vec<Vec<usize>> {
             let part = |rank| {
                 let mut b = start(spread_out(rank), entries);
                 let mut part: Vec<usize> = Vec::new();
@@ -432,7 +456,7 @@
         assert!(held.iter().all(|&held| (held as f64 - even).abs() < 2.0), "{servers}: {held:?}");
         // A server that drains is made up for by the next, and the others stay.
         let gone = before[0][1];
-        entries[gone].standing = Standing::Draining;
+        entries[gone].state = EndpointState::Draining;
         let after = parts(&entries);
         let lost = |(before, after): (&Vec<usize>, &Vec<usize>)| {
             before.iter().filter(|server| **server != gone && !after.contains(server)).count()
@@ -453,7 +477,7 @@
         ([Some(17.0), Some(40.0), Some(18.0)], None),
         ([None, None, None], None),
     ] {
-        let entries: Vec<Entry> = (0..3).map(|server| entry(server, 0)).collect();
+        let entries: Vec<Endpoint> = (0..3).map(|server| entry(server, 0)).collect();
         let mut b = start(spread_out(0), &entries);
         assert_eq!(ask_about(&mut b, NOON, 0, &held), (gets, 3), "{held:?}");
     }
@@ -462,9 +486,9 @@
 /// Long before the list tells of it.
 #[test]
 fn a_part_lost_at_once_is_drawn_anew() {
-    let entries: Vec<Entry> = (0..20).map(|server| entry(server, 0)).collect();
+    let entries: Vec<Endpoint> = (0..20).map(|server| entry(server, 0)).collect();
     for dear in [false, true] {
-        let mut b = start(Terms { probe_dear: dear, ..spread_out(0) }, &entries);
+        let mut b = start(BalancerSettings { probe_dear: dear, ..spread_out(0) }, &entries);
         let mut held = vec![Some(0.0); 20];
         for n in 0..20 {
             if let Some(server) = ask_about(&mut b, NOON + n * 300 * MS, 0, &vec![Some(0.0); 20]).0 {
@@ -481,15 +505,15 @@
 
 #[test]
 fn where_probes_are_dear_one_server_is_asked() {
-    let entries: Vec<Entry> = (0..3).map(|server| entry(server, 0)).collect();
-    let mut b = start(Terms { probe_dear: true, ..spread_out(0) }, &entries);
+    let entries: Vec<Endpoint> = (0..3).map(|server| entry(server, 0)).collect();
+    let mut b = start(BalancerSettings { probe_dear: true, ..spread_out(0) }, &entries);
     let (sent, asked) = ask_about(&mut b, NOON, 0, &[Some(1.0); 3]);
     assert!(sent.is_some() && asked == 1);
 }
 
 #[test]
 fn the_share_let_in_falls_while_servers_hold_too_much_and_rises_after() {
-    let entries: Vec<Entry> = (0..3).map(|server| entry(server, 0)).collect();
+    let entries: Vec<Endpoint> = (0..3).map(|server| entry(server, 0)).collect();
     let mut b = start(spread_out(0), &entries);
     // What servers hold in the phase, and how many of its 400 queries are let in, so that a server is asked.
     for (phase, (held, least, most)) in
@@ -512,8 +536,8 @@
 fn probes_that_wait_are_taken_off_the_rate_told() {
     // Servers tell forty a second, one of two a probe's answer where these wait: room for six, not thirteen.
     for (took, held, gets) in [(0, 12.0, true), (100, 5.0, true), (100, 12.0, false)] {
-        let entries: Vec<Entry> = (0..1).map(|server| entry(server, 0)).collect();
-        let mut b = start(Terms { tick: 0, ..spread_out(0) }, &entries);
+        let entries: Vec<Endpoint> = (0..1).map(|server| entry(server, 0)).collect();
+        let mut b = start(BalancerSettings { tick: 0, ..spread_out(0) }, &entries);
         let told = |held| LoadReport { held: Some(held), throughput: Some(40.0), utilization: None };
         let mut sent = None;
         for n in 0..20 {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,17 +13,17 @@
 }
 
 impl Host for Notes {
-    fn execute(&mut self, qry: usize, server: usize, _time_out: u64) {
-        self.said.push(format!("execute {qry} on {server}"));
+    fn execute(&mut self, query: usize, server: usize, _time_out: u64) {
+        self.said.push(format!("execute {query} on {server}"));
     }
-    fn cancel(&mut self, qry: usize, exec: usize) {
-        self.said.push(format!("cancel {qry}.{exec}"));
+    fn cancel(&mut self, query: usize, exec: usize) {
+        self.said.push(format!("cancel {query}.{exec}"));
     }
-    fn reject(&mut self, qry: usize, _retry_after: u64) {
-        self.said.push(format!("reject {qry}"));
+    fn reject(&mut self, query: usize, _retry_after: u64) {
+        self.said.push(format!("reject {query}"));
     }
-    fn abort(&mut self, qry: usize) {
-        self.said.push(format!("abort {qry}"));
+    fn abort(&mut self, query: usize) {
+        self.said.push(format!("abort {query}"));
     }
     fn wake(&mut self, wait: u64, label: u32) {
         self.wakes.push((wait, label));
@@ -31,13 +31,13 @@
     fn probe(&mut self, server: usize) {
         self.said.push(format!("probe {server}"));
     }
-    fn follow_list(&mut self) {
+    fn follow_endpoints(&mut self) {
         self.said.push("follow".into());
     }
 }
 
-pub fn terms(effect: Effect) -> Terms {
-    Terms {
+pub fn terms(effect: Effect) -> BalancerSettings {
+    BalancerSettings {
         balancers: 2,
         rank: 0,
         streams: 1,
@@ -52,47 +52,47 @@
             tardy_importance: 0.5,
         }],
         tenant_quotas: vec![],
-        most_executions: 3,
-        second_copies: false,
+        max_executions: 3,
+        allow_hedging: false,
         cancel: true,
         probes_pay: false,
         probe_dear: false,
-        most_retry_after: 500 * MS,
+        max_retry_after: 500 * MS,
         tick: 5 * MS,
         must_ask_in: None,
-        cold_from: 0.2,
-        cold_time: 10_000 * MS,
+        slow_start_from: 0.2,
+        slow_start_time: 10_000 * MS,
         fall_multiple: 3.0,
         tip_after: 2000 * MS,
     }
 }
 
-pub fn entry(server: usize, zone: usize) -> Entry {
-    Entry {
+pub fn entry(server: usize, zone: usize) -> Endpoint {
+    Endpoint {
         server,
         key: server as u64,
         zone,
         cell: zone,
         kind: 0,
-        standing: Standing::Ready,
+        state: EndpointState::Ready,
         size: 1.0,
-        born: 0,
+        started_at: 0,
     }
 }
 
-pub fn start(terms: Terms, entries: &[Entry]) -> Balancer<Notes> {
+pub fn start(terms: BalancerSettings, entries: &[Endpoint]) -> Balancer<Notes> {
     let mut balancer = Balancer::new(Notes::default(), terms, 7, NOON);
-    balancer.list_whole(NOON, entries);
+    balancer.endpoints_replaced(NOON, entries);
     balancer
 }
 
-pub fn ending(outcome: Outcome, spent: u64) -> Ending {
-    Ending { outcome, over: outcome == Outcome::Completed, spent, report: LoadReport::default() }
+pub fn ending(outcome: Outcome, spent: u64) -> ExecutionEnd {
+    ExecutionEnd { outcome, over: outcome == Outcome::Completed, spent, report: LoadReport::default() }
 }
 
 /// Hands over a query with three seconds to its deadline and returns what was said of it.
-pub fn ask(balancer: &mut Balancer<Notes>, now: u64, qry: usize) -> Vec<String> {
-    balancer.query(now, qry, Arrival { product: 0, tenant: 0, deadline: now + 3000 * MS, route: None });
+pub fn ask(balancer: &mut Balancer<Notes>, now: u64, query: usize) -> Vec<String> {
+    balancer.query(now, query, Arrival { product: 0, tenant: 0, deadline: now + 3000 * MS, route: None });
     std::mem::take(&mut balancer.host.said)
 }
 
@@ -102,7 +102,13 @@
 }
 
 /// Ends the query's execution and returns what was said.
-pub fn end(balancer: &mut Balancer<Notes>, now: u64, qry: usize, exec: usize, ending: Ending) -> Vec<String> {
-    balancer.completed(now, qry, exec, ending);
+pub fn end(
+    balancer: &mut Balancer<Notes>,
+    now: u64,
+    query: usize,
+    exec: usize,
+    ending: ExecutionEnd,
+) -> Vec<String> {
+    balancer.completed(now, query, exec, ending);
     std::mem::take(&mut balancer.host.said)
 }
