--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -6,15 +6,15 @@
 use whinspindle::decide::Balancer;
 use whinspindle::host::*;
 
-fn conditions() -> Conditions {
-    Conditions {
+fn conditions() -> RoutePolicy {
+    RoutePolicy {
         time: 2000 * MS,
         execution_time: 500 * MS,
         executions: 3,
-        repeat_after: RepeatAfter { never_ran: true, error: true, broken: true, timed_out: true },
+        retry_on: RetryOn { never_ran: true, error: true, broken: true, timed_out: true },
         wait: 0,
         spread: 0.0,
-        second_copy: SecondCopy::Never,
+        hedge: HedgePolicy::Never,
         budget: 100.0,
         zones: vec![],
         kinds: vec![],
@@ -23,46 +23,46 @@
 }
 
 /// Four servers, two in each of two zones, and one route.
-fn start_with(terms: Terms, conditions: Conditions) -> Balancer<Notes> {
-    let entries: Vec<Entry> = (0..4).map(|server| entry(server, server / 2)).collect();
+fn start_with(terms: BalancerSettings, conditions: RoutePolicy) -> Balancer<Notes> {
+    let entries: Vec<Endpoint> = (0..4).map(|server| entry(server, server / 2)).collect();
     let mut balancer = start(terms, &entries);
     balancer.routes(vec![vec![conditions]]);
     balancer
 }
 
-fn ask_by_route(balancer: &mut Balancer<Notes>, now: u64, qry: usize) -> Vec<String> {
+fn ask_by_route(balancer: &mut Balancer<Notes>, now: u64, query: usize) -> Vec<String> {
     let arrival = Arrival { product: 0, tenant: 0, deadline: now + 3000 * MS, route: Some(0) };
-    balancer.query(now, qry, arrival);
+    balancer.query(now, query, arrival);
     std::mem::take(&mut balancer.host.said)
 }
 
 /// Calls the timer of a query at a time, and returns what was said.
-fn look(balancer: &mut Balancer<Notes>, now: u64, qry: usize) -> Vec<String> {
-    balancer.timer(now, 2 + qry as u32);
+fn look(balancer: &mut Balancer<Notes>, now: u64, query: usize) -> Vec<String> {
+    balancer.timer(now, 2 + query as u32);
     std::mem::take(&mut balancer.host.said)
 }
 
 #[test]
 fn outcomes_are_followed_by_a_repeat_only_where_the_route_says_so() {
-    let nothing = RepeatAfter::NOTHING;
+    let nothing = RetryOn::NOTHING;
     let cases = [
-        (Outcome::TurnedAway, RepeatAfter { never_ran: true, ..nothing }),
-        (Outcome::NotConnected, RepeatAfter { never_ran: true, ..nothing }),
-        (Outcome::Error, RepeatAfter { error: true, ..nothing }),
-        (Outcome::Broken, RepeatAfter { broken: true, ..nothing }),
-        (Outcome::Stale, RepeatAfter { broken: true, ..nothing }),
-        (Outcome::TimedOut, RepeatAfter { timed_out: true, ..nothing }),
+        (Outcome::Rejected, RetryOn { never_ran: true, ..nothing }),
+        (Outcome::NotConnected, RetryOn { never_ran: true, ..nothing }),
+        (Outcome::Error, RetryOn { error: true, ..nothing }),
+        (Outcome::Broken, RetryOn { broken: true, ..nothing }),
+        (Outcome::Stale, RetryOn { broken: true, ..nothing }),
+        (Outcome::TimedOut, RetryOn { timed_out: true, ..nothing }),
     ];
-    let all = conditions().repeat_after;
+    let all = conditions().retry_on;
     for (outcome, only) in cases {
-        let others = RepeatAfter {
+        let others = RetryOn {
             never_ran: !only.never_ran,
             error: !only.error,
             broken: !only.broken,
             timed_out: !only.timed_out,
         };
         for (after, repeats) in [(all, true), (only, true), (others, false), (nothing, false)] {
-            let set = Conditions { repeat_after: after, ..conditions() };
+            let set = RoutePolicy { retry_on: after, ..conditions() };
             let mut balancer = start_with(terms(Effect::Idempotent), set);
             ask_by_route(&mut balancer, NOON, 0);
             let said = end(&mut balancer, NOON + MS, 0, 0, ending(outcome, MS));
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_query_without_a_route_is_as_if_there_were_none() {
-    let mut balancer = start_with(terms(Effect::Idempotent), Conditions { executions: 1, ..conditions() });
+    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { executions: 1, ..conditions() });
     ask(&mut balancer, NOON, 0);
     assert!(sent_to(&end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS))).is_some());
 }
@@ -91,9 +91,9 @@
 fn times_and_numbers_are_the_lesser_of_route_and_deployment() {
     // Executions: the route's three, the deployment's two, and the other way round.
     for (route, deployment, most) in [(3, 2, 2), (2, 3, 2), (1, 3, 1)] {
-        let set = Conditions { executions: route, ..conditions() };
-        let most_executions = deployment;
-        let mut balancer = start_with(Terms { most_executions, ..terms(Effect::Idempotent) }, set);
+        let set = RoutePolicy { executions: route, ..conditions() };
+        let max_executions = deployment;
+        let mut balancer = start_with(BalancerSettings { max_executions, ..terms(Effect::Idempotent) }, set);
         let mut sent = usize::from(sent_to(&ask_by_route(&mut balancer, NOON, 0)).is_some());
         for exec in 0..3 {
             let said = end(&mut balancer, NOON + MS, 0, exec, ending(Outcome::Broken, MS));
@@ -102,7 +102,7 @@
         assert_eq!(sent, most, "{route} and {deployment}");
     }
     // The whole time: nothing is begun once the route's is over, though the client would wait.
-    let mut balancer = start_with(terms(Effect::Idempotent), Conditions { time: 100 * MS, ..conditions() });
+    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { time: 100 * MS, ..conditions() });
     ask_by_route(&mut balancer, NOON, 0);
     let said = end(&mut balancer, NOON + 95 * MS, 0, 0, ending(Outcome::Broken, 95 * MS));
     assert_eq!(said, ["reject 0"]);
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_repeat_waits_its_time_and_what_cannot_wait_is_answered_at_once() {
-    let set = Conditions { wait: 50 * MS, ..conditions() };
+    let set = RoutePolicy { wait: 50 * MS, ..conditions() };
     let mut balancer = start_with(terms(Effect::Idempotent), set.clone());
     ask_by_route(&mut balancer, NOON, 0);
     assert!(end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS)).is_empty());
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_client_that_leaves_while_its_query_waits_ends_it() {
-    let mut balancer = start_with(terms(Effect::Idempotent), Conditions { wait: 50 * MS, ..conditions() });
+    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { wait: 50 * MS, ..conditions() });
     ask_by_route(&mut balancer, NOON, 0);
     end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS));
     balancer.withdrawn(NOON + 20 * MS, 0);
@@ -133,49 +133,49 @@
 
 #[test]
 fn repeats_stay_within_their_part_of_the_traffic() {
-    let mut balancer = start_with(terms(Effect::Idempotent), Conditions { budget: 0.2, ..conditions() });
+    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { budget: 0.2, ..conditions() });
     let mut repeats = 0;
-    for qry in 0..200 {
-        let now = NOON + qry as u64 * MS;
-        if sent_to(&ask_by_route(&mut balancer, now, qry)).is_none() {
+    for query in 0..200 {
+        let now = NOON + query as u64 * MS;
+        if sent_to(&ask_by_route(&mut balancer, now, query)).is_none() {
             continue;
         }
         // An outage: everything breaks.
         for exec in 0..3 {
-            let said = end(&mut balancer, now, qry, exec, ending(Outcome::Broken, MS));
+            let said = end(&mut balancer, now, query, exec, ending(Outcome::Broken, MS));
             repeats += usize::from(sent_to(&said).is_some());
         }
     }
     assert!((30..=40).contains(&repeats), "{repeats} repeats of 200 queries");
     // What is long ago no longer counts.
     let later = NOON + 60_000 * MS;
-    for qry in 0..5 {
-        ask_by_route(&mut balancer, later, qry);
+    for query in 0..5 {
+        ask_by_route(&mut balancer, later, query);
     }
     assert!(sent_to(&end(&mut balancer, later + MS, 4, 0, ending(Outcome::Broken, MS))).is_some());
 }
 
 #[test]
 fn only_the_servers_of_the_route_get_its_queries() {
-    let set = Conditions { zones: vec![1], ..conditions() };
+    let set = RoutePolicy { zones: vec![1], ..conditions() };
     let mut balancer = start_with(terms(Effect::Idempotent), set);
-    for qry in 0..40 {
-        let server = sent_to(&ask_by_route(&mut balancer, NOON, qry)).expect("a server");
+    for query in 0..40 {
+        let server = sent_to(&ask_by_route(&mut balancer, NOON, query)).expect("a server");
         assert!(server >= 2, "server {server}");
     }
     // A route whose servers all drain has none: it is answered at once, though others are ready.
-    let drains: Vec<Entry> =
-        (2..4).map(|server| Entry { standing: Standing::Draining, ..entry(server, 1) }).collect();
-    balancer.list_changed(NOON + MS, &drains);
+    let drains: Vec<Endpoint> =
+        (2..4).map(|server| Endpoint { state: EndpointState::Draining, ..entry(server, 1) }).collect();
+    balancer.endpoints_changed(NOON + MS, &drains);
     assert_eq!(ask_by_route(&mut balancer, NOON + 2 * MS, 50), ["reject 50"]);
 }
 
 #[test]
 fn repeats_stay_in_the_zone_that_the_route_names() {
-    for qry in 0..20 {
-        let set = Conditions { near: Group::Zone, ..conditions() };
+    for query in 0..20 {
+        let set = RoutePolicy { near: Group::Zone, ..conditions() };
         let mut balancer = start_with(terms(Effect::Idempotent), set);
-        let first = sent_to(&ask_by_route(&mut balancer, NOON + qry, 0)).expect("a server");
+        let first = sent_to(&ask_by_route(&mut balancer, NOON + query, 0)).expect("a server");
         let said = end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Error, MS));
         let second = sent_to(&said).expect("the other server of the zone");
         assert_eq!((first / 2, first != second), (second / 2, true));
@@ -185,9 +185,9 @@
 #[test]
 fn a_second_copy_goes_out_when_it_is_due_and_never_where_it_is_not_allowed() {
     for allowed in [true, false] {
-        let set = Conditions { second_copy: SecondCopy::After(30 * MS), ..conditions() };
-        let second_copies = allowed;
-        let mut balancer = start_with(Terms { second_copies, ..terms(Effect::Idempotent) }, set);
+        let set = RoutePolicy { hedge: HedgePolicy::After(30 * MS), ..conditions() };
+        let allow_hedging = allowed;
+        let mut balancer = start_with(BalancerSettings { allow_hedging, ..terms(Effect::Idempotent) }, set);
         ask_by_route(&mut balancer, NOON, 0);
         assert!(look(&mut balancer, NOON + 20 * MS, 0).is_empty());
         let said = look(&mut balancer, NOON + 31 * MS, 0);
@@ -199,8 +199,8 @@
 
 #[test]
 fn a_quantile_without_samples_brings_no_copy() {
-    let set = Conditions { second_copy: SecondCopy::Quantile(0.5), ..conditions() };
-    let mut balancer = start_with(Terms { second_copies: true, ..terms(Effect::Idempotent) }, set);
+    let set = RoutePolicy { hedge: HedgePolicy::Quantile(0.5), ..conditions() };
+    let mut balancer = start_with(BalancerSettings { allow_hedging: true, ..terms(Effect::Idempotent) }, set);
     ask_by_route(&mut balancer, NOON, 0);
     assert!(look(&mut balancer, NOON + 200 * MS, 0).is_empty());
     end(&mut balancer, NOON + 210 * MS, 0, 0, ending(Outcome::Completed, 40 * MS));
@@ -212,7 +212,7 @@
 fn queries_in_hand_keep_the_routes_under_which_they_came() {
     let mut balancer = start_with(terms(Effect::Idempotent), conditions());
     ask_by_route(&mut balancer, NOON, 0);
-    balancer.routes(vec![vec![Conditions { repeat_after: RepeatAfter::NOTHING, ..conditions() }]]);
+    balancer.routes(vec![vec![RoutePolicy { retry_on: RetryOn::NOTHING, ..conditions() }]]);
     ask_by_route(&mut balancer, NOON, 1);
     assert!(sent_to(&end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS))).is_some());
     assert_eq!(end(&mut balancer, NOON + MS, 1, 0, ending(Outcome::Broken, MS)), ["reject 1"]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,7 +6,7 @@
 use whinspindle::host::*;
 
 use Effect::{Deduplicated, Idempotent, NonIdempotent};
-use Outcome::{Broken, Completed, Error, NotConnected, Spoilt, Stale, TimedOut, TurnedAway};
+use Outcome::{Broken, Completed, Error, Malformed, NotConnected, Rejected, Stale, TimedOut};
 
 #[test]
 fn last_answer_follows_what_may_have_run() {
@@ -17,7 +17,7 @@
         (Deduplicated(Group::Zone), NotConnected, "reject 0"),
         (NonIdempotent, Error, "abort 0"),
         (NonIdempotent, TimedOut, "abort 0"),
-        (NonIdempotent, TurnedAway, "reject 0"),
+        (NonIdempotent, Rejected, "reject 0"),
     ] {
         let mut b = start(terms(effect), &[entry(0, 0)]);
         assert_eq!(ask(&mut b, NOON, 0), ["execute 0 on 0"]);
@@ -29,19 +29,19 @@
 #[test]
 fn what_a_server_spoilt_it_gets_again_if_no_other_may_have_it() {
     for (effect, outcome, cell, to) in [
-        (Deduplicated(Group::Cell), Spoilt, 1, Some(0)),
+        (Deduplicated(Group::Cell), Malformed, 1, Some(0)),
         (Deduplicated(Group::Cell), Stale, 1, Some(0)),
-        (Deduplicated(Group::Cell), Spoilt, 0, Some(1)),
+        (Deduplicated(Group::Cell), Malformed, 0, Some(1)),
         (Deduplicated(Group::Cell), Broken, 1, Some(0)),
         // What it answers or keeps silent about it would again.
         (Deduplicated(Group::Cell), Error, 1, None),
         (Deduplicated(Group::Cell), TimedOut, 1, None),
-        (NonIdempotent, Spoilt, 1, None),
+        (NonIdempotent, Malformed, 1, None),
         (NonIdempotent, NotConnected, 1, Some(1)),
     ] {
         let mut b = start(terms(effect), &[entry(0, 0)]);
         ask(&mut b, NOON, 0);
-        b.list_changed(NOON, &[Entry { cell, ..entry(1, 0) }]);
+        b.endpoints_changed(NOON, &[Endpoint { cell, ..entry(1, 0) }]);
         let said = end(&mut b, NOON + MS, 0, 0, ending(outcome, MS));
         assert_eq!(sent_to(&said), to, "{effect:?} {outcome:?} {cell}");
     }
@@ -53,8 +53,8 @@
     let fleet = |other: usize| {
         [(0, 0, 0), (1, 0, 0), (2, 0, 1), (3, 1, 2)].map(|(server, zone, cell)| {
             let kept = server == 0 || server == other;
-            let standing = if kept { Standing::Ready } else { Standing::Draining };
-            Entry { zone, cell, standing, ..entry(server, zone) }
+            let state = if kept { EndpointState::Ready } else { EndpointState::Draining };
+            Endpoint { zone, cell, state, ..entry(server, zone) }
         })
     };
     for (effect, outcome, other, later, again) in [
@@ -63,7 +63,7 @@
         (NonIdempotent, NotConnected, 3, 1, true),
         (Deduplicated(Group::Cell), Error, 1, 1, true),
         (Deduplicated(Group::Cell), Error, 2, 1, false),
-        (Deduplicated(Group::Cell), TurnedAway, 2, 1, true),
+        (Deduplicated(Group::Cell), Rejected, 2, 1, true),
         (Deduplicated(Group::Zone), Error, 2, 1, true),
         (Deduplicated(Group::Zone), Error, 3, 1, false),
         (Deduplicated(Group::All), Error, 3, 1, true),
@@ -75,7 +75,7 @@
         rules.products[0].memory_span = 2000 * MS;
         let mut b = start(rules, &[entry(0, 0)]);
         ask(&mut b, NOON, 0);
-        b.list_whole(NOON, &fleet(other));
+        b.endpoints_replaced(NOON, &fleet(other));
         let said = end(&mut b, NOON + later * MS, 0, 0, ending(outcome, later * MS));
         assert_eq!(sent_to(&said), again.then_some(other), "{effect:?} {outcome:?} {other} {later}");
     }
@@ -88,7 +88,7 @@
         (Idempotent, Error, 4000, true),
         (Deduplicated(Group::All), Error, 1900, true),
         (Deduplicated(Group::All), Error, 1990, false),
-        (Deduplicated(Group::All), TurnedAway, 1990, true),
+        (Deduplicated(Group::All), Rejected, 1990, true),
         (NonIdempotent, NotConnected, 4000, true),
     ] {
         let mut rules = terms(effect);
@@ -103,9 +103,9 @@
 
 #[test]
 fn executions_are_counted() {
-    let entries: Vec<Entry> = (0..6).map(|server| entry(server, 0)).collect();
+    let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, 0)).collect();
     for most in 1..4 {
-        let mut b = start(Terms { most_executions: most, ..terms(Idempotent) }, &entries);
+        let mut b = start(BalancerSettings { max_executions: most, ..terms(Idempotent) }, &entries);
         ask(&mut b, NOON, 0);
         let said: Vec<_> = (0..most).flat_map(|e| end(&mut b, NOON + MS, 0, e, ending(Error, MS))).collect();
         let sent = said.iter().filter(|line| line.starts_with("execute")).count();
@@ -118,7 +118,7 @@
     let ends: [fn(&mut whinspindle::decide::Balancer<Notes>); 3] = [
         |b| b.withdrawn(NOON, 0),
         |b| b.completed(NOON, 0, 0, ending(Completed, MS)),
-        |b| b.completed(NOON, 0, 0, Ending { over: true, ..ending(Broken, MS) }),
+        |b| b.completed(NOON, 0, 0, ExecutionEnd { over: true, ..ending(Broken, MS) }),
     ];
     for finish in ends {
         let mut b = start(terms(Idempotent), &[entry(0, 0), entry(1, 0)]);
@@ -157,10 +157,10 @@
         ),
         (-1.0, LoadReport { throughput: Some(5.0), utilization: None, ..LoadReport::default() }),
     ] {
-        let mut b = start(terms(Idempotent), &[Entry { size, ..entry(0, 0) }, entry(1, 3), entry(2, 0)]);
+        let mut b = start(terms(Idempotent), &[Endpoint { size, ..entry(0, 0) }, entry(1, 3), entry(2, 0)]);
         for at in (0..300).map(|i| NOON + i * 20 * MS) {
             assert!(sent_to(&ask(&mut b, at, 0)).is_some(), "{size} {report:?}");
-            end(&mut b, at, 0, 0, Ending { report, ..ending(Completed, 0) });
+            end(&mut b, at, 0, 0, ExecutionEnd { report, ..ending(Completed, 0) });
         }
         b.timer(NOON + 6000 * MS, 0);
         assert!(sent_to(&ask(&mut b, NOON + 6000 * MS, 1)).is_some(), "{size} {report:?}");
@@ -215,19 +215,19 @@
 
 #[test]
 fn drains_are_kept_at_once() {
-    let with = |standing| vec![Entry { standing, ..entry(0, 0) }];
+    let with = |state| vec![Endpoint { state, ..entry(0, 0) }];
     for (whole, entries, answer) in [
-        (false, with(Standing::Draining), "reject 0"),
-        (false, with(Standing::Gone), "reject 0"),
+        (false, with(EndpointState::Draining), "reject 0"),
+        (false, with(EndpointState::Gone), "reject 0"),
         (true, vec![], "reject 0"),
         (false, vec![], "execute 0 on 0"),
-        (true, with(Standing::Ready), "execute 0 on 0"),
+        (true, with(EndpointState::Ready), "execute 0 on 0"),
     ] {
         let mut b = start(terms(Idempotent), &[entry(0, 0)]);
         if whole {
-            b.list_whole(NOON, &entries);
+            b.endpoints_replaced(NOON, &entries);
         } else {
-            b.list_changed(NOON, &entries);
+            b.endpoints_changed(NOON, &entries);
         }
         assert_eq!(ask(&mut b, NOON, 0), [answer], "{whole} {entries:?}");
     }
@@ -236,9 +236,9 @@
 #[test]
 fn list_is_followed_where_it_must_be_asked_for() {
     for (must_ask_in, calls) in [(None, 0), (Some(8000 * MS), 2)] {
-        let mut b = start(Terms { must_ask_in, ..terms(Idempotent) }, &[]);
+        let mut b = start(BalancerSettings { must_ask_in, ..terms(Idempotent) }, &[]);
         b.host.wakes.clear();
-        b.list_failed(NOON);
+        b.endpoint_watch_failed(NOON);
         if let Some((wait, label)) = b.host.wakes.pop() {
             assert!((1000 * MS..2000 * MS).contains(&wait), "{wait}");
             b.timer(NOON + wait, label);
@@ -251,15 +251,15 @@
 fn cold_servers_are_spared() {
     // (age in ms, queries at once, at most so many sent); the fleet is the one cold server.
     for (age, most) in [(0, 2), (5_000, 6), (10_000, 200)] {
-        let cold = Entry { born: NOON - age * MS, ..entry(0, 0) };
-        let mut b = start(Terms { tier: 1, ..terms(Idempotent) }, &[cold]);
-        let sent = (0..200).filter(|&qry| sent_to(&ask(&mut b, NOON, qry)).is_some()).count();
+        let cold = Endpoint { started_at: NOON - age * MS, ..entry(0, 0) };
+        let mut b = start(BalancerSettings { tier: 1, ..terms(Idempotent) }, &[cold]);
+        let sent = (0..200).filter(|&query| sent_to(&ask(&mut b, NOON, query)).is_some()).count();
         assert!(sent <= most * 60 && (sent == 200) == (age == 10_000), "{age}: {sent}");
     }
     // A restart is seen by its new time, and the budget holds for a burst right after it.
-    let mut b = start(Terms { tier: 1, ..terms(Idempotent) }, &[entry(0, 0), entry(1, 0)]);
-    b.list_changed(NOON, &[Entry { born: NOON, ..entry(1, 0) }]);
-    let sent: Vec<_> = (0..40).filter_map(|qry| sent_to(&ask(&mut b, NOON + MS, qry))).collect();
+    let mut b = start(BalancerSettings { tier: 1, ..terms(Idempotent) }, &[entry(0, 0), entry(1, 0)]);
+    b.endpoints_changed(NOON, &[Endpoint { started_at: NOON, ..entry(1, 0) }]);
+    let sent: Vec<_> = (0..40).filter_map(|query| sent_to(&ask(&mut b, NOON + MS, query))).collect();
     let cold = sent.iter().filter(|&&server| server == 1).count();
     assert!(cold <= 12 && sent.len() == 40, "{cold}");
 }
@@ -270,20 +270,20 @@
     for copies in [1, 3, 10, 20, 30, 200] {
         let mut sent = 0;
         for copy in 0..copies as u64 {
-            let rules = Terms { tier: 1, balancers: copies, ..terms(Idempotent) };
+            let rules = BalancerSettings { tier: 1, balancers: copies, ..terms(Idempotent) };
             let mut b = whinspindle::decide::Balancer::new(Notes::default(), rules, copy, NOON);
-            let mut entries: Vec<Entry> = (0..10).map(|server| entry(server, 0)).collect();
-            b.list_whole(NOON, &entries);
+            let mut entries: Vec<Endpoint> = (0..10).map(|server| entry(server, 0)).collect();
+            b.endpoints_replaced(NOON, &entries);
             for at in (0..5000).step_by(5 * copies) {
                 ask(&mut b, NOON + at * MS, 0);
                 end(&mut b, NOON + at * MS, 0, 0, ending(Completed, 50 * MS));
             }
             // All the others drain, so that everything would go to the cold one.
             let now = NOON + 5000 * MS;
-            entries.iter_mut().for_each(|entry| entry.standing = Standing::Draining);
-            entries[3] = Entry { born: now, ..entry(3, 0) };
-            b.list_changed(now, &entries);
-            sent += (1..50).filter(|&qry| sent_to(&ask(&mut b, now, qry)).is_some()).count();
+            entries.iter_mut().for_each(|entry| entry.state = EndpointState::Draining);
+            entries[3] = Endpoint { started_at: now, ..entry(3, 0) };
+            b.endpoints_changed(now, &entries);
+            sent += (1..50).filter(|&query| sent_to(&ask(&mut b, now, query)).is_some()).count();
         }
         assert!((1..=24).contains(&sent), "{copies}: {sent}");
     }
@@ -301,18 +301,18 @@
         for (uneven, tries) in [(false, 1), (true, 1), (false, 3)] {
             let mut sent = 0;
             for copy in 0..copies {
-                let rules = Terms { tier: 1, balancers: copies as usize, ..terms(Idempotent) };
+                let rules = BalancerSettings { tier: 1, balancers: copies as usize, ..terms(Idempotent) };
                 let mut b = whinspindle::decide::Balancer::new(Notes::default(), rules, copy, NOON);
-                let mut entries: Vec<Entry> = (0..10).map(|server| entry(server, 0)).collect();
-                entries.iter_mut().for_each(|entry| entry.standing = Standing::Draining);
-                entries[3] = Entry { born: NOON, ..entry(3, 0) };
-                b.list_whole(NOON, &entries);
+                let mut entries: Vec<Endpoint> = (0..10).map(|server| entry(server, 0)).collect();
+                entries.iter_mut().for_each(|entry| entry.state = EndpointState::Draining);
+                entries[3] = Endpoint { started_at: NOON, ..entry(3, 0) };
+                b.endpoints_replaced(NOON, &entries);
                 let part = if uneven && copy == 0 { copies.div_ceil(3) } else { 1 };
                 let gap = 5000 * copies / tries / part;
                 let queries = 2_000_000 / gap;
-                let at = |qry: u64| NOON + gap * copy / copies + gap * qry;
+                let at = |query: u64| NOON + gap * copy / copies + gap * query;
                 sent += (0..queries)
-                    .filter(|&qry| sent_to(&ask(&mut b, at(qry), qry as usize)).is_some())
+                    .filter(|&query| sent_to(&ask(&mut b, at(query), query as usize)).is_some())
                     .count();
             }
             assert!((sent as f64) <= most, "{copies} {uneven} {tries}: {sent}");
@@ -325,7 +325,7 @@
     // A deduplicated query may be repeated by its own pod alone: one that is far is no other server for it.
     let (near, far, none) = (vec![entry(1, 0)], vec![entry(1, 1)], vec![]);
     let pod = Deduplicated(Group::Cell);
-    for (effect, second_copies, cancel, others, said) in [
+    for (effect, allow_hedging, cancel, others, said) in [
         (Idempotent, false, true, &near, vec!["cancel 0.0"]),
         (Idempotent, true, true, &near, vec!["execute 0 on 1"]),
         (Idempotent, false, false, &near, vec![]),
@@ -334,9 +334,9 @@
         (pod, false, true, &far, vec![]),
         (pod, false, true, &none, vec![]),
     ] {
-        let mut b = start(Terms { second_copies, cancel, ..terms(effect) }, &[entry(0, 0)]);
+        let mut b = start(BalancerSettings { allow_hedging, cancel, ..terms(effect) }, &[entry(0, 0)]);
         ask(&mut b, NOON, 0);
-        b.list_changed(NOON, others);
+        b.endpoints_changed(NOON, others);
         b.timer(NOON + 1000 * MS, 2);
         assert_eq!(std::mem::take(&mut b.host.said), said);
         // The outcome of the cancel is no second failure, and leads to the other server.
@@ -346,6 +346,6 @@
             continue;
         }
         let again = end(&mut b, NOON + 1005 * MS, 0, 0, ending(Outcome::Cancelled, 1005 * MS));
-        assert_eq!(sent_to(&again), (!second_copies).then_some(1));
+        assert_eq!(sent_to(&again), (!allow_hedging).then_some(1));
     }
 }
