--- a/balancer/bench-adapter/src/link.rs
+++ b/balancer/bench-adapter/src/link.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-use whinspindle::decide::Balancer;
+use whinspindle::balancer::Balancer;
 use whinspindle::host::{Arrival, Endpoint, EndpointState, ExecutionEnd, Host, LoadReport, Outcome};
 use whinspindle_deployment_settings as terms;
 
--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use whinspindle::decide::Balancer;
+use whinspindle::balancer::Balancer;
 use whinspindle::host::{Arrival, Endpoint, ExecutionEnd, LoadReport, Outcome, RoutePolicy};
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_protocol::answer::{Answer, Served};
--- a/dataplane/routing/src/region.rs
+++ b/dataplane/routing/src/region.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 
-use whinspindle::decide::{FLOOR_SHARE, Place, solve};
 use whinspindle::pcg::Pcg;
 use whinspindle::samples::{decayed, push, rising, shares};
+use whinspindle::weights::{FLOOR_SHARE, Target, solve};
 
 use crate::rate::RateCounter;
 
@@ -107,13 +107,13 @@
     }
     *solved = Solved { rate: conditions.rate, checks_since: 0 };
     // No crossing is charged: requests stay in their region by a preference of their own.
-    let place = |(index, region): (usize, &RegionModel)| Place {
+    let place = |(index, region): (usize, &RegionModel)| Target {
         ready: region.ready,
         load: load(region) / region.ready.max(1.0),
         line: lines[index],
         crossing: 0.0,
     };
-    let places: Vec<Place> = regions.iter().enumerate().map(place).collect();
+    let places: Vec<Target> = regions.iter().enumerate().map(place).collect();
     let weights: Vec<f64> = regions.iter().map(|region| region.share).collect();
     let better = solve(chance, &places, &weights, conditions.rate);
     for (region, line) in regions.iter_mut().zip(&lines) {
--- a/lab/simulation/src/decider.rs
+++ b/lab/simulation/src/decider.rs
@@ -1,6 +1,6 @@
 //! What decides at a balancer: the module, or one of the plain policies that it is compared with.
 
-use whinspindle::decide::Balancer;
+use whinspindle::balancer::Balancer;
 use whinspindle::host::{Arrival, BalancerSettings, Endpoint, ExecutionEnd, Host, LoadReport, RoutePolicy};
 use whinspindle_lab_model::dice::Dice;
 
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -11,7 +11,7 @@
 }
 
 /// Adds the present time to those of the last `span`.
-pub fn note_time(times: &mut VecDeque<u64>, now: u64, span: u64) {
+pub fn record_time(times: &mut VecDeque<u64>, now: u64, span: u64) {
     count_times(times, now, span);
     times.push_back(now);
 }
@@ -107,7 +107,7 @@
     }
 
     /// A run that stays short ends after `span`, if an eighth of it is there.
-    pub fn note(&mut self, now: u64, sample: f64, span: u64) {
+    pub fn record(&mut self, now: u64, sample: f64, span: u64) {
         self.run.push(sample);
         push(&mut self.latest, Self::LATEST, sample);
         let count = self.run.len();
--- a/src/samples/tests.rs
+++ b/src/samples/tests.rs
@@ -5,7 +5,7 @@
     let (mut ring, mut times) = (VecDeque::new(), VecDeque::new());
     for (now, kept, counted) in [(10, [10].as_slice(), 1.0), (15, &[10, 15], 2.0), (30, &[15, 30], 1.0)] {
         push(&mut ring, 2, now);
-        note_time(&mut times, now, 10);
+        record_time(&mut times, now, 10);
         assert_eq!((ring.make_contiguous() as &[u64], times.len() as f64), (kept, counted), "{now}");
     }
     assert_eq!(count_times(&mut times, 41, 10), 0.0);
@@ -35,7 +35,7 @@
         (40, 1, 5.0, 5.0, 5.0),
         (41, 64, 7.0, 5.0, 7.0),
     ] {
-        (0..count).for_each(|_| runs.note(now, sample, 30));
+        (0..count).for_each(|_| runs.record(now, sample, 30));
         assert_eq!((runs.least(), runs.latest()), (least, latest), "{now}");
     }
 }
--- /dev/null
+++ b/src/weights.rs
@@ -0,0 +1,56 @@
+//! Weights between zones or regions by predicted latency: a few random shifts of weight are tried and the best kept.
+//!
+//! Both the balancer in service and the router of the serving system solve their weights here. Latency is taken to rise
+//! with load, as a + b times the load of each ready server (`docs/design.md`).
+
+use crate::pcg::Pcg;
+use crate::search::{Moves, least_cost};
+
+/// The least part of the traffic that a target with ready servers keeps, so that its latency stays known.
+pub const FLOOR_SHARE: f64 = 0.02;
+/// The least slope of a latency fit, as a part of the slope of a line through the origin.
+pub(crate) const LEAST_SLOPE: f64 = 0.1;
+const MOVES: Moves = Moves { tries: 10, step: 0.1, floor: FLOOR_SHARE };
+
+/// A zone or a region that weight is given to.
+pub struct Target {
+    /// Its ready servers.
+    pub ready: f64,
+    /// The load on each, in requests a second.
+    pub load: f64,
+    /// Its latency fit: height at no load, slope, mean latency, weight of the samples.
+    pub line: (f64, f64, f64, f64),
+    /// What going there costs, in the unit of the latencies.
+    pub crossing: f64,
+}
+
+/// Tries a few shifts of weight between two targets and keeps the one with the lowest predicted latency: each target's
+/// weight for a ready server. `rate` is all that the weights divide, in requests a second. None where there is nothing to
+/// choose, or nothing known.
+pub fn solve(random: &mut Pcg, targets: &[Target], weights: &[f64], rate: f64) -> Option<Vec<f64>> {
+    let open: Vec<usize> = (0..targets.len()).filter(|&target| targets[target].ready > 0.0).collect();
+    let known: f64 = targets.iter().map(|target| target.line.3).sum();
+    if open.len() < 2 || known <= 0.0 {
+        return None;
+    }
+    // A fit whose samples have aged away leans on the others' mean.
+    let mean_height = targets.iter().map(|target| target.line.3 * target.line.0).sum::<f64>() / known;
+    let mean_slope = targets.iter().map(|target| target.line.3 * target.line.1).sum::<f64>() / known;
+    let predict = |shares: &[f64]| -> f64 {
+        let latency = |&index: &usize| {
+            let Target { ready, load, line, crossing } = &targets[index];
+            let load = load + (shares[index] - weights[index]) * rate / ready;
+            let trust = line.3.min(1.0);
+            let height = trust * line.0 + (1.0 - trust) * mean_height;
+            let slope = trust * line.1 + (1.0 - trust) * mean_slope;
+            shares[index] * (height + slope * load.max(0.0) + crossing)
+        };
+        open.iter().map(latency).sum()
+    };
+    let best = least_cost(random, weights, &open, &MOVES, predict);
+    let all: f64 = targets.iter().map(|target| target.ready).sum();
+    let per_ready = |(target, weight): (&Target, f64)| {
+        if target.ready > 0.0 { weight * all / target.ready } else { 1.0 }
+    };
+    Some(targets.iter().zip(best).map(per_ready).collect())
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A host that writes down what it is told, and terms to start from.
 
-use whinspindle::decide::Balancer;
+use whinspindle::balancer::Balancer;
 use whinspindle::host::*;
 
 pub const MS: u64 = 1_000;
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use whinspindle::decide::Balancer;
+use whinspindle::balancer::Balancer;
 use whinspindle::host::*;
 
 fn conditions() -> RoutePolicy {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -115,7 +115,7 @@
 
 #[test]
 fn nothing_follows_the_end() {
-    let ends: [fn(&mut whinspindle::decide::Balancer<Notes>); 3] = [
+    let ends: [fn(&mut whinspindle::balancer::Balancer<Notes>); 3] = [
         |b| b.withdrawn(NOON, 0),
         |b| b.completed(NOON, 0, 0, ending(Completed, MS)),
         |b| b.completed(NOON, 0, 0, ExecutionEnd { over: true, ..ending(Broken, MS) }),
@@ -271,7 +271,7 @@
         let mut sent = 0;
         for copy in 0..copies as u64 {
             let rules = BalancerSettings { tier: 1, balancers: copies, ..terms(Idempotent) };
-            let mut b = whinspindle::decide::Balancer::new(Notes::default(), rules, copy, NOON);
+            let mut b = whinspindle::balancer::Balancer::new(Notes::default(), rules, copy, NOON);
             let mut entries: Vec<Endpoint> = (0..10).map(|server| entry(server, 0)).collect();
             b.endpoints_replaced(NOON, &entries);
             for at in (0..5000).step_by(5 * copies) {
@@ -302,7 +302,7 @@
             let mut sent = 0;
             for copy in 0..copies {
                 let rules = BalancerSettings { tier: 1, balancers: copies as usize, ..terms(Idempotent) };
-                let mut b = whinspindle::decide::Balancer::new(Notes::default(), rules, copy, NOON);
+                let mut b = whinspindle::balancer::Balancer::new(Notes::default(), rules, copy, NOON);
                 let mut entries: Vec<Endpoint> = (0..10).map(|server| entry(server, 0)).collect();
                 entries.iter_mut().for_each(|entry| entry.state = EndpointState::Draining);
                 entries[3] = Endpoint { started_at: NOON, ..entry(3, 0) };
