--- a/src/host.rs
+++ b/src/host.rs
@@ -1,122 +1,150 @@
-//! What the decisions are handed and what they call: plain types, and the `Host` that carries them out.
-//! Times are whole microseconds of the host's clock; servers, queries, zones and products are small indices.
+//! What the decisions are handed and what they call: plain types, and the [`Host`] that carries the decisions out.
+//!
+//! Times are whole microseconds of the host's clock; servers, queries, zones and products are small indices, which the
+//! host maps to addresses and names. A host is a socket program, a simulator or a test: the decisions can't tell.
 
-/// What a balancer may do to the world. One answer or one execution is one call.
+/// Carries out what a balancer decides. One answer or one execution is one call.
 pub trait Host {
     /// Sends the query's next execution to a server; `time_out` counts from now.
     fn execute(&mut self, query: usize, server: usize, time_out: u64);
     /// Stops waiting for one execution; its outcome still comes.
-    fn cancel(&mut self, query: usize, exec: usize);
-    /// Final answer: nothing has happened, trying again does no harm, best after `retry_after` (0: no
-    /// advice).
+    fn cancel(&mut self, query: usize, execution: usize);
+    /// Final answer: nothing has run, and a retry does no harm, best after `retry_after` (0: no advice).
     fn reject(&mut self, query: usize, retry_after: u64);
     /// Final answer: failed, and it may or may not have taken effect.
     fn abort(&mut self, query: usize);
     /// Calls `Balancer::timer` with this label after `wait`.
     fn wake(&mut self, wait: u64, label: u32);
-    /// Asks a server for a sign of life and its load; `Balancer::probed` tells what came of it.
+    /// Asks a server for a sign of life and its load; `Balancer::probed` has the result.
     fn probe(&mut self, server: usize);
-    /// Subscribes to the changes of the server list.
+    /// Subscribes to the changes of the endpoint list.
     fn follow_endpoints(&mut self);
 }
 
 /// How far a product's effect may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
+    /// It may run any number of times.
     Idempotent,
+    /// Servers of the group drop repeats for some time.
     Deduplicated(Group),
+    /// It must not run twice.
     NonIdempotent,
 }
 
 /// The servers that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
+    /// All servers of the tier.
     All,
+    /// Those of one zone.
     Zone,
+    /// Those of one cell.
     Cell,
 }
 
-/// A row of the table of products.
+/// A row of the table of products: a kind of query.
 #[derive(Clone, Debug)]
 pub struct Product {
+    /// How far a query may be repeated.
     pub effect: Effect,
+    /// An answer earns its full value up to this latency.
     pub slo_time: u64,
+    /// How long servers remember a deduplicated query.
     pub memory_span: u64,
-    /// Part of the importance that an answer after the SLO time still earns.
+    /// Part of the value that an answer after the SLO time still earns.
     pub tardy_importance: f64,
 }
 
 /// What a deployment allows and demands, as handed over at the start.
 #[derive(Clone, Debug)]
 pub struct BalancerSettings {
+    /// Balancers of this tier.
     pub balancers: usize,
     /// This one's number among them, from 0.
     pub rank: usize,
+    /// Its tier: 0 is the one that clients call.
     pub tier: usize,
     /// How many queries a connection to a server carries at once.
     pub streams: usize,
-    /// Servers tell their load to probes alone, and asking them pays.
+    /// Servers report their load to probes alone, and probing them pays.
     pub load_by_probe: bool,
-    /// The zone of this balancer, and what an execution in another one costs, as a part of a query's
-    /// importance.
+    /// The zone of this balancer.
     pub home: usize,
+    /// What an execution in another zone costs, as a part of a query's value.
     pub cross_zone: f64,
+    /// The kinds of queries.
     pub products: Vec<Product>,
-    /// Queries a second within each tenant's share, over all balancers.
+    /// Queries a second within each tenant's quota, over all balancers.
     pub tenant_quotas: Vec<f64>,
+    /// Executions of one query at the most.
     pub max_executions: usize,
+    /// A query may run on two servers at once.
     pub allow_hedging: bool,
+    /// Executions may be called off.
     pub cancel: bool,
     /// Probes are allowed, and two of them cost less than a query that fails late.
     pub probes_pay: bool,
-    /// Four of them cost more than that: one server is asked a query, not several.
+    /// Four of them cost more than that: one server is probed for a query, not several.
     pub probe_dear: bool,
     /// Longest wait that clients follow; 0 where no advice is passed on.
     pub max_retry_after: u64,
+    /// Resolution of the host's clock.
     pub tick: u64,
-    /// The list comes only to those that ask; unheard for this long it counts as known all the same.
+    /// The endpoint list comes only to those that ask; without news for this long it counts as known all the same.
     pub must_ask_in: Option<u64>,
+    /// Part of its capacity that a server has at its start.
     pub slow_start_from: f64,
+    /// Time from its start until a server has all of its capacity.
     pub slow_start_time: u64,
+    /// A server in slow start fails beyond this multiple of an even share.
     pub fall_multiple: f64,
+    /// The window over which that is counted.
     pub tip_after: u64,
 }
 
 /// What a route sets for its queries of one product, within what the deployment allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutePolicy {
-    /// For the whole query, and for one execution.
+    /// Time-out of the whole query.
     pub time: u64,
+    /// Time-out of one execution.
     pub execution_time: u64,
+    /// Executions of one query at the most.
     pub executions: usize,
+    /// The outcomes that are retried.
     pub retry_on: RetryOn,
-    /// Before a repeat; up to `spread` of it more, drawn anew each time.
+    /// Backoff before a retry.
     pub wait: u64,
+    /// Jitter: up to this part of the backoff more, drawn anew each time.
     pub spread: f64,
+    /// Whether and when a hedged request goes out.
     pub hedge: HedgePolicy,
-    /// Repeats of the route's queries, as a part of these.
+    /// Retry budget: retries of the route's queries, as a part of these.
     pub budget: f64,
-    /// The servers that may take them; none named: any.
+    /// Zones whose servers may take the queries; none named: any.
     pub zones: Vec<usize>,
+    /// Kinds of servers that may; none named: any.
     pub kinds: Vec<usize>,
-    /// Where repeats must stay with the first that may have run.
+    /// Where retries must stay with the first execution that may have run.
     pub near: Group,
 }
 
 /// Which outcomes of an execution may be followed by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryOn {
-    /// It surely never ran: no connection, turned away.
+    /// It surely never ran: no connection, rejected.
     pub never_ran: bool,
     /// An answer that says it failed.
     pub error: bool,
-    /// The connection broke, or the answer was spoilt.
+    /// The connection broke, or the answer was malformed.
     pub broken: bool,
     /// The time for an execution was over, or its server silent for so long that it was called off.
     pub timed_out: bool,
 }
 
 impl RetryOn {
+    /// No retry whatever happens.
     pub const NOTHING: RetryOn = RetryOn { never_ran: false, error: false, broken: false, timed_out: false };
 
     /// Whether an execution may be followed by another though it may have run.
@@ -124,6 +152,7 @@
         self.error || self.broken || self.timed_out
     }
 
+    /// Whether this outcome may be followed by another execution.
     pub fn allows(self, outcome: Outcome) -> bool {
         match outcome {
             _ if outcome.never_ran() => self.never_ran,
@@ -135,70 +164,91 @@
     }
 }
 
-/// When a second copy of a query goes out while the first is still out.
+/// When a hedged request goes out while the first execution is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HedgePolicy {
+    /// No hedging.
     Never,
+    /// After so many microseconds.
     After(u64),
     /// Once the first takes longer than this part of the last answers did.
     Quantile(f64),
 }
 
+/// Whether an endpoint may be sent to, as the endpoint list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
+    /// It takes queries.
     Ready,
+    /// It takes no new ones and ends what it has.
     Draining,
+    /// It is not listed any more.
     Gone,
 }
 
-/// One line of the server list.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
+    /// Its index.
     pub server: usize,
     /// Drawn from its id: the same at every balancer.
     pub key: u64,
+    /// Its zone.
     pub zone: usize,
+    /// Its cell, within which servers may drop each other's repeats.
     pub cell: usize,
     /// The kind of machine; those of a kind are much alike.
     pub kind: usize,
+    /// Whether it may be sent to.
     pub state: EndpointState,
+    /// Its capacity against others.
     pub size: f64,
     /// Clock time of its last start; 0: long ago.
     pub started_at: u64,
 }
 
+/// A query that has arrived.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
+    /// Its product; an index beyond the table is rejected.
     pub product: usize,
+    /// The tenant whose quota it counts against.
     pub tenant: usize,
-    /// Clock time at which the client abandons this try.
+    /// Clock time at which the client abandons this attempt.
     pub deadline: u64,
-    /// Its route, by the order in which `Balancer::routes` was told them.
+    /// Its route, by the order in which `Balancer::routes` was given them.
     pub route: Option<usize>,
 }
 
+/// How an execution ended, as far as can be seen from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
+    /// With an answer for the client.
     Completed,
+    /// With an answer that says it failed.
     Error,
     /// The server can't use the query: the fault is the query's, and another server would say the same.
     Unfit,
-    /// Sent back unseen: the waiting room is full or the server drains.
+    /// Rejected before it ran: the server's queue is full or the server drains.
     Rejected,
+    /// Its time was over.
     TimedOut,
+    /// No connection came up.
     NotConnected,
+    /// The connection broke: it may have run.
     Broken,
-    /// An answer came that can't be used, or only a part of one: it may have run.
+    /// A malformed or partial answer came: it may have run.
     Malformed,
-    /// A connection that had stood idle broke under it: it may have run, and nothing is told of the server.
+    /// A connection that had stood idle broke under it: it may have run, and nothing is known of the server.
     Stale,
+    /// It was called off.
     Cancelled,
-    /// Never sent.
+    /// It was never sent.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether nothing follows from it for the server.
+    /// Whether nothing follows from it for the health of the server.
     pub fn says_nothing_of_server(self) -> bool {
         use Outcome::*;
         matches!(self, Cancelled | NeverSent | Rejected | Unfit | Stale)
@@ -209,33 +259,38 @@
         matches!(self, Outcome::Broken | Outcome::Malformed | Outcome::Stale)
     }
 
+    /// Whether it surely has not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::NotConnected | Outcome::NeverSent)
     }
 }
 
-/// How an execution ended.
+/// The end of an execution.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutionEnd {
+    /// How it ended.
     pub outcome: Outcome,
     /// The query has its final answer, by this outcome or before it.
     pub over: bool,
     /// Time from the send until now.
     pub spent: u64,
+    /// What the server reported with it.
     pub report: LoadReport,
 }
 
-/// What a server says of its load; what it does not tell is `None`.
+/// What a server reports of its load; what it does not report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
+    /// How busy its cores are, from 0 to 1.
     pub utilization: Option<f64>,
+    /// Queries that it serves a second.
     pub throughput: Option<f64>,
-    /// Queries that it holds, or that wait there.
+    /// Queries in flight or queued there.
     pub held: Option<f64>,
 }
 
 impl LoadReport {
-    /// What is told here, and what only the other one tells.
+    /// What is reported here, and what only the other one reports.
     pub fn or(self, other: LoadReport) -> LoadReport {
         LoadReport {
             utilization: self.utilization.or(other.utilization),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,8 +4,6 @@
 //! other crates and reach the decisions through these two alone. [`weights`], [`samples`] and [`pcg`] are shared with the
 //! router of the serving system.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 pub mod balancer;
 pub mod host;
 pub mod pcg;
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -1,11 +1,14 @@
-//! A permuted congruential generator (PCG-XSH-RR 64/32), the module's only source of chance.
+//! A permuted congruential generator, PCG-XSH-RR 64/32 (M. E. O'Neill, "PCG: A Family of Simple Fast Space-Efficient
+//! Statistically Good Algorithms for Random Number Generation", 2014): the only source of random numbers.
 
+/// The generator's state. The same seed draws the same numbers on every machine.
 pub struct Pcg(u64);
 
 impl Pcg {
     const STEP: u64 = 6_364_136_223_846_793_005;
     const ODD: u64 = 1_442_695_040_888_963_407;
 
+    /// A generator that starts from this seed.
     pub fn new(seed: u64) -> Self {
         let mut pcg = Pcg(seed.wrapping_add(Self::ODD));
         pcg.bits();
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -102,6 +102,7 @@
     const RUNS: usize = 32;
     const LATEST: usize = 8;
 
+    /// No samples yet; the first run begins now.
     pub fn new(now: u64) -> Self {
         Runs { run: Vec::new(), begun: now, latest: VecDeque::new(), means: VecDeque::new() }
     }
--- a/src/search.rs
+++ b/src/search.rs
@@ -1,11 +1,14 @@
-//! A search by chance for better shares. What is better, how far and how often it looks is handed in.
+//! A random local search for better shares. The cost, the step and the number of tries are the caller's.
 
 use crate::pcg::Pcg;
 
 /// How often and how far a search moves, and the share that it leaves everywhere.
 pub struct Moves {
+    /// Shifts that are tried.
     pub tries: usize,
+    /// The largest shift, as a part of 1.
     pub step: f64,
+    /// The share that is left everywhere.
     pub floor: f64,
 }
 
