--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -150,7 +150,7 @@
         let members = self.replica.view().members.iter();
         let members = members.map(|member| (member.endpoint, member.zone.as_str(), member.region.as_str()));
         let mut controllers = BTreeMap::new();
-        for (endpoint, zone, region) in members.chain(self.replica.heard(now)) {
+        for (endpoint, zone, region) in members.chain(self.replica.live_peers(now)) {
             let (zone, region) = (zone.to_owned(), region.to_owned());
             controllers.insert(endpoint, ControllerAddress { endpoint, zone, region });
         }
--- a/controlplane/controller/src/controller/replication.rs
+++ b/controlplane/controller/src/controller/replication.rs
@@ -19,7 +19,7 @@
 
     pub(super) fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
         if let Message::Heartbeat(heartbeat) = &message {
-            let heard = heartbeat.heard.iter().map(|heard| heard.endpoint);
+            let heard = heartbeat.received.iter().map(|heard| heard.endpoint);
             self.acquaintances.mentioned(now, heard);
             self.contact.mentioned(heartbeat.report.committed);
         }
--- a/coordination/replica/src/synchronize.rs
+++ b/coordination/replica/src/catch_up.rs
@@ -6,25 +6,25 @@
 use whinspindle_digests::{RangeDigest, differing, partition};
 
 use crate::application::Application;
-use crate::disk::Afterwards;
+use crate::disk::AfterDurable;
 use crate::durable::DurableRecord;
 use crate::entry::Entry;
-use crate::message::{ChainStanding, Message};
+use crate::message::{ChainState, Message};
 use crate::protocol_rules::ProtocolRules;
 use crate::records::Records;
 use crate::replica::{Output, Replica};
 use crate::transfer::{RangeContents, Transfer};
 
 /// Between two questions to the predecessor, in milliseconds.
-const RESUME_AGAIN: u64 = 150;
+const RESUME_INTERVAL: u64 = 150;
 /// How long a replica outside of the chain waits for what it lacks before it asks, in milliseconds.
-const PULL_DELAY: u64 = 150;
+const CATCH_UP_DELAY: u64 = 150;
 
 /// Ranges that the records are divided into where two replicas are compared.
-const RANGES: usize = 64;
+const DIGEST_RANGES: usize = 64;
 
 fn range_digests(records: &Records) -> Vec<RangeDigest> {
-    partition(records.by_key(), RANGES)
+    partition(records.by_key(), DIGEST_RANGES)
 }
 
 /// The contents here of all ranges for which the other replica has another digest.
@@ -35,7 +35,7 @@
 
 /// What a replica outside of the chain waits for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pull {
+pub struct CatchUpState {
     pub behind_since: Option<u64>,
     pub asked_at: Option<u64>,
 }
@@ -44,10 +44,10 @@
     /// Tells the predecessor where this member stands.
     pub(crate) fn resume(&mut self, now: u64) {
         let (last, committed) = (self.durable_last, self.state.committed);
-        let takes_part = self.takes_part();
+        let is_chain_active = self.is_chain_active();
         let Some(session) = &mut self.session else { return };
         let Some(predecessor) = &mut session.predecessor else { return };
-        if !takes_part {
+        if !is_chain_active {
             return;
         }
         predecessor.has_answered = false;
@@ -59,14 +59,14 @@
             return;
         }
         let digests = if complete { Vec::new() } else { range_digests(&self.state.records) };
-        let standing = ChainStanding { is_complete: complete, last, committed, digests };
-        self.send(to, Message::Resume { view, standing });
+        let state = ChainState { is_complete: complete, last, committed, digests };
+        self.send(to, Message::Resume { view, state });
     }
 
     pub(crate) fn tick_resume(&mut self, now: u64) {
         let Some(session) = &self.session else { return };
         let Some(predecessor) = &session.predecessor else { return };
-        if !predecessor.has_answered && now >= predecessor.asked_at + RESUME_AGAIN {
+        if !predecessor.has_answered && now >= predecessor.asked_at + RESUME_INTERVAL {
             self.resume(now);
         }
     }
@@ -79,8 +79,8 @@
         }
     }
 
-    pub(crate) fn on_resume(&mut self, now: u64, from: SocketAddr, view: u64, standing: &ChainStanding) {
-        if !self.takes_part() {
+    pub(crate) fn on_resume(&mut self, now: u64, from: SocketAddr, view: u64, state: &ChainState) {
+        if !self.is_chain_active() {
             return;
         }
         let Some(session) = self.session.as_mut().filter(|session| session.view == view) else { return };
@@ -91,14 +91,14 @@
         else {
             return;
         };
-        if standing.is_complete {
-            successor.stands_at(standing.last);
-            self.commit_up_to(standing.committed);
+        if state.is_complete {
+            successor.resume_at(state.last);
+            self.commit_up_to(state.committed);
             self.send(from, Message::Append { view, entries: Vec::new(), reads: Vec::new() });
         } else if !successor.is_ready {
             // Once it was complete, this question is an old one that was late.
-            successor.owes_since.get_or_insert(now);
-            let transfer = self.transfer(standing.committed, &standing.digests, true);
+            successor.awaiting_since.get_or_insert(now);
+            let transfer = self.transfer(state.committed, &state.digests, true);
             self.send(from, Message::Synchronize { view, transfer });
         }
     }
@@ -108,7 +108,7 @@
         let committed = self.state.committed;
         let up_to = if pending { self.durable_last } else { committed };
         let mut transfer = Transfer { base, position: base, committed, ..Transfer::default() };
-        match self.recent.after(base, committed) {
+        match self.recent_entries.after(base, committed) {
             Some(entries) => transfer.entries = entries,
             None => {
                 transfer.ranges = differing_ranges(&self.state.records, digests);
@@ -125,7 +125,7 @@
 
     /// The predecessor has sent what this member lacks.
     pub(crate) fn on_synchronize(&mut self, from: SocketAddr, view: u64, transfer: Transfer) {
-        if !self.takes_part() {
+        if !self.is_chain_active() {
             return;
         }
         let Some(session) = self.session.as_mut().filter(|session| session.view == view) else { return };
@@ -137,12 +137,12 @@
         predecessor.has_answered = true;
         self.replace_ranges(&transfer);
         let last = transfer.last();
-        self.take_over(transfer.entries);
+        self.adopt_entries(transfer.entries);
         self.truncate(last);
         self.learn_committed(transfer.committed);
-        self.disk.afterwards(Afterwards::Entry(last));
+        self.disk.after_durable(AfterDurable::Entry(last));
         self.record(DurableRecord::Complete(view), true);
-        self.disk.afterwards(Afterwards::Complete(view));
+        self.disk.after_durable(AfterDurable::Complete(view));
     }
 
     /// The log is durably complete as of this view.
@@ -166,7 +166,7 @@
             return;
         }
         let Transfer { position, ranges, outcomes, .. } = transfer.clone();
-        self.recent.clear();
+        self.recent_entries.clear();
         self.record(DurableRecord::Replace { position, ranges, outcomes }, true);
         self.durable_last = self.durable_last.max(position);
         self.outputs.push(Output::Replaced);
@@ -174,7 +174,7 @@
 
     /// Adds entries to the log. What the log holds in the place of one of them, and after it, was never committed: they
     /// come from a log with all that was.
-    fn take_over(&mut self, entries: Vec<Entry>) {
+    fn adopt_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             let sequence = entry.sequence;
             let known = self.state.entry(sequence);
@@ -208,12 +208,12 @@
         let last = self.state.committed + entries.len() as u64;
         self.record(DurableRecord::Committed(last), true);
         for entry in entries {
-            self.announce(entry);
+            self.publish_committed(entry);
         }
     }
 
     /// At the tail: sends what was just committed to the replicas outside of the chain.
-    pub(crate) fn teach(&mut self, entries: &[Entry]) {
+    pub(crate) fn notify_learners(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let base = first.sequence - 1;
         let transfer = Transfer {
@@ -260,27 +260,27 @@
             return;
         }
         self.replace_ranges(&transfer);
-        self.take_over(transfer.entries);
+        self.adopt_entries(transfer.entries);
         self.learn_committed(transfer.committed);
         self.durable_last = self.durable_last.max(self.state.committed);
-        self.pull.asked_at = None;
+        self.catch_up.asked_at = None;
     }
 
     /// Outside of the chain: asks the most advanced member of the chain for what is lacking.
-    pub(crate) fn tick_pull(&mut self, now: u64) {
+    pub(crate) fn tick_catch_up(&mut self, now: u64) {
         if self.session.is_some() {
             return;
         }
         let Some((source, committed)) = self.most_advanced(now) else { return };
         if committed <= self.state.committed {
-            self.pull.behind_since = None;
+            self.catch_up.behind_since = None;
             return;
         }
-        let since = *self.pull.behind_since.get_or_insert(now);
-        let is_asked = self.pull.asked_at.is_some_and(|at| now < at + self.settings.timing.resend);
+        let since = *self.catch_up.behind_since.get_or_insert(now);
+        let is_asked = self.catch_up.asked_at.is_some_and(|at| now < at + self.settings.timing.resend);
         let is_new = self.state.committed == 0;
-        if !is_asked && (is_new || now >= since + PULL_DELAY) {
-            self.pull.asked_at = Some(now);
+        if !is_asked && (is_new || now >= since + CATCH_UP_DELAY) {
+            self.catch_up.asked_at = Some(now);
             let digests = range_digests(&self.state.records);
             let committed = self.state.committed;
             self.send(source, Message::Pull { committed, digests });
@@ -291,7 +291,7 @@
         let view = self.view();
         let members = view.chain.iter().filter_map(|link| view.member(link.voter));
         let well = members.filter_map(|member| {
-            let heartbeat = self.peers.well(now, view, member.voter)?;
+            let heartbeat = self.peers.healthy_heartbeat(now, view, member.voter)?;
             Some((member.endpoint, heartbeat.report.committed))
         });
         well.max_by_key(|(_, committed)| *committed)
--- a/coordination/replica/src/chain.rs
+++ b/coordination/replica/src/chain.rs
@@ -6,7 +6,7 @@
 use whinspindle_consensus::Voter;
 
 use crate::application::{Answer, Application};
-use crate::disk::Afterwards;
+use crate::disk::AfterDurable;
 use crate::durable::DurableRecord;
 use crate::entry::{Entry, Origin, Read};
 use crate::message::Message;
@@ -15,13 +15,13 @@
 use crate::session::{Predecessor, Session, Successor};
 
 /// The head takes no more commands while so many entries are not committed.
-const MOST_PENDING: usize = 1_024;
+const MAX_PENDING_ENTRIES: usize = 1_024;
 /// The head takes no more commands while entries of so many bytes are not committed.
-const MOST_PENDING_BYTES: usize = 16 * 1024 * 1024;
+const MAX_PENDING_BYTES: usize = 16 * 1024 * 1024;
 /// A message holds entries up to about this many bytes.
-const MESSAGE_BYTES: usize = 256 * 1024;
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 /// How much longer a member that is still being brought up to date may owe an acknowledgement.
-const JOINING_PATIENCE: u64 = 3;
+const JOINING_STALL_FACTOR: u64 = 3;
 
 impl<A: Application, L: ProtocolRules> Replica<A, L> {
     /// Takes this replica's place in the view that was adopted or recovered.
@@ -58,7 +58,7 @@
 
     /// Up to which entry the log is of use if this replica is left out of the chain. At the tail, what the head took in
     /// the same view and is not committed here is committed nowhere.
-    pub(crate) fn last_of_use(&self) -> u64 {
+    pub(crate) fn last_useful_entry(&self) -> u64 {
         let tail = self.session.as_ref().filter(|session| session.successor.is_none());
         let void = tail.and_then(|tail| self.state.log.iter().find(|entry| entry.view >= tail.view));
         void.map_or(self.state.last(), |entry| entry.sequence - 1)
@@ -76,7 +76,7 @@
 
     /// The session of this view, if no vote binds this replica to a newer one.
     fn active(&mut self, view: u64) -> Option<&mut Session> {
-        if !self.takes_part() {
+        if !self.is_chain_active() {
             return None;
         }
         self.session.as_mut().filter(|session| session.view == view)
@@ -88,36 +88,39 @@
     }
 
     /// Whether the chain of the present view goes on here.
-    pub(crate) fn takes_part(&self) -> bool {
-        !self.state.is_sealed()
+    pub(crate) fn is_chain_active(&self) -> bool {
+        !self.state.is_fenced()
     }
 
     /// Up to which entry the log may be acknowledged, passed on and committed.
-    fn settled(&self) -> u64 {
-        L::settled(self.durable_last, self.state.last())
+    fn durable_position(&self) -> u64 {
+        L::durable_position(self.durable_last, self.state.last())
     }
 
     /// Whether this is the head of a chain that takes writes.
-    fn is_taking_commands(&self) -> bool {
+    fn accepts_commands(&self) -> bool {
         let view = &self.state.decided.view;
         let is_head = self.me().is_some() && view.head() == self.me();
         let is_complete = self.session.as_ref().is_some_and(|session| session.is_complete);
-        is_head && is_complete && self.takes_part() && view.takes_writes(self.settings.tolerance.machines)
+        is_head
+            && is_complete
+            && self.is_chain_active()
+            && view.takes_writes(self.settings.tolerance.machines)
     }
 
     pub(crate) fn on_submit(&mut self, origin: Origin, command: &[u8]) {
-        if !self.is_taking_commands() || L::is_repeat(self.state.is_pending(origin)) {
+        if !self.accepts_commands() || L::is_duplicate(self.state.is_pending(origin)) {
             return;
         }
-        if let Some(outcome) = self.state.outcome(origin).filter(|_| L::is_repeat(true)) {
+        if let Some(outcome) = self.state.outcome(origin).filter(|_| L::is_duplicate(true)) {
             let (sequence, answer) = (outcome.sequence, outcome.answer.clone());
             self.reply(origin, sequence, &answer);
             return;
         }
-        if self.state.log.len() >= MOST_PENDING || self.pending_bytes() >= MOST_PENDING_BYTES {
+        if self.state.log.len() >= MAX_PENDING_ENTRIES || self.pending_bytes() >= MAX_PENDING_BYTES {
             return;
         }
-        self.take_command(origin, command);
+        self.execute_command(origin, command);
     }
 
     fn pending_bytes(&self) -> usize {
@@ -135,7 +138,7 @@
         true
     }
 
-    fn take_command(&mut self, origin: Origin, command: &[u8]) {
+    fn execute_command(&mut self, origin: Origin, command: &[u8]) {
         let last = self.state.last();
         let view = self.state.decided.view.number;
         let Some(session) = &mut self.session else { return };
@@ -159,7 +162,7 @@
     pub(crate) fn add_entry(&mut self, entry: Entry) {
         let sequence = entry.sequence;
         self.record(DurableRecord::Entry(entry), true);
-        self.disk.afterwards(Afterwards::Entry(sequence));
+        self.disk.after_durable(AfterDurable::Entry(sequence));
     }
 
     pub(crate) fn on_append(
@@ -186,16 +189,16 @@
             if entry.sequence == self.state.last() + 1 {
                 self.add_entry(entry);
             } else if entry.sequence > self.state.last() + 1 {
-                self.doubt_predecessor();
+                self.mark_predecessor_unanswered();
                 break;
             }
         }
-        self.owes_acknowledgement |= is_repeated && self.state.last() == before;
-        self.pass_reads(reads);
+        self.acknowledgement_due |= is_repeated && self.state.last() == before;
+        self.forward_reads(reads);
     }
 
     /// The predecessor seems not to know where this member stands: it is told again with the next tick.
-    fn doubt_predecessor(&mut self) {
+    fn mark_predecessor_unanswered(&mut self) {
         let session = self.session.as_mut();
         if let Some(predecessor) = session.and_then(|session| session.predecessor.as_mut()) {
             predecessor.has_answered = false;
@@ -203,7 +206,7 @@
     }
 
     /// Reads pass at once; at the tail they wait until what they saw is committed.
-    fn pass_reads(&mut self, reads: Vec<Read>) {
+    fn forward_reads(&mut self, reads: Vec<Read>) {
         if reads.is_empty() {
             return;
         }
@@ -239,7 +242,7 @@
     }
 
     /// Whether the next member in the chain is this voter and has not acknowledged for too long.
-    pub(crate) fn owes_too_long(&self, now: u64, voter: Voter) -> bool {
+    pub(crate) fn is_acknowledgement_overdue(&self, now: u64, voter: Voter) -> bool {
         let view = &self.state.decided.view;
         let Some(session) = &self.session else { return false };
         let Some(successor) = &session.successor else { return false };
@@ -247,13 +250,13 @@
             return false;
         }
         let stall = self.settings.timing.chain_stall;
-        let patience = if successor.is_ready { stall } else { JOINING_PATIENCE * stall };
-        successor.owes_since.is_some_and(|since| now > since + patience)
+        let patience = if successor.is_ready { stall } else { JOINING_STALL_FACTOR * stall };
+        successor.awaiting_since.is_some_and(|since| now > since + patience)
     }
 
     /// Does whatever has become possible: passes on, commits, answers, acknowledges.
-    pub(crate) fn pump(&mut self, now: u64) {
-        if !self.takes_part() || !self.session.as_ref().is_some_and(|session| session.is_complete) {
+    pub(crate) fn advance_chain(&mut self, now: u64) {
+        if !self.is_chain_active() || !self.session.as_ref().is_some_and(|session| session.is_complete) {
             return;
         }
         let is_tail = self.session.as_ref().is_some_and(|session| session.successor.is_none());
@@ -261,20 +264,20 @@
             self.commit_at_tail();
             self.answer_reads();
         } else {
-            self.pass_on(now);
+            self.forward_entries(now);
         }
         self.acknowledge();
     }
 
     fn commit_at_tail(&mut self) {
         if self.state.decided.view.takes_writes(self.settings.tolerance.machines) {
-            self.commit_up_to(self.settled());
+            self.commit_up_to(self.durable_position());
         }
     }
 
     /// Sends the successor the durable entries that it has not been sent, and reads that saw nothing beyond.
-    fn pass_on(&mut self, now: u64) {
-        let durable = self.settled();
+    fn forward_entries(&mut self, now: u64) {
+        let durable = self.durable_position();
         let resend = self.settings.timing.resend;
         let Some(session) = &mut self.session else { return };
         let view = session.view;
@@ -282,7 +285,7 @@
         if !successor.is_ready {
             return;
         }
-        successor.go_back(now, resend);
+        successor.rewind_unacknowledged(now, resend);
         let to = successor.endpoint;
         let from = successor.sent;
         successor.send(now, durable);
@@ -299,7 +302,7 @@
 
     /// Commits entries that are durable at all members of the chain.
     pub(crate) fn commit_up_to(&mut self, sequence: u64) {
-        let sequence = sequence.min(self.settled());
+        let sequence = sequence.min(self.durable_position());
         if sequence <= self.state.committed {
             return;
         }
@@ -312,20 +315,20 @@
             }
         }
         self.record(DurableRecord::Committed(sequence), false);
-        self.owes_acknowledgement = true;
+        self.acknowledgement_due = true;
         if is_tail {
-            self.teach(&entries);
+            self.notify_learners(&entries);
         }
         for entry in entries {
-            self.announce(entry);
+            self.publish_committed(entry);
         }
     }
 
     /// Tells the embedding program of a committed entry, and keeps it for those that lag.
-    pub(crate) fn announce(&mut self, entry: Entry) {
+    pub(crate) fn publish_committed(&mut self, entry: Entry) {
         let Entry { sequence, ref writes, .. } = entry;
         self.outputs.push(Output::Committed { sequence, writes: writes.clone() });
-        self.recent.add(entry);
+        self.recent_entries.add(entry);
     }
 
     fn answer_reads(&mut self) {
@@ -353,10 +356,10 @@
 
     /// Tells the predecessor what is durable and committed here, if that has changed.
     fn acknowledge(&mut self) {
-        if !std::mem::take(&mut self.owes_acknowledgement) {
+        if !std::mem::take(&mut self.acknowledgement_due) {
             return;
         }
-        let (last, committed) = (self.settled(), self.state.committed);
+        let (last, committed) = (self.durable_position(), self.state.committed);
         let Some(session) = self.active_now() else { return };
         let Some(predecessor) = session.predecessor else { return };
         let view = session.view;
@@ -372,7 +375,7 @@
     for entry in entries {
         bytes += entry.size();
         batch.push(entry);
-        if bytes > MESSAGE_BYTES {
+        if bytes > MAX_MESSAGE_BYTES {
             batches.push(std::mem::take(&mut batch));
             bytes = 0;
         }
--- a/coordination/replica/src/codec.rs
+++ b/coordination/replica/src/codec.rs
@@ -56,7 +56,7 @@
         Message::Acknowledge { view, last, committed } => {
             chain::write_acknowledge(*view, *last, *committed, to.init_acknowledge());
         }
-        Message::Resume { view, standing } => transfer::write_resume(*view, standing, to.init_resume()),
+        Message::Resume { view, state } => transfer::write_resume(*view, state, to.init_resume()),
         Message::Synchronize { view, transfer } => {
             transfer::write_synchronize(*view, transfer, to.init_synchronize());
         }
--- a/coordination/replica/src/codec/heartbeat.rs
+++ b/coordination/replica/src/codec/heartbeat.rs
@@ -2,7 +2,7 @@
 
 use super::DecodeError;
 use super::parts::{length, read_endpoint, read_report, write_endpoint, write_report};
-use crate::message::{Heard, Heartbeat};
+use crate::message::{Heartbeat, ReceivedHeartbeat};
 use crate::replica_capnp::{heard, heartbeat as wire};
 
 pub fn write(heartbeat: &Heartbeat, mut to: wire::Builder) {
@@ -12,13 +12,13 @@
     to.set_region(&heartbeat.region);
     to.set_view(heartbeat.view);
     to.set_sent_at(heartbeat.sent_at);
-    to.set_is_sealed(heartbeat.is_sealed);
+    to.set_is_sealed(heartbeat.is_fenced);
     to.set_is_stalled(heartbeat.is_stalled);
     to.set_is_leaving(heartbeat.is_shutting_down);
     write_report(&heartbeat.report, to.reborrow().init_report());
-    let mut list = to.init_heard(length(&heartbeat.heard));
-    for (index, heard) in (0..).zip(&heartbeat.heard) {
-        write_heard(heard, list.reborrow().get(index));
+    let mut list = to.init_heard(length(&heartbeat.received));
+    for (index, received) in (0..).zip(&heartbeat.received) {
+        write_received(received, list.reborrow().get(index));
     }
 }
 
@@ -31,21 +31,21 @@
         view: from.get_view(),
         sent_at: from.get_sent_at(),
         report: read_report(from.get_report()?),
-        heard: from.get_heard()?.iter().map(read_heard).collect::<Result<_, _>>()?,
-        is_sealed: from.get_is_sealed(),
+        received: from.get_heard()?.iter().map(read_received).collect::<Result<_, _>>()?,
+        is_fenced: from.get_is_sealed(),
         is_stalled: from.get_is_stalled(),
         is_shutting_down: from.get_is_leaving(),
     })
 }
 
-fn write_heard(heard: &Heard, mut to: heard::Builder) {
-    to.set_start(heard.start);
-    to.set_sent_at(heard.sent_at);
-    write_endpoint(heard.endpoint, to.init_endpoint());
+fn write_received(received: &ReceivedHeartbeat, mut to: heard::Builder) {
+    to.set_start(received.start);
+    to.set_sent_at(received.sent_at);
+    write_endpoint(received.endpoint, to.init_endpoint());
 }
 
-fn read_heard(from: heard::Reader) -> Result<Heard, DecodeError> {
-    Ok(Heard {
+fn read_received(from: heard::Reader) -> Result<ReceivedHeartbeat, DecodeError> {
+    Ok(ReceivedHeartbeat {
         endpoint: read_endpoint(from.get_endpoint()?)?,
         start: from.get_start(),
         sent_at: from.get_sent_at(),
--- a/coordination/replica/src/codec/transfer.rs
+++ b/coordination/replica/src/codec/transfer.rs
@@ -12,27 +12,27 @@
     write_range,
 };
 use crate::entry::Outcome;
-use crate::message::{ChainStanding, Message};
+use crate::message::{ChainState, Message};
 use crate::records::Record;
 use crate::replica_capnp as wire;
 use crate::transfer::{RangeContents, Transfer};
 
-pub fn write_resume(view: u64, standing: &ChainStanding, mut to: wire::resume::Builder) {
+pub fn write_resume(view: u64, state: &ChainState, mut to: wire::resume::Builder) {
     to.set_view(view);
-    to.set_is_complete(standing.is_complete);
-    to.set_last(standing.last);
-    to.set_committed(standing.committed);
-    write_digests(&standing.digests, to.init_digests(length(&standing.digests)));
+    to.set_is_complete(state.is_complete);
+    to.set_last(state.last);
+    to.set_committed(state.committed);
+    write_digests(&state.digests, to.init_digests(length(&state.digests)));
 }
 
 pub fn read_resume(from: wire::resume::Reader) -> Result<Message, DecodeError> {
-    let standing = ChainStanding {
+    let state = ChainState {
         is_complete: from.get_is_complete(),
         last: from.get_last(),
         committed: from.get_committed(),
         digests: read_digests(from.get_digests()?)?,
     };
-    Ok(Message::Resume { view: from.get_view(), standing })
+    Ok(Message::Resume { view: from.get_view(), state })
 }
 
 pub fn write_pull(committed: u64, digests: &[RangeDigest], mut to: wire::pull::Builder) {
--- a/coordination/replica/src/disk.rs
+++ b/coordination/replica/src/disk.rs
@@ -8,7 +8,7 @@
 
 /// What happens once the records before it are durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Afterwards {
+pub enum AfterDurable {
     Send {
         to: SocketAddr,
         message: Box<Message>,
@@ -37,18 +37,18 @@
     queue: Vec<Vec<u8>>,
     queued_bytes: usize,
     /// Records handed in, durable or not.
-    handed_in: u64,
+    appended: u64,
     /// Of these, the first so many are durable.
     durable: u64,
     /// Whether one in the queue is waited for.
     urgent: bool,
     writing: Writing,
-    waiting: VecDeque<(u64, Afterwards)>,
+    waiting: VecDeque<(u64, AfterDurable)>,
     next_token: u64,
     log_bytes: usize,
     checkpoint_bytes: usize,
     /// The disk holds nothing that the log could build on, or it is unknown what.
-    wants_checkpoint: bool,
+    needs_checkpoint: bool,
 }
 
 impl Disk {
@@ -56,7 +56,7 @@
         Disk {
             queue: Vec::new(),
             queued_bytes: 0,
-            handed_in: 0,
+            appended: 0,
             durable: 0,
             urgent: false,
             writing: Writing::Nothing,
@@ -64,7 +64,7 @@
             next_token: 1,
             log_bytes,
             checkpoint_bytes,
-            wants_checkpoint: checkpoint_bytes == 0,
+            needs_checkpoint: checkpoint_bytes == 0,
         }
     }
 
@@ -73,15 +73,15 @@
     /// Where more has come together than a log may hold, as behind a disk that stands still, a checkpoint is due, and
     /// stands for all of it: neither the memory nor the next write grows with the time that the disk takes.
     pub fn append(&mut self, record: Vec<u8>, urgent: bool) {
-        self.handed_in += 1;
+        self.appended += 1;
         self.urgent |= urgent;
-        if self.wants_checkpoint {
+        if self.needs_checkpoint {
             return;
         }
         self.queued_bytes += record.len();
         self.queue.push(record);
         if self.queued_bytes > self.longest_log() {
-            self.wants_checkpoint = true;
+            self.needs_checkpoint = true;
             self.drop_queue();
         }
     }
@@ -97,21 +97,21 @@
     }
 
     /// Something to do once all that was handed in is durable.
-    pub fn afterwards(&mut self, what: Afterwards) {
-        self.waiting.push_back((self.handed_in, what));
+    pub fn after_durable(&mut self, what: AfterDurable) {
+        self.waiting.push_back((self.appended, what));
         self.urgent = true;
     }
 
     /// Entries after this one were dropped: they are not waited for any more.
     pub fn forget_entries(&mut self, after: u64) {
-        let is_dropped = |what: &Afterwards| matches!(what, Afterwards::Entry(entry) if *entry > after);
+        let is_dropped = |what: &AfterDurable| matches!(what, AfterDurable::Entry(entry) if *entry > after);
         self.waiting.retain(|(_, what)| !is_dropped(what));
     }
 
     /// The next write, if one is due. `state` encodes the whole state with all records handed in.
     pub fn next_write(&mut self, now: u64, state: impl FnOnce() -> Vec<u8>) -> Option<(u64, DurableWrite)> {
         let is_free = match self.writing {
-            Writing::Nothing => self.urgent || self.wants_checkpoint,
+            Writing::Nothing => self.urgent || self.needs_checkpoint,
             Writing::Since { .. } => false,
             Writing::Failed { at } => now >= at + RETRY,
         };
@@ -122,17 +122,17 @@
         let token = self.next_token;
         self.next_token += 1;
         self.urgent = false;
-        self.writing = Writing::Since { token, up_to: self.handed_in, at: now };
+        self.writing = Writing::Since { token, up_to: self.appended, at: now };
         Some((token, write))
     }
 
     fn compose(&mut self, state: impl FnOnce() -> Vec<u8>) -> DurableWrite {
-        if self.wants_checkpoint || self.log_bytes > self.longest_log() {
+        if self.needs_checkpoint || self.log_bytes > self.longest_log() {
             self.drop_queue();
             let checkpoint = state();
             self.checkpoint_bytes = checkpoint.len();
             self.log_bytes = 0;
-            self.wants_checkpoint = false;
+            self.needs_checkpoint = false;
             return DurableWrite::Checkpoint(checkpoint);
         }
         self.log_bytes += self.queued_bytes;
@@ -141,7 +141,7 @@
     }
 
     /// Returns what has waited for this write, in order.
-    pub fn persisted(&mut self, token: u64) -> Vec<Afterwards> {
+    pub fn persisted(&mut self, token: u64) -> Vec<AfterDurable> {
         let Writing::Since { token: awaited, up_to, .. } = self.writing else { return Vec::new() };
         if token != awaited {
             return Vec::new();
@@ -156,7 +156,7 @@
     pub fn failed(&mut self, now: u64, token: u64) {
         if matches!(self.writing, Writing::Since { token: awaited, .. } if awaited == token) {
             self.writing = Writing::Failed { at: now };
-            self.wants_checkpoint = true;
+            self.needs_checkpoint = true;
             self.drop_queue();
         }
     }
@@ -176,6 +176,6 @@
     }
 
     pub fn is_idle(&self) -> bool {
-        self.writing == Writing::Nothing && self.durable == self.handed_in
+        self.writing == Writing::Nothing && self.durable == self.appended
     }
 }
--- a/coordination/replica/src/durable.rs
+++ b/coordination/replica/src/durable.rs
@@ -31,7 +31,7 @@
 }
 
 /// Outcomes that are kept to recognise a command that is submitted again.
-const KEPT_OUTCOMES: usize = 512;
+const MAX_OUTCOMES: usize = 512;
 
 /// A view and the ballot that it was agreed on with.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -156,7 +156,7 @@
             let Some(entry) = self.log.pop_front() else { return };
             self.committed = entry.sequence;
             self.records.apply(entry.sequence, &entry.writes);
-            if self.outcomes.len() == KEPT_OUTCOMES {
+            if self.outcomes.len() == MAX_OUTCOMES {
                 self.outcomes.pop_front();
             }
             let Entry { sequence, answer, origin, .. } = entry;
@@ -185,7 +185,7 @@
     }
 
     /// Whether a vote binds this replica to a newer view than the one that it knows as agreed on.
-    pub fn is_sealed(&self) -> bool {
+    pub fn is_fenced(&self) -> bool {
         self.votes.promised > self.decided.ballot
     }
 }
--- a/coordination/replica/src/chance.rs
+++ b/coordination/replica/src/jitter.rs
@@ -1,12 +1,12 @@
 //! Jitter from a seed (G. Marsaglia, "Xorshift RNGs", 2003).
 
 #[derive(Clone, Debug)]
-pub struct Chance(u64);
+pub struct Jitter(u64);
 
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
+impl Jitter {
+    pub fn new(seed: u64) -> Jitter {
         // Any state but 0 will do.
-        Chance(seed | 1)
+        Jitter(seed | 1)
     }
 
     /// A number below `bound`, which must not be 0.
--- a/coordination/replica/src/lib.rs
+++ b/coordination/replica/src/lib.rs
@@ -12,19 +12,19 @@
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 
 mod application;
+mod catch_up;
 mod chain;
-mod chance;
-mod change;
 mod codec;
 mod disk;
 mod durable;
 mod entry;
+mod jitter;
 mod message;
 mod peers;
 mod placement;
-mod plan;
+mod planning;
 mod protocol_rules;
-mod recent;
+mod recent_entries;
 mod records;
 mod replica;
 #[allow(
@@ -40,9 +40,9 @@
 mod session;
 mod settings;
 mod submissions;
-mod synchronize;
 mod transfer;
 mod view;
+mod view_change;
 
 pub use application::{Answer, Application, Evaluation, RecordWrite};
 pub use durable::{DurableWrite, RecoverError};
--- a/coordination/replica/src/message.rs
+++ b/coordination/replica/src/message.rs
@@ -72,7 +72,7 @@
     /// To the predecessor: where this member stands. One that is not `complete` needs a [`Message::Synchronize`].
     Resume {
         view: u64,
-        standing: ChainStanding,
+        state: ChainState,
     },
     /// Brings a new member of the chain up to date.
     Synchronize {
@@ -94,7 +94,7 @@
 /// The newest heartbeat of a replica that was heard. It proves to that replica that what stands beside it was said after
 /// that heartbeat was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedHeartbeat {
     pub endpoint: SocketAddr,
     pub start: u64,
     pub sent_at: u64,
@@ -113,8 +113,8 @@
     /// By the steady clock of the sender; only its own echo is compared with it.
     pub sent_at: u64,
     /// Replicas that were heard lately.
-    pub heard: Vec<Heard>,
-    pub is_sealed: bool,
+    pub received: Vec<ReceivedHeartbeat>,
+    pub is_fenced: bool,
     /// Its disk does not answer.
     pub is_stalled: bool,
     /// It is about to stop.
@@ -123,8 +123,8 @@
 
 impl Heartbeat {
     /// Whether the sender has lately heard the replica at this endpoint.
-    pub fn hears(&self, endpoint: SocketAddr) -> bool {
-        self.heard.iter().any(|heard| heard.endpoint == endpoint)
+    pub fn receives_from(&self, endpoint: SocketAddr) -> bool {
+        self.received.iter().any(|received| received.endpoint == endpoint)
     }
 
     pub fn failure_domain(&self) -> FailureDomain {
@@ -134,7 +134,7 @@
 
 /// Where a member of the chain stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ChainStanding {
+pub struct ChainState {
     /// Its log is complete but for the newest entries.
     pub is_complete: bool,
     /// The last durable entry.
--- a/coordination/replica/src/peers.rs
+++ b/coordination/replica/src/peers.rs
@@ -5,22 +5,22 @@
 
 use whinspindle_consensus::Voter;
 
-use crate::message::{Heard, Heartbeat};
+use crate::message::{Heartbeat, ReceivedHeartbeat};
 use crate::settings::Timing;
 use crate::view::{Member, View};
 
 /// A peer that was silent this many times the suspicion is forgotten.
-const FORGOTTEN_AFTER: u64 = 10;
+const REMOVAL_SUSPICIONS: u64 = 10;
 
 /// One peer as it is known here.
 #[derive(Clone, Debug)]
 pub struct Peer {
     pub heartbeat: Heartbeat,
-    pub heard_at: u64,
+    pub received_at: u64,
     /// Since when it was heard without a pause.
     pub steady_since: u64,
     /// When it last said that it hears this replica.
-    hears_us_at: Option<u64>,
+    acknowledged_at: Option<u64>,
     /// When this replica sent the newest heartbeat that the peer has answered: all that the peer has said since is newer.
     confirmed_at: Option<u64>,
 }
@@ -43,26 +43,27 @@
 
     /// Returns whether the peer has started anew, or is heard for the first time. `contact` tells from when contact counts,
     /// by the times at which this replica sent a heartbeat and the answer to it arrived.
-    pub fn heard(
+    pub fn record_heartbeat(
         &mut self,
         now: u64,
         from: SocketAddr,
         heartbeat: Heartbeat,
         contact: fn(u64, u64) -> u64,
     ) -> bool {
-        let hears_us = heartbeat.hears(self.endpoint);
-        let answered = heartbeat.heard.iter().find(|heard| self.is_own(heard));
-        let confirmed_at = answered.map(|heard| contact(heard.sent_at, now));
+        let acknowledges_us = heartbeat.receives_from(self.endpoint);
+        let answered = heartbeat.received.iter().find(|received| self.is_own(received));
+        let confirmed_at = answered.map(|received| contact(received.sent_at, now));
         let before = self.known.get(&from);
         let is_new = before.is_none_or(|peer| peer.heartbeat.start != heartbeat.start);
-        let pause = before.map_or(u64::MAX, |peer| now.saturating_sub(peer.heard_at));
+        let pause = before.map_or(u64::MAX, |peer| now.saturating_sub(peer.received_at));
         let is_steady = !is_new && pause <= self.timing.suspicion;
         let steady_since = before.filter(|_| is_steady).map_or(now, |peer| peer.steady_since);
-        let heard_us_before = before.filter(|_| !is_new).and_then(|peer| peer.hears_us_at);
-        let hears_us_at = if hears_us { Some(now) } else { heard_us_before };
+        let acknowledged_before = before.filter(|_| !is_new).and_then(|peer| peer.acknowledged_at);
+        let acknowledged_at = if acknowledges_us { Some(now) } else { acknowledged_before };
         let confirmed_before = before.filter(|_| !is_new).and_then(|peer| peer.confirmed_at);
         let confirmed_at = confirmed_at.max(confirmed_before);
-        self.known.insert(from, Peer { heartbeat, heard_at: now, steady_since, hears_us_at, confirmed_at });
+        self.known
+            .insert(from, Peer { heartbeat, received_at: now, steady_since, acknowledged_at, confirmed_at });
         is_new
     }
 
@@ -73,13 +74,13 @@
     }
 
     /// Whether a heartbeat that is told back was sent by this process.
-    fn is_own(&self, heard: &Heard) -> bool {
-        heard.endpoint == self.endpoint && heard.start == self.start
+    fn is_own(&self, received: &ReceivedHeartbeat) -> bool {
+        received.endpoint == self.endpoint && received.start == self.start
     }
 
-    pub fn forget_silent(&mut self, now: u64) {
-        let longest = FORGOTTEN_AFTER * self.timing.suspicion;
-        self.known.retain(|_, peer| now <= peer.heard_at + longest);
+    pub fn remove_silent(&mut self, now: u64) {
+        let longest = REMOVAL_SUSPICIONS * self.timing.suspicion;
+        self.known.retain(|_, peer| now <= peer.received_at + longest);
     }
 
     pub fn get(&self, endpoint: SocketAddr) -> Option<&Peer> {
@@ -91,19 +92,19 @@
     }
 
     /// How long nothing was heard.
-    pub fn silence(&self, now: u64, endpoint: SocketAddr) -> u64 {
-        let heard_at = self.get(endpoint).map_or(self.since, |peer| peer.heard_at.max(self.since));
-        now.saturating_sub(heard_at)
+    pub fn silent_for(&self, now: u64, endpoint: SocketAddr) -> u64 {
+        let received_at = self.get(endpoint).map_or(self.since, |peer| peer.received_at.max(self.since));
+        now.saturating_sub(received_at)
     }
 
-    pub fn is_heard(&self, now: u64, endpoint: SocketAddr) -> bool {
-        self.get(endpoint).is_some() && self.silence(now, endpoint) <= self.timing.suspicion
+    pub fn is_live(&self, now: u64, endpoint: SocketAddr) -> bool {
+        self.get(endpoint).is_some() && self.silent_for(now, endpoint) <= self.timing.suspicion
     }
 
-    /// Heard, and says that it hears this replica.
-    pub fn is_in_touch(&self, now: u64, endpoint: SocketAddr) -> bool {
-        let hears_us_at = self.get(endpoint).and_then(|peer| peer.hears_us_at);
-        self.is_heard(now, endpoint) && hears_us_at.is_some_and(|at| now <= at + self.timing.suspicion)
+    /// ReceivedHeartbeat, and says that it hears this replica.
+    pub fn is_connected(&self, now: u64, endpoint: SocketAddr) -> bool {
+        let acknowledged_at = self.get(endpoint).and_then(|peer| peer.acknowledged_at);
+        self.is_live(now, endpoint) && acknowledged_at.is_some_and(|at| now <= at + self.timing.suspicion)
     }
 
     /// Whether what the peer has said last was said a short time ago, by an answer to a heartbeat that was sent then. What
@@ -115,18 +116,18 @@
 
     /// Silent for too long, or does not hear this replica.
     pub fn is_suspected(&self, now: u64, endpoint: SocketAddr) -> bool {
-        if self.silence(now, endpoint) > self.timing.suspicion {
+        if self.silent_for(now, endpoint) > self.timing.suspicion {
             return true;
         }
         let Some(peer) = self.get(endpoint) else { return false };
-        let waits_since = peer.hears_us_at.unwrap_or(peer.steady_since.max(self.since));
+        let waits_since = peer.acknowledged_at.unwrap_or(peer.steady_since.max(self.since));
         now > waits_since + self.timing.suspicion
     }
 
     /// The newest heartbeats of those that were heard lately.
-    pub fn heard_lately(&self, now: u64) -> Vec<Heard> {
-        let heard = self.known.iter().filter(|(endpoint, _)| self.is_heard(now, **endpoint));
-        let newest = heard.map(|(endpoint, peer)| Heard {
+    pub fn received_recently(&self, now: u64) -> Vec<ReceivedHeartbeat> {
+        let heard = self.known.iter().filter(|(endpoint, _)| self.is_live(now, **endpoint));
+        let newest = heard.map(|(endpoint, peer)| ReceivedHeartbeat {
             endpoint: *endpoint,
             start: peer.heartbeat.start,
             sent_at: peer.heartbeat.sent_at,
@@ -135,31 +136,32 @@
     }
 
     /// Whether another that is in touch says that it hears this endpoint.
-    pub fn is_heard_by_another(&self, now: u64, endpoint: SocketAddr) -> bool {
-        let hears = |(other, peer): (&SocketAddr, &Peer)| {
-            *other != endpoint && self.is_in_touch(now, *other) && peer.heartbeat.hears(endpoint)
+    pub fn is_live_at_another(&self, now: u64, endpoint: SocketAddr) -> bool {
+        let receives_from = |(other, peer): (&SocketAddr, &Peer)| {
+            *other != endpoint && self.is_connected(now, *other) && peer.heartbeat.receives_from(endpoint)
         };
-        self.known.iter().any(hears)
+        self.known.iter().any(receives_from)
     }
 
     /// Whether both say that they hear each other.
-    pub fn hear_each_other(&self, one: SocketAddr, other: SocketAddr) -> bool {
-        let hears =
-            |from: SocketAddr, to: SocketAddr| self.get(from).is_some_and(|peer| peer.heartbeat.hears(to));
-        hears(one, other) && hears(other, one)
+    pub fn are_mutually_connected(&self, one: SocketAddr, other: SocketAddr) -> bool {
+        let receives_from = |from: SocketAddr, to: SocketAddr| {
+            self.get(from).is_some_and(|peer| peer.heartbeat.receives_from(to))
+        };
+        receives_from(one, other) && receives_from(other, one)
     }
 
     /// The member's memory is gone: its endpoint is in use by one of another incarnation.
-    pub fn is_reborn(&self, member: &Member) -> bool {
+    pub fn has_new_incarnation(&self, member: &Member) -> bool {
         let peer = self.get(member.endpoint);
         peer.is_some_and(|peer| peer.heartbeat.incarnation != member.voter.incarnation)
     }
 
     /// The last heartbeat of a voter that is in touch and well.
-    pub fn well(&self, now: u64, view: &View, voter: Voter) -> Option<&Heartbeat> {
+    pub fn healthy_heartbeat(&self, now: u64, view: &View, voter: Voter) -> Option<&Heartbeat> {
         let member = view.member(voter)?;
         let heartbeat = &self.get(member.endpoint)?.heartbeat;
-        let is_well = self.is_in_touch(now, member.endpoint) && !self.is_reborn(member);
-        (is_well && !heartbeat.is_stalled).then_some(heartbeat)
+        let is_healthy = self.is_connected(now, member.endpoint) && !self.has_new_incarnation(member);
+        (is_healthy && !heartbeat.is_stalled).then_some(heartbeat)
     }
 }
--- a/coordination/replica/src/placement.rs
+++ b/coordination/replica/src/placement.rs
@@ -17,7 +17,7 @@
     }
 
     /// The least number of voters that can bear the losses, if they are spread evenly over enough failure domains.
-    pub fn wanted_voters(&self) -> usize {
+    pub fn target_voters(&self) -> usize {
         2 * self.machines.max(self.zones).max(self.regions) + 1
     }
 }
@@ -93,11 +93,11 @@
 }
 
 fn zone_counts(failure_domains: &[&FailureDomain]) -> Vec<usize> {
-    counts(failure_domains.iter().map(|place| place.zone.as_str()))
+    counts(failure_domains.iter().map(|domain| domain.zone.as_str()))
 }
 
 fn region_counts(failure_domains: &[&FailureDomain]) -> Vec<usize> {
-    counts(failure_domains.iter().map(|place| place.region.as_str()))
+    counts(failure_domains.iter().map(|domain| domain.region.as_str()))
 }
 
 fn counts<'a>(names: impl Iterator<Item = &'a str>) -> Vec<usize> {
--- a/coordination/replica/src/plan.rs
+++ b/coordination/replica/src/planning.rs
@@ -12,11 +12,11 @@
 /// A joiner that lacks no more entries than these is let in at once.
 const SMALL_LAG: u64 = 64;
 /// A view remembers no more chains of views before it.
-const MOST_FORMER: usize = 8;
+const MAX_FORMER_CHAINS: usize = 8;
 
 /// A voter that takes part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct VoterState {
     /// The last view in which its log was durably complete.
     pub complete: u64,
     pub committed: u64,
@@ -25,16 +25,16 @@
     pub has_promised: bool,
 }
 
-impl Standing {
+impl VoterState {
     /// What was said with a promise.
-    pub fn promised(report: Report, is_shutting_down: bool) -> Standing {
+    pub fn promised(report: Report, is_shutting_down: bool) -> VoterState {
         let Report { complete, committed } = report;
-        Standing { complete, committed, is_shutting_down, has_promised: true }
+        VoterState { complete, committed, is_shutting_down, has_promised: true }
     }
 
     /// What was said without one.
-    pub fn told(report: Report, is_shutting_down: bool) -> Standing {
-        Standing { has_promised: false, ..Standing::promised(report, is_shutting_down) }
+    pub fn reported(report: Report, is_shutting_down: bool) -> VoterState {
+        VoterState { has_promised: false, ..VoterState::promised(report, is_shutting_down) }
     }
 }
 
@@ -44,53 +44,53 @@
     pub endpoint: SocketAddr,
     pub incarnation: u64,
     pub failure_domain: FailureDomain,
-    pub standing: Standing,
+    pub state: VoterState,
 }
 
 /// What is known of the replicas.
 #[derive(Clone, Debug, Default)]
-pub struct Situation {
+pub struct PlanningInput {
     pub tolerance: Tolerance,
     /// Whether the voters of before agree together with those that replace some of them, until these have begun.
     pub replaces_voters_jointly: bool,
     /// Whether a member of a former chain leads only if it holds all that was committed.
-    pub asks_for_complete_leaders: bool,
+    pub requires_complete_leader: bool,
     /// Voters that take part; others are not to be in the next chain.
-    pub present: BTreeMap<Voter, Standing>,
+    pub present: BTreeMap<Voter, VoterState>,
     /// Voters that may be replaced.
     pub lost: BTreeSet<Voter>,
     pub candidates: Vec<Candidate>,
     /// Pairs of endpoints that do not hear each other.
-    pub apart: BTreeSet<(SocketAddr, SocketAddr)>,
+    pub disconnected: BTreeSet<(SocketAddr, SocketAddr)>,
     /// What is known of zones and regions.
     pub failure_domains: BTreeMap<SocketAddr, FailureDomain>,
 }
 
 /// The next view; none if too few take part for a chain that may take writes.
-pub fn next_view(found: &View, situation: &Situation) -> Option<View> {
+pub fn next_view(prepared: &View, input: &PlanningInput) -> Option<View> {
     let mut plan = Plan {
-        next: View { number: found.number + 1, ..found.clone() },
-        present: situation.present.clone(),
-        situation,
+        next: View { number: prepared.number + 1, ..prepared.clone() },
+        present: input.present.clone(),
+        input,
     };
-    plan.choose_boards();
-    plan.choose_chain(found)?;
-    plan.forget_members();
-    plan.learn_places();
-    plan.next.takes_writes(situation.tolerance.machines).then_some(plan.next)
+    plan.choose_voter_sets();
+    plan.choose_chain(prepared)?;
+    plan.remove_former_members();
+    plan.update_failure_domains();
+    plan.next.takes_writes(input.tolerance.machines).then_some(plan.next)
 }
 
 /// A view in the making.
 struct Plan<'a> {
     next: View,
     /// Voters that take part, also those that are admitted now.
-    present: BTreeMap<Voter, Standing>,
-    situation: &'a Situation,
+    present: BTreeMap<Voter, VoterState>,
+    input: &'a PlanningInput,
 }
 
 impl Plan<'_> {
     /// Ends a replacement of voters, or begins one.
-    fn choose_boards(&mut self) {
+    fn choose_voter_sets(&mut self) {
         if let [_, new] = self.next.voter_sets.as_slice() {
             let present = new.iter().filter(|voter| self.present.contains_key(voter)).count();
             // Until a new voter is complete, an old one may be needed that holds all.
@@ -103,7 +103,7 @@
         let [old] = self.next.voter_sets.as_slice() else { return };
         let old = old.clone();
         let mut new = old.clone();
-        let mut candidates = self.situation.candidates.clone();
+        let mut candidates = self.input.candidates.clone();
         self.replace_lost(&mut new, &mut candidates);
         self.grow(&mut new, &mut candidates);
         if old == new {
@@ -112,14 +112,14 @@
         if old != new {
             self.next.voter_sets.push(new);
         }
-        if !self.situation.replaces_voters_jointly {
+        if !self.input.replaces_voters_jointly {
             self.next.voter_sets.drain(..self.next.voter_sets.len() - 1);
         }
     }
 
     fn replace_lost(&mut self, voter_set: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
         let lost: Vec<Voter> =
-            voter_set.iter().copied().filter(|voter| self.situation.lost.contains(voter)).collect();
+            voter_set.iter().copied().filter(|voter| self.input.lost.contains(voter)).collect();
         for voter in lost {
             let others: Vec<Voter> = voter_set.iter().copied().filter(|other| *other != voter).collect();
             if let Some(candidate) = self.take_successor(voter, &others, candidates) {
@@ -155,24 +155,24 @@
 
     fn failure_domain(&self, voter: Voter) -> FailureDomain {
         let Some(member) = self.next.member(voter) else { return FailureDomain::default() };
-        let heard = self.situation.failure_domains.get(&member.endpoint).cloned();
-        heard.unwrap_or_else(|| member.failure_domain())
+        let received = self.input.failure_domains.get(&member.endpoint).cloned();
+        received.unwrap_or_else(|| member.failure_domain())
     }
 
     fn admit(&mut self, candidate: Candidate) -> Voter {
-        let Candidate { endpoint, incarnation, failure_domain, standing } = candidate;
+        let Candidate { endpoint, incarnation, failure_domain, state } = candidate;
         let voter = Voter { member: self.next.next_member, incarnation };
         let FailureDomain { zone, region } = failure_domain;
         self.next.members.push(Member { voter, endpoint, zone, region });
         self.next.next_member += 1;
-        self.present.insert(voter, standing);
+        self.present.insert(voter, state);
         voter
     }
 
     /// Adds voters up to the wanted number, and keeps the number odd where it can.
     fn grow(&mut self, voter_set: &mut Vec<Voter>, candidates: &mut Vec<Candidate>) {
-        let wanted = self.situation.tolerance.wanted_voters();
-        let mut reached = (voter_set.len() + candidates.len()).min(wanted);
+        let target = self.input.tolerance.target_voters();
+        let mut reached = (voter_set.len() + candidates.len()).min(target);
         if reached.is_multiple_of(2) {
             reached -= 1;
         }
@@ -187,8 +187,9 @@
     fn spread(&mut self, voter_set: &mut Vec<Voter>, candidates: &[Candidate]) {
         let failure_domains: Vec<(Voter, FailureDomain)> =
             voter_set.iter().map(|voter| (*voter, self.failure_domain(*voter))).collect();
-        let are_known = failure_domains.iter().all(|(_, place)| place.is_known());
-        if candidates.is_empty() || !are_known || !voter_set.iter().all(|voter| self.is_settled(*voter)) {
+        let are_known = failure_domains.iter().all(|(_, domain)| domain.is_known());
+        if candidates.is_empty() || !are_known || !voter_set.iter().all(|voter| self.is_stable_member(*voter))
+        {
             return;
         }
         if let Some((voter, candidate)) = self.best_exchange(failure_domains, candidates) {
@@ -205,11 +206,12 @@
         candidates: &[Candidate],
     ) -> Option<(Voter, Candidate)> {
         voters.sort_by_key(|(voter, _)| std::cmp::Reverse(self.next.position(*voter)));
-        let mut best = Crowding::of(&voters.iter().map(|(_, place)| place).collect::<Vec<&FailureDomain>>());
+        let mut best =
+            Crowding::of(&voters.iter().map(|(_, domain)| domain).collect::<Vec<&FailureDomain>>());
         let mut exchange = None;
         for (voter, _) in &voters {
-            for candidate in candidates.iter().filter(|candidate| self.is_up_to_date(candidate.standing)) {
-                let others = voters.iter().filter(|(other, _)| other != voter).map(|(_, place)| place);
+            for candidate in candidates.iter().filter(|candidate| self.is_up_to_date(candidate.state)) {
+                let others = voters.iter().filter(|(other, _)| other != voter).map(|(_, domain)| domain);
                 let crowding =
                     Crowding::of(&others.chain([&candidate.failure_domain]).collect::<Vec<&FailureDomain>>());
                 if crowding < best {
@@ -222,42 +224,42 @@
     }
 
     /// In the chain with a complete log, and not about to stop.
-    fn is_settled(&self, voter: Voter) -> bool {
+    fn is_stable_member(&self, voter: Voter) -> bool {
         let link = self.next.link(voter);
         link.is_some_and(|link| self.is_complete(link)) && !self.is_shutting_down(voter)
     }
 
     /// Whether a replica lacks so little that it can be let into the chain at once.
-    fn is_up_to_date(&self, standing: Standing) -> bool {
-        let committed = self.present.values().map(|standing| standing.committed).max();
-        standing.committed + SMALL_LAG >= committed.unwrap_or(0)
+    fn is_up_to_date(&self, state: VoterState) -> bool {
+        let committed = self.present.values().map(|state| state.committed).max();
+        state.committed + SMALL_LAG >= committed.unwrap_or(0)
     }
 
     /// Survivors in their order, then those that join; the first of them has all that any of them has.
-    fn choose_chain(&mut self, found: &View) -> Option<()> {
+    fn choose_chain(&mut self, prepared: &View) -> Option<()> {
         let voters = self.next.voters();
         let stays =
             |link: &&ChainLink| voters.contains(&link.voter) && self.present.contains_key(&link.voter);
-        let kept: Vec<ChainLink> = found.chain.iter().filter(stays).copied().collect();
+        let kept: Vec<ChainLink> = prepared.chain.iter().filter(stays).copied().collect();
         let (mut complete, mut joining): (Vec<ChainLink>, Vec<ChainLink>) =
             kept.into_iter().partition(|link| self.is_complete(link));
-        self.remember_chain(found);
+        self.record_former_chain(prepared);
         if complete.is_empty() {
             let leader = self.former_leader(&voters)?;
             joining.retain(|link| link.voter != leader.voter);
             complete.push(leader);
         }
-        self.forget_chains();
+        self.trim_former_chains();
         let newest = complete.iter().map(|link| self.present[&link.voter].committed).max()?;
 
         let mut chain = [complete, joining].concat();
         let mut late = Vec::new();
-        for (voter, standing) in self.joiners(found, &voters) {
+        for (voter, state) in self.joiners(prepared, &voters) {
             if chain.iter().any(|link| link.voter == voter) {
                 continue;
             }
             let last = chain.last()?.voter;
-            let is_ready = standing.committed + SMALL_LAG >= newest && !self.are_apart(last, voter);
+            let is_ready = state.committed + SMALL_LAG >= newest && !self.are_disconnected(last, voter);
             let link = ChainLink { voter, since: self.next.number };
             if is_ready {
                 chain.push(link);
@@ -265,8 +267,8 @@
                 late.push(link);
             }
         }
-        let required = self.next.required_chain(self.situation.tolerance.machines);
-        self.drop_leaving(&mut chain, required);
+        let required = self.next.required_chain(self.input.tolerance.machines);
+        self.drop_shutting_down(&mut chain, required);
         let lacking = required.saturating_sub(chain.len());
         chain.extend(late.into_iter().take(lacking));
         self.next.chain = chain;
@@ -274,11 +276,11 @@
     }
 
     fn is_complete(&self, link: &ChainLink) -> bool {
-        self.present.get(&link.voter).is_some_and(|standing| standing.complete >= link.since)
+        self.present.get(&link.voter).is_some_and(|state| state.complete >= link.since)
     }
 
-    fn remember_chain(&mut self, found: &View) {
-        self.next.former.push(found.chain.clone());
+    fn record_former_chain(&mut self, prepared: &View) {
+        self.next.former.push(prepared.chain.clone());
     }
 
     /// A member of a former chain that has all that was committed, where none of the present chain has; the chains after
@@ -291,7 +293,7 @@
             let promised: Vec<(&ChainLink, u64)> =
                 chain.iter().filter_map(|link| Some((link, self.promised_complete(link.voter)?))).collect();
             let may_lead = |(link, complete): &&(&ChainLink, u64)| {
-                let holds_all = *complete >= link.since || !self.situation.asks_for_complete_leaders;
+                let holds_all = *complete >= link.since || !self.input.requires_complete_leader;
                 holds_all && voters.contains(&link.voter)
             };
             if let Some((link, complete)) = promised.iter().find(may_lead) {
@@ -307,42 +309,43 @@
 
     /// The last view in which a voter's log was complete, as it said with its promise.
     fn promised_complete(&self, voter: Voter) -> Option<u64> {
-        let standing = self.present.get(&voter).filter(|standing| standing.has_promised)?;
-        Some(standing.complete)
+        let state = self.present.get(&voter).filter(|state| state.has_promised)?;
+        Some(state.complete)
     }
 
     /// Chains before one of which all members have all are not needed, and no more than so many are kept.
-    fn forget_chains(&mut self) {
+    fn trim_former_chains(&mut self) {
         let holds_all = |link: &ChainLink| {
             self.promised_complete(link.voter).is_some_and(|complete| complete >= link.since)
         };
         let whole = self.next.former.iter().rposition(|chain| chain.iter().all(holds_all));
-        let excess = self.next.former.len().saturating_sub(MOST_FORMER);
+        let excess = self.next.former.len().saturating_sub(MAX_FORMER_CHAINS);
         self.next.former.drain(..whole.unwrap_or(0).max(excess));
     }
 
     fn is_shutting_down(&self, voter: Voter) -> bool {
-        self.present.get(&voter).is_some_and(|standing| standing.is_shutting_down)
+        self.present.get(&voter).is_some_and(|state| state.is_shutting_down)
     }
 
-    fn are_apart(&self, one: Voter, other: Voter) -> bool {
+    fn are_disconnected(&self, one: Voter, other: Voter) -> bool {
         let (one, other) = (self.next.endpoint(one), self.next.endpoint(other));
         let (Some(one), Some(other)) = (one, other) else { return true };
-        self.situation.apart.contains(&(one, other)) || self.situation.apart.contains(&(other, one))
+        self.input.disconnected.contains(&(one, other)) || self.input.disconnected.contains(&(other, one))
     }
 
     /// Voters that are not in the chain but could be, the most advanced first.
-    fn joiners(&self, found: &View, voters: &[Voter]) -> Vec<(Voter, Standing)> {
-        let is_outside = |voter: &Voter| found.position(*voter).is_none() && !self.is_shutting_down(*voter);
+    fn joiners(&self, prepared: &View, voters: &[Voter]) -> Vec<(Voter, VoterState)> {
+        let is_outside =
+            |voter: &Voter| prepared.position(*voter).is_none() && !self.is_shutting_down(*voter);
         let outside = voters.iter().copied().filter(is_outside);
-        let mut joiners: Vec<(Voter, Standing)> =
-            outside.filter_map(|voter| self.present.get(&voter).map(|standing| (voter, *standing))).collect();
-        joiners.sort_by_key(|(_, standing)| std::cmp::Reverse(standing.committed));
+        let mut joiners: Vec<(Voter, VoterState)> =
+            outside.filter_map(|voter| self.present.get(&voter).map(|state| (voter, *state))).collect();
+        joiners.sort_by_key(|(_, state)| std::cmp::Reverse(state.committed));
         joiners
     }
 
     /// Those that are about to stop go at once where enough others stay, one of them with a complete log.
-    fn drop_leaving(&self, chain: &mut Vec<ChainLink>, required: usize) {
+    fn drop_shutting_down(&self, chain: &mut Vec<ChainLink>, required: usize) {
         let rest: Vec<ChainLink> =
             chain.iter().filter(|link| !self.is_shutting_down(link.voter)).copied().collect();
         if rest.len() >= required && rest.iter().any(|link| self.is_complete(link)) {
@@ -350,16 +353,16 @@
         }
     }
 
-    fn forget_members(&mut self) {
+    fn remove_former_members(&mut self) {
         let voters = self.next.voters();
         self.next.members.retain(|member| voters.contains(&member.voter));
     }
 
-    fn learn_places(&mut self) {
+    fn update_failure_domains(&mut self) {
         for member in &mut self.next.members {
-            if let Some(place) = self.situation.failure_domains.get(&member.endpoint) {
-                member.zone.clone_from(&place.zone);
-                member.region.clone_from(&place.region);
+            if let Some(domain) = self.input.failure_domains.get(&member.endpoint) {
+                member.zone.clone_from(&domain.zone);
+                member.region.clone_from(&domain.region);
             }
         }
     }
--- a/coordination/replica/src/protocol_rules.rs
+++ b/coordination/replica/src/protocol_rules.rs
@@ -12,7 +12,7 @@
     type Consensus: whinspindle_consensus::ConsensusRules;
 
     /// Up to which entry a member may acknowledge, pass on and commit.
-    fn settled(durable: u64, _last: u64) -> u64 {
+    fn durable_position(durable: u64, _last: u64) -> u64 {
         durable
     }
 
@@ -28,7 +28,7 @@
 
     /// Whether a command is a repeat, which is not carried out again, if it is `known`: it waits in the log, or its
     /// outcome is kept.
-    fn is_repeat(known: bool) -> bool {
+    fn is_duplicate(known: bool) -> bool {
         known
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Whether a replica is the voter that is meant, by the incarnations of both.
-    fn is_same_birth(meant: u64, own: u64) -> bool {
+    fn is_same_incarnation(meant: u64, own: u64) -> bool {
         meant == own
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// Whether a member of a former chain leads the next one only if its log holds all that was committed.
-    fn asks_for_complete_leaders() -> bool {
+    fn requires_complete_leader() -> bool {
         true
     }
 
--- a/coordination/replica/src/recent.rs
+++ b/coordination/replica/src/recent_entries.rs
@@ -4,16 +4,16 @@
 
 use crate::entry::Entry;
 
-const MOST_ENTRIES: usize = 256;
-const MOST_BYTES: usize = 512 * 1024;
+const MAX_ENTRIES: usize = 256;
+const MAX_BYTES: usize = 512 * 1024;
 
 #[derive(Clone, Debug, Default)]
-pub struct Recent {
+pub struct RecentEntries {
     entries: VecDeque<Entry>,
     bytes: usize,
 }
 
-impl Recent {
+impl RecentEntries {
     /// Adds the entry after the last; after a gap only this one is kept.
     pub fn add(&mut self, entry: Entry) {
         let follows = self.entries.back().is_none_or(|last| last.sequence + 1 == entry.sequence);
@@ -22,7 +22,7 @@
         }
         self.bytes += entry.size();
         self.entries.push_back(entry);
-        while self.entries.len() > MOST_ENTRIES || self.bytes > MOST_BYTES {
+        while self.entries.len() > MAX_ENTRIES || self.bytes > MAX_BYTES {
             let Some(oldest) = self.entries.pop_front() else { return };
             self.bytes -= oldest.size();
         }
--- a/coordination/replica/src/replica.rs
+++ b/coordination/replica/src/replica.rs
@@ -8,21 +8,21 @@
 use whinspindle_consensus::Voter;
 
 use crate::application::{Application, RecordWrite};
-use crate::chance::Chance;
-use crate::change::ViewChange;
-use crate::disk::{Afterwards, Disk};
+use crate::catch_up::CatchUpState;
+use crate::disk::{AfterDurable, Disk};
 use crate::durable::{DurableRecord, DurableState, DurableWrite, RecoverError};
 use crate::entry::Origin;
+use crate::jitter::Jitter;
 use crate::message::{Heartbeat, Message, Report};
 use crate::peers::Peers;
 use crate::protocol_rules::{ProtocolRules, StandardRules};
-use crate::recent::Recent;
+use crate::recent_entries::RecentEntries;
 use crate::records::Records;
 use crate::session::Session;
 use crate::settings::ReplicaSettings;
 use crate::submissions::Submissions;
-use crate::synchronize::Pull;
 use crate::view::View;
+use crate::view_change::ViewChange;
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -93,7 +93,7 @@
 }
 
 /// A replica is out of the quorum once it was behind the others for this long, in milliseconds.
-const BEHIND: u64 = 500;
+const LAG_TOLERANCE: u64 = 500;
 
 /// One replica.
 #[derive(Clone, Debug)]
@@ -110,11 +110,11 @@
     pub(crate) peers: Peers,
     pub(crate) session: Option<Session>,
     /// What is durable or committed here has changed, which the predecessor has to be told.
-    pub(crate) owes_acknowledgement: bool,
-    pub(crate) recent: Recent,
-    pub(crate) pull: Pull,
-    pub(crate) change: ViewChange,
-    pub(crate) chance: Chance,
+    pub(crate) acknowledgement_due: bool,
+    pub(crate) recent_entries: RecentEntries,
+    pub(crate) catch_up: CatchUpState,
+    pub(crate) view_change: ViewChange,
+    pub(crate) jitter: Jitter,
     pub(crate) is_shutting_down: bool,
     pub(crate) heartbeat_due: u64,
     pub(crate) outputs: Vec<Output>,
@@ -125,7 +125,7 @@
     is_started: bool,
     was_stalled: bool,
     /// A majority of the voters is heard: the seeds, some of which may be gone for good, are not needed.
-    is_in_touch: bool,
+    has_majority_contact: bool,
     behind_since: Option<u64>,
 }
 
@@ -161,11 +161,11 @@
             durable_complete: state.complete,
             peers: Peers::new(settings.endpoint, settings.start, settings.timing, now),
             session: None,
-            owes_acknowledgement: false,
-            recent: Recent::default(),
-            pull: Pull::default(),
-            change: ViewChange::default(),
-            chance: Chance::new(settings.start),
+            acknowledgement_due: false,
+            recent_entries: RecentEntries::default(),
+            catch_up: CatchUpState::default(),
+            view_change: ViewChange::default(),
+            jitter: Jitter::new(settings.start),
             is_shutting_down: false,
             heartbeat_due: now,
             outputs: Vec::new(),
@@ -173,7 +173,7 @@
             inbox: VecDeque::new(),
             is_started: checkpoint.is_some(),
             was_stalled: false,
-            is_in_touch: false,
+            has_majority_contact: false,
             behind_since: None,
             state,
             settings,
@@ -181,7 +181,7 @@
         if replica.is_started {
             replica.start(now);
         }
-        replica.settle(now);
+        replica.advance(now);
         let mut outputs = std::mem::take(&mut replica.outputs);
         outputs.retain(|output| !matches!(output, Output::Committed { .. }));
         Ok((replica, outputs))
@@ -210,7 +210,7 @@
                 self.send_heartbeats(now);
             }
         }
-        self.settle(now);
+        self.advance(now);
         std::mem::take(&mut self.outputs)
     }
 
@@ -233,13 +233,13 @@
         let view = self.view();
         let me = self.me();
         let is_agreed = |voter: Voter| {
-            let heartbeat = self.peers.well(now, view, voter);
+            let heartbeat = self.peers.healthy_heartbeat(now, view, voter);
             let is_confirmed =
                 view.endpoint(voter).is_some_and(|endpoint| self.peers.is_confirmed(now, endpoint));
             let agrees = heartbeat.is_some_and(|heartbeat| heartbeat.view == view.number);
             me == Some(voter) || (is_confirmed && agrees)
         };
-        let is_behind = self.behind_since.is_some_and(|since| now > since + BEHIND);
+        let is_behind = self.behind_since.is_some_and(|since| now > since + LAG_TOLERANCE);
         let is_synchronized = self.session.as_ref().is_none_or(|session| session.is_complete);
         view.is_known() && view.has_majority(is_agreed) && is_synchronized && !is_behind
     }
@@ -255,8 +255,8 @@
     }
 
     /// Replicas that are heard, with their zone and region; members of the view or not.
-    pub fn heard(&self, now: u64) -> impl Iterator<Item = (SocketAddr, &str, &str)> {
-        let heard = self.peers.iter().filter(move |(endpoint, _)| self.peers.is_heard(now, **endpoint));
+    pub fn live_peers(&self, now: u64) -> impl Iterator<Item = (SocketAddr, &str, &str)> {
+        let heard = self.peers.iter().filter(move |(endpoint, _)| self.peers.is_live(now, **endpoint));
         heard
             .map(|(endpoint, peer)| (*endpoint, peer.heartbeat.zone.as_str(), peer.heartbeat.region.as_str()))
     }
@@ -265,7 +265,7 @@
     pub fn peers(&self) -> Vec<SocketAddr> {
         let members = self.view().members.iter().map(|member| member.endpoint);
         let heard = self.peers.iter().map(|(endpoint, _)| *endpoint);
-        let seeds = self.settings.seeds.iter().copied().filter(|_| !self.is_in_touch);
+        let seeds = self.settings.seeds.iter().copied().filter(|_| !self.has_majority_contact);
         let known = members.chain(heard).chain(seeds);
         let endpoints: BTreeSet<SocketAddr> =
             known.filter(|known| *known != self.settings.endpoint).collect();
@@ -284,7 +284,7 @@
     /// This replica as a voter of the view.
     pub(crate) fn me(&self) -> Option<Voter> {
         let member = self.view().member_at(self.settings.endpoint)?;
-        L::is_same_birth(member.voter.incarnation, self.state.incarnation).then_some(member.voter)
+        L::is_same_incarnation(member.voter.incarnation, self.state.incarnation).then_some(member.voter)
     }
 
     pub(crate) fn report(&self) -> Report {
@@ -302,11 +302,11 @@
     }
 
     /// Does something once all steps so far are durable.
-    pub(crate) fn afterwards(&mut self, now: u64, what: Afterwards) {
+    pub(crate) fn after_durable(&mut self, now: u64, what: AfterDurable) {
         if self.disk.is_idle() {
             self.is_durable(now, what);
         } else {
-            self.disk.afterwards(what);
+            self.disk.after_durable(what);
         }
     }
 
@@ -327,24 +327,24 @@
         }
     }
 
-    fn is_durable(&mut self, now: u64, what: Afterwards) {
+    fn is_durable(&mut self, now: u64, what: AfterDurable) {
         match what {
-            Afterwards::Send { to, message } => self.send(to, *message),
-            Afterwards::Entry(sequence) => {
+            AfterDurable::Send { to, message } => self.send(to, *message),
+            AfterDurable::Entry(sequence) => {
                 self.durable_last = self.durable_last.max(sequence);
-                self.owes_acknowledgement = true;
+                self.acknowledgement_due = true;
             }
-            Afterwards::Complete(view) => self.on_complete(now, view),
+            AfterDurable::Complete(view) => self.on_complete(now, view),
         }
     }
 
     /// Goes on until nothing more follows from what has happened.
-    fn settle(&mut self, now: u64) {
+    fn advance(&mut self, now: u64) {
         if self.is_started {
-            self.pump(now);
+            self.advance_chain(now);
             while let Some(message) = self.inbox.pop_front() {
                 self.receive(now, self.settings.endpoint, message);
-                self.pump(now);
+                self.advance_chain(now);
             }
         }
         let state = &self.state;
@@ -366,22 +366,24 @@
         if has_news || now >= self.heartbeat_due {
             self.send_heartbeats(now);
         }
-        self.peers.forget_silent(now);
-        self.is_in_touch = self.hears_majority(now);
-        self.note_lag(now);
+        self.peers.remove_silent(now);
+        self.has_majority_contact = self.is_connected_to_majority(now);
+        self.update_lag(now);
         self.tick_resume(now);
-        self.tick_pull(now);
-        self.tick_change(now);
+        self.tick_catch_up(now);
+        self.tick_view_change(now);
         self.send_submissions(now);
     }
 
-    fn hears_majority(&self, now: u64) -> bool {
+    fn is_connected_to_majority(&self, now: u64) -> bool {
         let view = self.view();
         let me = self.me();
-        view.has_majority(|voter| me == Some(voter) || self.peers.well(now, view, voter).is_some())
+        view.has_majority(|voter| {
+            me == Some(voter) || self.peers.healthy_heartbeat(now, view, voter).is_some()
+        })
     }
 
-    fn note_lag(&mut self, now: u64) {
+    fn update_lag(&mut self, now: u64) {
         self.behind_since = self.is_behind().then(|| self.behind_since.unwrap_or(now));
     }
 
@@ -402,8 +404,8 @@
             view: self.view().number,
             report: self.report(),
             sent_at: now,
-            heard: self.peers.heard_lately(now),
-            is_sealed: self.state.is_sealed(),
+            received: self.peers.received_recently(now),
+            is_fenced: self.state.is_fenced(),
             is_stalled: self.is_disk_stalled(now),
             is_shutting_down: self.is_shutting_down,
         }
@@ -413,7 +415,7 @@
     fn send_submissions(&mut self, now: u64) {
         let view = self.view();
         let Some(head) = view.head().and_then(|head| view.endpoint(head)) else { return };
-        if !self.is_started || self.is_chain_sealed(head) {
+        if !self.is_started || self.is_chain_fenced(head) {
             return;
         }
         let (endpoint, start) = (self.settings.endpoint, L::start(&self.settings));
@@ -429,13 +431,13 @@
 
     /// Whether the chain of the present view has come to its end, as far as this replica or the head has voted: the
     /// head would drop all commands, and large ones would hold up the votes.
-    fn is_chain_sealed(&self, head: SocketAddr) -> bool {
+    fn is_chain_fenced(&self, head: SocketAddr) -> bool {
         let heartbeat = self.peers.get(head).map(|peer| &peer.heartbeat);
         let number = self.view().number;
-        let is_head_sealed = heartbeat.is_some_and(|peer| peer.view == number && peer.is_sealed);
+        let is_head_fenced = heartbeat.is_some_and(|peer| peer.view == number && peer.is_fenced);
         // A promise that was left over from an earlier view is of no account where this replica has no vote any more.
-        let is_sealed_here = self.me().is_some() && self.state.is_sealed();
-        is_sealed_here || is_head_sealed
+        let is_fenced_here = self.me().is_some() && self.state.is_fenced();
+        is_fenced_here || is_head_fenced
     }
 
     fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
@@ -463,7 +465,7 @@
             Message::Acknowledge { view, last, committed } => {
                 self.on_acknowledge(now, from, view, last, committed);
             }
-            Message::Resume { view, standing } => self.on_resume(now, from, view, &standing),
+            Message::Resume { view, state } => self.on_resume(now, from, view, &state),
             Message::Synchronize { view, transfer } => self.on_synchronize(from, view, transfer),
             Message::Pull { committed, digests } => self.on_pull(from, committed, &digests),
             Message::Learn { view, transfer } => self.on_learn(view, transfer),
@@ -480,7 +482,7 @@
             // An acknowledgement may have been lost. What was committed up to this view is in a complete log.
             self.commit_up_to(heartbeat.report.committed);
         }
-        let has_started = self.peers.heard(now, from, heartbeat, L::contact);
+        let has_started = self.peers.record_heartbeat(now, from, heartbeat, L::contact);
         if knows_less {
             let decided = self.state.decided.clone();
             self.send(from, Message::Decided(decided));
--- a/coordination/replica/src/session.rs
+++ b/coordination/replica/src/session.rs
@@ -17,36 +17,43 @@
     /// Entries up to here are durable there.
     pub acknowledged: u64,
     /// Since when it owes a sign of progress.
-    pub owes_since: Option<u64>,
+    pub awaiting_since: Option<u64>,
     /// When entries were sent last.
     sent_at: u64,
 }
 
 impl Successor {
     pub fn new(endpoint: SocketAddr, now: u64) -> Successor {
-        Successor { endpoint, is_ready: false, sent: 0, acknowledged: 0, owes_since: Some(now), sent_at: now }
+        Successor {
+            endpoint,
+            is_ready: false,
+            sent: 0,
+            acknowledged: 0,
+            awaiting_since: Some(now),
+            sent_at: now,
+        }
     }
 
     /// It has said that entries up to here are durable there.
-    pub fn stands_at(&mut self, last: u64) {
+    pub fn resume_at(&mut self, last: u64) {
         self.is_ready = true;
         self.sent = last;
         self.acknowledged = last;
-        self.owes_since = None;
+        self.awaiting_since = None;
     }
 
     pub fn acknowledge(&mut self, now: u64, last: u64) {
         if !self.is_ready {
-            self.stands_at(last);
+            self.resume_at(last);
             return;
         }
         if last > self.acknowledged {
             self.acknowledged = last;
             self.sent = self.sent.max(last);
-            self.owes_since = Some(now);
+            self.awaiting_since = Some(now);
         }
         if self.acknowledged == self.sent {
-            self.owes_since = None;
+            self.awaiting_since = None;
         }
     }
 
@@ -55,12 +62,12 @@
         if last > self.sent {
             self.sent = last;
             self.sent_at = now;
-            self.owes_since.get_or_insert(now);
+            self.awaiting_since.get_or_insert(now);
         }
     }
 
     /// What was not acknowledged for long is sent again.
-    pub fn go_back(&mut self, now: u64, resend: u64) {
+    pub fn rewind_unacknowledged(&mut self, now: u64, resend: u64) {
         if self.sent > self.acknowledged && now >= self.sent_at + resend {
             self.sent = self.acknowledged;
         }
--- a/coordination/replica/tests/common/faulty.rs
+++ b/coordination/replica/tests/common/faulty.rs
@@ -9,7 +9,7 @@
 impl ProtocolRules for AcknowledgesTooEarly {
     type Consensus = StandardConsensusRules;
 
-    fn settled(_durable: u64, last: u64) -> u64 {
+    fn durable_position(_durable: u64, last: u64) -> u64 {
         last
     }
 }
@@ -49,11 +49,11 @@
 
 /// A command that was sent again is carried out again.
 #[derive(Clone, Debug)]
-pub struct RepeatsCommands;
-impl ProtocolRules for RepeatsCommands {
+pub struct AppliesDuplicates;
+impl ProtocolRules for AppliesDuplicates {
     type Consensus = StandardConsensusRules;
 
-    fn is_repeat(_known: bool) -> bool {
+    fn is_duplicate(_known: bool) -> bool {
         false
     }
 }
@@ -82,11 +82,11 @@
 
 /// A replica answers for the voter that had its endpoint before its disk was lost.
 #[derive(Clone, Debug)]
-pub struct AnswersForOldBirth;
-impl ProtocolRules for AnswersForOldBirth {
+pub struct AnswersForOldIncarnation;
+impl ProtocolRules for AnswersForOldIncarnation {
     type Consensus = StandardConsensusRules;
 
-    fn is_same_birth(_meant: u64, _own: u64) -> bool {
+    fn is_same_incarnation(_meant: u64, _own: u64) -> bool {
         true
     }
 }
@@ -150,7 +150,7 @@
 impl ProtocolRules for TakesIncompleteLeaders {
     type Consensus = StandardConsensusRules;
 
-    fn asks_for_complete_leaders() -> bool {
+    fn requires_complete_leader() -> bool {
         false
     }
 }
--- a/coordination/replica/tests/exhaustive/main.rs
+++ b/coordination/replica/tests/exhaustive/main.rs
@@ -12,8 +12,8 @@
 
 use beginnings::Beginning;
 use common::faulty::{
-    AnswersForOldBirth, CompletesTooEarly, ForgetsPromises, HeadAnswersReads, KeepsIdentityWithoutDisk,
-    RepeatsCommands, TailAnswersReads, TakesIncompleteLeaders,
+    AnswersForOldIncarnation, AppliesDuplicates, CompletesTooEarly, ForgetsPromises, HeadAnswersReads,
+    KeepsIdentityWithoutDisk, TailAnswersReads, TakesIncompleteLeaders,
 };
 use search::{Searched, departures, interleavings, play};
 use whinspindle_replica::{ProtocolRules, StandardRules};
@@ -196,7 +196,7 @@
 
 #[test]
 fn a_repeat_taken_for_a_new_order_is_found() {
-    is_found::<RepeatsCommands>(Beginning::Replaced);
+    is_found::<AppliesDuplicates>(Beginning::Replaced);
 }
 
 #[test]
@@ -225,5 +225,5 @@
 #[test]
 fn an_answer_for_the_old_birth_is_shown() {
     let path = [(46, Action::LoseDisk(0)), (48, Action::Replace(1))];
-    is_shown::<AnswersForOldBirth>(Beginning::OneDown, &path);
+    is_shown::<AnswersForOldIncarnation>(Beginning::OneDown, &path);
 }
--- a/coordination/replica/tests/faults.rs
+++ b/coordination/replica/tests/faults.rs
@@ -19,7 +19,7 @@
     NetworkTiming { shortest: 1, longest: 40, ..NetworkTiming::default() }
 }
 
-fn settled(seed: u64, count: usize, tolerated_losses: usize) -> (Cluster<Node>, Clients) {
+fn stable_cluster(seed: u64, count: usize, tolerated_losses: usize) -> (Cluster<Node>, Clients) {
     let mut cluster = cluster(seed, count, tolerated_losses, wide());
     let mut clients = Clients::default();
     clients.run_until(&mut cluster, 4_000);
@@ -74,7 +74,7 @@
 #[test]
 fn a_killed_member_is_left_out_and_taken_in_again() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         cluster.stop(endpoint(victim));
         let took = serves(&mut cluster, &mut clients, &[], "killed");
         println!("member {victim} killed: {took} ms");
@@ -89,7 +89,7 @@
 #[test]
 fn a_member_that_restarts_at_once_resumes() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         cluster.stop(endpoint(victim));
         let until = cluster.now() + 300;
         clients.run_until(&mut cluster, until);
@@ -103,7 +103,7 @@
 #[test]
 fn a_stalled_disk_is_left_out() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         let until = cluster.now() + 8_000;
         cluster.disk(endpoint(victim)).unwrap().stall(until);
         let took = serves(&mut cluster, &mut clients, &[], "stalled");
@@ -116,7 +116,7 @@
 #[test]
 fn a_disk_that_refuses_writes_is_left_out() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         let until = cluster.now() + 8_000;
         cluster.disk(endpoint(victim)).unwrap().fail(until);
         let took = serves(&mut cluster, &mut clients, &[], "failing");
@@ -129,7 +129,7 @@
 #[test]
 fn a_frozen_member_is_left_out() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         let until = cluster.now() + 10_000;
         cluster.freeze(endpoint(victim), until);
         let took = serves(&mut cluster, &mut clients, &[endpoint(victim)], "frozen");
@@ -142,7 +142,7 @@
 #[test]
 fn a_member_cut_off_is_left_out() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         for other in (0..3).filter(|other| *other != victim) {
             cluster.cut(endpoint(victim), endpoint(other));
             cluster.cut(endpoint(other), endpoint(victim));
@@ -160,7 +160,7 @@
 fn one_link_cut_in_one_direction_or_both_stops_no_writes() {
     for (one, other) in [(0, 1), (0, 2), (1, 2), (1, 0), (2, 0), (2, 1)] {
         for both in [false, true] {
-            let (mut cluster, mut clients) = settled(5, 3, 1);
+            let (mut cluster, mut clients) = stable_cluster(5, 3, 1);
             cluster.cut(endpoint(one), endpoint(other));
             if both {
                 cluster.cut(endpoint(other), endpoint(one));
@@ -179,7 +179,7 @@
 #[test]
 fn a_member_that_leaves_by_plan_is_hardly_noticed() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         cluster.command(endpoint(victim), Command::Leave);
         let until = cluster.now() + 1_000;
         clients.run_until(&mut cluster, until);
@@ -195,7 +195,7 @@
 
 #[test]
 fn after_a_loss_of_all_power_everything_acknowledged_is_there() {
-    let (mut cluster, mut clients) = settled(7, 3, 1);
+    let (mut cluster, mut clients) = stable_cluster(7, 3, 1);
     for number in 0..3 {
         cluster.stop(endpoint(number));
     }
@@ -213,7 +213,7 @@
 #[test]
 fn one_disk_lost_while_all_others_lose_power_loses_nothing() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         for number in 0..3 {
             cluster.stop(endpoint(number));
         }
@@ -236,7 +236,7 @@
     const REPLICAS: usize = 6;
     let pairs = (0..REPLICAS).flat_map(|one| (one + 1..REPLICAS).map(move |other| (one, other)));
     for (one, other) in pairs {
-        let (mut cluster, mut clients) = settled((one * REPLICAS + other) as u64, REPLICAS, 2);
+        let (mut cluster, mut clients) = stable_cluster((one * REPLICAS + other) as u64, REPLICAS, 2);
         let took = clients.write_within(&mut cluster, endpoint(other), 1_000);
         assert!(took.is_some(), "acknowledged before the loss");
         clients.begin(&mut cluster, endpoint(one), "register-0", Asked::Get);
@@ -263,7 +263,7 @@
         let mut chance = Pcg::new(seed);
         let losses = 1 + chance.below(2);
         let replicas = 2 * losses + 1 + chance.below(3);
-        let (mut cluster, mut clients) = settled(seed, replicas, losses);
+        let (mut cluster, mut clients) = stable_cluster(seed, replicas, losses);
         for _ in 0..2 {
             let away = endpoint(chance.below(replicas));
             let was_away = chance.below(2) == 0;
@@ -314,7 +314,7 @@
 #[test]
 fn an_empty_machine_at_another_address_replaces_a_member() {
     for victim in 0..3 {
-        let (mut cluster, mut clients) = settled(victim as u64, 3, 1);
+        let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         cluster.remove(endpoint(victim));
         cluster.add(endpoint(3), false);
         cluster.start(endpoint(3));
@@ -331,7 +331,7 @@
 
 #[test]
 fn five_replicas_with_three_seeds_all_become_voters_and_bear_two_losses() {
-    let (mut cluster, mut clients) = settled(3, 5, 2);
+    let (mut cluster, mut clients) = stable_cluster(3, 5, 2);
     converges(&mut cluster, &mut clients, 5, "grown");
     cluster.stop(endpoint(0));
     cluster.stop(endpoint(3));
@@ -346,7 +346,7 @@
 
 #[test]
 fn replicas_beyond_the_wanted_voters_follow_and_forward() {
-    let (mut cluster, mut clients) = settled(4, 5, 1);
+    let (mut cluster, mut clients) = stable_cluster(4, 5, 1);
     converges(&mut cluster, &mut clients, 3, "learners");
     cluster.stop(endpoint(1));
     let took = serves(&mut cluster, &mut clients, &[], "a learner takes over");
@@ -356,11 +356,11 @@
 
 #[test]
 fn with_fewer_replicas_than_the_losses_to_bear_a_majority_goes_on() {
-    let (mut cluster, mut clients) = settled(6, 3, 2);
+    let (mut cluster, mut clients) = stable_cluster(6, 3, 2);
     converges(&mut cluster, &mut clients, 3, "three for two losses");
     cluster.stop(endpoint(1));
     serves(&mut cluster, &mut clients, &[], "one of three lost");
-    let (mut cluster, mut clients) = settled(6, 1, 0);
+    let (mut cluster, mut clients) = stable_cluster(6, 1, 0);
     converges(&mut cluster, &mut clients, 1, "alone");
     cluster.stop(endpoint(0));
     cluster.start(endpoint(0));
@@ -369,7 +369,7 @@
 
 #[test]
 fn all_members_are_replaced_one_after_the_other() {
-    let (mut cluster, mut clients) = settled(8, 3, 1);
+    let (mut cluster, mut clients) = stable_cluster(8, 3, 1);
     for number in 0..4 {
         cluster.remove(endpoint(number));
         cluster.add(endpoint(number + 3), false);
--- a/coordination/replica/tests/planted.rs
+++ b/coordination/replica/tests/planted.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::faulty::{
-    AcknowledgesTooEarly, AnswersForOldBirth, CompletesTooEarly, CountsContactFromArrival, HeadAnswersReads,
-    KeepsIdentityWithoutDisk, RepeatsCommands, ReplacesVotersAtOnce, ReusesTickets, TailAnswersReads,
-    TransfersNoOutcomes,
+    AcknowledgesTooEarly, AnswersForOldIncarnation, AppliesDuplicates, CompletesTooEarly,
+    CountsContactFromArrival, HeadAnswersReads, KeepsIdentityWithoutDisk, ReplacesVotersAtOnce,
+    ReusesTickets, TailAnswersReads, TransfersNoOutcomes,
 };
 use common::node::{Moment, Node, cluster, endpoint};
 use common::schedule::{Fault, Schedule, Step, Trigger, play};
@@ -106,7 +106,7 @@
 /// The tail is cut off when it answers, so that commands are sent again.
 #[test]
 fn a_repeat_that_is_taken_for_a_new_order_is_found() {
-    shows::<RepeatsCommands>(THREE, &[at(500, Moment::Reply, Fault::Mute(2)), step(1_000, Fault::Heal)]);
+    shows::<AppliesDuplicates>(THREE, &[at(500, Moment::Reply, Fault::Mute(2)), step(1_000, Fault::Heal)]);
 }
 
 /// Replicas start again: their tickets begin with 1 again.
@@ -136,7 +136,7 @@
 /// One of two that go on without the third loses its disk, and is asked for a promise as if it had it still.
 #[test]
 fn a_voter_that_answers_for_its_old_birth_is_found() {
-    shows::<AnswersForOldBirth>(
+    shows::<AnswersForOldIncarnation>(
         THREE,
         &[
             step(500, Fault::Stop(2)),
--- a/coordination/replica/tests/wire_fixtures.rs
+++ b/coordination/replica/tests/wire_fixtures.rs
@@ -123,7 +123,7 @@
     ]
 }
 
-/// Any message of a running replica that says whom it has heard.
+/// Any message of a running replica that lists received heartbeats.
 fn running_heartbeat() -> Message {
     let mut cluster = cluster::<StandardRules>(1, 3, 1, NetworkTiming::default());
     cluster.run_until(3_000);
@@ -134,7 +134,7 @@
         Effect::Send { message, .. } => Some(message),
         _ => None,
     });
-    sent.find(|message| matches!(message, Message::Heartbeat(heartbeat) if !heartbeat.heard.is_empty()))
+    sent.find(|message| matches!(message, Message::Heartbeat(heartbeat) if !heartbeat.received.is_empty()))
         .unwrap()
 }
 
@@ -149,22 +149,22 @@
     heartbeat.report.complete = 40;
     heartbeat.report.committed = 900;
     heartbeat.sent_at = 123_456_789;
-    heartbeat.is_sealed = true;
+    heartbeat.is_fenced = true;
     heartbeat.is_stalled = false;
     heartbeat.is_shutting_down = true;
-    let (mut first, mut second) = (heartbeat.heard[0], heartbeat.heard[0]);
+    let (mut first, mut second) = (heartbeat.received[0], heartbeat.received[0]);
     (first.endpoint, first.start, first.sent_at) = (v4(), 0x21, 0x22);
     (second.endpoint, second.start, second.sent_at) = (v6(), 0x31, 0x32);
-    heartbeat.heard = vec![first, second];
+    heartbeat.received = vec![first, second];
     message
 }
 
-/// Another heartbeat, with each of the three states turned round and nobody heard.
+/// Another heartbeat, with each of the three states inverted and no heartbeat received.
 fn other_heartbeat() -> Message {
     let mut message = heartbeat();
     let Message::Heartbeat(heartbeat) = &mut message else { unreachable!("it was made as one") };
-    heartbeat.heard.clear();
-    heartbeat.is_sealed = false;
+    heartbeat.received.clear();
+    heartbeat.is_fenced = false;
     heartbeat.is_stalled = true;
     heartbeat.is_shutting_down = false;
     message
@@ -188,12 +188,12 @@
 }
 
 fn resume() -> Message {
-    let mut message = Message::Resume { view: 41, standing: Default::default() };
-    let Message::Resume { standing, .. } = &mut message else { unreachable!("it was made as one") };
-    standing.is_complete = true;
-    standing.last = 902;
-    standing.committed = 900;
-    standing.digests = digests();
+    let mut message = Message::Resume { view: 41, state: Default::default() };
+    let Message::Resume { state, .. } = &mut message else { unreachable!("it was made as one") };
+    state.is_complete = true;
+    state.last = 902;
+    state.committed = 900;
+    state.digests = digests();
     message
 }
 
@@ -263,7 +263,7 @@
         Message::Replied { start: _, ticket: _, sequence: _, answer: _ } => 8,
         Message::Append { view: _, entries: _, reads: _ } => 9,
         Message::Acknowledge { view: _, last: _, committed: _ } => 10,
-        Message::Resume { view: _, standing: _ } => 11,
+        Message::Resume { view: _, state: _ } => 11,
         Message::Synchronize { view: _, transfer: _ } => 12,
         Message::Pull { committed: _, digests: _ } => 13,
         Message::Learn { view: _, transfer: _ } => 14,
