--- a/controlplane/controller/src/api.rs
+++ b/controlplane/controller/src/api.rs
@@ -28,8 +28,8 @@
 }
 
 impl Call {
-    /// What an operator asks to be changed, for the log; none for other calls.
-    pub fn order_name(&self) -> Option<String> {
+    /// The description of an operator command for the log; none for other calls.
+    pub fn command_name(&self) -> Option<String> {
         match self {
             Call::Replace { base, generation, .. } => Some(format!("configuration {generation} on {base}")),
             Call::Evacuate { zone, evacuated: true } => Some(format!("evacuation of {zone}")),
@@ -149,7 +149,7 @@
 }
 
 /// Whether an operator asks for a change at this path.
-pub fn is_order(path: &str) -> bool {
+pub fn is_command(path: &str) -> bool {
     path == "/Config.Replace" || path.starts_with("/Evacuate.")
 }
 
--- a/controlplane/controller/src/lib.rs
+++ b/controlplane/controller/src/lib.rs
@@ -18,10 +18,10 @@
 mod pending;
 mod protocol_rules;
 mod residency;
-mod shell;
+mod runtime;
 mod status;
 
 pub use controller::{Action, Controller, ControllerSettings, Event};
 pub use pending::CallId;
 pub use protocol_rules::{ProtocolRules, StandardRules};
-pub use shell::{ControllerError, DiskError, ListenError, run, run_directory};
+pub use runtime::{ControllerError, DiskError, ListenError, run, run_directory};
--- a/controlplane/controller/src/shell/clock.rs
+++ b/controlplane/controller/src/runtime/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-/// The clock starts above zero, so that ages of things from before the start can be told.
+/// The clock starts above zero, so that times before the start of the process can be expressed.
 const ORIGIN_MS: u64 = 3_600_000;
 
 /// Milliseconds of a steady clock.
--- a/controlplane/controller/src/shell/relay.rs
+++ b/controlplane/controller/src/runtime/directory_relay.rs
@@ -1,7 +1,7 @@
-//! The directory program: carries clients' connections to a controller, which answers them.
+//! The directory process: relays clients' connections to a controller, which answers them.
 //!
 //! Clients ask the nearest few machines that serve the directory. Where every controller served it, these would all
-//! stand in one region, and a client of a region that is lost would find nobody; so the deploy file asks for fewer
+//! be in one region, and a client of a region that is lost would find nobody; so the deploy file asks for fewer
 //! directories than controllers.
 
 use std::net::{IpAddr, SocketAddr};
@@ -17,12 +17,12 @@
 use whinspindle_configuration::Settings;
 
 use super::listen::listen;
-use super::program::{ControllerError, LAST_SERVICE, ListenSnafu, NoDirectoryAddressSnafu, SignalsSnafu};
+use super::process::{ControllerError, ListenSnafu, NoDirectoryAddressSnafu, SHUTDOWN_GRACE, SignalsSnafu};
 
-/// How long one controller is waited for before the next one is tried.
+/// The time-out of a connection attempt; the next controller is tried after it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A connection ends after this time; a question takes a few milliseconds.
-const LONGEST_CONNECTION: Duration = Duration::from_secs(30);
+/// A connection is closed after this time; a request takes a few milliseconds.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs the directory until the process is told to stop. To be called inside a `LocalSet`.
 pub async fn run_directory(settings: Settings) -> Result<(), ControllerError> {
@@ -40,7 +40,7 @@
         }
     }
     info!("directory {} stops", settings.node);
-    sleep(LAST_SERVICE).await;
+    sleep(SHUTDOWN_GRACE).await;
     Ok(())
 }
 
@@ -56,7 +56,7 @@
         match listener.accept().await {
             Ok((client, _)) => {
                 let controllers = controllers.clone();
-                spawn_local(timeout(LONGEST_CONNECTION, relay(client, controllers)));
+                spawn_local(timeout(CONNECTION_TIMEOUT, relay(client, controllers)));
             }
             // Out of descriptors, most likely: some are soon given back.
             Err(_) => sleep(CONNECT_TIMEOUT).await,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Without a controller the client's connection is closed, and the client asks elsewhere.
+/// Without a reachable controller the client's connection is closed, and the client asks another directory.
 async fn relay(mut client: TcpStream, controllers: Vec<SocketAddr>) {
     let Some(mut controller) = connect(&controllers).await else { return };
     let _ = client.set_nodelay(true);
--- a/controlplane/controller/src/shell/disk.rs
+++ b/controlplane/controller/src/runtime/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that waits for the disk.
+//! The thread that does the blocking work on the disk: the replica's journal, and the saved state of the registries.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -11,27 +11,30 @@
 use whinspindle_replica::DurableWrite;
 use whinspindle_storage::{FolderDirectory, Journal, Recovered, StorageError};
 
-use super::shared_folder::SharedFolder;
+use super::prefixed_directory::PrefixedDirectory;
 
-/// A disk that can't be read at the start is tried again after this time.
-const REOPEN_PAUSE: Duration = Duration::from_millis(200);
+/// The time between two attempts to open a disk that can't be read.
+const REOPEN_BACKOFF: Duration = Duration::from_millis(200);
 /// The names of the files of the memory begin with this.
 const MEMORY_PREFIX: &str = "memory-";
 
+/// Why the disk's thread can't be used.
 #[derive(Debug, Snafu)]
 pub enum DiskError {
+    /// The operating system refused the thread.
     #[snafu(display("the thread for the disk can't be started"))]
     Thread { source: std::io::Error },
+    /// The thread ended before it had opened the disk.
     #[snafu(display("the thread for the disk has ended"))]
     Ended,
 }
 
-/// Tells the thread what to write.
+/// The handle of the disk's thread: queues writes.
 pub struct Disk {
     jobs: mpsc::Sender<Job>,
 }
 
-/// What the thread has done.
+/// A finished job of the disk's thread.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DiskReport {
     Persisted {
@@ -55,11 +58,11 @@
     Remember { memory: Vec<u8> },
 }
 
-/// A disk that was opened.
+/// The result of [`open`].
 pub struct OpenedDisk {
     pub disk: Disk,
     pub recovered: Recovered,
-    /// What the disk held could not be used.
+    /// The files of the disk were damaged and have been discarded.
     pub was_damaged: bool,
     pub reports: reports::UnboundedReceiver<DiskReport>,
 }
@@ -71,9 +74,9 @@
     let (report_sender, reports) = reports::unbounded_channel();
     let (opened_sender, opened) = oneshot::channel();
     let work = move || {
-        let found = open_journal(&folder);
-        if opened_sender.send((found.recovered, found.was_damaged)).is_ok() {
-            let Found { files, journal, .. } = found;
+        let opened = open_journal(&folder);
+        if opened_sender.send((opened.recovered, opened.was_damaged)).is_ok() {
+            let OpenedJournal { files, journal, .. } = opened;
             let mut worker =
                 Worker { files, journal, memory: None, jobs: job_receiver, reports: report_sender };
             if recalls {
@@ -109,21 +112,21 @@
     }
 }
 
-struct Found {
-    files: SharedFolder,
-    journal: Journal<SharedFolder>,
+struct OpenedJournal {
+    files: PrefixedDirectory,
+    journal: Journal<PrefixedDirectory>,
     recovered: Recovered,
     was_damaged: bool,
 }
 
-/// Tries until the disk can be read. Damaged files are emptied: the node joins again like one whose disk was lost.
-fn open_journal(folder: &Path) -> Found {
+/// Retries until the disk can be read. Damaged files are discarded: the node then joins again like one whose disk was lost.
+fn open_journal(folder: &Path) -> OpenedJournal {
     let mut was_damaged = false;
     let mut warned = false;
     loop {
-        let failure = match try_open(folder) {
+        let failure = match open_once(folder) {
             Ok((files, journal, recovered)) => {
-                return Found { files, journal, recovered, was_damaged };
+                return OpenedJournal { files, journal, recovered, was_damaged };
             }
             Err(failure) => failure,
         };
@@ -131,34 +134,36 @@
             warn!("the disk can't be used yet: {failure}");
             warned = true;
         }
-        if matches!(failure, StorageError::Damaged { .. }) && empty_journal(folder).is_ok() {
+        if matches!(failure, StorageError::Damaged { .. }) && discard_journal(folder).is_ok() {
             was_damaged = true;
         }
-        thread::sleep(REOPEN_PAUSE);
+        thread::sleep(REOPEN_BACKOFF);
     }
 }
 
-fn try_open(folder: &Path) -> Result<(SharedFolder, Journal<SharedFolder>, Recovered), StorageError> {
-    let files = SharedFolder::new(FolderDirectory::open(folder)?);
+fn open_once(
+    folder: &Path,
+) -> Result<(PrefixedDirectory, Journal<PrefixedDirectory>, Recovered), StorageError> {
+    let files = PrefixedDirectory::new(FolderDirectory::open(folder)?);
     let (journal, recovered) = Journal::open(files.clone())?;
     Ok((files, journal, recovered))
 }
 
-fn empty_journal(folder: &Path) -> Result<(), StorageError> {
+fn discard_journal(folder: &Path) -> Result<(), StorageError> {
     let mut files = FolderDirectory::open(folder)?;
     Journal::discard(&mut files)
 }
 
 struct Worker {
-    files: SharedFolder,
-    journal: Journal<SharedFolder>,
+    files: PrefixedDirectory,
+    journal: Journal<PrefixedDirectory>,
     /// None while its files can't be used.
-    memory: Option<Journal<SharedFolder>>,
+    memory: Option<Journal<PrefixedDirectory>>,
     jobs: mpsc::Receiver<Job>,
     reports: reports::UnboundedSender<DiskReport>,
 }
 
-/// Appends that share a sync.
+/// Appends that one sync makes durable together.
 #[derive(Default)]
 struct Batch {
     tokens: Vec<u64>,
@@ -198,7 +203,7 @@
             Job::Remember { memory } => {
                 self.append(batch);
                 if let Err(failure) = self.remember(&memory) {
-                    warn!("what a restart is to recall was not written: {failure}");
+                    warn!("the state for the next restart was not written: {failure}");
                 }
                 self.send(DiskReport::Remembered);
             }
@@ -209,7 +214,7 @@
         match self.open_memory() {
             Ok(Some(memory)) => self.send(DiskReport::Recalled { memory }),
             Ok(None) => {}
-            Err(failure) => warn!("what an earlier process remembered can't be read: {failure}"),
+            Err(failure) => warn!("the saved state can't be read: {failure}"),
         }
     }
 
--- a/controlplane/controller/src/shell/http_server.rs
+++ b/controlplane/controller/src/runtime/http_server.rs
@@ -1,4 +1,7 @@
-//! The HTTP side: calls of operators, upstreams and clients.
+//! The HTTP server: calls of operators, upstreams and clients.
+//!
+//! Connections, buffered bodies and the time to read a request are bounded; a call that its caller abandons is withdrawn
+//! from the state machine.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -23,15 +26,15 @@
 use crate::api::{self, BASE_VERSION, Refusal, Response};
 use crate::pending::CallId;
 
-/// The largest body that is taken.
+/// The largest body that is accepted.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 /// Bodies of all requests together.
 const MAX_BUFFERED_BYTES: usize = 48 * 1024 * 1024;
 const MAX_CONNECTIONS: usize = 1024;
 /// Also the time for which a connection may be idle: longer than the time between two heartbeats.
-const HEADER_LIMIT: Duration = Duration::from_secs(8);
-const BODY_LIMIT: Duration = Duration::from_secs(10);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(8);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// What all HTTP connections of the process share.
 pub struct HttpServer {
@@ -70,18 +73,18 @@
                 spawn_local(serve(stream, Rc::clone(&server)));
             }
             Ok(_) => {}
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
 async fn serve(stream: TcpStream, server: Rc<HttpServer>) {
-    let _counted = Counted::new(&server.connections, 1);
+    let _counted = ScopedCount::new(&server.connections, 1);
     // Without it the connection works, only slower.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| answer(request, &server));
     let mut builder = http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(HEADER_LIMIT);
+    builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
     let mut stopping = server.stopping.clone();
     tokio::select! {
@@ -109,9 +112,9 @@
         return Err(Refusal::Stopping);
     }
     let (head, body) = request.into_parts();
-    let mut held = Counted::new(&server.buffered_bytes, 0);
+    let mut buffered = ScopedCount::new(&server.buffered_bytes, 0);
     let body =
-        if api::takes_body(head.uri.path()) { read_body(body, &mut held).await? } else { Bytes::new() };
+        if api::takes_body(head.uri.path()) { read_body(body, &mut buffered).await? } else { Bytes::new() };
     let call = api::parse(&api::Request {
         method: &head.method,
         path: head.uri.path(),
@@ -120,7 +123,7 @@
         body,
     })?;
     let (id, receiver) = server.node.borrow_mut().call(call);
-    let _waiting = Waiting { id, node: &server.node };
+    let _waiting = PendingCall { id, node: &server.node };
     Ok(outcome(receiver).await)
 }
 
@@ -131,11 +134,11 @@
     values.next().is_none().then_some(value)
 }
 
-/// A request that does not reach the state machine.
+/// The response to a request that does not reach the state machine.
 fn refused(path: &str, refusal: Refusal) -> Response {
     let response = Response::from(refusal);
-    if api::is_order(path) {
-        warn!("order at {path}: {response}");
+    if api::is_command(path) {
+        warn!("command at {path}: {response}");
     }
     response
 }
@@ -144,14 +147,14 @@
     receiver.await.unwrap_or_else(|_| Response::unavailable("the call was dropped"))
 }
 
-async fn read_body(body: Incoming, held: &mut Counted<'_>) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, buffered: &mut ScopedCount<'_>) -> Result<Bytes, Refusal> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(Refusal::TooLarge);
     }
-    timeout(BODY_LIMIT, collect(body, held)).await.unwrap_or(Err(Refusal::BodyUnread))
+    timeout(BODY_TIMEOUT, collect(body, buffered)).await.unwrap_or(Err(Refusal::BodyUnread))
 }
 
-async fn collect(mut body: Incoming, held: &mut Counted<'_>) -> Result<Bytes, Refusal> {
+async fn collect(mut body: Incoming, buffered: &mut ScopedCount<'_>) -> Result<Bytes, Refusal> {
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return Err(Refusal::BodyUnread) };
@@ -159,25 +162,25 @@
         if collected.len() + data.len() > MAX_BODY_BYTES {
             return Err(Refusal::TooLarge);
         }
-        if held.total() + data.len() > MAX_BUFFERED_BYTES {
+        if buffered.total() + data.len() > MAX_BUFFERED_BYTES {
             return Err(Refusal::Busy);
         }
-        held.add(data.len());
+        buffered.add(data.len());
         collected.extend_from_slice(&data);
     }
     Ok(collected.freeze())
 }
 
-/// Adds to a counter for as long as it lives.
-struct Counted<'a> {
+/// Raises a counter for as long as it is in scope.
+struct ScopedCount<'a> {
     counter: &'a Cell<usize>,
     amount: usize,
 }
 
-impl<'a> Counted<'a> {
+impl<'a> ScopedCount<'a> {
     fn new(counter: &'a Cell<usize>, amount: usize) -> Self {
         counter.set(counter.get() + amount);
-        Counted { counter, amount }
+        ScopedCount { counter, amount }
     }
 
     fn add(&mut self, amount: usize) {
@@ -190,19 +193,19 @@
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for ScopedCount<'_> {
     fn drop(&mut self) {
         self.counter.set(self.counter.get() - self.amount);
     }
 }
 
-/// Tells the node when the caller has gone before its answer.
-struct Waiting<'a> {
+/// Withdraws the call from the node if its caller closes the connection before the answer.
+struct PendingCall<'a> {
     id: CallId,
     node: &'a SharedNode,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         self.node.borrow_mut().end_call(self.id);
     }
--- a/controlplane/controller/src/shell/links.rs
+++ b/controlplane/controller/src/runtime/inbound.rs
@@ -15,13 +15,13 @@
 use whinspindle_replica::Message;
 
 use super::node::SharedNode;
-use super::outbox::Outbox;
+use super::send_queue::SendQueue;
 use crate::controller::Event;
 
-/// A connection on which nothing arrives for this long is closed.
-const SILENCE: Duration = Duration::from_millis(4_000);
-/// Pause after a failed accept, such as with too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// A connection on which nothing is received for this long is closed.
+const READ_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// The wait after a failed accept, such as with too many open files.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Snafu)]
 enum LinkError {
@@ -48,7 +48,7 @@
             Ok((stream, _)) => {
                 spawn_local(serve(stream, Rc::clone(&node)));
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
@@ -83,7 +83,7 @@
 ) -> Result<(), LinkError> {
     loop {
         let mut next = Some(next_frame(reader).await?);
-        node.borrow_mut().heard_of_peer(peer);
+        node.borrow_mut().peer_frame_received(peer);
         while let Some(frame) = next {
             take_peer_frame(peer, frame, node)?;
             next = reader.buffered().context(FrameSnafu)?;
@@ -109,10 +109,10 @@
     mut writer: OwnedWriteHalf,
     node: &SharedNode,
 ) -> LinkError {
-    let (subscriber, outbox) = node.borrow_mut().subscribe();
+    let (subscriber, send_queue) = node.borrow_mut().subscribe();
     let ended = tokio::select! {
         ended = read_balancer(subscriber, &mut reader, node) => ended,
-        ended = write_balancer(&outbox, &mut writer) => ended,
+        ended = write_balancer(&send_queue, &mut writer) => ended,
     };
     node.borrow_mut().unsubscribe(subscriber);
     ended.err().unwrap_or(LinkError::Closed)
@@ -132,20 +132,20 @@
     }
 }
 
-async fn write_balancer(outbox: &Outbox, writer: &mut OwnedWriteHalf) -> Result<(), LinkError> {
+async fn write_balancer(send_queue: &SendQueue, writer: &mut OwnedWriteHalf) -> Result<(), LinkError> {
     let mut buffer = FrameBuffer::default();
     loop {
-        outbox.filled().await;
-        // An update that was dropped would be missed until it is sent again: the balancer had better connect anew.
-        if outbox.has_dropped() {
+        send_queue.wait_until_filled().await;
+        // A dropped update is not sent again on this connection: a new one starts from what the balancer has applied.
+        if send_queue.has_dropped() {
             return Err(LinkError::Stalled);
         }
-        outbox.move_to(&mut buffer).context(FrameSnafu)?;
+        send_queue.drain_into(&mut buffer).context(FrameSnafu)?;
         buffer.write_to(writer).await.context(FrameSnafu)?;
     }
 }
 
 async fn next_frame(reader: &mut FrameReader<OwnedReadHalf>) -> Result<Frame, LinkError> {
-    let frame = timeout(SILENCE, reader.next()).await.ok().context(SilentSnafu)?;
+    let frame = timeout(READ_TIMEOUT, reader.next()).await.ok().context(SilentSnafu)?;
     frame.context(FrameSnafu)?.context(ClosedSnafu)
 }
--- a/controlplane/controller/src/shell/listen.rs
+++ b/controlplane/controller/src/runtime/listen.rs
@@ -5,8 +5,10 @@
 use snafu::{ResultExt, Snafu};
 use tokio::net::{TcpListener, TcpSocket};
 
+/// Connections that the kernel queues until they are accepted.
 const BACKLOG: u32 = 1024;
 
+/// An address that can't be bound.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}"))]
 pub struct ListenError {
--- a/controlplane/controller/src/shell/node.rs
+++ b/controlplane/controller/src/runtime/node.rs
@@ -1,4 +1,4 @@
-//! The state machine with the connections and the disk that its actions go to.
+//! The state machine with the connections and the disk that its actions are carried out on.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -14,29 +14,29 @@
 
 use super::clock::Clock;
 use super::disk::{Disk, DiskReport};
-use super::outbox::Outbox;
-use super::peers::{PeerLink, PeerLinks};
-use super::reported::Reported;
+use super::peer_links::{ConnectionObserver, PeerLink, PeerLinks};
+use super::send_queue::SendQueue;
+use super::stable_value::StableValue;
 use crate::api::{Call, Response};
 use crate::controller::{Action, Controller, Event};
 use crate::pending::CallId;
 
-/// A balancer that doesn't read gets a new connection once so many bytes wait for it.
+/// The bytes queued for a balancer beyond which its connection is closed.
 const MAX_BALANCER_BYTES: usize = 8 * 1024 * 1024;
-/// Interval at which the connections to other controllers are looked at.
-const LINK_CHECK_MS: u64 = 300;
+/// The interval at which connections to other controllers are checked for silence and disuse.
+const PEER_CHECK_MS: u64 = 300;
 
-/// The node as the tasks of the process share it. It is never borrowed across a wait.
+/// The node as the tasks of the process share it. It is never borrowed across an `await`.
 pub type SharedNode = Rc<RefCell<Node>>;
 
-/// A call whose answer its task waits for.
+/// A call whose task waits for the response.
 struct WaitingCall {
     sender: oneshot::Sender<Response>,
-    /// What an operator asked for.
-    order: Option<String>,
+    /// The operator command for the log, if it is one.
+    command: Option<String>,
 }
 
-/// The bytes of the last message to a balancer: most balancers are sent the same, and share them.
+/// A cache of the last encoded message: most balancers are sent the same one, and share its bytes.
 #[derive(Default)]
 struct EncodedMessage {
     last: Option<(ToBalancer, Bytes)>,
@@ -61,21 +61,17 @@
     controller: Controller,
     calls: HashMap<CallId, WaitingCall>,
     last_call: u64,
-    subscribers: HashMap<SubscriberId, Rc<Outbox>>,
+    subscribers: HashMap<SubscriberId, Rc<SendQueue>>,
     last_subscriber: u64,
     peers: PeerLinks,
     disk: Disk,
-    links_checked_at: u64,
+    peers_checked_at: u64,
     was_in_quorum: bool,
-    fatal_losses: Reported<Vec<LossKind>>,
+    fatal_losses: StableValue<Vec<LossKind>>,
 }
 
 impl Node {
-    /// The controller's figures as OpenMetrics text.
-    pub fn metrics(&self) -> String {
-        self.controller.metrics(self.clock.now())
-    }
-
+    /// A node around a controller; nothing is sent before the first event.
     pub fn new(clock: Clock, controller: Controller, peers: PeerLinks, disk: Disk) -> Node {
         Node {
             clock,
@@ -86,20 +82,25 @@
             last_subscriber: 0,
             peers,
             disk,
-            links_checked_at: 0,
+            peers_checked_at: 0,
             was_in_quorum: false,
-            fatal_losses: Reported::default(),
+            fatal_losses: StableValue::default(),
         }
     }
 
-    /// Hands an event to the state machine and does what it wants.
+    /// The controller's metrics as OpenMetrics text.
+    pub fn metrics(&self) -> String {
+        self.controller.metrics(self.clock.now())
+    }
+
+    /// Hands an event to the state machine and carries out the actions it returns.
     pub fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         let actions = self.controller.handle(now, event);
         self.perform(now, actions);
     }
 
-    /// Does what the state machine wants.
+    /// Carries out actions of the state machine.
     pub fn perform(&mut self, now: u64, actions: Vec<Action>) {
         let mut encoded = EncodedMessage::default();
         for action in actions {
@@ -114,14 +115,14 @@
         }
     }
 
-    /// Some time has passed.
+    /// To be called periodically: advances the state machine and checks the connections.
     pub fn tick(&mut self) {
         self.handle(Event::Tick);
         let now = self.clock.now();
-        if now >= self.links_checked_at + LINK_CHECK_MS {
-            self.links_checked_at = now;
-            self.peers.renew_silent(now);
-            self.peers.end_unused(now, &self.controller.peers());
+        if now >= self.peers_checked_at + PEER_CHECK_MS {
+            self.peers_checked_at = now;
+            self.peers.reconnect_silent(now);
+            self.peers.close_unused(now, &self.controller.peers());
             self.report_fatal_losses(now);
         }
         let in_quorum = self.controller.is_in_quorum(now);
@@ -142,59 +143,60 @@
         warn!("no majority of the voters would outlive the tolerated loss of {}", names.join(", "));
     }
 
-    /// Takes a call; its answer comes through the receiver.
+    /// Starts a call; its response arrives at the receiver.
     pub fn call(&mut self, call: Call) -> (CallId, oneshot::Receiver<Response>) {
         self.last_call += 1;
         let id = CallId(self.last_call);
         let (sender, receiver) = oneshot::channel();
-        self.calls.insert(id, WaitingCall { sender, order: call.order_name() });
+        self.calls.insert(id, WaitingCall { sender, command: call.command_name() });
         self.handle(Event::Call { id, call });
         (id, receiver)
     }
 
-    /// A caller has gone, or has its answer.
+    /// Withdraws a call that is no longer waited for; no effect after its answer.
     pub fn end_call(&mut self, id: CallId) {
         if let Some(call) = self.calls.remove(&id) {
-            if let Some(order) = call.order {
-                info!("order {order}: its caller has gone");
+            if let Some(command) = call.command {
+                info!("command {command}: the caller has closed its connection");
             }
             self.handle(Event::CallDropped { id });
         }
     }
 
-    /// Whether callers wait.
+    /// Whether any caller waits for a response.
     pub fn has_calls(&self) -> bool {
         !self.calls.is_empty()
     }
 
-    /// Adds a connection of a balancer.
-    pub fn subscribe(&mut self) -> (SubscriberId, Rc<Outbox>) {
+    /// Registers the connection of a balancer; its task writes what the queue receives.
+    pub fn subscribe(&mut self) -> (SubscriberId, Rc<SendQueue>) {
         self.last_subscriber += 1;
         let id = SubscriberId(self.last_subscriber);
-        let outbox = Rc::new(Outbox::new(MAX_BALANCER_BYTES));
-        self.subscribers.insert(id, Rc::clone(&outbox));
-        (id, outbox)
+        let send_queue = Rc::new(SendQueue::new(MAX_BALANCER_BYTES));
+        self.subscribers.insert(id, Rc::clone(&send_queue));
+        (id, send_queue)
     }
 
+    /// Removes the connection of a balancer.
     pub fn unsubscribe(&mut self, subscriber: SubscriberId) {
         self.subscribers.remove(&subscriber);
         self.handle(Event::SubscriberClosed { subscriber });
     }
 
-    /// Something was read from a controller.
-    pub fn heard_of_peer(&mut self, peer: SocketAddr) {
+    /// Records that a frame was read from a controller.
+    pub fn peer_frame_received(&mut self, peer: SocketAddr) {
         let now = self.clock.now();
-        self.peers.heard(now, peer);
+        self.peers.frame_received(now, peer);
     }
 
-    /// The connection to a controller stands.
-    pub fn peer_connected(&mut self, link: &PeerLink) {
+    fn peer_connected(&mut self, link: &PeerLink) {
         let now = self.clock.now();
-        link.connected(now);
+        link.mark_connected(now);
         self.handle(Event::PeerConnected { peer: link.peer() });
     }
 
-    pub fn disk_reported(&mut self, report: DiskReport) {
+    /// Passes a finished job of the disk's thread to the state machine.
+    pub fn handle_disk_report(&mut self, report: DiskReport) {
         match report {
             DiskReport::Persisted { tokens, log_bytes } => {
                 for token in tokens {
@@ -214,8 +216,8 @@
 
     fn answer(&mut self, id: CallId, response: Response) {
         if let Some(call) = self.calls.remove(&id) {
-            if let Some(order) = call.order {
-                info!("order {order}: {response}");
+            if let Some(command) = call.command {
+                info!("command {command}: {response}");
             }
             // The caller may have gone in the meantime.
             let _ = call.sender.send(response);
@@ -223,8 +225,14 @@
     }
 
     fn send_balancer(&mut self, now: u64, to: SubscriberId, payload: Bytes) {
-        if let Some(outbox) = self.subscribers.get(&to) {
-            outbox.push(now, FrameKind::ToBalancer, payload);
+        if let Some(send_queue) = self.subscribers.get(&to) {
+            send_queue.push(now, FrameKind::ToBalancer, payload);
         }
     }
 }
+
+impl ConnectionObserver for RefCell<Node> {
+    fn connected(&self, link: &PeerLink) {
+        self.borrow_mut().peer_connected(link);
+    }
+}
--- a/controlplane/controller/src/shell/shared_folder.rs
+++ b/controlplane/controller/src/runtime/prefixed_directory.rs
@@ -1,4 +1,4 @@
-//! One folder for several journals, whose files have names of their own.
+//! One folder shared by several journals: each sees only the files whose names begin with its prefix.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,20 +7,20 @@
 
 /// The files of a folder whose names begin with a prefix.
 #[derive(Clone, Debug)]
-pub struct SharedFolder {
+pub struct PrefixedDirectory {
     folder: Rc<RefCell<FolderDirectory>>,
     prefix: &'static str,
 }
 
-impl SharedFolder {
+impl PrefixedDirectory {
     /// All files of the folder.
-    pub fn new(folder: FolderDirectory) -> SharedFolder {
-        SharedFolder { folder: Rc::new(RefCell::new(folder)), prefix: "" }
+    pub fn new(folder: FolderDirectory) -> PrefixedDirectory {
+        PrefixedDirectory { folder: Rc::new(RefCell::new(folder)), prefix: "" }
     }
 
     /// The files of the same folder whose names begin with a prefix.
-    pub fn with_prefix(&self, prefix: &'static str) -> SharedFolder {
-        SharedFolder { folder: Rc::clone(&self.folder), prefix }
+    pub fn with_prefix(&self, prefix: &'static str) -> PrefixedDirectory {
+        PrefixedDirectory { folder: Rc::clone(&self.folder), prefix }
     }
 
     fn name(&self, name: &str) -> String {
@@ -28,7 +28,7 @@
     }
 }
 
-impl Directory for SharedFolder {
+impl Directory for PrefixedDirectory {
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DirectoryError> {
         self.folder.borrow_mut().read(&self.name(name))
     }
--- a/controlplane/controller/src/shell/program.rs
+++ b/controlplane/controller/src/runtime/process.rs
@@ -1,10 +1,10 @@
-//! The controller program.
+//! The controller process: starts the node and its tasks, and shuts them down on a signal.
 
 use std::cell::RefCell;
 use std::future::Future;
 use std::hash::{BuildHasher, RandomState};
 use std::net::{IpAddr, SocketAddr};
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::time::Duration;
 
 use snafu::{OptionExt, ResultExt, Snafu};
@@ -23,51 +23,60 @@
 use super::clock::Clock;
 use super::disk::{self, DiskError, DiskReport, OpenedDisk};
 use super::http_server::{self, HttpServer};
-use super::links;
+use super::inbound;
 use super::listen::{ListenError, listen};
 use super::node::{Node, SharedNode};
-use super::peers::PeerLinks;
+use super::peer_links::PeerLinks;
 use crate::controller::{Action, Controller, ControllerSettings, Event};
 use crate::orders::Orders;
 
+/// The interval at which the state machine is advanced.
 const TICK: Duration = Duration::from_millis(50);
-/// After a signal to stop, callers are served for this time, so that they find another controller meanwhile.
-pub(super) const LAST_SERVICE: Duration = Duration::from_millis(400);
-/// The process ends at most this much later, also with calls under way.
-const LAST_CALLS: Duration = Duration::from_millis(1_200);
-const LAST_CALLS_CHECK: Duration = Duration::from_millis(50);
+/// How long callers are still served after a signal to stop: they find another controller meanwhile.
+pub(super) const SHUTDOWN_GRACE: Duration = Duration::from_millis(400);
+/// How long the process then waits for calls in flight.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The interval at which the calls in flight are counted while the process waits for them.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why the controller could not run.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ControllerError {
+    /// A controller needs a folder for its state.
     #[snafu(display("the settings name no data_dir"))]
     NoDataDirectory,
+    /// A directory needs an address to listen on.
     #[snafu(display("the settings name no directory address to listen on"))]
     NoDirectoryAddress,
+    /// An address can't be bound.
     #[snafu(display("{source}"))]
     Listen { source: ListenError },
+    /// The disk's thread can't be used.
     #[snafu(display("{source}"))]
     Disk { source: DiskError },
+    /// The handlers of SIGTERM and SIGHUP can't be installed.
     #[snafu(display("the signals of the process can't be watched"))]
     Signals { source: std::io::Error },
 }
 
-/// Runs the controller until the process is told to stop. To be called inside a `LocalSet`. Its figures are served at
-/// `metrics`, if given.
+/// Runs the controller until SIGTERM. To be called inside a `LocalSet`. Its metrics are served at the endpoint, if one is
+/// given.
 pub async fn run(settings: Settings, metrics: Option<MetricsEndpoint>) -> Result<(), ControllerError> {
     let mut stop = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut reload = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let listeners = Listeners::open(&settings)?;
     let folder = settings.data_dir.clone().context(NoDataDirectorySnafu)?;
     let clock = Clock::start();
-    let recalls = settings.mechanisms.has(Mechanism::Recall);
-    let Some(opened) = until(&mut stop, disk::open(folder, recalls)).await else { return Ok(()) };
+    let restores_state = settings.mechanisms.has(Mechanism::Recall);
+    let Some(opened) = unless_stopped(&mut stop, disk::open(folder, restores_state)).await else {
+        return Ok(());
+    };
     let OpenedDisk { disk, recovered, was_damaged, reports } = opened.context(DiskSnafu)?;
     let bootstrap = settings.bootstrap && !was_damaged;
     let (controller, actions) = start_controller(&settings, bootstrap, recovered, clock.now());
     let own = settings.internal_endpoint(settings.ip);
-    let node: SharedNode = Rc::new_cyclic(|node| {
+    let node: SharedNode = Rc::new_cyclic(|node: &Weak<RefCell<Node>>| {
         RefCell::new(Node::new(clock, controller, PeerLinks::new(own, node.clone()), disk))
     });
     node.borrow_mut().perform(clock.now(), actions);
@@ -77,22 +86,22 @@
     spawn_local(take_disk_reports(reports, Rc::clone(&node)));
     spawn_local(tick(Rc::clone(&node)));
     if let Some(endpoint) = metrics {
-        let watched = Rc::clone(&node);
+        let observed = Rc::clone(&node);
         spawn_local(whinspindle_metrics::serve(
             settings.ip,
             endpoint,
-            Rc::new(move || watched.borrow().metrics()),
+            Rc::new(move || observed.borrow().metrics()),
         ));
     }
-    info!("controller {} serves {} and {own}", settings.node, described(settings.listen.control));
+    info!("controller {} serves {} and {own}", settings.node, describe_address(settings.listen.control));
     wait_for_stop(&mut stop, &mut reload).await;
     info!("controller {} stops", settings.node);
-    leave(&node, &server, &stopping).await;
+    shut_down(&node, &server, &stopping).await;
     Ok(())
 }
 
-/// The output of a future, or none if the process is told to stop first.
-async fn until<T>(stop: &mut Signal, future: impl Future<Output = T>) -> Option<T> {
+/// The output of a future, or none if SIGTERM comes first.
+async fn unless_stopped<T>(stop: &mut Signal, future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         output = future => Some(output),
         _ = stop.recv() => None,
@@ -115,7 +124,7 @@
     }
 
     fn accept_all(self, node: &SharedNode, server: &Rc<HttpServer>) {
-        spawn_local(links::accept(self.internal, Rc::clone(node)));
+        spawn_local(inbound::accept(self.internal, Rc::clone(node)));
         for listener in self.http {
             spawn_local(http_server::accept(listener, Rc::clone(server)));
         }
@@ -160,8 +169,8 @@
         tolerance: tolerance(settings),
         timing: Timing::default(),
     };
-    let found = (recovered.checkpoint, recovered.log);
-    let failure = match Replica::new(replica_settings.clone(), Orders, found, now) {
+    let stored = (recovered.checkpoint, recovered.log);
+    let failure = match Replica::new(replica_settings.clone(), Orders, stored, now) {
         Ok(started) => return started,
         Err(failure) => failure,
     };
@@ -184,13 +193,13 @@
 }
 
 fn random() -> u64 {
-    // Each state has keys of its own that the system drew at random.
+    // Each `RandomState` has keys of its own that the operating system drew at random.
     RandomState::new().hash_one(IpAddr::from([0, 0, 0, 0]))
 }
 
 async fn take_disk_reports(mut reports: UnboundedReceiver<DiskReport>, node: SharedNode) {
     while let Some(report) = reports.recv().await {
-        node.borrow_mut().disk_reported(report);
+        node.borrow_mut().handle_disk_report(report);
     }
 }
 
@@ -212,18 +221,18 @@
     }
 }
 
-/// Hands the controller's part to the others, finishes the calls under way and lets the connections end.
-async fn leave(node: &SharedNode, server: &HttpServer, stopping: &watch::Sender<bool>) {
+/// Hands the controller's roles over to others, finishes the calls in flight and closes the connections.
+async fn shut_down(node: &SharedNode, server: &HttpServer, stopping: &watch::Sender<bool>) {
     node.borrow_mut().handle(Event::Leave);
-    sleep(LAST_SERVICE).await;
+    sleep(SHUTDOWN_GRACE).await;
     stopping.send_replace(true);
-    let mut left = LAST_CALLS;
-    while !left.is_zero() && (node.borrow().has_calls() || !server.is_idle()) {
-        sleep(LAST_CALLS_CHECK).await;
-        left = left.saturating_sub(LAST_CALLS_CHECK);
+    let mut remaining = DRAIN_TIMEOUT;
+    while !remaining.is_zero() && (node.borrow().has_calls() || !server.is_idle()) {
+        sleep(DRAIN_POLL_INTERVAL).await;
+        remaining = remaining.saturating_sub(DRAIN_POLL_INTERVAL);
     }
 }
 
-fn described(address: Option<SocketAddr>) -> String {
+fn describe_address(address: Option<SocketAddr>) -> String {
     address.map_or_else(|| "no control address".to_owned(), |address| address.to_string())
 }
--- a/controlplane/controller/src/shell/outbox.rs
+++ b/controlplane/controller/src/runtime/send_queue.rs
@@ -1,4 +1,4 @@
-//! Frames that wait for the task that writes them to a connection.
+//! Frames that are queued for the task that writes them to a connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -7,24 +7,25 @@
 use tokio::sync::Notify;
 use whinspindle_distribution::frame::{FrameBuffer, FrameError, FrameKind};
 
-struct Queued {
-    at: u64,
+struct QueuedFrame {
+    queued_at: u64,
     kind: FrameKind,
     payload: Bytes,
 }
 
 /// A bounded queue with one reader. When it is full the oldest frames are dropped.
-pub struct Outbox {
+pub struct SendQueue {
     max_bytes: usize,
-    queue: RefCell<VecDeque<Queued>>,
+    queue: RefCell<VecDeque<QueuedFrame>>,
     queued_bytes: Cell<usize>,
     dropped: Cell<bool>,
     changed: Notify,
 }
 
-impl Outbox {
-    pub fn new(max_bytes: usize) -> Outbox {
-        Outbox {
+impl SendQueue {
+    /// An empty queue that holds `max_bytes` of payload at most.
+    pub fn new(max_bytes: usize) -> SendQueue {
+        SendQueue {
             max_bytes,
             queue: RefCell::new(VecDeque::new()),
             queued_bytes: Cell::new(0),
@@ -33,10 +34,11 @@
         }
     }
 
+    /// Queues a frame at the time `now`.
     pub fn push(&self, now: u64, kind: FrameKind, payload: Bytes) {
         let mut queue = self.queue.borrow_mut();
         let mut bytes = self.queued_bytes.get() + payload.len();
-        queue.push_back(Queued { at: now, kind, payload });
+        queue.push_back(QueuedFrame { queued_at: now, kind, payload });
         while bytes > self.max_bytes && queue.len() > 1 {
             bytes -= queue.pop_front().map_or(0, |oldest| oldest.payload.len());
             self.dropped.set(true);
@@ -45,23 +47,23 @@
         self.changed.notify_one();
     }
 
-    /// Waits until something was pushed.
-    pub async fn filled(&self) {
+    /// Waits until at least one frame is queued.
+    pub async fn wait_until_filled(&self) {
         while self.queue.borrow().is_empty() {
             self.changed.notified().await;
         }
     }
 
     /// Moves all queued frames into a buffer.
-    pub fn move_to(&self, buffer: &mut FrameBuffer) -> Result<(), FrameError> {
+    pub fn drain_into(&self, buffer: &mut FrameBuffer) -> Result<(), FrameError> {
         self.queued_bytes.set(0);
         self.queue.borrow_mut().drain(..).try_for_each(|queued| buffer.push(queued.kind, &queued.payload))
     }
 
-    /// Drops frames that were pushed before a moment.
-    pub fn drop_before(&self, moment: u64) {
+    /// Drops frames that were pushed before a time.
+    pub fn drop_before(&self, time: u64) {
         let mut queue = self.queue.borrow_mut();
-        while queue.front().is_some_and(|queued| queued.at < moment) {
+        while queue.front().is_some_and(|queued| queued.queued_at < time) {
             let bytes = queue.pop_front().map_or(0, |queued| queued.payload.len());
             self.queued_bytes.set(self.queued_bytes.get() - bytes);
         }
--- a/controlplane/controller/tests/api.rs
+++ b/controlplane/controller/tests/api.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use whinspindle_controller::api::{Call, Refusal, Request, Response, is_order, parse};
+use whinspindle_controller::api::{Call, Refusal, Request, Response, is_command, parse};
 
 const CONFIGURATION: &str = r#"{"generation":7,
     "routes":[{"name":"r","host":"shop.example","path_prefix":"/a/","kind":"safe","timeout_ms":1000,
@@ -145,13 +145,13 @@
 #[test]
 fn the_log_names_orders_of_operators_and_their_answers() {
     let replace = Call::Replace { base: 5, generation: 7, body: Bytes::new() };
-    assert_eq!(replace.order_name().as_deref(), Some("configuration 7 on 5"));
+    assert_eq!(replace.command_name().as_deref(), Some("configuration 7 on 5"));
     let begin = Call::Evacuate { zone: "zone-a".to_owned(), evacuated: true };
-    assert_eq!(begin.order_name().as_deref(), Some("evacuation of zone-a"));
+    assert_eq!(begin.command_name().as_deref(), Some("evacuation of zone-a"));
     let finish = Call::Evacuate { zone: "zone-a".to_owned(), evacuated: false };
-    assert_eq!(finish.order_name().as_deref(), Some("end of the evacuation of zone-a"));
-    assert_eq!(Call::Fetch.order_name(), None);
-    assert_eq!(Call::Deregister { instance: "i-1".to_owned() }.order_name(), None);
+    assert_eq!(finish.command_name().as_deref(), Some("end of the evacuation of zone-a"));
+    assert_eq!(Call::Fetch.command_name(), None);
+    assert_eq!(Call::Deregister { instance: "i-1".to_owned() }.command_name(), None);
 
     assert_eq!(Response::accepted().to_string(), "200 OK");
     let refused = Response::failure(StatusCode::PRECONDITION_FAILED, "another one");
@@ -162,6 +162,6 @@
         ("/Config.Fetch", false),
         ("/status", false),
     ] {
-        assert_eq!(is_order(path), expected, "{path}");
+        assert_eq!(is_command(path), expected, "{path}");
     }
 }
