--- a/dataplane/proxy/src/exchange.rs
+++ b/dataplane/proxy/src/exchange.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 use whinspindle_configuration::Mechanism;
-use whinspindle_routing::{Attempt, Choice, InstanceKey, InstanceTarget, Outcome};
+use whinspindle_routing::{AttemptId, Choice, InstanceKey, InstanceTarget, Outcome};
 
 use self::reading::Answered;
 use crate::answers::RETRY_AFTER_MS;
@@ -30,7 +30,7 @@
 /// A send that the router has granted.
 #[derive(Clone, Copy, Debug)]
 pub struct Chosen {
-    pub attempt: Attempt,
+    pub attempt: AttemptId,
     pub instance: InstanceKey,
 }
 
@@ -76,11 +76,11 @@
 /// A send under way; the router is told how it ends, also when it is dropped.
 pub struct Sent {
     node: Rc<Node>,
-    attempt: Option<Attempt>,
+    attempt: Option<AttemptId>,
 }
 
 impl Sent {
-    fn new(node: &Rc<Node>, attempt: Attempt) -> Self {
+    fn new(node: &Rc<Node>, attempt: AttemptId) -> Self {
         Sent { node: Rc::clone(node), attempt: Some(attempt) }
     }
 
@@ -207,8 +207,8 @@
         let now = self.node.clock.now_ms();
         let choice = self.node.router.borrow_mut().choose(now, facts, &self.tried);
         match choice {
-            Choice::Send { attempt, instance } => Ok(Chosen { attempt, instance }),
-            Choice::Refuse(refusal) => {
+            Choice::Forward { attempt, instance } => Ok(Chosen { attempt, instance }),
+            Choice::Reject(refusal) => {
                 self.retry_after_ms = refusal.retry_after_ms;
                 Err(self.given_up(retry::give_up(self.history)))
             }
@@ -277,7 +277,7 @@
             })
         })?;
         if leased.lane.is_fresh() {
-            self.node.router.borrow_mut().heard(instance);
+            self.node.router.borrow_mut().record_received(instance);
         }
         // The connect may have taken a while.
         let wanted = self.node.router.borrow().may_still_send(instance);
--- a/dataplane/proxy/src/feed.rs
+++ b/dataplane/proxy/src/feed.rs
@@ -146,7 +146,7 @@
         ready: node.is_ready(),
         shutting_down: node.stop.is_ordered(),
         applied: node.holder.borrow().versions(),
-        sends: node.router.borrow().sends(node.clock.now_ms()),
+        sends: node.router.borrow().attempt_rates(node.clock.now_ms()),
         failing: node.router.borrow().failing(node.clock.now_ms()),
     };
     frames.push(FrameKind::Report, &encode_report(&report)).context(FrameSnafu)?;
--- a/dataplane/proxy/src/figures.rs
+++ b/dataplane/proxy/src/figures.rs
@@ -1,7 +1,7 @@
 //! The proxy's own figures, read from its state when somebody asks.
 
 use whinspindle_metrics::Figures;
-use whinspindle_routing::{RefusalReason, RegionFigures, ServiceFigures};
+use whinspindle_routing::{RegionMetrics, RejectionReason, ServiceMetrics};
 
 use crate::node::Node;
 
@@ -9,7 +9,7 @@
 pub fn text(node: &Node) -> String {
     let mut figures = Figures::default();
     add_requests(&mut figures, node);
-    let services = node.router.borrow().figures(node.clock.now_ms());
+    let services = node.router.borrow().metrics(node.clock.now_ms());
     add_services(&mut figures, &services);
     figures.into_text()
 }
@@ -27,13 +27,13 @@
     figures.gauge("ready", "1 while the proxy takes clients", [([].as_slice(), is_ready)]);
 }
 
-fn add_services(figures: &mut Figures, services: &[ServiceFigures]) {
+fn add_services(figures: &mut Figures, services: &[ServiceMetrics]) {
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
-    let left = labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.repeats_left));
+    let left = labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.retry_budget));
     figures.gauge("repeats_left", "Repeated sends that this balancer's part of the budget allows", left);
     add_choices(figures, services);
     add_regions(figures, services, "region_share", "Weight by which the region is drawn", |region| {
-        region.share
+        region.weight
     });
     add_regions(
         figures,
@@ -49,22 +49,24 @@
         "Upstreams that may be sent to and don't rest",
         |region| region.ready as f64,
     );
-    add_regions(figures, services, "upstreams_cold", "Upstreams that are cold", |region| region.cold as f64);
+    add_regions(figures, services, "upstreams_cold", "Upstreams that are cold", |region| {
+        region.warming_up as f64
+    });
     add_regions(figures, services, "upstreams_resting", "Upstreams that rest after failures", |region| {
-        region.resting as f64
+        region.ejected as f64
     });
     add_regions(figures, services, "upstreams_out_of_reach", "Upstreams in places out of reach", |region| {
-        region.out_of_reach as f64
+        region.unreachable as f64
     });
     add_regions(figures, services, "sends_in_flight", "This balancer's sends under way", |region| {
         region.in_flight as f64
     });
 }
 
-fn add_choices(figures: &mut Figures, services: &[ServiceFigures]) {
+fn add_choices(figures: &mut Figures, services: &[ServiceMetrics]) {
     let refusals = services.iter().flat_map(|service| {
-        let named = |(reason, count): &(RefusalReason, u64)| (format!("{reason:?}"), *count);
-        service.refusals.iter().map(named).map(|(reason, count)| (service.service.as_str(), reason, count))
+        let named = |(reason, count): &(RejectionReason, u64)| (reason.label().to_owned(), *count);
+        service.rejections.iter().map(named).map(|(reason, count)| (service.service.as_str(), reason, count))
     });
     let refusals: Vec<_> = refusals.collect();
     let labels: Vec<_> = refusals
@@ -81,7 +83,7 @@
         .iter()
         .flat_map(|service| {
             let name = service.service.as_str();
-            [(name, "holder", service.at_holder), (name, "elsewhere", service.beside_holder)]
+            [(name, "holder", service.at_cache_owner), (name, "elsewhere", service.beside_cache_owner)]
         })
         .map(|(service, place, count)| ([("service", service), ("to", place)], count))
         .collect();
@@ -95,10 +97,10 @@
 
 fn add_regions(
     figures: &mut Figures,
-    services: &[ServiceFigures],
+    services: &[ServiceMetrics],
     name: &str,
     help: &str,
-    value: impl Fn(&RegionFigures) -> f64,
+    value: impl Fn(&RegionMetrics) -> f64,
 ) {
     let regions: Vec<([(&str, &str); 2], f64)> = services
         .iter()
--- a/dataplane/proxy/src/stream.rs
+++ b/dataplane/proxy/src/stream.rs
@@ -186,7 +186,7 @@
             }
         };
         if events.length > 0 {
-            self.node.router.borrow_mut().heard(flow.run.leased.instance());
+            self.node.router.borrow_mut().record_received(flow.run.leased.instance());
             self.note_events();
         }
         if broke {
--- a/dataplane/routing/src/budget.rs
+++ b/dataplane/routing/src/budget.rs
@@ -1,52 +1,58 @@
-//! This balancer's share of the budget of repeated sends.
+//! The retry budget: this balancer's part of the retries that the whole fleet may make.
 
 use whinspindle_configuration::Bounds;
 
-/// A first send earns this part of the ratio that the rule allows, and this part of the slack is used.
-const USED_PART: f64 = 0.5;
-/// Stands for the number of balancers while it is not known.
+/// Fraction used of the configured retry ratio and of the configured slack.
+const USED_FRACTION: f64 = 0.5;
+/// Number of balancers that is assumed while it is unknown.
 const ASSUMED_BALANCERS: u32 = 64;
 
-/// A bucket of tokens, one a repeated send. Within any span the sends are at most its size plus what was earned then.
+/// A token bucket; a retry costs one token. Within any span there are at most as many retries as the size of the bucket
+/// and the tokens earned in that span.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryBudget {
     tokens: f64,
     balancers: u32,
+    /// The number of balancers has been known; from then on a change of it adds no tokens.
     begun: bool,
 }
 
 impl RetryBudget {
-    /// The number of balancers that share the slack; 0 while it is not known.
-    pub(crate) fn share_among(&mut self, balancers: u32, bounds: &Bounds) {
+    /// Sets the number of balancers that divide the slack among them; 0 while it is unknown.
+    pub(crate) fn set_balancers(&mut self, balancers: u32, bounds: &Bounds) {
         self.balancers = if balancers == 0 { ASSUMED_BALANCERS } else { balancers };
         let size = self.size(bounds);
         self.tokens = if self.begun { self.tokens.min(size) } else { size };
         self.begun = self.begun || balancers > 0;
     }
 
+    /// Adds what the arrival of a request earns.
     pub(crate) fn earn(&mut self, bounds: &Bounds) {
-        let earned = self.tokens + bounds.retry_ratio * USED_PART;
+        let earned = self.tokens + bounds.retry_ratio * USED_FRACTION;
         self.tokens = self.tokens.max(earned.min(self.size(bounds)));
     }
 
+    /// Tokens in the bucket.
     pub(crate) fn tokens(&self) -> f64 {
         self.tokens
     }
 
+    /// Whether a retry can be paid for.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    pub(crate) fn take(&mut self) {
+    /// Pays for a retry.
+    pub(crate) fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// A repeat that was paid for did not arrive.
-    pub(crate) fn give_back(&mut self) {
+    /// Returns the token of a retry that did not reach its upstream.
+    pub(crate) fn refund(&mut self) {
         self.tokens += 1.0;
     }
 
     fn size(&self, bounds: &Bounds) -> f64 {
-        bounds.retry_slack * USED_PART / f64::from(self.balancers.max(1))
+        bounds.retry_slack * USED_FRACTION / f64::from(self.balancers.max(1))
     }
 }
--- a/dataplane/routing/src/counts.rs
+++ b/dataplane/routing/src/counts.rs
@@ -1,33 +1,36 @@
-//! What a service's choices came to, counted since the start of the process.
+//! Counters of a service's choices since the start of the process.
 
 use std::cell::Cell;
 
 use indexmap::IndexMap;
 
-use crate::RefusalReason;
+use crate::RejectionReason;
 
-/// Counts of a service's choices. Those of picks are cells, since a pick changes nothing else.
+/// Counters of a service's choices. Those of picks are cells since a pick borrows the service immutably.
 #[derive(Debug, Default)]
 pub(crate) struct ChoiceCounts {
-    /// Picks that passed over an instance for its sends in flight.
+    /// Picks that passed over an instance for its attempts in flight.
     pub(crate) passed_over: Cell<u64>,
-    /// Prompts sent to the instance that ranks highest for their shared parts.
-    pub(crate) at_holder: Cell<u64>,
-    /// Prompts sent elsewhere, since that one had too much.
-    pub(crate) beside_holder: Cell<u64>,
-    refusals: IndexMap<RefusalReason, u64>,
+    /// Prompts forwarded to the cache owner of their prefix.
+    pub(crate) at_cache_owner: Cell<u64>,
+    /// Prompts forwarded elsewhere since the cache owner was above its bound.
+    pub(crate) beside_cache_owner: Cell<u64>,
+    rejections: IndexMap<RejectionReason, u64>,
 }
 
 impl ChoiceCounts {
-    pub(crate) fn note_refusal(&mut self, reason: RefusalReason) {
-        *self.refusals.entry(reason).or_default() += 1;
+    /// Counts a rejection.
+    pub(crate) fn record_rejection(&mut self, reason: RejectionReason) {
+        *self.rejections.entry(reason).or_default() += 1;
     }
 
-    pub(crate) fn refusals(&self) -> Vec<(RefusalReason, u64)> {
-        self.refusals.iter().map(|(&reason, &count)| (reason, count)).collect()
+    /// Rejections by reason, in the order in which the reasons first occurred.
+    pub(crate) fn rejections(&self) -> Vec<(RejectionReason, u64)> {
+        self.rejections.iter().map(|(&reason, &count)| (reason, count)).collect()
     }
 }
 
+/// Adds one to a counter.
 pub(crate) fn count_one(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/dataplane/routing/src/even_draw.rs
+++ b/dataplane/routing/src/even_draw.rs
@@ -1,28 +1,28 @@
-//! Draws among weighted parts so that each gets its share of a few draws already, not only of very many.
+//! Weighted draws by a low-discrepancy sequence, so that few draws already keep to the weights.
 //!
-//! Draws that know nothing of each other leave a share off by several in a hundred when it is counted over some hundred
-//! requests. Here the points of one sequence lie evenly (each a golden section further round the circle of all weights)
-//! and only its beginning is drawn by chance, so that balancers do not move in step.
+//! With independent random draws, a fraction over some hundred requests is off by several percent. Here each point is the
+//! last one plus the golden ratio, modulo 1 (a Kronecker sequence). Only the first point is random, so that balancers do
+//! not draw in step.
 
 use whinspindle::pcg::Pcg;
 
-/// The golden section of the circle: points in steps of it lie most evenly, however many there are.
+/// The fractional part of the golden ratio: multiples of it are spread most evenly over the unit interval.
 const STEP: f64 = 0.618_033_988_749_894_9;
 
 /// One sequence of draws.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EvenDraw {
-    /// Where on the circle the last draw was, from 0 up to but without 1.
+    /// The last point, in [0, 1).
     point: f64,
 }
 
 impl EvenDraw {
-    /// A sequence that begins anywhere.
-    pub(crate) fn beginning_by_chance(chance: &mut Pcg) -> Self {
-        EvenDraw { point: chance.unit() }
+    /// A sequence with a random first point.
+    pub(crate) fn starting_at_random(random: &mut Pcg) -> Self {
+        EvenDraw { point: random.unit() }
     }
 
-    /// An index in proportion to its weight; none where no weight is positive.
+    /// Draws an index in proportion to its weight; none if no weight is positive.
     pub(crate) fn pick(&mut self, weights: &[f64]) -> Option<usize> {
         self.point = (self.point + STEP).fract();
         let last = weights.iter().rposition(|&weight| weight > 0.0)?;
--- a/dataplane/routing/src/health.rs
+++ b/dataplane/routing/src/health.rs
@@ -1,79 +1,90 @@
-//! Whether an instance answers, as seen by this balancer's own sends alone.
+//! Outlier ejection by the results of this balancer's own attempts.
 
-/// An instance rests after so many sends in a row that came to nothing.
-const STRIKES: u32 = 2;
-const FIRST_REST_MS: u64 = 300;
-/// A rest doubles so many times at most.
+/// Consecutive failures after which an instance is ejected.
+const CONSECUTIVE_FAILURES: u32 = 2;
+/// Length of the first ejection, in milliseconds.
+const FIRST_EJECTION_MS: u64 = 300;
+/// The length doubles with each further ejection, at most this many times.
 const DOUBLINGS: u32 = 4;
 
-/// After so many rests in a row, each with a trial that failed, an instance counts as down.
-const RESTS_UNTIL_DOWN: u32 = 2;
+/// Consecutive ejections after which an instance counts as down: the probe after each ejection has failed too.
+const EJECTIONS_UNTIL_DOWN: u32 = 2;
 
-/// Failures are told to the other balancers for so long after the last one.
-const EVIDENCE_MS: u64 = 4_000;
+/// Failures are reported to the other balancers for this time after the last one.
+const FAILURE_REPORT_MS: u64 = 4_000;
 
-/// Counts sends that came to nothing, and rests the instance for a while: first shortly, then longer each time that
-/// the trial after a rest fails too.
+/// Counts consecutive failures of an instance and ejects it for a time that grows with each failed probe.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    strikes: u32,
-    rests: u32,
-    resting_until: u64,
+    /// Failures since the last answer.
+    consecutive_failures: u32,
+    /// Ejections since the last answer.
+    ejections: u32,
+    /// End of the present or last ejection.
+    ejected_until: u64,
+    /// Time of the last answer.
     last_answer: u64,
-    /// Answers that were failures of the instance, and when the last one came.
-    failures: u32,
+    /// Answers that were failures of the instance itself (5xx).
+    failed_answers: u32,
+    /// Time of the last of these.
     failed_at: u64,
 }
 
 impl Health {
-    /// Any answer ends the doubt.
-    pub(crate) fn answered(&mut self, now: u64) {
-        let (failures, failed_at) = (self.failures, self.failed_at);
-        *self = Health { last_answer: now, failures, failed_at, ..Health::default() };
+    /// Records an answer of any kind: the instance is healthy again.
+    pub(crate) fn record_answer(&mut self, now: u64) {
+        let (failed_answers, failed_at) = (self.failed_answers, self.failed_at);
+        *self = Health { last_answer: now, failed_answers, failed_at, ..Health::default() };
     }
 
-    /// The instance has answered with a failure of its own.
-    pub(crate) fn note_failed_answer(&mut self, now: u64) {
-        self.failures = self.recent_failures(now) + 1;
+    /// Records an answer that is a failure of the instance itself.
+    pub(crate) fn record_failed_answer(&mut self, now: u64) {
+        self.failed_answers = self.recent_failures(now) + 1;
         self.failed_at = now;
     }
 
-    /// Failures for as long as they are evidence.
+    /// Number of failed answers, as long as they are to be reported to other balancers.
     pub(crate) fn recent_failures(&self, now: u64) -> u32 {
-        if self.failures > 0 && now < self.failed_at + EVIDENCE_MS { self.failures } else { 0 }
+        if self.failed_answers > 0 && now < self.failed_at + FAILURE_REPORT_MS {
+            self.failed_answers
+        } else {
+            0
+        }
     }
 
+    /// Time of the last answer; 0 if there was none.
     pub(crate) fn last_answer(&self) -> u64 {
         self.last_answer
     }
 
-    /// A send came to nothing; answers whether a rest is due.
-    pub(crate) fn failed(&mut self) -> bool {
-        self.strikes += 1;
-        self.strikes >= STRIKES
+    /// Records an attempt without an answer. Returns whether the instance is to be ejected.
+    pub(crate) fn record_failure(&mut self) -> bool {
+        self.consecutive_failures += 1;
+        self.consecutive_failures >= CONSECUTIVE_FAILURES
     }
 
-    /// A connection fell silent: that alone says enough.
-    pub(crate) fn fell_silent(&mut self) -> bool {
-        self.strikes = self.strikes.max(STRIKES);
+    /// Records that connecting timed out, for which the instance is to be ejected at once.
+    pub(crate) fn record_time_out(&mut self) -> bool {
+        self.consecutive_failures = self.consecutive_failures.max(CONSECUTIVE_FAILURES);
         true
     }
 
-    pub(crate) fn rest(&mut self, now: u64) {
-        if now < self.resting_until {
+    /// Ejects the instance, unless it is ejected already.
+    pub(crate) fn eject(&mut self, now: u64) {
+        if now < self.ejected_until {
             return;
         }
-        self.resting_until = now + (FIRST_REST_MS << self.rests.min(DOUBLINGS));
-        self.rests += 1;
+        self.ejected_until = now + (FIRST_EJECTION_MS << self.ejections.min(DOUBLINGS));
+        self.ejections += 1;
     }
 
-    /// Whether it rests, or is on trial and its one send is not answered yet.
-    pub(crate) fn is_resting(&self, now: u64, unanswered: u32) -> bool {
-        now < self.resting_until || (self.rests > 0 && unanswered > 0)
+    /// Whether it is ejected, or is probed after an ejection by one attempt that has no answer yet.
+    pub(crate) fn is_ejected(&self, now: u64, unanswered: u32) -> bool {
+        now < self.ejected_until || (self.ejections > 0 && unanswered > 0)
     }
 
-    /// Whether it rests and the trial after an earlier rest failed too.
+    /// Whether it is ejected and the probe after an earlier ejection has failed too.
     pub(crate) fn is_down(&self, now: u64, unanswered: u32) -> bool {
-        self.rests >= RESTS_UNTIL_DOWN && self.is_resting(now, unanswered)
+        self.ejections >= EJECTIONS_UNTIL_DOWN && self.is_ejected(now, unanswered)
     }
 }
--- /dev/null
+++ b/dataplane/routing/src/metrics.rs
@@ -0,0 +1,80 @@
+//! Metrics of a router.
+
+use crate::service::Service;
+use crate::{RejectionReason, Router};
+
+/// Metrics of one service, as this balancer sees it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ServiceMetrics {
+    /// Name of the service.
+    pub service: String,
+    /// Retries that the balancer's part of the retry budget allows now.
+    pub retry_budget: f64,
+    /// Requests rejected since the start, by reason.
+    pub rejections: Vec<(RejectionReason, u64)>,
+    /// Picks since the start that passed over an instance for its attempts in flight.
+    pub passed_over: u64,
+    /// Prompts forwarded since the start to the cache owner of their prefix.
+    pub at_cache_owner: u64,
+    /// Prompts forwarded since the start to another instance than the cache owner of their prefix.
+    pub beside_cache_owner: u64,
+    /// The service's instances by region.
+    pub regions: Vec<RegionMetrics>,
+}
+
+/// Metrics of a service's instances in one region.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RegionMetrics {
+    /// Name of the region.
+    pub region: String,
+    /// The weight by which the region is drawn, between 0 and 1.
+    pub weight: f64,
+    /// Root mean square distance of latencies from the fit that the weight is solved with, in milliseconds.
+    pub fit_error_ms: f64,
+    /// Instances that take requests and are neither ejected nor unreachable.
+    pub ready: u64,
+    /// Instances in slow start.
+    pub warming_up: u64,
+    /// Instances ejected for consecutive failures.
+    pub ejected: u64,
+    /// Instances in a zone or region that this balancer can't domain.
+    pub unreachable: u64,
+    /// This balancer's open attempts.
+    pub in_flight: u64,
+}
+
+impl Router {
+    /// The present metrics, by service and region.
+    pub fn metrics(&self, now: u64) -> Vec<ServiceMetrics> {
+        let metrics = |(id, service): (usize, &Service)| ServiceMetrics {
+            service: self.catalogue.service_name(id).to_owned(),
+            retry_budget: service.budget.tokens(),
+            rejections: service.counts.rejections(),
+            passed_over: service.counts.passed_over.get(),
+            at_cache_owner: service.counts.at_cache_owner.get(),
+            beside_cache_owner: service.counts.beside_cache_owner.get(),
+            regions: (0..service.regions.len())
+                .map(|region| self.region_metrics(service, region, now))
+                .collect(),
+        };
+        self.services.iter().enumerate().map(metrics).collect()
+    }
+
+    fn region_metrics(&self, service: &Service, region: usize, now: u64) -> RegionMetrics {
+        let open = || {
+            let in_region = service.instances.values().filter(move |instance| instance.region == region);
+            in_region.filter(|instance| instance.may_be_sent_to())
+        };
+        RegionMetrics {
+            region: self.catalogue.region_name(region).to_owned(),
+            weight: service.regions[region].weight,
+            fit_error_ms: service.regions[region].fit_error(now),
+            ready: open().filter(|instance| instance.is_ready(now)).count() as u64,
+            warming_up: open().filter(|instance| instance.is_warming_up(now)).count() as u64,
+            ejected: open().filter(|instance| instance.health.is_ejected(now, instance.unanswered)).count()
+                as u64,
+            unreachable: open().filter(|instance| now < instance.unreachable_until).count() as u64,
+            in_flight: open().map(|instance| u64::from(instance.in_flight)).sum(),
+        }
+    }
+}
--- a/dataplane/routing/src/rate.rs
+++ b/dataplane/routing/src/rate.rs
@@ -1,11 +1,13 @@
-//! Events a second over a short span.
+//! Events a second over a sliding window.
 
+/// Length of a bucket, in milliseconds.
 const BUCKET_MS: u64 = 250;
+/// Number of buckets in the window.
 const BUCKETS: usize = 8;
-/// The least span over which a rate is taken, so that a single early event is no flood.
+/// The least time over which a rate is computed, so that a single early event makes no high rate.
 const LEAST_SPAN_MS: u64 = 1_000;
 
-/// Counts events in buckets of time; the rate is over the last two seconds or so.
+/// Counts events in buckets of time; the window covers about the last two seconds.
 #[derive(Clone, Debug)]
 pub(crate) struct RateCounter {
     started_at: u64,
@@ -15,15 +17,18 @@
 }
 
 impl RateCounter {
+    /// A counter without events; times are in milliseconds.
     pub(crate) fn new(now: u64) -> Self {
         RateCounter { started_at: now, newest: now / BUCKET_MS, counts: [0; BUCKETS] }
     }
 
-    pub(crate) fn note(&mut self, now: u64) {
+    /// Counts one event.
+    pub(crate) fn record(&mut self, now: u64) {
         self.advance(now);
         self.counts[0] += 1;
     }
 
+    /// The rate over the window.
     pub(crate) fn per_second(&self, now: u64) -> f64 {
         let passed = (now / BUCKET_MS).saturating_sub(self.newest) as usize;
         let counted: u32 = self.counts.iter().take(BUCKETS.saturating_sub(passed)).sum();
--- a/dataplane/routing/src/region.rs
+++ b/dataplane/routing/src/region.rs
@@ -1,4 +1,4 @@
-//! What is known of a service's instances in one region, and the weights of regions.
+//! The model of a service's instances in one region, and the solving of region weights from these models.
 
 use std::collections::VecDeque;
 
@@ -10,10 +10,11 @@
 
 /// The time between two checks of the weights.
 pub(crate) const CHECK_MS: u64 = 5_000;
-/// Without a change, one check in so many solves all the same.
+/// Weights are solved for at least at every n-th check, also without a change.
 const SOLVE_EVERY: u32 = 2;
-/// A change by this part of the old value counts.
-const CHANGE: f64 = 0.2;
+/// A relative change above this makes a check solve for new weights.
+const RELATIVE_CHANGE: f64 = 0.2;
+/// Latency samples kept for each region.
 const SAMPLES: usize = 64;
 /// The least slope of a fit against a line through the origin.
 const LEAST_SLOPE: f64 = 0.1;
@@ -21,107 +22,135 @@
 /// A service's instances in one region.
 #[derive(Debug)]
 pub(crate) struct RegionModel {
-    /// Weight for each ready instance against the other regions'; the region's weight is this times their number.
-    each: f64,
-    /// When a request was answered, the load for each ready instance then, the latency.
+    /// Relative weight of one ready instance; the region's weight is this times the number of its ready instances.
+    weight_per_instance: f64,
+    /// Time of an answer, the load for each ready instance at that time, and the latency in milliseconds.
     samples: VecDeque<(u64, f64, f64)>,
-    /// Ready instances and latency when the weights were last solved for.
+    /// Ready instances and mean latency when the weights were last solved for.
     solved: (f64, f64),
+    /// Number of ready instances.
     pub(crate) ready: f64,
-    /// Its part of the requests, the floor included.
-    pub(crate) share: f64,
-    /// Requests a second that all balancers send there, as told.
-    pub(crate) told_load: f64,
-    pub(crate) sends: RateCounter,
+    /// Normalized weight by which the region is drawn, between 0 and 1, floor included.
+    pub(crate) weight: f64,
+    /// Requests a second that all balancers send there, as reported.
+    pub(crate) reported_load: f64,
+    /// Rate of this balancer's own attempts there.
+    pub(crate) attempts: RateCounter,
 }
 
 impl RegionModel {
     pub(crate) fn new(now: u64) -> Self {
         RegionModel {
-            each: 1.0,
+            weight_per_instance: 1.0,
             samples: VecDeque::new(),
             solved: (0.0, 0.0),
             ready: 0.0,
-            share: 0.0,
-            told_load: 0.0,
-            sends: RateCounter::new(now),
+            weight: 0.0,
+            reported_load: 0.0,
+            attempts: RateCounter::new(now),
         }
     }
 
-    pub(crate) fn note_latency(&mut self, now: u64, load_per_ready: f64, latency_ms: f64) {
+    pub(crate) fn record_latency(&mut self, now: u64, load_per_ready: f64, latency_ms: f64) {
         push(&mut self.samples, SAMPLES, (now, load_per_ready, latency_ms));
     }
 
-    /// The root of the mean square by which the samples lie beside the fit, in milliseconds.
+    /// The root of the weighted mean square distance between the samples and the fit, in milliseconds.
     pub(crate) fn fit_error(&self, now: u64) -> f64 {
-        let (least, slope, _, weight) = self.line(now);
-        let square =
-            |(weight, load, latency): (f64, f64, f64)| weight * (latency - least - slope * load).powi(2);
+        let fit = self.fit(now);
+        let square = |(weight, load, latency): (f64, f64, f64)| {
+            weight * (latency - fit.base_latency_ms - fit.slope * load).powi(2)
+        };
         let squares: f64 = decayed(&self.samples, now, 2 * CHECK_MS).map(square).sum();
-        if weight > 0.0 { (squares / weight).sqrt() } else { 0.0 }
+        if fit.weight > 0.0 { (squares / fit.weight).sqrt() } else { 0.0 }
     }
 
-    /// The fit: latency without load, its slope, the mean latency, the weight of the samples.
-    pub(crate) fn line(&self, now: u64) -> (f64, f64, f64, f64) {
-        rising(decayed(&self.samples, now, 2 * CHECK_MS), LEAST_SLOPE)
+    /// The present fit of latency against the load for each ready instance.
+    pub(crate) fn fit(&self, now: u64) -> Fit {
+        let (base_latency_ms, slope, mean_latency_ms, weight) =
+            rising(decayed(&self.samples, now, 2 * CHECK_MS), LEAST_SLOPE);
+        Fit { base_latency_ms, slope, mean_latency_ms, weight }
     }
 }
 
-/// What the weights were last solved for.
+/// Latency as a rising line over the load for each ready instance, fitted to decayed samples.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Fit {
+    /// Latency without load, in milliseconds.
+    base_latency_ms: f64,
+    /// Milliseconds for each request a second and instance.
+    slope: f64,
+    /// Mean latency of the samples, in milliseconds.
+    mean_latency_ms: f64,
+    /// Sum of the decayed weights of the samples; 0 without samples.
+    weight: f64,
+}
+
+impl Fit {
+    /// The form that `whinspindle::decide` takes.
+    fn as_line(self) -> (f64, f64, f64, f64) {
+        (self.base_latency_ms, self.slope, self.mean_latency_ms, self.weight)
+    }
+}
+
+/// The state of the last solution of the weights.
 #[derive(Debug, Default)]
 pub(crate) struct Solved {
     rate: f64,
     checks_since: u32,
 }
 
-/// What a check of the weights needs besides the regions.
+/// Inputs of a check of the weights besides the regions.
 pub(crate) struct Conditions {
     pub(crate) now: u64,
-    /// Requests a second for the service, of all balancers by this one's own.
+    /// Requests a second for the service over all balancers, extrapolated from this balancer's own rate.
     pub(crate) rate: f64,
 }
 
-/// Sets each region's share by its weight and its number of ready instances.
-pub(crate) fn set_shares(regions: &mut [RegionModel], has_floor: bool) {
-    let weights = regions.iter().map(|region| region.each * region.ready).collect();
+/// Normalizes the region weights: weight of an instance times the number of ready instances, with a floor if wanted.
+pub(crate) fn set_weights(regions: &mut [RegionModel], has_floor: bool) {
+    let weights = regions.iter().map(|region| region.weight_per_instance * region.ready).collect();
     let floored = shares(weights, if has_floor { FLOOR_SHARE } else { 0.0 });
-    regions.iter_mut().zip(floored).for_each(|(region, share)| region.share = share);
+    regions.iter_mut().zip(floored).for_each(|(region, weight)| region.weight = weight);
 }
 
-/// Solves for new weights where ready instances, latency or arrivals have changed enough, and every few checks.
+/// Solves for new weights if ready instances, latency or the arrival rate have changed enough, and every few checks.
 pub(crate) fn check(
     regions: &mut [RegionModel],
     solved: &mut Solved,
     conditions: &Conditions,
     load: impl Fn(&RegionModel) -> f64,
-    chance: &mut Pcg,
+    random: &mut Pcg,
 ) {
-    let lines: Vec<_> = regions.iter().map(|region| region.line(conditions.now)).collect();
-    let moved = |(region, line): (&RegionModel, &(f64, f64, f64, f64))| {
-        changed(region.solved.0, region.ready) || changed(region.solved.1, line.2)
+    let fits: Vec<_> = regions.iter().map(|region| region.fit(conditions.now)).collect();
+    let moved = |(region, fit): (&RegionModel, &Fit)| {
+        changed(region.solved.0, region.ready) || changed(region.solved.1, fit.mean_latency_ms)
     };
     solved.checks_since += 1;
     let due = solved.checks_since >= SOLVE_EVERY || changed(solved.rate, conditions.rate);
-    if !due && !regions.iter().zip(&lines).any(moved) {
+    if !due && !regions.iter().zip(&fits).any(moved) {
         return;
     }
     *solved = Solved { rate: conditions.rate, checks_since: 0 };
-    // No crossing is charged: requests stay in their region by a preference of their own.
+    // No cost for leaving the region here: `crate::locality` decides which requests stay.
     let place = |(index, region): (usize, &RegionModel)| Place {
         ready: region.ready,
         load: load(region) / region.ready.max(1.0),
-        line: lines[index],
+        line: fits[index].as_line(),
         crossing: 0.0,
     };
     let places: Vec<Place> = regions.iter().enumerate().map(place).collect();
-    let weights: Vec<f64> = regions.iter().map(|region| region.share).collect();
-    let better = solve(chance, &places, &weights, conditions.rate);
-    for (region, line) in regions.iter_mut().zip(&lines) {
-        region.solved = (region.ready, line.2);
+    let weights: Vec<f64> = regions.iter().map(|region| region.weight).collect();
+    let better = solve(random, &places, &weights, conditions.rate);
+    for (region, fit) in regions.iter_mut().zip(&fits) {
+        region.solved = (region.ready, fit.mean_latency_ms);
     }
-    regions.iter_mut().zip(better.into_iter().flatten()).for_each(|(region, each)| region.each = each);
+    regions
+        .iter_mut()
+        .zip(better.into_iter().flatten())
+        .for_each(|(region, weight)| region.weight_per_instance = weight);
 }
 
 fn changed(old: f64, new: f64) -> bool {
-    (new - old).abs() > CHANGE * old
+    (new - old).abs() > RELATIVE_CHANGE * old
 }
--- a/dataplane/routing/src/request.rs
+++ b/dataplane/routing/src/request.rs
@@ -1,82 +1,109 @@
-//! What the router is asked and what it answers.
+//! Inputs and results of routing decisions.
 
-/// Names an instance inside one router; never used again for another.
+/// Identifies an instance inside one router; never reused for another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct InstanceKey(pub u64);
 
 /// A part of a prompt that several requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
+    /// Hash or number that is equal for equal parts.
     pub id: u64,
+    /// Length of the part, in tokens.
     pub tokens: u32,
 }
 
-/// What is known of a request before it is sent.
+/// What is known of a request before it is forwarded.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFacts {
     /// Generation of the configuration under which the request was matched.
     pub generation: u64,
-    /// Index into the routes of the configuration under which the request was matched.
+    /// Index into the routes of that configuration.
     pub route: usize,
-    /// Index into the services, drawn once for the request by the route's weights.
+    /// Index into the services of that configuration, drawn once for the request by the weights of the route.
     pub service: usize,
-    /// The prompt's parts in order; the last one is the request's or session's own.
+    /// Parts of the prompt in order; the last one belongs to this request or session alone.
     pub prompt: Vec<PromptPart>,
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
+    /// The most tokens that the answer may have.
     pub most_output_tokens: u32,
-    /// Time left for the request, in milliseconds.
+    /// Time until the deadline of the request, in milliseconds.
     pub time_left_ms: u64,
-    /// How many of its sends so far were given up before a byte was written: one that follows only such is no repeat.
+    /// Number of earlier attempts that ended before a byte was written; an attempt after only such is no retry.
     pub unreached: usize,
 }
 
-/// Names one send of a request, from `Router::choose` to `Router::finished`.
+/// Identifies one attempt, from [`Router::choose`](crate::Router::choose) to
+/// [`Router::finished`](crate::Router::finished).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Attempt(pub u64);
+pub struct AttemptId(pub u64);
 
-/// The answer to where a request goes.
+/// The decision about one attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    Send { attempt: Attempt, instance: InstanceKey },
-    Refuse(Refusal),
+    /// Forward the request to the instance.
+    Forward {
+        /// The attempt that has begun with this.
+        attempt: AttemptId,
+        /// Where the request goes.
+        instance: InstanceKey,
+    },
+    /// Reject the request.
+    Reject(Rejection),
 }
 
-/// Why a request is given up without having run, and when another try is worth it.
+/// Why a request is rejected without having run, and when a retry by the client makes sense.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
-    pub reason: RefusalReason,
+pub struct Rejection {
+    /// Why.
+    pub reason: RejectionReason,
+    /// Time after which the client may retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusalReason {
-    /// No upstream of the service may be sent to.
+pub enum RejectionReason {
+    /// No instance of the service takes requests.
     NoUpstream,
-    /// All upstreams that may be sent to have no room.
+    /// All instances that take requests are at capacity.
     Full,
-    /// All that are left are cold and have had their share.
-    Cold,
-    /// The budget of repeated sends is used up.
+    /// The only instances left are warming up, and this balancer's slow-start rate is used up.
+    WarmingUp,
+    /// The retry budget is used up.
     RetryBudget,
 }
 
-/// How a send ended.
+impl RejectionReason {
+    /// The label of the reason in the served metrics.
+    pub fn label(self) -> &'static str {
+        match self {
+            RejectionReason::NoUpstream => "NoUpstream",
+            RejectionReason::Full => "Full",
+            RejectionReason::WarmingUp => "Cold",
+            RejectionReason::RetryBudget => "RetryBudget",
+        }
+    }
+}
+
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer that was no failure.
+    /// A complete answer that is no failure.
     Served,
-    /// The upstream's own failure (a 5xx with its stamp).
+    /// A failure of the upstream itself (a 5xx with its stamp).
     Failed,
-    /// The upstream said that the request has not run because it is full or late (503 or 429 with Not-Run).
+    /// The upstream has not run the request since it is full or the request is late (503 or 429 with Not-Run).
     Rejected,
     /// The address belongs to another instance (421).
     Misdirected,
-    /// No connection could be made.
+    /// The connection was refused or could not be made.
     Unreachable,
-    /// A new connection was neither taken nor turned down in time.
+    /// Connecting timed out: the connection was neither accepted nor refused.
     Silent,
-    /// The connection broke or the answer was spoilt.
+    /// The connection broke or the answer was malformed.
     Broken,
-    /// The client left or the time was over before an answer.
+    /// The client disconnected or the deadline passed before an answer.
     Cancelled,
 }
--- a/dataplane/routing/src/router/evidence.rs
+++ b/dataplane/routing/src/router/evidence.rs
@@ -1,5 +1,5 @@
-//! What is held against instances and places beyond a balancer's own failed sends: the failures that others have seen,
-//! and zones and regions that can't be reached.
+//! Evidence against instances beyond this balancer's own failed attempts: failures that other balancers report, and zones
+//! and regions that are unreachable.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,16 @@
 use crate::InstanceKey;
 use crate::service::Service;
 
-/// Balancers come back to an instance that failed within this time, each at a moment of its own.
+/// Balancers come back to an instance that is no longer reported within this time, each at a random moment, in
+/// milliseconds.
 const RETURN_MS: f64 = 4_000.0;
-/// What others have seen counts for so long after it was told last; the fleet's state is told every few seconds.
-const BLAME_MS: u64 = 30_000;
+/// A reported failure is valid for this time, in milliseconds; the fleet's state arrives every few seconds.
+const SHARED_FAILURE_MS: u64 = 30_000;
 
 impl Router {
-    /// Leaves instances alone that fail requests of several balancers. Those that are no longer named come back one
-    /// balancer after the other, so that few requests try them first.
-    pub(super) fn blame(&mut self, now: u64, failing: &[String]) {
+    /// Avoids instances that fail requests of several balancers. Those that are no longer listed come back on one balancer
+    /// after the other, so that few requests probe them first.
+    pub(super) fn apply_shared_failures(&mut self, now: u64, failing: &[String]) {
         if !self.settings.mechanisms.has(Mechanism::SharedFailures) {
             return;
         }
@@ -26,16 +27,16 @@
         for instance in self.services.iter_mut().flat_map(|service| service.instances.values_mut()) {
             let is_named = named.contains(instance.target.id.as_str());
             if is_named {
-                instance.blamed_until = now + BLAME_MS;
-            } else if instance.is_blamed {
-                instance.blamed_until = now + (RETURN_MS * self.chance.unit()) as u64;
+                instance.avoided_until = now + SHARED_FAILURE_MS;
+            } else if instance.is_reported_failing {
+                instance.avoided_until = now + (RETURN_MS * self.random.unit()) as u64;
             }
-            instance.is_blamed = is_named;
+            instance.is_reported_failing = is_named;
         }
         self.services.iter_mut().for_each(Service::recount);
     }
 
-    /// Instances that have failed requests of this balancer lately.
+    /// Instances that have recently failed requests of this balancer, to be reported to the control plane.
     pub fn failing(&self, now: u64) -> Vec<InstanceFailures> {
         let instances = self.services.iter().flat_map(|service| service.instances.values());
         let failures = instances.map(|instance| (instance, instance.health.recent_failures(now)));
@@ -45,37 +46,38 @@
             .collect()
     }
 
-    /// Something has come on a connection to an instance: its zone and its region are within reach.
-    pub fn heard(&mut self, instance: InstanceKey) {
-        let Some(held) = self.instance(instance) else { return };
-        let (zone, region) = (held.zone, held.region);
-        if self.reachability.note_heard(zone, region) {
-            self.set_reach();
+    /// Records that something was received on a connection to an instance: its zone and its region are reachable.
+    pub fn record_received(&mut self, instance: InstanceKey) {
+        let Some(known) = self.instance(instance) else { return };
+        let (zone, region) = (known.zone, known.region);
+        if self.reachability.record_received(zone, region) {
+            self.update_reachability();
         }
     }
 
-    /// Whether connections to other instances of its zone or region have fallen silent, and nothing was heard from there
-    /// since: what is written on a connection that has been idle may be lost.
+    /// Whether connecting to other instances of its zone or region has timed out and nothing was received from there since:
+    /// what is written on an idle connection may be lost.
     pub fn is_in_doubt(&self, instance: InstanceKey) -> bool {
-        self.instance(instance).is_some_and(|held| self.reachability.is_in_doubt(held.zone, held.region))
+        self.instance(instance).is_some_and(|known| self.reachability.is_in_doubt(known.zone, known.region))
     }
 
-    pub(super) fn note_silence(&mut self, now: u64, key: InstanceKey) {
+    /// Records that connecting to the instance has timed out.
+    pub(super) fn record_time_out(&mut self, now: u64, key: InstanceKey) {
         if !self.settings.mechanisms.has(Mechanism::Reachability) {
             return;
         }
         let Some(instance) = self.instance(key) else { return };
         let (zone, region) = (instance.zone, instance.region);
-        self.reachability.note_silence(now, zone, region, key);
-        self.set_reach();
+        self.reachability.record_time_out(now, zone, region, key);
+        self.update_reachability();
     }
 
-    /// Tells the instances until when their places are out of reach.
-    pub(super) fn set_reach(&mut self) {
+    /// Updates the instances by the reachability of their zones and regions.
+    pub(super) fn update_reachability(&mut self) {
         let reachability = &self.reachability;
         for service in &mut self.services {
             for instance in service.instances.values_mut() {
-                instance.out_of_reach_until = reachability.closed_until(instance.zone, instance.region);
+                instance.unreachable_until = reachability.unreachable_until(instance.zone, instance.region);
             }
             service.recount();
         }
--- a/dataplane/routing/src/router/membership.rs
+++ b/dataplane/routing/src/router/membership.rs
@@ -1,4 +1,4 @@
-//! Which instances the router knows: what the control plane tells of them, and those that take no requests any more.
+//! Membership: the instances that the control plane lists, evacuated zones, and instances that take no more requests.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,15 @@
 use crate::catalogue::ServiceId;
 use crate::instance::InstanceState;
 
-/// How many ids of instances that take no new requests are remembered.
+/// Number of ids kept of instances that take no new requests.
 const RETIRED_CAPACITY: usize = 4096;
-/// The instances of a zone that is taken back, or that turns cold, may be cold for this many heartbeat intervals, in
-/// halves, before all have told it.
+/// An instance may be in slow start for this many halves of a heartbeat interval before it has reported it.
 const SUSPECT_HALF_INTERVALS: u64 = 3;
+/// The same, in addition, in milliseconds.
 const SUSPECT_MARGIN_MS: u64 = 500;
 
 impl Router {
-    /// Replaces the instances that are known.
+    /// Replaces the endpoint list.
     pub fn instances(&mut self, now: u64, instances: &Instances) {
         self.refresh(now);
         let listed: BTreeSet<&str> = instances.list.iter().map(|instance| instance.id.as_str()).collect();
@@ -27,18 +27,18 @@
                 instance.unlisted_since.get_or_insert(now);
             }
         }
-        for told in &instances.list {
-            self.take_instance(now, told);
+        for reported in &instances.list {
+            self.take_instance(now, reported);
         }
         let suspect_ms = self.suspect_ms();
         for service in self.services.iter_mut().filter(|service| service.cold_per_s > 0.0) {
-            service.suspect_zones_that_turn_cold(now, suspect_ms);
+            service.suspect_warming_zones(now, suspect_ms);
         }
         self.refresh(now);
         self.check(now);
     }
 
-    /// Replaces the zones that are evacuated.
+    /// Replaces the list of evacuated zones.
     pub fn evacuations(&mut self, now: u64, zones: &[String]) {
         let evacuated: BTreeSet<String> = zones.iter().cloned().collect();
         let suspect_ms = self.suspect_ms();
@@ -46,7 +46,7 @@
             let was_evacuated = instance.evacuated;
             instance.evacuated = evacuated.contains(&instance.target.zone);
             if was_evacuated && !instance.evacuated {
-                instance.suspect_cold(now + suspect_ms);
+                instance.suspect_slow_start(now + suspect_ms);
             }
         }
         self.evacuated = evacuated;
@@ -54,39 +54,40 @@
         self.check(now);
     }
 
-    fn take_instance(&mut self, now: u64, told: &Instance) {
-        let service = self.catalogue.service(&told.service);
-        let region_name = self.settings.zones.get(&told.zone).cloned().unwrap_or_default();
+    fn take_instance(&mut self, now: u64, reported: &Instance) {
+        let service = self.catalogue.service(&reported.service);
+        let region_name = self.settings.zones.get(&reported.zone).cloned().unwrap_or_default();
         let region = self.catalogue.region(&region_name);
-        let zone = self.catalogue.zone(&told.zone);
+        let zone = self.catalogue.zone(&reported.zone);
         self.grow(now);
-        if told.draining {
-            self.remember_retired(&told.id);
+        if reported.draining {
+            self.record_retired(&reported.id);
         }
-        let key = self.key_for(service, told);
+        let key = self.key_for(service, reported);
         let target = || InstanceTarget {
-            address: told.address,
-            id: told.id.clone(),
-            zone: told.zone.clone(),
+            address: reported.address,
+            id: reported.id.clone(),
+            zone: reported.zone.clone(),
             region: region_name,
         };
         let instances = &mut self.services[service].instances;
         let instance = instances.entry(key).or_insert_with(|| InstanceState::new(target(), zone, region));
-        instance.update(now, told);
+        instance.update(now, reported);
         if !self.settings.mechanisms.has(Mechanism::FullByOwnSends) {
             instance.slots = 0;
         }
-        instance.retired |= self.retired.contains(&told.id);
-        instance.evacuated = self.evacuated.contains(&told.zone);
-        instance.out_of_reach_until = self.reachability.closed_until(zone, region);
-        instance.in_own_zone = told.zone == self.settings.zone;
+        instance.retired |= self.retired.contains(&reported.id);
+        instance.evacuated = self.evacuated.contains(&reported.zone);
+        instance.unreachable_until = self.reachability.unreachable_until(zone, region);
+        instance.in_own_zone = reported.zone == self.settings.zone;
     }
 
-    /// The key of an instance; a new one where it is not known under this id, service, address and zone.
-    fn key_for(&mut self, service: ServiceId, told: &Instance) -> InstanceKey {
-        if let Some(&key) = self.keys.get(&told.id) {
-            let held = self.instance(key).map(|instance| &instance.target);
-            let same = held.is_some_and(|target| target.address == told.address && target.zone == told.zone);
+    /// The key of an instance; a new one if it is not known with this id, service, address and zone.
+    fn key_for(&mut self, service: ServiceId, reported: &Instance) -> InstanceKey {
+        if let Some(&key) = self.keys.get(&reported.id) {
+            let known = self.instance(key).map(|instance| &instance.target);
+            let same = known
+                .is_some_and(|target| target.address == reported.address && target.zone == reported.zone);
             if same && self.service_of.get(&key) == Some(&service) {
                 return key;
             }
@@ -96,19 +97,20 @@
         }
         let key = InstanceKey(self.next_key);
         self.next_key += 1;
-        self.keys.insert(told.id.clone(), key);
+        self.keys.insert(reported.id.clone(), key);
         self.service_of.insert(key, service);
         key
     }
 
+    /// Sends nothing more to an instance, nor to any other one of its id.
     pub(super) fn retire(&mut self, service: ServiceId, key: InstanceKey) {
         let Some(instance) = self.services[service].instances.get_mut(&key) else { return };
         instance.retired = true;
         let id = instance.target.id.clone();
-        self.remember_retired(&id);
+        self.record_retired(&id);
     }
 
-    fn remember_retired(&mut self, id: &str) {
+    fn record_retired(&mut self, id: &str) {
         if self.retired.contains(id) {
             return;
         }
@@ -118,7 +120,7 @@
         self.retired.insert(id.to_owned());
     }
 
-    /// For how long an instance may be cold without having told it.
+    /// How long an instance may be in slow start without having reported it, in milliseconds.
     fn suspect_ms(&self) -> u64 {
         if !self.settings.mechanisms.has(Mechanism::SuspectedZones) {
             return 0;
@@ -126,6 +128,7 @@
         self.settings.heartbeat_ms * SUSPECT_HALF_INTERVALS / 2 + SUSPECT_MARGIN_MS
     }
 
+    /// Forgets instances that have been unlisted for long.
     pub(super) fn forget(&mut self, now: u64) {
         self.services.iter_mut().for_each(|service| service.forget(now));
         let services = &self.services;
--- a/dataplane/routing/src/service.rs
+++ b/dataplane/routing/src/service.rs
@@ -1,4 +1,4 @@
-//! One service: its instances, its regions and what bounds the sends to it.
+//! One service: its instances, the models of its regions, its retry budget and its slow start.
 
 mod selection;
 
@@ -11,64 +11,77 @@
 use crate::InstanceKey;
 use crate::budget::RetryBudget;
 use crate::catalogue::RegionId;
-use crate::cold::ColdPace;
 use crate::counts::ChoiceCounts;
-use crate::home::HomePreference;
 use crate::instance::InstanceState;
+use crate::locality::LocalityPreference;
 use crate::rate::RateCounter;
 use crate::region::{self, Conditions, RegionModel, Solved};
-use crate::turning_zone::TurningZone;
-
-/// What the balancers tell of their sends counts so long after it came.
-const TOLD_LOADS_MS: u64 = 15_000;
-/// Ready instances are counted anew after this time: rests and cold times end by themselves.
-const COUNT_MS: u64 = 50;
-/// An instance that answers nobody for this many times the usual time is taken for silent.
-const SILENT: f64 = 4.0;
-const LEAST_SILENCE_MS: f64 = 1_000.0;
-/// The usual latency moves by this part of the difference with each answer.
-const USUAL_STEP: f64 = 0.03;
-/// At least this part of the instances, and one, don't rest: beyond it the fault is not theirs.
-const AWAKE_PART: usize = 5;
+use crate::slow_start::SlowStartPace;
+use crate::warming_zone::WarmingZone;
+
+/// Reported loads of the balancers are valid for this time.
+const REPORTED_LOADS_MS: u64 = 15_000;
+/// Ready instances are counted again after this time, since ejections and slow starts end by time alone.
+const RECOUNT_MS: u64 = 50;
+/// The silence limit is this many times the typical latency.
+const SILENCE_FACTOR: f64 = 4.0;
+/// The least silence limit.
+const LEAST_SILENCE_LIMIT_MS: f64 = 1_000.0;
+/// Weight of a new latency in the exponential moving average.
+const TYPICAL_LATENCY_STEP: f64 = 0.03;
+/// At least one in so many instances, and one, stays in use: if more fail, the cause is elsewhere.
+const NOT_EJECTED_DIVISOR: usize = 5;
 /// An unlisted instance is forgotten after this time.
 const FORGET_MS: u64 = 60_000;
 
-/// What sends from this balancer are drawn under.
-pub(crate) struct Place<'a> {
+/// What a choice depends on besides the service: the time, and the balancer's position in its fleet.
+pub(crate) struct RoutingContext<'a> {
+    /// The present time, in milliseconds.
     pub(crate) now: u64,
-    pub(crate) home: RegionId,
+    /// The balancer's region.
+    pub(crate) own_region: RegionId,
+    /// Number of balancers; 0 while it is unknown.
     pub(crate) balancers: u32,
-    /// Regions that have balancers.
+    /// Number of regions that have balancers.
     pub(crate) regions: usize,
-    /// Zones that have balancers.
+    /// Number of zones that have balancers.
     pub(crate) zones: usize,
+    /// Limits that all balancers together keep to.
     pub(crate) bounds: &'a Bounds,
 }
 
+/// The routing state of one service.
 #[derive(Debug)]
 pub(crate) struct Service {
+    /// Known instances, in the order in which they became known.
     pub(crate) instances: IndexMap<InstanceKey, InstanceState>,
+    /// Models of the regions, by [`RegionId`].
     pub(crate) regions: Vec<RegionModel>,
+    /// This balancer's part of the retry budget.
     pub(crate) budget: RetryBudget,
-    /// Requests a second that a cold instance bears; 0 for no bound.
+    /// Requests a second that an instance in slow start bears; 0 for no limit.
     pub(crate) cold_per_s: f64,
-    pub(crate) pace: Option<ColdPace>,
+    /// This balancer's pace for such instances.
+    pub(crate) pace: Option<SlowStartPace>,
+    /// The mechanisms that are switched on.
     pub(crate) mechanisms: Mechanisms,
+    /// Counters of choices.
     pub(crate) counts: ChoiceCounts,
     arrivals: RateCounter,
-    home: HomePreference,
-    /// Ready instances in the balancer's zone.
+    locality: LocalityPreference,
+    /// Number of ready instances in the balancer's zone.
     zone_ready: f64,
-    told_loads_at: Option<u64>,
+    loads_reported_at: Option<u64>,
     solved: Solved,
-    usual_ms: f64,
+    typical_latency_ms: f64,
     counted_at: u64,
-    /// Scratch of `choose`: the candidates of the best standing, by index, and each region's weight.
+    /// Buffers of `choose`: the candidates by index, and the weight of each region.
     candidates: Vec<usize>,
     weights: Vec<f64>,
 }
 
 impl Service {
+    /// A service without instances.
     pub(crate) fn new(now: u64, mechanisms: Mechanisms) -> Self {
         Service {
             instances: IndexMap::new(),
@@ -79,68 +92,69 @@
             mechanisms,
             counts: ChoiceCounts::default(),
             arrivals: RateCounter::new(now),
-            home: HomePreference::new(now),
+            locality: LocalityPreference::new(now),
             zone_ready: 0.0,
-            told_loads_at: None,
+            loads_reported_at: None,
             solved: Solved::default(),
-            usual_ms: 0.0,
+            typical_latency_ms: 0.0,
             counted_at: 0,
             candidates: Vec::new(),
             weights: Vec::new(),
         }
     }
 
+    /// Adds models until there is one for each of `count` regions.
     pub(crate) fn grow_regions(&mut self, now: u64, count: usize) {
         while self.regions.len() < count {
             self.regions.push(RegionModel::new(now));
         }
     }
 
-    /// Whether some instance may be sent to at all.
+    /// Whether any instance takes requests.
     pub(crate) fn has_instances(&self) -> bool {
         self.instances.values().any(InstanceState::may_be_sent_to)
     }
 
-    /// A request for the service has come.
-    pub(crate) fn note_arrival(&mut self, now: u64, bounds: &Bounds) {
-        self.arrivals.note(now);
+    /// Records the arrival of a request for the service.
+    pub(crate) fn record_arrival(&mut self, now: u64, bounds: &Bounds) {
+        self.arrivals.record(now);
         self.budget.earn(bounds);
     }
 
-    /// Begins and ends this balancer's shares of cold instances, and counts ready ones.
-    pub(crate) fn refresh(&mut self, now: u64, chance: &mut Pcg) {
+    /// Begins and ends the slow start of instances, and counts ready ones.
+    pub(crate) fn refresh(&mut self, now: u64, random: &mut Pcg) {
         for instance in self.instances.values_mut() {
-            if !instance.is_cold(now) {
-                instance.cold_share.end();
+            if !instance.is_warming_up(now) {
+                instance.slow_start.end();
             } else if let Some(pace) = &self.pace
-                && !instance.cold_share.is_begun()
+                && !instance.slow_start.has_begun()
             {
-                instance.cold_share.begin(now, pace, chance.unit());
+                instance.slow_start.begin(now, pace, random.unit());
             }
         }
         self.count_ready(now);
     }
 
-    /// Takes all instances of a zone for cold where many of them turned cold within so long before, for as long as these
-    /// are. They tell it with their heartbeats, one after the other, and some heartbeats are late; the last instances
-    /// would get all requests until then.
-    pub(crate) fn suspect_zones_that_turn_cold(&mut self, now: u64, span_ms: u64) {
-        let mut zones: BTreeMap<&str, TurningZone> = BTreeMap::new();
+    /// Treats all instances of a zone as in slow start where many of them have begun one within the last `span_ms`, until the
+    /// last of these is warm. Instances report it with their heartbeats one after the other, and some heartbeats are late:
+    /// without this, the instances that report it last would get all requests until then.
+    pub(crate) fn suspect_warming_zones(&mut self, now: u64, span_ms: u64) {
+        let mut zones: BTreeMap<&str, WarmingZone> = BTreeMap::new();
         for instance in self.instances.values().filter(|instance| instance.may_be_sent_to()) {
-            let cold_until = instance.turned_cold_within(now, span_ms);
-            zones.entry(instance.target.zone.as_str()).or_default().count(cold_until);
+            let warm_at = instance.warm_at_if_begun_within(now, span_ms);
+            zones.entry(instance.target.zone.as_str()).or_default().count(warm_at);
         }
-        zones.retain(|_, zone| zone.turns_cold());
+        zones.retain(|_, zone| zone.is_warming_up());
         let turning: BTreeMap<String, u64> =
-            zones.into_iter().map(|(name, zone)| (name.to_owned(), zone.cold_until)).collect();
+            zones.into_iter().map(|(name, zone)| (name.to_owned(), zone.warm_at)).collect();
         for instance in self.instances.values_mut() {
-            if let Some(&cold_until) = turning.get(&instance.target.zone) {
-                instance.suspect_cold(cold_until);
+            if let Some(&warm_at) = turning.get(&instance.target.zone) {
+                instance.suspect_slow_start(warm_at);
             }
         }
     }
 
-    /// Forgets instances that have long been unlisted and hold no send.
+    /// Forgets instances that have been unlisted for long and have no open attempt.
     pub(crate) fn forget(&mut self, now: u64) {
         let kept = |instance: &InstanceState| {
             instance.in_flight > 0 || instance.unlisted_since.is_none_or(|since| since + FORGET_MS > now)
@@ -148,95 +162,105 @@
         self.instances.retain(|_, instance| kept(instance));
     }
 
-    /// What all balancers send, by region.
-    pub(crate) fn tell_loads(
+    /// Replaces the loads that all balancers report, by region.
+    pub(crate) fn set_reported_loads(
         &mut self,
         now: u64,
-        home: RegionId,
+        own_region: RegionId,
         loads: impl Iterator<Item = (RegionId, f64)>,
     ) {
-        self.regions.iter_mut().for_each(|region| region.told_load = 0.0);
-        self.told_loads_at = None;
+        self.regions.iter_mut().for_each(|region| region.reported_load = 0.0);
+        self.loads_reported_at = None;
         for (region, load) in loads {
-            self.told_loads_at = Some(now);
-            self.regions[region].told_load += load;
+            self.loads_reported_at = Some(now);
+            self.regions[region].reported_load += load;
         }
-        if self.told_loads_at.is_some() {
-            self.home.correct(now, &self.regions, home);
+        if self.loads_reported_at.is_some() {
+            self.locality.correct(now, &self.regions, own_region);
         }
     }
 
-    /// Checks the weights of regions.
-    pub(crate) fn check(&mut self, place: &Place, chance: &mut Pcg) {
-        self.count_ready(place.now);
+    /// Checks the weights of regions and solves for new ones where necessary.
+    pub(crate) fn check(&mut self, context: &RoutingContext, random: &mut Pcg) {
+        self.count_ready(context.now);
         let conditions = Conditions {
-            now: place.now,
-            rate: self.arrivals.per_second(place.now) * f64::from(place.balancers.max(1)),
+            now: context.now,
+            rate: self.arrivals.per_second(context.now) * f64::from(context.balancers.max(1)),
         };
         if !self.has(Mechanism::SolvedWeights) {
             return;
         }
-        let told = self.has_told_loads(place.now);
-        let (now, balancers) = (place.now, place.balancers);
-        let load = |region: &RegionModel| region_load(region, told, now, balancers);
-        region::check(&mut self.regions, &mut self.solved, &conditions, load, chance);
-        region::set_shares(&mut self.regions, self.mechanisms.has(Mechanism::FloorShare));
+        let reported = self.has_reported_loads(context.now);
+        let (now, balancers) = (context.now, context.balancers);
+        let load = |region: &RegionModel| region_load(region, reported, now, balancers);
+        region::check(&mut self.regions, &mut self.solved, &conditions, load, random);
+        region::set_weights(&mut self.regions, self.mechanisms.has(Mechanism::FloorShare));
     }
 
-    /// Load for each ready instance of a region.
+    /// Requests a second for each ready instance of a region.
     pub(crate) fn load_per_ready(&self, region: RegionId, now: u64, balancers: u32) -> f64 {
         let model = &self.regions[region];
-        region_load(model, self.has_told_loads(now), now, balancers) / model.ready.max(1.0)
+        region_load(model, self.has_reported_loads(now), now, balancers) / model.ready.max(1.0)
     }
 
-    /// How long an instance may be silent.
-    pub(crate) fn patience_ms(&self) -> u64 {
-        (SILENT * self.usual_ms).max(LEAST_SILENCE_MS) as u64
+    /// How long an instance may leave all attempts unanswered, in milliseconds.
+    pub(crate) fn silence_limit_ms(&self) -> u64 {
+        (SILENCE_FACTOR * self.typical_latency_ms).max(LEAST_SILENCE_LIMIT_MS) as u64
     }
 
-    pub(crate) fn note_latency(&mut self, now: u64, region: RegionId, load_per_ready: f64, latency_ms: f64) {
-        self.regions[region].note_latency(now, load_per_ready, latency_ms);
-        let step = if self.usual_ms > 0.0 { USUAL_STEP } else { 1.0 };
-        self.usual_ms += step * (latency_ms - self.usual_ms);
+    /// Takes a measured latency into the model of its region and the typical latency.
+    pub(crate) fn record_latency(
+        &mut self,
+        now: u64,
+        region: RegionId,
+        load_per_ready: f64,
+        latency_ms: f64,
+    ) {
+        self.regions[region].record_latency(now, load_per_ready, latency_ms);
+        let step = if self.typical_latency_ms > 0.0 { TYPICAL_LATENCY_STEP } else { 1.0 };
+        self.typical_latency_ms += step * (latency_ms - self.typical_latency_ms);
     }
 
-    /// A send came to nothing; the instance may rest, unless most others do so already.
-    pub(crate) fn note_failure(&mut self, now: u64, key: InstanceKey, is_certain: bool) {
+    /// Records an attempt without an answer; ejects the instance if that is due, unless most others are ejected already.
+    pub(crate) fn record_failure(&mut self, now: u64, key: InstanceKey, is_certain: bool) {
         let listed = self.instances.values().filter(|instance| instance.may_be_sent_to()).count();
         let ready = self.instances.values().filter(|instance| instance.is_ready(now)).count();
         let Some(instance) = self.instances.get_mut(&key) else { return };
-        let is_due = if is_certain { instance.health.fell_silent() } else { instance.health.failed() };
-        if is_due && self.mechanisms.has(Mechanism::Rests) && ready > (listed / AWAKE_PART).max(1) {
-            instance.health.rest(now);
+        let is_due =
+            if is_certain { instance.health.record_time_out() } else { instance.health.record_failure() };
+        if is_due && self.mechanisms.has(Mechanism::Rests) && ready > (listed / NOT_EJECTED_DIVISOR).max(1) {
+            instance.health.eject(now);
             self.counted_at = 0;
         }
     }
 
-    /// Ready instances are counted anew before the next choice.
+    /// Has ready instances counted again before the next choice.
     pub(crate) fn recount(&mut self) {
         self.counted_at = 0;
     }
 
-    /// Milliseconds until the first cold instance is warm. There is less room than requests until then, so that those
-    /// that came back for this balancer's next share would be turned away again.
-    pub(crate) fn cold_wait_ms(&self, now: u64) -> Option<u64> {
-        let cold =
-            self.instances.values().filter(|instance| instance.may_be_sent_to() && instance.is_cold(now));
-        cold.map(|instance| instance.cold_for_ms(now)).min()
+    /// Milliseconds until the first instance leaves slow start. Until then there are more requests than capacity, so that
+    /// clients that came back earlier would be rejected again.
+    pub(crate) fn warm_up_wait_ms(&self, now: u64) -> Option<u64> {
+        let cold = self
+            .instances
+            .values()
+            .filter(|instance| instance.may_be_sent_to() && instance.is_warming_up(now));
+        cold.map(|instance| instance.warm_in_ms(now)).min()
     }
 
     fn has(&self, mechanism: Mechanism) -> bool {
         self.mechanisms.has(mechanism)
     }
 
-    fn has_told_loads(&self, now: u64) -> bool {
-        self.told_loads_at.is_some_and(|at| at + TOLD_LOADS_MS >= now)
+    fn has_reported_loads(&self, now: u64) -> bool {
+        self.loads_reported_at.is_some_and(|at| at + REPORTED_LOADS_MS >= now)
     }
 
     fn count_ready(&mut self, now: u64) {
         self.counted_at = now;
         let bounded = self.cold_per_s > 0.0;
-        let warm = |instance: &InstanceState| !(bounded && instance.is_cold(now));
+        let warm = |instance: &InstanceState| !(bounded && instance.is_warming_up(now));
         let any_warm = self.instances.values().any(|instance| instance.is_ready(now) && warm(instance));
         self.regions.iter_mut().for_each(|region| region.ready = 0.0);
         self.zone_ready = 0.0;
@@ -246,10 +270,14 @@
                 self.zone_ready += if instance.in_own_zone { 1.0 } else { 0.0 };
             }
         }
-        region::set_shares(&mut self.regions, self.mechanisms.has(Mechanism::FloorShare));
+        region::set_weights(&mut self.regions, self.mechanisms.has(Mechanism::FloorShare));
     }
 }
 
-fn region_load(region: &RegionModel, told: bool, now: u64, balancers: u32) -> f64 {
-    if told { region.told_load } else { region.sends.per_second(now) * f64::from(balancers.max(1)) }
+fn region_load(region: &RegionModel, reported: bool, now: u64, balancers: u32) -> f64 {
+    if reported {
+        region.reported_load
+    } else {
+        region.attempts.per_second(now) * f64::from(balancers.max(1))
+    }
 }
--- a/dataplane/routing/tests/sticky.rs
+++ b/dataplane/routing/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! Where requests with shared prompt parts go.
+//! Prefix affinity: where requests with shared prompt parts go.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn all_balancers_agree_on_the_holder() {
+fn all_balancers_agree_on_the_cache_owner() {
     let instances = spread([6, 0, 0]);
     let mut reversed = instances.clone();
     reversed.reverse();
@@ -43,23 +43,23 @@
 }
 
 #[test]
-fn other_holders_stay_when_one_instance_goes() {
+fn other_cache_owners_stay_when_one_instance_goes() {
     let instances = spread([6, 0, 0]);
     let mut left = instances.clone();
     left.retain(|instance| instance.id != "i3");
     let (mut before, mut after) = (router(1, sticky(), instances), router(1, sticky(), left));
     for shared in 0..60 {
         let facts = prompt(&[(shared, 6_000), (1, 9)]);
-        let holder = served_by(&mut before, shared, &facts);
-        if holder.as_deref() != Some("i3") {
-            assert_eq!(served_by(&mut after, shared, &facts), holder);
+        let owner = served_by(&mut before, shared, &facts);
+        if owner.as_deref() != Some("i3") {
+            assert_eq!(served_by(&mut after, shared, &facts), owner);
         }
     }
 }
 
-/// How many of so many sends at once, all of one prefix, each instance gets; all wait for their first events, or have
-/// them.
-fn crowd(router: &mut Router, tokens: u32, count: u64, waiting: bool) -> Vec<u32> {
+/// The number of attempts that each instance gets of `count` concurrent ones with one prefix; all of them wait for their
+/// first events, or all have them.
+fn send_many(router: &mut Router, tokens: u32, count: u64, waiting: bool) -> Vec<u32> {
     let mut counts = std::collections::BTreeMap::new();
     for own in 0..count {
         let (attempt, key) =
@@ -73,23 +73,23 @@
 }
 
 #[test]
-fn a_few_at_once_stay_with_the_holder() {
+fn a_few_at_once_stay_with_the_cache_owner() {
     let mut router = router(1, sticky(), spread([6, 0, 0]));
-    assert_eq!(crowd(&mut router, 6_000, 4, false), [4]);
+    assert_eq!(send_many(&mut router, 6_000, 4, false), [4]);
 }
 
 #[test]
-fn few_prompts_wait_at_the_holder_to_be_read() {
+fn few_prompts_wait_at_the_cache_owner_for_prefill() {
     let mut router = router(1, sticky(), spread([6, 0, 0]));
-    let counts = crowd(&mut router, 6_000, 4, true);
+    let counts = send_many(&mut router, 6_000, 4, true);
     assert!(counts.len() == 2 && counts.iter().all(|&count| count <= 3), "{counts:?}");
 }
 
 #[test]
-fn a_hot_prefix_spreads_over_more_holders() {
+fn a_hot_prefix_spreads_over_more_instances() {
     for waiting in [false, true] {
         let mut router = router(1, sticky(), spread([6, 0, 0]));
-        let counts = crowd(&mut router, 6_000, 120, waiting);
+        let counts = send_many(&mut router, 6_000, 120, waiting);
         assert!(counts.len() >= 5 && counts.iter().all(|&count| count <= 25), "{counts:?}");
     }
 }
@@ -97,7 +97,7 @@
 #[test]
 fn a_short_prefix_spreads_sooner() {
     let mut router = router(1, sticky(), spread([6, 0, 0]));
-    assert!(crowd(&mut router, 100, 4, false).len() >= 3);
+    assert!(send_many(&mut router, 100, 4, false).len() >= 3);
 }
 
 #[test]
@@ -108,24 +108,24 @@
 }
 
 #[test]
-fn a_repeat_goes_to_the_next_in_rank() {
+fn a_retry_goes_to_the_next_in_rank() {
     let mut router = router(1, sticky(), spread([6, 0, 0]));
     let facts = prompt(&[(7, 6_000), (8, 500)]);
     let (attempt, first) = send(&mut router, 0, &facts).expect("an instance");
     router.finished(1, attempt, Outcome::Unreachable);
     let facts = RequestFacts { unreached: 1, ..facts };
     let again = (0..5).map(|now| match router.choose(now, &facts, &[first]) {
-        whinspindle_routing::Choice::Send { attempt, instance } => {
+        whinspindle_routing::Choice::Forward { attempt, instance } => {
             router.finished(now, attempt, Outcome::Served);
             instance
         }
-        whinspindle_routing::Choice::Refuse(_) => panic!("no budget"),
+        whinspindle_routing::Choice::Reject(_) => panic!("no budget"),
     });
     let again: BTreeSet<_> = again.collect();
     assert!(again.len() == 1 && !again.contains(&first));
 }
 
-/// Routers in each of the regions, of one fleet.
+/// One router in each of the regions.
 fn routers_everywhere(route: &Route, instances: &[Instance]) -> Vec<Router> {
     let in_region = |region: &str| {
         let mut router = Router::new(settings(region, 7), 0);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn homes_bind_a_large_prefix() {
+fn home_regions_bind_a_large_prefix() {
     let route = Route { home_regions: vec!["b".to_owned()], ..sticky() };
     for mut router in routers_everywhere(&route, &spread([6, 2, 6])) {
         for shared in 0..60 {
@@ -190,13 +190,13 @@
 }
 
 #[test]
-fn a_large_prefix_leaves_an_evacuated_holder_and_comes_back() {
+fn a_large_prefix_leaves_an_evacuated_cache_owner_and_comes_back() {
     let mut router = router(1, sticky(), spread([3, 3, 3]));
     let facts = prompt(&[(7, 6_000), (99, 500)]);
-    let holder = served_by(&mut router, 0, &facts);
+    let owner = served_by(&mut router, 0, &facts);
     let zone = spread([3, 3, 3])
         .into_iter()
-        .find(|instance| Some(&instance.id) == holder.as_ref())
+        .find(|instance| Some(&instance.id) == owner.as_ref())
         .map(|instance| instance.zone)
         .expect("a zone");
     router.evacuations(1, std::slice::from_ref(&zone));
@@ -204,25 +204,25 @@
     assert_ne!(router.target(key).expect("known").zone, zone);
     router.finished(2, attempt, Outcome::Served);
     router.evacuations(3, &[]);
-    assert_eq!(served_by(&mut router, 4, &facts), holder);
+    assert_eq!(served_by(&mut router, 4, &facts), owner);
 }
 
 #[test]
-fn sends_of_another_kind_in_the_own_region_dont_drive_a_prefix_from_its_holder() {
+fn other_attempts_in_the_own_region_dont_drive_a_prefix_from_its_cache_owner() {
     let mut router = router(1, sticky(), spread([3, 3, 3]));
     let large = |own: u64| (0..).map(move |shared| prompt(&[(shared, 6_000), (own, 500)]));
-    let at_home = large(1)
+    let in_own_region = large(1)
         .find(|facts| {
             let (attempt, key) = send(&mut router, 0, facts).expect("an instance");
             router.finished(0, attempt, Outcome::Served);
             region_of(&router, key) == "a"
         })
-        .expect("a prefix kept in region a");
-    let holder = served_by(&mut router, 0, &at_home);
+        .expect("a prefix with its cache owner in region a");
+    let owner = served_by(&mut router, 0, &in_own_region);
     for number in 0..30 {
         if let Some((attempt, _)) = send(&mut router, 1, &prompt(&[(1_000 + number, 100), (9, 50)])) {
             router.first_event(2, attempt);
         }
     }
-    assert_eq!(served_by(&mut router, 3, &at_home), holder);
+    assert_eq!(served_by(&mut router, 3, &in_own_region), owner);
 }
--- a/dataplane/routing/tests/budget.rs
+++ b/dataplane/routing/tests/budget.rs
@@ -1,11 +1,11 @@
-//! The budget of repeated sends, summed over all balancers.
+//! The retry budget, summed over all balancers.
 
 mod common;
 
 use common::*;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use whinspindle_configuration::RouteKind;
-use whinspindle_routing::{Choice, Outcome, RefusalReason, RequestFacts, Router};
+use whinspindle_routing::{Choice, Outcome, RejectionReason, RequestFacts, Router};
 
 fn plain(seed: u64, balancers: u32) -> Router {
     let mut router = router(seed, route("r", RouteKind::Safe), spread([4, 4, 4]));
@@ -13,46 +13,46 @@
     router
 }
 
-/// Sends once and again; whether the second send was allowed.
-fn repeats(router: &mut Router, now: u64, first: Outcome) -> Option<bool> {
+/// Makes a first attempt and a retry; returns whether the retry was allowed, if the first attempt was made at all.
+fn retries(router: &mut Router, now: u64, first: Outcome) -> Option<bool> {
     let (attempt, key) = send(router, now, &facts())?;
     router.finished(now, attempt, first);
     let unreached = usize::from(first == Outcome::Unreachable);
     match router.choose(now, &RequestFacts { unreached, ..facts() }, &[key]) {
-        Choice::Send { attempt, .. } => {
+        Choice::Forward { attempt, .. } => {
             router.finished(now, attempt, Outcome::Served);
             Some(true)
         }
-        Choice::Refuse(refused) => {
-            assert_eq!(refused.reason, RefusalReason::RetryBudget);
+        Choice::Reject(rejected) => {
+            assert_eq!(rejected.reason, RejectionReason::RetryBudget);
             Some(false)
         }
     }
 }
 
 #[test]
-fn repeats_are_a_part_of_the_requests_in_the_long_run() {
+fn retries_are_a_fraction_of_the_requests_in_the_long_run() {
     let mut router = plain(1, 6);
     let allowed =
-        (0..10_000).filter(|&now| repeats(&mut router, now, Outcome::Rejected) == Some(true)).count();
+        (0..10_000).filter(|&now| retries(&mut router, now, Outcome::Rejected) == Some(true)).count();
     assert!(allowed > 500 && allowed < 1_500, "{allowed}");
 }
 
 #[test]
-fn a_send_that_never_arrived_is_no_reason_to_spend() {
+fn an_attempt_that_never_arrived_costs_no_retry_budget() {
     let mut router = plain(1, 6);
     let allowed =
-        (0..500).filter(|&now| repeats(&mut router, now * 100, Outcome::Unreachable) == Some(true)).count();
+        (0..500).filter(|&now| retries(&mut router, now * 100, Outcome::Unreachable) == Some(true)).count();
     assert!(allowed > 450, "{allowed}");
 }
 
 #[test]
-fn a_repeat_that_never_arrived_is_given_back() {
+fn a_retry_that_never_arrived_is_refunded() {
     let mut router = plain(1, 6);
     for now in 0..100 {
         let (attempt, key) = send(&mut router, now * 300, &facts()).expect("an instance");
         router.finished(now * 300, attempt, Outcome::Rejected);
-        let Choice::Send { attempt, .. } = router.choose(now * 300, &facts(), &[key]) else {
+        let Choice::Forward { attempt, .. } = router.choose(now * 300, &facts(), &[key]) else {
             panic!("no budget")
         };
         router.finished(now * 300, attempt, Outcome::Unreachable);
@@ -60,48 +60,48 @@
 }
 
 #[test]
-fn a_first_send_needs_no_budget() {
+fn a_first_attempt_needs_no_retry_budget() {
     let mut router = plain(1, 6);
-    while repeats(&mut router, 0, Outcome::Rejected) == Some(true) {}
+    while retries(&mut router, 0, Outcome::Rejected) == Some(true) {}
     assert!(send(&mut router, 300, &facts()).is_some());
 }
 
 #[test]
-fn an_unknown_number_of_balancers_leaves_little() {
+fn an_unknown_number_of_balancers_leaves_a_small_budget() {
     let mut router = Router::new(settings("a", 1), 0);
     router.configure(
         0,
         &configuration(GENERATION, vec![route("r", RouteKind::Safe)], vec![service(SERVICE, 0.0)]),
     );
     router.instances(0, &list(spread([4, 0, 0])));
-    assert_eq!(repeats(&mut router, 0, Outcome::Rejected), Some(false));
+    assert_eq!(retries(&mut router, 0, Outcome::Rejected), Some(false));
     router.fleet(1, &fleet(6, vec![]));
-    assert_eq!(repeats(&mut router, 300, Outcome::Rejected), Some(true));
+    assert_eq!(retries(&mut router, 300, Outcome::Rejected), Some(true));
 }
 
-/// Requests that reach balancers, and how their sends end.
+/// A request that reaches a balancer, and how its attempts end.
 #[derive(Clone, Debug)]
 struct Request {
-    pause: u16,
+    interval: u16,
     balancer: u8,
-    repeats: u8,
-    /// Which of its sends does not arrive.
+    retries: u8,
+    /// Which of its attempts does not arrive.
     unreachable: Option<u8>,
 }
 
 impl Arbitrary for Request {
     fn arbitrary(g: &mut Gen) -> Self {
         Request {
-            pause: u16::arbitrary(g) % 400 * u16::from(u8::arbitrary(g) % 4 == 0),
+            interval: u16::arbitrary(g) % 400 * u16::from(u8::arbitrary(g) % 4 == 0),
             balancer: u8::arbitrary(g),
-            repeats: u8::arbitrary(g) % 4,
+            retries: u8::arbitrary(g) % 4,
             unreachable: Some(u8::arbitrary(g) % 6).filter(|send| *send < 3),
         }
     }
 }
 
-/// Whether in each window arrivals beyond the first of each request stay within the rule.
-fn within_the_rule(arrivals: &[(u64, bool)], requests: &[u64]) -> bool {
+/// Whether the retries that arrived stay within the budget in every window.
+fn within_the_budget(arrivals: &[(u64, bool)], requests: &[u64]) -> bool {
     let bounds = bounds();
     let window = bounds.retry_window_ms;
     requests.iter().all(|&end| {
@@ -117,12 +117,12 @@
     let mut routers: Vec<Router> = (0..count).map(|index| plain(u64::from(index), count)).collect();
     let (mut now, mut arrivals, mut times) = (0, Vec::new(), Vec::new());
     for request in requests {
-        now += u64::from(request.pause);
+        now += u64::from(request.interval);
         times.push(now);
         let router = &mut routers[usize::from(request.balancer) % count as usize];
         let (mut tried, mut arrived, mut facts) = (Vec::new(), false, facts());
-        for send in 0..=request.repeats {
-            let Choice::Send { attempt, instance } = router.choose(now, &facts, &tried) else { break };
+        for send in 0..=request.retries {
+            let Choice::Forward { attempt, instance } = router.choose(now, &facts, &tried) else { break };
             tried.push(instance);
             if request.unreachable == Some(send) {
                 router.finished(now, attempt, Outcome::Unreachable);
@@ -134,12 +134,12 @@
             arrived = true;
         }
     }
-    within_the_rule(&arrivals, &times)
+    within_the_budget(&arrivals, &times)
 }
 
 quickcheck! {
-    fn the_sum_of_repeats_keeps_the_rule(balancers: u8, requests: Vec<Request>) -> bool {
-        // Long rows of requests use the budget up.
+    fn the_sum_of_retries_stays_within_the_budget(balancers: u8, requests: Vec<Request>) -> bool {
+        // Long sequences of requests use the budget up.
         let requests: Vec<Request> = requests.iter().cycle().take(requests.len() * 8).cloned().collect();
         play(balancers, &requests)
     }
--- a/dataplane/routing/tests/common/mod.rs
+++ b/dataplane/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Routers over small made-up deployments.
+//! Helpers: routers over small deployments.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -11,7 +11,7 @@
 };
 use whinspindle_distribution::{Fleet, Instance, Instances, RegionLoad, ServiceRegion};
 use whinspindle_routing::{
-    Attempt, Choice, InstanceKey, Outcome, PromptPart, Refusal, RequestFacts, Router, RouterSettings,
+    AttemptId, Choice, InstanceKey, Outcome, PromptPart, Rejection, RequestFacts, Router, RouterSettings,
 };
 
 pub const SERVICE: &str = "model";
@@ -104,7 +104,7 @@
     Instances { version: 1, list }
 }
 
-/// So many instances in each of the regions a, b and c.
+/// Instances in the regions a, b and c, by the number in each.
 pub fn spread(counts: [u8; 3]) -> Vec<Instance> {
     let zone = |index: usize| ["za", "zb", "zc"][index];
     let places = (0..3).flat_map(|index| std::iter::repeat_n(zone(index), usize::from(counts[index])));
@@ -139,22 +139,22 @@
     RequestFacts { prompt, prompt_tokens, ..facts() }
 }
 
-/// Where a first send of this request goes.
-pub fn send(router: &mut Router, now: u64, facts: &RequestFacts) -> Option<(Attempt, InstanceKey)> {
+/// The first attempt of a request, and its instance; none if the request is rejected.
+pub fn send(router: &mut Router, now: u64, facts: &RequestFacts) -> Option<(AttemptId, InstanceKey)> {
     match router.choose(now, facts, &[]) {
-        Choice::Send { attempt, instance } => Some((attempt, instance)),
-        Choice::Refuse(_) => None,
+        Choice::Forward { attempt, instance } => Some((attempt, instance)),
+        Choice::Reject(_) => None,
     }
 }
 
-pub fn refusal(choice: Choice) -> Refusal {
+pub fn rejection(choice: Choice) -> Rejection {
     match choice {
-        Choice::Refuse(refusal) => refusal,
-        Choice::Send { .. } => panic!("sent where a refusal was due"),
+        Choice::Reject(rejection) => rejection,
+        Choice::Forward { .. } => panic!("sent where a rejection was due"),
     }
 }
 
-/// The id of the instance that a first send goes to; the send is served at once.
+/// The id of the instance of a first attempt, which is served at once.
 pub fn served_by(router: &mut Router, now: u64, facts: &RequestFacts) -> Option<String> {
     let (attempt, key) = send(router, now, facts)?;
     let id = router.target(key)?.id.clone();
--- a/dataplane/routing/tests/health.rs
+++ b/dataplane/routing/tests/health.rs
@@ -1,16 +1,16 @@
-//! Rests of instances that don't answer, and refusals where nothing has room.
+//! Outlier ejection, shared failures, and rejections where no instance has capacity.
 
 mod common;
 
 use common::*;
 use whinspindle_configuration::{Route, RouteKind};
-use whinspindle_routing::{Choice, Outcome, Refusal, RefusalReason, Router};
+use whinspindle_routing::{Choice, Outcome, Rejection, RejectionReason, Router};
 
 fn plain(instances: Vec<whinspindle_distribution::Instance>) -> Router {
     router(1, route("r", RouteKind::Unsafe), instances)
 }
 
-/// Ends sends to the instance so, and all others well, until it had so many.
+/// Makes attempts until the instance had `count`, which end with `outcome`; those at other instances are served.
 fn end_at(router: &mut Router, now: u64, id: &str, outcome: Outcome, count: u32) {
     let mut ended = 0;
     while ended < count {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_instance_rests_after_two_failures_in_a_row_and_comes_back() {
+fn an_instance_is_ejected_after_two_consecutive_failures_and_comes_back() {
     for outcome in [Outcome::Unreachable, Outcome::Broken, Outcome::Failed] {
         let mut router = plain(spread([4, 0, 0]));
         end_at(&mut router, 100, "i2", outcome, 2);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_answer_between_two_failures_ends_the_doubt() {
+fn an_answer_between_two_failures_resets_the_count() {
     let mut router = plain(spread([4, 0, 0]));
     end_at(&mut router, 100, "i2", Outcome::Unreachable, 1);
     end_at(&mut router, 100, "i2", Outcome::Served, 1);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_rest_doubles_while_the_trial_after_it_fails() {
+fn an_ejection_doubles_while_the_probe_after_it_fails() {
     let mut router = plain(spread([4, 0, 0]));
     end_at(&mut router, 0, "i2", Outcome::Unreachable, 2);
     end_at(&mut router, 300, "i2", Outcome::Unreachable, 1);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_trial_is_one_send() {
+fn a_probe_is_one_attempt() {
     let mut router = plain(spread([4, 0, 0]));
     end_at(&mut router, 0, "i2", Outcome::Unreachable, 2);
     let trial = loop {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn some_instances_stay_awake_whatever_fails() {
+fn some_instances_stay_in_use_whatever_fails() {
     let mut router = plain(spread([4, 0, 0]));
     for _ in 0..100 {
         let (attempt, _) = send(&mut router, 0, &facts()).expect("an instance");
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn requests_that_clients_give_up_early_blame_nobody() {
+fn requests_that_clients_cancel_early_are_no_failures() {
     let mut router = plain(spread([4, 0, 0]));
     end_at(&mut router, 100, "i2", Outcome::Cancelled, 20);
     assert!(gets_any(&mut router, 101, "i2"));
 }
 
 #[test]
-fn an_instance_that_answers_nobody_rests_while_its_requests_are_out() {
+fn an_instance_beyond_the_silence_limit_is_ejected_while_its_attempts_are_open() {
     let mut router = plain(spread([4, 0, 0]));
     let mut out = 0;
     for now in 0..400 {
@@ -103,18 +103,19 @@
 }
 
 #[test]
-fn an_instance_that_rejects_requests_is_no_failed_one() {
+fn an_instance_that_rejects_requests_is_not_ejected() {
     let mut router = plain(spread([4, 0, 0]));
     end_at(&mut router, 1_000, "i2", Outcome::Rejected, 20);
     assert!(gets_any(&mut router, 1_001, "i2"));
 }
 
-/// Ends the sends of one request as rejected until it is refused; each goes to another instance.
-fn reject_everywhere(router: &mut Router, now: u64) -> (usize, Refusal) {
+/// Ends the attempts of one request as rejected by their upstreams until the router rejects the request itself. Returns
+/// the number of attempts, each at another instance, and the rejection.
+fn reject_everywhere(router: &mut Router, now: u64) -> (usize, Rejection) {
     let mut tried = Vec::new();
     loop {
         match router.choose(now, &facts(), &tried) {
-            Choice::Send { attempt, instance } => {
+            Choice::Forward { attempt, instance } => {
                 assert!(
                     !tried.contains(&instance),
                     "an instance that rejected the request is not asked again"
@@ -122,50 +123,50 @@
                 tried.push(instance);
                 router.finished(now, attempt, Outcome::Rejected);
             }
-            Choice::Refuse(refused) => return (tried.len(), refused),
+            Choice::Reject(rejected) => return (tried.len(), rejected),
         }
     }
 }
 
 #[test]
-fn a_request_that_all_have_rejected_is_refused_and_the_next_one_is_sent() {
+fn a_request_that_all_instances_rejected_is_rejected_and_the_next_one_is_forwarded() {
     let mut router = plain(spread([2, 2, 0]));
-    let (sends, refused) = reject_everywhere(&mut router, 1_000);
-    assert_eq!((sends, refused.reason), (4, RefusalReason::NoUpstream));
-    assert!(refused.retry_after_ms < facts().time_left_ms / 3);
+    let (sends, rejected) = reject_everywhere(&mut router, 1_000);
+    assert_eq!((sends, rejected.reason), (4, RejectionReason::NoUpstream));
+    assert!(rejected.retry_after_ms < facts().time_left_ms / 3);
     assert!(send(&mut router, 1_000, &facts()).is_some());
 }
 
 #[test]
-fn a_region_that_rejects_does_not_hold_its_requests() {
+fn requests_leave_a_region_that_rejects_them() {
     let mut router = plain(spread([1, 1, 0]));
     let (attempt, first) = send(&mut router, 1_000, &facts()).expect("an instance");
     router.finished(1_000, attempt, Outcome::Rejected);
-    let Choice::Send { instance, .. } = router.choose(1_000, &facts(), &[first]) else {
+    let Choice::Forward { instance, .. } = router.choose(1_000, &facts(), &[first]) else {
         panic!("the other region has room")
     };
     assert_ne!(router.target(instance).unwrap().region, router.target(first).unwrap().region);
 }
 
 #[test]
-fn what_this_balancer_alone_has_out_can_fill_an_instance() {
+fn the_attempts_of_this_balancer_alone_can_fill_an_instance() {
     let mut router = plain(spread([1, 0, 0]));
     let slots = instance(1, "za").slots;
     let sent = (0..200).take_while(|_| send(&mut router, 0, &facts()).is_some()).count();
-    assert!(sent >= slots as usize, "never refused while there is room: {sent}");
+    assert!(sent >= slots as usize, "never rejected while there is capacity: {sent}");
     assert!(sent <= 2 * slots as usize, "{sent}");
-    assert_eq!(refusal(router.choose(0, &facts(), &[])).reason, RefusalReason::Full);
+    assert_eq!(rejection(router.choose(0, &facts(), &[])).reason, RejectionReason::Full);
 }
 
 #[test]
-fn without_any_instance_the_request_is_refused_at_once() {
+fn without_any_instance_the_request_is_rejected_at_once() {
     let mut router = plain(vec![]);
-    let refused = refusal(router.choose(0, &facts(), &[]));
-    assert_eq!(refused.reason, RefusalReason::NoUpstream);
-    assert!(refused.retry_after_ms < facts().time_left_ms / 3);
+    let rejected = rejection(router.choose(0, &facts(), &[]));
+    assert_eq!(rejected.reason, RejectionReason::NoUpstream);
+    assert!(rejected.retry_after_ms < facts().time_left_ms / 3);
 }
 
-/// Two sends in a row that come to nothing, then the trials after each rest until the given time.
+/// Two consecutive failures, then failed probes after each ejection until the given time. Returns the times of attempts.
 fn fail_until(router: &mut Router, until: u64) -> Vec<u64> {
     let mut sent = Vec::new();
     for now in 1..until {
@@ -178,61 +179,61 @@
     sent
 }
 
-/// A route that only region a may serve, and enough awake instances elsewhere that those of a may rest.
+/// A route with home region a, and enough healthy instances elsewhere that those of a may be ejected.
 fn bound_to_a() -> Router {
     let route = Route { home_regions: vec!["a".to_owned()], ..route("r", RouteKind::Safe) };
     router(1, route, spread([1, 4, 0]))
 }
 
 #[test]
-fn where_all_are_down_a_request_is_refused_at_once_and_for_long() {
+fn where_all_are_down_a_request_is_rejected_at_once_and_for_long() {
     let mut router = bound_to_a();
     let sent = fail_until(&mut router, 3_000);
     assert!(sent.iter().filter(|&&at| at > 700).count() <= 3, "{sent:?}");
-    let refused = refusal(router.choose(3_000, &facts(), &[]));
-    assert_eq!(refused.reason, RefusalReason::NoUpstream);
-    assert!((1_500..=facts().time_left_ms / 3).contains(&refused.retry_after_ms), "{refused:?}");
+    let rejected = rejection(router.choose(3_000, &facts(), &[]));
+    assert_eq!(rejected.reason, RejectionReason::NoUpstream);
+    assert!((1_500..=facts().time_left_ms / 3).contains(&rejected.retry_after_ms), "{rejected:?}");
 }
 
 #[test]
-fn an_instance_that_was_down_serves_again_after_one_trial() {
+fn an_instance_that_was_down_serves_again_after_one_probe() {
     let mut router = bound_to_a();
     fail_until(&mut router, 3_000);
-    let back = (3_000..9_000).find(|&now| served_by(&mut router, now, &facts()).is_some()).expect("a trial");
+    let back = (3_000..9_000).find(|&now| served_by(&mut router, now, &facts()).is_some()).expect("a probe");
     assert!((back + 1..back + 50).all(|now| served_by(&mut router, now, &facts()).is_some()));
 }
 
-fn told_failing(router: &mut Router, now: u64, failing: &[&str]) {
+fn report_failing(router: &mut Router, now: u64, failing: &[&str]) {
     let failing = failing.iter().map(|id| (*id).to_owned()).collect();
     router.fleet(now, &whinspindle_distribution::Fleet { failing, ..fleet(6, vec![]) });
 }
 
 #[test]
-fn an_instance_that_fails_others_is_left_alone_while_they_say_so() {
+fn an_instance_that_fails_others_is_avoided_while_they_report_it() {
     let mut router = plain(spread([4, 0, 0]));
     assert!(gets_any(&mut router, 0, "i2"));
-    told_failing(&mut router, 0, &["i2"]);
+    report_failing(&mut router, 0, &["i2"]);
     assert!(!gets_any(&mut router, 1, "i2"));
     assert!(!gets_any(&mut router, 20_000, "i2"));
-    told_failing(&mut router, 20_000, &[]);
+    report_failing(&mut router, 20_000, &[]);
     assert!(gets_any(&mut router, 24_001, "i2"), "every balancer is back after four seconds");
 }
 
 #[test]
-fn what_others_said_counts_no_longer_than_they_can_be_heard() {
+fn reported_failures_expire_without_updates_of_the_fleet() {
     let mut router = plain(spread([4, 0, 0]));
-    told_failing(&mut router, 0, &["i2"]);
-    told_failing(&mut router, 20_000, &["i2"]);
+    report_failing(&mut router, 0, &["i2"]);
+    report_failing(&mut router, 20_000, &["i2"]);
     assert!(!gets_any(&mut router, 49_000, "i2"));
     assert!(gets_any(&mut router, 50_001, "i2"));
 }
 
 #[test]
-fn balancers_come_back_one_after_the_other() {
+fn balancers_return_one_after_the_other() {
     let moments = (0..20).map(|seed| {
         let mut router = router(seed, route("r", RouteKind::Unsafe), spread([4, 0, 0]));
-        told_failing(&mut router, 0, &["i2"]);
-        told_failing(&mut router, 0, &[]);
+        report_failing(&mut router, 0, &["i2"]);
+        report_failing(&mut router, 0, &[]);
         (0..41).map(|step| step * 100).find(|&now| gets_any(&mut router, now, "i2")).expect("it is back")
     });
     let moments: std::collections::BTreeSet<u64> = moments.collect();
@@ -240,20 +241,20 @@
 }
 
 #[test]
-fn where_all_are_said_to_fail_they_are_used() {
+fn where_all_are_reported_failing_they_are_used() {
     let mut router = plain(spread([2, 0, 0]));
-    told_failing(&mut router, 0, &["i1", "i2"]);
+    report_failing(&mut router, 0, &["i1", "i2"]);
     assert!(send(&mut router, 1, &facts()).is_some());
 }
 
 #[test]
-fn failures_are_told_for_four_seconds_and_answers_do_not_end_them() {
+fn failures_are_reported_for_four_seconds_and_answers_do_not_end_them() {
     let mut router = plain(spread([4, 0, 0]));
     end_at(&mut router, 0, "i2", Outcome::Failed, 1);
     end_at(&mut router, 100, "i2", Outcome::Served, 1);
     end_at(&mut router, 200, "i2", Outcome::Failed, 1);
     end_at(&mut router, 200, "i3", Outcome::Broken, 1);
-    let told: Vec<_> = router.failing(4_100).into_iter().map(|seen| (seen.id, seen.failures)).collect();
-    assert_eq!(told, [("i2".to_owned(), 2)], "a connection that broke may be the network's");
+    let reported: Vec<_> = router.failing(4_100).into_iter().map(|seen| (seen.id, seen.failures)).collect();
+    assert_eq!(reported, [("i2".to_owned(), 2)], "a connection that broke may be the network's");
     assert!(router.failing(4_201).is_empty());
 }
--- a/dataplane/routing/tests/ordinary_path.rs
+++ b/dataplane/routing/tests/ordinary_path.rs
@@ -1,4 +1,4 @@
-//! The design on the ordinary path: weights of regions, the draw, the pick and the pass-over.
+//! The ordinary path: region weights, the draw of a region and a service, the pick and the pass-over.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use whinspindle_distribution::Instance;
 use whinspindle_routing::{Choice, Outcome, RequestFacts, Router, RouterSettings};
 
-/// Parts of sends by region; each is answered after the time that its region takes.
+/// Fractions of attempts by region; each is answered after the latency of its region.
 fn play(
     router: &mut Router,
     begin: u64,
@@ -40,7 +40,7 @@
 }
 
 /// A router whose own region has no instances, so that the weights alone decide.
-fn abroad(instances: Vec<whinspindle_distribution::Instance>) -> Router {
+fn without_own_instances(instances: Vec<whinspindle_distribution::Instance>) -> Router {
     let mut instances = instances;
     instances.retain(|instance| instance.zone != "za");
     router(7, route("r", RouteKind::Unsafe), instances)
@@ -48,14 +48,14 @@
 
 #[test]
 fn weights_start_by_ready_instances() {
-    let mut router = abroad(spread([0, 6, 2]));
+    let mut router = without_own_instances(spread([0, 6, 2]));
     let parts = play(&mut router, 0, 400, 1, |_| 1);
     assert!((parts["b"] - 0.75).abs() < 0.08, "{parts:?}");
 }
 
 #[test]
 fn weights_move_away_from_a_region_whose_latency_rises() {
-    let mut router = abroad(spread([0, 4, 4]));
+    let mut router = without_own_instances(spread([0, 4, 4]));
     let slow = |region: &str| if region == "b" { 400 } else { 20 };
     play(&mut router, 0, 3_000, 20, slow);
     let parts = play(&mut router, 60_000, 500, 20, slow);
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn each_region_with_ready_instances_keeps_a_floor_share() {
-    let mut router = abroad(spread([0, 4, 4]));
+fn each_region_with_ready_instances_keeps_a_floor_weight() {
+    let mut router = without_own_instances(spread([0, 4, 4]));
     let slow = |region: &str| if region == "b" { 3_000 } else { 5 };
     play(&mut router, 0, 8_000, 25, slow);
     let parts = play(&mut router, 200_000, 2_000, 25, slow);
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_region_that_loses_instances_loses_its_share_at_once() {
-    let mut router = abroad(spread([0, 4, 4]));
+fn a_region_that_loses_instances_loses_weight_at_once() {
+    let mut router = without_own_instances(spread([0, 4, 4]));
     let mut left = spread([0, 4, 4]);
     left.retain(|instance| instance.zone == "zc" || instance.id == "i1");
     router.instances(10, &list(left));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn told_loads_beyond_the_margin_lower_the_part_that_stays() {
+fn reported_loads_beyond_the_margin_lower_the_fraction_that_stays() {
     let mut router = router(3, route("r", RouteKind::Unsafe), spread([4, 4, 4]));
     for second in 0..20 {
         let loads = vec![load("a", 500.0), load("b", 50.0), load("c", 50.0)];
@@ -126,21 +126,21 @@
 #[test]
 fn an_instance_above_twice_the_mean_is_passed_over() {
     let mut router = router(5, route("r", RouteKind::Unsafe), spread([4, 0, 0]));
-    let mut held = 0;
+    let mut known = 0;
     for now in 0..300 {
         let (attempt, key) = send(&mut router, now, &facts()).expect("an instance");
         if router.target(key).expect("a known instance").id == "i1" {
-            // It never answers: one more than none is above twice a mean of a quarter.
-            held += 1;
+            // Never answered: two in flight are above twice a mean of a quarter.
+            known += 1;
         } else {
             router.finished(now, attempt, Outcome::Served);
         }
     }
-    assert_eq!(held, 1);
+    assert_eq!(known, 1);
 }
 
 #[test]
-fn sends_in_flight_stay_within_twice_the_mean() {
+fn attempts_in_flight_stay_within_twice_the_mean() {
     let mut router = router(5, route("r", RouteKind::Unsafe), spread([4, 0, 0]));
     let mut in_flight: BTreeMap<_, f64> = BTreeMap::new();
     for now in 0..60 {
@@ -164,18 +164,18 @@
 }
 
 #[test]
-fn failed_refused_and_timed_out_requests_stay_out_of_the_fit() {
+fn failed_rejected_and_timed_out_requests_stay_out_of_the_fit() {
     let outcomes = [Outcome::Failed, Outcome::Rejected, Outcome::Cancelled, Outcome::Broken];
     let slow = |region: &str| if region == "b" { 400 } else { 20 };
-    let mut with = abroad(spread([0, 4, 4]));
-    let mut without = abroad(spread([0, 4, 4]));
+    let mut with = without_own_instances(spread([0, 4, 4]));
+    let mut without = without_own_instances(spread([0, 4, 4]));
     for outcome in outcomes {
         let (attempt, _) = send(&mut with, 0, &facts()).expect("an instance");
         with.finished(900, attempt, outcome);
         let (attempt, _) = send(&mut without, 0, &facts()).expect("an instance");
         without.finished(0, attempt, Outcome::Served);
     }
-    // One that took long and failed tells nothing: the region that is slow is still found.
+    // Slow failures are no samples: the region that is slow is still found.
     play(&mut with, 10_000, 3_000, 20, slow);
     let parts = play(&mut with, 70_000, 500, 20, slow);
     assert!(parts["b"] < 0.25, "{parts:?}");
@@ -192,7 +192,7 @@
         let (attempt, key) = send(&mut router, now, &facts()).expect("an instance");
         let first = if region_of(&router, key) == "b" { 400 } else { 20 };
         router.first_event(now + first, attempt);
-        // Whole streams take alike everywhere.
+        // Complete streams take the same time everywhere.
         router.finished(now + 1_000, attempt, Outcome::Served);
     }
     let count = 400;
@@ -205,16 +205,16 @@
 }
 
 #[test]
-fn sends_are_told_by_service_and_region() {
-    let mut router = abroad(spread([0, 1, 0]));
+fn attempt_rates_are_reported_by_service_and_region() {
+    let mut router = without_own_instances(spread([0, 1, 0]));
     for number in 0..100 {
         served_by(&mut router, number * 40, &facts());
     }
-    let sends = router.sends(4_000);
-    assert_eq!(sends.len(), 1);
-    assert_eq!((sends[0].target.service.as_str(), sends[0].target.region.as_str()), (SERVICE, "b"));
-    assert!((sends[0].requests_per_s - 25.0).abs() < 4.0, "{sends:?}");
-    assert!(router.sends(10_000).is_empty(), "rates fade when nothing is sent");
+    let rates = router.attempt_rates(4_000);
+    assert_eq!(rates.len(), 1);
+    assert_eq!((rates[0].target.service.as_str(), rates[0].target.region.as_str()), (SERVICE, "b"));
+    assert!((rates[0].requests_per_s - 25.0).abs() < 4.0, "{rates:?}");
+    assert!(router.attempt_rates(10_000).is_empty(), "rates fade when nothing is sent");
 }
 
 #[test]
@@ -234,7 +234,7 @@
     assert!((0..200).all(|_| router.draw_service(0) == 0), "a service without instances is left out");
 }
 
-/// A router with one route split between two services with one instance each; the second instance may be cold.
+/// A router with one route split between two services with one instance each; the second one may be in slow start.
 fn split_router(seed: u64, weights: [f64; 2], second_cold_ms: u64) -> Router {
     let mut split = route("r", RouteKind::Unsafe);
     split.backends =
@@ -249,13 +249,13 @@
     router
 }
 
-/// Seeds that have as little to do with each other as those of processes.
+/// Seeds as independent of each other as those of processes.
 fn seed_of(number: u64) -> u64 {
     (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
 #[test]
-fn each_part_of_a_split_gets_its_share_of_a_few_hundred_requests_of_many_balancers() {
+fn each_backend_of_a_split_gets_its_weight_of_a_few_hundred_requests_of_many_balancers() {
     const BALANCERS: u64 = 30;
     const REQUESTS_EACH: usize = 10;
     const MOST_OFF: f64 = 0.045;
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn each_part_of_a_split_gets_its_share_of_few_requests_of_one_balancer() {
+fn each_backend_of_a_split_gets_its_weight_of_few_requests_of_one_balancer() {
     for seed in 0..50 {
         let mut router = split_router(seed, [75.0, 25.0], 0);
         let second = (0..200).filter(|_| router.draw_service(0) == 1).count();
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_part_of_a_split_that_turns_requests_away_is_cold_or_rests_keeps_its_share() {
+fn a_backend_of_a_split_that_rejects_is_warming_up_or_is_ejected_keeps_its_weight() {
     for (outcome, slow_start_ms) in
         [(Outcome::Served, 60_000), (Outcome::Rejected, 0), (Outcome::Broken, 0), (Outcome::Unreachable, 0)]
     {
@@ -321,14 +321,14 @@
 }
 
 #[test]
-fn a_request_of_an_unknown_configuration_or_route_is_refused() {
+fn a_request_of_an_unknown_configuration_or_route_is_rejected() {
     let mut router = router(1, route("r", RouteKind::Unsafe), spread([1, 0, 0]));
     for facts in [
         RequestFacts { generation: 9, ..facts() },
         RequestFacts { route: 5, ..facts() },
         RequestFacts { service: 5, ..facts() },
     ] {
-        assert!(matches!(router.choose(0, &facts, &[]), Choice::Refuse(_)));
+        assert!(matches!(router.choose(0, &facts, &[]), Choice::Reject(_)));
     }
 }
 
@@ -345,22 +345,22 @@
     router
 }
 
-/// The part of 400 requests that the zone serves.
-fn part_of_zone(router: &mut Router, zone: &str) -> f64 {
-    let sends = (0..400).filter(|&number| {
+/// The fraction of 400 requests that the zone serves.
+fn fraction_of_zone(router: &mut Router, zone: &str) -> f64 {
+    let rates = (0..400).filter(|&number| {
         let (attempt, key) = send(router, number * 20, &facts()).expect("there are instances");
         let is_there = router.target(key).expect("a known instance").zone == zone;
         router.finished(number * 20, attempt, Outcome::Served);
         is_there
     });
-    sends.count() as f64 / 400.0
+    rates.count() as f64 / 400.0
 }
 
 #[test]
 fn a_zone_keeps_what_it_can_serve() {
     let instances = (1..=16).map(|number| instance(number, ["z1", "z2", "z3", "z4"][number as usize % 4]));
     let mut router = in_a_region_of_two_zones(1, instances.collect());
-    assert!(part_of_zone(&mut router, "z1") > 0.95);
+    assert!(fraction_of_zone(&mut router, "z1") > 0.95);
 }
 
 #[test]
@@ -368,14 +368,14 @@
     let zone = |number: u8| if number == 1 { "z1" } else { ["z2", "z3", "z4"][usize::from(number) % 3] };
     let mut router =
         in_a_region_of_two_zones(1, (1..=16).map(|number| instance(number, zone(number))).collect());
-    let part = part_of_zone(&mut router, "z1");
+    let part = fraction_of_zone(&mut router, "z1");
     assert!(part > 0.1 && part < 0.5, "one of 16 instances, and a quarter of the requests: {part}");
-    assert!(part_of_zone(&mut router, "z2") > 0.2, "the rest stays in the region where it can");
+    assert!(fraction_of_zone(&mut router, "z2") > 0.2, "the rest stays in the region where it can");
 }
 
 #[test]
 fn without_an_instance_in_the_zone_the_region_serves() {
     let instances = (1..=8).map(|number| instance(number, ["z2", "z3"][number as usize % 2]));
     let mut router = in_a_region_of_two_zones(1, instances.collect());
-    assert!(part_of_zone(&mut router, "z2") > 0.9);
+    assert!(fraction_of_zone(&mut router, "z2") > 0.9);
 }
--- a/dataplane/routing/tests/rules.rs
+++ b/dataplane/routing/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What no request may do: reach an instance that leaves, an evacuated zone, or a region that is no home.
+//! Invariants: no attempt goes to a draining instance, an evacuated zone, or a region other than the home regions.
 
 mod common;
 
@@ -6,20 +6,20 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use whinspindle_configuration::{Route, RouteKind};
 use whinspindle_distribution::Instance;
-use whinspindle_routing::{Choice, InstanceKey, Outcome, RefusalReason};
+use whinspindle_routing::{Choice, InstanceKey, Outcome, RejectionReason};
 
 fn plain() -> Route {
     route("r", RouteKind::Unsafe)
 }
 
 #[test]
-fn a_draining_instance_gets_no_new_sends_also_if_it_was_chosen_before() {
+fn a_draining_instance_gets_no_new_attempts_even_if_it_was_chosen_before() {
     let mut router = router(1, plain(), spread([1, 0, 0]));
     let (_, key) = send(&mut router, 0, &facts()).expect("an instance");
     assert!(router.may_still_send(key));
     router.instances(1, &list(vec![Instance { draining: true, ..instance(1, "za") }]));
     assert!(!router.may_still_send(key));
-    assert_eq!(refusal(router.choose(2, &facts(), &[])).reason, RefusalReason::NoUpstream);
+    assert_eq!(rejection(router.choose(2, &facts(), &[])).reason, RejectionReason::NoUpstream);
 }
 
 #[test]
@@ -40,14 +40,14 @@
     let (attempt, key) = send(&mut router, 0, &facts()).expect("an instance");
     router.instances(1, &list(vec![]));
     assert!(!router.may_still_send(key) && send(&mut router, 2, &facts()).is_none());
-    assert!(router.target(key).is_some(), "its sends still know it");
+    assert!(router.target(key).is_some(), "its open attempts still refer to it");
     router.finished(3, attempt, Outcome::Served);
     router.instances(4, &list(vec![instance(1, "za")]));
     assert_eq!(send(&mut router, 5, &facts()).map(|sent| sent.1), Some(key));
 }
 
 #[test]
-fn a_misdirected_send_ends_that_incarnation() {
+fn a_misdirected_attempt_ends_that_incarnation() {
     let mut router = router(1, plain(), spread([1, 0, 0]));
     let (attempt, key) = send(&mut router, 0, &facts()).expect("an instance");
     router.finished(1, attempt, Outcome::Misdirected);
@@ -81,18 +81,18 @@
 }
 
 #[test]
-fn an_instance_whose_zone_is_unknown_serves_no_route_with_homes() {
+fn an_instance_whose_zone_is_unknown_serves_no_route_with_home_regions() {
     let mut router =
         router(1, Route { home_regions: vec!["a".into()], ..plain() }, vec![instance(1, "elsewhere")]);
     assert!(send(&mut router, 0, &facts()).is_none());
 }
 
-/// Things that happen to a router.
+/// An input of a router.
 #[derive(Clone, Debug)]
 enum Event {
     Send { tried: u8 },
     Finish { outcome: Outcome },
-    Listed { hidden: u8, draining: u8, cold: u8 },
+    Listed { hidden: u8, draining: u8, slow_start: u8 },
     Evacuated { zones: u8 },
     Balancers(u8),
     Wait(u16),
@@ -113,7 +113,7 @@
             0 => Event::Listed {
                 hidden: u8::arbitrary(g) & u8::arbitrary(g),
                 draining: 1 << (u8::arbitrary(g) % 16).min(7),
-                cold: u8::arbitrary(g),
+                slow_start: u8::arbitrary(g),
             },
             1 => Event::Evacuated { zones: u8::arbitrary(g) & u8::arbitrary(g) & 7 },
             2 => Event::Balancers(u8::arbitrary(g) % 9),
@@ -124,9 +124,9 @@
     }
 }
 
-/// What the router was told of each instance, to judge it by.
+/// What was reported to the router of each instance.
 #[derive(Default)]
-struct Told {
+struct Reported {
     hidden: u8,
     drained: u8,
     evacuated: u8,
@@ -146,23 +146,23 @@
         Route { home_regions: homes.iter().map(|&home| home.to_owned()).collect(), ..plain() },
         all.clone(),
     );
-    let (mut now, mut told, mut out, mut last) = (0, Told::default(), Vec::new(), Vec::new());
+    let (mut now, mut reported, mut out, mut last) = (0, Reported::default(), Vec::new(), Vec::new());
     for event in events {
         now += 1;
         match event {
             Event::Send { tried } => {
                 let tried: Vec<InstanceKey> = last.iter().rev().take(usize::from(*tried)).copied().collect();
-                let Choice::Send { attempt, instance } = router.choose(now, &facts(), &tried) else {
+                let Choice::Forward { attempt, instance } = router.choose(now, &facts(), &tried) else {
                     continue;
                 };
                 let target = router.target(instance).ok_or("an unknown instance")?;
                 let bit = 1u8 << number(&target.id);
                 let zone = regions.iter().position(|region| *region == target.region).ok_or("no region")?;
-                let allowed = bit & (told.hidden | told.drained) == 0
-                    && told.evacuated & (1 << zone) == 0
+                let allowed = bit & (reported.hidden | reported.drained) == 0
+                    && reported.evacuated & (1 << zone) == 0
                     && (homes.is_empty() || homes.contains(&target.region.as_str()))
                     && !tried.contains(&instance)
-                    && !told.misdirected.contains(&instance)
+                    && !reported.misdirected.contains(&instance)
                     && router.may_still_send(instance);
                 if !allowed {
                     return Err(format!("sent to {target:?} at {now}"));
@@ -174,26 +174,26 @@
                 let Some((attempt, instance)) = out.pop() else { continue };
                 router.finished(now, attempt, *outcome);
                 if *outcome == Outcome::Misdirected {
-                    told.misdirected.push(instance);
+                    reported.misdirected.push(instance);
                 }
             }
-            Event::Listed { hidden, draining, cold } => {
+            Event::Listed { hidden, draining, slow_start } => {
                 let is = |mask: u8, id: &str| mask & (1 << number(id)) != 0;
                 let shown =
                     all.iter().filter(|instance| !is(*hidden, &instance.id)).map(|instance| Instance {
                         draining: is(*draining, &instance.id),
-                        slow_start_ms: if is(*cold, &instance.id) { 700 } else { 0 },
+                        slow_start_ms: if is(*slow_start, &instance.id) { 700 } else { 0 },
                         ..instance.clone()
                     });
                 router.instances(now, &list(shown.collect()));
-                told.hidden = *hidden;
-                told.drained |= draining & !hidden;
+                reported.hidden = *hidden;
+                reported.drained |= draining & !hidden;
             }
             Event::Evacuated { zones } => {
                 let named =
                     (0..3).filter(|zone| zones & (1 << zone) != 0).map(|zone| format!("z{}", regions[zone]));
                 router.evacuations(now, &named.collect::<Vec<_>>());
-                told.evacuated = *zones;
+                reported.evacuated = *zones;
             }
             Event::Balancers(count) => router.fleet(now, &fleet(u32::from(*count), vec![])),
             Event::Wait(time) => {
@@ -206,7 +206,7 @@
 }
 
 quickcheck! {
-    fn no_send_goes_where_it_may_not(events: Vec<Event>) -> bool {
+    fn no_attempt_goes_where_it_may_not(events: Vec<Event>) -> bool {
         [&[][..], &["a"], &["b", "c"]].iter().all(|homes| play(&events, homes).is_ok())
     }
 }
