--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -1,10 +1,10 @@
-//! The one place where the state of a real balancer changes. It owns the decisions and the open queries; it
-//! is called once for each thing that happens, and asks through `Effects` for all that must be read or
-//! written.
+//! The state of one running balancer, as a state machine without I/O: the decisions and the table of open queries.
+//!
+//! It is called once for each event and asks through [`Effects`] for all that must be sent, answered or timed.
 
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 
-mod desk;
+mod request_table;
 mod servers;
 
 use std::collections::BTreeSet;
@@ -15,62 +15,62 @@
 use whinspindle::host::{Arrival, Endpoint, ExecutionEnd, LoadReport, Outcome, RoutePolicy};
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_protocol::answer::{Answer, Served};
-use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_protocol::query::Forwarded;
 
-use desk::Desk;
-pub use desk::Ticket;
+use request_table::RequestTable;
+pub use request_table::Ticket;
 
-/// What the reducer asks the world for. Nothing of it may call the reducer before it returns.
+/// Carries out what the core asks for. No method may call the core before it returns.
 pub trait Effects {
     /// Who waits for the answer to a query.
     type Caller;
-    /// Sends the query to the server once; `Reducer::execution_ended` tells what came of it.
+    /// Sends the query to the server once; `BalancerCore::execution_ended` tells what came of it.
     fn execute(&mut self, execution: Execution);
     /// Stops waiting for an execution, whose connection is closed; its end is still told.
-    fn cancel(&mut self, query_index: usize, exec: usize);
+    fn cancel(&mut self, query_index: usize, execution_index: usize);
     fn answer(&mut self, caller: Self::Caller, answer: Answer);
-    /// Calls `Reducer::timer` after so many microseconds.
+    /// Calls `BalancerCore::timer` after so many microseconds.
     fn wake(&mut self, wait: u64, label: u32);
-    /// `Reducer::probed` tells what came of it.
-    fn probe(&mut self, server: usize, place: Place);
+    /// `BalancerCore::probed` tells what came of it.
+    fn probe(&mut self, server: usize, process: ServerProcess);
 }
 
 /// Where a server listens, and which of its processes: each that the list has named has a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct ServerProcess {
     pub address: SocketAddr,
     pub process: u64,
 }
 
 pub struct Execution {
     pub query_index: usize,
-    pub exec: usize,
+    pub execution_index: usize,
     pub server: usize,
-    pub place: Place,
+    pub process: ServerProcess,
     pub product: usize,
     pub query: Rc<Forwarded>,
     pub time_out: u64,
 }
 
 /// How an execution ended.
-pub struct Ended {
+pub struct EndedExecution {
     pub query_index: usize,
-    pub exec: usize,
+    pub execution_index: usize,
     pub outcome: Outcome,
     pub spent: u64,
     pub report: LoadReport,
     pub served: Option<Served>,
 }
 
-pub struct Reducer<E: Effects> {
-    balancer: Balancer<Desk<E>>,
+pub struct BalancerCore<E: Effects> {
+    balancer: Balancer<RequestTable<E>>,
 }
 
-impl<E: Effects> Reducer<E> {
+impl<E: Effects> BalancerCore<E> {
     pub fn new(effects: E, deployment: &Deployment, seed: u64, now: u64) -> Self {
-        let desk = Desk::new(effects, deployment);
-        Reducer { balancer: Balancer::new(desk, deployment.terms.clone(), seed, now) }
+        let request_table = RequestTable::new(effects, deployment);
+        BalancerCore { balancer: Balancer::new(request_table, deployment.terms.clone(), seed, now) }
     }
 
     /// Queries come by these routes from now on; those in hand keep theirs.
@@ -78,28 +78,28 @@
         self.balancer.routes(routes);
     }
 
-    pub fn list(&mut self, now: u64, news: &ListNews) {
-        let entries = self.balancer.host.servers.learn(news);
-        if news.whole {
+    pub fn list(&mut self, now: u64, update: &EndpointUpdate) {
+        let entries = self.balancer.host.servers.apply(update);
+        if update.complete {
             self.balancer.endpoints_replaced(now, &entries);
         } else {
             self.balancer.endpoints_changed(now, &entries);
         }
-        self.let_go();
+        self.forget_gone();
     }
 
     /// The fleet has let these servers out, by their keys: they get nothing new, as if the list had told that
     /// they drain, until they are not among them any more.
-    pub fn let_out(&mut self, now: u64, keys: &BTreeSet<u64>) {
-        let entries = self.balancer.host.servers.let_out(keys);
+    pub fn taken_out(&mut self, now: u64, keys: &BTreeSet<u64>) {
+        let entries = self.balancer.host.servers.taken_out(keys);
         if !entries.is_empty() {
             self.balancer.endpoints_changed(now, &entries);
         }
     }
 
     /// The whole list, to be kept over a restart.
-    pub fn whole_list(&self) -> Vec<ListedServer> {
-        self.balancer.host.servers.whole()
+    pub fn complete_list(&self) -> Vec<ListedServer> {
+        self.balancer.host.servers.complete_list()
     }
 
     /// The servers as the list told them last.
@@ -108,8 +108,8 @@
     }
 
     /// Servers that are gone and that nothing in flight holds any more make way for others.
-    fn let_go(&mut self) {
-        while let Some(server) = self.balancer.host.servers.let_go() {
+    fn forget_gone(&mut self) {
+        while let Some(server) = self.balancer.host.servers.forget_gone() {
             self.balancer.endpoint_forgotten(server);
         }
     }
@@ -130,8 +130,8 @@
     }
 
     /// The client has gone; nobody waits for the answer any more.
-    pub fn left(&mut self, now: u64, ticket: Ticket) {
-        if self.balancer.host.leave(ticket) {
+    pub fn client_gone(&mut self, now: u64, ticket: Ticket) {
+        if self.balancer.host.client_gone(ticket) {
             self.balancer.withdrawn(now, ticket.query_index);
             self.release(ticket.query_index);
         }
@@ -139,13 +139,18 @@
 
     fn release(&mut self, query_index: usize) {
         self.balancer.host.release(query_index);
-        self.let_go();
+        self.forget_gone();
     }
 
-    pub fn execution_ended(&mut self, now: u64, ended: Ended) {
-        let Ended { query_index, exec, outcome, spent, report, served } = ended;
+    pub fn execution_ended(&mut self, now: u64, ended: EndedExecution) {
+        let EndedExecution { query_index, execution_index, outcome, spent, report, served } = ended;
         let over = self.balancer.host.execution_ended(query_index, outcome, served);
-        self.balancer.completed(now, query_index, exec, ExecutionEnd { outcome, over, spent, report });
+        self.balancer.completed(
+            now,
+            query_index,
+            execution_index,
+            ExecutionEnd { outcome, over, spent, report },
+        );
         self.release(query_index);
     }
 
@@ -157,7 +162,7 @@
     pub fn probed(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
         self.balancer.probed(now, server, answered, report);
         self.balancer.host.servers.release(server);
-        self.let_go();
+        self.forget_gone();
     }
 
     pub fn timer(&mut self, now: u64, label: u32) {
@@ -167,10 +172,10 @@
     /// Whether an execution may still begin: asked again right before its first byte goes out. Guards against
     /// a query that was answered, a server that has left the list, and a window for repeats that has run out
     /// while the connection came up.
-    pub fn may_begin(&mut self, now: u64, query_index: usize, exec: usize, server: usize) -> bool {
+    pub fn may_begin(&mut self, now: u64, query_index: usize, execution_index: usize, server: usize) -> bool {
         self.balancer.host.is_open(query_index)
             && self.is_ready(server)
-            && self.balancer.may_begin(now, query_index, exec)
+            && self.balancer.may_begin(now, query_index, execution_index)
     }
 
     /// Whether the last list has the server ready.
--- a/balancer/core/src/desk.rs
+++ b/balancer/core/src/request_table.rs
@@ -6,7 +6,7 @@
 use http::HeaderValue;
 use whinspindle::host::{Host, Outcome};
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_protocol::answer::{Answer, Because, Served};
+use whinspindle_protocol::answer::{AbortReason, Answer, Served};
 use whinspindle_protocol::query::Forwarded;
 use whinspindle_rate_limited_log::log_line;
 
@@ -21,7 +21,7 @@
 }
 
 /// A query between its arrival and the end of its last execution.
-struct Open<C> {
+struct OpenQuery<C> {
     serial: u64,
     query: Rc<Forwarded>,
     product: usize,
@@ -33,19 +33,19 @@
     last_outcome: Option<Outcome>,
 }
 
-pub(crate) struct Desk<E: Effects> {
+pub(crate) struct RequestTable<E: Effects> {
     pub effects: E,
     pub servers: Servers,
     pub tally: Tally,
-    open: Vec<Option<Open<E::Caller>>>,
+    open: Vec<Option<OpenQuery<E::Caller>>>,
     free: Vec<usize>,
     /// The ids of the open queries.
     traces: HashSet<HeaderValue>,
 }
 
-impl<E: Effects> Desk<E> {
+impl<E: Effects> RequestTable<E> {
     pub fn new(effects: E, deployment: &Deployment) -> Self {
-        Desk {
+        RequestTable {
             effects,
             servers: Servers::new(deployment.zones.clone(), deployment.kinds.clone()),
             tally: Tally::default(),
@@ -63,7 +63,7 @@
         }
         self.tally.taken += 1;
         let serial = self.tally.taken;
-        let open = Open {
+        let open = OpenQuery {
             serial,
             query: Rc::new(query),
             product,
@@ -81,7 +81,7 @@
     }
 
     /// Whether the query was still open; nobody waits for it from now on.
-    pub fn leave(&mut self, ticket: Ticket) -> bool {
+    pub fn client_gone(&mut self, ticket: Ticket) -> bool {
         let open = self.open[ticket.query_index].as_mut().filter(|open| open.serial == ticket.serial);
         let left = open.and_then(|open| open.caller.take()).is_some();
         self.tally.left += u64::from(left);
@@ -117,7 +117,7 @@
 
     /// Frees the index once the query is answered and nothing of it is out.
     pub fn release(&mut self, query_index: usize) {
-        let done = |open: &Open<_>| open.caller.is_none() && open.executions_out == 0;
+        let done = |open: &OpenQuery<_>| open.caller.is_none() && open.executions_out == 0;
         if let Some(open) = self.open[query_index].take_if(|open| done(open)) {
             self.traces.remove(&open.query.trace);
             open.servers.iter().for_each(|&server| self.servers.release(server));
@@ -126,23 +126,31 @@
     }
 }
 
-impl<E: Effects> Host for Desk<E> {
+impl<E: Effects> Host for RequestTable<E> {
     fn execute(&mut self, query_index: usize, server: usize, time_out: u64) {
-        let place = self.servers.hold(server);
-        let (Some(open), Some(place)) = (&mut self.open[query_index], place) else {
+        let process = self.servers.acquire(server);
+        let (Some(open), Some(process)) = (&mut self.open[query_index], process) else {
             log_line!("fault", "an execution of no open query, or at a server without an address");
             return;
         };
-        let exec = open.servers.len();
+        let execution_index = open.servers.len();
         open.servers.push(server);
         open.executions_out += 1;
         self.tally.executions += 1;
         let (query, product) = (Rc::clone(&open.query), open.product);
-        self.effects.execute(Execution { query_index, exec, server, place, product, query, time_out });
+        self.effects.execute(Execution {
+            query_index,
+            execution_index,
+            server,
+            process,
+            product,
+            query,
+            time_out,
+        });
     }
 
-    fn cancel(&mut self, query_index: usize, exec: usize) {
-        self.effects.cancel(query_index, exec);
+    fn cancel(&mut self, query_index: usize, execution_index: usize) {
+        self.effects.cancel(query_index, execution_index);
     }
 
     fn reject(&mut self, query_index: usize, retry_after: u64) {
@@ -152,10 +160,10 @@
     fn abort(&mut self, query_index: usize) {
         let last = self.open[query_index].as_ref().and_then(|open| open.last_outcome);
         let because = match last {
-            None | Some(Outcome::TimedOut) => Because::OutOfTime,
+            None | Some(Outcome::TimedOut) => AbortReason::OutOfTime,
             // While the query was open, only the silence of a server has called an execution off.
-            Some(Outcome::Cancelled) => Because::Silent,
-            Some(_) => Because::Failed,
+            Some(Outcome::Cancelled) => AbortReason::Silent,
+            Some(_) => AbortReason::Failed,
         };
         self.answer(query_index, Answer::Aborted(because));
     }
@@ -165,8 +173,8 @@
     }
 
     fn probe(&mut self, server: usize) {
-        if let Some(place) = self.servers.hold(server) {
-            self.effects.probe(server, place);
+        if let Some(process) = self.servers.acquire(server) {
+            self.effects.probe(server, process);
         }
     }
 
--- a/balancer/core/src/servers.rs
+++ b/balancer/core/src/servers.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeSet, HashMap};
 
 use whinspindle::host::{Endpoint, EndpointState};
-use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 
-use crate::Place;
+use crate::ServerProcess;
 
 pub struct Servers {
     index: HashMap<String, usize>,
@@ -20,20 +20,20 @@
     /// Up to where discovery has counted.
     generation: u64,
     /// The keys of those that are let out by the fleet: to the decisions they drain, whatever the list says.
-    let_out: BTreeSet<u64>,
+    taken_out: BTreeSet<u64>,
 }
 
 #[derive(Default)]
 struct Known {
     name: String,
-    place: Option<Place>,
+    process: Option<ServerProcess>,
     started_at: u64,
     ready: bool,
     gone: bool,
     /// As the list told it last.
     entry: Option<Endpoint>,
     /// Open queries that were sent to it, and probes that are out.
-    held: usize,
+    references: usize,
 }
 
 /// The index of a name; one that is new gets the next.
@@ -46,22 +46,22 @@
 
 impl Servers {
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
-        let (index, known, free, let_out) = Default::default();
-        Servers { index, known, free, processes: 0, zones, kinds, has_list: false, generation: 0, let_out }
+        let (index, known, free, taken_out) = Default::default();
+        Servers { index, known, free, processes: 0, zones, kinds, has_list: false, generation: 0, taken_out }
     }
 
-    /// Takes the news in and turns it into entries for the decisions. Guards against a list that is older
+    /// Applies an update and turns it into endpoints for the decisions. Guards against a list that is older
     /// than what was told before, as from a discovery that is back from an earlier state: a server that was
     /// told to drain, and has not started anew, drains on.
-    pub fn learn(&mut self, news: &ListNews) -> Vec<Endpoint> {
-        let is_older = news.generation < self.generation;
-        self.generation = news.generation;
-        if news.whole {
+    pub fn apply(&mut self, update: &EndpointUpdate) -> Vec<Endpoint> {
+        let is_older = update.generation < self.generation;
+        self.generation = update.generation;
+        if update.complete {
             self.has_list = true;
             self.known.iter_mut().for_each(|known| (known.ready, known.gone) = (false, true));
         }
-        let mut entries = Vec::with_capacity(news.servers.len());
-        for listed in &news.servers {
+        let mut entries = Vec::with_capacity(update.servers.len());
+        for listed in &update.servers {
             // Of one that was never known, nothing need be kept.
             if listed.state == EndpointState::Gone && !self.index.contains_key(&listed.name) {
                 continue;
@@ -86,29 +86,29 @@
                 started_at: listed.started_at,
             };
             self.known[server].entry = Some(entry);
-            entries.push(self.as_let_out(entry));
+            entries.push(self.as_taken_out(entry));
         }
         entries
     }
 
-    fn as_let_out(&mut self, entry: Endpoint) -> Endpoint {
-        let drains = entry.state == EndpointState::Ready && self.let_out.contains(&entry.key);
+    fn as_taken_out(&mut self, entry: Endpoint) -> Endpoint {
+        let drains = entry.state == EndpointState::Ready && self.taken_out.contains(&entry.key);
         let known = &mut self.known[entry.server];
-        known.ready = entry.state == EndpointState::Ready && !drains && known.place.is_some();
+        known.ready = entry.state == EndpointState::Ready && !drains && known.process.is_some();
         if drains { Endpoint { state: EndpointState::Draining, ..entry } } else { entry }
     }
 
     /// The fleet has let these out; returns what that changes for the decisions.
-    pub fn let_out(&mut self, keys: &BTreeSet<u64>) -> Vec<Endpoint> {
-        let before = std::mem::replace(&mut self.let_out, keys.clone());
+    pub fn taken_out(&mut self, keys: &BTreeSet<u64>) -> Vec<Endpoint> {
+        let before = std::mem::replace(&mut self.taken_out, keys.clone());
         let changed = |entry: &Endpoint| before.contains(&entry.key) != keys.contains(&entry.key);
         let listed = self.known.iter().filter(|known| !known.gone).filter_map(|known| known.entry);
         let entries: Vec<Endpoint> = listed.filter(changed).collect();
-        entries.into_iter().map(|entry| self.as_let_out(entry)).collect()
+        entries.into_iter().map(|entry| self.as_taken_out(entry)).collect()
     }
 
     /// The whole list as it was told, to be kept.
-    pub fn whole(&self) -> Vec<ListedServer> {
+    pub fn complete_list(&self) -> Vec<ListedServer> {
         let listed = self.known.iter().filter(|known| !known.gone);
         let listed = listed.filter_map(|known| {
             let entry = known.entry?;
@@ -120,7 +120,7 @@
                 size: entry.size,
                 started_at: entry.started_at,
                 state: entry.state,
-                address: known.place.map(|place| place.address),
+                address: known.process.map(|process| process.address),
             })
         });
         listed.collect()
@@ -147,33 +147,33 @@
     fn renew(&mut self, server: usize, listed: &ListedServer, state: EndpointState) {
         let known = &mut self.known[server];
         if let Some(address) = listed.address
-            && (known.place.is_none_or(|place| place.address != address)
+            && (known.process.is_none_or(|process| process.address != address)
                 || known.started_at != listed.started_at)
         {
             self.processes += 1;
-            known.place = Some(Place { address, process: self.processes });
+            known.process = Some(ServerProcess { address, process: self.processes });
         }
         known.started_at = listed.started_at;
         known.gone = state == EndpointState::Gone;
-        known.ready = state == EndpointState::Ready && known.place.is_some();
+        known.ready = state == EndpointState::Ready && known.process.is_some();
     }
 
     /// Where to reach a server for something that holds it until `release`.
-    pub fn hold(&mut self, server: usize) -> Option<Place> {
+    pub fn acquire(&mut self, server: usize) -> Option<ServerProcess> {
         let known = self.known.get_mut(server)?;
-        known.held += usize::from(known.place.is_some());
-        known.place
+        known.references += usize::from(known.process.is_some());
+        known.process
     }
 
     pub fn release(&mut self, server: usize) {
         if let Some(known) = self.known.get_mut(server) {
-            known.held = known.held.saturating_sub(1);
+            known.references = known.references.saturating_sub(1);
         }
     }
 
     /// Forgets one server that is gone and that nothing holds.
-    pub fn let_go(&mut self) -> Option<usize> {
-        let leaves = |known: &Known| known.gone && known.held == 0 && !known.name.is_empty();
+    pub fn forget_gone(&mut self) -> Option<usize> {
+        let leaves = |known: &Known| known.gone && known.references == 0 && !known.name.is_empty();
         let server = self.known.iter().position(leaves)?;
         self.index.remove(&std::mem::take(&mut self.known[server].name));
         self.free.push(server);
--- a/balancer/core/tests/reducer.rs
+++ b/balancer/core/tests/core.rs
@@ -1,12 +1,12 @@
-//! The reducer without sockets: what it asks for when things happen.
+//! The core without sockets: the effects that it asks for at each event.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use whinspindle::host::{Arrival, LoadReport, Outcome};
-use whinspindle_balancer_core::{Effects, Ended, Execution, Place, Reducer, Ticket};
-use whinspindle_protocol::answer::{Answer, Because, Served};
-use whinspindle_protocol::list::ListNews;
+use whinspindle_balancer_core::{BalancerCore, Effects, EndedExecution, Execution, ServerProcess, Ticket};
+use whinspindle_protocol::answer::{AbortReason, Answer, Served};
+use whinspindle_protocol::endpoints::EndpointUpdate;
 use whinspindle_protocol::query::Forwarded;
 
 use Outcome::{
@@ -22,36 +22,36 @@
     type Caller = &'static str;
 
     fn execute(&mut self, execution: Execution) {
-        let Execution { query_index, exec, place, server, .. } = execution;
-        let line = format!("execute {query_index}.{exec} at {}", place.address);
+        let Execution { query_index, execution_index, process, server, .. } = execution;
+        let line = format!("execute {query_index}.{execution_index} at {}", process.address);
         self.0.borrow_mut().push(line);
-        self.1.borrow_mut().push((server, place.process));
+        self.1.borrow_mut().push((server, process.process));
     }
 
-    fn cancel(&mut self, query_index: usize, exec: usize) {
-        self.0.borrow_mut().push(format!("cancel {query_index}.{exec}"));
+    fn cancel(&mut self, query_index: usize, execution_index: usize) {
+        self.0.borrow_mut().push(format!("cancel {query_index}.{execution_index}"));
     }
 
     fn answer(&mut self, caller: &'static str, answer: Answer) {
         let answer = match answer {
             Answer::Completed(_) => "completed",
             Answer::Rejected(_) => "rejected",
-            Answer::Aborted(Because::Failed) => "aborted",
-            Answer::Aborted(Because::OutOfTime) => "aborted, out of time",
-            Answer::Aborted(Because::Silent) => "aborted, silent",
+            Answer::Aborted(AbortReason::Failed) => "aborted",
+            Answer::Aborted(AbortReason::OutOfTime) => "aborted, out of time",
+            Answer::Aborted(AbortReason::Silent) => "aborted, silent",
         };
         self.0.borrow_mut().push(format!("{caller}: {answer}"));
     }
 
     fn wake(&mut self, _wait: u64, _label: u32) {}
 
-    fn probe(&mut self, _server: usize, place: Place) {
-        self.0.borrow_mut().push(format!("probe {}", place.address));
+    fn probe(&mut self, _server: usize, process: ServerProcess) {
+        self.0.borrow_mut().push(format!("probe {}", process.address));
     }
 }
 
 struct Bench {
-    reducer: Reducer<Notes>,
+    core: BalancerCore<Notes>,
     said: Rc<RefCell<Vec<String>>>,
     sent: Rc<RefCell<Vec<(usize, u64)>>>,
 }
@@ -70,7 +70,7 @@
         let deployment = whinspindle_deployment_settings::parse(settings.as_bytes()).expect("settings");
         let (said, sent) = <(Rc<RefCell<Vec<String>>>, Rc<RefCell<Vec<_>>>)>::default();
         let notes = Notes(Rc::clone(&said), Rc::clone(&sent));
-        let mut bench = Bench { reducer: Reducer::new(notes, &deployment, 7, NOW), said, sent };
+        let mut bench = Bench { core: BalancerCore::new(notes, &deployment, 7, NOW), said, sent };
         bench.list(true, servers);
         bench
     }
@@ -91,7 +91,7 @@
             r#"{{"generation": {generation}, "reset": {whole}, "instances": [{}]}}"#,
             entries.join(",")
         );
-        self.reducer.list(NOW, &ListNews::decode(line.as_bytes()).expect("a list"));
+        self.core.list(NOW, &EndpointUpdate::decode(line.as_bytes()).expect("a list"));
     }
 
     /// A query under an id of its own, the name of its client.
@@ -108,14 +108,21 @@
             headers: http::HeaderMap::new(),
             body: bytes::Bytes::new(),
         };
-        self.reducer.query(NOW, arrival, query, caller)
+        self.core.query(NOW, arrival, query, caller)
     }
 
-    fn ended(&mut self, query_index: usize, exec: usize, outcome: Outcome) {
+    fn ended(&mut self, query_index: usize, execution_index: usize, outcome: Outcome) {
         let served = (outcome == Completed)
             .then(|| Served { headers: http::HeaderMap::new(), body: bytes::Bytes::from_static(b"x") });
-        let ended = Ended { query_index, exec, outcome, spent: 1000, report: LoadReport::default(), served };
-        self.reducer.execution_ended(NOW + 1000, ended);
+        let ended = EndedExecution {
+            query_index,
+            execution_index,
+            outcome,
+            spent: 1000,
+            report: LoadReport::default(),
+            served,
+        };
+        self.core.execution_ended(NOW + 1000, ended);
     }
 
     fn said(&self) -> Vec<String> {
@@ -141,8 +148,8 @@
         let mut bench = Bench::new(effect, &[("1", "ready")]);
         bench.query("client");
         assert_eq!(bench.said(), ["execute 0.0 at 127.0.0.1:1"]);
-        for (exec, &outcome) in outcomes.iter().enumerate() {
-            bench.ended(0, exec, outcome);
+        for (execution_index, &outcome) in outcomes.iter().enumerate() {
+            bench.ended(0, execution_index, outcome);
         }
         let answers: Vec<String> = answers.iter().map(|answer| format!("client: {answer}")).collect();
         let mut said = bench.said();
@@ -175,13 +182,13 @@
         bench.said();
         assert!(bench.query_as("first", "second").is_none());
         if leaves {
-            bench.reducer.left(NOW, ticket);
+            bench.core.client_gone(NOW, ticket);
             assert!(bench.query_as("first", "second").is_none());
         }
         bench.ended(0, 0, outcome);
         assert_eq!(bench.said(), [if leaves { "cancel 0.0" } else { "first: completed" }]);
         assert!(bench.query_as("first", "second").is_some());
-        assert_eq!(bench.reducer.tally().taken, 2);
+        assert_eq!(bench.core.tally().taken, 2);
     }
 }
 
@@ -191,12 +198,12 @@
         let mut bench = Bench::new("keyed", &[("1", "ready")]);
         let ticket = bench.query("client");
         bench.said();
-        bench.reducer.left(NOW, ticket);
-        bench.reducer.left(NOW, ticket);
+        bench.core.client_gone(NOW, ticket);
+        bench.core.client_gone(NOW, ticket);
         assert_eq!(bench.said(), ["cancel 0.0"]);
         bench.ended(0, 0, outcome);
         assert!(bench.said().is_empty());
-        assert_eq!((bench.reducer.tally().left, bench.reducer.tally().completed), (1, 0));
+        assert_eq!((bench.core.tally().left, bench.core.tally().completed), (1, 0));
     }
 }
 
@@ -208,7 +215,7 @@
     bench.ended(0, 0, Completed);
     bench.query("second");
     bench.said();
-    bench.reducer.left(NOW, first);
+    bench.core.client_gone(NOW, first);
     assert!(bench.said().is_empty());
     bench.ended(0, 0, Completed);
     assert_eq!(bench.said(), ["second: completed"]);
@@ -218,7 +225,7 @@
 fn an_index_is_free_only_when_nothing_is_out() {
     let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
     let ticket = bench.query("first");
-    bench.reducer.left(NOW, ticket);
+    bench.core.client_gone(NOW, ticket);
     bench.query("second");
     let said = bench.said();
     assert!(said.last().is_some_and(|line| line.starts_with("execute 1.0 at")), "{said:?}");
@@ -229,7 +236,7 @@
 
 #[test]
 fn an_execution_may_begin_while_its_server_is_ready_and_its_query_open() {
-    for (whole, news, wanted) in [
+    for (whole, update, wanted) in [
         (false, &[][..], true),
         (true, &[], false),
         (false, &[("1", "draining")], false),
@@ -239,13 +246,13 @@
     ] {
         let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
         let ticket = bench.query("client");
-        bench.list(whole, news);
-        assert_eq!(bench.reducer.is_ready(0), wanted, "{whole} {news:?}");
-        assert_eq!(bench.reducer.may_begin(NOW, 0, 0, 0), wanted, "{whole} {news:?}");
-        bench.reducer.left(NOW, ticket);
-        assert!(!bench.reducer.may_begin(NOW, 0, 0, 0));
+        bench.list(whole, update);
+        assert_eq!(bench.core.is_ready(0), wanted, "{whole} {update:?}");
+        assert_eq!(bench.core.may_begin(NOW, 0, 0, 0), wanted, "{whole} {update:?}");
+        bench.core.client_gone(NOW, ticket);
+        assert!(!bench.core.may_begin(NOW, 0, 0, 0));
     }
-    assert!(Bench::new("keyed", &[]).reducer.has_list());
+    assert!(Bench::new("keyed", &[]).core.has_list());
 }
 
 #[test]
@@ -261,10 +268,10 @@
         let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
         bench.list_of(5, false, &[("1", told)]);
         bench.list_of(generation, whole, &[("1", "ready"), ("2", "ready")]);
-        assert_eq!(bench.reducer.is_ready(0), ready, "{told} {generation} {whole}");
+        assert_eq!(bench.core.is_ready(0), ready, "{told} {generation} {whole}");
         // What comes after that counts by its own number again.
         bench.list_of(generation + 1, false, &[("1", "ready")]);
-        assert!(bench.reducer.is_ready(0), "{told} {generation} {whole}");
+        assert!(bench.core.is_ready(0), "{told} {generation} {whole}");
     }
 }
 
@@ -308,8 +315,8 @@
 #[test]
 fn servers_that_the_fleet_lets_out_drain_whatever_the_list_says() {
     let key = |port: &str| whinspindle_deployment_settings::key(format!("s-{port}").as_bytes());
-    let let_out = |bench: &mut Bench, ports: &[&str]| {
-        bench.reducer.let_out(NOW, &ports.iter().map(|port| key(port)).collect());
+    let taken_out = |bench: &mut Bench, ports: &[&str]| {
+        bench.core.taken_out(NOW, &ports.iter().map(|port| key(port)).collect());
     };
     let mut bench = Bench::new("safe", &[("1", "ready"), ("2", "ready")]);
     let goes = |bench: &mut Bench, caller| {
@@ -322,20 +329,20 @@
         let _ = query_index;
         said
     };
-    let_out(&mut bench, &["1"]);
+    taken_out(&mut bench, &["1"]);
     for caller in ["a", "b", "c", "d", "e", "f"] {
         assert_eq!(goes(&mut bench, caller), "execute 0.0 at 127.0.0.1:2");
     }
     // The list tells of it again, or of another start: it stays out. So does one let out before it is listed.
     bench.list(false, &[("1", "ready")]);
-    let_out(&mut bench, &["1", "3"]);
+    taken_out(&mut bench, &["1", "3"]);
     bench.list(false, &[("2", "draining"), ("3", "ready")]);
     assert_eq!(goes(&mut bench, "g"), "g: rejected");
     // Back, it gets what comes; one that drains by the list goes on draining.
-    let_out(&mut bench, &["2"]);
+    taken_out(&mut bench, &["2"]);
     bench.list(false, &[("3", "gone")]);
     assert_eq!(goes(&mut bench, "h"), "execute 0.0 at 127.0.0.1:1");
-    let_out(&mut bench, &[]);
+    taken_out(&mut bench, &[]);
     bench.list(false, &[("1", "gone")]);
     assert_eq!(goes(&mut bench, "i"), "i: rejected");
 }
--- a/balancer/discovery/src/lib.rs
+++ b/balancer/discovery/src/lib.rs
@@ -18,63 +18,63 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, timeout_at};
-use whinspindle_protocol::list::ListNews;
+use whinspindle_protocol::endpoints::EndpointUpdate;
 use whinspindle_rate_limited_log::log_line;
 
 mod objects;
 
 use objects::Objects;
 
-/// A change counts as told so long after discovery had it and could be reached. A watch that falls silent, a
-/// try that hangs and the one that works, with the pauses between them, have to fit in, not each by itself.
-const TOLD: Duration = Duration::from_secs(6);
+/// A change has to be known so long after discovery had it and could be reached. A watch that falls silent, an
+/// attempt that hangs and the one that works, with the delays between them, have to fit in together.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 /// While nothing changes an empty line comes every 2 s; silent for one and a half of that, a watch is dead.
-const SILENCE: Duration = TOLD.checked_div(2).expect("not by 0");
-/// Discovery answers at once: what has not connected and told its head by then hangs.
-const ANSWER: Duration = TOLD.checked_div(6).expect("not by 0");
+const SILENCE_LIMIT: Duration = UPDATE_DEADLINE.checked_div(2).expect("not by 0");
+/// Discovery answers at once: a connection without a response head by then hangs.
+const ANSWER_TIME_OUT: Duration = UPDATE_DEADLINE.checked_div(6).expect("not by 0");
 /// Between two tries to open a watch.
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Where discovery is, and up to which of its generations the list is known.
-pub struct Source {
+pub struct EndpointWatch {
     discovery: Cell<SocketAddr>,
     generation: Cell<Option<u64>>,
     moved: Notify,
     /// Whether discovery has said anything yet, or a try to hear of it has come to nothing.
-    tried: Cell<bool>,
-    first_try: Notify,
+    attempted: Cell<bool>,
+    first_attempt: Notify,
     /// When discovery said anything last, be it that nothing has changed; the start, if it has not yet.
-    heard: Cell<Instant>,
+    last_received: Cell<Instant>,
 }
 
-impl Source {
+impl EndpointWatch {
     pub fn new(discovery: SocketAddr, generation: Option<u64>) -> Self {
-        Source {
+        EndpointWatch {
             discovery: Cell::new(discovery),
             generation: Cell::new(generation),
             moved: Notify::new(),
-            tried: Cell::new(false),
-            first_try: Notify::new(),
-            heard: Cell::new(Instant::now()),
+            attempted: Cell::new(false),
+            first_attempt: Notify::new(),
+            last_received: Cell::new(Instant::now()),
         }
     }
 
     /// For how long discovery has said nothing.
     pub fn silent_for(&self) -> Duration {
-        self.heard.get().elapsed()
+        self.last_received.get().elapsed()
     }
 
     /// Waits for the first word of discovery, be it that nothing has changed, or for the first try that
     /// failed.
-    pub async fn first_tried(&self) {
-        while !self.tried.get() {
-            self.first_try.notified().await;
+    pub async fn first_attempted(&self) {
+        while !self.attempted.get() {
+            self.first_attempt.notified().await;
         }
     }
 
-    fn has_tried(&self) {
-        self.tried.set(true);
-        self.first_try.notify_waiters();
+    fn record_attempt(&self) {
+        self.attempted.set(true);
+        self.first_attempt.notify_waiters();
     }
 
     /// The list is followed at this address from now on. One that is new may count otherwise than the one
@@ -87,30 +87,33 @@
     }
 
     /// Takes in one object of a watch; an error if it can't be read, or is older than what is known.
-    fn hear(&self, object: &[u8], told: &mut impl FnMut(ListNews)) -> Result<(), String> {
-        let news = ListNews::decode(object).map_err(|fault| format!("a line that can't be read: {fault}"))?;
-        if let Some(known) = self.generation.get().filter(|&known| !news.whole && news.generation < known) {
-            return Err(format!("changes up to {} after those up to {known}", news.generation));
+    fn apply(&self, object: &[u8], on_update: &mut impl FnMut(EndpointUpdate)) -> Result<(), String> {
+        let update =
+            EndpointUpdate::decode(object).map_err(|fault| format!("a line that can't be read: {fault}"))?;
+        if let Some(known) =
+            self.generation.get().filter(|&known| !update.complete && update.generation < known)
+        {
+            return Err(format!("changes up to {} after those up to {known}", update.generation));
         }
-        for fault in &news.faults {
+        for fault in &update.faults {
             log_line!("list", "an entry is passed over: {fault}");
         }
-        self.generation.set(Some(news.generation));
-        told(news);
+        self.generation.set(Some(update.generation));
+        on_update(update);
         Ok(())
     }
 }
 
 /// Follows the list for ever, from the generation that is known already, and keeps that up to date.
-pub async fn follow(source: Rc<Source>, mut told: impl FnMut(ListNews)) {
+pub async fn follow(source: Rc<EndpointWatch>, mut on_update: impl FnMut(EndpointUpdate)) {
     loop {
         let watching = async {
-            match watch(&source, &mut told).await {
+            match watch(&source, &mut on_update).await {
                 Ok(()) => log_line!("list", "the watch ended; it is opened again"),
                 Err(fault) => log_line!("list", "the watch failed: {fault}; it is opened again"),
             }
-            source.has_tried();
-            sleep(PAUSE).await;
+            source.record_attempt();
+            sleep(RETRY_DELAY).await;
         };
         tokio::select! {
             biased;
@@ -120,10 +123,13 @@
     }
 }
 
-async fn watch(source: &Source, told: &mut impl FnMut(ListNews)) -> Result<(), Box<dyn std::error::Error>> {
+async fn watch(
+    source: &EndpointWatch,
+    on_update: &mut impl FnMut(EndpointUpdate),
+) -> Result<(), Box<dyn std::error::Error>> {
     let discovery = source.discovery.get();
     // Guards against discovery that is down and accepts all the same, or does not even refuse.
-    let answered_by = tokio::time::Instant::now() + ANSWER;
+    let answered_by = tokio::time::Instant::now() + ANSWER_TIME_OUT;
     let socket = timeout_at(answered_by, TcpStream::connect(discovery)).await??;
     let _ = socket.set_nodelay(true);
     let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
@@ -139,21 +145,23 @@
         }
         let mut body = response.into_body();
         let mut objects = Objects::default();
-        let mut whole_by = tokio::time::Instant::now() + TOLD;
+        let mut complete_by = tokio::time::Instant::now() + UPDATE_DEADLINE;
         loop {
             // Guards against an object that goes on without an end, however steadily.
             if !objects.is_begun() {
-                whole_by = tokio::time::Instant::now() + TOLD;
+                complete_by = tokio::time::Instant::now() + UPDATE_DEADLINE;
             }
-            let Some(frame) = timeout_at(whole_by, timeout(SILENCE, body.frame())).await?? else { break };
+            let Some(frame) = timeout_at(complete_by, timeout(SILENCE_LIMIT, body.frame())).await?? else {
+                break;
+            };
             if let Ok(data) = frame?.into_data() {
-                source.heard.set(Instant::now());
+                source.last_received.set(Instant::now());
                 // What has lost its place tells nothing any more: the whole list is asked for. Guards against
                 // a drain in what was passed over, which nothing later repeats.
                 objects
-                    .take(&data, |object| source.hear(object, told))
+                    .take(&data, |object| source.apply(object, on_update))
                     .inspect_err(|_| source.generation.set(None))?;
-                source.has_tried();
+                source.record_attempt();
             }
         }
         Ok(())
--- a/balancer/discovery/tests/watch.rs
+++ b/balancer/discovery/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch against a scripted discovery: what is told, and from where it is opened again.
+//! The watch against a scripted discovery: which updates it delivers, and from where it is opened again.
 
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,7 +10,7 @@
 
 use tokio::task::yield_now;
 use tokio::time::{Instant, advance, pause};
-use whinspindle_discovery::{Source, follow};
+use whinspindle_discovery::{EndpointWatch, follow};
 
 fn line(generation: u64) -> String {
     format!(r#"{{"generation": {generation}, "reset": false, "instances": []}}"#)
@@ -21,7 +21,7 @@
 fn the_watch_goes_on_from_what_is_known() {
     let broken = "{\"generation\": 9, \"instances\": 7}";
     let long = format!("{{\"generation\": 3, \"instances\": [{}]}}", vec!["7"; 30_000].join(","));
-    for (known, first, told, again) in [
+    for (known, first, updates, again) in [
         (None, vec![line(1)], vec![1], "/v1/servers?watch=1&from=1"),
         (Some(41), vec![], vec![], "/v1/servers?watch=1&from=41"),
         (
@@ -72,12 +72,12 @@
                 let _ = tell.send(target.split(' ').nth(1).unwrap_or_default().to_string());
             }
         });
-        let heard = Rc::new(RefCell::new(Vec::new()));
-        let keep = Rc::clone(&heard);
+        let received = Rc::new(RefCell::new(Vec::new()));
+        let keep = Rc::clone(&received);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let targets = runtime.block_on(async {
-            let source = Rc::new(Source::new(address, known));
-            let following = follow(source, move |news| keep.borrow_mut().push(news.generation));
+            let source = Rc::new(EndpointWatch::new(address, known));
+            let following = follow(source, move |update| keep.borrow_mut().push(update.generation));
             let asked_twice = tokio::task::spawn_blocking(move || asked.iter().take(2).collect::<Vec<_>>());
             tokio::select! {
                 () = following => Vec::new(),
@@ -86,7 +86,7 @@
         });
         let from = known.map_or(String::new(), |generation| format!("&from={generation}"));
         assert_eq!(targets, [format!("/v1/servers?watch=1{from}"), again.to_string()], "{first:?}");
-        assert_eq!(*heard.borrow(), told, "{first:?}");
+        assert_eq!(*received.borrow(), updates, "{first:?}");
     }
 }
 
@@ -148,19 +148,19 @@
 
 /// Plays a script beside a follower whose clock stands still.
 fn beside_follower<F: Future<Output = ()>>(
-    script: impl FnOnce(Rc<Source>, Rc<RefCell<Vec<u64>>>, Discovery) -> F,
+    script: impl FnOnce(Rc<EndpointWatch>, Rc<RefCell<Vec<u64>>>, Discovery) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         pause();
         let discovery = Discovery::new();
-        let source = Rc::new(Source::new(discovery.listener.local_addr().expect("an address"), None));
-        let heard = Rc::new(RefCell::new(Vec::new()));
-        let keep = Rc::clone(&heard);
-        let following = follow(Rc::clone(&source), move |news| keep.borrow_mut().push(news.generation));
+        let source = Rc::new(EndpointWatch::new(discovery.listener.local_addr().expect("an address"), None));
+        let received = Rc::new(RefCell::new(Vec::new()));
+        let keep = Rc::clone(&received);
+        let following = follow(Rc::clone(&source), move |update| keep.borrow_mut().push(update.generation));
         tokio::select! {
             () = following => {}
-            () = script(source, heard, discovery) => {}
+            () = script(source, received, discovery) => {}
         }
     });
 }
@@ -181,14 +181,14 @@
         // It resets in the middle of a line.
         (Some("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\n{\"gen\r\n"), true),
     ] {
-        beside_follower(|_, heard, mut discovery| {
+        beside_follower(|_, received, mut discovery| {
             let steady = steady.clone();
             async move {
                 let (mut first, _) = discovery.asked(in_time).await;
                 first
                     .write_all((HEAD.to_string() + &steady + &chunk(&(line(1) + "\n"))).as_bytes())
                     .expect("written");
-                awaited(usize::MAX, || (*heard.borrow() == [1]).then_some(())).await;
+                awaited(usize::MAX, || (*received.borrow() == [1]).then_some(())).await;
                 // From here on it is silent.
                 discovery.began = Instant::now();
                 let mut held = Vec::new();
@@ -200,7 +200,7 @@
                 let (mut last, target) = discovery.asked(in_time).await;
                 assert_eq!(target, "/v1/servers?watch=1&from=1", "{between:?}");
                 last.write_all((HEAD.to_string() + &chunk(&(line(2) + "\n"))).as_bytes()).expect("written");
-                awaited(usize::MAX, || (*heard.borrow() == [1, 2]).then_some(())).await;
+                awaited(usize::MAX, || (*received.borrow() == [1, 2]).then_some(())).await;
                 assert!(discovery.began.elapsed() <= in_time, "{between:?}");
             }
         });
@@ -227,11 +227,11 @@
 
 #[test]
 fn a_move_in_the_middle_of_a_list_asks_at_the_new_address_for_all_of_it() {
-    beside_follower(|source, heard, discovery| async move {
+    beside_follower(|source, received, discovery| async move {
         let (mut socket, _) = discovery.asked(Duration::from_secs(1)).await;
         let (half, rest) = (&line(5)[..20], &line(5)[20..]);
         socket.write_all((HEAD.to_string() + &chunk(&(line(4) + "\n" + half))).as_bytes()).expect("written");
-        awaited(usize::MAX, || (*heard.borrow() == [4]).then_some(())).await;
+        awaited(usize::MAX, || (*received.borrow() == [4]).then_some(())).await;
         let next = Discovery::new();
         source.move_to(next.listener.local_addr().expect("an address"));
         // The rest comes as the old watch is dropped, and counts no more.
@@ -239,7 +239,7 @@
         let (mut socket, target) = next.asked(Duration::ZERO).await;
         assert_eq!(target, "/v1/servers?watch=1");
         socket.write_all((HEAD.to_string() + &chunk(&(line(2) + "\n"))).as_bytes()).expect("written");
-        awaited(usize::MAX, || (heard.borrow().last() == Some(&2)).then_some(())).await;
-        assert_eq!(*heard.borrow(), [4, 2]);
+        awaited(usize::MAX, || (received.borrow().last() == Some(&2)).then_some(())).await;
+        assert_eq!(*received.borrow(), [4, 2]);
     });
 }
--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -6,24 +6,24 @@
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 
 mod neighbours;
-mod ramp;
-mod whole;
+mod recovery;
+mod startup_limit;
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use whinspindle::host::EndpointState;
-use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 
-pub use neighbours::{Neighbours, Word};
-pub use ramp::Ramp;
-pub use whole::{Second, Whole};
+pub use neighbours::{NeighbourMessage, Neighbours};
+pub use recovery::{RecoveryTracker, SecondSummary};
+pub use startup_limit::StartupLimit;
 
-/// Another number is another form, which is not read.
-const FORM: u8 = 1;
+/// Another number is another format, which is not read.
+const FORMAT: u8 = 1;
 /// More servers than this are not saved: the bytes are bounded.
-pub const MOST_SERVERS: usize = 20_000;
+pub const MAX_SERVERS: usize = 20_000;
 
 /// Between which ages, in microseconds, a list is believed how far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,26 +37,26 @@
 /// What is believed further comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trust {
-    AsTold,
+    Full,
     /// All of it counts as cold.
     Doubted,
     /// The same, and few of it may be left: nothing is to be concluded from one that does not answer.
-    ToTry,
+    Unverified,
 }
 
 impl fmt::Display for Trust {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         to.write_str(match self {
-            Trust::AsTold => "taken as told",
+            Trust::Full => "taken as told",
             Trust::Doubted => "its servers count as cold",
-            Trust::ToTry => "old: addresses to try, cold",
+            Trust::Unverified => "old: addresses to try, cold",
         })
     }
 }
 
 #[derive(Serialize, Deserialize)]
 struct Saved {
-    form: u8,
+    format: u8,
     /// Unix microseconds.
     at: u64,
     generation: u64,
@@ -77,7 +77,7 @@
 
 /// What is kept of a list: those with an address that are not gone.
 pub fn encode(servers: &[ListedServer], generation: u64, at: u64) -> Vec<u8> {
-    let kept = servers.iter().filter(|listed| listed.state != EndpointState::Gone).take(MOST_SERVERS);
+    let kept = servers.iter().filter(|listed| listed.state != EndpointState::Gone).take(MAX_SERVERS);
     let servers = kept.filter_map(|listed| {
         Some(SavedServer {
             name: listed.name.clone(),
@@ -90,45 +90,45 @@
             address: listed.address?,
         })
     });
-    let saved = Saved { form: FORM, at, generation, servers: servers.collect() };
+    let saved = Saved { format: FORMAT, at, generation, servers: servers.collect() };
     postcard::to_stdvec(&saved).unwrap_or_default()
 }
 
-/// What was saved, as a list to begin with; none if the bytes are no list of this form, or an empty one.
-pub fn recall(bytes: &[u8], now: u64, ages: &Ages) -> Option<(ListNews, Trust)> {
+/// What was saved, as a list to begin with; none if the bytes are no list of this format, or an empty one.
+pub fn restore(bytes: &[u8], now: u64, ages: &Ages) -> Option<(EndpointUpdate, Trust)> {
     let saved = read(bytes)?;
     // Guards against a clock that was set back: a list of tomorrow has no age that can be known.
     let trust = match now.checked_sub(saved.at) {
-        Some(age) if age <= ages.fresh => Trust::AsTold,
+        Some(age) if age <= ages.fresh => Trust::Full,
         Some(age) if age <= ages.old => Trust::Doubted,
-        _ => Trust::ToTry,
+        _ => Trust::Unverified,
     };
     Some((list(saved, trust, now), trust))
 }
 
 /// What `encode` made, believed so far.
-fn decode(bytes: &[u8], trust: Trust, now: u64) -> Option<ListNews> {
+fn decode(bytes: &[u8], trust: Trust, now: u64) -> Option<EndpointUpdate> {
     Some(list(read(bytes)?, trust, now))
 }
 
 fn read(bytes: &[u8]) -> Option<Saved> {
     let saved: Saved = postcard::from_bytes(bytes).ok()?;
-    let well = saved.form == FORM && !saved.servers.is_empty() && saved.servers.len() <= MOST_SERVERS;
+    let well = saved.format == FORMAT && !saved.servers.is_empty() && saved.servers.len() <= MAX_SERVERS;
     well.then_some(saved)
 }
 
-fn list(saved: Saved, trust: Trust, now: u64) -> ListNews {
+fn list(saved: Saved, trust: Trust, now: u64) -> EndpointUpdate {
     let servers = saved.servers.into_iter().map(|kept| ListedServer {
         name: kept.name,
         zone: kept.zone,
         kind: kept.kind,
         cell: kept.cell as usize,
         size: kept.size,
-        started_at: if trust == Trust::AsTold { kept.started_at } else { now },
+        started_at: if trust == Trust::Full { kept.started_at } else { now },
         state: if kept.draining { EndpointState::Draining } else { EndpointState::Ready },
         address: Some(kept.address),
     });
     let servers = servers.collect();
     // Discovery is asked for the whole list, whatever generation this one had.
-    ListNews { generation: 0, whole: true, servers, faults: Vec::new() }
+    EndpointUpdate { generation: 0, complete: true, servers, faults: Vec::new() }
 }
--- a/balancer/endpoint-cache/src/neighbours.rs
+++ b/balancer/endpoint-cache/src/neighbours.rs
@@ -5,35 +5,35 @@
 //! themselves: it is taken as told while it is not old. What a single one tells is doubted whatever its age.
 //! Of several lists that two tell, the one that discovery has confirmed last is taken, so that those that
 //! come back from a cut of ten minutes are not believed against those that were not away. A process asks only
-//! until discovery has spoken.
+//! until discovery has answered.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 
 use crate::{Ages, Trust, decode, encode};
 
 /// Members asked at a time, and after how much time others are, in microseconds.
-const ASKED: usize = 3;
-const AGAIN: u64 = 200_000;
+const MEMBERS_ASKED: usize = 3;
+const ASK_INTERVAL: u64 = 200_000;
 /// A single member's word, and an older one that two tell alike, is waited with for so long: better may come.
 /// After the second time nothing more is asked for.
-const ALONE: u64 = 600_000;
-const DONE: u64 = 3_000_000;
-/// Bytes of a list in one message, and pieces asked for at once.
-const PIECE: usize = 160;
-const AT_ONCE: u16 = 64;
+const SINGLE_SOURCE_WAIT: u64 = 600_000;
+const ASK_TIME: u64 = 3_000_000;
+/// Bytes of a list in one message, and chunks asked for at once.
+const CHUNK_BYTES: usize = 160;
+const CHUNKS_PER_REQUEST: u16 = 64;
 /// Pieces that a member gives in one second to all together, so that those that return don't push it over.
-const GIVEN: u32 = 4_000;
+const CHUNKS_PER_SECOND: u32 = 4_000;
 /// Longest list that is asked for, in bytes: some 4,000 servers.
-const LONGEST: u32 = 256 * 1024;
+const MAX_LIST_BYTES: u32 = 256 * 1024;
 
 /// The first half of a list's BLAKE3 hash.
 type Name = [u8; 16];
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum NeighbourMessage {
     /// What list do you have by discovery's word?
     Ask,
     /// This one, told so many microseconds ago.
@@ -47,14 +47,14 @@
         name: Name,
         from: u16,
     },
-    Piece {
+    Chunk {
         name: Name,
-        piece: u16,
+        chunk: u16,
         bytes: Vec<u8>,
     },
 }
 
-impl Word {
+impl NeighbourMessage {
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -69,10 +69,10 @@
 }
 
 /// A list that is put together.
-struct Coming {
+struct Download {
     name: Name,
-    pieces: Vec<Option<Vec<u8>>>,
-    /// When pieces were asked for last.
+    chunks: Vec<Option<Vec<u8>>>,
+    /// When chunks were asked for last.
     asked: u64,
 }
 
@@ -82,16 +82,16 @@
     ages: Ages,
     own: Option<Own>,
     /// Discovery has told this process a list.
-    spoken: bool,
+    discovered: bool,
     began: u64,
     next: u64,
     turn: u16,
     /// What each says that it has: name, length, and when that was told, by this member's clock.
     has: BTreeMap<u16, (Name, u32, u64)>,
-    coming: Option<Coming>,
+    download: Option<Download>,
     /// What was taken last, how far it is believed, and when it was told.
     taken: Option<(Name, Trust, u64)>,
-    /// In this second of the clock so many pieces were given.
+    /// In this second of the clock so many chunks were given.
     given: (u64, u32),
 }
 
@@ -109,12 +109,12 @@
             members,
             ages,
             own: None,
-            spoken: false,
+            discovered: false,
             began: now,
             next: now,
             turn: (seed % u64::from(members.max(1))) as u16,
             has: BTreeMap::new(),
-            coming: None,
+            download: None,
             taken: None,
             given: (0, 0),
         }
@@ -122,7 +122,7 @@
 
     /// The list as discovery has told it; it has confirmed it last at this time.
     pub fn told(&mut self, at: u64, servers: &[ListedServer]) {
-        self.spoken = true;
+        self.discovered = true;
         match &mut self.own {
             Some(own) if own.servers == servers => own.at = at,
             _ => {
@@ -131,29 +131,29 @@
                 // Without its time: members that were told the same at other moments have the same list.
                 let bytes = encode(&sorted, 0, 0);
                 let own = Own { name: name_of(&bytes), bytes, servers: servers.to_vec(), at };
-                self.own =
-                    Some(own).filter(|own| !own.servers.is_empty() && own.bytes.len() <= LONGEST as usize);
+                self.own = Some(own)
+                    .filter(|own| !own.servers.is_empty() && own.bytes.len() <= MAX_LIST_BYTES as usize);
             }
         }
-        self.coming = None;
+        self.download = None;
     }
 
     /// Called a few times a second; what is to be sent, and to whom.
-    pub fn tick(&mut self, now: u64) -> Vec<(u16, Word)> {
-        // Discovery has spoken, or two members have: nothing better is to be had here.
-        let done = matches!(self.taken, Some((_, Trust::AsTold, _))) && now >= self.began + DONE;
-        if self.spoken || done || self.members < 2 {
+    pub fn tick(&mut self, now: u64) -> Vec<(u16, NeighbourMessage)> {
+        // Discovery has answered, or two members have: nothing better is to be had here.
+        let done = matches!(self.taken, Some((_, Trust::Full, _))) && now >= self.began + ASK_TIME;
+        if self.discovered || done || self.members < 2 {
             return Vec::new();
         }
         let mut said = Vec::new();
         if now >= self.next {
-            self.next = now + AGAIN;
-            for _ in 0..ASKED.min(self.members as usize - 1) {
+            self.next = now + ASK_INTERVAL;
+            for _ in 0..MEMBERS_ASKED.min(self.members as usize - 1) {
                 self.turn = (self.turn + 1) % self.members;
                 if self.turn == self.me {
                     self.turn = (self.turn + 1) % self.members;
                 }
-                said.push((self.turn, Word::Ask));
+                said.push((self.turn, NeighbourMessage::Ask));
             }
         }
         said.extend(self.fetch(now));
@@ -172,62 +172,61 @@
         let best = alike.into_iter().max_by_key(|(_, (_, at, count))| ((*count).min(2), *at));
         let (name, (length, at, count)) = best?;
         let surely = count > 1 && now.saturating_sub(at) <= self.ages.fresh;
-        (surely || now >= self.began + ALONE).then_some((name, length, at, count))
+        (surely || now >= self.began + SINGLE_SOURCE_WAIT).then_some((name, length, at, count))
     }
 
-    fn fetch(&mut self, now: u64) -> Option<(u16, Word)> {
+    fn fetch(&mut self, now: u64) -> Option<(u16, NeighbourMessage)> {
         let (name, length, _, count) = self.best(now)?;
-        if self.taken.is_some_and(|(taken, trust, _)| taken == name && (count < 2 || trust == Trust::AsTold))
-        {
+        if self.taken.is_some_and(|(taken, trust, _)| taken == name && (count < 2 || trust == Trust::Full)) {
             return None;
         }
-        if self.coming.as_ref().is_none_or(|coming| coming.name != name) {
-            let pieces = vec![None; (length as usize).div_ceil(PIECE)];
-            self.coming = Some(Coming { name, pieces, asked: 0 });
+        if self.download.as_ref().is_none_or(|download| download.name != name) {
+            let chunks = vec![None; (length as usize).div_ceil(CHUNK_BYTES)];
+            self.download = Some(Download { name, chunks, asked: 0 });
         }
-        let coming = self.coming.as_mut()?;
-        if now < coming.asked + AGAIN / 4 {
+        let download = self.download.as_mut()?;
+        if now < download.asked + ASK_INTERVAL / 4 {
             return None;
         }
-        let from = coming.pieces.iter().position(Option::is_none)?;
-        coming.asked = now;
+        let from = download.chunks.iter().position(Option::is_none)?;
+        download.asked = now;
         // Those that have it in turn, so that one that dies meanwhile holds nothing up.
         let have: Vec<u16> =
             self.has.iter().filter(|(_, (of, ..))| *of == name).map(|(member, _)| *member).collect();
-        let of = have.get((now / (AGAIN / 4)) as usize % have.len().max(1))?;
-        Some((*of, Word::Fetch { name, from: from as u16 }))
+        let of = have.get((now / (ASK_INTERVAL / 4)) as usize % have.len().max(1))?;
+        Some((*of, NeighbourMessage::Fetch { name, from: from as u16 }))
     }
 
     /// A member says something; what is answered.
-    pub fn heard(&mut self, now: u64, from: u16, bytes: &[u8]) -> Vec<Word> {
-        let Ok(word) = postcard::from_bytes::<Word>(bytes) else { return Vec::new() };
-        match word {
-            Word::Ask => {
-                let has = |own: &Own| Word::Has {
+    pub fn receive(&mut self, now: u64, from: u16, bytes: &[u8]) -> Vec<NeighbourMessage> {
+        let Ok(message) = postcard::from_bytes::<NeighbourMessage>(bytes) else { return Vec::new() };
+        match message {
+            NeighbourMessage::Ask => {
+                let has = |own: &Own| NeighbourMessage::Has {
                     name: own.name,
                     length: own.bytes.len() as u32,
                     age: now.saturating_sub(own.at),
                 };
                 self.own.iter().map(has).collect()
             }
-            Word::Has { name, length, age } => {
-                if from != self.me && from < self.members && length > 0 && length <= LONGEST {
+            NeighbourMessage::Has { name, length, age } => {
+                if from != self.me && from < self.members && length > 0 && length <= MAX_LIST_BYTES {
                     self.has.insert(from, (name, length, now.saturating_sub(age)));
                 }
                 Vec::new()
             }
-            Word::Fetch { name, from: first } => self.give(now, name, first),
-            Word::Piece { name, piece, bytes } => {
-                if let Some(coming) = self.coming.as_mut().filter(|coming| coming.name == name)
-                    && bytes.len() <= PIECE
-                    && let Some(place) = coming.pieces.get_mut(piece as usize)
+            NeighbourMessage::Fetch { name, from: first } => self.give(now, name, first),
+            NeighbourMessage::Chunk { name, chunk, bytes } => {
+                if let Some(download) = self.download.as_mut().filter(|download| download.name == name)
+                    && bytes.len() <= CHUNK_BYTES
+                    && let Some(place) = download.chunks.get_mut(chunk as usize)
                 {
                     *place = Some(bytes);
-                    if coming.pieces.iter().take(piece as usize).all(Option::is_some)
-                        && (piece + 1) % AT_ONCE == 0
+                    if download.chunks.iter().take(chunk as usize).all(Option::is_some)
+                        && (chunk + 1) % CHUNKS_PER_REQUEST == 0
                     {
                         // The next ones are asked for without a pause.
-                        coming.asked = 0;
+                        download.asked = 0;
                     }
                 }
                 Vec::new()
@@ -235,17 +234,25 @@
         }
     }
 
-    fn give(&mut self, now: u64, name: Name, first: u16) -> Vec<Word> {
+    fn give(&mut self, now: u64, name: Name, first: u16) -> Vec<NeighbourMessage> {
         let second = now / 1_000_000;
         if self.given.0 != second {
             self.given = (second, 0);
         }
         let Some(own) = self.own.as_ref().filter(|own| own.name == name) else { return Vec::new() };
-        let left = GIVEN.saturating_sub(self.given.1) as usize;
-        let pieces =
-            own.bytes.chunks(PIECE).enumerate().skip(first as usize).take(usize::from(AT_ONCE).min(left));
-        let given: Vec<Word> = pieces
-            .map(|(piece, bytes)| Word::Piece { name, piece: piece as u16, bytes: bytes.to_vec() })
+        let left = CHUNKS_PER_SECOND.saturating_sub(self.given.1) as usize;
+        let chunks = own
+            .bytes
+            .chunks(CHUNK_BYTES)
+            .enumerate()
+            .skip(first as usize)
+            .take(usize::from(CHUNKS_PER_REQUEST).min(left));
+        let given: Vec<NeighbourMessage> = chunks
+            .map(|(chunk, bytes)| NeighbourMessage::Chunk {
+                name,
+                chunk: chunk as u16,
+                bytes: bytes.to_vec(),
+            })
             .collect();
         self.given.1 += given.len() as u32;
         given
@@ -253,35 +260,35 @@
 
     /// A list to go by, once one is whole, and how far it is believed; better ones may follow. `unix` is the
     /// time by which starts are told, in microseconds.
-    pub fn take(&mut self, now: u64, unix: u64) -> Option<(ListNews, Trust)> {
+    pub fn take(&mut self, now: u64, unix: u64) -> Option<(EndpointUpdate, Trust)> {
         let (name, _, at, count) = self.best(now)?;
         let age = now.saturating_sub(at);
         let trust = match (count, age) {
-            (2.., age) if age <= self.ages.old => Trust::AsTold,
+            (2.., age) if age <= self.ages.old => Trust::Full,
             (_, age) if age <= self.ages.old => Trust::Doubted,
-            _ => Trust::ToTry,
+            _ => Trust::Unverified,
         };
         // What was taken before gives way to what is believed further, or was told later and is believed as
         // far.
         let worse = |(taken, of, told): (Name, Trust, u64)| match (of == trust, trust) {
             (true, _) => taken != name && at > told,
-            (false, Trust::AsTold) => true,
-            (false, Trust::Doubted) => of == Trust::ToTry,
-            (false, Trust::ToTry) => false,
+            (false, Trust::Full) => true,
+            (false, Trust::Doubted) => of == Trust::Unverified,
+            (false, Trust::Unverified) => false,
         };
-        if self.spoken || !self.taken.is_none_or(worse) {
+        if self.discovered || !self.taken.is_none_or(worse) {
             return None;
         }
-        let coming = self.coming.as_ref().filter(|coming| coming.name == name)?;
-        let pieces: Option<Vec<&Vec<u8>>> = coming.pieces.iter().map(Option::as_ref).collect();
-        let bytes: Vec<u8> = pieces?.into_iter().flatten().copied().collect();
+        let download = self.download.as_ref().filter(|download| download.name == name)?;
+        let chunks: Option<Vec<&Vec<u8>>> = download.chunks.iter().map(Option::as_ref).collect();
+        let bytes: Vec<u8> = chunks?.into_iter().flatten().copied().collect();
         if name_of(&bytes) != name {
             // Pieces of another list under its name: they are asked for anew.
-            self.coming = None;
+            self.download = None;
             return None;
         }
-        let news = decode(&bytes, trust, unix)?;
+        let update = decode(&bytes, trust, unix)?;
         self.taken = Some((name, trust, at));
-        Some((news, trust))
+        Some((update, trust))
     }
 }
--- a/balancer/endpoint-cache/src/whole.rs
+++ b/balancer/endpoint-cache/src/recovery.rs
@@ -8,7 +8,7 @@
 
 /// What holds at the end of a second.
 #[derive(Clone, Copy, Debug)]
-pub struct Second {
+pub struct SecondSummary {
     /// The list is discovery's word, or the platform's.
     pub told: bool,
     /// It decides by a policy of its fleet, or is in none.
@@ -21,23 +21,23 @@
 }
 
 #[derive(Debug)]
-pub struct Whole {
+pub struct RecoveryTracker {
     began: u64,
     before: (u64, u64),
     full: u32,
     waits: [u32; 4],
-    is_whole: bool,
+    is_recovered: bool,
 }
 
-impl Whole {
-    pub fn new(began: u64) -> Whole {
-        Whole { began, before: (0, 0), full: 0, waits: [0; 4], is_whole: false }
+impl RecoveryTracker {
+    pub fn new(began: u64) -> RecoveryTracker {
+        RecoveryTracker { began, before: (0, 0), full: 0, waits: [0; 4], is_recovered: false }
     }
 
     /// Called at the end of each second; tells once that the process is whole, and what it waited for until
     /// then.
-    pub fn second(&mut self, now: u64, of: Second) -> Option<String> {
-        if self.is_whole {
+    pub fn second(&mut self, now: u64, of: SecondSummary) -> Option<String> {
+        if self.is_recovered {
             return None;
         }
         let completed = of.completed.saturating_sub(self.before.0);
@@ -51,9 +51,9 @@
         if self.full < SECONDS {
             return None;
         }
-        self.is_whole = true;
+        self.is_recovered = true;
         let [told, settled, takes_all, serves] = self.waits;
-        // Whole since the first of the full seconds.
+        // Recovered since the first of the full seconds.
         let after = (now.saturating_sub(self.began) / 1_000_000).saturating_sub(u64::from(SECONDS));
         Some(format!(
             "whole after {after} s: {told} s without discovery's list, {settled} s without a policy, {takes_all} s \
--- a/balancer/endpoint-cache/src/ramp.rs
+++ b/balancer/endpoint-cache/src/startup_limit.rs
@@ -15,7 +15,7 @@
 const CALM: u32 = 8;
 const MOST: u32 = 80;
 
-pub struct Ramp {
+pub struct StartupLimit {
     /// Between two steps, in microseconds.
     step: u64,
     next: u64,
@@ -25,16 +25,16 @@
     least: f64,
     last: Vec<u64>,
     fastest: Option<u64>,
-    turned_away: u64,
+    rejected: u64,
     over: bool,
 }
 
-impl Ramp {
+impl StartupLimit {
     /// `step` in microseconds is what clients of all products wait for gladly.
-    pub fn new(servers: usize, members: usize, step: u64, now: u64) -> Ramp {
+    pub fn new(servers: usize, members: usize, step: u64, now: u64) -> StartupLimit {
         let step = step.max(1);
         let least = (BEGIN * servers as f64 / members.max(1) as f64).max(1.0);
-        Ramp {
+        StartupLimit {
             step,
             next: now + step,
             steps: 0,
@@ -43,7 +43,7 @@
             least,
             last: Vec::new(),
             fastest: None,
-            turned_away: 0,
+            rejected: 0,
             over: false,
         }
     }
@@ -54,8 +54,8 @@
     }
 
     /// Queries turned away by it.
-    pub fn turned_away(&self) -> u64 {
-        self.turned_away
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 
     /// Whether one more may be taken beside so many open ones; if not, after how many microseconds its client
@@ -65,7 +65,7 @@
         if self.over || (open as f64) < self.allowed {
             return Ok(());
         }
-        self.turned_away += 1;
+        self.rejected += 1;
         self.calm = 0;
         Err(((1.0 + 3.0 * chance) * self.step as f64) as u64)
     }
--- a/balancer/endpoint-cache/tests/stored_fixtures.rs
+++ b/balancer/endpoint-cache/tests/stored_fixtures.rs
@@ -8,8 +8,8 @@
 
 use fixtures::fixture;
 use whinspindle::host::EndpointState;
-use whinspindle_endpoint_cache::{Ages, Neighbours, Trust, Word, encode, recall};
-use whinspindle_protocol::list::ListedServer;
+use whinspindle_endpoint_cache::{Ages, NeighbourMessage, Neighbours, Trust, encode, restore};
+use whinspindle_protocol::endpoints::ListedServer;
 
 const AGES: Ages = Ages { fresh: 10_000_000, old: 3_600_000_000 };
 const AT: u64 = 1_800_000_000_123_456;
@@ -68,22 +68,22 @@
 #[test]
 fn a_kept_list_is_read_and_written_as_the_same_bytes() {
     let bytes = fixture("list.bin", &encode(&told(), GENERATION, AT));
-    assert_eq!(head(&bytes), [1, AT, GENERATION, 2], "form, time, generation, servers");
+    assert_eq!(head(&bytes), [1, AT, GENERATION, 2], "format, time, generation, servers");
     for (age, trust) in [
-        (AGES.fresh, Trust::AsTold),
+        (AGES.fresh, Trust::Full),
         (AGES.fresh + 1, Trust::Doubted),
         (AGES.old, Trust::Doubted),
-        (AGES.old + 1, Trust::ToTry),
+        (AGES.old + 1, Trust::Unverified),
     ] {
-        let (news, told) = recall(&bytes, AT + age, &AGES).expect("a list");
-        assert_eq!((told, news.generation, news.whole, news.faults.len()), (trust, 0, true, 0));
+        let (update, told) = restore(&bytes, AT + age, &AGES).expect("a list");
+        assert_eq!((told, update.generation, update.complete, update.faults.len()), (trust, 0, true, 0));
         let expected = kept().map(|server| match trust {
-            Trust::AsTold => server,
-            Trust::Doubted | Trust::ToTry => ListedServer { started_at: AT + age, ..server },
+            Trust::Full => server,
+            Trust::Doubted | Trust::Unverified => ListedServer { started_at: AT + age, ..server },
         });
-        assert_eq!(news.servers, expected, "{age}");
-        if trust == Trust::AsTold {
-            assert_eq!(encode(&news.servers, GENERATION, AT), bytes);
+        assert_eq!(update.servers, expected, "{age}");
+        if trust == Trust::Full {
+            assert_eq!(encode(&update.servers, GENERATION, AT), bytes);
         }
     }
 }
@@ -92,19 +92,21 @@
 fn a_list_is_told_to_neighbours_as_the_same_bytes_and_taken_from_them() {
     let mut has = Neighbours::new(1, 2, AGES, 0, 0);
     has.told(0, &told());
-    let ask = |has: &mut Neighbours, word: &Word| has.heard(0, 0, &word.to_bytes());
-    let [Word::Has { name, length, .. }] = ask(&mut has, &Word::Ask)[..] else { panic!("it has a list") };
-    let pieces = ask(&mut has, &Word::Fetch { name, from: 0 });
-    let pieces = pieces.into_iter().flat_map(|word| match word {
-        Word::Piece { bytes, .. } => bytes,
-        other => panic!("{other:?} is no piece"),
+    let ask = |has: &mut Neighbours, message: &NeighbourMessage| has.receive(0, 0, &message.to_bytes());
+    let [NeighbourMessage::Has { name, length, .. }] = ask(&mut has, &NeighbourMessage::Ask)[..] else {
+        panic!("it has a list")
+    };
+    let chunks = ask(&mut has, &NeighbourMessage::Fetch { name, from: 0 });
+    let chunks = chunks.into_iter().flat_map(|message| match message {
+        NeighbourMessage::Chunk { bytes, .. } => bytes,
+        other => panic!("{other:?} is no chunk"),
     });
-    let bytes = fixture("list-of-neighbours.bin", &pieces.collect::<Vec<u8>>());
+    let bytes = fixture("list-of-neighbours.bin", &chunks.collect::<Vec<u8>>());
     // Without its time and generation, in the order of the names.
-    assert_eq!(head(&bytes), [1, 0, 0, 2], "form, time, generation, servers");
+    assert_eq!(head(&bytes), [1, 0, 0, 2], "format, time, generation, servers");
     assert_eq!(length as usize, bytes.len());
     assert_eq!(name, blake3::hash(&bytes).as_bytes()[..16]);
-    let (news, _) = recall(&bytes, 0, &AGES).expect("a list");
+    let (update, _) = restore(&bytes, 0, &AGES).expect("a list");
     let [first, second] = kept();
-    assert_eq!(news.servers, [second, first]);
+    assert_eq!(update.servers, [second, first]);
 }
--- a/balancer/endpoint-cache/tests/wire_fixtures.rs
+++ b/balancer/endpoint-cache/tests/wire_fixtures.rs
@@ -1,4 +1,4 @@
-//! Each word that neighbours say to one another of the list: read, compared by every field, and written as the
+//! Each message that neighbours say to one another of the list: read, compared by every field, and written as the
 //! same bytes again. They go as the bytes of a message of the policy's members.
 
 #[path = "../../../tests/common/fixtures.rs"]
@@ -7,46 +7,46 @@
 use std::collections::BTreeSet;
 
 use fixtures::fixture;
-use whinspindle_endpoint_cache::Word;
+use whinspindle_endpoint_cache::NeighbourMessage;
 
-/// The name of a kind's fixture. With a kind that is new this does not compile: it needs a name, a word in the
+/// The name of a kind's fixture. With a kind that is new this does not compile: it needs a name, a message in the
 /// list below, and its file.
-fn kind(word: &Word) -> &'static str {
-    match word {
-        Word::Ask => "ask",
-        Word::Has { .. } => "has",
-        Word::Fetch { .. } => "fetch",
-        Word::Piece { .. } => "piece",
+fn kind(message: &NeighbourMessage) -> &'static str {
+    match message {
+        NeighbourMessage::Ask => "ask",
+        NeighbourMessage::Has { .. } => "has",
+        NeighbourMessage::Fetch { .. } => "fetch",
+        NeighbourMessage::Chunk { .. } => "piece",
     }
 }
 
 /// So many kinds there are.
 const KINDS: u8 = 4;
 
-fn words() -> [Word; KINDS as usize] {
+fn messages() -> [NeighbourMessage; KINDS as usize] {
     let name = |first: u8| std::array::from_fn(|at| first + at as u8);
     [
-        Word::Ask,
-        Word::Has { name: name(0x10), length: 262_144, age: 3_600_000_001 },
-        Word::Fetch { name: name(0x20), from: 300 },
-        Word::Piece { name: name(0x30), piece: 301, bytes: (0..160).rev().collect() },
+        NeighbourMessage::Ask,
+        NeighbourMessage::Has { name: name(0x10), length: 262_144, age: 3_600_000_001 },
+        NeighbourMessage::Fetch { name: name(0x20), from: 300 },
+        NeighbourMessage::Chunk { name: name(0x30), chunk: 301, bytes: (0..160).rev().collect() },
     ]
 }
 
 #[test]
-fn each_word_is_read_and_written_as_the_same_bytes() {
+fn each_message_is_read_and_written_as_the_same_bytes() {
     let mut numbers = BTreeSet::new();
-    for word in words() {
-        let name = format!("word-{}.bin", kind(&word));
-        let bytes = fixture(&name, &word.to_bytes());
-        let (read, rest) = postcard::take_from_bytes::<Word>(&bytes).expect("a word");
-        assert_eq!((&read, rest.len()), (&word, 0), "{name}");
+    for message in messages() {
+        let name = format!("word-{}.bin", kind(&message));
+        let bytes = fixture(&name, &message.to_bytes());
+        let (read, rest) = postcard::take_from_bytes::<NeighbourMessage>(&bytes).expect("a message");
+        assert_eq!((&read, rest.len()), (&message, 0), "{name}");
         assert_eq!(read.to_bytes(), bytes, "{name}");
         numbers.insert(bytes[0]);
     }
-    // The first byte is the number of the kind; with zeros for what follows each is a word, and none is beyond.
+    // The first byte is the number of the kind; with zeros for what follows each is a message, and none is beyond.
     assert_eq!(numbers, (0..KINDS).collect());
     let zeros = |kind: u8| [&[kind], [0u8; 64].as_slice()].concat();
-    assert!((0..KINDS).all(|kind| postcard::take_from_bytes::<Word>(&zeros(kind)).is_ok()));
-    assert!(postcard::take_from_bytes::<Word>(&zeros(KINDS)).is_err());
+    assert!((0..KINDS).all(|kind| postcard::take_from_bytes::<NeighbourMessage>(&zeros(kind)).is_ok()));
+    assert!(postcard::take_from_bytes::<NeighbourMessage>(&zeros(KINDS)).is_err());
 }
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -14,14 +14,21 @@
 use whinspindle_fleet_policy::{
     Ballot, Close, Fate, Message, Objection, Readiness, Right, Row, Unit, Voter, Want, Way, Wish,
 };
-use whinspindle_peer_transport::{DATAGRAM, PassedOver, Peers};
+use whinspindle_peer_transport::{DroppedDatagrams, MAX_DATAGRAM_BYTES, PeerTransport};
 use whinspindle_rollout::{Count, OF_BALANCERS};
 
 const FROM: u16 = 2;
 const TO: u16 = 1;
 
-fn peers(me: u16) -> Peers {
-    Peers::new(me, 5, "fixtures", "a secret of members", 0x0102_0304 + u32::from(me), DATAGRAM)
+fn peers(me: u16) -> PeerTransport {
+    PeerTransport::new(
+        me,
+        5,
+        "fixtures",
+        "a secret of members",
+        0x0102_0304 + u32::from(me),
+        MAX_DATAGRAM_BYTES,
+    )
 }
 
 /// The name of a kind's fixtures. With a kind that is new this does not compile: it needs a name, a message in
@@ -143,16 +150,21 @@
     for (of, message) in messages() {
         let name = format!("message-{}{of}.bin", kind(&message));
         let datagrams = peers(FROM).datagrams(TO, &message);
-        assert!(datagrams.iter().all(|datagram| datagram.len() <= DATAGRAM), "{name}");
+        assert!(datagrams.iter().all(|datagram| datagram.len() <= MAX_DATAGRAM_BYTES), "{name}");
         // Each datagram but the last is as long as one may be, so that they can be told apart again.
         let (last, full) = datagrams.split_last().expect("a datagram");
-        assert!(full.iter().all(|datagram| datagram.len() == DATAGRAM) && !last.is_empty(), "{name}");
+        assert!(
+            full.iter().all(|datagram| datagram.len() == MAX_DATAGRAM_BYTES) && !last.is_empty(),
+            "{name}"
+        );
         let bytes = fixture(&name, &datagrams.concat());
         let mut to = peers(TO);
-        let heard: Vec<(u16, Message)> =
-            bytes.chunks(DATAGRAM).filter_map(|datagram| to.take(0, Some(FROM), datagram)).collect();
+        let heard: Vec<(u16, Message)> = bytes
+            .chunks(MAX_DATAGRAM_BYTES)
+            .filter_map(|datagram| to.take(0, Some(FROM), datagram))
+            .collect();
         assert_eq!(heard, [(FROM, message)], "{name}");
-        assert_eq!(to.passed_over, PassedOver::default(), "{name}");
+        assert_eq!(to.dropped, DroppedDatagrams::default(), "{name}");
         assert!(names.insert(name.clone()), "{name}: two messages have this name");
     }
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data");
--- a/balancer/peer-transport/src/tests.rs
+++ b/balancer/peer-transport/src/tests.rs
@@ -2,9 +2,11 @@
 
 #[test]
 fn numbers_that_are_used_up_begin_again_and_are_heard() {
-    let (mut from, mut to) =
-        (Peers::new(1, 2, "f", "", u32::MAX, DATAGRAM), Peers::new(0, 2, "f", "", 1, DATAGRAM));
-    from.next = u32::MAX - MOST_PARTS as u32 - 3;
+    let (mut from, mut to) = (
+        PeerTransport::new(1, 2, "f", "", u32::MAX, MAX_DATAGRAM_BYTES),
+        PeerTransport::new(0, 2, "f", "", 1, MAX_DATAGRAM_BYTES),
+    );
+    from.next = u32::MAX - MAX_PARTS as u32 - 3;
     for second in 0..10 {
         let datagram = from.datagrams(0, &7u8).remove(0);
         assert_eq!(to.take::<u8>(second, Some(1), &datagram), Some((1, 7)));
--- a/balancer/protocol/src/answer.rs
+++ b/balancer/protocol/src/answer.rs
@@ -13,12 +13,12 @@
     /// Nothing has happened; best tried again after so many microseconds (0: no advice).
     Rejected(u64),
     /// It may have happened.
-    Aborted(Because),
+    Aborted(AbortReason),
 }
 
 /// Why a query was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Because {
+pub enum AbortReason {
     /// The last execution came to an end that allows no other.
     Failed,
     /// It has no time left.
@@ -53,9 +53,9 @@
             }
             Answer::Aborted(because) => {
                 let (status, text) = match because {
-                    Because::Failed => (StatusCode::BAD_GATEWAY, "aborted"),
-                    Because::OutOfTime => (StatusCode::GATEWAY_TIMEOUT, "aborted: out of time"),
-                    Because::Silent => (StatusCode::GATEWAY_TIMEOUT, "aborted: its server is silent"),
+                    AbortReason::Failed => (StatusCode::BAD_GATEWAY, "aborted"),
+                    AbortReason::OutOfTime => (StatusCode::GATEWAY_TIMEOUT, "aborted: out of time"),
+                    AbortReason::Silent => (StatusCode::GATEWAY_TIMEOUT, "aborted: its server is silent"),
                 };
                 plain(status, text.to_string())
             }
--- a/balancer/protocol/src/list.rs
+++ b/balancer/protocol/src/endpoints.rs
@@ -6,10 +6,10 @@
 use whinspindle::host::EndpointState;
 
 #[derive(Debug)]
-pub struct ListNews {
+pub struct EndpointUpdate {
     pub generation: u64,
     /// The complete list: whatever it lacks is gone.
-    pub whole: bool,
+    pub complete: bool,
     pub servers: Vec<ListedServer>,
     /// Why entries were passed over.
     pub faults: Vec<String>,
@@ -30,7 +30,7 @@
 }
 
 #[derive(Deserialize)]
-struct Line {
+struct WireUpdate {
     generation: u64,
     #[serde(default)]
     reset: bool,
@@ -56,27 +56,27 @@
     started_at_ms: u64,
 }
 
-impl ListNews {
+impl EndpointUpdate {
     /// One JSON object; an entry that can't be read is passed over, the others count.
-    pub fn decode(json: &[u8]) -> Result<ListNews, String> {
-        let line: Line = serde_json::from_slice(json).map_err(|e| e.to_string())?;
-        let mut news = ListNews {
-            generation: line.generation,
-            whole: line.reset,
-            servers: Vec::with_capacity(line.instances.len()),
+    pub fn decode(json: &[u8]) -> Result<EndpointUpdate, String> {
+        let wire: WireUpdate = serde_json::from_slice(json).map_err(|e| e.to_string())?;
+        let mut update = EndpointUpdate {
+            generation: wire.generation,
+            complete: wire.reset,
+            servers: Vec::with_capacity(wire.instances.len()),
             faults: Vec::new(),
         };
-        for instance in line.instances {
-            match entry(instance) {
-                Ok(server) => news.servers.push(server),
-                Err(fault) => news.faults.push(fault),
+        for instance in wire.instances {
+            match listed_server(instance) {
+                Ok(server) => update.servers.push(server),
+                Err(fault) => update.faults.push(fault),
             }
         }
-        Ok(news)
+        Ok(update)
     }
 }
 
-fn entry(json: serde_json::Value) -> Result<ListedServer, String> {
+fn listed_server(json: serde_json::Value) -> Result<ListedServer, String> {
     let instance = Instance::deserialize(json).map_err(|e| e.to_string())?;
     let name = instance.instance_id;
     let state = match instance.lifecycle.as_str() {
--- a/balancer/protocol/src/lib.rs
+++ b/balancer/protocol/src/lib.rs
@@ -4,8 +4,8 @@
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 
 pub mod answer;
+pub mod endpoints;
 pub mod execution;
 mod headers;
-pub mod list;
 pub mod query;
 mod report;
--- a/balancer/protocol/src/query.rs
+++ b/balancer/protocol/src/query.rs
@@ -12,7 +12,7 @@
 use crate::headers;
 
 /// Longest body of a query, and what an answer usually has at most.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A query without its body.
 #[derive(Debug)]
@@ -62,7 +62,7 @@
 }
 
 /// Why a query can't be taken while another one is open under its id.
-pub const TAKEN: Malformed =
+pub const DUPLICATE_TRACE: Malformed =
     Malformed { status: StatusCode::CONFLICT, field: headers::TRACE, fault: "is that of an open query" };
 
 impl Head {
--- a/balancer/protocol/src/report.rs
+++ b/balancer/protocol/src/report.rs
@@ -5,8 +5,8 @@
 /// The figures that the decisions read, under the names of the settings and of the report's header.
 const UTILIZATION: [&str; 2] = ["utilization", "util"];
 const THROUGHPUT: [&str; 2] = ["throughput", "qps"];
-const HELD: [&str; 2] = ["outstanding", "inflight"];
-const WAITING: [&str; 2] = ["backlog", "queue"];
+const IN_FLIGHT: [&str; 2] = ["outstanding", "inflight"];
+const QUEUED: [&str; 2] = ["backlog", "queue"];
 
 /// Reads the columns that the settings name; a figure that is no plain number is passed over.
 pub fn decode(text: &str, columns: &[String]) -> LoadReport {
@@ -21,9 +21,9 @@
             report.utilization = value;
         } else if THROUGHPUT.contains(&name) && holds(THROUGHPUT) {
             report.throughput = value;
-        } else if HELD.contains(&name) && holds(HELD) {
+        } else if IN_FLIGHT.contains(&name) && holds(IN_FLIGHT) {
             report.held = value;
-        } else if WAITING.contains(&name) && holds(WAITING) {
+        } else if QUEUED.contains(&name) && holds(QUEUED) {
             report.held = report.held.or(value);
         }
     }
--- a/balancer/protocol/tests/messages.rs
+++ b/balancer/protocol/tests/messages.rs
@@ -5,9 +5,9 @@
 use http_body_util::BodyExt;
 use whinspindle::host::{EndpointState, Outcome};
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_protocol::answer::{Answer, Because, Served};
+use whinspindle_protocol::answer::{AbortReason, Answer, Served};
+use whinspindle_protocol::endpoints::EndpointUpdate;
 use whinspindle_protocol::execution::{self, Reply};
-use whinspindle_protocol::list::ListNews;
 use whinspindle_protocol::query::Head;
 
 fn deployment() -> Deployment {
@@ -186,10 +186,15 @@
         (Answer::Completed(served), StatusCode::OK, None, "body"),
         (Answer::Rejected(0), StatusCode::SERVICE_UNAVAILABLE, None, "rejected\n"),
         (Answer::Rejected(600_000), StatusCode::SERVICE_UNAVAILABLE, Some("0.600"), "rejected\n"),
-        (Answer::Aborted(Because::Failed), StatusCode::BAD_GATEWAY, None, "aborted\n"),
-        (Answer::Aborted(Because::OutOfTime), StatusCode::GATEWAY_TIMEOUT, None, "aborted: out of time\n"),
+        (Answer::Aborted(AbortReason::Failed), StatusCode::BAD_GATEWAY, None, "aborted\n"),
         (
-            Answer::Aborted(Because::Silent),
+            Answer::Aborted(AbortReason::OutOfTime),
+            StatusCode::GATEWAY_TIMEOUT,
+            None,
+            "aborted: out of time\n",
+        ),
+        (
+            Answer::Aborted(AbortReason::Silent),
             StatusCode::GATEWAY_TIMEOUT,
             None,
             "aborted: its server is silent\n",
@@ -234,22 +239,22 @@
     ] {
         let good = r#"{"instanceId": "other", "hostPort": "[::1]:1", "lifecycle": "ready", "more": {}}"#;
         let line = format!(r#"{{"generation": 41, "reset": true, "instances": [{entry}, {good}]}}"#);
-        let news = ListNews::decode(line.as_bytes()).expect("a list");
+        let update = EndpointUpdate::decode(line.as_bytes()).expect("a list");
         assert_eq!(
-            (news.generation, news.whole, news.servers.last().map(|s| s.name.as_str())),
+            (update.generation, update.complete, update.servers.last().map(|s| s.name.as_str())),
             (41, true, Some("other"))
         );
         match read {
             Ok(read) => {
-                let server = &news.servers[0];
+                let server = &update.servers[0];
                 assert_eq!((server.state, server.size, server.started_at), read, "{entry}");
-                assert!(news.faults.is_empty());
+                assert!(update.faults.is_empty());
             }
-            Err(fault) => assert_eq!(news.faults, [fault], "{entry}"),
+            Err(fault) => assert_eq!(update.faults, [fault], "{entry}"),
         }
     }
     for line in ["", "{}", "[]", r#"{"generation": 1}"#, r#"{"generation": -1, "instances": []}"#, "{\"gener"]
     {
-        assert!(ListNews::decode(line.as_bytes()).is_err(), "{line}");
+        assert!(EndpointUpdate::decode(line.as_bytes()).is_err(), "{line}");
     }
 }
--- a/balancer/rate-limited-log/src/lib.rs
+++ b/balancer/rate-limited-log/src/lib.rs
@@ -8,38 +8,38 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-const LINES_A_SECOND: u64 = 5;
+const LINES_PER_SECOND: u64 = 5;
 
-static BEGUN: LazyLock<Instant> = LazyLock::new(Instant::now);
+static STARTED: LazyLock<Instant> = LazyLock::new(Instant::now);
 
 /// What one place in the code has written in the present second, and what it has kept back since its last
 /// line.
 #[derive(Default)]
-pub struct Gate {
+pub struct RateLimiter {
     second: AtomicU64,
     lines: AtomicU64,
-    kept_back: AtomicU64,
+    suppressed: AtomicU64,
 }
 
-impl Gate {
+impl RateLimiter {
     pub const fn new() -> Self {
-        Gate { second: AtomicU64::new(0), lines: AtomicU64::new(0), kept_back: AtomicU64::new(0) }
+        RateLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0), suppressed: AtomicU64::new(0) }
     }
 
     /// How many lines were kept back before this one, if it may be written now.
-    pub fn open(&self) -> Option<u64> {
-        self.open_in(BEGUN.elapsed().as_secs())
+    pub fn admit(&self) -> Option<u64> {
+        self.admit_in(STARTED.elapsed().as_secs())
     }
 
-    fn open_in(&self, second: u64) -> Option<u64> {
+    fn admit_in(&self, second: u64) -> Option<u64> {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        if self.lines.fetch_add(1, Ordering::Relaxed) >= LINES_A_SECOND {
-            self.kept_back.fetch_add(1, Ordering::Relaxed);
+        if self.lines.fetch_add(1, Ordering::Relaxed) >= LINES_PER_SECOND {
+            self.suppressed.fetch_add(1, Ordering::Relaxed);
             return None;
         }
-        Some(self.kept_back.swap(0, Ordering::Relaxed))
+        Some(self.suppressed.swap(0, Ordering::Relaxed))
     }
 }
 
@@ -53,11 +53,11 @@
 #[macro_export]
 macro_rules! log_line {
     ($what:literal, $($text:tt)+) => {{
-        static GATE: $crate::Gate = $crate::Gate::new();
-        match GATE.open() {
+        static LIMITER: $crate::RateLimiter = $crate::RateLimiter::new();
+        match LIMITER.admit() {
             Some(0) => $crate::write(format_args!("whinspindle {}: {}", $what, format_args!($($text)+))),
-            Some(kept_back) => $crate::write(format_args!(
-                "whinspindle {}: {} ({kept_back} more)",
+            Some(suppressed) => $crate::write(format_args!(
+                "whinspindle {}: {} ({suppressed} more)",
                 $what,
                 format_args!($($text)+)
             )),
--- a/balancer/rate-limited-log/src/tests.rs
+++ b/balancer/rate-limited-log/src/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn lines_of_a_second_are_limited_and_counted() {
-    let gate = Gate::new();
+    let gate = RateLimiter::new();
     for (second, open) in [
         (0, Some(0)),
         (0, Some(0)),
@@ -14,6 +14,6 @@
         (1, Some(2)),
         (1, Some(0)),
     ] {
-        assert_eq!(gate.open_in(second), open);
+        assert_eq!(gate.admit_in(second), open);
     }
 }
--- a/balancer/record-store/src/lib.rs
+++ b/balancer/record-store/src/lib.rs
@@ -1,5 +1,5 @@
 //! Small records in a folder, each read whole or not at all, whatever moment the process or the machine died in.
-//! Knows nothing of what is in them. A record has two files that are written in turn, each by way of a file beside
+//! Knows nothing of what is in them. A record has two files that are written in turn, each by way of a temporary file
 //! it, a sync and a rename: the other one stays whole meanwhile.
 
 #![allow(missing_docs, reason = "not every public item is documented yet")]
@@ -11,51 +11,51 @@
 
 const MAGIC: &[u8; 8] = b"whspin-1";
 /// Magic, generation, length, hash.
-const HEAD: usize = 8 + 8 + 8 + 32;
+const HEADER_BYTES: usize = 8 + 8 + 8 + 32;
 /// A record may be so long.
-pub const LONGEST: usize = 1024 * 1024;
+pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 
 #[derive(Debug)]
-pub enum Fault {
+pub enum StoreError {
     /// Another process has the folder.
-    Taken(PathBuf),
+    Locked(PathBuf),
     Io(PathBuf, io::Error),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for StoreError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::Taken(folder) => write!(to, "{}: another process holds it", folder.display()),
-            Fault::Io(path, fault) => write!(to, "{}: {fault}", path.display()),
+            StoreError::Locked(folder) => write!(to, "{}: another process holds it", folder.display()),
+            StoreError::Io(path, fault) => write!(to, "{}: {fault}", path.display()),
         }
     }
 }
 
 /// The folder, held for this process alone.
-pub struct Store {
+pub struct RecordStore {
     folder: PathBuf,
     _lock: File,
 }
 
 /// What a file holds, if it is whole.
-struct Found {
+struct StoredVersion {
     generation: u64,
     bytes: Vec<u8>,
 }
 
-fn read(path: &Path) -> Option<Found> {
+fn read(path: &Path) -> Option<StoredVersion> {
     let mut file = File::open(path).ok()?;
-    let mut head = [0; HEAD];
+    let mut head = [0; HEADER_BYTES];
     file.read_exact(&mut head).ok()?;
     let number = |at: usize| head[at..at + 8].try_into().map_or(0, u64::from_le_bytes);
     let (generation, length) = (number(8), number(16));
-    if &head[..8] != MAGIC || length > LONGEST as u64 {
+    if &head[..8] != MAGIC || length > MAX_RECORD_BYTES as u64 {
         return None;
     }
     let mut bytes = vec![0; length as usize];
     file.read_exact(&mut bytes).ok()?;
     // Guards against a file that was written over in part: the hash takes in the generation too.
-    (hash(generation, &bytes) == head[24..HEAD]).then_some(Found { generation, bytes })
+    (hash(generation, &bytes) == head[24..HEADER_BYTES]).then_some(StoredVersion { generation, bytes })
 }
 
 fn hash(generation: u64, bytes: &[u8]) -> [u8; 32] {
@@ -65,17 +65,17 @@
     *hasher.finalize().as_bytes()
 }
 
-impl Store {
+impl RecordStore {
     /// Makes the folder if there is none, and holds it. Guards against two processes that write over one another.
-    pub fn open(folder: &Path) -> Result<Store, Fault> {
-        let told = |fault| Fault::Io(folder.to_path_buf(), fault);
-        fs::create_dir_all(folder).map_err(told)?;
+    pub fn open(folder: &Path) -> Result<RecordStore, StoreError> {
+        let as_error = |fault| StoreError::Io(folder.to_path_buf(), fault);
+        fs::create_dir_all(folder).map_err(as_error)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"));
-        let lock = lock.map_err(told)?;
+        let lock = lock.map_err(as_error)?;
         match lock.try_lock() {
-            Ok(()) => Ok(Store { folder: folder.to_path_buf(), _lock: lock }),
-            Err(TryLockError::WouldBlock) => Err(Fault::Taken(folder.to_path_buf())),
-            Err(TryLockError::Error(fault)) => Err(told(fault)),
+            Ok(()) => Ok(RecordStore { folder: folder.to_path_buf(), _lock: lock }),
+            Err(TryLockError::WouldBlock) => Err(StoreError::Locked(folder.to_path_buf())),
+            Err(TryLockError::Error(fault)) => Err(as_error(fault)),
         }
     }
 
@@ -85,30 +85,30 @@
 
     /// The newest whole version of a record.
     pub fn read(&self, name: &str) -> Option<Vec<u8>> {
-        let found =
-            self.files(name).iter().filter_map(|file| read(file)).max_by_key(|found| found.generation);
-        found.map(|found| found.bytes)
+        let version =
+            self.files(name).iter().filter_map(|file| read(file)).max_by_key(|version| version.generation);
+        version.map(|version| version.bytes)
     }
 
     /// Writes a record; it is durable when this returns. Where it fails, the version before stands.
-    pub fn write(&self, name: &str, bytes: &[u8]) -> Result<(), Fault> {
+    pub fn write(&self, name: &str, bytes: &[u8]) -> Result<(), StoreError> {
         let files = self.files(name);
-        let generations = files.each_ref().map(|file| read(file).map_or(0, |found| found.generation));
+        let generations = files.each_ref().map(|file| read(file).map_or(0, |version| version.generation));
         let turn = usize::from(generations[0] > generations[1]);
         let generation = generations[0].max(generations[1]) + 1;
-        let beside = self.folder.join(format!("{name}.new"));
+        let temporary = self.folder.join(format!("{name}.new"));
         let written = (|| {
-            let mut file = File::create(&beside)?;
+            let mut file = File::create(&temporary)?;
             file.write_all(MAGIC)?;
             file.write_all(&generation.to_le_bytes())?;
             file.write_all(&(bytes.len() as u64).to_le_bytes())?;
             file.write_all(&hash(generation, bytes))?;
             file.write_all(bytes)?;
             file.sync_all()?;
-            fs::rename(&beside, &files[turn])?;
+            fs::rename(&temporary, &files[turn])?;
             File::open(&self.folder)?.sync_all()
         })();
-        written.map_err(|fault| Fault::Io(files[turn].clone(), fault))
+        written.map_err(|fault| StoreError::Io(files[turn].clone(), fault))
     }
 
     /// Forgets a record.
--- a/balancer/record-store/tests/store.rs
+++ b/balancer/record-store/tests/store.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use whinspindle_record_store::{Fault, Store};
+use whinspindle_record_store::{RecordStore, StoreError};
 
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("whinspindle-store-{}-{name}", std::process::id()));
@@ -16,7 +16,7 @@
     // Each byte of the file last written is cut off or changed in turn; what is read is that version whole, or
     // the one before it.
     let folder = folder("torn");
-    let store = Store::open(&folder).expect("a folder");
+    let store = RecordStore::open(&folder).expect("a folder");
     assert_eq!(store.read("r"), None);
     for version in [b"one".as_slice(), b"two, longer", b"three"] {
         store.write("r", version).expect("written");
@@ -50,14 +50,14 @@
 #[test]
 fn a_folder_is_held_by_one_and_a_write_that_fails_changes_nothing() {
     let folder = folder("held");
-    let store = Store::open(&folder).expect("a folder");
-    assert!(matches!(Store::open(&folder), Err(Fault::Taken(_))));
+    let store = RecordStore::open(&folder).expect("a folder");
+    assert!(matches!(RecordStore::open(&folder), Err(StoreError::Locked(_))));
     store.write("r", b"kept").expect("written");
-    // A folder stands where the file beside is to be made, so that nobody can write, root neither.
+    // A folder stands where the temporary file is to be made, so that nobody can write, root neither.
     fs::create_dir(folder.join("r.new")).expect("a folder");
-    assert!(matches!(store.write("r", b"lost"), Err(Fault::Io(..))));
+    assert!(matches!(store.write("r", b"lost"), Err(StoreError::Io(..))));
     assert_eq!(store.read("r").as_deref(), Some(b"kept".as_slice()));
     drop(store);
-    assert!(Store::open(&folder).is_ok());
+    assert!(RecordStore::open(&folder).is_ok());
     let _ = fs::remove_dir_all(&folder);
 }
--- a/balancer/record-store/tests/stored_fixtures.rs
+++ b/balancer/record-store/tests/stored_fixtures.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 use fixtures::fixture;
-use whinspindle_record_store::Store;
+use whinspindle_record_store::RecordStore;
 
 const VERSIONS: [&[u8]; 3] = [b"the first version", b"", b"the third, with bytes \x00\x80\xff"];
 
@@ -25,7 +25,7 @@
 #[test]
 fn both_files_of_a_record_are_read_and_written_as_the_same_bytes() {
     let written = folder("written");
-    let store = Store::open(&written).expect("a folder");
+    let store = RecordStore::open(&written).expect("a folder");
     VERSIONS.iter().for_each(|version| store.write("record", version).expect("written"));
     // The third version is written over the first, so that the second stays whole meanwhile.
     let files = ["record.a", "record.b"].map(|file| {
@@ -48,7 +48,7 @@
     }
     // Read from the fixtures alone: the newest, and the other one where the newest is gone.
     let read = folder("read");
-    let store = Store::open(&read).expect("a folder");
+    let store = RecordStore::open(&read).expect("a folder");
     files.iter().for_each(|(file, bytes)| fs::write(read.join(file), bytes).expect("laid there"));
     assert_eq!(store.read("record").as_deref(), Some(VERSIONS[2]));
     fs::remove_file(read.join("record.a")).expect("removed");
--- a/balancer/upstream-pool/src/exchange.rs
+++ b/balancer/upstream-pool/src/exchange.rs
@@ -20,12 +20,12 @@
 use whinspindle_metered_sockets::{Meter, Metered};
 
 use crate::failure::{Cause, Failure, Progress};
-use crate::pool::Terms;
-use crate::room::Room;
+use crate::memory_budget::MemoryBudget;
+use crate::pool::PoolSettings;
 
 /// What an exchange leaves behind of how far it has come, also where its future is dropped.
 #[derive(Clone, Default)]
-pub struct Trail(Rc<RefCell<Option<Written>>>);
+pub struct ProgressHandle(Rc<RefCell<Option<Written>>>);
 
 struct Written {
     meter: Rc<Meter>,
@@ -33,10 +33,10 @@
     end: u64,
 }
 
-impl Trail {
+impl ProgressHandle {
     pub fn progress(&self) -> Progress {
         match &*self.0.borrow() {
-            Some(written) if written.meter.written.get() >= written.end => Progress::Whole,
+            Some(written) if written.meter.written.get() >= written.end => Progress::Complete,
             Some(written) if written.meter.written.get() > written.begin => Progress::Begun,
             _ => Progress::Nothing,
         }
@@ -54,7 +54,7 @@
 
 /// A connection that carries one request at a time. It has no task of its own: it moves while an exchange is
 /// polled, and closes when dropped.
-pub struct Lane {
+pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Pin<Box<Connection<TokioIo<Metered>, Full<Bytes>>>>,
     ended: bool,
@@ -63,8 +63,8 @@
     kept: bool,
 }
 
-impl Lane {
-    pub async fn open(socket: TcpStream) -> Result<Lane, Cause> {
+impl ServerConnection {
+    pub async fn open(socket: TcpStream) -> Result<ServerConnection, Cause> {
         // Guards against a system that has the connection and not the option, on which nothing but haste
         // hangs.
         let _ = socket.set_nodelay(true);
@@ -74,7 +74,7 @@
             .handshake(TokioIo::new(Metered::new(socket, Rc::clone(&meter))))
             .await
             .map_err(Cause::Connection)?;
-        Ok(Lane { sender, connection: Box::pin(connection), ended: false, meter, kept: false })
+        Ok(ServerConnection { sender, connection: Box::pin(connection), ended: false, meter, kept: false })
     }
 
     /// Polls the connection beside the future, which waits on it.
@@ -115,55 +115,60 @@
     pub async fn exchange(
         &mut self,
         mut request: Request<Full<Bytes>>,
-        terms: &Terms,
-        trail: &Trail,
+        settings: &PoolSettings,
+        progress: &ProgressHandle,
     ) -> Result<Response<Bytes>, Failure> {
-        trail.begin(&self.meter, size(&request));
+        progress.begin(&self.meter, size(&request));
         self.meter.heard.set(None);
-        let heard = Heard { meter: Rc::clone(&self.meter), told: Arc::new(Mutex::new(Instant::now())) };
-        let told = Arc::clone(&heard.told);
+        let monitor =
+            AnswerMonitor { meter: Rc::clone(&self.meter), announced: Arc::new(Mutex::new(Instant::now())) };
+        let announced = Arc::clone(&monitor.announced);
         hyper::ext::on_informational(&mut request, move |_| {
-            *told.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+            *announced.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         });
         let end = tokio::select! {
             biased;
-            end = self.answer(request, &terms.room) => end,
-            () = heard.stalled(terms.stall) => Err(Cause::Stalled),
+            end = self.answer(request, &settings.memory) => end,
+            () = monitor.stalled(settings.stall_time_out) => Err(Cause::Stalled),
         };
         let kept = std::mem::replace(&mut self.kept, true);
         end.map_err(|cause| {
             let answered = self.meter.heard.get().is_some();
             let stale = kept && !answered && matches!(cause, Cause::Connection(_));
-            Failure { stale, answered, ..trail.failure(cause) }
+            Failure { stale, answered, ..progress.failure(cause) }
         })
     }
 
-    async fn answer(&mut self, request: Request<Full<Bytes>>, room: &Room) -> Result<Response<Bytes>, Cause> {
+    async fn answer(
+        &mut self,
+        request: Request<Full<Bytes>>,
+        memory: &MemoryBudget,
+    ) -> Result<Response<Bytes>, Cause> {
         let response = self.drive(|sender| sender.send_request(request)).await.map_err(Cause::Connection)?;
         let (parts, body) = response.into_parts();
         if parts.headers.contains_key(CONTENT_LENGTH) && parts.headers.contains_key(TRANSFER_ENCODING) {
-            return Err(Cause::TwoLengths);
+            return Err(Cause::ConflictingLengths);
         }
-        Ok(Response::from_parts(parts, self.collect(body, room).await?))
+        Ok(Response::from_parts(parts, self.collect(body, memory).await?))
     }
 
-    /// The whole body. Room for it is taken before it is read.
-    async fn collect(&mut self, mut body: Incoming, room: &Room) -> Result<Bytes, Cause> {
-        let mut share = room.share();
-        let told = body.size_hint().lower();
-        if !usize::try_from(told).is_ok_and(|told| share.grow_to(told)) {
-            return Err(Cause::TooLong(told));
+    /// The complete body. Memory for it is allocated from the budget before it is read.
+    async fn collect(&mut self, mut body: Incoming, memory: &MemoryBudget) -> Result<Bytes, Cause> {
+        let mut allocation = memory.allocation();
+        let announced = body.size_hint().lower();
+        if !usize::try_from(announced).is_ok_and(|announced| allocation.grow_to(announced)) {
+            return Err(Cause::TooLong(announced));
         }
-        let mut whole = BytesMut::with_capacity(told as usize);
+        let mut complete = BytesMut::with_capacity(announced as usize);
         while let Some(frame) = self.drive(|_| body.frame()).await {
             let Ok(data) = frame.map_err(Cause::Connection)?.into_data() else { continue };
-            let bytes = whole.len() + data.len();
-            if !share.grow_to(bytes) {
+            let bytes = complete.len() + data.len();
+            if !allocation.grow_to(bytes) {
                 return Err(Cause::TooLong(bytes as u64));
             }
-            whole.extend_from_slice(&data);
+            complete.extend_from_slice(&data);
         }
-        Ok(share.hold(whole.freeze()))
+        Ok(allocation.hold(complete.freeze()))
     }
 
     pub async fn is_reusable(&mut self) -> bool {
@@ -172,21 +177,21 @@
     }
 }
 
-/// When a server was last heard on a connection, and when an answer of it was last only told to come (1xx).
-struct Heard {
+/// When bytes were last received on a connection, and when an answer was last only announced (1xx).
+struct AnswerMonitor {
     meter: Rc<Meter>,
-    told: Arc<Mutex<Instant>>,
+    announced: Arc<Mutex<Instant>>,
 }
 
-impl Heard {
+impl AnswerMonitor {
     /// Guards against an answer that begins and never ends: its server keeps the connection open in silence.
-    async fn stalled(&self, stall: Duration) {
+    async fn stalled(&self, stall_time_out: Duration) {
         loop {
-            let told = *self.told.lock().unwrap_or_else(PoisonError::into_inner);
-            match self.meter.heard_last.get().filter(|&at| at > told).map(|at| at + stall) {
+            let announced = *self.announced.lock().unwrap_or_else(PoisonError::into_inner);
+            match self.meter.heard_last.get().filter(|&at| at > announced).map(|at| at + stall_time_out) {
                 Some(end) if end <= Instant::now() => return,
                 Some(end) => sleep_until(end).await,
-                None => sleep(stall).await,
+                None => sleep(stall_time_out).await,
             }
         }
     }
--- a/balancer/upstream-pool/src/exchange/tests.rs
+++ b/balancer/upstream-pool/src/exchange/tests.rs
@@ -17,17 +17,18 @@
         there.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi").expect("written");
         read
     });
-    let terms = Terms {
-        most_open: 1,
+    let settings = PoolSettings {
+        max_open: 1,
         idle_time: Duration::from_secs(60),
         connect_time_out: Duration::from_secs(60),
-        stall: Duration::from_secs(60),
-        rest: Duration::ZERO,
-        room: Room::new(1024, 1024),
+        stall_time_out: Duration::from_secs(60),
+        quiet_time: Duration::ZERO,
+        memory: MemoryBudget::new(1024, 1024),
     };
     let request = Request::get("/").header("host", "a").body(Full::default()).expect("a request");
-    let mut lane = Lane::open(socket).await.expect("a lane");
-    let response = lane.exchange(request, &terms, &Trail::default()).await.expect("an answer");
+    let mut connection = ServerConnection::open(socket).await.expect("a connection");
+    let response =
+        connection.exchange(request, &settings, &ProgressHandle::default()).await.expect("an answer");
     assert_eq!(response.into_body(), "hi");
     assert!(server.join().expect("the server ends") > 0);
 }
--- a/balancer/upstream-pool/src/failure.rs
+++ b/balancer/upstream-pool/src/failure.rs
@@ -10,7 +10,7 @@
     /// Some of the request's bytes are written, the last is not.
     Begun,
     /// The request's last byte is written.
-    Whole,
+    Complete,
 }
 
 #[derive(Debug)]
@@ -26,16 +26,16 @@
 #[derive(Debug)]
 pub enum Cause {
     /// All connections that may be open are in use.
-    NoneFree,
+    PoolExhausted,
     /// Nothing was wanted of the server any more, before the first byte.
-    Unwanted,
+    NotWanted,
     Connect(std::io::Error),
     ConnectTimeOut,
     Connection(hyper::Error),
-    /// There is no room for a body so long.
+    /// There is no memory for a body so long, in bytes.
     TooLong(u64),
     /// The response tells its length in two ways.
-    TwoLengths,
+    ConflictingLengths,
     /// The response has begun and does not go on.
     Stalled,
 }
@@ -44,16 +44,16 @@
     /// Whether the exchange came to nothing here, through no fault of the server, which has seen none of it or not
     /// all.
     pub fn is_own(&self) -> bool {
-        matches!(self.cause, Cause::NoneFree | Cause::Unwanted)
-            || (self.stale && self.progress != Progress::Whole)
+        matches!(self.cause, Cause::PoolExhausted | Cause::NotWanted)
+            || (self.stale && self.progress != Progress::Complete)
     }
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match &self.cause {
-            Cause::NoneFree => write!(to, "all connections are in use"),
-            Cause::Unwanted => write!(to, "wanted no more"),
+            Cause::PoolExhausted => write!(to, "all connections are in use"),
+            Cause::NotWanted => write!(to, "wanted no more"),
             Cause::Connect(e) => write!(to, "connect: {e}"),
             Cause::ConnectTimeOut => write!(to, "connect: timed out"),
             Cause::Connection(e) if self.stale => {
@@ -61,7 +61,7 @@
             }
             Cause::Connection(e) => write!(to, "connection: {e}, request {:?}", self.progress),
             Cause::TooLong(bytes) => write!(to, "response too long: {bytes} bytes or more"),
-            Cause::TwoLengths => write!(to, "response with two kinds of length"),
+            Cause::ConflictingLengths => write!(to, "response with two kinds of length"),
             Cause::Stalled => write!(to, "response begun and not ended"),
         }
     }
--- a/balancer/upstream-pool/src/failure/tests.rs
+++ b/balancer/upstream-pool/src/failure/tests.rs
@@ -5,7 +5,7 @@
     for (stale, progress, own) in [
         (true, Progress::Nothing, true),
         (true, Progress::Begun, true),
-        (true, Progress::Whole, false),
+        (true, Progress::Complete, false),
         (false, Progress::Nothing, false),
         (false, Progress::Begun, false),
     ] {
--- a/balancer/upstream-pool/src/lib.rs
+++ b/balancer/upstream-pool/src/lib.rs
@@ -5,10 +5,10 @@
 
 mod exchange;
 mod failure;
+mod memory_budget;
 mod pool;
-mod room;
 
-pub use exchange::Trail;
+pub use exchange::ProgressHandle;
 pub use failure::{Failure, Progress};
-pub use pool::{Connections, Terms, Upstream};
-pub use room::Room;
+pub use memory_budget::MemoryBudget;
+pub use pool::{ConnectionPool, PoolSettings, Upstream};
--- a/balancer/upstream-pool/src/pool.rs
+++ b/balancer/upstream-pool/src/pool.rs
@@ -12,20 +12,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-use crate::exchange::{Lane, Trail};
+use crate::exchange::{ProgressHandle, ServerConnection};
 use crate::failure::{Cause, Failure};
-use crate::room::Room;
+use crate::memory_budget::MemoryBudget;
 
-pub struct Terms {
-    pub most_open: usize,
+pub struct PoolSettings {
+    pub max_open: usize,
     /// Servers close a connection that has stood idle for so long.
     pub idle_time: Duration,
     pub connect_time_out: Duration,
     /// An answer that has begun and is silent for so long does not end any more.
-    pub stall: Duration,
+    pub stall_time_out: Duration,
     /// After an answer a connection carries nothing for so long.
-    pub rest: Duration,
-    pub room: Room,
+    pub quiet_time: Duration,
+    pub memory: MemoryBudget,
 }
 
 /// One process of a server: another one at the same address gets connections of its own.
@@ -38,8 +38,8 @@
 /// Idle connections are dropped at this part of the time after which servers close them.
 const IDLE_PART: f64 = 0.7;
 
-pub struct Connections {
-    terms: Terms,
+pub struct ConnectionPool {
+    settings: PoolSettings,
     open: Rc<Cell<usize>>,
     idle: RefCell<BTreeMap<Upstream, Vec<Idle>>>,
 }
@@ -51,21 +51,21 @@
 
 /// A connection that counts among the open ones until it is dropped.
 struct Lease {
-    lane: Lane,
-    _place: Place,
+    connection: ServerConnection,
+    _permit: OpenPermit,
 }
 
-struct Place(Rc<Cell<usize>>);
+struct OpenPermit(Rc<Cell<usize>>);
 
-impl Drop for Place {
+impl Drop for OpenPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-impl Connections {
-    pub fn new(terms: Terms) -> Self {
-        Connections { terms, open: Rc::default(), idle: RefCell::default() }
+impl ConnectionPool {
+    pub fn new(settings: PoolSettings) -> Self {
+        ConnectionPool { settings, open: Rc::default(), idle: RefCell::default() }
     }
 
     /// Sends one request once. `prepare` is asked for it right before the first byte, also after a slow
@@ -74,23 +74,23 @@
         &self,
         server: Upstream,
         prepare: impl FnOnce() -> Option<Request<Full<Bytes>>>,
-        trail: &Trail,
+        progress: &ProgressHandle,
     ) -> Result<Response<Bytes>, Failure> {
         let mut lease = match self.take_idle(server).await {
             Some(lease) => lease,
-            None => self.connect(server.address).await.map_err(|cause| trail.failure(cause))?,
+            None => self.connect(server.address).await.map_err(|cause| progress.failure(cause))?,
         };
         let Some(request) = prepare() else {
             self.keep(server, lease).await;
-            return Err(trail.failure(Cause::Unwanted));
+            return Err(progress.failure(Cause::NotWanted));
         };
-        let response = lease.lane.exchange(request, &self.terms, trail).await?;
+        let response = lease.connection.exchange(request, &self.settings, progress).await?;
         self.keep(server, lease).await;
         Ok(response)
     }
 
     async fn keep(&self, server: Upstream, mut lease: Lease) {
-        if lease.lane.is_reusable().await {
+        if lease.connection.is_reusable().await {
             let idle = Idle { since: Instant::now(), lease };
             self.idle.borrow_mut().entry(server).or_default().push(idle);
         }
@@ -103,46 +103,48 @@
         loop {
             let mut idle = {
                 let mut all = self.idle.borrow_mut();
-                let lanes = all.get_mut(&server)?;
-                let rested = lanes.partition_point(|idle| idle.since.elapsed() >= self.terms.rest);
-                lanes.remove(rested.checked_sub(1)?)
+                let connections = all.get_mut(&server)?;
+                let rested =
+                    connections.partition_point(|idle| idle.since.elapsed() >= self.settings.quiet_time);
+                connections.remove(rested.checked_sub(1)?)
             };
-            if self.is_fresh(&idle) && idle.lease.lane.is_still_open().await {
+            if self.is_fresh(&idle) && idle.lease.connection.is_still_open().await {
                 return Some(idle.lease);
             }
         }
     }
 
     fn is_fresh(&self, idle: &Idle) -> bool {
-        idle.since.elapsed() < self.terms.idle_time.mul_f64(IDLE_PART)
+        idle.since.elapsed() < self.settings.idle_time.mul_f64(IDLE_PART)
     }
 
     async fn connect(&self, server: SocketAddr) -> Result<Lease, Cause> {
-        if self.open.get() >= self.terms.most_open && !self.close_oldest_idle() {
-            return Err(Cause::NoneFree);
+        if self.open.get() >= self.settings.max_open && !self.close_oldest_idle() {
+            return Err(Cause::PoolExhausted);
         }
         self.open.set(self.open.get() + 1);
-        let place = Place(Rc::clone(&self.open));
-        let socket = timeout(self.terms.connect_time_out, TcpStream::connect(server)).await;
+        let permit = OpenPermit(Rc::clone(&self.open));
+        let socket = timeout(self.settings.connect_time_out, TcpStream::connect(server)).await;
         let socket = socket.map_err(|_| Cause::ConnectTimeOut)?.map_err(Cause::Connect)?;
-        Ok(Lease { lane: Lane::open(socket).await?, _place: place })
+        Ok(Lease { connection: ServerConnection::open(socket).await?, _permit: permit })
     }
 
-    /// At the brim an idle connection makes room.
+    /// Where all connections are open, the oldest idle one is closed for a new one.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(server, lanes)| Some((lanes.first()?.since, *server))).min();
+        let oldest =
+            idle.iter().filter_map(|(server, connections)| Some((connections.first()?.since, *server))).min();
         oldest.is_some_and(|(_, server)| {
-            let lanes = idle.get_mut(&server);
-            lanes.map(|lanes| lanes.remove(0)).is_some()
+            let connections = idle.get_mut(&server);
+            connections.map(|connections| connections.remove(0)).is_some()
         })
     }
 
     /// Drops what has stood idle for too long; to be called now and then.
     pub fn sweep(&self) {
-        self.idle.borrow_mut().retain(|_, lanes| {
-            lanes.retain(|idle| self.is_fresh(idle));
-            !lanes.is_empty()
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|idle| self.is_fresh(idle));
+            !connections.is_empty()
         });
     }
 
--- a/balancer/upstream-pool/tests/exchange.rs
+++ b/balancer/upstream-pool/tests/exchange.rs
@@ -9,7 +9,9 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use http_body_util::Full;
-use whinspindle_upstream_pool::{Connections, Failure, Progress, Room, Terms, Trail, Upstream};
+use whinspindle_upstream_pool::{
+    ConnectionPool, Failure, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
+};
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
 const CLOSE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi";
@@ -31,7 +33,7 @@
 fn server(replies: Vec<(&'static str, bool)>) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (tell, told) = channel();
+    let (tell, announced) = channel();
     thread::spawn(move || {
         let mut replies = replies.into_iter();
         for (number, socket) in listener.incoming().enumerate() {
@@ -48,7 +50,7 @@
             let _ = tell.send(format!("{number}: end"));
         }
     });
-    (address, told)
+    (address, announced)
 }
 
 /// Reads one request and returns its size.
@@ -65,34 +67,34 @@
     }
 }
 
-fn connections(most_open: usize, idle_time: Duration) -> Connections {
-    Connections::new(Terms { most_open, idle_time, ..terms() })
+fn connections(max_open: usize, idle_time: Duration) -> ConnectionPool {
+    ConnectionPool::new(PoolSettings { max_open, idle_time, ..settings() })
 }
 
-fn terms() -> Terms {
+fn settings() -> PoolSettings {
     let connect_time_out = Duration::from_secs(5);
-    Terms {
-        most_open: 4,
+    PoolSettings {
+        max_open: 4,
         idle_time: LONG_IDLE,
         connect_time_out,
-        stall: Duration::from_millis(20),
-        rest: Duration::ZERO,
-        room: Room::new(64, 0),
+        stall_time_out: Duration::from_millis(20),
+        quiet_time: Duration::ZERO,
+        memory: MemoryBudget::new(64, 0),
     }
 }
 
 const LONG_IDLE: Duration = Duration::from_secs(3600);
 
 async fn exchange(
-    connections: &Connections,
+    connections: &ConnectionPool,
     server: SocketAddr,
     wanted: bool,
-    trail: &Trail,
+    progress: &ProgressHandle,
 ) -> Result<Response<Bytes>, Failure> {
     let request = Request::post("/api?x=1").header("host", "upstream").header("content-length", 4);
     let request = request.body(Full::new(Bytes::from_static(b"body"))).expect("a request");
     let server = Upstream { address: server, process: 1 };
-    connections.exchange(server, || wanted.then_some(request), trail).await
+    connections.exchange(server, || wanted.then_some(request), progress).await
 }
 
 fn run<F: Future>(future: F) -> F::Output {
@@ -106,22 +108,22 @@
     for (reply, more, wanted, progress, says) in [
         (None, false, true, Progress::Nothing, "connect: "),
         (Some(OK), true, false, Progress::Nothing, "wanted no more"),
-        (Some(""), false, true, Progress::Whole, "connection: "),
-        (Some(CUT), false, true, Progress::Whole, "connection: "),
-        (Some(BAD), true, true, Progress::Whole, "connection: "),
-        (Some(LONG), true, true, Progress::Whole, "response too long"),
-        (Some(HUGE), true, true, Progress::Whole, "response too long: 3000000000 bytes"),
-        (Some(TWO_LENGTHS), true, true, Progress::Whole, "response with two kinds of length"),
+        (Some(""), false, true, Progress::Complete, "connection: "),
+        (Some(CUT), false, true, Progress::Complete, "connection: "),
+        (Some(BAD), true, true, Progress::Complete, "connection: "),
+        (Some(LONG), true, true, Progress::Complete, "response too long"),
+        (Some(HUGE), true, true, Progress::Complete, "response too long: 3000000000 bytes"),
+        (Some(TWO_LENGTHS), true, true, Progress::Complete, "response with two kinds of length"),
         // The connection stays open in silence.
-        (Some(CUT), true, true, Progress::Whole, "response begun and not ended"),
-        (Some(NO_END), true, true, Progress::Whole, "response begun and not ended"),
+        (Some(CUT), true, true, Progress::Complete, "response begun and not ended"),
+        (Some(NO_END), true, true, Progress::Complete, "response begun and not ended"),
     ] {
         run(async {
             let address = reply.map_or(refused, |reply| server(vec![(reply, more)]).0);
-            let trail = Trail::default();
-            let failure = exchange(&connections(4, LONG_IDLE), address, wanted, &trail).await;
+            let handle = ProgressHandle::default();
+            let failure = exchange(&connections(4, LONG_IDLE), address, wanted, &handle).await;
             let failure = failure.expect_err("a failure");
-            assert_eq!((failure.progress, trail.progress()), (progress, progress), "{reply:?}");
+            assert_eq!((failure.progress, handle.progress()), (progress, progress), "{reply:?}");
             assert!(failure.to_string().starts_with(says), "{reply:?}: {failure}");
             assert_eq!(failure.is_own(), !wanted);
         });
@@ -141,20 +143,20 @@
         ((TWICE, true), LONG_IDLE, "1"),
     ] {
         run(async {
-            let (address, told) = server(vec![first, (OK, true)]);
+            let (address, announced) = server(vec![first, (OK, true)]);
             let connections = connections(4, idle_time);
-            let trail = Trail::default();
-            let response = exchange(&connections, address, true, &trail).await.expect("a response");
-            assert_eq!((response.body().as_ref(), trail.progress()), (&b"hi"[..], Progress::Whole));
+            let handle = ProgressHandle::default();
+            let response = exchange(&connections, address, true, &handle).await.expect("a response");
+            assert_eq!((response.body().as_ref(), handle.progress()), (&b"hi"[..], Progress::Complete));
             if idle_time.is_zero() {
                 connections.sweep();
                 assert_eq!(connections.open(), 0);
             }
             if !first.1 {
-                while !told.recv().expect("news").ends_with("end") {}
+                while !announced.recv().expect("news").ends_with("end") {}
             }
-            exchange(&connections, address, true, &Trail::default()).await.expect("a response");
-            let mut requests = told.iter().filter(|news| news.ends_with("bytes"));
+            exchange(&connections, address, true, &ProgressHandle::default()).await.expect("a response");
+            let mut requests = announced.iter().filter(|news| news.ends_with("bytes"));
             let on = requests.nth(usize::from(first.1)).expect("a request");
             assert!(on.starts_with(second), "{first:?} {idle_time:?}: {on}");
         });
@@ -172,16 +174,17 @@
                 // A close over bytes that nobody has read is a reset.
                 if resets {
                     socket.read_exact(&mut [0; 8]).expect("some of the request");
-                    while socket.peek(&mut [0; 8]).is_ok_and(|left| left == 0) {}
+                    while socket.peek(&mut [0; 8]).is_ok_and(|available| available == 0) {}
                 } else {
                     request(&mut socket);
                 }
                 socket.write_all(b"HTTP/1.1 200 OK\r\n\r\nhi").expect("written");
             });
-            let response = exchange(&connections(4, LONG_IDLE), address, true, &Trail::default()).await;
+            let response =
+                exchange(&connections(4, LONG_IDLE), address, true, &ProgressHandle::default()).await;
             match response {
                 Ok(response) => assert!(!resets && response.body() == "hi"),
-                Err(failure) => assert!(resets && failure.progress == Progress::Whole, "{failure}"),
+                Err(failure) => assert!(resets && failure.progress == Progress::Complete, "{failure}"),
             }
         });
     }
@@ -191,7 +194,7 @@
 fn a_second_answer_that_comes_late_is_never_that_to_another_request() {
     const NO: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno";
     // The server answers the first request again as soon as another one is on that connection.
-    for (rest, body) in [(LONG_IDLE, "hi"), (Duration::ZERO, "no")] {
+    for (quiet_time, body) in [(LONG_IDLE, "hi"), (Duration::ZERO, "no")] {
         run(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             let address = listener.local_addr().expect("an address");
@@ -206,10 +209,10 @@
                     });
                 }
             });
-            let connections = Connections::new(Terms { rest, ..terms() });
-            exchange(&connections, address, true, &Trail::default()).await.expect("a response");
-            let response = exchange(&connections, address, true, &Trail::default()).await;
-            assert_eq!(response.expect("a response").body(), body, "{rest:?}");
+            let connections = ConnectionPool::new(PoolSettings { quiet_time, ..settings() });
+            exchange(&connections, address, true, &ProgressHandle::default()).await.expect("a response");
+            let response = exchange(&connections, address, true, &ProgressHandle::default()).await;
+            assert_eq!(response.expect("a response").body(), body, "{quiet_time:?}");
         });
     }
 }
@@ -217,7 +220,7 @@
 #[test]
 fn a_kept_connection_that_breaks_under_a_request_tells_nothing_of_its_server() {
     // The second reply: the connection ends without a byte, in the middle of an answer, or at its begin.
-    for (replies, told) in [
+    for (replies, announced) in [
         (vec![(OK, true), ("", false)], (true, false)),
         (vec![(OK, true), (CUT, false)], (false, true)),
         (vec![(BAD, true)], (false, true)),
@@ -228,12 +231,12 @@
             let (address, _told) = server(replies.clone());
             let connections = connections(4, LONG_IDLE);
             for _ in 1..count {
-                exchange(&connections, address, true, &Trail::default()).await.expect("a response");
+                exchange(&connections, address, true, &ProgressHandle::default()).await.expect("a response");
             }
-            let failure = exchange(&connections, address, true, &Trail::default()).await;
+            let failure = exchange(&connections, address, true, &ProgressHandle::default()).await;
             let failure = failure.expect_err("a failure");
-            assert_eq!((failure.stale, failure.answered), told, "{replies:?}");
-            assert_eq!(failure.progress, Progress::Whole);
+            assert_eq!((failure.stale, failure.answered), announced, "{replies:?}");
+            assert_eq!(failure.progress, Progress::Complete);
         });
     }
 }
@@ -243,8 +246,9 @@
     for (all, fits) in [(400, true), (200, false)] {
         run(async {
             let (address, _told) = server(vec![(LONG, true)]);
-            let connections = Connections::new(Terms { room: Room::new(64, all), ..terms() });
-            let response = exchange(&connections, address, true, &Trail::default()).await;
+            let connections =
+                ConnectionPool::new(PoolSettings { memory: MemoryBudget::new(64, all), ..settings() });
+            let response = exchange(&connections, address, true, &ProgressHandle::default()).await;
             assert_eq!(response.map_or(0, |response| response.body().len()), if fits { 70 } else { 0 });
         });
     }
@@ -253,17 +257,17 @@
 #[test]
 fn another_process_at_an_address_gets_connections_of_its_own() {
     run(async {
-        let (address, told) = server(vec![(OK, true), (OK, true)]);
+        let (address, announced) = server(vec![(OK, true), (OK, true)]);
         let connections = connections(4, LONG_IDLE);
         for process in [1, 2] {
             let request = Request::post("/api").header("content-length", 4);
             let request = request.body(Full::new(Bytes::from_static(b"body"))).expect("a request");
             let upstream = Upstream { address, process };
-            let trail = Trail::default();
+            let handle = ProgressHandle::default();
             // The scripted server takes one connection at a time.
-            let exchange = connections.exchange(upstream, || Some(request), &trail);
+            let exchange = connections.exchange(upstream, || Some(request), &handle);
             let _ = tokio::time::timeout(Duration::from_millis(200), exchange).await;
-            let on = told.try_iter().next().unwrap_or_default();
+            let on = announced.try_iter().next().unwrap_or_default();
             assert_eq!(on.starts_with("0:"), process == 1, "{process}: {on}");
         }
     });
@@ -271,32 +275,34 @@
 
 #[test]
 fn the_size_of_a_request_is_known_before_it_is_written() {
-    // The trail says whole at the last byte and not before: the size must be what hyper writes.
+    // The progress is complete at the last byte and not before: the size must be what hyper writes.
     run(async {
-        let (address, told) = server(vec![(OK, true)]);
-        exchange(&connections(4, LONG_IDLE), address, true, &Trail::default()).await.expect("a response");
+        let (address, announced) = server(vec![(OK, true)]);
+        exchange(&connections(4, LONG_IDLE), address, true, &ProgressHandle::default())
+            .await
+            .expect("a response");
         let size = "POST /api?x=1 HTTP/1.1\r\nhost: upstream\r\ncontent-length: 4\r\n\r\nbody".len();
-        assert_eq!(told.recv().expect("news"), format!("0: {size} bytes"));
+        assert_eq!(announced.recv().expect("news"), format!("0: {size} bytes"));
     });
 }
 
 #[test]
 fn an_exchange_that_is_dropped_closes_its_connection() {
     run(async {
-        let (address, told) = server(vec![("", true)]);
+        let (address, announced) = server(vec![("", true)]);
         let connections = connections(4, LONG_IDLE);
-        let trail = Trail::default();
+        let handle = ProgressHandle::default();
         {
-            let exchange = exchange(&connections, address, true, &trail);
+            let exchange = exchange(&connections, address, true, &handle);
             let mut exchange = std::pin::pin!(exchange);
-            while trail.progress() != Progress::Whole {
+            while handle.progress() != Progress::Complete {
                 let step = tokio::time::timeout(Duration::from_millis(1), exchange.as_mut()).await;
                 assert!(step.is_err(), "no answer was written");
             }
         }
         assert_eq!(connections.open(), 0);
-        assert_eq!(told.iter().nth(1).expect("news"), "0: end");
-        assert_eq!(trail.progress(), Progress::Whole);
+        assert_eq!(announced.iter().nth(1).expect("news"), "0: end");
+        assert_eq!(handle.progress(), Progress::Complete);
     });
 }
 
@@ -306,14 +312,15 @@
         let servers: Vec<_> = (0..3).map(|_| server(vec![(OK, true), (OK, true)])).collect();
         let connections = connections(2, LONG_IDLE);
         for (address, _) in &servers {
-            exchange(&connections, *address, true, &Trail::default()).await.expect("a response");
+            exchange(&connections, *address, true, &ProgressHandle::default()).await.expect("a response");
         }
         assert_eq!(connections.open(), 2);
         // The first, idle for longest, was closed; the others are used again.
         assert_eq!(servers[0].1.iter().nth(1).expect("news"), "0: end");
-        exchange(&connections, servers[1].0, true, &Trail::default()).await.expect("a response");
-        let none = Connections::new(Terms { most_open: 0, ..terms() });
-        let failure = exchange(&none, servers[2].0, true, &Trail::default()).await.expect_err("none free");
+        exchange(&connections, servers[1].0, true, &ProgressHandle::default()).await.expect("a response");
+        let none = ConnectionPool::new(PoolSettings { max_open: 0, ..settings() });
+        let failure =
+            exchange(&none, servers[2].0, true, &ProgressHandle::default()).await.expect_err("none free");
         assert!(failure.is_own() && failure.progress == Progress::Nothing);
     });
 }
--- a/lab/model-checker/src/sizes.rs
+++ b/lab/model-checker/src/sizes.rs
@@ -11,7 +11,7 @@
     Fate, Member, Memory, Message, Objection, Right, StandardConsensusRules, Terms,
 };
 use whinspindle_lab_model::dice::{Concern, Dice};
-use whinspindle_peer_transport::{DATAGRAM, Peers};
+use whinspindle_peer_transport::{MAX_DATAGRAM_BYTES, PeerTransport};
 
 use crate::net::Net;
 
@@ -92,7 +92,7 @@
     member: Option<Member<Net, StandardConsensusRules>>,
     disk: Option<Memory>,
     texts: Vec<Rc<[u8]>>,
-    peers: Peers,
+    peers: PeerTransport,
     /// Parts in a million by which the clock is fast, and where it began.
     rate: u64,
     offset: u64,
@@ -138,7 +138,7 @@
             member: None,
             disk: None,
             texts: Vec::new(),
-            peers: Peers::new(me, fleet.members, "lab", "", 1, DATAGRAM),
+            peers: PeerTransport::new(me, fleet.members, "lab", "", 1, MAX_DATAGRAM_BYTES),
             rate: SECOND - DRIFT + dice.below(2 * DRIFT as usize + 1) as u64,
             offset: dice.below(1_000_000_000) as u64,
             starts: 0,
--- a/programs/balancer/src/accept.rs
+++ b/programs/balancer/src/accept.rs
@@ -228,7 +228,7 @@
         next += 1;
         serve(next, socket, services.clone(), &accepted);
     }
-    accepted.last_whole.set(Some(Instant::now() + node.stop.left().min(WHOLE)));
+    accepted.last_whole.set(Some(Instant::now() + node.stop.client_gone().min(WHOLE)));
     accepted.close_idle();
     accepted.all_ended().await;
 }
--- a/programs/balancer/src/fleet.rs
+++ b/programs/balancer/src/fleet.rs
@@ -18,8 +18,8 @@
 use whinspindle_endpoint_cache::Trust;
 use whinspindle_fleet_policy::Right;
 use whinspindle_operator_file::{CutOff, FleetTerms, Operator};
-use whinspindle_protocol::list::{ListNews, ListedServer};
-use whinspindle_record_store::Store;
+use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
+use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::{Count, Place};
 
 use crate::control::{Answer, Request};
@@ -112,7 +112,7 @@
     }
 
     /// A list that neighbours have given, each once.
-    pub fn given_list(&self) -> Option<(ListNews, Trust)> {
+    pub fn given_list(&self) -> Option<(EndpointUpdate, Trust)> {
         held(&self.published).given_list.take()
     }
 
@@ -120,7 +120,7 @@
     pub fn start(placement: &Placement, operator: Operator) -> Result<Fleet, String> {
         let Some(terms) = operator.fleet.clone() else { return Err("fleet: no table".to_string()) };
         let (listen, peers) = addresses(placement, &terms)?;
-        let store = Store::open(&terms.store).map_err(|fault| format!("fleet.store: {fault}"))?;
+        let store = RecordStore::open(&terms.store).map_err(|fault| format!("fleet.store: {fault}"))?;
         let socket = UdpSocket::bind(listen).map_err(|fault| format!("peer_listen: {listen}: {fault}"))?;
         socket.set_read_timeout(Some(WAKE)).map_err(|fault| format!("peer_listen: {listen}: {fault}"))?;
         let (asks, asked) = channel();
--- a/programs/balancer/src/fleet/environment.rs
+++ b/programs/balancer/src/fleet/environment.rs
@@ -6,18 +6,18 @@
 use std::rc::Rc;
 
 use whinspindle_fleet_policy::{Hash, Memory, Message, No, Outside, Policy, Record, Unit};
-use whinspindle_peer_transport::Peers;
+use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
-use whinspindle_record_store::Store;
+use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::{Count, Limits, OF_BALANCERS, Place, Plan, Row, Scene};
 
 /// The outside of the member's core.
 pub(super) struct Environment {
     pub(super) me: u16,
     pub(super) socket: UdpSocket,
-    pub(super) peers: Peers,
+    pub(super) peers: PeerTransport,
     pub(super) addresses: Vec<SocketAddr>,
-    pub(super) store: Rc<Store>,
+    pub(super) store: Rc<RecordStore>,
     pub(super) to_prove: Vec<(Policy, Rc<[u8]>)>,
     pub(super) sent: u64,
     /// The limits of each policy that is known, by its number, and the servers as they were told last.
--- a/programs/balancer/src/fleet/published.rs
+++ b/programs/balancer/src/fleet/published.rs
@@ -7,7 +7,7 @@
 use whinspindle_endpoint_cache::Trust;
 use whinspindle_fleet_policy::Right;
 use whinspindle_operator_file::Operator;
-use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_rollout::{Count, Place};
 
 /// What the thread has published.
@@ -22,7 +22,7 @@
     /// The list as discovery has told it, to be given to neighbours, and for how many microseconds that has been
     /// silent; what neighbours have given.
     pub(super) told_list: Option<(Vec<ListedServer>, u64)>,
-    pub(super) given_list: Option<(ListNews, Trust)>,
+    pub(super) given_list: Option<(EndpointUpdate, Trust)>,
     /// The servers as this balancer has them listed, for the thread.
     pub(super) places: Vec<Place>,
     /// What was counted since the thread looked last: of servers, by key and stratum, and of the process
--- a/programs/balancer/src/fleet/status.rs
+++ b/programs/balancer/src/fleet/status.rs
@@ -99,7 +99,7 @@
             "build": member.outside.build,
             "halted": record.halted.as_ref().map(|halt| json!({"by": halt.wish.by, "why": halt.why})),
             "datagrams": {"sent": member.outside.sent, "received": self.received,
-                "passedOver": member.outside.peers.passed_over}})
+                "passedOver": member.outside.peers.dropped}})
     }
 }
 
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -12,9 +12,9 @@
 use whinspindle_endpoint_cache::{Ages, Neighbours};
 use whinspindle_fleet_policy::{Member, Memory, Message, Objection, Outside, Right, Terms, Unit};
 use whinspindle_operator_file::{FleetTerms, Operator};
-use whinspindle_peer_transport::Peers;
+use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
-use whinspindle_record_store::Store;
+use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::Count;
 
 use super::environment::Environment;
@@ -53,7 +53,7 @@
         terms: FleetTerms,
         socket: UdpSocket,
         addresses: Vec<SocketAddr>,
-        store: Store,
+        store: RecordStore,
         deployment: Deployment,
         clock: FleetClock,
         published: Arc<Mutex<Published>>,
@@ -61,7 +61,7 @@
         build: String,
     ) -> Worker {
         let FleetTerms { me, members, ref name, ref secret, datagram, .. } = terms;
-        let peers = Peers::new(me, members, name, secret, rand::random(), datagram);
+        let peers = PeerTransport::new(me, members, name, secret, rand::random(), datagram);
         let store = Rc::new(store);
         let memory = store.read("votes").and_then(|bytes| postcard::from_bytes::<Memory>(&bytes).ok());
         let texts = (0..TEXTS).filter_map(|number| store.read(&format!("text-{number}")));
@@ -151,9 +151,9 @@
             neighbours.told(now.saturating_sub(silent), &servers);
         }
         let unix = crate::clock::Clock::start().now();
-        if let Some((news, trust)) = neighbours.take(now, unix) {
-            log_line!("fleet", "neighbours tell {} servers, {trust}", news.servers.len());
-            held(&self.published).given_list = Some((news, trust));
+        if let Some((update, trust)) = neighbours.take(now, unix) {
+            log_line!("fleet", "neighbours tell {} servers, {trust}", update.servers.len());
+            held(&self.published).given_list = Some((update, trust));
         }
         for (to, word) in neighbours.tick(now) {
             self.member.outside.send(to, Message::Aside { bytes: word.to_bytes() });
@@ -165,7 +165,7 @@
         let Some(neighbours) = &mut self.neighbours else { return };
         let now = self.clock.now();
         for (from, bytes) in asides {
-            for word in neighbours.heard(now, from, &bytes) {
+            for word in neighbours.receive(now, from, &bytes) {
                 self.member.outside.send(from, Message::Aside { bytes: word.to_bytes() });
             }
         }
@@ -175,17 +175,13 @@
         let now = self.clock.now();
         self.received += 1;
         let environment = &mut self.member.outside;
-        let said = Peers::sender(datagram);
+        let said = PeerTransport::sender(datagram);
         let known = said.filter(|said| environment.addresses.get(*said as usize) == Some(&from));
-        let before = environment.peers.passed_over;
+        let before = environment.peers.dropped;
         match environment.peers.take::<Message>(now / 1_000_000, known, datagram) {
             Some((from, message)) => self.member.heard(now, from, message),
-            None if environment.peers.passed_over != before => {
-                log_line!(
-                    "peers",
-                    "a datagram from {from} is passed over: {:?}",
-                    environment.peers.passed_over
-                );
+            None if environment.peers.dropped != before => {
+                log_line!("peers", "a datagram from {from} is passed over: {:?}", environment.peers.dropped);
             }
             None => {}
         }
--- a/programs/balancer/src/front.rs
+++ b/programs/balancer/src/front.rs
@@ -18,8 +18,8 @@
 use tower_http::limit::RequestBodyLimitLayer;
 use whinspindle::host::Arrival;
 use whinspindle_balancer_core::Ticket;
-use whinspindle_protocol::answer::{Answer, Because, plain};
-use whinspindle_protocol::query::{Head, MOST_BODY, TAKEN};
+use whinspindle_protocol::answer::{AbortReason, Answer, plain};
+use whinspindle_protocol::query::{DUPLICATE_TRACE, Head, MAX_BODY_BYTES};
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_routes::Lookup;
 
@@ -48,7 +48,7 @@
         .layer(CatchPanicLayer::custom(panicked))
         .load_shed()
         .layer(GlobalConcurrencyLimitLayer::new(shares.queries))
-        .layer(RequestBodyLimitLayer::new(MOST_BODY))
+        .layer(RequestBodyLimitLayer::new(MAX_BODY_BYTES))
         .service_fn(move |request| take(Rc::clone(&query_node), request));
     tower::service_fn(move |request: Request<Incoming>| {
         let (node, queries) = (Rc::clone(&node), queries.clone());
@@ -72,7 +72,7 @@
 
 fn panicked(_: Box<dyn std::any::Any + Send>) -> Response<Full<Bytes>> {
     log_line!("fault", "a panic ended a query");
-    Answer::Aborted(Because::Failed).encode()
+    Answer::Aborted(AbortReason::Failed).encode()
 }
 
 /// Nothing of the query has been looked at, so trying again is harmless.
@@ -92,13 +92,13 @@
     if node.fleet.as_ref().is_some_and(Fleet::is_let_out) {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "let out by the fleet".to_string());
     }
-    if settled && node.reducer.borrow().has_list() && !node.stop.is_ordered() {
+    if settled && node.core.borrow().has_list() && !node.stop.is_ordered() {
         return plain(StatusCode::OK, "ok".to_string());
     }
     plain(StatusCode::SERVICE_UNAVAILABLE, "no list or no policy yet, or stopping".to_string())
 }
 
-/// Tells the reducer that the client has left, unless the answer was there first.
+/// Tells the core that the client has left, unless the answer was there first.
 struct Waiting<'a> {
     node: &'a Node,
     ticket: Ticket,
@@ -107,7 +107,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         self.node.open.set(self.node.open.get().saturating_sub(1));
-        self.node.reducer.borrow_mut().left(self.node.clock.now(), self.ticket);
+        self.node.core.borrow_mut().client_gone(self.node.clock.now(), self.ticket);
     }
 }
 
@@ -155,8 +155,8 @@
     let body = match timeout_at(due, body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(fault)) if fault.is::<http_body_util::LengthLimitError>() => {
-            log_line!("query", "turned down: body: over {MOST_BODY} bytes");
-            return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE, format!("body: over {MOST_BODY} bytes")));
+            log_line!("query", "turned down: body: over {MAX_BODY_BYTES} bytes");
+            return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE, format!("body: over {MAX_BODY_BYTES} bytes")));
         }
         Ok(Err(fault)) => return Ok(plain(StatusCode::BAD_REQUEST, format!("body: {fault}"))),
         Err(_) => return Ok(plain(StatusCode::REQUEST_TIMEOUT, "body: not whole in time".to_string())),
@@ -167,15 +167,17 @@
     now = node.clock.now().max(now);
     let arrival = Arrival { product: head.product, tenant: head.tenant, deadline, route };
     let (caller, answer) = oneshot::channel();
-    let Some(ticket) = node.reducer.borrow_mut().query(now, arrival, head.with(body), caller) else {
-        log_line!("query", "turned down: {TAKEN}");
-        return Ok(TAKEN.encode());
+    let Some(ticket) = node.core.borrow_mut().query(now, arrival, head.with(body), caller) else {
+        log_line!("query", "turned down: {DUPLICATE_TRACE}");
+        return Ok(DUPLICATE_TRACE.encode());
     };
     node.open.set(node.open.get() + 1);
     let _waiting = Waiting { node: &node, ticket };
-    let answer = answer.await.unwrap_or(Answer::Aborted(Because::Failed));
-    if let Some(ramp) = node.ramp.borrow_mut().as_mut().filter(|_| matches!(answer, Answer::Completed(_))) {
-        ramp.completed(node.clock.now() - now);
+    let answer = answer.await.unwrap_or(Answer::Aborted(AbortReason::Failed));
+    if let Some(startup_limit) =
+        node.startup_limit.borrow_mut().as_mut().filter(|_| matches!(answer, Answer::Completed(_)))
+    {
+        startup_limit.completed(node.clock.now() - now);
     }
     if node.fleet.is_some() {
         let spent = node.clock.now() - now;
--- a/programs/balancer/src/keeper.rs
+++ b/programs/balancer/src/keeper.rs
@@ -7,9 +7,9 @@
 
 use whinspindle_endpoint_cache::{Ages, Trust};
 use whinspindle_operator_file::Keep;
-use whinspindle_protocol::list::{ListNews, ListedServer};
+use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_rate_limited_log::log_line;
-use whinspindle_record_store::Store;
+use whinspindle_record_store::RecordStore;
 
 const LIST: &str = "list";
 /// Between two writes at the least: so many an hour at most, however often the list changes.
@@ -25,8 +25,8 @@
 
 /// Opens the store and reads what was kept, for a process that starts at `now` (Unix microseconds). Without a
 /// store the balancer does without: it is told, and nothing else is lost.
-pub fn open(keep: &Keep, now: u64) -> (Option<Keeper>, Option<(ListNews, Trust)>) {
-    let store = match Store::open(&keep.folder) {
+pub fn open(keep: &Keep, now: u64) -> (Option<Keeper>, Option<(EndpointUpdate, Trust)>) {
+    let store = match RecordStore::open(&keep.folder) {
         Ok(store) => store,
         Err(fault) => {
             log_line!("keep", "the list is not kept: {fault}");
@@ -34,10 +34,10 @@
         }
     };
     let ages = Ages { fresh: keep.fresh, old: keep.old };
-    let recalled = store.read(LIST).and_then(|bytes| whinspindle_endpoint_cache::recall(&bytes, now, &ages));
-    let known = recalled.map(|(news, trust)| {
-        log_line!("keep", "{} servers are remembered, {trust}", news.servers.len());
-        (news, trust)
+    let recalled = store.read(LIST).and_then(|bytes| whinspindle_endpoint_cache::restore(&bytes, now, &ages));
+    let known = recalled.map(|(update, trust)| {
+        log_line!("keep", "{} servers are remembered, {trust}", update.servers.len());
+        (update, trust)
     });
     let (bytes, taken) = sync_channel(1);
     let spawned = thread::Builder::new().name("keeper".to_string()).spawn(move || write(&store, &taken));
@@ -48,7 +48,7 @@
     (Some(Keeper { bytes, last: None, renewed: keep.fresh / 2 }), known)
 }
 
-fn write(store: &Store, taken: &Receiver<Vec<u8>>) {
+fn write(store: &RecordStore, taken: &Receiver<Vec<u8>>) {
     while let Ok(bytes) = taken.recv() {
         if let Err(fault) = store.write(LIST, &bytes) {
             log_line!("keep", "the list is not kept: {fault}");
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -33,8 +33,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_discovery::Source;
-use whinspindle_endpoint_cache::{Second, Whole};
+use whinspindle_discovery::EndpointWatch;
+use whinspindle_endpoint_cache::{RecoveryTracker, SecondSummary};
 use whinspindle_operator_file::Operator;
 use whinspindle_rate_limited_log::log_line;
 
@@ -139,7 +139,7 @@
     let generation = placement.known.as_ref().filter(|known| known.faults.is_empty() && !is_recalled);
     let generation = generation.map(|known| known.generation);
     log_line!("start", "{} at {}, {shares:?}", placement.name, placement.listen);
-    let source = Rc::new(Source::new(placement.discovery, generation));
+    let source = Rc::new(EndpointWatch::new(placement.discovery, generation));
     let lasting = placement.lasting.clone();
     let (file, operator) = operated.unzip();
     let (fleet, operator) = match operator {
@@ -164,11 +164,11 @@
     let followed = Rc::clone(&source);
     spawn_local(unending("list", move || {
         let told = Rc::clone(&told);
-        whinspindle_discovery::follow(Rc::clone(&followed), move |news| told.told(&news))
+        whinspindle_discovery::follow(Rc::clone(&followed), move |update| told.told(&update))
     }));
     let (waiting, tried) = (Rc::clone(&node), Rc::clone(&source));
     spawn_local(async move {
-        tried.first_tried().await;
+        tried.first_attempted().await;
         waiting.believe_known();
     });
     spawn_local(reload(hangup, Rc::clone(&source), lasting, Rc::clone(&node), file));
@@ -184,7 +184,7 @@
         stopped.end();
     });
     accept::run(listener, Rc::clone(&node), accepted, shares).await;
-    log_line!("stop", "all is answered, {:?}", node.reducer.borrow().tally());
+    log_line!("stop", "all is answered, {:?}", node.core.borrow().tally());
     Ok(())
 }
 
@@ -193,7 +193,7 @@
 /// bad.
 async fn reload(
     mut hangup: Signal,
-    source: Rc<Source>,
+    source: Rc<EndpointWatch>,
     lasting: Value,
     node: Rc<Node>,
     file: Option<PathBuf>,
@@ -254,9 +254,9 @@
     }
 }
 
-fn how_it_stands(node: &Node) -> Second {
-    let tally = node.reducer.borrow().tally();
-    Second {
+fn how_it_stands(node: &Node) -> SecondSummary {
+    let tally = node.core.borrow().tally();
+    SecondSummary {
         told: node.discovered.get(),
         settled: node.fleet.as_ref().is_none_or(Fleet::decides_by_a_policy),
         takes_all: node.takes_all(),
@@ -266,9 +266,15 @@
 }
 
 /// Drops connections that stood idle for long, and tells now and then what has become of the queries.
-async fn upkeep(node: Rc<Node>, accepted: Rc<Accepted>, mut keeper: Option<Keeper>, source: Rc<Source>) {
+async fn upkeep(
+    node: Rc<Node>,
+    accepted: Rc<Accepted>,
+    mut keeper: Option<Keeper>,
+    source: Rc<EndpointWatch>,
+) {
     let mut told = Default::default();
-    let mut whole = (keeper.is_some() || node.fleet.is_some()).then(|| Whole::new(node.clock.now()));
+    let mut whole =
+        (keeper.is_some() || node.fleet.is_some()).then(|| RecoveryTracker::new(node.clock.now()));
     for second in 1_u64.. {
         sleep(Duration::from_secs(1)).await;
         if let Some(whole) = &mut whole
@@ -278,14 +284,14 @@
         }
         node.upstreams.sweep();
         if let Some(keeper) = &mut keeper {
-            keeper.keep(node.reducer.borrow().whole_list(), node.clock.now());
+            keeper.keep(node.core.borrow().complete_list(), node.clock.now());
         }
-        let has_list = node.discovered.get() && node.reducer.borrow().has_list();
+        let has_list = node.discovered.get() && node.core.borrow().has_list();
         if let Some(fleet) = node.fleet.as_ref().filter(|_| has_list) {
             let silent = source.silent_for().as_micros() as u64;
-            fleet.tell_list(node.reducer.borrow().whole_list(), silent);
+            fleet.tell_list(node.core.borrow().complete_list(), silent);
         }
-        let tally = node.reducer.borrow().tally();
+        let tally = node.core.borrow().tally();
         if second % 10 == 0 && tally != told {
             told = tally;
             log_line!("state", "{tally:?}, clients {}, upstream {}", accepted.count(), node.upstreams.open());
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -1,4 +1,4 @@
-//! One running balancer: the reducer, and what carries out the effects that it asks for.
+//! One running balancer: the core, and what carries out the effects that it asks for.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,17 +12,19 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use whinspindle::host::{Endpoint, EndpointState, LoadReport, Outcome};
-use whinspindle_balancer_core::{Effects, Ended, Execution, Place, Reducer};
+use whinspindle_balancer_core::{BalancerCore, Effects, EndedExecution, Execution, ServerProcess};
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_endpoint_cache::{Ramp, Trust};
+use whinspindle_endpoint_cache::{StartupLimit, Trust};
 use whinspindle_operator_file::Operator;
 use whinspindle_protocol::answer::Answer;
+use whinspindle_protocol::endpoints::EndpointUpdate;
 use whinspindle_protocol::execution::{self, Reply};
-use whinspindle_protocol::list::ListNews;
-use whinspindle_protocol::query::MOST_BODY;
+use whinspindle_protocol::query::MAX_BODY_BYTES;
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_rollout::{Count, Place as Listed, Seen};
-use whinspindle_upstream_pool::{Connections, Failure, Progress, Room, Terms, Trail, Upstream};
+use whinspindle_upstream_pool::{
+    ConnectionPool, Failure, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
+};
 
 use crate::accept::Accepted;
 use crate::clock::Clock;
@@ -41,8 +43,8 @@
 pub struct Node {
     pub clock: Clock,
     pub deployment: Deployment,
-    pub reducer: RefCell<Reducer<Wires>>,
-    pub upstreams: Connections,
+    pub core: RefCell<BalancerCore<Wires>>,
+    pub upstreams: ConnectionPool,
     pub timers: Rc<Timers>,
     pub stop: Stop,
     /// What the operator's file says, where there is one, or what the fleet has agreed on.
@@ -52,7 +54,7 @@
     by: Cell<Option<u64>>,
     let_out: Cell<u64>,
     /// The list that is known from the start, until it is believed: discovery may know better.
-    known: RefCell<Option<ListNews>>,
+    known: RefCell<Option<EndpointUpdate>>,
     first_list: Notify,
     /// Whether the list is discovery's word, or the platform's.
     pub discovered: Cell<bool>,
@@ -63,7 +65,7 @@
     /// The first seconds after the start, where the operator's file asks for it; queries that clients have
     /// open.
     pub begins: Cell<bool>,
-    pub ramp: RefCell<Option<Ramp>>,
+    pub startup_limit: RefCell<Option<StartupLimit>>,
     pub open: Cell<usize>,
     /// Where the order to stop waiting goes, by query and execution.
     cancels: RefCell<BTreeMap<(usize, usize), oneshot::Sender<()>>>,
@@ -79,15 +81,15 @@
             let wires = Wires { node: Weak::clone(node), timers: Rc::clone(&timers) };
             Node {
                 clock,
-                reducer: RefCell::new(Reducer::new(wires, &deployment, seed, clock.now())),
-                upstreams: Connections::new(Terms {
-                    most_open: shares.upstream,
+                core: RefCell::new(BalancerCore::new(wires, &deployment, seed, clock.now())),
+                upstreams: ConnectionPool::new(PoolSettings {
+                    max_open: shares.upstream,
                     idle_time: Duration::from_micros(deployment.idle_time),
                     connect_time_out: Duration::from_micros(deployment.connect_time_out),
                     // What a server has begun to write should not pause for longer than it takes to reach it.
-                    stall: Duration::from_micros(deployment.connect_time_out),
-                    rest: Duration::from_micros(deployment.connect_time_out / REST_PART),
-                    room: Room::new(MOST_BODY, shares.long_answers),
+                    stall_time_out: Duration::from_micros(deployment.connect_time_out),
+                    quiet_time: Duration::from_micros(deployment.connect_time_out / REST_PART),
+                    memory: MemoryBudget::new(MAX_BODY_BYTES, shares.long_answers),
                 }),
                 deployment,
                 timers,
@@ -102,7 +104,7 @@
                 trusted: Cell::new(None),
                 seen: RefCell::default(),
                 begins: Cell::new(false),
-                ramp: RefCell::default(),
+                startup_limit: RefCell::default(),
                 open: Cell::new(0),
                 cancels: RefCell::default(),
             }
@@ -111,20 +113,20 @@
             for fault in &known.faults {
                 log_line!("list", "an entry of the known list is passed over: {fault}");
             }
-            known.whole = true;
+            known.complete = true;
             node.known.replace(Some(known));
         }
         node
     }
 
     /// Discovery has told something.
-    pub fn told(&self, news: &ListNews) {
-        if !news.whole {
+    pub fn told(&self, update: &EndpointUpdate) {
+        if !update.complete {
             self.believe_known();
         }
         self.known.take();
         self.discovered.set(true);
-        self.reducer.borrow_mut().list(self.clock.now(), news);
+        self.core.borrow_mut().list(self.clock.now(), update);
         self.first_list.notify_waiters();
     }
 
@@ -132,9 +134,9 @@
     /// all.
     pub fn believe_known(&self) {
         if let Some(known) = self.known.take() {
-            self.reducer.borrow_mut().list(self.clock.now(), &known);
+            self.core.borrow_mut().list(self.clock.now(), &known);
             if let Some(fleet) = self.fleet.as_ref().filter(|_| self.discovered.get()) {
-                fleet.tell_list(self.reducer.borrow().whole_list(), 0);
+                fleet.tell_list(self.core.borrow().complete_list(), 0);
             }
         }
         self.first_list.notify_waiters();
@@ -157,20 +159,24 @@
         // Guards against products that take minutes: whether servers are jammed is seen sooner than their
         // answers.
         let step = (slo_time / 2).min(self.deployment.connect_time_out);
-        let servers = self.reducer.borrow().listed().len();
-        self.ramp.replace(Some(Ramp::new(servers, terms.balancers, step, self.clock.now())));
+        let servers = self.core.borrow().listed().len();
+        self.startup_limit.replace(Some(StartupLimit::new(servers, terms.balancers, step, self.clock.now())));
     }
 
     /// Whether the slow beginning is over, if there was one; it is told then, and forgotten.
     pub fn takes_all(&self) -> bool {
-        if self.begins.get() && self.reducer.borrow().has_list() {
+        if self.begins.get() && self.core.borrow().has_list() {
             self.begin_slowly();
         }
-        let mut held = self.ramp.borrow_mut();
-        let Some(ramp) = held.as_mut() else { return !self.begins.get() };
-        ramp.look(self.clock.now());
-        if ramp.is_over() {
-            log_line!("start", "all queries are taken from now on, {} were turned away", ramp.turned_away());
+        let mut held = self.startup_limit.borrow_mut();
+        let Some(startup_limit) = held.as_mut() else { return !self.begins.get() };
+        startup_limit.look(self.clock.now());
+        if startup_limit.is_over() {
+            log_line!(
+                "start",
+                "all queries are taken from now on, {} were turned away",
+                startup_limit.rejected()
+            );
             held.take();
         }
         held.is_none()
@@ -182,13 +188,15 @@
         if self.takes_all() || self.begins.get() {
             return Ok(());
         }
-        let mut held = self.ramp.borrow_mut();
-        held.as_mut().map_or(Ok(()), |ramp| ramp.take(self.clock.now(), self.open.get(), rand::random()))
+        let mut held = self.startup_limit.borrow_mut();
+        held.as_mut().map_or(Ok(()), |startup_limit| {
+            startup_limit.take(self.clock.now(), self.open.get(), rand::random())
+        })
     }
 
     /// Takes an operator's file over: it counts for queries that come from now on.
     pub fn operate(&self, operator: Arc<Operator>) {
-        self.reducer.borrow_mut().routes(operator.rows(&self.deployment));
+        self.core.borrow_mut().routes(operator.rows(&self.deployment));
         self.operator.replace(Some(operator));
     }
 
@@ -211,7 +219,7 @@
     fn keep_up_with_servers(&self, fleet: &Fleet) {
         if let Some((number, keys)) = fleet.let_out(self.let_out.get()) {
             self.let_out.set(number);
-            self.reducer.borrow_mut().let_out(self.clock.now(), &keys);
+            self.core.borrow_mut().taken_out(self.clock.now(), &keys);
         }
     }
 
@@ -235,9 +243,9 @@
                 None => true,
             };
             let given = fleet.given_list().filter(|(_, trust)| !self.discovered.get() && better(*trust));
-            if let Some((news, trust)) = given {
+            if let Some((update, trust)) = given {
                 self.trusted.set(Some((trust, true)));
-                self.reducer.borrow_mut().list(now, &news);
+                self.core.borrow_mut().list(now, &update);
             }
             let place = |entry: &Endpoint| Listed {
                 key: entry.key,
@@ -246,7 +254,7 @@
                 full: entry.state == EndpointState::Ready
                     && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_time),
             };
-            let listed = self.reducer.borrow().listed();
+            let listed = self.core.borrow().listed();
             let (servers, own) = self.seen.borrow_mut().take();
             let kinds = self.deployment.kinds.len().max(1);
             // Servers that the list names no more are left out.
@@ -263,36 +271,36 @@
     pub fn end(&self) {
         self.stop.order();
         let now = self.clock.now();
-        self.reducer.borrow_mut().stopping(now, now + self.stop.within(u64::MAX));
+        self.core.borrow_mut().stopping(now, now + self.stop.within(u64::MAX));
     }
 
-    /// Calls the reducer for each wake, for ever.
+    /// Calls the core for each wake, for ever.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let label = self.timers.next().await;
-            self.reducer.borrow_mut().timer(self.clock.now(), label);
+            self.core.borrow_mut().timer(self.clock.now(), label);
         }
     }
 
     /// Sends an execution and waits for its end, or for the order to stop waiting.
     async fn execute(&self, order: &Execution, cancelled: oneshot::Receiver<()>) -> (Outcome, Option<Reply>) {
-        let trail = Trail::default();
-        let address = order.place.address;
+        let progress = ProgressHandle::default();
+        let address = order.process.address;
         let until = self.clock.now() + order.time_out;
         let prepare = || {
             let now = self.clock.now();
             let left = until.saturating_sub(now);
             let wanted =
-                self.reducer.borrow_mut().may_begin(now, order.query_index, order.exec, order.server);
+                self.core.borrow_mut().may_begin(now, order.query_index, order.execution_index, order.server);
             wanted.then(|| execution::encode(&order.query, address, left))
         };
-        let exchange = self.upstreams.exchange(upstream(order.place), prepare, &trail);
+        let exchange = self.upstreams.exchange(upstream(order.process), prepare, &progress);
         tokio::select! {
             biased;
             Ok(()) = cancelled => {
-                log_line!("upstream", "{address}: called off, request {:?}", trail.progress());
-                match trail.progress() {
-                    Progress::Whole => (Outcome::Cancelled, None),
+                log_line!("upstream", "{address}: called off, request {:?}", progress.progress());
+                match progress.progress() {
+                    Progress::Complete => (Outcome::Cancelled, None),
                     Progress::Begun | Progress::Nothing => (Outcome::NeverSent, None),
                 }
             }
@@ -305,20 +313,20 @@
                     log_line!("upstream", "{address}: {failure}");
                     (outcome(&failure), None)
                 }
-                Err(_) if trail.progress() == Progress::Whole => (Outcome::TimedOut, None),
+                Err(_) if progress.progress() == Progress::Complete => (Outcome::TimedOut, None),
                 Err(_) => (Outcome::NotConnected, None),
             },
         }
     }
 
-    async fn probe(&self, server: usize, place: Place) -> (bool, LoadReport) {
-        let trail = Trail::default();
+    async fn probe(&self, server: usize, process: ServerProcess) -> (bool, LoadReport) {
+        let progress = ProgressHandle::default();
         let prepare = || {
-            let wanted = self.reducer.borrow().is_ready(server);
-            wanted.then(|| execution::probe(place.address, !self.deployment.columns.is_empty()))
+            let wanted = self.core.borrow().is_ready(server);
+            wanted.then(|| execution::probe(process.address, !self.deployment.columns.is_empty()))
         };
         let longest = self.deployment.terms.products.iter().map(|row| row.slo_time).max().unwrap_or(0);
-        let exchange = self.upstreams.exchange(upstream(place), prepare, &trail);
+        let exchange = self.upstreams.exchange(upstream(process), prepare, &progress);
         match timeout(Duration::from_micros(longest), exchange).await {
             Ok(Ok(response)) => Reply::decode_probe(response, &self.deployment.columns),
             _ => (false, LoadReport::default()),
@@ -326,23 +334,23 @@
     }
 }
 
-fn upstream(place: Place) -> Upstream {
-    Upstream { address: place.address, process: place.process }
+fn upstream(process: ServerProcess) -> Upstream {
+    Upstream { address: process.address, process: process.process }
 }
 
 /// What an exchange that came to nothing means for the decisions.
 fn outcome(failure: &Failure) -> Outcome {
     match failure.progress {
         _ if failure.is_own() => Outcome::NeverSent,
-        Progress::Whole if failure.stale => Outcome::Stale,
-        Progress::Whole if failure.answered => Outcome::Malformed,
-        Progress::Whole => Outcome::Broken,
+        Progress::Complete if failure.stale => Outcome::Stale,
+        Progress::Complete if failure.answered => Outcome::Malformed,
+        Progress::Complete => Outcome::Broken,
         Progress::Begun | Progress::Nothing => Outcome::NotConnected,
     }
 }
 
-/// Carries out what the reducer asks for. Each effect runs in a task of its own, so that none calls the
-/// reducer while it is at work.
+/// Carries out what the core asks for. Each effect runs in a task of its own, so that none calls the
+/// core while it is at work.
 pub struct Wires {
     node: Weak<Node>,
     timers: Rc<Timers>,
@@ -354,27 +362,30 @@
     fn execute(&mut self, order: Execution) {
         let (cancel, cancelled) = oneshot::channel();
         let Some(node) = self.node.upgrade() else { return };
-        node.cancels.borrow_mut().insert((order.query_index, order.exec), cancel);
+        node.cancels.borrow_mut().insert((order.query_index, order.execution_index), cancel);
         spawn_local(async move {
             let sent = node.clock.now();
             // Guards against a fault in an exchange: a panic ends the execution and nothing else.
             let end = AssertUnwindSafe(node.execute(&order, cancelled)).catch_unwind().await;
             let (outcome, reply) = end.unwrap_or((Outcome::Broken, None));
-            node.cancels.borrow_mut().remove(&(order.query_index, order.exec));
+            node.cancels.borrow_mut().remove(&(order.query_index, order.execution_index));
             let now = node.clock.now();
             if node.fleet.is_some() {
                 node.seen.borrow_mut().execution(order.server, order.product, outcome, now - sent);
             }
             let (report, served) = reply.map_or_else(Default::default, |reply| (reply.report, reply.served));
-            let Execution { query_index, exec, .. } = order;
-            let ended = Ended { query_index, exec, outcome, spent: now - sent, report, served };
-            node.reducer.borrow_mut().execution_ended(now, ended);
+            let Execution { query_index, execution_index, .. } = order;
+            let ended =
+                EndedExecution { query_index, execution_index, outcome, spent: now - sent, report, served };
+            node.core.borrow_mut().execution_ended(now, ended);
         });
     }
 
-    fn cancel(&mut self, query_index: usize, exec: usize) {
+    fn cancel(&mut self, query_index: usize, execution_index: usize) {
         let node = self.node.upgrade();
-        if let Some(cancel) = node.and_then(|node| node.cancels.borrow_mut().remove(&(query_index, exec))) {
+        if let Some(cancel) =
+            node.and_then(|node| node.cancels.borrow_mut().remove(&(query_index, execution_index)))
+        {
             let _ = cancel.send(());
         }
     }
@@ -388,12 +399,12 @@
         self.timers.add(wait, label);
     }
 
-    fn probe(&mut self, server: usize, place: Place) {
+    fn probe(&mut self, server: usize, process: ServerProcess) {
         let Some(node) = self.node.upgrade() else { return };
         spawn_local(async move {
-            let probe = AssertUnwindSafe(node.probe(server, place)).catch_unwind().await;
+            let probe = AssertUnwindSafe(node.probe(server, process)).catch_unwind().await;
             let (answered, report) = probe.unwrap_or_default();
-            node.reducer.borrow_mut().probed(node.clock.now(), server, answered, report);
+            node.core.borrow_mut().probed(node.clock.now(), server, answered, report);
         });
     }
 }
--- a/programs/balancer/src/placement.rs
+++ b/programs/balancer/src/placement.rs
@@ -6,7 +6,7 @@
 
 use serde_json::Value;
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_protocol::list::ListNews;
+use whinspindle_protocol::endpoints::EndpointUpdate;
 
 pub struct Placement {
     pub name: String,
@@ -14,7 +14,7 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    pub known: Option<ListNews>,
+    pub known: Option<EndpointUpdate>,
     pub deployment: Deployment,
     /// Where datagrams of other balancers arrive, and where each of them is; only a fleet needs them.
     pub peer_listen: Option<SocketAddr>,
@@ -63,7 +63,9 @@
     let limits = &json["limits"];
     let known = match &json["known"] {
         Value::Null => None,
-        known => Some(ListNews::decode(known.to_string().as_bytes()).map_err(|e| format!("known: {e}"))?),
+        known => {
+            Some(EndpointUpdate::decode(known.to_string().as_bytes()).map_err(|e| format!("known: {e}"))?)
+        }
     };
     let settings = json["settings"].to_string();
     // Without a fleet nobody asks for these, so that nothing is wrong about them.
--- a/programs/balancer/src/shares.rs
+++ b/programs/balancer/src/shares.rs
@@ -1,6 +1,6 @@
 //! How memory and descriptors are shared out among what the program holds.
 
-use whinspindle_protocol::query::MOST_BODY;
+use whinspindle_protocol::query::MAX_BODY_BYTES;
 
 use crate::placement::Limits;
 
@@ -27,7 +27,7 @@
         // Half of the memory is for bodies and a quarter for what is longer; the rest is for buffers of connections
         // and for the program.
         let bodies = (limits.memory_mb as usize) << 19;
-        let queries = (accepted - accepted / 8).min(bodies / (2 * MOST_BODY));
+        let queries = (accepted - accepted / 8).min(bodies / (2 * MAX_BODY_BYTES));
         Shares { accepted, upstream, queries, long_answers: bodies / 2 }
     }
 }
--- a/programs/balancer/src/shares/tests.rs
+++ b/programs/balancer/src/shares/tests.rs
@@ -11,6 +11,6 @@
         let Shares { accepted, upstream, queries, long_answers } = Shares::of(Limits { memory_mb, sockets });
         assert_eq!((accepted, upstream, queries), shares);
         assert!(accepted + upstream + 24 <= sockets as usize && queries < accepted);
-        assert!(2 * queries * MOST_BODY + long_answers <= (3 * memory_mb as usize) << 18);
+        assert!(2 * queries * MAX_BODY_BYTES + long_answers <= (3 * memory_mb as usize) << 18);
     }
 }
--- a/programs/balancer/src/stop.rs
+++ b/programs/balancer/src/stop.rs
@@ -46,11 +46,11 @@
 
     /// How much of a client's patience, in microseconds, is left before the program may be killed.
     pub fn within(&self, patience: u64) -> u64 {
-        patience.min(self.left().as_micros() as u64)
+        patience.min(self.client_gone().as_micros() as u64)
     }
 
     /// How much time is left for answers; without an end before the order.
-    pub fn left(&self) -> Duration {
+    pub fn client_gone(&self) -> Duration {
         let end = self.ordered.get().map(|ordered| ordered + self.allowed - LAST_ANSWERS);
         end.map_or(Duration::MAX, |end| end.saturating_duration_since(Instant::now()))
     }
--- a/programs/balancer/tests/program.rs
+++ b/programs/balancer/tests/program.rs
@@ -332,7 +332,8 @@
     let file = write_operator(&keep).display().to_string();
     let arguments = ["run", "--operator", &file];
     let mut stand = Stand::with_arguments(60_000, &arguments);
-    let kept = || whinspindle_record_store::Store::open(&folder).ok().and_then(|store| store.read("list"));
+    let kept =
+        || whinspindle_record_store::RecordStore::open(&folder).ok().and_then(|store| store.read("list"));
     let is_kept = (0..600).any(|_| {
         thread::sleep(std::time::Duration::from_millis(100));
         folder.join("list.a").exists()
@@ -345,9 +346,9 @@
     let saved = kept().expect("a list");
     let later = |seconds: u64| {
         let ages = whinspindle_endpoint_cache::Ages { fresh: 0, old: 1 };
-        let (news, _) = whinspindle_endpoint_cache::recall(&saved, u64::MAX, &ages).expect("a list");
+        let (update, _) = whinspindle_endpoint_cache::restore(&saved, u64::MAX, &ages).expect("a list");
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
-        whinspindle_endpoint_cache::encode(&news.servers, 0, now.as_micros() as u64 - seconds * 1_000_000)
+        whinspindle_endpoint_cache::encode(&update.servers, 0, now.as_micros() as u64 - seconds * 1_000_000)
     };
     // Discovery is nowhere and the configuration knows no list: it serves by what is kept, however old.
     for (bytes, says, health) in [
@@ -359,7 +360,7 @@
     ] {
         std::fs::remove_dir_all(&folder).expect("removed");
         if let Some(bytes) = bytes {
-            let store = whinspindle_record_store::Store::open(&folder).expect("a folder");
+            let store = whinspindle_record_store::RecordStore::open(&folder).expect("a folder");
             store.write("list", &bytes).expect("written");
         }
         let listen = free_address();
--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -16,8 +16,8 @@
 use whinspindle_endpoint_cache::{Ages, Trust};
 use whinspindle_fleet_policy::{Ballot, Memory, Plan, Unit};
 use whinspindle_lab_fault_proxies::Stand;
-use whinspindle_protocol::list::ListedServer;
-use whinspindle_record_store::Store;
+use whinspindle_protocol::endpoints::ListedServer;
+use whinspindle_record_store::RecordStore;
 
 fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("whinspindle-fixtures-{}-{name}", std::process::id()));
@@ -29,7 +29,8 @@
 /// that has the fixtures alone.
 fn stored(of: &str, records: &[(&str, Vec<Vec<u8>>)]) -> Vec<Vec<u8>> {
     let (written, read) = (folder(&format!("{of}-written")), folder(&format!("{of}-read")));
-    let (writer, reader) = (Store::open(&written).expect("a folder"), Store::open(&read).expect("a folder"));
+    let (writer, reader) =
+        (RecordStore::open(&written).expect("a folder"), RecordStore::open(&read).expect("a folder"));
     for (name, versions) in records {
         versions.iter().for_each(|version| writer.write(name, version).expect("written"));
         for file in [format!("{name}.a"), format!("{name}.b")] {
@@ -131,12 +132,12 @@
         .map(|(of, at)| whinspindle_endpoint_cache::encode(of, 0, at));
     let read = stored("list", &[("list", encoded.to_vec())]);
     let ages = Ages { fresh: 10, old: 20 };
-    let (news, trust) = whinspindle_endpoint_cache::recall(&read[0], AT + 10, &ages).expect("a list");
-    assert_eq!((news.servers.as_slice(), trust), (now.as_slice(), Trust::AsTold));
-    assert_eq!(whinspindle_endpoint_cache::encode(&news.servers, 0, AT), read[0]);
-    let (news, trust) =
-        whinspindle_endpoint_cache::recall(&fixture_record("list.a.bin"), AT, &ages).expect("a list");
-    assert_eq!((news.servers[0].name.as_str(), trust), ("s-1", Trust::ToTry));
+    let (update, trust) = whinspindle_endpoint_cache::restore(&read[0], AT + 10, &ages).expect("a list");
+    assert_eq!((update.servers.as_slice(), trust), (now.as_slice(), Trust::Full));
+    assert_eq!(whinspindle_endpoint_cache::encode(&update.servers, 0, AT), read[0]);
+    let (update, trust) =
+        whinspindle_endpoint_cache::restore(&fixture_record("list.a.bin"), AT, &ages).expect("a list");
+    assert_eq!((update.servers[0].name.as_str(), trust), ("s-1", Trust::Unverified));
 }
 
 #[test]
