--- a/coordination/replica/src/application.rs
+++ b/coordination/replica/src/application.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::records::Records;
+use crate::records::{RecordWrite, Records};
 
 /// Turns commands into writes and answers.
 pub trait Application {
@@ -18,13 +18,6 @@
     pub answer: Answer,
 }
 
-/// A new value of one record; none removes it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RecordWrite {
-    pub key: String,
-    pub value: Option<Vec<u8>>,
-}
-
 /// What the caller is told once the command is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Answer {
--- a/coordination/replica/src/codec.rs
+++ b/coordination/replica/src/codec.rs
@@ -9,7 +9,7 @@
 use capnp::serialize;
 use whinspindle_encoding::{new_message, read_message};
 
-pub use whinspindle_encoding::DecodeError;
+use whinspindle_encoding::DecodeError;
 
 use crate::message::Message;
 use crate::replica_capnp::message as wire;
--- a/coordination/replica/src/codec/chain.rs
+++ b/coordination/replica/src/codec/chain.rs
@@ -4,9 +4,9 @@
 
 use super::DecodeError;
 use super::parts::{length, read_answer, read_origin, write_answer, write_origin};
-use crate::application::RecordWrite;
 use crate::entry::{Entry, Origin, Read};
 use crate::message::Message;
+use crate::records::RecordWrite;
 use crate::replica_capnp as wire;
 
 pub fn write_submit(origin: &Origin, command: &[u8], mut to: wire::submit::Builder) {
--- a/coordination/replica/src/entry.rs
+++ b/coordination/replica/src/entry.rs
@@ -4,7 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::application::{Answer, RecordWrite};
+use crate::application::Answer;
+use crate::records::RecordWrite;
 
 /// Where and as what a command was submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
--- a/coordination/replica/src/message.rs
+++ b/coordination/replica/src/message.rs
@@ -11,8 +11,6 @@
 use crate::transfer::Transfer;
 use crate::view::View;
 
-pub use crate::codec::DecodeError;
-
 /// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
--- a/coordination/replica/src/records.rs
+++ b/coordination/replica/src/records.rs
@@ -8,7 +8,12 @@
 use serde::{Deserialize, Serialize};
 use whinspindle_digests::Content;
 
-use crate::application::RecordWrite;
+/// A new value of one record; none removes it.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct RecordWrite {
+    pub key: String,
+    pub value: Option<Vec<u8>>,
+}
 
 /// A value and the position in the history of the write that made it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- /dev/null
+++ b/coordination/replica/src/replica/acceptor.rs
@@ -0,0 +1,78 @@
+//! The voter's part in proposals of other replicas and of its own.
+
+use std::net::SocketAddr;
+
+use whinspindle_consensus::{AcceptorState, Ballot, Voter};
+
+use super::Replica;
+use crate::application::Application;
+use crate::disk::AfterDurable;
+use crate::durable::DurableRecord;
+use crate::message::Message;
+use crate::protocol_rules::ProtocolRules;
+use crate::view::View;
+
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
+    /// Phase 1 at the voter.
+    pub(super) fn on_prepare(
+        &mut self,
+        now: u64,
+        from: SocketAddr,
+        voter: Voter,
+        ballot: Ballot,
+        known: u64,
+    ) {
+        self.view_change.highest_round = self.view_change.highest_round.max(ballot.round);
+        if !L::is_same_incarnation(voter.incarnation, self.state.incarnation) {
+            return;
+        }
+        if self.view().number > known {
+            let decided = self.state.decided.clone();
+            self.send(from, Message::Decided(decided));
+            return;
+        }
+        let mut votes = self.state.votes.clone();
+        match votes.prepare(ballot) {
+            Err(promised) => self.send(from, Message::Rejected { ballot, promised }),
+            Ok(()) => {
+                if from != self.settings.endpoint {
+                    // Let the other's round come to its end first.
+                    self.view_change.pending = None;
+                }
+                let accepted = votes.accepted.clone().map(Box::new);
+                if L::records_promises() {
+                    self.record_votes(votes);
+                } else {
+                    self.state.votes = votes;
+                }
+                let report = self.report();
+                let message = Message::Promise { voter, ballot, accepted, report };
+                self.after_durable(now, AfterDurable::Send { to: from, message: Box::new(message) });
+            }
+        }
+    }
+
+    /// Phase 2 at the voter.
+    pub(super) fn on_accept(&mut self, now: u64, from: SocketAddr, voter: Voter, ballot: Ballot, view: View) {
+        self.view_change.highest_round = self.view_change.highest_round.max(ballot.round);
+        if !L::is_same_incarnation(voter.incarnation, self.state.incarnation) {
+            return;
+        }
+        let mut votes = self.state.votes.clone();
+        match votes.accept::<L::Consensus>(ballot, view) {
+            Err(promised) => self.send(from, Message::Rejected { ballot, promised }),
+            Ok(()) => {
+                self.record_votes(votes);
+                let message = Message::Accepted { voter, ballot };
+                self.after_durable(now, AfterDurable::Send { to: from, message: Box::new(message) });
+            }
+        }
+    }
+
+    /// Makes the acceptor state durable, if it has changed.
+    fn record_votes(&mut self, votes: AcceptorState<View>) {
+        if votes != self.state.votes {
+            self.record(DurableRecord::AcceptorState(votes), true);
+        }
+    }
+}
--- /dev/null
+++ b/coordination/replica/src/replica/chain_commit.rs
@@ -0,0 +1,76 @@
+//! Commits at the members of the chain, and answers at its tail.
+
+use std::collections::VecDeque;
+
+use super::Replica;
+use crate::application::{Answer, Application};
+use crate::durable::DurableRecord;
+use crate::entry::{Entry, Origin, Read};
+use crate::message::Message;
+use crate::output::Output;
+use crate::protocol_rules::ProtocolRules;
+
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
+    /// Commits at the tail: what is durable here is durable at all members.
+    pub(super) fn commit_at_tail(&mut self) {
+        if self.state.decided.view.takes_writes(self.settings.tolerance.machines) {
+            self.commit_up_to(self.durable_position());
+        }
+    }
+
+    /// Commits entries that are durable at all members of the chain.
+    pub(super) fn commit_up_to(&mut self, sequence: u64) {
+        let sequence = sequence.min(self.durable_position());
+        if sequence <= self.state.committed {
+            return;
+        }
+        let entries: Vec<Entry> = self.state.entries(self.state.committed, sequence).cloned().collect();
+        let is_tail = self.session.as_ref().is_some_and(|session| session.successor.is_none());
+        for entry in &entries {
+            self.state.apply(DurableRecord::Committed(entry.sequence));
+            if is_tail {
+                self.reply(entry.origin, entry.sequence, &entry.answer);
+            }
+        }
+        self.record(DurableRecord::Committed(sequence), false);
+        self.acknowledgement_due = true;
+        if is_tail {
+            self.notify_learners(&entries);
+        }
+        for entry in entries {
+            self.publish_committed(entry);
+        }
+    }
+
+    /// Reports a committed entry to the embedding program, and keeps it for replicas that are slightly behind.
+    pub(super) fn publish_committed(&mut self, entry: Entry) {
+        let Entry { sequence, ref writes, .. } = entry;
+        self.outputs.push(Output::Committed { sequence, writes: writes.clone() });
+        self.recent_entries.add(entry);
+    }
+
+    /// Answers the reads whose entries are committed.
+    pub(super) fn answer_reads(&mut self) {
+        let committed = self.state.committed;
+        let Some(session) = &mut self.session else { return };
+        let (ready, waiting): (VecDeque<Read>, VecDeque<Read>) =
+            session.reads.drain(..).partition(|read| read.after <= committed);
+        session.reads = waiting;
+        for read in ready {
+            self.reply(read.origin, committed, &read.answer);
+        }
+    }
+
+    /// Sends an answer to where the command was submitted.
+    pub(super) fn reply(&mut self, origin: Origin, sequence: u64, answer: &Answer) {
+        let answer = match answer {
+            Answer::Value(value) => value.clone(),
+            Answer::Record(key) => {
+                let record = self.state.records.get(key);
+                record.map(|record| record.value.to_vec()).unwrap_or_default()
+            }
+        };
+        let Origin { endpoint, start, ticket } = origin;
+        self.send(endpoint, Message::Replied { start, ticket, sequence, answer });
+    }
+}
--- /dev/null
+++ b/coordination/replica/src/replica/heartbeats.rs
@@ -0,0 +1,74 @@
+//! Heartbeats, and what follows from those of the peers.
+
+use std::net::SocketAddr;
+
+use super::Replica;
+use crate::application::Application;
+use crate::message::{Heartbeat, Message};
+use crate::protocol_rules::ProtocolRules;
+
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
+    /// Sends a heartbeat to all peers.
+    pub(super) fn send_heartbeats(&mut self, now: u64) {
+        self.heartbeat_due = now + self.settings.timing.heartbeat;
+        let heartbeat = self.heartbeat(now);
+        for to in self.peers() {
+            self.send(to, Message::Heartbeat(heartbeat.clone()));
+        }
+    }
+
+    /// The present heartbeat of this replica.
+    fn heartbeat(&self, now: u64) -> Heartbeat {
+        Heartbeat {
+            incarnation: self.state.incarnation,
+            start: self.settings.start,
+            zone: self.settings.zone.clone(),
+            region: self.settings.region.clone(),
+            view: self.view().number,
+            report: self.report(),
+            sent_at: now,
+            received: self.peers.received_recently(now),
+            is_fenced: self.state.is_fenced(),
+            is_stalled: self.is_disk_stalled(now),
+            is_shutting_down: self.is_shutting_down,
+        }
+    }
+
+    /// Takes in a heartbeat, and answers the first one of a process at once.
+    pub(super) fn on_heartbeat(&mut self, now: u64, from: SocketAddr, heartbeat: Heartbeat) {
+        if self.peers.is_overtaken(from, &heartbeat) {
+            return;
+        }
+        let number = self.view().number;
+        let knows_less = heartbeat.view < number;
+        if heartbeat.view == number && self.session.as_ref().is_some_and(|session| session.is_complete) {
+            // An acknowledgement may have been lost. What was committed up to this view is in a complete log.
+            self.commit_up_to(heartbeat.report.committed);
+        }
+        let has_started = self.peers.record_heartbeat(now, from, heartbeat, L::contact);
+        if knows_less {
+            let decided = self.state.decided.clone();
+            self.send(from, Message::Decided(decided));
+        }
+        if has_started {
+            // Answered at once, it has contact a heartbeat's interval earlier.
+            let heartbeat = self.heartbeat(now);
+            self.send(from, Message::Heartbeat(heartbeat));
+            self.on_restart(now, from);
+        }
+    }
+
+    /// Whether a majority of the voters is healthy and in contact with this replica.
+    pub(super) fn is_connected_to_majority(&self, now: u64) -> bool {
+        let view = self.view();
+        let me = self.me();
+        view.has_majority(|voter| {
+            me == Some(voter) || self.peers.healthy_heartbeat(now, view, voter).is_some()
+        })
+    }
+
+    /// Records since when this replica has been behind another.
+    pub(super) fn update_lag(&mut self, now: u64) {
+        self.behind_since = self.is_behind().then(|| self.behind_since.unwrap_or(now));
+    }
+}
--- /dev/null
+++ b/coordination/replica/src/replica/replica_survey.rs
@@ -0,0 +1,170 @@
+//! What this replica knows of the others, as the input of planning.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use whinspindle_consensus::Voter;
+
+use super::Replica;
+use crate::application::Application;
+use crate::placement::{FailureDomain, LossKind, fatal_losses};
+use crate::planning::{Candidate, PlanningInput, VoterState};
+use crate::protocol_rules::ProtocolRules;
+use crate::view::{Member, View};
+
+/// A peer may join once its heartbeats have arrived without a pause for this long, in milliseconds.
+pub(super) const STEADY_CONTACT: u64 = 500;
+
+impl<A: Application, L: ProtocolRules> Replica<A, L> {
+    /// The planning input by the heartbeats, as if all healthy voters had promised. Decides whether a proposal is worth
+    /// making.
+    pub(super) fn expected_planning_input(&self, now: u64, me: Voter) -> PlanningInput {
+        let view = self.view();
+        let present = view.voters().into_iter().filter_map(|voter| {
+            let state = self.expected_state(now, me, voter)?;
+            Some((voter, state))
+        });
+        self.planning_input(now, view, present.collect())
+    }
+
+    /// The state that a voter would report with a promise; `None` if it is not expected to promise.
+    fn expected_state(&self, now: u64, me: Voter, voter: Voter) -> Option<VoterState> {
+        if voter == me {
+            return Some(VoterState::promised(self.report(), self.is_shutting_down));
+        }
+        let view = self.view();
+        let member = view.member(voter)?;
+        let heartbeat = self.peers.get(member.endpoint).map(|peer| &peer.heartbeat);
+        if self.peers.has_new_incarnation(member) || heartbeat.is_some_and(|heartbeat| heartbeat.is_stalled) {
+            return None;
+        }
+        let Some(link) = view.link(voter) else {
+            let heartbeat = self.peers.healthy_heartbeat(now, view, voter)?;
+            let is_steady = self.peers.get(member.endpoint)?.steady_since + STEADY_CONTACT <= now;
+            return is_steady.then(|| VoterState::promised(heartbeat.report, heartbeat.is_shutting_down));
+        };
+        let is_neighbour = view.predecessor(voter) == Some(me) || view.successor(voter) == Some(me);
+        let is_excused = !is_neighbour && self.peers.is_live_at_another(now, member.endpoint);
+        let is_suspected = self.peers.is_suspected(now, member.endpoint) && !is_excused;
+        if is_suspected || self.is_acknowledgement_overdue(now, voter) {
+            return None;
+        }
+        let not_received =
+            VoterState { complete: link.since, committed: 0, is_shutting_down: false, has_promised: true };
+        Some(heartbeat.map_or(not_received, |heartbeat| {
+            VoterState::promised(heartbeat.report, heartbeat.is_shutting_down)
+        }))
+    }
+
+    /// What is known of the replicas, given the voters that take part.
+    pub(super) fn planning_input(
+        &self,
+        now: u64,
+        view: &View,
+        present: BTreeMap<Voter, VoterState>,
+    ) -> PlanningInput {
+        let lost = view.voters().into_iter().filter(|voter| !present.contains_key(voter));
+        let lost = lost.filter(|voter| self.is_lost(now, view, *voter)).collect();
+        PlanningInput {
+            tolerance: self.settings.tolerance,
+            replaces_voters_jointly: L::replaces_voters_jointly(),
+            requires_complete_leader: L::requires_complete_leader(),
+            present,
+            lost,
+            candidates: self.candidates(now, view),
+            disconnected: self.disconnected_pairs(now, view),
+            failure_domains: self.failure_domains(view),
+        }
+    }
+
+    /// The failure domains of the members of a view, by their heartbeats.
+    fn failure_domains(&self, view: &View) -> BTreeMap<SocketAddr, FailureDomain> {
+        let received = |member: &Member| {
+            let heartbeat = &self.peers.get(member.endpoint)?.heartbeat;
+            Some((member.endpoint, heartbeat.failure_domain()))
+        };
+        let mut failure_domains: BTreeMap<SocketAddr, FailureDomain> =
+            view.members.iter().filter_map(received).collect();
+        let own = FailureDomain { zone: self.settings.zone.clone(), region: self.settings.region.clone() };
+        failure_domains.insert(self.settings.endpoint, own);
+        failure_domains
+    }
+
+    /// The kinds of losses that are to be tolerated but would leave no majority of the voters, as far as their failure
+    /// domains are known.
+    pub fn fatal_losses(&self) -> Vec<LossKind> {
+        let view = self.view();
+        let received = self.failure_domains(view);
+        let domain = |voter: Voter| {
+            let member = view.member(voter)?;
+            Some(received.get(&member.endpoint).cloned().unwrap_or_else(|| member.failure_domain()))
+        };
+        let voters = view.voter_sets.last().map(Vec::as_slice).unwrap_or_default();
+        let failure_domains: Vec<FailureDomain> = voters.iter().filter_map(|voter| domain(*voter)).collect();
+        let are_known = !failure_domains.is_empty() && failure_domains.iter().all(FailureDomain::is_known);
+        let failure_domains: Vec<&FailureDomain> = failure_domains.iter().collect();
+        if are_known { fatal_losses(&failure_domains, self.settings.tolerance) } else { Vec::new() }
+    }
+
+    /// Whether a voter may be replaced: its durable state is gone, or nobody has received its heartbeats for long.
+    fn is_lost(&self, now: u64, view: &View, voter: Voter) -> bool {
+        let Some(member) = view.member(voter) else { return false };
+        let is_silent = self.peers.silent_for(now, member.endpoint) > self.settings.timing.replacement;
+        let is_gone = is_silent && !self.peers.is_live_at_another(now, member.endpoint);
+        member.endpoint != self.settings.endpoint && (is_gone || self.peers.has_new_incarnation(member))
+    }
+
+    /// Healthy replicas that do not vote.
+    fn candidates(&self, now: u64, view: &View) -> Vec<Candidate> {
+        let votes = |endpoint: SocketAddr, incarnation: u64| {
+            view.members
+                .iter()
+                .any(|member| member.endpoint == endpoint && member.voter.incarnation == incarnation)
+        };
+        let mut candidates = Vec::new();
+        for (endpoint, peer) in self.peers.iter() {
+            let heartbeat = &peer.heartbeat;
+            let is_healthy = self.peers.is_connected(now, *endpoint)
+                && !heartbeat.is_stalled
+                && !heartbeat.is_shutting_down;
+            if is_healthy
+                && peer.steady_since + STEADY_CONTACT <= now
+                && !votes(*endpoint, heartbeat.incarnation)
+            {
+                candidates.push(Candidate {
+                    endpoint: *endpoint,
+                    incarnation: heartbeat.incarnation,
+                    failure_domain: heartbeat.failure_domain(),
+                    state: VoterState::reported(heartbeat.report, false),
+                });
+            }
+        }
+        candidates
+    }
+
+    /// Pairs of endpoints that do not receive heartbeats from each other.
+    fn disconnected_pairs(&self, now: u64, view: &View) -> BTreeSet<(SocketAddr, SocketAddr)> {
+        let members = view.members.iter().map(|member| member.endpoint);
+        let received = self.peers.iter().map(|(endpoint, _)| *endpoint);
+        let endpoints: Vec<SocketAddr> = members.chain(received).collect();
+        let mut disconnected = BTreeSet::new();
+        for (index, one) in endpoints.iter().enumerate() {
+            for other in &endpoints[index + 1..] {
+                if one != other && !self.are_connected(now, *one, *other) {
+                    disconnected.insert((*one, *other));
+                }
+            }
+        }
+        disconnected
+    }
+
+    /// Whether two replicas receive heartbeats from each other.
+    fn are_connected(&self, now: u64, one: SocketAddr, other: SocketAddr) -> bool {
+        let me = self.settings.endpoint;
+        match (one == me, other == me) {
+            (true, _) => self.peers.is_connected(now, other),
+            (_, true) => self.peers.is_connected(now, one),
+            _ => self.peers.are_mutually_connected(one, other),
+        }
+    }
+}
--- a/coordination/replica/src/session.rs
+++ b/coordination/replica/src/session.rs
@@ -80,12 +80,12 @@
     pub endpoint: SocketAddr,
     /// It knows where this member stands.
     pub has_answered: bool,
-    pub asked_at: u64,
+    pub requested_at: u64,
 }
 
 impl Predecessor {
     pub fn new(endpoint: SocketAddr) -> Predecessor {
-        Predecessor { endpoint, has_answered: false, asked_at: 0 }
+        Predecessor { endpoint, has_answered: false, requested_at: 0 }
     }
 }
 
--- a/coordination/replica/src/submissions.rs
+++ b/coordination/replica/src/submissions.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::replica::SubmitError;
+use crate::output::SubmitError;
 use crate::settings::Timing;
 
 #[derive(Clone, Debug)]
