--- a/coordination/digests/src/digest.rs
+++ b/coordination/digests/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of ranges.
+//! Digests of ranges, and the splitting of ranges into parts.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,18 @@
 
 use crate::range::KeyRange;
 
-/// The most parts into which [`split`] cuts a range.
+/// The number of parts that [`split`] makes of a range at most.
 pub const FAN_OUT: usize = 16;
 
+/// Length of a digest.
 const DIGEST_BYTES: usize = 16;
 
-/// What a record is to a digest.
+/// What a digest covers of a record.
 pub trait Content {
     /// The position in the history of the write that made the record.
     fn sequence(&self) -> u64;
 
+    /// The content of the record.
     fn value(&self) -> &[u8];
 }
 
@@ -23,10 +25,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest([u8; DIGEST_BYTES]);
 
-/// The digest that one replica has of a range.
+/// The digest of a range at one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RangeDigest {
+    /// The range.
     pub range: KeyRange,
+    /// Its digest.
     pub digest: Digest,
 }
 
@@ -41,6 +45,7 @@
 }
 
 impl Digest {
+    /// The bytes to send.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
@@ -64,7 +69,7 @@
     }
 }
 
-/// The digest of a range.
+/// The digest of a range of these records.
 pub fn digest<R: Content>(records: &BTreeMap<String, R>, range: &KeyRange) -> Digest {
     let mut hasher = blake3::Hasher::new();
     for (key, record) in range.entries(records) {
@@ -77,28 +82,30 @@
     Digest(digest)
 }
 
+/// Hashes bytes with their length, so that neighbouring fields cannot be confused.
 fn update_sized(hasher: &mut blake3::Hasher, bytes: &[u8]) {
     hasher.update(&(bytes.len() as u64).to_le_bytes());
     hasher.update(bytes);
 }
 
-/// Cuts a range into parts of about as many records each, at most [`FAN_OUT`], and at most one for each record.
+/// Splits a range into parts of about the same number of records: at most [`FAN_OUT`], and at most one for each record.
 pub fn split<R: Content>(records: &BTreeMap<String, R>, range: &KeyRange) -> Vec<RangeDigest> {
-    cut(records, range, FAN_OUT)
+    split_into(records, range, FAN_OUT)
 }
 
-/// Cuts all keys into at most `parts` ranges of about as many records each.
+/// Splits all keys into at most `parts` ranges of about the same number of records.
 pub fn partition<R: Content>(records: &BTreeMap<String, R>, parts: usize) -> Vec<RangeDigest> {
-    cut(records, &KeyRange::all(), parts)
+    split_into(records, &KeyRange::all(), parts)
 }
 
-/// The ranges among these for which the records here differ.
+/// The ranges among these whose digests differ from those of the local records.
 pub fn differing<R: Content>(records: &BTreeMap<String, R>, digests: &[RangeDigest]) -> Vec<KeyRange> {
     let different = digests.iter().filter(|digest| !digest.matches(records));
     different.map(|digest| digest.range.clone()).collect()
 }
 
-fn cut<R: Content>(records: &BTreeMap<String, R>, range: &KeyRange, parts: usize) -> Vec<RangeDigest> {
+/// Splits a range into at most `parts` parts.
+fn split_into<R: Content>(records: &BTreeMap<String, R>, range: &KeyRange, parts: usize) -> Vec<RangeDigest> {
     let keys: Vec<&String> = range.entries(records).map(|(key, _)| key).collect();
     let parts = parts.min(keys.len()).max(1);
     // The first part begins with the range, not with its first key.
--- a/coordination/digests/src/lib.rs
+++ b/coordination/digests/src/lib.rs
@@ -1,12 +1,30 @@
 //! Range digests over a sorted map, to find where two replicas differ.
 //!
-//! Two replicas with the same records in a range have the same digest of it. Where digests differ, the range is
-//! narrowed down, and only the records of small ranges that differ are sent.
+//! Two replicas with the same records in a range have the same digest of it. Where digests differ, the range is narrowed
+//! down, and only the records of small ranges that differ are sent.
 //!
-//! For one round trip, send the digests of a [`partition`] and have the other replica list the [`differing`] ranges.
-//! For as few bytes as possible, let a [`Reconciliation`] narrow the ranges down over several round trips.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! For one round trip, send the digests of a [`partition`] and have the other replica list the [`differing`] ranges. For
+//! as few bytes as possible, let a [`Reconciliation`] narrow the ranges down over several round trips.
+//!
+//! ```
+//! use std::collections::BTreeMap;
+//! use whinspindle_digests::{Change, Reconciliation, answer};
+//!
+//! let source = BTreeMap::from([("a".to_owned(), (1, b"first".to_vec())), ("b".to_owned(), (2, b"second".to_vec()))]);
+//! let mut target = BTreeMap::from([("a".to_owned(), (1, b"first".to_vec()))]);
+//! let mut reconciliation = Reconciliation::new();
+//! while let Some(question) = reconciliation.question(&target) {
+//!     let answer = answer(&source, &question);
+//!     for change in reconciliation.apply(&target, answer)? {
+//!         match change {
+//!             Change::Write { key, record } => target.insert(key, record),
+//!             Change::Remove { key } => target.remove(&key),
+//!         };
+//!     }
+//! }
+//! assert_eq!(target, source);
+//! # Ok::<(), whinspindle_digests::UnexpectedAnswer>(())
+//! ```
 
 mod digest;
 mod range;
--- a/coordination/digests/src/reconciliation.rs
+++ b/coordination/digests/src/reconciliation.rs
@@ -1,8 +1,8 @@
-//! Makes the records of one replica equal to those of another.
+//! Anti-entropy: makes the records of one replica equal to those of another.
 //!
-//! The replica that is behind asks with its digests of some ranges. The other one answers for each whether it is the
-//! same there; if not, it sends the records of a small range, and the digests of the parts of a large one. The next
-//! question is about the parts that differ. Questions and answers are bounded in size.
+//! The replica that is behind asks with its digests of some ranges. The other one answers for each whether it is the same
+//! there; if not, it sends the records of a small range, or the digests of the parts of a large one. The next question is
+//! about the parts that differ. Questions and answers are bounded in size.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,29 +11,33 @@
 use crate::digest::{Content, RangeDigest, split};
 use crate::range::KeyRange;
 
-/// The most ranges in one question.
+/// The number of ranges in one question at most.
 pub const MAX_QUESTION_RANGES: usize = 64;
 
-/// An answer is closed with the range that brings its keys and values to this size.
+/// An answer ends with the range that brings its keys and values to this size, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 256 << 10;
 
-/// The records of a range up to this size are sent rather than the digests of its parts.
+/// Up to this size in bytes, the records of a range are sent rather than the digests of its parts.
 const SMALL_RANGE_BYTES: usize = 4 << 10;
 
 /// The asking replica's digests of ranges that may differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Question {
+    /// The digests of the ranges.
     pub ranges: Vec<RangeDigest>,
 }
 
 /// Answers to the first ranges of a question.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer<R> {
+    /// The answers, in the order of the ranges of the question.
     pub ranges: Vec<RangeAnswer<R>>,
 }
 
+/// The answer about one range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RangeAnswer<R> {
+    /// Both replicas have the same digest.
     Same,
     /// All records of the range.
     Records(Vec<(String, R)>),
@@ -41,23 +45,33 @@
     Parts(Vec<RangeDigest>),
 }
 
-/// What the asking replica has to change.
+/// A change that the asking replica has to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change<R> {
-    Write { key: String, record: R },
-    Remove { key: String },
+    /// Write a record.
+    Write {
+        /// Its key.
+        key: String,
+        /// Its content.
+        record: R,
+    },
+    /// Remove a record.
+    Remove {
+        /// Its key.
+        key: String,
+    },
 }
 
-/// An answer that doesn't fit the question.
+/// The answer does not match the question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnexpectedAnswer;
 
 /// The asking side.
 #[derive(Clone, Debug)]
 pub struct Reconciliation {
-    /// Ranges that may differ and don't overlap, the next one first.
+    /// Ranges that may differ and do not overlap, the next one first.
     open: VecDeque<KeyRange>,
-    /// The first ranges of `open` that the last question was about.
+    /// The number of ranges of `open` that the last question was about.
     asked: usize,
 }
 
@@ -81,7 +95,7 @@
         Reconciliation::default()
     }
 
-    /// What to ask next; `None` once the records are equal. Without an answer, the question may be asked again.
+    /// The next question; `None` once the records are equal. Without an answer, it may be asked again.
     pub fn question<R: Content>(&mut self, records: &BTreeMap<String, R>) -> Option<Question> {
         self.asked = self.open.len().min(MAX_QUESTION_RANGES);
         let asked = self.open.range(..self.asked);
@@ -89,7 +103,11 @@
         (!ranges.is_empty()).then_some(Question { ranges })
     }
 
-    /// Takes the answer to the last question. The changes have to be carried out before the next question.
+    /// Processes the answer to the last question. The changes have to be made before the next question.
+    ///
+    /// # Errors
+    ///
+    /// The answer does not match the question.
     pub fn apply<R: Content + Clone + PartialEq>(
         &mut self,
         records: &BTreeMap<String, R>,
@@ -124,6 +142,7 @@
 }
 
 impl<R> RangeAnswer<R> {
+    /// Whether this can be the answer about the range.
     fn fits(&self, range: &KeyRange) -> bool {
         match self {
             RangeAnswer::Same => true,
@@ -133,6 +152,7 @@
     }
 }
 
+/// Whether the parts cover the range without gaps or overlaps.
 fn are_parts_of(parts: &[RangeDigest], range: &KeyRange) -> bool {
     let (Some(first), Some(last)) = (parts.first(), parts.last()) else { return false };
     let has_no_gap = parts.windows(2).all(|pair| {
@@ -142,6 +162,7 @@
     parts.len() >= 2 && first.range.from == range.from && last.range.to == range.to && has_no_gap
 }
 
+/// The changes that make the records of a range equal to the newer ones.
 fn changes_of_range<R: Clone + PartialEq>(
     records: &BTreeMap<String, R>,
     range: &KeyRange,
@@ -170,6 +191,7 @@
     Answer { ranges }
 }
 
+/// Answers about one range.
 fn answer_range<R: Content + Clone>(records: &BTreeMap<String, R>, asked: &RangeDigest) -> RangeAnswer<R> {
     if asked.matches(records) {
         return RangeAnswer::Same;
@@ -185,6 +207,7 @@
 }
 
 impl<R: Content> RangeAnswer<R> {
+    /// The size in bytes, which the limit of an answer is about.
     fn bytes(&self) -> usize {
         match self {
             RangeAnswer::Same => 0,
@@ -198,6 +221,7 @@
     }
 }
 
+/// The size of a record in bytes.
 fn record_bytes<R: Content>(key: &str, record: &R) -> usize {
     key.len() + record.value().len()
 }
--- a/coordination/digests/tests/digests.rs
+++ b/coordination/digests/tests/digests.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_digest_leaves_out_other_ranges() {
+fn a_digest_excludes_other_ranges() {
     let mut records = numbered(0..10, 5);
     let middle = range("key-000003", Some("key-000006"));
     let before = digest(&records, &middle);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn answers_that_do_not_fit_are_refused() {
+fn answers_that_do_not_match_are_rejected() {
     let target = numbered(0..100, 100);
     let part = |from: &str, to: Option<&str>| RangeDigest::of(&target, range(from, to));
     let (start, end) = (part("", Some("m")), part("m", None));
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn the_differing_ranges_of_a_partition_hold_all_differences() {
+fn the_differing_ranges_of_a_partition_cover_all_differences() {
     fn property(pair: Pair, parts: u8) -> TestResult {
         let Pair { mut target, source } = pair;
         let digests = partition(&target, usize::from(parts));
--- a/coordination/encoding/src/decode_error.rs
+++ b/coordination/encoding/src/decode_error.rs
@@ -1,24 +1,48 @@
-//! Why received bytes are no message, and the reading of byte strings of a fixed length.
+//! Errors of decoding, and the decoding of byte strings of a fixed length.
 
 use snafu::{OptionExt, Snafu};
 
-/// Received bytes are no message of their schema.
+/// Received bytes are not a message of their schema.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum DecodeError {
+    /// The bytes are not a Cap'n Proto message, or it is longer to read through than allowed.
     #[snafu(display("the message is broken"), context(false))]
-    Broken { source: capnp::Error },
+    Broken {
+        /// The error of the decoder.
+        source: capnp::Error,
+    },
+    /// A text is not UTF-8.
     #[snafu(display("a text of the message is not UTF-8"), context(false))]
-    Text { source: std::str::Utf8Error },
+    Text {
+        /// Where the text is not UTF-8.
+        source: std::str::Utf8Error,
+    },
+    /// A union or enum holds a variant that this release does not know.
     #[snafu(display("the message holds a variant that this release does not know"), context(false))]
-    UnknownVariant { source: capnp::NotInSchema },
+    UnknownVariant {
+        /// The number of the variant.
+        source: capnp::NotInSchema,
+    },
+    /// An IP address has another length than its kind.
     #[snafu(display("an address of the message has {length} bytes"))]
-    AddressLength { length: usize },
+    AddressLength {
+        /// Its length in bytes.
+        length: usize,
+    },
+    /// A digest has another length.
     #[snafu(display("a digest of the message has {length} bytes"))]
-    DigestLength { length: usize },
+    DigestLength {
+        /// Its length in bytes.
+        length: usize,
+    },
 }
 
-/// The bytes of an address.
+/// The bytes of an IP address.
+///
+/// # Errors
+///
+/// Their number is another one.
 pub fn address_octets<const LENGTH: usize>(octets: &[u8]) -> Result<[u8; LENGTH], DecodeError> {
     octets.try_into().ok().context(AddressLengthSnafu { length: octets.len() })
 }
--- a/coordination/encoding/src/lib.rs
+++ b/coordination/encoding/src/lib.rs
@@ -1,6 +1,7 @@
 //! Building and bounded reading of Cap'n Proto messages, for all schemas of the internal protocol.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//!
+//! Use [`new_message`] to build a message, and [`read_message`] for received bytes: it limits how much a short message can
+//! cost its reader. [`DecodeError`] is what the decoders of all packages return.
 
 mod decode_error;
 
@@ -9,8 +10,9 @@
 
 pub use decode_error::{DecodeError, DigestLengthSnafu, address_octets};
 
+/// Length of a word of Cap'n Proto.
 const WORD_BYTES: usize = 8;
-/// A message may be read through this many times over, so that shared pointers cannot make it seem endless.
+/// A message may be read through this many times, so that shared pointers cannot make it seem endless.
 const TRAVERSALS: usize = 8;
 /// Words that a message of any length may be read through.
 const LEAST_TRAVERSED_WORDS: usize = 64;
@@ -22,7 +24,11 @@
     Builder::new(HeapAllocator::new().first_segment_words(FIRST_SEGMENT_WORDS))
 }
 
-/// Opens a received message. Reading through it fails once its parts have been visited too often for its length.
+/// Opens a received message. Reading fails once its parts have been visited too often for its length.
+///
+/// # Errors
+///
+/// The bytes are not a Cap'n Proto message.
 pub fn read_message(mut bytes: &[u8]) -> Result<Reader<OwnedSegments>, capnp::Error> {
     let words = bytes.len() / WORD_BYTES * TRAVERSALS + LEAST_TRAVERSED_WORDS;
     let options = ReaderOptions { traversal_limit_in_words: Some(words), ..ReaderOptions::default() };
--- a/coordination/encoding/tests/encoding.rs
+++ b/coordination/encoding/tests/encoding.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_message_cut_short_is_refused() {
+fn a_truncated_message_is_rejected() {
     let bytes = message_with_texts();
     for length in 0..bytes.len() {
         assert!(read_message(&bytes[..length]).is_err(), "cut to {length} bytes");
--- a/coordination/replica/src/application.rs
+++ b/coordination/replica/src/application.rs
@@ -1,28 +1,30 @@
-//! What the records mean: commands are evaluated by the application that embeds the replica.
+//! The application that a replica is embedded in: it gives commands their meaning.
 
 use serde::{Deserialize, Serialize};
 
 use crate::records::{RecordWrite, Records};
 
-/// Turns commands into writes and answers.
+/// Evaluates commands into writes and answers.
 pub trait Application {
-    /// Called at the head of the chain, on records with all writes before this command in place.
+    /// Evaluates a command at the head of the chain, on records with the writes of all commands before it.
     fn evaluate(&self, records: &Records, command: &[u8]) -> Evaluation;
 }
 
-/// What a command does and what its caller is told.
+/// What a command writes and answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evaluation {
-    /// Empty for a read.
+    /// Its writes; empty for a read.
     pub writes: Vec<RecordWrite>,
+    /// Its answer.
     pub answer: Answer,
 }
 
-/// What the caller is told once the command is committed.
+/// The answer to a command, once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Answer {
+    /// These bytes.
     Value(Vec<u8>),
-    /// The value that this record has where the answer is made; empty if there is none.
+    /// The value of the record with this key when the answer is sent; empty if there is none.
     Record(String),
 }
 
--- a/coordination/replica/src/codec.rs
+++ b/coordination/replica/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages to and from bytes. The schema is in schema/replica.capnp.
+//! The encoding of messages. The schema is in `schema/replica.capnp`; names here follow the code, not the schema.
 
 mod agreement;
 mod chain;
@@ -15,14 +15,18 @@
 use crate::replica_capnp::message as wire;
 
 impl Message {
-    /// The bytes to send.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let mut builder = new_message();
         write(self, builder.init_root());
         serialize::write_message_to_words(&builder)
     }
 
-    /// The message that was received.
+    /// Decodes a received message.
+    ///
+    /// # Errors
+    ///
+    /// The bytes are not a message of the schema.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         let reader = read_message(bytes)?;
         read(reader.get_root()?)
--- a/coordination/replica/src/codec/agreement.rs
+++ b/coordination/replica/src/codec/agreement.rs
@@ -1,4 +1,4 @@
-//! The rounds of the agreed register on the wire.
+//! The encoding of messages of the register.
 
 use whinspindle_consensus::{Ballot, Voter};
 
--- a/coordination/replica/src/codec/heartbeat.rs
+++ b/coordination/replica/src/codec/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats on the wire.
+//! The encoding of heartbeats.
 
 use super::DecodeError;
 use super::parts::{length, read_endpoint, read_report, write_endpoint, write_report};
--- a/coordination/replica/src/codec/parts.rs
+++ b/coordination/replica/src/codec/parts.rs
@@ -1,4 +1,4 @@
-//! Parts that several messages share.
+//! The encoding of parts that several messages share.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -15,7 +15,7 @@
 use crate::replica_capnp as wire;
 use crate::view::{ChainLink, Member, View};
 
-/// The length of a list as the wire has it.
+/// The length of a list in the schema's type.
 pub fn length<T>(items: &[T]) -> u32 {
     u32::try_from(items.len()).unwrap_or(u32::MAX)
 }
--- a/coordination/replica/src/codec/transfer.rs
+++ b/coordination/replica/src/codec/transfer.rs
@@ -1,4 +1,4 @@
-//! Synchronisation on the wire.
+//! The encoding of state transfers.
 
 use std::sync::Arc;
 
--- a/coordination/replica/src/disk.rs
+++ b/coordination/replica/src/disk.rs
@@ -1,4 +1,4 @@
-//! Groups durable records into few writes, and keeps what has to wait until they are durable.
+//! Group commit: queues durable records, writes them in groups, and releases what waits until they are durable.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -9,8 +9,11 @@
 /// What happens once the records before it are durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AfterDurable {
+    /// A message is sent.
     Send {
+        /// The endpoint of the receiver.
         to: SocketAddr,
+        /// What to send.
         message: Box<Message>,
     },
     /// The entry with this sequence is durable.
@@ -19,39 +22,51 @@
     Complete(u64),
 }
 
-/// A log longer than this is replaced by a checkpoint, if the checkpoint is not longer still.
+/// A longer log is replaced by a checkpoint, unless the checkpoint is longer still; in bytes.
 const CHECKPOINT_BYTES: usize = 64 * 1024;
-/// A write that failed is tried again after this, in milliseconds.
+/// A failed write is retried after this, in milliseconds.
 const RETRY: u64 = 250;
 
+/// The write under way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Writing {
+    /// None.
     Nothing,
+    /// A write was requested and is not confirmed yet.
     Since { token: u64, up_to: u64, at: u64 },
+    /// The last write failed.
     Failed { at: u64 },
 }
 
-/// The queue before the disk.
+/// The queue of records in front of the disk.
 #[derive(Clone, Debug)]
 pub struct Disk {
+    /// Encoded records that no write has taken yet.
     queue: Vec<Vec<u8>>,
+    /// Their size in bytes.
     queued_bytes: usize,
-    /// Records handed in, durable or not.
+    /// Number of records appended, durable or not.
     appended: u64,
-    /// Of these, the first so many are durable.
+    /// Of these, the number that are durable.
     durable: u64,
-    /// Whether one in the queue is waited for.
+    /// Whether something waits for a queued record.
     urgent: bool,
+    /// The write under way.
     writing: Writing,
+    /// What waits, with the number of records that must be durable before it.
     waiting: VecDeque<(u64, AfterDurable)>,
+    /// The token of the next write.
     next_token: u64,
+    /// The size of the log on the disk, in bytes.
     log_bytes: usize,
+    /// The size of the last checkpoint, in bytes.
     checkpoint_bytes: usize,
-    /// The disk holds nothing that the log could build on, or it is unknown what.
+    /// The next write must be a checkpoint: the disk holds nothing to append to, or it is unknown what.
     needs_checkpoint: bool,
 }
 
 impl Disk {
+    /// A queue in front of a disk with a log and a checkpoint of these sizes in bytes; 0 if there is no checkpoint.
     pub fn new(log_bytes: usize, checkpoint_bytes: usize) -> Disk {
         Disk {
             queue: Vec::new(),
@@ -70,8 +85,8 @@
 
     /// Adds a record; an urgent one is written as soon as the disk is free.
     ///
-    /// Where more has come together than a log may hold, as behind a disk that stands still, a checkpoint is due, and
-    /// stands for all of it: neither the memory nor the next write grows with the time that the disk takes.
+    /// If more records queue up than a log may hold, as in front of a stalled disk, a checkpoint takes the place of all of
+    /// them: neither memory nor the next write grows with the time that the disk takes.
     pub fn append(&mut self, record: Vec<u8>, urgent: bool) {
         self.appended += 1;
         self.urgent |= urgent;
@@ -86,29 +101,30 @@
         }
     }
 
-    /// Leaves the queue to the checkpoint that is due.
+    /// Drops the queue, which the next checkpoint covers.
     fn drop_queue(&mut self) {
         self.queue = Vec::new();
         self.queued_bytes = 0;
     }
 
+    /// The size above which a checkpoint replaces the log, in bytes.
     fn longest_log(&self) -> usize {
         CHECKPOINT_BYTES.max(2 * self.checkpoint_bytes)
     }
 
-    /// Something to do once all that was handed in is durable.
+    /// Has something wait until all records appended so far are durable.
     pub fn after_durable(&mut self, what: AfterDurable) {
         self.waiting.push_back((self.appended, what));
         self.urgent = true;
     }
 
-    /// Entries after this one were dropped: they are not waited for any more.
+    /// Entries after this one were dropped: nothing waits for them any more.
     pub fn forget_entries(&mut self, after: u64) {
         let is_dropped = |what: &AfterDurable| matches!(what, AfterDurable::Entry(entry) if *entry > after);
         self.waiting.retain(|(_, what)| !is_dropped(what));
     }
 
-    /// The next write, if one is due. `state` encodes the whole state with all records handed in.
+    /// The next write, if one is due, with its token. `state` encodes the state with all appended records.
     pub fn next_write(&mut self, now: u64, state: impl FnOnce() -> Vec<u8>) -> Option<(u64, DurableWrite)> {
         let is_free = match self.writing {
             Writing::Nothing => self.urgent || self.needs_checkpoint,
@@ -126,6 +142,7 @@
         Some((token, write))
     }
 
+    /// Takes the queue into an append, or a checkpoint in its place.
     fn compose(&mut self, state: impl FnOnce() -> Vec<u8>) -> DurableWrite {
         if self.needs_checkpoint || self.log_bytes > self.longest_log() {
             self.drop_queue();
@@ -140,7 +157,7 @@
         DurableWrite::Append(std::mem::take(&mut self.queue))
     }
 
-    /// Returns what has waited for this write, in order.
+    /// A write is durable: returns what has waited for it, in order.
     pub fn persisted(&mut self, token: u64) -> Vec<AfterDurable> {
         let Writing::Since { token: awaited, up_to, .. } = self.writing else { return Vec::new() };
         if token != awaited {
@@ -152,7 +169,7 @@
         self.waiting.drain(..ready).map(|(_, what)| what).collect()
     }
 
-    /// What the failed write left on the disk is unknown: the whole state is written instead.
+    /// A write failed. It is unknown what is on the disk, so a checkpoint follows.
     pub fn failed(&mut self, now: u64, token: u64) {
         if matches!(self.writing, Writing::Since { token: awaited, .. } if awaited == token) {
             self.writing = Writing::Failed { at: now };
@@ -161,7 +178,7 @@
         }
     }
 
-    /// Whether a write fails or has lasted this long.
+    /// Whether a write has failed or has taken `longest` milliseconds.
     pub fn is_stalled(&self, now: u64, longest: u64) -> bool {
         match self.writing {
             Writing::Nothing => false,
@@ -170,11 +187,12 @@
         }
     }
 
-    /// The length of the last checkpoint.
+    /// The size of the last checkpoint, in bytes.
     pub fn checkpoint_bytes(&self) -> usize {
         self.checkpoint_bytes
     }
 
+    /// Whether all records are durable.
     pub fn is_idle(&self) -> bool {
         self.writing == Writing::Nothing && self.durable == self.appended
     }
--- a/coordination/replica/src/durable.rs
+++ b/coordination/replica/src/durable.rs
@@ -1,4 +1,4 @@
-//! What a replica must not forget: a state, and the records that change it step by step.
+//! The durable state of a replica: a state, and the records that change it step by step.
 
 use std::collections::VecDeque;
 
@@ -12,87 +12,111 @@
 use crate::transfer::RangeContents;
 use crate::view::{BOOTSTRAP_VIEW, View};
 
-/// What the shell makes durable; once it is, the replica is told by [`crate::Input::Persisted`].
+/// A write that the embedding program makes durable, and then confirms with [`crate::Input::Persisted`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DurableWrite {
-    /// Records to append to the log.
+    /// Append these records to the log.
     Append(Vec<Vec<u8>>),
-    /// The whole state; the log starts anew after it.
+    /// Replace the checkpoint and the log by this state.
     Checkpoint(Vec<u8>),
 }
 
-/// The disk holds something that this program can't read.
+/// The durable state cannot be decoded.
 #[derive(Debug, Snafu)]
 pub enum RecoverError {
+    /// The checkpoint cannot be decoded.
     #[snafu(display("the checkpoint can't be read"))]
-    Checkpoint { source: postcard::Error },
+    Checkpoint {
+        /// The error of the decoder.
+        source: postcard::Error,
+    },
+    /// A record of the log cannot be decoded.
     #[snafu(display("record {index} of the log can't be read"))]
-    Log { index: usize, source: postcard::Error },
+    Log {
+        /// The position of the record in the log, from 0.
+        index: usize,
+        /// The error of the decoder.
+        source: postcard::Error,
+    },
 }
 
-/// Outcomes that are kept to recognise a command that is submitted again.
+/// The number of outcomes that are kept to recognise duplicate commands.
 const MAX_OUTCOMES: usize = 512;
 
-/// A view and the ballot that it was agreed on with.
+/// A decided view.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Decided {
+    /// The ballot that it was decided with.
     pub ballot: Ballot,
+    /// The view.
     pub view: View,
 }
 
-/// One step of the durable state.
+/// One change of the durable state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DurableRecord {
+    /// The acceptor state of this voter.
     AcceptorState(AcceptorState<View>),
+    /// A newer view was decided.
     Decided(Decided),
+    /// An entry is appended to the log.
     Entry(Entry),
     /// All entries up to this one are committed.
     Committed(u64),
     /// Entries after this one are dropped from the log; they were not committed.
     Truncate(u64),
-    /// Ranges of the committed records are replaced, which brings them to this position. Entries after it stay.
+    /// Ranges of the committed records are replaced by a state transfer. Entries after its position stay.
     Replace {
+        /// The committed position after it.
         position: u64,
+        /// The replaced ranges.
         ranges: Vec<RangeContents>,
+        /// The outcomes as of that position.
         outcomes: Vec<Outcome>,
     },
-    /// The log holds all that was committed before this view, and what will be in it is added.
+    /// The log holds all that was committed before this view, and from now on what is committed in it.
     Complete(u64),
 }
 
 impl DurableRecord {
+    /// The bytes of a log record.
     pub fn encode(&self) -> Vec<u8> {
         // Writing to a growing vector never fails.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 }
 
-/// The durable state as it will be once all records handed out are written.
+/// The durable state once all records handed out are written.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DurableState {
+    /// Identifies this state; another one is drawn with an empty disk.
     pub incarnation: u64,
+    /// The acceptor state of this voter.
     pub votes: AcceptorState<View>,
+    /// The newest decided view known here.
     pub decided: Decided,
-    /// The last view with a [`DurableRecord::Complete`].
+    /// The view of the last [`DurableRecord::Complete`].
     pub complete: u64,
-    /// The committed records and their position in the history.
+    /// The committed records.
     pub records: Records,
+    /// Their position in the history.
     pub committed: u64,
-    /// Entries after the committed ones, without gaps.
+    /// Consecutive entries after the committed ones.
     pub log: VecDeque<Entry>,
+    /// The outcomes of the last committed commands.
     pub outcomes: VecDeque<Outcome>,
 }
 
 impl DurableState {
     /// The state of a replica with an empty disk.
     pub fn fresh(settings: &ReplicaSettings, incarnation: u64) -> DurableState {
-        let founds = settings.bootstrap && settings.seeds.contains(&settings.endpoint);
+        let is_bootstrap_member = settings.bootstrap && settings.seeds.contains(&settings.endpoint);
         let view = if settings.bootstrap { View::bootstrap(&settings.seeds) } else { View::default() };
         DurableState {
             incarnation,
             votes: AcceptorState::default(),
             decided: Decided { ballot: Ballot::default(), view },
-            complete: if founds { BOOTSTRAP_VIEW } else { 0 },
+            complete: if is_bootstrap_member { BOOTSTRAP_VIEW } else { 0 },
             records: Records::default(),
             committed: 0,
             log: VecDeque::new(),
@@ -100,7 +124,7 @@
         }
     }
 
-    /// The state that a checkpoint and the log after it tell of.
+    /// Recovers the state from a checkpoint and the log after it.
     pub fn recover(
         settings: &ReplicaSettings,
         incarnation: u64,
@@ -118,6 +142,7 @@
         Ok(state)
     }
 
+    /// The bytes of a checkpoint.
     pub fn encode(&self) -> Vec<u8> {
         // Writing to a growing vector never fails.
         postcard::to_stdvec(self).unwrap_or_default()
@@ -128,6 +153,7 @@
         self.committed + self.log.len() as u64
     }
 
+    /// Applies one change.
     pub fn apply(&mut self, record: DurableRecord) {
         match record {
             DurableRecord::AcceptorState(votes) => self.votes = votes,
@@ -151,6 +177,7 @@
         }
     }
 
+    /// Commits the entries up to this sequence.
     fn commit(&mut self, sequence: u64) {
         while self.committed < sequence {
             let Some(entry) = self.log.pop_front() else { return };
@@ -164,10 +191,10 @@
         }
     }
 
-    /// Entries after this sequence up to another, as far as they are in the log.
+    /// The entries of the log after one sequence up to another.
     pub fn entries(&self, after: u64, up_to: u64) -> impl Iterator<Item = &Entry> {
-        let wanted = move |entry: &&Entry| entry.sequence > after && entry.sequence <= up_to;
-        self.log.iter().filter(wanted)
+        let is_between = move |entry: &&Entry| entry.sequence > after && entry.sequence <= up_to;
+        self.log.iter().filter(is_between)
     }
 
     /// The entry with this sequence, if it is in the log.
@@ -176,15 +203,18 @@
         self.log.get(usize::try_from(index).ok()?)
     }
 
+    /// Whether a command is in the log, not committed yet.
     pub fn is_pending(&self, origin: Origin) -> bool {
         self.log.iter().any(|entry| entry.origin == origin)
     }
 
+    /// The kept outcome of a command.
     pub fn outcome(&self, origin: Origin) -> Option<&Outcome> {
         self.outcomes.iter().rev().find(|outcome| outcome.origin == origin)
     }
 
-    /// Whether a vote binds this replica to a newer view than the one that it knows as agreed on.
+    /// Whether this voter has promised a higher ballot than that of the view it knows: it takes no part in the chain of that
+    /// view any more.
     pub fn is_fenced(&self) -> bool {
         self.votes.promised > self.decided.ballot
     }
--- a/coordination/replica/src/lib.rs
+++ b/coordination/replica/src/lib.rs
@@ -1,15 +1,57 @@
 //! Chain replication reconfigured by an agreed membership view, as a state machine.
 //!
-//! The members of the chain keep the same records. Writes enter at the head, pass every member and are
-//! committed and answered at the tail; reads pass the chain too, so that a member that was cut off never answers
-//! (R. van Renesse and F. Schneider, "Chain Replication for Supporting High Throughput and Availability", 2004).
-//! Who is in the chain is a [`View`], the value of a register that a majority of voters agrees on. A voter that
-//! has promised to vote for a newer view takes no part in the chain of the present one any more.
+//! The members of the chain keep the same records. Writes enter at the head, pass every member and are committed and
+//! answered at the tail; reads pass the chain too, so that a member behind a partition never answers one (R. van
+//! Renesse and F. Schneider, "Chain Replication for Supporting High Throughput and Availability", 2004, section 3).
+//! The voters and the chain are in a [`View`], the value of a register of `whinspindle-consensus`. A voter that has
+//! promised a newer view is *fenced*: it takes no part in the chain of the present one any more.
 //!
-//! The state machine has no clock, socket, disk or chance of its own: [`Replica::handle`] is given the time and
-//! what happened, and returns what to send, to make durable and to answer.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! Use it where commands must be linearizable and survive the loss of machines. The embedding program implements
+//! [`Application`], and runs a [`Replica`] through its [`Input`]s and [`Output`]s: the crate has no clock, socket, disk
+//! or random source of its own.
+//!
+//! ```
+//! use whinspindle_replica::{Answer, Application, Evaluation, Input, Output, RecordWrite, Records};
+//!
+//! /// Each command replaces the value of one record.
+//! struct Register;
+//!
+//! impl Application for Register {
+//!     fn evaluate(&self, _records: &Records, command: &[u8]) -> Evaluation {
+//!         let write = RecordWrite { key: "register".to_owned(), value: Some(command.to_vec()) };
+//!         Evaluation { writes: vec![write], answer: Answer::Value(b"done".to_vec()) }
+//!     }
+//! }
+//! # use whinspindle_replica::{Replica, ReplicaSettings, Timing, Tolerance};
+//! # let endpoint = "127.0.0.1:7000".parse().unwrap();
+//! # let settings = ReplicaSettings {
+//! #     endpoint,
+//! #     zone: "zone".to_owned(),
+//! #     region: "region".to_owned(),
+//! #     seeds: vec![endpoint],
+//! #     bootstrap: true,
+//! #     incarnation: 1,
+//! #     start: 1,
+//! #     tolerance: Tolerance::of_machines(0),
+//! #     timing: Timing::default(),
+//! # };
+//!
+//! // A system of one replica with an empty disk; its writes are confirmed at the next tick.
+//! let (mut replica, mut outputs) = Replica::new(settings, Register, (None, Vec::new()), 0)?;
+//! outputs.extend(replica.handle(10, Input::Submit { ticket: 1, command: b"value".to_vec() }));
+//! for now in (50..1_000).step_by(50) {
+//!     for output in std::mem::take(&mut outputs) {
+//!         match output {
+//!             Output::Persist { token, .. } => outputs.extend(replica.handle(now, Input::Persisted { token })),
+//!             Output::Reply { ticket, result } => assert_eq!((ticket, result.is_ok()), (1, true)),
+//!             _ => {}
+//!         }
+//!     }
+//!     outputs.extend(replica.handle(now, Input::Tick));
+//! }
+//! assert_eq!(replica.committed_sequence(), 1);
+//! # Ok::<(), whinspindle_replica::RecoverError>(())
+//! ```
 
 mod application;
 mod catch_up;
--- a/coordination/replica/src/peers.rs
+++ b/coordination/replica/src/peers.rs
@@ -1,4 +1,7 @@
-//! Failure detection: who was heard when, and what was said of others.
+//! Failure detection by heartbeats.
+//!
+//! A peer is *live* while its heartbeats arrive, and *connected* while it also reports that it receives those of this
+//! replica. Times are in milliseconds of the caller's clock.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,40 +12,49 @@
 use crate::settings::Timing;
 use crate::view::{Member, View};
 
-/// A peer that was silent this many times the suspicion is forgotten.
+/// A peer is removed once it was silent for this many suspicion time-outs.
 const REMOVAL_SUSPICIONS: u64 = 10;
 
-/// One peer as it is known here.
+/// What is known of one peer.
 #[derive(Clone, Debug)]
 pub struct Peer {
+    /// Its newest heartbeat.
     pub heartbeat: Heartbeat,
+    /// When that arrived.
     pub received_at: u64,
-    /// Since when it was heard without a pause.
+    /// Since when its heartbeats have arrived without a pause.
     pub steady_since: u64,
-    /// When it last said that it hears this replica.
+    /// When it last reported that it receives heartbeats of this replica.
     acknowledged_at: Option<u64>,
     /// When this replica sent the newest heartbeat that the peer has answered: all that the peer has said since is newer.
     confirmed_at: Option<u64>,
 }
 
-/// All that were heard.
+/// All peers that heartbeats have arrived from.
 #[derive(Clone, Debug)]
 pub struct Peers {
+    /// The endpoint of this replica.
     endpoint: SocketAddr,
+    /// The start of this process.
     start: u64,
+    /// The time-outs.
     timing: Timing,
-    /// Silence counts from here at the earliest.
+    /// The silence of a peer counts from here at the earliest.
     since: u64,
+    /// What is known of each peer.
     known: BTreeMap<SocketAddr, Peer>,
 }
 
 impl Peers {
+    /// No peer is known yet.
     pub fn new(endpoint: SocketAddr, start: u64, timing: Timing, now: u64) -> Peers {
         Peers { endpoint, start, timing, since: now, known: BTreeMap::new() }
     }
 
-    /// Returns whether the peer has started anew, or is heard for the first time. `contact` tells from when contact counts,
-    /// by the times at which this replica sent a heartbeat and the answer to it arrived.
+    /// Records a heartbeat. Returns whether the peer was restarted, or is new.
+    ///
+    /// `contact` returns from when contact counts, by the times at which this replica sent a heartbeat and the answer to it
+    /// arrived.
     pub fn record_heartbeat(
         &mut self,
         now: u64,
@@ -67,54 +79,59 @@
         is_new
     }
 
-    /// Whether the peer has said something newer already: the heartbeat was held up on its way.
+    /// Whether a newer heartbeat of the peer has arrived already: this one was delayed.
     pub fn is_overtaken(&self, from: SocketAddr, heartbeat: &Heartbeat) -> bool {
         let newest = self.get(from).map(|peer| &peer.heartbeat);
         newest.is_some_and(|newest| newest.start == heartbeat.start && newest.sent_at > heartbeat.sent_at)
     }
 
-    /// Whether a heartbeat that is told back was sent by this process.
+    /// Whether a heartbeat that a peer has received was sent by this process.
     fn is_own(&self, received: &ReceivedHeartbeat) -> bool {
         received.endpoint == self.endpoint && received.start == self.start
     }
 
+    /// Removes peers that have been silent for long.
     pub fn remove_silent(&mut self, now: u64) {
         let longest = REMOVAL_SUSPICIONS * self.timing.suspicion;
         self.known.retain(|_, peer| now <= peer.received_at + longest);
     }
 
+    /// What is known of the peer at an endpoint.
     pub fn get(&self, endpoint: SocketAddr) -> Option<&Peer> {
         self.known.get(&endpoint)
     }
 
+    /// All peers, in the order of their endpoints.
     pub fn iter(&self) -> impl Iterator<Item = (&SocketAddr, &Peer)> {
         self.known.iter()
     }
 
-    /// How long nothing was heard.
+    /// For how long no heartbeat has arrived.
     pub fn silent_for(&self, now: u64, endpoint: SocketAddr) -> u64 {
         let received_at = self.get(endpoint).map_or(self.since, |peer| peer.received_at.max(self.since));
         now.saturating_sub(received_at)
     }
 
+    /// Whether heartbeats arrive.
     pub fn is_live(&self, now: u64, endpoint: SocketAddr) -> bool {
         self.get(endpoint).is_some() && self.silent_for(now, endpoint) <= self.timing.suspicion
     }
 
-    /// ReceivedHeartbeat, and says that it hears this replica.
+    /// Whether heartbeats arrive in both directions.
     pub fn is_connected(&self, now: u64, endpoint: SocketAddr) -> bool {
         let acknowledged_at = self.get(endpoint).and_then(|peer| peer.acknowledged_at);
         self.is_live(now, endpoint) && acknowledged_at.is_some_and(|at| now <= at + self.timing.suspicion)
     }
 
-    /// Whether what the peer has said last was said a short time ago, by an answer to a heartbeat that was sent then. What
-    /// waited in a cut link, or while this process stood still, proves nothing.
+    /// Whether the newest heartbeat answers one that this replica sent a short time ago.
+    ///
+    /// What was delayed by a partition, or while this process did not run, proves nothing.
     pub fn is_confirmed(&self, now: u64, endpoint: SocketAddr) -> bool {
         let confirmed_at = self.get(endpoint).and_then(|peer| peer.confirmed_at);
         confirmed_at.is_some_and(|at| now <= at + self.timing.contact)
     }
 
-    /// Silent for too long, or does not hear this replica.
+    /// Whether the peer has failed, as far as can be told: it is silent, or does not receive heartbeats.
     pub fn is_suspected(&self, now: u64, endpoint: SocketAddr) -> bool {
         if self.silent_for(now, endpoint) > self.timing.suspicion {
             return true;
@@ -124,10 +141,10 @@
         now > waits_since + self.timing.suspicion
     }
 
-    /// The newest heartbeats of those that were heard lately.
+    /// The newest heartbeats of the live peers.
     pub fn received_recently(&self, now: u64) -> Vec<ReceivedHeartbeat> {
-        let heard = self.known.iter().filter(|(endpoint, _)| self.is_live(now, **endpoint));
-        let newest = heard.map(|(endpoint, peer)| ReceivedHeartbeat {
+        let live = self.known.iter().filter(|(endpoint, _)| self.is_live(now, **endpoint));
+        let newest = live.map(|(endpoint, peer)| ReceivedHeartbeat {
             endpoint: *endpoint,
             start: peer.heartbeat.start,
             sent_at: peer.heartbeat.sent_at,
@@ -135,7 +152,7 @@
         newest.collect()
     }
 
-    /// Whether another that is in touch says that it hears this endpoint.
+    /// Whether a connected peer receives heartbeats of this endpoint.
     pub fn is_live_at_another(&self, now: u64, endpoint: SocketAddr) -> bool {
         let receives_from = |(other, peer): (&SocketAddr, &Peer)| {
             *other != endpoint && self.is_connected(now, *other) && peer.heartbeat.receives_from(endpoint)
@@ -143,7 +160,7 @@
         self.known.iter().any(receives_from)
     }
 
-    /// Whether both say that they hear each other.
+    /// Whether two peers report that they receive heartbeats from each other.
     pub fn are_mutually_connected(&self, one: SocketAddr, other: SocketAddr) -> bool {
         let receives_from = |from: SocketAddr, to: SocketAddr| {
             self.get(from).is_some_and(|peer| peer.heartbeat.receives_from(to))
@@ -151,13 +168,13 @@
         receives_from(one, other) && receives_from(other, one)
     }
 
-    /// The member's memory is gone: its endpoint is in use by one of another incarnation.
+    /// Whether the durable state of a member is gone: another incarnation uses its endpoint.
     pub fn has_new_incarnation(&self, member: &Member) -> bool {
         let peer = self.get(member.endpoint);
         peer.is_some_and(|peer| peer.heartbeat.incarnation != member.voter.incarnation)
     }
 
-    /// The last heartbeat of a voter that is in touch and well.
+    /// The newest heartbeat of a voter that is connected and not stalled.
     pub fn healthy_heartbeat(&self, now: u64, view: &View, voter: Voter) -> Option<&Heartbeat> {
         let member = view.member(voter)?;
         let heartbeat = &self.get(member.endpoint)?.heartbeat;
--- a/coordination/replica/src/placement.rs
+++ b/coordination/replica/src/placement.rs
@@ -1,17 +1,20 @@
-//! Where voters stand, and which losses leave a majority of them.
+//! Placement of voters over failure domains, and the losses that leave a majority of them.
 
 use std::collections::BTreeMap;
 
-/// What may be lost at once: so many machines, or zones, or regions.
+/// The losses that should leave a majority, each kind by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tolerance {
+    /// Number of machines lost at once.
     pub machines: usize,
+    /// Number of zones lost at once.
     pub zones: usize,
+    /// Number of regions lost at once.
     pub regions: usize,
 }
 
 impl Tolerance {
-    /// So many machines; zones and regions are not looked at.
+    /// Tolerance of lost machines; zones and regions are not considered.
     pub fn of_machines(machines: usize) -> Tolerance {
         Tolerance { machines, zones: 0, regions: 0 }
     }
@@ -22,30 +25,33 @@
     }
 }
 
-/// The zone and the region of a replica.
+/// The zone and region of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FailureDomain {
+    /// Its zone; empty if it is not known.
     pub zone: String,
+    /// Its region; empty if it is not known.
     pub region: String,
 }
 
 impl FailureDomain {
-    /// The place of a bootstrap member is not known until it was heard.
+    /// Whether it is known: that of a bootstrap member is not until its first heartbeat.
     pub fn is_known(&self) -> bool {
         !self.zone.is_empty()
     }
 }
 
-/// How unevenly voters are spread. Less is better; regions come first, since each of them holds whole zones.
+/// How unevenly voters are spread; less is better. Regions are compared first, since a region contains whole zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Crowding {
-    /// The squares of the numbers of voters of all regions, added up.
+    /// The sum of the squares of the voters in each region.
     regions: usize,
-    /// The same of the zones.
+    /// The sum of the squares of the voters in each zone.
     zones: usize,
 }
 
 impl Crowding {
+    /// The crowding of voters in these failure domains.
     pub fn of(failure_domains: &[&FailureDomain]) -> Crowding {
         let squares = |counts: Vec<usize>| counts.iter().map(|count| count * count).sum();
         Crowding {
@@ -55,15 +61,19 @@
     }
 }
 
-/// A kind of loss that is to be tolerated.
+/// A kind of loss that should be tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossKind {
+    /// Lost machines.
     Machines,
+    /// Lost zones.
     Zones,
+    /// Lost regions.
     Regions,
 }
 
 impl LossKind {
+    /// The name in status reports and logs.
     pub fn name(self) -> &'static str {
         match self {
             LossKind::Machines => "machines",
@@ -86,7 +96,7 @@
     fatal.map(|(kind, _, _)| kind).collect()
 }
 
-/// The sum of the largest of these.
+/// The sum of the `number` largest counts.
 fn largest(mut counts: Vec<usize>, number: usize) -> usize {
     counts.sort_unstable_by_key(|count| std::cmp::Reverse(*count));
     counts.into_iter().take(number).sum()
--- a/coordination/replica/src/protocol_rules.rs
+++ b/coordination/replica/src/protocol_rules.rs
@@ -1,4 +1,4 @@
-//! The rules that keep what was acknowledged.
+//! The safety rules of the protocol as a type parameter, so that tests can replace one by a fault.
 
 use std::fmt::Debug;
 
@@ -6,47 +6,47 @@
 
 use crate::settings::ReplicaSettings;
 
-/// What must hold. The defaults are what the program runs; tests plant faults in their place.
+/// The safety rules. The defaults are the correct ones; tests override one at a time by a fault.
 pub trait ProtocolRules: Clone + Debug {
-    /// How the votes for a view are counted.
+    /// The rules by which views are decided.
     type Consensus: whinspindle_consensus::ConsensusRules;
 
-    /// Up to which entry a member may acknowledge, pass on and commit.
+    /// Up to which entry a member may acknowledge, forward and commit.
     fn durable_position(durable: u64, _last: u64) -> u64 {
         durable
     }
 
-    /// Whether the head answers reads itself, without asking the members after it.
+    /// Whether the head answers reads without the members after it.
     fn head_answers_reads() -> bool {
         false
     }
 
-    /// Whether the tail answers reads that are submitted to it by itself, without a pass of the chain.
+    /// Whether the tail answers reads that are submitted to it without a pass of the chain.
     fn tail_answers_reads() -> bool {
         false
     }
 
-    /// Whether a command is a repeat, which is not carried out again, if it is `known`: it waits in the log, or its
-    /// outcome is kept.
+    /// Whether a command is a duplicate, which is not executed again, if it is `known`: it is in the log, or its outcome is
+    /// kept.
     fn is_duplicate(known: bool) -> bool {
         known
     }
 
-    /// Whether the outcomes of the commands that made the records are sent with the records.
+    /// Whether a state transfer includes the outcomes of the commands that made the records.
     fn transfers_outcomes() -> bool {
         true
     }
 
-    /// The last view in which a member's log counts as complete, by the one that is `recorded` on its disk and the
-    /// view since which it is in the chain.
+    /// The last view in which the log of a member counts as complete, by the one `recorded` on its disk and the view since
+    /// which it is in the chain.
     fn complete(recorded: u64, _since: u64) -> u64 {
         recorded
     }
 
-    /// The identity taken with an empty disk: a bootstrap member's only where the whole system begins.
+    /// The identity taken with an empty disk: that of a bootstrap member only where the whole system is bootstrapped.
     fn incarnation(settings: &ReplicaSettings) -> u64 {
-        let founds = settings.bootstrap && settings.seeds.contains(&settings.endpoint);
-        if founds { 0 } else { settings.incarnation }
+        let is_bootstrap_member = settings.bootstrap && settings.seeds.contains(&settings.endpoint);
+        if is_bootstrap_member { 0 } else { settings.incarnation }
     }
 
     /// Whether a replica is the voter that is meant, by the incarnations of both.
@@ -54,12 +54,12 @@
         meant == own
     }
 
-    /// Whether a promise is written to the disk before it is given.
+    /// Whether a promise is durable before it is sent.
     fn records_promises() -> bool {
         true
     }
 
-    /// Whether the old and the new voters both have to agree while voters are replaced.
+    /// Whether old and new voters decide together while voters are replaced (joint consensus, Raft, section 6).
     fn replaces_voters_jointly() -> bool {
         true
     }
@@ -69,8 +69,8 @@
         true
     }
 
-    /// Whether entries that are not known to be committed stay in the log of a member that is left out of the chain,
-    /// until those that were committed are known to it.
+    /// Whether a member that is left out of the chain keeps entries of which it is unknown whether they are committed, until
+    /// it knows those that are.
     fn keeps_entries() -> bool {
         true
     }
@@ -80,13 +80,13 @@
         sent_at
     }
 
-    /// The start of the process, which tells its tickets from those of the process before it.
+    /// The start of the process, which separates its tickets from those of earlier starts.
     fn start(settings: &ReplicaSettings) -> u64 {
         settings.start
     }
 }
 
-/// The rules as the program keeps them.
+/// The correct rules, which the program runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandardRules;
 
--- a/coordination/replica/src/recent_entries.rs
+++ b/coordination/replica/src/recent_entries.rs
@@ -1,20 +1,25 @@
-//! Entries that were committed lately, for replicas that lag a little.
+//! A bounded cache of recently committed entries, for replicas that are slightly behind.
 
 use std::collections::VecDeque;
 
 use crate::entry::Entry;
 
+/// The number of entries that are kept at most.
 const MAX_ENTRIES: usize = 256;
+/// The size of the entries that are kept at most, in bytes.
 const MAX_BYTES: usize = 512 * 1024;
 
+/// Consecutive committed entries, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct RecentEntries {
+    /// The entries.
     entries: VecDeque<Entry>,
+    /// Their size in bytes.
     bytes: usize,
 }
 
 impl RecentEntries {
-    /// Adds the entry after the last; after a gap only this one is kept.
+    /// Adds the next entry, and evicts the oldest beyond the limits. After a gap only the new entry is kept.
     pub fn add(&mut self, entry: Entry) {
         let follows = self.entries.back().is_none_or(|last| last.sequence + 1 == entry.sequence);
         if !follows {
@@ -28,12 +33,13 @@
         }
     }
 
+    /// Removes all entries.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.bytes = 0;
     }
 
-    /// All entries after this sequence up to the committed one, if they are still here.
+    /// All entries after `sequence` up to `committed`, if they are still kept.
     pub fn after(&self, sequence: u64, committed: u64) -> Option<Vec<Entry>> {
         if sequence >= committed {
             return Some(Vec::new());
@@ -41,7 +47,7 @@
         let first = self.entries.front()?.sequence;
         let last = self.entries.back()?.sequence;
         let is_covered = first <= sequence + 1 && last == committed;
-        let wanted = self.entries.iter().filter(|entry| entry.sequence > sequence);
-        is_covered.then(|| wanted.cloned().collect())
+        let newer = self.entries.iter().filter(|entry| entry.sequence > sequence);
+        is_covered.then(|| newer.cloned().collect())
     }
 }
--- a/coordination/replica/src/records.rs
+++ b/coordination/replica/src/records.rs
@@ -8,17 +8,21 @@
 use serde::{Deserialize, Serialize};
 use whinspindle_digests::Content;
 
-/// A new value of one record; none removes it.
+/// A write of one record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecordWrite {
+    /// The key of the record.
     pub key: String,
+    /// Its new value; `None` removes the record.
     pub value: Option<Vec<u8>>,
 }
 
-/// A value and the position in the history of the write that made it.
+/// A value, and the position in the history of its write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
+    /// The position of the write.
     pub sequence: u64,
+    /// The value.
     pub value: Arc<Vec<u8>>,
 }
 
@@ -39,30 +43,34 @@
 }
 
 impl Records {
+    /// The record with this key.
     pub fn get(&self, key: &str) -> Option<&Record> {
         self.by_key.get(key)
     }
 
-    /// The records whose keys begin with the prefix, in the order of their keys.
+    /// The records whose keys start with the prefix, in the order of their keys.
     pub fn range<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Record)> {
         let from = (Bound::Included(prefix), Bound::Unbounded);
         let matching = self.by_key.range::<str, _>(from).take_while(move |(key, _)| key.starts_with(prefix));
         matching.map(|(key, record)| (key.as_str(), record))
     }
 
+    /// All records, in the order of their keys.
     pub fn iter(&self) -> btree_map::Iter<'_, String, Record> {
         self.by_key.iter()
     }
 
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Carries out one command's writes.
+    /// Applies the writes of one command.
     pub fn apply(&mut self, sequence: u64, writes: &[RecordWrite]) {
         for write in writes {
             match &write.value {
@@ -77,11 +85,12 @@
         }
     }
 
-    /// The sorted map itself, for range digests.
+    /// The sorted map, for range digests.
     pub(crate) fn by_key(&self) -> &BTreeMap<String, Record> {
         &self.by_key
     }
 
+    /// The sorted map, to replace ranges of it.
     pub(crate) fn by_key_mut(&mut self) -> &mut BTreeMap<String, Record> {
         &mut self.by_key
     }
--- a/coordination/replica/src/replica.rs
+++ b/coordination/replica/src/replica.rs
@@ -40,48 +40,73 @@
 use crate::view::View;
 use crate::view_change_state::ViewChange;
 
-/// A log longer than this is worth a checkpoint even if the replica has not ordered one.
+/// A longer log is worth a checkpoint even if the replica has not requested one; in bytes.
 const LONGEST_LOG: usize = 256 * 1024;
-/// A replica is out of the quorum once it was behind the others for this long, in milliseconds.
+/// A replica counts as out of the quorum after being behind others for this long, in milliseconds.
 const LAG_TOLERANCE: u64 = 500;
 
-/// One replica.
+/// One replica: the state machine.
+///
+/// Create it with [`Replica::new`] from what the disk holds, then pass every input to [`Replica::handle`] and carry out
+/// the outputs. Times are in milliseconds of one monotonic clock of the caller.
 #[derive(Clone, Debug)]
 pub struct Replica<A, L = StandardRules> {
+    /// Evaluates commands.
     application: A,
+    /// The protocol rules, which have no state.
     rules: PhantomData<L>,
+    /// The settings it was started with.
     settings: ReplicaSettings,
+    /// The durable state with all records handed out.
     state: DurableState,
+    /// The queue in front of the disk.
     disk: Disk,
-    /// The last entry that is durable.
+    /// The last durable entry.
     durable_last: u64,
     /// The last view in which the log is durably complete.
     durable_complete: u64,
+    /// Failure detection.
     peers: Peers,
+    /// The part in the chain; `None` outside of it.
     session: Option<Session>,
-    /// What is durable or committed here has changed, which the predecessor has to be told.
+    /// The durable or the committed position has changed, which the predecessor must learn.
     acknowledgement_due: bool,
+    /// Recently committed entries, for state transfers.
     recent_entries: RecentEntries,
+    /// Outside of the chain: the state of catching up.
     catch_up: CatchUpState,
+    /// The proposer's state.
     view_change: ViewChange,
+    /// The jitter of delays.
     jitter: Jitter,
+    /// The process is in graceful shutdown.
     is_shutting_down: bool,
+    /// When the next heartbeats are due.
     heartbeat_due: u64,
+    /// The outputs of the present input.
     outputs: Vec<Output>,
+    /// Commands submitted here without an answer.
     submissions: Submissions,
     /// Messages to this replica itself.
     inbox: VecDeque<Message>,
-    /// The identity is on the disk.
+    /// The identity is durable.
     is_started: bool,
+    /// Whether the disk was stalled at the last tick.
     was_stalled: bool,
-    /// A majority of the voters is heard: the seeds, some of which may be gone for good, are not needed.
+    /// A majority of the voters is healthy: the seeds, some of which may be gone for good, are not needed.
     has_majority_contact: bool,
+    /// Since when this replica has been behind another.
     behind_since: Option<u64>,
 }
 
 impl<A: Application> Replica<A> {
-    /// Starts with what was found on the disk: the checkpoint and the log after it. What is committed by then is in
-    /// [`Replica::committed`], and is not told by [`Output::Committed`].
+    /// Starts with what the disk holds: the checkpoint and the records of the log after it.
+    ///
+    /// What is committed by then is in [`Replica::committed`], and not reported by [`Output::Committed`].
+    ///
+    /// # Errors
+    ///
+    /// The checkpoint or a record of the log cannot be decoded.
     pub fn new(
         settings: ReplicaSettings,
         application: A,
@@ -191,17 +216,16 @@
 
     /// The endpoint, zone and region of each replica that heartbeats arrive from, member of the view or not.
     pub fn live_peers(&self, now: u64) -> impl Iterator<Item = (SocketAddr, &str, &str)> {
-        let heard = self.peers.iter().filter(move |(endpoint, _)| self.peers.is_live(now, **endpoint));
-        heard
-            .map(|(endpoint, peer)| (*endpoint, peer.heartbeat.zone.as_str(), peer.heartbeat.region.as_str()))
+        let live = self.peers.iter().filter(move |(endpoint, _)| self.peers.is_live(now, **endpoint));
+        live.map(|(endpoint, peer)| (*endpoint, peer.heartbeat.zone.as_str(), peer.heartbeat.region.as_str()))
     }
 
     /// The endpoints that messages may be sent to.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let members = self.view().members.iter().map(|member| member.endpoint);
-        let heard = self.peers.iter().map(|(endpoint, _)| *endpoint);
+        let peer_endpoints = self.peers.iter().map(|(endpoint, _)| *endpoint);
         let seeds = self.settings.seeds.iter().copied().filter(|_| !self.has_majority_contact);
-        let known = members.chain(heard).chain(seeds);
+        let known = members.chain(peer_endpoints).chain(seeds);
         let endpoints: BTreeSet<SocketAddr> =
             known.filter(|known| *known != self.settings.endpoint).collect();
         endpoints.into_iter().collect()
@@ -209,7 +233,7 @@
 
     /// The encoded state, if a log of `log_bytes` should be replaced by a checkpoint.
     ///
-    /// The replica requests checkpoints itself ([`DurableWrite::Checkpoint`]); this is for callers that append to the
+    /// The replica requests checkpoints itself ([`crate::DurableWrite::Checkpoint`]); this is for callers that append to the
     /// same log more than the replica's records.
     pub fn checkpoint_due(&self, log_bytes: usize) -> Option<Vec<u8>> {
         let longest = LONGEST_LOG.max(4 * self.disk.checkpoint_bytes());
--- a/coordination/replica/src/session.rs
+++ b/coordination/replica/src/session.rs
@@ -1,4 +1,4 @@
-//! What a member of the chain remembers for the time of one view, and only in memory.
+//! The volatile state of a chain member in one view. Times are in milliseconds of the caller's clock.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -6,23 +6,25 @@
 use crate::entry::Read;
 use crate::records::Records;
 
-/// What is known of the next member of the chain.
+/// What is known of the successor in the chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Successor {
+    /// Where it is reached.
     pub endpoint: SocketAddr,
-    /// It has said where it stands: entries may be sent.
+    /// It has reported its state: entries may be sent.
     pub is_ready: bool,
     /// Entries up to here were sent.
     pub sent: u64,
     /// Entries up to here are durable there.
     pub acknowledged: u64,
-    /// Since when it owes a sign of progress.
+    /// Since when an acknowledgement has been awaited.
     pub awaiting_since: Option<u64>,
-    /// When entries were sent last.
+    /// When entries were last sent.
     sent_at: u64,
 }
 
 impl Successor {
+    /// A successor that has reported nothing yet.
     pub fn new(endpoint: SocketAddr, now: u64) -> Successor {
         Successor {
             endpoint,
@@ -34,7 +36,7 @@
         }
     }
 
-    /// It has said that entries up to here are durable there.
+    /// The successor has reported its last durable entry: sending continues after it.
     pub fn resume_at(&mut self, last: u64) {
         self.is_ready = true;
         self.sent = last;
@@ -42,6 +44,7 @@
         self.awaiting_since = None;
     }
 
+    /// Entries up to `last` are durable at the successor.
     pub fn acknowledge(&mut self, now: u64, last: u64) {
         if !self.is_ready {
             self.resume_at(last);
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Entries up to here are sent now.
+    /// Entries up to `last` are sent now.
     pub fn send(&mut self, now: u64, last: u64) {
         if last > self.sent {
             self.sent = last;
@@ -66,7 +69,7 @@
         }
     }
 
-    /// What was not acknowledged for long is sent again.
+    /// Has entries sent again that were not acknowledged for `resend` milliseconds.
     pub fn rewind_unacknowledged(&mut self, now: u64, resend: u64) {
         if self.sent > self.acknowledged && now >= self.sent_at + resend {
             self.sent = self.acknowledged;
@@ -74,34 +77,40 @@
     }
 }
 
-/// What is known of the member before in the chain.
+/// What is known of the predecessor in the chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Predecessor {
+    /// Where it is reached.
     pub endpoint: SocketAddr,
-    /// It knows where this member stands.
+    /// It knows the state of this member.
     pub has_answered: bool,
+    /// When the state was last reported to it.
     pub requested_at: u64,
 }
 
 impl Predecessor {
+    /// A predecessor that nothing was reported to yet.
     pub fn new(endpoint: SocketAddr) -> Predecessor {
         Predecessor { endpoint, has_answered: false, requested_at: 0 }
     }
 }
 
-/// The part in the chain of one view.
+/// The part of this replica in the chain of one view.
 #[derive(Clone, Debug)]
 pub struct Session {
+    /// The number of the view.
     pub view: u64,
     /// The view since which this replica is in the chain.
     pub since: u64,
+    /// The member before this one; `None` at the head.
     pub predecessor: Option<Predecessor>,
+    /// The member after this one; `None` at the tail.
     pub successor: Option<Successor>,
-    /// The own log is durably complete: what is in it may be passed on.
+    /// The log is durably complete: what is in it may be forwarded.
     pub is_complete: bool,
-    /// At the head: the records with all entries, committed or not.
+    /// At the head: the records with all entries of the log applied.
     pub newest: Option<Records>,
-    /// At the head: reads that wait until the entries that they saw are durable. At the tail: until they are
+    /// At the head: reads that wait until the entries they were evaluated on are durable. At the tail: until these are
     /// committed.
     pub reads: VecDeque<Read>,
 }
--- a/coordination/replica/src/settings.rs
+++ b/coordination/replica/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a replica is told when it starts.
+//! Settings of a replica.
 
 use std::net::SocketAddr;
 
@@ -9,41 +9,44 @@
 pub struct ReplicaSettings {
     /// Where the other replicas reach this one.
     pub endpoint: SocketAddr,
+    /// The zone of this replica.
     pub zone: String,
+    /// The region of this replica.
     pub region: String,
-    /// Endpoints of the bootstrap members, or, later, of some replicas to ask.
+    /// The endpoints of the bootstrap members, or, later, of some replicas to contact.
     pub seeds: Vec<SocketAddr>,
-    /// The whole system starts for the first time.
+    /// Whether the whole system starts for the first time.
     pub bootstrap: bool,
     /// Drawn at random: the identity taken with an empty disk, unless this is a bootstrap member.
     pub incarnation: u64,
     /// Drawn at random at each start of the process; also the seed of the jitter.
     pub start: u64,
-    /// What may be lost at once while commands are still taken.
+    /// The losses at once that should not stop writes.
     pub tolerance: Tolerance,
+    /// Intervals and time-outs.
     pub timing: Timing,
 }
 
-/// Spans of time, in milliseconds.
+/// Intervals and time-outs, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats to the same peer.
+    /// Interval between two heartbeats to the same peer.
     pub heartbeat: u64,
-    /// Silence after which a peer is suspected.
+    /// A peer is suspected after this long without a heartbeat.
     pub suspicion: u64,
     /// How long contact with a peer counts, from the sending of the heartbeat that it has answered.
     pub contact: u64,
-    /// How long a write to the disk may last before the disk counts as stalled.
+    /// A write to the disk that takes longer counts as stalled.
     pub disk_stall: u64,
-    /// How long entries may wait for a neighbour in the chain before it is suspected.
+    /// A neighbour in the chain is suspected after this long without a due acknowledgement.
     pub chain_stall: u64,
-    /// Silence after which a voter may be replaced by a candidate.
+    /// A voter may be replaced after this long without a heartbeat.
     pub replacement: u64,
-    /// How long a promise or a vote is waited for before a round is given up.
+    /// A proposal is abandoned after this long without enough promises and votes.
     pub round: u64,
     /// How long a submitted command may stay without an answer.
     pub submit: u64,
-    /// After this an unanswered message of the chain, of a submission or of a synchronisation is sent again.
+    /// An unanswered message of the chain, of a submission or of a state transfer is sent again after this long.
     pub resend: u64,
 }
 
--- a/coordination/replica/src/transfer.rs
+++ b/coordination/replica/src/transfer.rs
@@ -1,4 +1,4 @@
-//! What brings a replica that lags up to date.
+//! State transfer: what brings a replica from one position in the history to a later one.
 
 use serde::{Deserialize, Serialize};
 use whinspindle_digests::KeyRange;
@@ -9,18 +9,21 @@
 /// All records of a range of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RangeContents {
+    /// The range.
     pub range: KeyRange,
+    /// Its records, in the order of their keys.
     pub records: Vec<(String, Record)>,
 }
 
 impl RangeContents {
+    /// The records of this range.
     pub fn copy(records: &Records, range: KeyRange) -> RangeContents {
         let inside = range.entries(records.by_key());
         let records = inside.map(|(key, record)| (key.clone(), record.clone())).collect();
         RangeContents { range, records }
     }
 
-    /// Puts these records in the place of all that are in the range.
+    /// Replaces all records in the range by these.
     pub fn replace_in(self, records: &mut Records) {
         let map = records.by_key_mut();
         let mut above = map.split_off(&self.range.from);
@@ -31,25 +34,25 @@
     }
 }
 
-/// Leads from one position in the history to a later one.
+/// Entries, and ranges of records where entries are not enough.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transfer {
-    /// The receiver's committed position that this builds on.
+    /// The committed position of the receiver that this builds on.
     pub base: u64,
-    /// Ranges of records that differ; empty where entries alone are enough.
+    /// Ranges of records that differ; empty where entries suffice.
     pub ranges: Vec<RangeContents>,
-    /// The position that the ranges lead to; `base` without ranges.
+    /// The position after the ranges are applied; `base` without ranges.
     pub position: u64,
-    /// With ranges: the sender's kept outcomes as of `position`.
+    /// With ranges: the kept outcomes of the sender as of `position`.
     pub outcomes: Vec<Outcome>,
-    /// Entries after `position`.
+    /// The entries after `position`.
     pub entries: Vec<Entry>,
-    /// Of these, entries up to here are committed.
+    /// Entries up to here are committed.
     pub committed: u64,
 }
 
 impl Transfer {
-    /// The last entry that it leads to.
+    /// The position after the transfer.
     pub fn last(&self) -> u64 {
         self.entries.last().map_or(self.position, |entry| entry.sequence)
     }
--- a/coordination/replica/src/view.rs
+++ b/coordination/replica/src/view.rs
@@ -7,48 +7,54 @@
 
 use crate::placement::FailureDomain;
 
-/// A replica as the view knows it.
+/// A replica that votes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
+    /// Its identity as a voter.
     pub voter: Voter,
+    /// Where it is reached.
     pub endpoint: SocketAddr,
-    /// Empty as long as it is not known.
+    /// Its zone; empty until a heartbeat has reported it.
     pub zone: String,
+    /// Its region; empty until a heartbeat has reported it.
     pub region: String,
 }
 
 impl Member {
+    /// Its zone and region.
     pub fn failure_domain(&self) -> FailureDomain {
         FailureDomain { zone: self.zone.clone(), region: self.region.clone() }
     }
 }
 
-/// A place in the chain.
+/// A member of the chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChainLink {
+    /// Its identity as a voter.
     pub voter: Voter,
     /// The view since which it has been in the chain without a break.
     pub since: u64,
 }
 
-/// The value of the agreed register.
+/// A membership view: the value of the register that the voters agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// Grows by one with each change; 0 where no view is known yet.
+    /// Grows by one with each change; 0 if no view is known yet.
     pub number: u64,
+    /// All voters, with their endpoints.
     pub members: Vec<Member>,
-    /// Who votes: a majority of each. Two stand while voters are replaced.
+    /// The voter sets, a majority of each of which decides. There are two while voters are replaced (joint consensus).
     pub voter_sets: Vec<Vec<Voter>>,
-    /// Head first, tail last.
+    /// The chain, from head to tail.
     pub chain: Vec<ChainLink>,
-    /// Chains of views before, oldest first, of which a member may be needed where no member of the present chain has
-    /// all that was committed.
+    /// Chains of earlier views, oldest first. One of their members leads if no member of the present chain holds all that was
+    /// committed.
     pub former: Vec<Vec<ChainLink>>,
-    /// The number that the next new member gets.
+    /// The number of the next new member.
     pub next_member: u16,
 }
 
-/// The number of the view with which a system begins.
+/// The number of the first view of a system.
 pub const BOOTSTRAP_VIEW: u64 = 1;
 
 impl RegisterValue for View {
@@ -87,50 +93,59 @@
         }
     }
 
+    /// Whether this is a view of a system, rather than the placeholder for none.
     pub fn is_known(&self) -> bool {
         self.number > 0
     }
 
+    /// The member that is this voter.
     pub fn member(&self, voter: Voter) -> Option<&Member> {
         self.members.iter().find(|member| member.voter == voter)
     }
 
+    /// The endpoint of a voter.
     pub fn endpoint(&self, voter: Voter) -> Option<SocketAddr> {
         self.member(voter).map(|member| member.endpoint)
     }
 
+    /// The member at this endpoint.
     pub fn member_at(&self, endpoint: SocketAddr) -> Option<&Member> {
         self.members.iter().find(|member| member.endpoint == endpoint)
     }
 
-    /// The place in the chain, from 0 at the head.
+    /// The position in the chain, 0 at the head.
     pub fn position(&self, voter: Voter) -> Option<usize> {
         self.chain.iter().position(|link| link.voter == voter)
     }
 
+    /// The chain link of a voter.
     pub fn link(&self, voter: Voter) -> Option<&ChainLink> {
         self.chain.iter().find(|link| link.voter == voter)
     }
 
+    /// The first member of the chain, which takes writes.
     pub fn head(&self) -> Option<Voter> {
         self.chain.first().map(|link| link.voter)
     }
 
+    /// The last member of the chain, which commits and answers.
     pub fn tail(&self) -> Option<Voter> {
         self.chain.last().map(|link| link.voter)
     }
 
+    /// The member before this one in the chain.
     pub fn predecessor(&self, voter: Voter) -> Option<Voter> {
         let position = self.position(voter)?.checked_sub(1)?;
         Some(self.chain[position].voter)
     }
 
+    /// The member after this one in the chain.
     pub fn successor(&self, voter: Voter) -> Option<Voter> {
         let position = self.position(voter)?;
         self.chain.get(position + 1).map(|link| link.voter)
     }
 
-    /// All voters of all voter_sets, each once.
+    /// The voters of all voter sets, each once.
     pub fn voters(&self) -> Vec<Voter> {
         let mut voters: Vec<Voter> = self.voter_sets.iter().flatten().copied().collect();
         voters.sort_unstable();
@@ -138,7 +153,7 @@
         voters
     }
 
-    /// Whether the voters fulfil a condition in a majority of each voter_set.
+    /// Whether a condition holds for a majority of each voter set.
     pub fn has_majority(&self, holds: impl Fn(Voter) -> bool) -> bool {
         let counts = |voter_set: &Vec<Voter>| {
             2 * voter_set.iter().filter(|voter| holds(**voter)).count() > voter_set.len()
@@ -146,15 +161,17 @@
         !self.voter_sets.is_empty() && self.voter_sets.iter().all(counts)
     }
 
-    /// The length of a chain that outlives the tolerated losses and has a member in every majority. Where there are too
-    /// few voters for the tolerated losses, a majority of them is enough: those that are missing are lost already.
+    /// The least length of a chain that survives the tolerated losses and has a member in every majority.
+    ///
+    /// Where there are too few voters for the tolerated losses, a majority of them suffices: the missing ones are lost
+    /// already.
     pub fn required_chain(&self, tolerated_losses: usize) -> usize {
         let voters = self.voter_sets.iter().map(Vec::len).max().unwrap_or(0);
         (tolerated_losses + 1).min(voters / 2 + 1).max(voters.div_ceil(2))
     }
 
-    /// Whether the chain may take writes: it outlives the tolerated losses, and no majority that might agree on
-    /// another view can do so without a member of the chain.
+    /// Whether the chain may take writes: it survives the tolerated losses, and no majority can decide on another view
+    /// without a member of the chain.
     pub fn takes_writes(&self, tolerated_losses: usize) -> bool {
         let meets_all_majorities = |voter_set: &Vec<Voter>| {
             let inside = voter_set.iter().filter(|voter| self.position(**voter).is_some()).count();
@@ -165,7 +182,7 @@
         is_long_enough && self.voter_sets.iter().any(meets_all_majorities)
     }
 
-    /// Whether voters and chain are the same.
+    /// Whether voters and chain are the same as in another view.
     pub fn is_alike(&self, other: &View) -> bool {
         let chain = |view: &View| view.chain.iter().map(|link| link.voter).collect::<Vec<Voter>>();
         self.voter_sets == other.voter_sets && chain(self) == chain(other)
--- a/coordination/storage/src/checkpoint.rs
+++ b/coordination/storage/src/checkpoint.rs
@@ -1,25 +1,29 @@
-//! The form of a checkpoint in its slot.
+//! The encoding of a checkpoint in its slot.
 //!
-//! | bytes | content                                                   |
-//! |-------|-----------------------------------------------------------|
-//! | 32    | hash of everything behind it                              |
-//! | 8     | generation                                                |
-//! | 8     | number of records of the preceding log that it covers     |
-//! | 8     | length of the state                                       |
-//! | ...   | the state; older bytes may follow                         |
+//! | bytes | content                                               |
+//! |-------|-------------------------------------------------------|
+//! | 32    | hash of everything after it                           |
+//! | 8     | generation                                            |
+//! | 8     | number of records of the preceding log that it covers |
+//! | 8     | length of the state                                   |
+//! | ...   | the state; older bytes may follow                     |
 
+/// Length of the hash.
 const HASH_BYTES: usize = blake3::OUT_LEN;
+/// Length of each number in the header.
 const FIELD_BYTES: usize = 8;
+/// Length of everything before the state.
 const HEADER_BYTES: usize = HASH_BYTES + 3 * FIELD_BYTES;
 
-/// A checkpoint that was read back whole.
+/// A checkpoint that was read back complete.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// Rises by one with each checkpoint, from 1 on.
+    /// Grows by one with each checkpoint, from 1 on.
     pub generation: u64,
-    /// The records of the log before this checkpoint that its state covers. Further records of that log came after a
-    /// checkpoint that seemed to have failed.
+    /// The number of records of the preceding log that the state covers. Further records of that log were appended after
+    /// this checkpoint had seemed to fail.
     pub covered_records: u64,
+    /// The state of the state machine.
     pub state: Vec<u8>,
 }
 
@@ -36,7 +40,7 @@
     bytes
 }
 
-/// The checkpoint in a slot, if it is whole.
+/// The checkpoint in a slot, if it is complete.
 pub fn decode(slot: &[u8]) -> Option<Checkpoint> {
     let generation = field(slot, 0).filter(|&generation| generation > 0)?;
     let covered_records = field(slot, 1)?;
@@ -49,6 +53,7 @@
     Some(Checkpoint { generation, covered_records, state: slot[HEADER_BYTES..end].to_vec() })
 }
 
+/// A number of the header.
 fn field(slot: &[u8], index: usize) -> Option<u64> {
     let start = HASH_BYTES + index * FIELD_BYTES;
     let bytes = slot.get(start..start + FIELD_BYTES)?;
--- a/coordination/storage/src/directory.rs
+++ b/coordination/storage/src/directory.rs
@@ -1,4 +1,4 @@
-//! The operations of a folder on which a journal builds.
+//! The file operations that a journal needs, as a trait, so that tests can simulate a loss of power.
 
 use std::io;
 
@@ -6,19 +6,19 @@
 
 /// A folder of files.
 ///
-/// What was written lasts through a loss of power once the file was synced; before that, each write may be there,
-/// missing or torn. A new file lasts once it or the folder was synced.
+/// What was written survives a loss of power once the file was synced; before that, each write may be present, missing
+/// or torn. A new file survives once it or the folder was synced.
 pub trait Directory {
     /// The content of a file, or `None` if there is no such file.
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DirectoryError>;
 
-    /// Writes at a position. The file is created where it is missing, and grows as needed.
+    /// Writes at an offset in bytes. The file is created if it is missing, and grows as needed.
     fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), DirectoryError>;
 
-    /// Cuts a file short or extends it by zeros. The file is created where it is missing.
+    /// Truncates a file or extends it by zeros. The file is created if it is missing.
     fn set_length(&mut self, name: &str, length: u64) -> Result<(), DirectoryError>;
 
-    /// Waits until all that was written to a file is durable.
+    /// Waits until everything written to a file is durable.
     fn sync(&mut self, name: &str) -> Result<(), DirectoryError>;
 
     /// Waits until the names of all files are durable.
@@ -29,12 +29,26 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DirectoryError {
+    /// The disk or a quota is full.
     #[snafu(display("no space left to write `{name}`"))]
-    Full { name: String },
+    Full {
+        /// The file that was written.
+        name: String,
+    },
 
+    /// Another process holds the lock of the folder.
     #[snafu(display("another process uses `{name}`"))]
-    Taken { name: String },
+    Taken {
+        /// The folder.
+        name: String,
+    },
 
+    /// Any other error of the file system.
     #[snafu(display("`{name}`: {source}"))]
-    Io { name: String, source: io::Error },
+    Io {
+        /// The file or folder.
+        name: String,
+        /// The error of the operating system.
+        source: io::Error,
+    },
 }
--- a/coordination/storage/src/error.rs
+++ b/coordination/storage/src/error.rs
@@ -8,22 +8,40 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// Nothing was lost; the same may succeed when there is space again.
+    /// The disk is full. Nothing was lost; the operation may succeed once there is space again.
     #[snafu(display("the disk is full: {source}"))]
-    Full { source: DirectoryError },
+    Full {
+        /// The operation that failed.
+        source: DirectoryError,
+    },
 
+    /// Another process uses the folder.
     #[snafu(display("the folder is in use: {source}"))]
-    Taken { source: DirectoryError },
+    Taken {
+        /// The operation that failed.
+        source: DirectoryError,
+    },
 
+    /// An operation of the file system failed.
     #[snafu(display("{source}"))]
-    Disk { source: DirectoryError },
+    Disk {
+        /// The operation that failed.
+        source: DirectoryError,
+    },
 
-    /// The files don't have the form that losses of power leave.
+    /// The files are not in a state that a loss of power can leave.
     #[snafu(display("`{name}` is damaged"))]
-    Damaged { name: String },
+    Damaged {
+        /// The file in which it shows.
+        name: String,
+    },
 
+    /// A record does not fit the log's format.
     #[snafu(display("a record of {length} bytes is too long"))]
-    RecordTooLong { length: usize },
+    RecordTooLong {
+        /// Its length in bytes.
+        length: usize,
+    },
 }
 
 impl From<DirectoryError> for StorageError {
--- a/coordination/storage/src/folder.rs
+++ b/coordination/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! A folder of the file system.
+//! A [`Directory`] in the file system.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -10,31 +10,39 @@
 
 use crate::directory::{Directory, DirectoryError, FullSnafu, IoSnafu, TakenSnafu};
 
+/// The file whose lock keeps other processes out.
 const LOCK_FILE: &str = "lock";
 
 /// A folder that one process uses. Files are opened once and kept open.
 #[derive(Debug)]
 pub struct FolderDirectory {
+    /// Where the folder is.
     path: PathBuf,
+    /// The open files by their names.
     files: HashMap<String, File>,
-    /// Holds the lock of the folder as long as it is open.
+    /// Keeps the lock of the folder until it is closed.
     _lock: File,
 }
 
 impl FolderDirectory {
-    /// Takes a folder, which is created where it is missing.
+    /// Opens and locks a folder, which is created if it is missing.
+    ///
+    /// # Errors
+    ///
+    /// Another process has locked the folder, or the file system reports an error.
     pub fn open(path: &Path) -> Result<Self, DirectoryError> {
         let name = path.display().to_string();
         fs::create_dir_all(path).context(IoSnafu { name: &name })?;
         let lock = open_file(&path.join(LOCK_FILE), true).context(IoSnafu { name: LOCK_FILE })?;
         match lock.try_lock() {
             Err(TryLockError::WouldBlock) => return TakenSnafu { name }.fail(),
-            // File systems without locks are used without.
+            // On a file system without locks, the operator has to keep other processes out.
             Ok(()) | Err(TryLockError::Error(_)) => {}
         }
         Ok(FolderDirectory { path: path.to_owned(), files: HashMap::new(), _lock: lock })
     }
 
+    /// An open file, which is created if it is missing.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.files.contains_key(name) {
             let file = open_file(&self.path.join(name), true)?;
@@ -43,6 +51,7 @@
         self.files.get_mut(name).ok_or_else(|| ErrorKind::NotFound.into())
     }
 
+    /// An open file, or `None` if it is missing.
     fn existing_file(&mut self, name: &str) -> io::Result<Option<&mut File>> {
         if !self.files.contains_key(name) {
             let file = match open_file(&self.path.join(name), false) {
@@ -55,6 +64,7 @@
         Ok(self.files.get_mut(name))
     }
 
+    /// The content of a file, or `None` if it is missing.
     fn read_existing(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
         let Some(file) = self.existing_file(name)? else { return Ok(None) };
         let mut content = Vec::new();
@@ -94,6 +104,7 @@
     OpenOptions::new().read(true).write(true).create(create).truncate(false).open(path)
 }
 
+/// The error of an operation on a file.
 fn classify(name: &str, error: io::Error) -> DirectoryError {
     match error.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
--- a/coordination/storage/tests/journal.rs
+++ b/coordination/storage/tests/journal.rs
@@ -282,7 +282,7 @@
 /// Power is lost in the middle of a checkpoint, again and again: each is written where the torn one lies, never over
 /// the whole one, so that there is always one to go back to, with the log behind it.
 #[test]
-fn checkpoints_torn_one_after_the_other_leave_the_last_whole_one() {
+fn checkpoints_torn_in_succession_leave_the_last_complete_one() {
     for torn_in_a_row in 1..=4 {
         for cut_short in 1..8 {
             let directory = SimulatedDirectory::default();
--- a/coordination/storage/tests/simulation/mod.rs
+++ b/coordination/storage/tests/simulation/mod.rs
@@ -16,16 +16,22 @@
 
 /// What a loss of power makes of one change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteOutcome {
     Kept,
     Missing,
     /// Of a write, only the bytes of this range (in eighths) are there.
     Torn(usize, usize),
 }
 
-const FATES_OF_A_WRITE: [Fate; 6] =
-    [Fate::Kept, Fate::Missing, Fate::Torn(0, 4), Fate::Torn(4, 8), Fate::Torn(1, 7), Fate::Torn(0, 1)];
-const FATES_OF_A_LENGTH: [Fate; 2] = [Fate::Kept, Fate::Missing];
+const OUTCOMES_OF_A_WRITE: [WriteOutcome; 6] = [
+    WriteOutcome::Kept,
+    WriteOutcome::Missing,
+    WriteOutcome::Torn(0, 4),
+    WriteOutcome::Torn(4, 8),
+    WriteOutcome::Torn(1, 7),
+    WriteOutcome::Torn(0, 1),
+];
+const OUTCOMES_OF_A_LENGTH: [WriteOutcome; 2] = [WriteOutcome::Kept, WriteOutcome::Missing];
 
 /// Outcomes beyond this number are left out, as evenly as possible.
 const MAX_OUTCOMES: usize = 432;
@@ -43,22 +49,22 @@
 pub struct Files(BTreeMap<String, File>);
 
 impl Change {
-    fn apply(&self, content: &mut Vec<u8>, fate: Fate) {
-        match (self, fate) {
-            (_, Fate::Missing) => {}
+    fn apply(&self, content: &mut Vec<u8>, outcome: WriteOutcome) {
+        match (self, outcome) {
+            (_, WriteOutcome::Missing) => {}
             (Change::SetLength(length), _) => content.resize(*length, 0),
-            (Change::Write { offset, bytes }, Fate::Kept) => write(content, *offset, bytes),
-            (Change::Write { offset, bytes }, Fate::Torn(from, to)) => {
+            (Change::Write { offset, bytes }, WriteOutcome::Kept) => write(content, *offset, bytes),
+            (Change::Write { offset, bytes }, WriteOutcome::Torn(from, to)) => {
                 let (start, end) = (bytes.len() * from / 8, bytes.len() * to / 8);
                 write(content, offset + start, &bytes[start..end]);
             }
         }
     }
 
-    fn fates(&self) -> &'static [Fate] {
+    fn possible_outcomes(&self) -> &'static [WriteOutcome] {
         match self {
-            Change::Write { .. } => &FATES_OF_A_WRITE,
-            Change::SetLength(_) => &FATES_OF_A_LENGTH,
+            Change::Write { .. } => &OUTCOMES_OF_A_WRITE,
+            Change::SetLength(_) => &OUTCOMES_OF_A_LENGTH,
         }
     }
 }
@@ -75,7 +81,7 @@
     fn content(&self) -> Vec<u8> {
         let mut content = self.durable.clone();
         for change in &self.pending {
-            change.apply(&mut content, Fate::Kept);
+            change.apply(&mut content, WriteOutcome::Kept);
         }
         content
     }
@@ -91,7 +97,7 @@
     fn choices(&self) -> impl Iterator<Item = usize> {
         self.0.values().flat_map(|file| {
             let name = if file.is_durable { 1 } else { 2 };
-            std::iter::once(name).chain(file.pending.iter().map(|change| change.fates().len()))
+            std::iter::once(name).chain(file.pending.iter().map(|change| change.possible_outcomes().len()))
         })
     }
 
@@ -108,8 +114,8 @@
             let name_is_lost = !file.is_durable && choose(2) == 1;
             let mut content = file.durable.clone();
             for change in &file.pending {
-                let fates = change.fates();
-                change.apply(&mut content, fates[choose(fates.len())]);
+                let possible_outcomes = change.possible_outcomes();
+                change.apply(&mut content, possible_outcomes[choose(possible_outcomes.len())]);
             }
             if !name_is_lost {
                 files.insert(name.clone(), File { is_durable: true, durable: content, pending: Vec::new() });
