--- a/crates/toml-config/src/units.rs
+++ b/crates/toml-config/src/units.rs
@@ -1,35 +1,46 @@
 //! Values with units, as people write them: `"300ms"`, `"110/s"`, `"64KiB"`.
 
-/// How a kind of value is written.
+/// A kind of value, and how it is written.
 pub trait Unit {
+    /// The value in its base unit.
     type Value: Copy;
+    /// How the value is written, for the report of a fault.
     const WANTED: &'static str;
-    /// Stands for a value that can't be read, so that the reading can go on to the next fault.
+    /// Stands for a value that cannot be read, so that reading can continue to the next fault.
     const STAND_IN: Self::Value;
+    /// Reads a value.
+    ///
+    /// # Errors
+    ///
+    /// What is wrong with the text.
     fn read(text: &str) -> Result<Self::Value, &'static str>;
 }
 
+/// A time in microseconds.
 pub struct Time;
+/// A rate in events per second.
 pub struct Rate;
+/// A size in bytes.
 pub struct Size;
 
-/// The number and the unit behind it.
+/// Splits a text into the number and the unit after it.
 fn split(text: &str) -> Result<(f64, &str), &'static str> {
     let at = text.find(|c: char| !c.is_ascii_digit() && c != '.' && c != '_').unwrap_or(text.len());
     let number: f64 = text[..at].replace('_', "").parse().map_err(|_| "does not begin with a number")?;
     Ok((number, text[at..].trim_start()))
 }
 
-/// The largest number of microseconds, bytes or events that is let in: all whole numbers below it are exact.
-const MOST: f64 = 9_007_199_254_740_992.0;
+/// The number of microseconds, bytes or events must be below this: all integers below it are exact.
+const EXACT_LIMIT: f64 = 9_007_199_254_740_992.0;
 
+/// The number of a text, multiplied by the factor of its unit.
 fn scaled(text: &str, units: &[(&str, f64)]) -> Result<f64, &'static str> {
     let (number, unit) = split(text)?;
     if unit.is_empty() {
         return Err("has no unit");
     }
     let (_, factor) = units.iter().find(|(name, _)| *name == unit).ok_or("has an unknown unit")?;
-    Some(number * factor).filter(|value| *value < MOST).ok_or("is too large")
+    Some(number * factor).filter(|value| *value < EXACT_LIMIT).ok_or("is too large")
 }
 
 impl Unit for Time {
@@ -61,7 +72,7 @@
     }
 }
 
-/// A time as it would be written in a file.
+/// A time in microseconds as it is written in a file.
 pub fn time_text(us: u64) -> String {
     match us {
         0 => "0s".to_string(),
--- a/crates/toml-config/tests/tables.rs
+++ b/crates/toml-config/tests/tables.rs
@@ -1,10 +1,10 @@
-//! Faults are told all at once, each at its line; values come with their units.
+//! Faults are reported all at once, each at its line; values come with their units.
 
 use whinspindle_toml_config::units::time_text;
 use whinspindle_toml_config::{Fault, read};
 
 /// The line, the field, and words of the fault.
-type Wanted = (usize, &'static str, &'static str);
+type Expected = (usize, &'static str, &'static str);
 
 /// Reads a table with one value of each kind.
 fn faults_of(text: &str) -> Vec<Fault> {
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn each_fault_is_told_at_its_line_with_a_way_out() {
-    let cases: &[(&str, &[Wanted])] = &[
+fn each_fault_is_reported_at_its_line_with_a_correction() {
+    let cases: &[(&str, &[Expected])] = &[
         ("wait = \"300ms\"\nrate = \"6/min\"\nbody = \"64KiB\"\npart = 1\nservers = 0x0a\n", &[]),
         ("wait = 300", &[(1, "wait", "bare integer")]),
         ("wait = \"300\"", &[(1, "wait", "no unit")]),
@@ -56,25 +56,28 @@
         ("wait = \"1s\"\nwait = \"2s\"", &[(2, "", "duplicate key")]),
         ("wait = \n\nrate == 1", &[(1, "", ""), (3, "", "")]),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let found = faults_of(text);
-        let told: Vec<String> = found.iter().map(Fault::to_string).collect();
-        assert!(found.len() >= wanted.len() && found.is_empty() == wanted.is_empty(), "{text}: {told:?}");
-        for (line, field, words) in *wanted {
+        let reported: Vec<String> = found.iter().map(Fault::to_string).collect();
+        assert!(
+            found.len() >= expected.len() && found.is_empty() == expected.is_empty(),
+            "{text}: {reported:?}"
+        );
+        for (line, field, words) in *expected {
             let fits = |f: &&Fault| f.line == *line && f.field == *field && f.fault.contains(words);
-            assert!(found.iter().any(|f| fits(&f)), "{text}: line {line}, {field}, {words} in {told:?}");
+            assert!(found.iter().any(|f| fits(&f)), "{text}: line {line}, {field}, {words} in {reported:?}");
         }
     }
 }
 
 #[test]
-fn a_misspelt_key_is_told_the_one_that_was_meant() {
+fn a_misspelt_key_is_reported_with_the_nearest_known_one() {
     let found = faults_of("shap = 3");
     assert_eq!(found[0].way_out, "is \"shape\" meant?");
 }
 
 #[test]
-fn no_text_of_any_kind_ends_the_reader() {
+fn no_text_panics_the_reader() {
     let mut bits = 1u64;
     let alphabet: Vec<char> = "a=[]{}\"'\n\\#.,0189eE+-_ü\u{0}\t:Tz ".chars().collect();
     for length in 0..2_000 {
