--- a/balancer/record-store/src/lib.rs
+++ b/balancer/record-store/src/lib.rs
@@ -1,6 +1,6 @@
 //! Small records in a folder, each read whole or not at all, whatever moment the process or the machine died in.
 //! Knows nothing of what is in them. A record has two files that are written in turn, each by way of a temporary file
-//! it, a sync and a rename: the other one stays whole meanwhile.
+//! beside it, a sync and a rename: the other one stays whole meanwhile.
 
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 
