--- a/controlplane/controller/examples/load.rs
+++ b/controlplane/controller/examples/load.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use whinspindle_configuration::{Heartbeat, InstanceState};
 use whinspindle_controller::api::Call;
-use whinspindle_controller::orders::Orders;
+use whinspindle_controller::commands::CommandApplication;
 use whinspindle_controller::{Action, CallId, Controller, ControllerSettings, Event};
 use whinspindle_distribution::{
     ControllerAddress, Gossip, GossipInstance, GossipScope, Report, SubscriberId, ToBalancer, Versions,
@@ -66,7 +66,7 @@
                 Action::Persist { token, .. } => {
                     self.handle("persisted", Event::Persisted { token, log_bytes: 0 });
                 }
-                Action::Remember { .. } => self.handle("remembered", Event::Remembered),
+                Action::SaveState { .. } => self.handle("remembered", Event::StateSaved),
                 Action::SendBalancer { to, message } => burst += self.send(to, &message),
                 Action::Answer { .. } | Action::SendPeer { .. } | Action::Compact { .. } => {}
             }
@@ -178,7 +178,9 @@
         tolerance: Tolerance::of_machines(0),
         timing: Timing::default(),
     };
-    let Ok((replica, outputs)) = Replica::new(replica_settings, Orders, (None, Vec::new()), START) else {
+    let Ok((replica, outputs)) =
+        Replica::new(replica_settings, CommandApplication, (None, Vec::new()), START)
+    else {
         unreachable!("an empty disk can be read")
     };
     let address = ControllerAddress { endpoint, zone: "zone-a".to_owned(), region: "north".to_owned() };
--- a/controlplane/controller/src/api.rs
+++ b/controlplane/controller/src/api.rs
@@ -1,4 +1,4 @@
-//! The calls of operators, upstreams and clients: read from HTTP requests, and the answers that they get.
+//! The HTTP interface of operators, upstreams and clients: parsing of requests into calls, and the responses.
 
 use std::fmt::{self, Display, Formatter, Write};
 
@@ -10,20 +10,54 @@
 /// The header that names the generation on which a configuration builds.
 pub const BASE_VERSION: &str = "whinspindle-base-version";
 
-/// A longer reason is cut off: it may quote what the caller has sent.
+/// A longer reason is truncated: it may quote what the caller has sent.
 const MAX_REASON_BYTES: usize = 1024;
-/// The longest id of an instance that is taken.
+/// The longest id of an instance that is accepted.
 const MAX_INSTANCE_ID_BYTES: usize = 128;
 
-/// A call that was read and checked as far as that goes without the state.
+/// A call that was parsed, and validated as far as that is possible without the state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    Replace { base: u64, generation: u64, body: Bytes },
+    /// An operator puts a configuration in place.
+    Replace {
+        /// The generation that it builds on.
+        base: u64,
+        /// Its own generation.
+        generation: u64,
+        /// The configuration as it was sent.
+        body: Bytes,
+    },
+    /// An operator reads the newest configuration.
     Fetch,
-    Evacuate { zone: String, evacuated: bool },
-    Heartbeat { instance: String, heartbeat: Heartbeat },
-    Deregister { instance: String },
-    Resolve { host: String, region: String, zone: String },
+    /// An operator begins or finishes the evacuation of a zone.
+    Evacuate {
+        /// The zone.
+        zone: String,
+        /// Whether the evacuation begins.
+        evacuated: bool,
+    },
+    /// An upstream sends its heartbeat.
+    Heartbeat {
+        /// The id of the instance.
+        instance: String,
+        /// What it reports.
+        heartbeat: Heartbeat,
+    },
+    /// An upstream ends.
+    Deregister {
+        /// The id of the instance.
+        instance: String,
+    },
+    /// A client asks for the addresses of balancers.
+    Resolve {
+        /// The host that it sends requests to.
+        host: String,
+        /// The client's region.
+        region: String,
+        /// The client's zone.
+        zone: String,
+    },
+    /// An operator reads the status of this controller.
     Status,
 }
 
@@ -39,14 +73,18 @@
     }
 }
 
-/// The parts of an HTTP request that a call is read from.
+/// The parts of an HTTP request that a call is parsed from.
 #[derive(Clone, Debug)]
 pub struct Request<'a> {
+    /// The method.
     pub method: &'a Method,
+    /// The path of the URI.
     pub path: &'a str,
+    /// The query of the URI, empty without one.
     pub query: &'a str,
-    /// The value of the header `BASE_VERSION`.
+    /// The value of the header [`BASE_VERSION`].
     pub base_version: Option<&'a str>,
+    /// The whole body; empty where [`takes_body`] doesn't hold.
     pub body: Bytes,
 }
 
@@ -54,26 +92,43 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Refusal {
+    /// There is no call of this path.
     #[snafu(display("no such path"))]
     UnknownPath,
+    /// The path is called with another method.
     #[snafu(display("this path takes another method"))]
     WrongMethod,
+    /// The header with the base generation is missing, repeated or no number.
     #[snafu(display("the header Whinspindle-Base-Version must stand once and hold a whole number"))]
     BaseVersion,
+    /// The configuration can't be parsed or is inconsistent.
     #[snafu(display("invalid configuration: {source}"))]
-    InvalidConfiguration { source: ConfigurationError },
+    InvalidConfiguration {
+        /// What is wrong with it.
+        source: ConfigurationError,
+    },
+    /// The heartbeat can't be parsed or is out of bounds.
     #[snafu(display("invalid heartbeat: {source}"))]
-    InvalidHeartbeat { source: HeartbeatError },
+    InvalidHeartbeat {
+        /// What is wrong with it.
+        source: HeartbeatError,
+    },
+    /// The id of the instance is empty, too long or has a slash.
     #[snafu(display("an instance id has 1 to {MAX_INSTANCE_ID_BYTES} bytes and no slash"))]
     InstanceId,
+    /// The settings name no such zone.
     #[snafu(display("no such zone"))]
     UnknownZone,
+    /// The body is larger than the server accepts.
     #[snafu(display("the body is too large"))]
     TooLarge,
+    /// The body was broken off or came too slowly.
     #[snafu(display("the body could not be read"))]
     BodyUnread,
+    /// The server has too many bytes buffered.
     #[snafu(display("too many requests are under way"))]
     Busy,
+    /// The controller is in graceful shutdown.
     #[snafu(display("the controller is stopping"))]
     Stopping,
 }
@@ -87,7 +142,7 @@
             | Refusal::InvalidConfiguration { .. }
             | Refusal::InvalidHeartbeat { .. }
             | Refusal::InstanceId => StatusCode::BAD_REQUEST,
-            // Nothing is known of the order then: the caller is to send it again.
+            // The command was not received: the caller is to send it again.
             Refusal::BodyUnread => StatusCode::REQUEST_TIMEOUT,
             Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Refusal::Busy | Refusal::Stopping => StatusCode::SERVICE_UNAVAILABLE,
@@ -95,10 +150,12 @@
     }
 }
 
-/// An answer; its body is JSON.
+/// The response to a call; its body is JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
+    /// The status of the HTTP response.
     pub status: StatusCode,
+    /// Its body.
     pub body: Bytes,
 }
 
@@ -121,7 +178,7 @@
         Response { status, body: Bytes::from(body) }
     }
 
-    /// The outcome is not known, or there is no quorum now: the caller goes on to another controller.
+    /// 503: the outcome is unknown, or there is no quorum now. The caller retries at another controller.
     pub fn unavailable(reason: &str) -> Response {
         Response::failure(StatusCode::SERVICE_UNAVAILABLE, reason)
     }
@@ -143,17 +200,17 @@
     }
 }
 
-/// Whether a request of this path carries a body that has to be read.
+/// Whether requests of this path carry a body that has to be read.
 pub fn takes_body(path: &str) -> bool {
     path == "/Config.Replace" || path.starts_with("/Instances.Heartbeat/")
 }
 
-/// Whether an operator asks for a change at this path.
+/// Whether this is the path of an operator command.
 pub fn is_command(path: &str) -> bool {
     path == "/Config.Replace" || path.starts_with("/Evacuate.")
 }
 
-/// Reads a call and checks what it carries.
+/// Parses a call and validates its arguments.
 pub fn parse(request: &Request<'_>) -> Result<Call, Refusal> {
     let (operation, argument) = split_path(request.path)?;
     check_method(operation, request.method)?;
--- a/controlplane/controller/src/controller.rs
+++ b/controlplane/controller/src/controller.rs
@@ -1,12 +1,16 @@
 //! The controller as a state machine: calls, frames and finished disk writes in; answers, frames and disk writes out.
+//!
+//! Each submodule handles one concern of it: [`calls`], the path of commands through the chain ([`submission`],
+//! [`replication`]), [`gossip`] between controllers, [`publication`] to balancers, and the state around a restart
+//! ([`readiness`], [`saved_state`]).
 
 mod calls;
-mod disclosure;
 mod event;
 mod gossip;
 mod publication;
-mod recall;
+mod readiness;
 mod replication;
+mod saved_state;
 mod submission;
 
 use std::collections::BTreeMap;
@@ -18,74 +22,77 @@
 use whinspindle_replica::{Input, LossKind, Output, Replica};
 
 pub use self::event::{Action, Event};
-use crate::acquaintances::Acquaintances;
-use crate::contact::Contact;
-use crate::fleet::FleetState;
-use crate::memory::Memory;
-use crate::orders::{self, Orders};
-use crate::pending::PendingOrders;
+use crate::commands::{CommandApplication, records};
+use crate::fleet_state::FleetState;
+use crate::host_region_cache::HostRegionCache;
+use crate::known_peers::KnownPeers;
+use crate::pending_commands::PendingCommands;
 use crate::protocol_rules::{ProtocolRules, StandardRules};
-use crate::residency::Residency;
+use crate::quorum_contact::QuorumContact;
+use crate::save_schedule::SaveSchedule;
 
-/// Interval at which silent instances and balancers are looked for.
+/// The interval at which silent instances and balancers are removed, in milliseconds.
 const EXPIRY_MS: u64 = 300;
 
-/// What a controller has to know of itself and its deployment.
+/// The settings of a controller: itself and its deployment.
 #[derive(Clone, Debug)]
 pub struct ControllerSettings {
+    /// The name of its node.
     pub node: String,
+    /// Where other controllers and balancers connect, and where that is.
     pub address: ControllerAddress,
-    /// Region of each zone.
+    /// The region of each zone.
     pub zones: BTreeMap<String, String>,
+    /// The time between two heartbeats of an upstream, in milliseconds.
     pub heartbeat_ms: u64,
 }
 
-/// One controller.
-pub struct Controller<L = StandardRules> {
-    rules: PhantomData<L>,
+/// One controller. The time is passed in as milliseconds of a steady clock.
+pub struct Controller<R = StandardRules> {
+    rules: PhantomData<R>,
     settings: ControllerSettings,
-    replica: Replica<Orders>,
+    replica: Replica<CommandApplication>,
     registry: InstanceRegistry,
     leases: LeaseTable,
-    residency: Residency,
+    host_regions: HostRegionCache,
     publisher: Publisher,
     fleet: FleetState,
-    pending: PendingOrders,
-    acquaintances: Acquaintances,
+    pending: PendingCommands,
+    known_peers: KnownPeers,
     started_at: u64,
-    contact: Contact,
-    /// How long a controller that has just started learns before it tells what it knows.
-    learning_ms: u64,
-    /// Another controller has told all that lives.
-    is_taught: bool,
-    /// What an earlier process knew has been found, here or by another controller.
-    has_recalled: bool,
-    memory: Memory,
+    contact: QuorumContact,
+    /// How long the controller discovers instances and balancers after its start before it publishes them.
+    discovery_ms: u64,
+    /// Another controller has sent all that is live.
+    received_complete_state: bool,
+    /// State of an earlier process was restored, from this disk or from another controller.
+    has_restored_state: bool,
+    save_schedule: SaveSchedule,
     shutting_down: bool,
     compacting: bool,
     gossip_at: u64,
     gossip_sent_at: u64,
     link_at: u64,
     expiry_at: u64,
-    /// The registry's version that the publisher holds.
+    /// The registry's version that was published last.
     published_instances: u64,
-    /// The registry's count of withdrawals that the publisher holds.
+    /// The registry's count of withdrawals that was published last.
     published_withdrawals: u64,
     instances_published_at: Option<u64>,
-    /// Something has changed that balancers are to be told at the next tick.
-    publication_waits: bool,
-    /// When each peer was sent a snapshot last.
+    /// A change is to be published at the next tick.
+    publish_pending: bool,
+    /// When each peer was last sent a snapshot.
     snapshots_sent: BTreeMap<SocketAddr, u64>,
-    /// The list of controllers that subscribers were told last.
-    told_controllers: Vec<ControllerAddress>,
+    /// The list of controllers that subscribers were sent last.
+    announced_controllers: Vec<ControllerAddress>,
     actions: Vec<Action>,
 }
 
 impl Controller {
-    /// A controller around a replica, with the first outputs of that replica.
+    /// A controller around a replica, and its first actions; `outputs` are the first ones of that replica.
     pub fn new(
         settings: ControllerSettings,
-        replica: Replica<Orders>,
+        replica: Replica<CommandApplication>,
         outputs: Vec<Output>,
         now: u64,
     ) -> (Self, Vec<Action>) {
@@ -93,33 +100,33 @@
     }
 }
 
-impl<L: ProtocolRules> Controller<L> {
-    /// Like [`Controller::new`], under rules of the caller's choice.
+impl<R: ProtocolRules> Controller<R> {
+    /// Like [`Controller::new`], with other protocol rules.
     pub fn with_rules(
         settings: ControllerSettings,
-        replica: Replica<Orders>,
+        replica: Replica<CommandApplication>,
         outputs: Vec<Output>,
         now: u64,
     ) -> (Self, Vec<Action>) {
         let timing = RegistryTiming { heartbeat_ms: settings.heartbeat_ms };
-        let learning_ms = disclosure::learning_ms(settings.heartbeat_ms);
+        let discovery_ms = readiness::discovery_ms(settings.heartbeat_ms);
         let mut controller = Controller {
             rules: PhantomData,
             settings,
             replica,
             registry: InstanceRegistry::new(timing),
             leases: LeaseTable::new(LeaseTiming::default()),
-            residency: Residency::default(),
+            host_regions: HostRegionCache::default(),
             publisher: Publisher::new(),
             fleet: FleetState::default(),
-            pending: PendingOrders::default(),
-            acquaintances: Acquaintances::default(),
+            pending: PendingCommands::default(),
+            known_peers: KnownPeers::default(),
             started_at: now,
-            contact: Contact::new(now),
-            learning_ms,
-            is_taught: false,
-            has_recalled: false,
-            memory: Memory::default(),
+            contact: QuorumContact::new(now),
+            discovery_ms,
+            received_complete_state: false,
+            has_restored_state: false,
+            save_schedule: SaveSchedule::default(),
             shutting_down: false,
             compacting: false,
             gossip_at: now,
@@ -129,9 +136,9 @@
             published_instances: 0,
             published_withdrawals: 0,
             instances_published_at: None,
-            publication_waits: false,
+            publish_pending: false,
             snapshots_sent: BTreeMap::new(),
-            told_controllers: Vec::new(),
+            announced_controllers: Vec::new(),
             actions: Vec::new(),
         };
         controller.take_departures();
@@ -140,13 +147,13 @@
         (controller, actions)
     }
 
-    /// Takes an event; answers what is to be done, in order.
+    /// Handles an event; returns the actions to carry out, in order.
     pub fn handle(&mut self, now: u64, event: Event) -> Vec<Action> {
-        self.contact.awake(now);
+        self.contact.detect_pause(now);
         match event {
             Event::Tick => self.tick(now),
             Event::Call { id, call } => self.call(now, id, call),
-            Event::CallDropped { id } => self.pending.forget(id),
+            Event::CallDropped { id } => self.pending.remove_call(id),
             Event::PeerConnected { peer } => self.send_snapshot(now, peer),
             Event::ReplicaMessage { from, message } => self.receive(now, from, message),
             Event::GossipReceived { payload } => self.take_gossip(now, &payload),
@@ -155,59 +162,59 @@
             Event::Persisted { token, log_bytes } => self.persisted(now, token, log_bytes),
             Event::PersistFailed { token } => self.step(now, Input::PersistFailed { token }),
             Event::Compacted => self.compacting = false,
-            Event::Recalled { memory } => self.recall(now, &memory),
-            Event::Remembered => self.memory.written(),
-            Event::Leave => self.leave(now),
+            Event::StateRestored { state } => self.restore_state(now, &state),
+            Event::StateSaved => self.save_schedule.write_ended(),
+            Event::Shutdown => self.shut_down(now),
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// The other controllers that are known.
+    /// The addresses of all other known controllers.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let mut peers = self.replica.peers();
-        peers.extend(self.acquaintances.beyond(self.settings.address.endpoint, &peers));
+        peers.extend(self.known_peers.excluding(self.settings.address.endpoint, &peers));
         peers
     }
 
-    /// Whether it is committed, as far as known here, that an instance leaves or has left.
+    /// Whether the departure of an instance is committed, as far as known here.
     pub fn has_departed(&self, instance: &str) -> bool {
-        orders::departure_of(self.replica.committed(), instance).is_some()
+        records::departure_of(self.replica.committed(), instance).is_some()
     }
 
-    /// Whether callers wait for an outcome.
-    pub fn has_pending_orders(&self) -> bool {
+    /// Whether any caller waits for the outcome of a command.
+    pub fn has_pending_commands(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Whether this controller is in contact with a majority and up to date.
+    /// Whether this controller is in contact with a majority of the voters and up to date.
     pub fn is_in_quorum(&self, now: u64) -> bool {
         self.contact.is_in_quorum() && self.replica.is_in_quorum(now)
     }
 
-    /// The kinds of losses that are to be tolerated but would leave no majority of the voters.
+    /// The kinds of losses that the settings want tolerated but that would leave no majority of the voters.
     pub fn fatal_losses(&self) -> Vec<LossKind> {
         self.replica.fatal_losses()
     }
 
     fn tick(&mut self, now: u64) {
         self.step(now, Input::Tick);
-        self.note_quorum(now);
-        for pending in self.pending.take_rested(now) {
+        self.update_quorum(now);
+        for pending in self.pending.take_due(now) {
             self.submit(now, pending);
         }
-        self.give_up_overdue(now);
+        self.answer_overdue(now);
         if now >= self.expiry_at {
             self.expire(now);
         }
         if self.is_gossip_due(now) {
             self.send_changes(now);
         }
-        self.remember(now);
+        self.save_state_if_due(now);
         let links_are_due = now >= self.link_at;
         if links_are_due {
             self.send_links(now);
         }
-        if links_are_due || self.publication_waits || self.are_instances_due(now) {
+        if links_are_due || self.publish_pending || self.are_instances_due(now) {
             self.publish(now);
         }
     }
@@ -216,6 +223,6 @@
         self.expiry_at = now + EXPIRY_MS;
         self.registry.expire(now);
         self.leases.expire(now);
-        self.acquaintances.forget_old(now);
+        self.known_peers.remove_expired(now);
     }
 }
--- a/controlplane/controller/src/controller/gossip.rs
+++ b/controlplane/controller/src/controller/gossip.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other of upstreams and balancers.
+//! Gossip between controllers: observations of upstreams and balancers.
 
 use std::net::SocketAddr;
 
@@ -8,105 +8,110 @@
 
 use super::Controller;
 use super::event::Action;
-use crate::exchange;
+use crate::gossip_records;
 use crate::protocol_rules::ProtocolRules;
 
-/// Heartbeats and renewals that change nothing are told to the other controllers at this interval.
+/// The interval at which heartbeats and renewals without a change are sent to the other controllers, in milliseconds.
 const GOSSIP_REFRESH_MS: u64 = 400;
-/// Changes that are not urgent are told at most this often.
+/// The least time between two messages with changes that are not urgent, in milliseconds.
 const CHANGES_INTERVAL_MS: u64 = 100;
-/// Heartbeats and renewals wait this much longer for other messages to go along with.
-const GOSSIP_PATIENCE_MS: u64 = 200;
-/// A peer that connects again gets a snapshot again after this time, and after so much for each instance in it.
-const SNAPSHOT_PAUSE_MS: u64 = 2_000;
-const SNAPSHOT_PAUSE_MS_PER_INSTANCE: u64 = 5;
+/// How much longer heartbeats and renewals wait for a message of the replica to share its packet, in milliseconds.
+const MAX_GOSSIP_DELAY_MS: u64 = 200;
+/// The least time between two snapshots to a peer that connects again, in milliseconds.
+const SNAPSHOT_INTERVAL_MS: u64 = 2_000;
+/// The same for each instance in the snapshot, in milliseconds.
+const SNAPSHOT_INTERVAL_MS_PER_INSTANCE: u64 = 5;
 
-impl<L: ProtocolRules> Controller<L> {
-    /// Changes that are not urgent go along with the replica's own messages, in the same packets.
+impl<R: ProtocolRules> Controller<R> {
+    /// Whether observations are to be sent now: with messages of the replica, in the same packets, or after the longest
+    /// delay.
     pub(super) fn is_gossip_due(&self, now: u64) -> bool {
-        let goes_along = self.actions.iter().any(|action| matches!(action, Action::SendPeer { .. }));
-        now >= self.gossip_at && (goes_along || now >= self.gossip_at + GOSSIP_PATIENCE_MS)
+        let can_piggyback = self.actions.iter().any(|action| matches!(action, Action::SendPeer { .. }));
+        now >= self.gossip_at && (can_piggyback || now >= self.gossip_at + MAX_GOSSIP_DELAY_MS)
     }
 
-    /// Something has changed. Many upstreams come, or renew their cold times, together: what follows closely on another
-    /// change waits for a tick.
-    pub(super) fn changed_soon(&mut self, now: u64) {
+    /// Sends and publishes a change that is not urgent. Many upstreams come together: a change that closely follows another
+    /// one waits for a tick.
+    pub(super) fn schedule_changes(&mut self, now: u64) {
         if now >= self.gossip_sent_at + CHANGES_INTERVAL_MS {
             self.send_changes(now);
         } else {
-            self.gossip_at = self.gossip_sent_at + CHANGES_INTERVAL_MS - GOSSIP_PATIENCE_MS;
+            self.gossip_at = self.gossip_sent_at + CHANGES_INTERVAL_MS - MAX_GOSSIP_DELAY_MS;
         }
-        self.publish_soon(now);
+        self.schedule_publish(now);
     }
 
-    /// An upstream leaves: the other controllers and the balancers are to know at once.
-    pub(super) fn instances_changed(&mut self, now: u64) {
+    /// Sends and publishes at once that an upstream takes no new requests.
+    pub(super) fn send_withdrawal(&mut self, now: u64) {
         self.send_changes(now);
         self.publish(now);
     }
 
-    /// Tells all other controllers what was heard here. Those to which the replica sends nothing get an empty message
-    /// too, so that the connection is known to stand.
+    /// Sends this controller's observations to all others. Those to which the replica sends nothing are sent an empty
+    /// message too, as a heartbeat of the connection.
     pub(super) fn send_changes(&mut self, now: u64) {
         self.gossip_at = now + GOSSIP_REFRESH_MS;
         self.gossip_sent_at = now;
         let is_empty = !self.registry.has_changes() && !self.leases.has_changes();
-        let gossip = exchange::changes(now, &mut self.registry, &mut self.leases);
+        let gossip = gossip_records::changes(now, &mut self.registry, &mut self.leases);
         let payload = Bytes::from(encode_gossip(&gossip));
         let known = self.replica.peers();
-        let beyond = self.acquaintances.beyond(self.settings.address.endpoint, &known);
+        let others = self.known_peers.excluding(self.settings.address.endpoint, &known);
         let known = known.into_iter().filter(|_| !is_empty);
-        for to in known.chain(beyond) {
+        for to in known.chain(others) {
             self.actions.push(Action::SendPeer { to, kind: FrameKind::Gossip, payload: payload.clone() });
         }
     }
 
-    /// Connections end where processor time is short, and a snapshot takes much of it at the other side: it is not sent
-    /// again soon. All that lives is heard of anew within a heartbeat interval.
+    /// Sends a snapshot to a peer that has connected. Connections break where processor time is short, and a snapshot
+    /// costs the receiver much of it: it is not repeated soon, since all that is live is observed again within a heartbeat
+    /// interval.
     pub(super) fn send_snapshot(&mut self, now: u64, to: SocketAddr) {
-        let pause = SNAPSHOT_PAUSE_MS.max(self.registry.len() as u64 * SNAPSHOT_PAUSE_MS_PER_INSTANCE);
-        if self.snapshots_sent.get(&to).is_some_and(|at| now < at + pause) {
+        let interval =
+            SNAPSHOT_INTERVAL_MS.max(self.registry.len() as u64 * SNAPSHOT_INTERVAL_MS_PER_INSTANCE);
+        if self.snapshots_sent.get(&to).is_some_and(|at| now < at + interval) {
             return;
         }
         self.snapshots_sent.insert(to, now);
-        let scope = if self.has_heard_all(now) { GossipScope::Complete } else { GossipScope::Heard };
-        let gossip = exchange::heard(now, scope, &self.registry, &self.leases);
+        let scope = if self.is_discovery_complete(now) { GossipScope::Complete } else { GossipScope::Heard };
+        let gossip = gossip_records::observed(now, scope, &self.registry, &self.leases);
         let payload = Bytes::from(encode_gossip(&gossip));
         self.actions.push(Action::SendPeer { to, kind: FrameKind::Gossip, payload });
-        self.send_recalled(now, to);
+        self.send_restored(now, to);
     }
 
-    /// Of use to a controller that has started at about the same time and found its disk empty.
-    pub(super) fn send_recalled(&mut self, now: u64, to: SocketAddr) {
-        if !self.has_recalled || self.has_heard_all(now) {
+    /// Sends what was restored, for a controller that has started at about the same time with an empty disk.
+    pub(super) fn send_restored(&mut self, now: u64, to: SocketAddr) {
+        if !self.has_restored_state || self.is_discovery_complete(now) {
             return;
         }
-        let gossip = exchange::recalled(now, &self.registry, &self.leases);
+        let gossip = gossip_records::restored(now, &self.registry, &self.leases);
         let payload = Bytes::from(encode_gossip(&gossip));
         self.actions.push(Action::SendPeer { to, kind: FrameKind::Gossip, payload });
     }
 
+    /// Merges the gossip of another controller.
     pub(super) fn take_gossip(&mut self, now: u64, payload: &[u8]) {
         let Ok(gossip) = decode_gossip(payload) else { return };
-        if gossip.scope == GossipScope::Recalled {
-            self.take_recalled(now, gossip);
+        if gossip.scope == GossipScope::Restored {
+            self.merge_restored(now, gossip);
             return;
         }
         let mut changed = false;
         for instance in gossip.instances {
-            changed |= self.registry.merge(now, exchange::instance_record(instance));
+            changed |= self.registry.merge(now, gossip_records::instance_record(instance));
         }
         for lease in gossip.leases {
-            changed |= self.leases.merge(now, exchange::lease_record(lease));
+            changed |= self.leases.merge(now, gossip_records::lease_record(lease));
         }
-        if gossip.scope == GossipScope::Complete && !self.has_heard_all(now) {
-            self.is_taught = true;
-            self.registry.drop_recalled();
-            self.leases.drop_recalled();
+        if gossip.scope == GossipScope::Complete && !self.is_discovery_complete(now) {
+            self.received_complete_state = true;
+            self.registry.drop_restored();
+            self.leases.drop_restored();
             changed = true;
         }
         if changed {
-            self.publish_soon(now);
+            self.schedule_publish(now);
         }
     }
 }
--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -1,4 +1,4 @@
-//! What balancers are sent: the state of the link, and what they lack of the newest sections.
+//! Publication to balancers: the state of the connection, and the sections in which they are behind.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,42 @@
 
 use super::Controller;
 use super::event::Action;
+use crate::commands::records::{self, EvacuatedZones};
 use crate::protocol_rules::ProtocolRules;
-use crate::{evidence, exchange, orders};
+use crate::{failing_instances, gossip_records};
 
-/// Interval of the messages that show balancers that this controller is alive.
+/// The interval of the heartbeats to balancers, in milliseconds.
 const LINK_MS: u64 = 300;
-/// Instances that come, or are cold for another time, are told at most this often: many do so together.
+/// The least time between two publications of the instances, in milliseconds: many of them come together.
 const INSTANCES_INTERVAL_MS: u64 = 300;
 
-impl<L: ProtocolRules> Controller<L> {
+impl<R: ProtocolRules> Controller<R> {
+    /// Takes the report of a balancer; its first one subscribes it.
     pub(super) fn take_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         let is_new = !self.publisher.subscribers().any(|known| known == subscriber);
         self.publisher.reported(now, subscriber, report);
-        self.contact.mentioned(report.applied.configured.max(report.applied.evacuations));
-        let changed = self.leases.renew(now, exchange::lease_of(report));
+        self.contact.observe_remote_position(report.applied.configured.max(report.applied.evacuations));
+        let changed = self.leases.renew(now, gossip_records::lease_of(report));
         if is_new {
             let message = ToBalancer::Link(self.link(now, self.controllers(now)));
             self.actions.push(Action::SendBalancer { to: subscriber, message });
         }
         if changed {
-            self.changed_soon(now);
+            self.schedule_changes(now);
         }
         if is_new {
             self.publish_to(now, subscriber);
         }
     }
 
+    /// Sends every balancer a heartbeat, with the list of controllers if that has changed.
     pub(super) fn send_links(&mut self, now: u64) {
         self.link_at = now + LINK_MS;
         let controllers = self.controllers(now);
-        let told = if controllers == self.told_controllers { Vec::new() } else { controllers.clone() };
-        self.told_controllers = controllers;
-        let link = self.link(now, told);
+        let changed =
+            if controllers == self.announced_controllers { Vec::new() } else { controllers.clone() };
+        self.announced_controllers = controllers;
+        let link = self.link(now, changed);
         for to in self.publisher.subscribers() {
             self.actions.push(Action::SendBalancer { to, message: ToBalancer::Link(link.clone()) });
         }
@@ -51,18 +55,17 @@
         Link { in_quorum: self.is_in_quorum(now), shutting_down: self.shutting_down, controllers }
     }
 
-    /// Publishes now if the instances are due, else at the next tick.
-    pub(super) fn publish_soon(&mut self, now: u64) {
-        self.publication_waits = true;
+    /// Publishes now if the instances are due, otherwise at the next tick.
+    pub(super) fn schedule_publish(&mut self, now: u64) {
+        self.publish_pending = true;
         if self.are_instances_due(now) {
             self.publish(now);
         }
     }
 
-    /// Sends each balancer what it lacks of the newest state. One that has nothing yet looks for a controller in a quorum
-    /// first.
+    /// Sends each balancer the sections in which it is behind.
     pub(super) fn publish(&mut self, now: u64) {
-        self.publication_waits = false;
+        self.publish_pending = false;
         self.refresh(now);
         let subscribers: Vec<SubscriberId> = self.publisher.subscribers().collect();
         for to in subscribers {
@@ -70,16 +73,16 @@
         }
     }
 
-    /// Sends a balancer that has just come what it lacks. What its coming changes is told to the others at the next
-    /// tick: after a start hundreds of balancers come together.
+    /// Sends a new subscriber the sections in which it is behind. Others are sent what it changes at the next tick: after a
+    /// start hundreds of balancers subscribe together.
     fn publish_to(&mut self, now: u64, to: SubscriberId) {
-        self.publication_waits = true;
+        self.publish_pending = true;
         self.refresh(now);
         self.send_update(now, to);
     }
 
     fn send_update(&mut self, now: u64, to: SubscriberId) {
-        if !self.may_hand_out(now) && !self.publisher.has_configuration(to) {
+        if !self.may_serve_records(now) && !self.publisher.has_configuration(to) {
             return;
         }
         if let Some(update) = self.publisher.update_for(now, to) {
@@ -89,34 +92,35 @@
 
     fn refresh(&mut self, now: u64) {
         self.refresh_replicated(now);
-        if self.may_tell(now) {
+        if self.may_publish(now) {
             self.refresh_instances(now);
             self.refresh_fleet(now);
         }
     }
 
     fn refresh_replicated(&mut self, now: u64) {
-        if !self.may_hand_out(now) {
+        if !self.may_serve_records(now) {
             return;
         }
         let records = self.replica.committed();
-        let held = self.publisher.versions();
-        if let Some(record) = records.get(orders::CONFIGURATION)
-            && record.sequence > held.configured
+        let published = self.publisher.versions();
+        if let Some(record) = records.get(records::CONFIGURATION)
+            && record.sequence > published.configured
         {
             let body = Bytes::from(record.value.to_vec());
             self.publisher.configure(Configured { sequence: record.sequence, body });
         }
-        let (sequence, zones) = orders::evacuated_zones(records);
-        if sequence > held.evacuations {
+        let EvacuatedZones { sequence, zones } = records::evacuated_zones(records);
+        if sequence > published.evacuations {
             self.publisher.evacuate(Evacuations { sequence, zones });
         }
     }
 
+    /// Whether a change of the instances is to be published now; withdrawals are at once.
     pub(super) fn are_instances_due(&self, now: u64) -> bool {
-        let has_rested = self.instances_published_at.is_none_or(|at| now >= at + INSTANCES_INTERVAL_MS);
+        let interval_elapsed = self.instances_published_at.is_none_or(|at| now >= at + INSTANCES_INTERVAL_MS);
         let is_urgent = self.registry.withdrawals() != self.published_withdrawals;
-        self.registry.version() != self.published_instances && (has_rested || is_urgent)
+        self.registry.version() != self.published_instances && (interval_elapsed || is_urgent)
     }
 
     fn refresh_instances(&mut self, now: u64) {
@@ -135,17 +139,17 @@
 
     fn refresh_fleet(&mut self, now: u64) {
         let balancers = self.leases.balancers(now);
-        let failing = evidence::failing(self.leases.live(now), |id| self.registry.service_of(id));
+        let failing = failing_instances::ids(self.leases.live(now), |id| self.registry.service_of(id));
         if !self.fleet.is_due(now, balancers, &failing, self.publisher.subscribers().count()) {
             return;
         }
-        let loads = self.leases.loads(now).into_iter().map(exchange::region_load).collect();
+        let loads = self.leases.loads(now).into_iter().map(gossip_records::region_load).collect();
         if let Some(fleet) = self.fleet.update(now, balancers, failing, loads) {
             self.publisher.set_fleet(fleet);
         }
     }
 
-    /// All controllers that are known, this one included: members of the view, and others that are heard.
+    /// All known controllers, this one included: members of the view, and others whose heartbeats are received.
     fn controllers(&self, now: u64) -> Vec<ControllerAddress> {
         let members = self.replica.view().members.iter();
         let members = members.map(|member| (member.endpoint, member.zone.as_str(), member.region.as_str()));
--- a/controlplane/controller/src/controller/replication.rs
+++ b/controlplane/controller/src/controller/replication.rs
@@ -1,4 +1,4 @@
-//! The replica: what it is given, and what follows from its outputs.
+//! The replica inside the controller: its inputs, and the handling of its outputs.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 
 use super::Controller;
 use super::event::Action;
-use crate::orders::{self, Departure};
+use crate::commands::{Departure, records};
 use crate::protocol_rules::ProtocolRules;
 
-impl<L: ProtocolRules> Controller<L> {
+impl<R: ProtocolRules> Controller<R> {
     pub(super) fn step(&mut self, now: u64, input: Input) {
         let outputs = self.replica.handle(now, input);
         self.take_outputs(now, outputs);
@@ -19,13 +19,13 @@
 
     pub(super) fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
         if let Message::Heartbeat(heartbeat) = &message {
-            let heard = heartbeat.heard.iter().map(|heard| heard.endpoint);
-            self.acquaintances.mentioned(now, heard);
-            self.contact.mentioned(heartbeat.report.committed);
+            let peers = heartbeat.heard.iter().map(|peer| peer.endpoint);
+            self.known_peers.record(now, peers);
+            self.contact.observe_remote_position(heartbeat.report.committed);
         }
         self.step(now, Input::Message { from, message });
         if !self.contact.is_in_quorum() {
-            self.note_quorum(now);
+            self.update_quorum(now);
         }
     }
 
@@ -37,7 +37,7 @@
                     self.actions.push(Action::SendPeer { to, kind: FrameKind::Replica, payload });
                 }
                 Output::Persist { token, write } => self.actions.push(Action::Persist { token, write }),
-                Output::Reply { ticket, result } => self.replied(now, ticket, result),
+                Output::Reply { ticket, result } => self.handle_reply(now, ticket, result),
                 Output::Committed { writes, .. } => self.committed(now, &writes),
                 Output::Replaced => self.replaced(now),
             }
@@ -46,7 +46,7 @@
 
     fn committed(&mut self, now: u64, writes: &[RecordWrite]) {
         for write in writes {
-            if let Some((instance, departure)) = orders::departure_in(write) {
+            if let Some((instance, departure)) = records::departure_in(write) {
                 self.departed(instance, departure);
             }
         }
@@ -58,13 +58,13 @@
         self.publish(now);
     }
 
-    /// The newest last: they are told longest.
+    /// Applies all committed departures to the registry, the newest last: these are sent to balancers for the longest.
     pub(super) fn take_departures(&mut self) {
         let records = self.replica.committed();
         let sequence = |instance: &str| {
-            records.get(&format!("{}{instance}", orders::DRAINED)).map_or(0, |record| record.sequence)
+            records.get(&format!("{}{instance}", records::DRAINED)).map_or(0, |record| record.sequence)
         };
-        let mut departures: Vec<(u64, String, Departure)> = orders::departures(records)
+        let mut departures: Vec<(u64, String, Departure)> = records::departures(records)
             .map(|(instance, departure)| (sequence(instance), instance.to_owned(), departure))
             .collect();
         departures.sort_by_key(|(sequence, ..)| *sequence);
@@ -75,8 +75,8 @@
 
     fn departed(&mut self, instance: &str, departure: Departure) {
         match departure {
-            Departure::Draining => self.registry.drained(instance),
-            Departure::Gone => self.registry.gone(instance),
+            Departure::Draining => self.registry.draining_committed(instance),
+            Departure::Deregistered => self.registry.deregistered(instance),
         }
     }
 
@@ -91,7 +91,8 @@
         }
     }
 
-    pub(super) fn leave(&mut self, now: u64) {
+    /// Hands the roles of this controller over to others.
+    pub(super) fn shut_down(&mut self, now: u64) {
         self.shutting_down = true;
         self.step(now, Input::Leave);
         self.send_links(now);
--- a/controlplane/controller/src/directory.rs
+++ b/controlplane/controller/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where clients connect: the balancers' addresses that a client of a place is told.
+//! The directory: the addresses of balancers that a client is to connect to, by its location.
 
 use std::fmt::Write;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,23 +8,25 @@
 use whinspindle_configuration::ServingRegions;
 use whinspindle_registry::{Lease, LeaseTable};
 
-/// The most addresses of an answer.
+/// The largest number of addresses in an answer.
 const MAX_ADDRESSES: usize = 64;
-/// With fewer addresses than this a client whose balancer fails has nowhere to go before its next question.
+/// With fewer addresses a client whose balancer fails has no other one before its next request.
 const MIN_ADDRESSES: usize = 2;
-/// How long a client may keep an answer.
+/// How long a client may cache an answer, in seconds.
 const TTL_S: u64 = 2;
 
-/// Where a client stands.
+/// The location of a client.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct ClientLocation<'a> {
+    /// Its region.
     pub region: &'a str,
+    /// Its zone.
     pub zone: &'a str,
 }
 
-impl Place<'_> {
-    /// Whether a balancer stands in the client's region, as its own zone does, also one that the settings don't name.
-    fn holds(self, lease: &Lease) -> bool {
+impl ClientLocation<'_> {
+    /// Whether a balancer is in the client's region or zone; the settings need not name that zone.
+    fn is_local(self, lease: &Lease) -> bool {
         lease.region == self.region || lease.zone == self.zone
     }
 }
@@ -38,27 +40,27 @@
 pub fn addresses_for(
     leases: &LeaseTable,
     now: u64,
-    place: Place<'_>,
+    client: ClientLocation<'_>,
     host_regions: &ServingRegions,
 ) -> Vec<SocketAddr> {
-    if !host_regions.contains(place.region) {
+    if !host_regions.contains(client.region) {
         let homes = leases.presumed(now).filter(|lease| host_regions.contains(&lease.region));
         let homes: Vec<&Lease> = open_in_order(homes);
         if homes.len() >= MIN_ADDRESSES {
-            return bounded(fronts(&homes, |_| true), place);
+            return limited(fronts(&homes, |_| true), client);
         }
     }
-    let permitted = |lease: &&Lease| place.holds(lease) || host_regions.contains(&lease.region);
+    let permitted = |lease: &&Lease| client.is_local(lease) || host_regions.contains(&lease.region);
     let open = open_in_order(leases.live(now).filter(permitted));
-    let zone = fronts(&open, |lease| lease.zone == place.zone);
+    let zone = fronts(&open, |lease| lease.zone == client.zone);
     if zone.len() >= MIN_ADDRESSES {
-        return bounded(zone, place);
+        return limited(zone, client);
     }
-    let region = fronts(&open, |lease| place.holds(lease));
+    let region = fronts(&open, |lease| client.is_local(lease));
     match region.len() {
-        0 => bounded(fronts(&open, |_| true), place),
-        1 => with_one_from_elsewhere(region, &open, place),
-        _ => bounded(region, place),
+        0 => limited(fronts(&open, |_| true), client),
+        1 => with_one_from_elsewhere(region, &open, client),
+        _ => limited(region, client),
     }
 }
 
@@ -76,7 +78,7 @@
     Some(Bytes::from(body))
 }
 
-/// Those that take new clients, in a fixed order.
+/// The balancers that take new clients, in a fixed order.
 fn open_in_order<'a>(leases: impl Iterator<Item = &'a Lease>) -> Vec<&'a Lease> {
     let mut open: Vec<&Lease> = leases.filter(|lease| lease.ready && !lease.shutting_down).collect();
     open.sort_by_key(|lease| lease.front);
@@ -87,32 +89,33 @@
     open.iter().filter(|lease| belongs(lease)).map(|lease| lease.front).collect()
 }
 
-/// Each zone gets a fixed one of the others, so that clients keep their connections and zones choose differently.
+/// Adds one balancer of another region. The choice is fixed for each zone, so that clients keep their connections, and
+/// differs between zones.
 fn with_one_from_elsewhere(
     mut addresses: Vec<SocketAddr>,
     open: &[&Lease],
-    place: Place<'_>,
+    client: ClientLocation<'_>,
 ) -> Vec<SocketAddr> {
     let others = fronts(open, |lease| !addresses.contains(&lease.front));
     if !others.is_empty() {
-        let spread: usize = place.zone.bytes().map(usize::from).sum();
+        let spread: usize = client.zone.bytes().map(usize::from).sum();
         addresses.push(others[spread % others.len()]);
     }
     addresses
 }
 
-/// Where there are more addresses than an answer may name, each zone's clients are told others of them, chosen by
-/// rendezvous hashing: zones share the balancers evenly, and one that goes changes a single address of an answer.
-fn bounded(mut addresses: Vec<SocketAddr>, place: Place<'_>) -> Vec<SocketAddr> {
+/// Limits the addresses to what an answer may hold. Each zone gets a subset by rendezvous hashing: zones use the balancers
+/// evenly, and the loss of one changes a single address of an answer.
+fn limited(mut addresses: Vec<SocketAddr>, client: ClientLocation<'_>) -> Vec<SocketAddr> {
     if addresses.len() > MAX_ADDRESSES {
-        addresses.sort_by_cached_key(|address| rendezvous_rank(place.zone, address));
+        addresses.sort_by_cached_key(|address| rendezvous_rank(client.zone, address));
         addresses.truncate(MAX_ADDRESSES);
         addresses.sort();
     }
     addresses
 }
 
-/// The same on every controller of a build.
+/// The rank of an address for a zone; the same on every controller of a build.
 fn rendezvous_rank(zone: &str, address: &SocketAddr) -> u64 {
     let mut hasher = DefaultHasher::new();
     (zone, address).hash(&mut hasher);
--- a/controlplane/controller/src/exchange.rs
+++ b/controlplane/controller/src/gossip_records.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other of upstreams and balancers: records of the registry as gossip and back.
+//! Conversion between the records of the registries and the gossip that controllers exchange.
 
 use whinspindle_distribution::{
     Gossip, GossipInstance, GossipLease, GossipScope, InstanceFailures, RegionLoad, Report, ServiceRegion,
@@ -7,32 +7,32 @@
     InstanceRecord, InstanceRegistry, Lease, LeaseRecord, LeaseTable, RegionSends, SeenFailures,
 };
 
-/// What was heard here since the last call.
+/// The observations of this controller since the last call.
 pub fn changes(now: u64, registry: &mut InstanceRegistry, leases: &mut LeaseTable) -> Gossip {
     gossip(GossipScope::Changes, registry.take_changes(now), leases.take_changes(now))
 }
 
-/// Everything that was heard of, for a controller that may know nothing yet.
-pub fn heard(now: u64, scope: GossipScope, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
-    gossip(scope, registry.heard(now), leases.heard(now))
+/// Everything that was observed since the start, for a controller that may know nothing yet.
+pub fn observed(now: u64, scope: GossipScope, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
+    gossip(scope, registry.observed(now), leases.observed(now))
 }
 
-/// What is known from before the start alone, for a controller that lost its own memory.
-pub fn recalled(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
-    gossip(GossipScope::Recalled, registry.recalled(now), leases.recalled(now))
+/// What is known from the saved state alone, for a controller that lost its own.
+pub fn restored(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
+    gossip(GossipScope::Restored, registry.restored(now), leases.restored(now))
 }
 
-/// What is worth knowing after a restart. Rates of sends and failures are not: they change all the time.
-pub fn memory(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
+/// The state to save for the next start. Rates of sends and failures are left out: they change all the time.
+pub fn saved_state(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
     let mut leases = leases.snapshot(now);
     leases.iter_mut().for_each(|record| {
         record.lease.sends.clear();
         record.lease.failing.clear();
     });
-    gossip(GossipScope::Recalled, registry.snapshot(now), leases)
+    gossip(GossipScope::Restored, registry.snapshot(now), leases)
 }
 
-/// A record of the registry.
+/// The registry's record of an instance.
 pub fn instance_record(instance: GossipInstance) -> InstanceRecord {
     InstanceRecord {
         id: instance.id,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A record of the lease table.
+/// The table's record of a lease.
 pub fn lease_record(lease: GossipLease) -> LeaseRecord {
     let age_ms = lease.age_ms;
     let lease = Lease {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Loads of the lease table as balancers are told them.
+/// A load of the lease table as balancers are sent it.
 pub fn region_load(sends: RegionSends) -> RegionLoad {
     RegionLoad {
         target: ServiceRegion { service: sends.service, region: sends.region },
--- a/controlplane/controller/src/residency.rs
+++ b/controlplane/controller/src/host_region_cache.rs
@@ -1,26 +1,26 @@
-//! In which regions clients of a host may be sent to balancers: a view of the newest configuration that is known here.
+//! The regions in which clients of a host may be sent to balancers, derived from the newest known configuration.
 
 use std::collections::BTreeSet;
 
 use whinspindle_configuration::{Configuration, HostRegions, ServingRegions};
 use whinspindle_replica::Records;
 
-use crate::orders::CONFIGURATION;
+use crate::commands::records::CONFIGURATION;
 
-/// No region but the client's own: what holds for a host of which nothing is known.
-static OWN_REGION_ALONE: ServingRegions = ServingRegions::Only(BTreeSet::new());
+/// No region but the client's own: the rule for unknown hosts.
+static OWN_REGION_ONLY: ServingRegions = ServingRegions::Only(BTreeSet::new());
 
-/// The serving regions of hosts, read anew only when the configuration has changed.
+/// The serving regions of hosts; the configuration is parsed again only when it has changed.
 #[derive(Debug, Default)]
-pub struct Residency {
+pub struct HostRegionCache {
     /// The sequence of the record that `hosts` was read from.
     sequence: Option<u64>,
     hosts: HostRegions,
 }
 
-impl Residency {
-    /// Takes the configuration of these records. While the records aren't worth telling there are none, and what was
-    /// worth it last stays: a controller that is cut off leads clients to the regions that could serve them before.
+impl HostRegionCache {
+    /// Takes the configuration of these records. None are given while this controller may not serve records; the cache
+    /// then stays as it is, so that a partitioned controller directs clients to the regions that served them before.
     pub fn refresh(&mut self, records: Option<&Records>) {
         let Some(records) = records else { return };
         let record = records.get(CONFIGURATION);
@@ -35,6 +35,6 @@
 
     /// The regions, beside the client's own, of the balancers that may be named to clients of a host.
     pub fn regions_of(&self, host: &str) -> &ServingRegions {
-        self.hosts.of(host).unwrap_or(&OWN_REGION_ALONE)
+        self.hosts.of(host).unwrap_or(&OWN_REGION_ONLY)
     }
 }
--- a/controlplane/controller/src/lib.rs
+++ b/controlplane/controller/src/lib.rs
@@ -1,27 +1,26 @@
 //! The controller: operator API, upstream registry, directory and distribution over the replicated state.
 //!
-//! [`Controller`] is a state machine over the replica, the registry and the publisher: it is given the time and what
-//! happened and returns what to answer, to send and to write. [`run`] is the process around it.
+//! [`Controller`] is a state machine over the replica, the registries and the publisher: it is given the time and an
+//! [`Event`], and returns the [`Action`]s to carry out. [`run`] is the process around it; tests and simulations drive the
+//! state machine directly.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
-mod acquaintances;
 pub mod api;
-mod contact;
+pub mod commands;
 mod controller;
 mod directory;
-pub mod evidence;
-mod exchange;
-mod fleet;
-mod memory;
-pub mod orders;
-mod pending;
+pub mod failing_instances;
+mod fleet_state;
+mod gossip_records;
+mod host_region_cache;
+mod known_peers;
+mod pending_commands;
 mod protocol_rules;
-mod residency;
+mod quorum_contact;
 mod runtime;
+mod save_schedule;
 mod status;
 
 pub use controller::{Action, Controller, ControllerSettings, Event};
-pub use pending::CallId;
+pub use pending_commands::CallId;
 pub use protocol_rules::{ProtocolRules, StandardRules};
 pub use runtime::{ControllerError, DiskError, ListenError, run, run_directory};
--- a/controlplane/controller/src/protocol_rules.rs
+++ b/controlplane/controller/src/protocol_rules.rs
@@ -1,32 +1,31 @@
-//! The rules for what a controller may say on its own. They are a type parameter, so that tests can show that each of
-//! them is needed.
+//! The safety rules of a controller, as a type parameter: tests replace one by a fault and show that it is needed.
 
 use std::fmt::Debug;
 
-/// What must hold. The defaults are what the program runs; tests plant faults in their place.
+/// The decisions that the safety of the protocol rests on. The defaults are what the program runs.
 pub trait ProtocolRules: Clone + Debug {
-    /// Whether a balancer that has nothing is told the records, if by contact and time it `may` be.
-    fn hands_out(may: bool) -> bool {
+    /// Whether a balancer without records is served those known here, given whether contact and time permit it.
+    fn serves_records(may: bool) -> bool {
         may
     }
 
-    /// Whether a departure is confirmed at once, by whether it `is_committed` as far as known here.
+    /// Whether a departure is confirmed at once, given whether it is committed as far as known here.
     fn confirms_departure(is_committed: bool) -> bool {
         is_committed
     }
 
-    /// Whether a read of the configuration is answered from the records known here, without a pass of the chain.
-    fn answers_reads_alone() -> bool {
+    /// Whether a read of the configuration is answered from the records known here, without the chain.
+    fn answers_reads_locally() -> bool {
         false
     }
 
-    /// Whether a heartbeat is confirmed, by whether this controller is `in_quorum`.
+    /// Whether a heartbeat is confirmed, given whether this controller is in a quorum.
     fn confirms_heartbeat(in_quorum: bool) -> bool {
         in_quorum
     }
 }
 
-/// The rules as the program keeps them.
+/// The rules that the program runs under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandardRules;
 
--- a/controlplane/controller/src/runtime/disk.rs
+++ b/controlplane/controller/src/runtime/disk.rs
@@ -15,15 +15,18 @@
 
 /// The time between two attempts to open a disk that can't be read.
 const REOPEN_BACKOFF: Duration = Duration::from_millis(200);
-/// The names of the files of the memory begin with this.
-const MEMORY_PREFIX: &str = "memory-";
+/// The prefix of the files that hold the saved state.
+const SAVED_STATE_PREFIX: &str = "memory-";
 
 /// Why the disk's thread can't be used.
 #[derive(Debug, Snafu)]
 pub enum DiskError {
     /// The operating system refused the thread.
     #[snafu(display("the thread for the disk can't be started"))]
-    Thread { source: std::io::Error },
+    Thread {
+        /// What the system reports.
+        source: std::io::Error,
+    },
     /// The thread ended before it had opened the disk.
     #[snafu(display("the thread for the disk has ended"))]
     Ended,
@@ -45,17 +48,18 @@
         tokens: Vec<u64>,
     },
     Compacted,
-    /// What an earlier process remembered.
-    Recalled {
-        memory: Vec<u8>,
+    /// The state that an earlier process saved.
+    StateRestored {
+        state: Vec<u8>,
     },
-    Remembered,
+    /// A write of saved state has ended, successful or not.
+    StateSaved,
 }
 
 enum Job {
     Persist { token: u64, write: DurableWrite },
     Compact { state: Vec<u8> },
-    Remember { memory: Vec<u8> },
+    SaveState { state: Vec<u8> },
 }
 
 /// The result of [`open`].
@@ -67,9 +71,9 @@
     pub reports: reports::UnboundedReceiver<DiskReport>,
 }
 
-/// Opens the journal in a folder, on a thread of its own; waits until the disk can be read. What an earlier process
-/// remembered is reported only if the controller recalls it.
-pub async fn open(folder: PathBuf, recalls: bool) -> Result<OpenedDisk, DiskError> {
+/// Opens the journal in a folder, on a thread of its own; waits until the disk can be read. The state that
+/// an earlier process saved is reported only if the controller restores it.
+pub async fn open(folder: PathBuf, restores_state: bool) -> Result<OpenedDisk, DiskError> {
     let (jobs, job_receiver) = mpsc::channel();
     let (report_sender, reports) = reports::unbounded_channel();
     let (opened_sender, opened) = oneshot::channel();
@@ -78,9 +82,9 @@
         if opened_sender.send((opened.recovered, opened.was_damaged)).is_ok() {
             let OpenedJournal { files, journal, .. } = opened;
             let mut worker =
-                Worker { files, journal, memory: None, jobs: job_receiver, reports: report_sender };
-            if recalls {
-                worker.recall();
+                Worker { files, journal, saved_state: None, jobs: job_receiver, reports: report_sender };
+            if restores_state {
+                worker.report_saved_state();
             }
             worker.run();
         }
@@ -101,9 +105,9 @@
         self.send(Job::Compact { state });
     }
 
-    /// Writes what a restarted process is to recall, in place of what was written before.
-    pub fn remember(&self, memory: Vec<u8>) {
-        self.send(Job::Remember { memory });
+    /// Writes the state that a restarted process restores, in place of the one before.
+    pub fn save_state(&self, state: Vec<u8>) {
+        self.send(Job::SaveState { state });
     }
 
     fn send(&self, job: Job) {
@@ -158,7 +162,7 @@
     files: PrefixedDirectory,
     journal: Journal<PrefixedDirectory>,
     /// None while its files can't be used.
-    memory: Option<Journal<PrefixedDirectory>>,
+    saved_state: Option<Journal<PrefixedDirectory>>,
     jobs: mpsc::Receiver<Job>,
     reports: reports::UnboundedSender<DiskReport>,
 }
@@ -200,27 +204,27 @@
                 }
                 self.send(DiskReport::Compacted);
             }
-            Job::Remember { memory } => {
+            Job::SaveState { state } => {
                 self.append(batch);
-                if let Err(failure) = self.remember(&memory) {
+                if let Err(failure) = self.save_state(&state) {
                     warn!("the state for the next restart was not written: {failure}");
                 }
-                self.send(DiskReport::Remembered);
+                self.send(DiskReport::StateSaved);
             }
         }
     }
 
-    fn recall(&mut self) {
-        match self.open_memory() {
-            Ok(Some(memory)) => self.send(DiskReport::Recalled { memory }),
+    fn report_saved_state(&mut self) {
+        match self.open_saved_state() {
+            Ok(Some(state)) => self.send(DiskReport::StateRestored { state }),
             Ok(None) => {}
             Err(failure) => warn!("the saved state can't be read: {failure}"),
         }
     }
 
-    /// Answers what an earlier process remembered. Damaged files are emptied: they are a help, not a promise.
-    fn open_memory(&mut self) -> Result<Option<Vec<u8>>, StorageError> {
-        let files = self.files.with_prefix(MEMORY_PREFIX);
+    /// Opens the saved state and returns it. Damaged files are discarded: the controller can start without them.
+    fn open_saved_state(&mut self) -> Result<Option<Vec<u8>>, StorageError> {
+        let files = self.files.with_prefix(SAVED_STATE_PREFIX);
         let opened = match Journal::open(files.clone()) {
             Err(StorageError::Damaged { .. }) => {
                 Journal::discard(&mut files.clone())?;
@@ -229,15 +233,15 @@
             opened => opened,
         };
         let (journal, recovered) = opened?;
-        self.memory = Some(journal);
+        self.saved_state = Some(journal);
         Ok(recovered.checkpoint)
     }
 
-    fn remember(&mut self, memory: &[u8]) -> Result<(), StorageError> {
-        if self.memory.is_none() {
-            self.open_memory()?;
+    fn save_state(&mut self, state: &[u8]) -> Result<(), StorageError> {
+        if self.saved_state.is_none() {
+            self.open_saved_state()?;
         }
-        self.memory.as_mut().map_or(Ok(()), |journal| journal.checkpoint(memory))
+        self.saved_state.as_mut().map_or(Ok(()), |journal| journal.checkpoint(state))
     }
 
     fn append(&mut self, batch: &mut Batch) {
--- a/controlplane/controller/src/runtime/http_server.rs
+++ b/controlplane/controller/src/runtime/http_server.rs
@@ -24,7 +24,7 @@
 
 use super::node::SharedNode;
 use crate::api::{self, BASE_VERSION, Refusal, Response};
-use crate::pending::CallId;
+use crate::pending_commands::CallId;
 
 /// The largest body that is accepted.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
--- a/controlplane/controller/src/runtime/node.rs
+++ b/controlplane/controller/src/runtime/node.rs
@@ -19,7 +19,7 @@
 use super::stable_value::StableValue;
 use crate::api::{Call, Response};
 use crate::controller::{Action, Controller, Event};
-use crate::pending::CallId;
+use crate::pending_commands::CallId;
 
 /// The bytes queued for a balancer beyond which its connection is closed.
 const MAX_BALANCER_BYTES: usize = 8 * 1024 * 1024;
@@ -110,7 +110,7 @@
                 Action::SendBalancer { to, message } => self.send_balancer(now, to, encoded.of(message)),
                 Action::Persist { token, write } => self.disk.persist(token, write),
                 Action::Compact { state } => self.disk.compact(state),
-                Action::Remember { memory } => self.disk.remember(memory),
+                Action::SaveState { state } => self.disk.save_state(state),
             }
         }
     }
@@ -209,8 +209,8 @@
                 }
             }
             DiskReport::Compacted => self.handle(Event::Compacted),
-            DiskReport::Recalled { memory } => self.handle(Event::Recalled { memory: memory.into() }),
-            DiskReport::Remembered => self.handle(Event::Remembered),
+            DiskReport::StateRestored { state } => self.handle(Event::StateRestored { state: state.into() }),
+            DiskReport::StateSaved => self.handle(Event::StateSaved),
         }
     }
 
--- a/controlplane/controller/src/runtime/process.rs
+++ b/controlplane/controller/src/runtime/process.rs
@@ -27,8 +27,8 @@
 use super::listen::{ListenError, listen};
 use super::node::{Node, SharedNode};
 use super::peer_links::PeerLinks;
+use crate::commands::CommandApplication;
 use crate::controller::{Action, Controller, ControllerSettings, Event};
-use crate::orders::Orders;
 
 /// The interval at which the state machine is advanced.
 const TICK: Duration = Duration::from_millis(50);
@@ -51,13 +51,22 @@
     NoDirectoryAddress,
     /// An address can't be bound.
     #[snafu(display("{source}"))]
-    Listen { source: ListenError },
+    Listen {
+        /// The address, and what the system reports.
+        source: ListenError,
+    },
     /// The disk's thread can't be used.
     #[snafu(display("{source}"))]
-    Disk { source: DiskError },
+    Disk {
+        /// The failure of the thread.
+        source: DiskError,
+    },
     /// The handlers of SIGTERM and SIGHUP can't be installed.
     #[snafu(display("the signals of the process can't be watched"))]
-    Signals { source: std::io::Error },
+    Signals {
+        /// What the system reports.
+        source: std::io::Error,
+    },
 }
 
 /// Runs the controller until SIGTERM. To be called inside a `LocalSet`. Its metrics are served at the endpoint, if one is
@@ -157,7 +166,7 @@
     bootstrap: bool,
     recovered: Recovered,
     now: u64,
-) -> (Replica<Orders>, Vec<Output>) {
+) -> (Replica<CommandApplication>, Vec<Output>) {
     let mut replica_settings = ReplicaSettings {
         endpoint: settings.internal_endpoint(settings.ip),
         zone: settings.zone.clone(),
@@ -170,14 +179,14 @@
         timing: Timing::default(),
     };
     let stored = (recovered.checkpoint, recovered.log);
-    let failure = match Replica::new(replica_settings.clone(), Orders, stored, now) {
+    let failure = match Replica::new(replica_settings.clone(), CommandApplication, stored, now) {
         Ok(started) => return started,
         Err(failure) => failure,
     };
     // With a new identity the replica joins like one whose disk was lost.
     warn!("the state on the disk is of no use: {failure}");
     replica_settings.bootstrap = false;
-    match Replica::new(replica_settings, Orders, (None, Vec::new()), now) {
+    match Replica::new(replica_settings, CommandApplication, (None, Vec::new()), now) {
         Ok(started) => started,
         Err(failure) => unreachable!("an empty disk can be read: {failure}"),
     }
@@ -223,7 +232,7 @@
 
 /// Hands the controller's roles over to others, finishes the calls in flight and closes the connections.
 async fn shut_down(node: &SharedNode, server: &HttpServer, stopping: &watch::Sender<bool>) {
-    node.borrow_mut().handle(Event::Leave);
+    node.borrow_mut().handle(Event::Shutdown);
     sleep(SHUTDOWN_GRACE).await;
     stopping.send_replace(true);
     let mut remaining = DRAIN_TIMEOUT;
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -1,4 +1,4 @@
-//! What a controller tells operators of its own state.
+//! The status of a controller for operators, as JSON and as metrics.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -10,23 +10,23 @@
 use whinspindle_replica::{Replica, Voter};
 
 use crate::api::push_json_string;
-use crate::orders::{self, Orders};
-use crate::pending::PendingOrders;
+use crate::commands::{CommandApplication, records};
+use crate::pending_commands::PendingCommands;
 
-/// The parts of a controller that its status is read from.
+/// The parts of a controller that its status describes.
 pub struct Summary<'a> {
     pub node: &'a str,
-    pub replica: &'a Replica<Orders>,
+    pub replica: &'a Replica<CommandApplication>,
     pub registry: &'a InstanceRegistry,
     pub leases: &'a LeaseTable,
     pub publisher: &'a Publisher,
     pub in_quorum: bool,
-    pub orders: &'a PendingOrders,
+    pub commands: &'a PendingCommands,
     pub shutting_down: bool,
     pub now: u64,
 }
 
-/// A JSON object.
+/// The status as a JSON object.
 pub fn describe(summary: &Summary<'_>) -> Bytes {
     let mut json = String::from("{\"node\":");
     push_json_string(&mut json, summary.node);
@@ -39,12 +39,12 @@
     Bytes::from(json)
 }
 
-/// The same figures as OpenMetrics text.
+/// The same as OpenMetrics text.
 pub fn metrics(summary: &Summary<'_>) -> String {
-    let mut figures = Figures::default();
+    let mut metrics = Figures::default();
     for (name, value) in fields(summary) {
         let name = format!("controller_{name}");
-        figures.gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
+        metrics.gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
     }
     let counts = [
         ("controller_balancers", "Balancers that hold a lease", summary.leases.live(summary.now).count()),
@@ -56,23 +56,23 @@
         ("controller_chain_length", "Members of the chain", summary.replica.view().chain.len()),
     ];
     for (name, help, value) in counts {
-        figures.gauge(name, help, [([].as_slice(), value as f64)]);
+        metrics.gauge(name, help, [([].as_slice(), value as f64)]);
     }
-    figures.into_text()
+    metrics.into_text()
 }
 
 fn fields(summary: &Summary<'_>) -> [(&'static str, u64); 14] {
     let versions = summary.publisher.versions();
-    let orders_answered = summary.orders.counts();
+    let orders_answered = summary.commands.counts();
     [
         ("in_quorum", u64::from(summary.in_quorum)),
         ("leaving", u64::from(summary.shutting_down)),
-        ("pending_orders", summary.orders.len() as u64),
+        ("pending_orders", summary.commands.len() as u64),
         ("orders_confirmed", orders_answered.confirmed),
         ("orders_refused", orders_answered.refused),
         ("orders_unclear", orders_answered.unclear),
         ("committed_sequence", summary.replica.committed_sequence()),
-        ("generation", orders::current_generation(summary.replica.committed())),
+        ("generation", records::current_generation(summary.replica.committed())),
         ("published_configuration", versions.configured),
         ("published_evacuations", versions.evacuations),
         ("published_instances", versions.instances),
@@ -88,7 +88,7 @@
     }
 }
 
-fn push_replication(json: &mut String, replica: &Replica<Orders>) {
+fn push_replication(json: &mut String, replica: &Replica<CommandApplication>) {
     let view = replica.view();
     push_number(json, "view", view.number);
     let endpoint = |voter: Voter| view.endpoint(voter);
@@ -99,8 +99,8 @@
     push_list(json, "fatal_losses", fatal, |json, kind| push_json_string(json, kind.name()));
 }
 
-fn push_evacuations(json: &mut String, replica: &Replica<Orders>) {
-    let (_, zones) = orders::evacuated_zones(replica.committed());
+fn push_evacuations(json: &mut String, replica: &Replica<CommandApplication>) {
+    let zones = records::evacuated_zones(replica.committed()).zones;
     push_list(json, "evacuated_zones", zones, |json, zone| push_json_string(json, &zone));
 }
 
--- a/controlplane/controller/tests/api.rs
+++ b/controlplane/controller/tests/api.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// 400 would end the call of an operator whose order may have been taken elsewhere.
+/// 400 would end the call of an operator whose command may have been taken elsewhere.
 #[test]
 fn a_body_that_could_not_be_read_is_to_be_sent_again() {
     for (refusal, status) in [
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn the_log_names_orders_of_operators_and_their_answers() {
+fn log_describes_operator_commands_and_their_answers() {
     let replace = Call::Replace { base: 5, generation: 7, body: Bytes::new() };
     assert_eq!(replace.command_name().as_deref(), Some("configuration 7 on 5"));
     let begin = Call::Evacuate { zone: "zone-a".to_owned(), evacuated: true };
--- a/controlplane/controller/tests/calls.rs
+++ b/controlplane/controller/tests/calls.rs
@@ -7,7 +7,7 @@
 use whinspindle_controller::Event;
 
 #[test]
-fn each_caller_gets_the_answer_to_its_own_order() {
+fn each_caller_gets_the_answer_to_its_own_command() {
     let mut single = Single::settled();
     single.disk_works = false;
     let first = single.call(replace(0, 1));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_caller_that_has_gone_leaves_its_answer_to_nobody() {
+fn answer_to_a_closed_connection_reaches_no_other_caller() {
     let mut single = Single::settled();
     single.disk_works = false;
     let gone = single.call(evacuate("zone-a", true));
--- a/controlplane/controller/tests/orders.rs
+++ b/controlplane/controller/tests/commands.rs
@@ -1,12 +1,12 @@
-//! What each order does to the records, and what repeats and races come to.
+//! What each command does to the records, and what repeats and races come to.
 
-use whinspindle_controller::orders::{
-    Departure, Order, Orders, Outcome, current_generation, departure_of, departures, evacuated_zones,
-    evacuation_sequence,
+use whinspindle_controller::commands::records::{
+    EvacuatedZones, current_generation, departure_of, departures, evacuated_zones, evacuation_sequence,
 };
+use whinspindle_controller::commands::{Command, CommandApplication, Departure, Outcome};
 use whinspindle_replica::{Answer, Application, Evaluation, Records};
 
-/// Records that orders are carried out on one after the other.
+/// Records that commands are carried out on one after the other.
 #[derive(Default)]
 struct State {
     records: Records,
@@ -14,12 +14,12 @@
 }
 
 impl State {
-    fn evaluate(&self, order: Order) -> Evaluation {
-        Orders.evaluate(&self.records, &order.encode().expect("an order can be encoded"))
+    fn evaluate(&self, command: Command) -> Evaluation {
+        CommandApplication.evaluate(&self.records, &command.encode().expect("a command can be encoded"))
     }
 
-    fn carry_out(&mut self, order: Order) -> Outcome {
-        let evaluation = self.evaluate(order);
+    fn carry_out(&mut self, command: Command) -> Outcome {
+        let evaluation = self.evaluate(command);
         if !evaluation.writes.is_empty() {
             self.sequence += 1;
             self.records.apply(self.sequence, &evaluation.writes);
@@ -43,39 +43,39 @@
     }
 }
 
-fn replace(base: u64, generation: u64, body: &str) -> Order {
-    Order::Replace { base, generation, body: body.as_bytes().to_vec() }
+fn replace(base: u64, generation: u64, body: &str) -> Command {
+    Command::Replace { base, generation, body: body.as_bytes().to_vec() }
 }
 
-fn evacuate(zone: &str, evacuated: bool, seen: u64) -> Order {
-    Order::Evacuate { zone: zone.to_owned(), evacuated, seen }
+fn evacuate(zone: &str, evacuated: bool, observed_sequence: u64) -> Command {
+    Command::Evacuate { zone: zone.to_owned(), evacuated, observed_sequence }
 }
 
-fn drain(instance: &str, departure: Departure) -> Order {
-    Order::Drain { instance: instance.to_owned(), departure }
+fn drain(instance: &str, departure: Departure) -> Command {
+    Command::Drain { instance: instance.to_owned(), departure }
 }
 
 #[test]
-fn orders_survive_encoding() {
-    let orders = [
+fn commands_survive_encoding() {
+    let commands = [
         replace(5, 7, "{\"generation\":7}"),
         replace(0, u64::MAX, ""),
-        Order::Fetch,
+        Command::Fetch,
         evacuate("zone-a", true, 12),
         evacuate("", false, 0),
         drain("i-1", Departure::Draining),
-        drain("i-2", Departure::Gone),
+        drain("i-2", Departure::Deregistered),
     ];
-    for order in orders {
-        let command = order.clone().encode().expect("an order can be encoded");
-        assert_eq!(Order::decode(&command).expect("it can be read again"), order);
+    for command in commands {
+        let encoded = command.clone().encode().expect("a command can be encoded");
+        assert_eq!(Command::decode(&encoded).expect("it can be read again"), command);
     }
 }
 
 #[test]
-fn a_command_that_is_no_order_changes_nothing() {
+fn malformed_command_changes_nothing() {
     for command in [&b""[..], &[200, 1, 2], &[2], &[3, 0]] {
-        let evaluation = Orders.evaluate(&Records::default(), command);
+        let evaluation = CommandApplication.evaluate(&Records::default(), command);
         assert!(evaluation.writes.is_empty(), "{command:?}");
         assert_eq!(outcome(&evaluation), Outcome::Unreadable, "{command:?}");
     }
@@ -84,8 +84,8 @@
 #[test]
 fn configurations_build_on_each_other() {
     let mut state = State::default();
-    assert_eq!(state.replace(0, 3, "first"), Outcome::Done);
-    assert_eq!(state.replace(3, 7, "second"), Outcome::Done);
+    assert_eq!(state.replace(0, 3, "first"), Outcome::Applied);
+    assert_eq!(state.replace(3, 7, "second"), Outcome::Applied);
     assert_eq!(state.configuration(), b"second");
     assert_eq!(current_generation(&state.records), 7);
 }
@@ -95,79 +95,79 @@
     let mut state = State::default();
     state.replace(0, 3, "first");
     for base in [0, 1, 2] {
-        assert_eq!(state.replace(base, 9, "other"), Outcome::OtherBase { current: 3 }, "base {base}");
+        assert_eq!(state.replace(base, 9, "other"), Outcome::BaseMismatch { current: 3 }, "base {base}");
     }
     assert_eq!(state.configuration(), b"first");
 }
 
-/// Its base may still come, and then a copy of the order would be taken: a clear refusal would be no longer true.
+/// Its base may still come, and then a copy of the command would be taken: a clear refusal would be no longer true.
 #[test]
-fn a_configuration_on_a_base_to_come_waits() {
+fn configuration_ahead_of_its_base_waits() {
     let mut state = State::default();
-    assert_eq!(state.replace(3, 5, "early"), Outcome::BaseAhead { current: 0 });
-    assert_eq!(state.replace(0, 3, "first"), Outcome::Done);
-    assert_eq!(state.replace(4, 9, "never"), Outcome::BaseAhead { current: 3 });
-    assert_eq!(state.replace(3, 5, "early"), Outcome::Done);
+    assert_eq!(state.replace(3, 5, "early"), Outcome::BaseNotInPlace { current: 0 });
+    assert_eq!(state.replace(0, 3, "first"), Outcome::Applied);
+    assert_eq!(state.replace(4, 9, "never"), Outcome::BaseNotInPlace { current: 3 });
+    assert_eq!(state.replace(3, 5, "early"), Outcome::Applied);
     assert_eq!(state.configuration(), b"early");
-    assert_eq!(state.replace(4, 9, "never"), Outcome::OtherBase { current: 5 });
+    assert_eq!(state.replace(4, 9, "never"), Outcome::BaseMismatch { current: 5 });
 }
 
 #[test]
 fn a_generation_that_is_not_above_the_current_one_is_refused() {
     let mut state = State::default();
-    assert_eq!(state.replace(0, 0, "zero"), Outcome::NotAbove { current: 0 });
+    assert_eq!(state.replace(0, 0, "zero"), Outcome::GenerationTooLow { current: 0 });
     state.replace(0, 5, "first");
     for generation in [0, 4, 5] {
         let outcome = state.replace(5, generation, "other");
-        assert_eq!(outcome, Outcome::NotAbove { current: 5 }, "generation {generation}");
+        assert_eq!(outcome, Outcome::GenerationTooLow { current: 5 }, "generation {generation}");
     }
     assert_eq!(state.configuration(), b"first");
 }
 
 #[test]
-fn of_two_changes_on_one_base_one_wins() {
+fn one_of_two_changes_on_the_same_base_wins() {
     let mut state = State::default();
     state.replace(0, 1, "base");
-    assert_eq!(state.replace(1, 2, "winner"), Outcome::Done);
-    assert_eq!(state.replace(1, 2, "loser"), Outcome::OtherBase { current: 2 });
-    assert_eq!(state.replace(1, 3, "another loser"), Outcome::OtherBase { current: 2 });
+    assert_eq!(state.replace(1, 2, "winner"), Outcome::Applied);
+    assert_eq!(state.replace(1, 2, "loser"), Outcome::BaseMismatch { current: 2 });
+    assert_eq!(state.replace(1, 3, "another loser"), Outcome::BaseMismatch { current: 2 });
     assert_eq!(state.configuration(), b"winner");
 }
 
 #[test]
-fn a_configuration_that_was_taken_is_acknowledged_again() {
+fn applied_configuration_is_acknowledged_again() {
     let mut state = State::default();
     state.replace(0, 1, "first");
     state.replace(1, 2, "second");
     let sequence = state.sequence;
-    assert_eq!(state.replace(1, 2, "second"), Outcome::Done);
-    assert_eq!(state.replace(0, 1, "first"), Outcome::Done, "also after a newer one");
+    assert_eq!(state.replace(1, 2, "second"), Outcome::Applied);
+    assert_eq!(state.replace(0, 1, "first"), Outcome::Applied, "also after a newer one");
     assert_eq!(state.sequence, sequence, "without a write");
     assert_eq!(state.configuration(), b"second");
 }
 
 #[test]
-fn repeats_are_known_for_hundreds_of_configurations_and_no_longer() {
+fn retries_are_recognized_for_hundreds_of_configurations_and_no_longer() {
     let mut state = State::default();
     let configurations = 600;
     for generation in 1..=configurations {
         let body = format!("configuration {generation}");
-        assert_eq!(state.replace(generation - 1, generation, &body), Outcome::Done);
+        assert_eq!(state.replace(generation - 1, generation, &body), Outcome::Applied);
     }
     let repeat =
         |generation: u64| replace(generation - 1, generation, &format!("configuration {generation}"));
-    assert_eq!(state.carry_out(repeat(configurations - 500)), Outcome::Done);
-    let forgotten = Outcome::Forgotten { current: configurations };
+    assert_eq!(state.carry_out(repeat(configurations - 500)), Outcome::Applied);
+    let forgotten = Outcome::HistoryExpired { current: configurations };
     assert_eq!(state.carry_out(repeat(1)), forgotten, "it was taken, so it is not refused");
     assert_eq!(state.replace(0, 88, "of a forgotten generation"), forgotten);
-    assert_eq!(state.replace(88, 88, "never valid"), Outcome::NotAbove { current: configurations });
-    assert_eq!(state.replace(0, 89, "of a known one"), Outcome::OtherBase { current: configurations });
+    assert_eq!(state.replace(88, 88, "never valid"), Outcome::GenerationTooLow { current: configurations });
+    assert_eq!(state.replace(0, 89, "of a known one"), Outcome::BaseMismatch { current: configurations });
     assert!(state.records.len() < 520, "the history is bounded");
 }
 
 #[test]
 fn the_newest_configuration_is_read_at_the_tail() {
-    let evaluation = State::default().evaluate(Order::Fetch);
+    let evaluation = State::default().evaluate(Command::Fetch);
     assert!(evaluation.writes.is_empty());
     assert_eq!(evaluation.answer, Answer::Record("configuration".to_owned()));
 }
@@ -175,62 +175,75 @@
 #[test]
 fn evacuations_begin_and_finish() {
     let mut state = State::default();
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 0)), Outcome::Done);
-    assert_eq!(state.carry_out(evacuate("zone-b", true, 0)), Outcome::Done);
-    assert_eq!(evacuated_zones(&state.records), (2, vec!["zone-a".to_owned(), "zone-b".to_owned()]));
-    assert_eq!(state.carry_out(evacuate("zone-a", false, 1)), Outcome::Done);
-    assert_eq!(evacuated_zones(&state.records), (3, vec!["zone-b".to_owned()]));
+    assert_eq!(state.carry_out(evacuate("zone-a", true, 0)), Outcome::Applied);
+    assert_eq!(state.carry_out(evacuate("zone-b", true, 0)), Outcome::Applied);
+    assert_eq!(
+        evacuated_zones(&state.records),
+        EvacuatedZones { sequence: 2, zones: vec!["zone-a".to_owned(), "zone-b".to_owned()] }
+    );
+    assert_eq!(state.carry_out(evacuate("zone-a", false, 1)), Outcome::Applied);
+    assert_eq!(
+        evacuated_zones(&state.records),
+        EvacuatedZones { sequence: 3, zones: vec!["zone-b".to_owned()] }
+    );
 }
 
 #[test]
-fn a_repeated_evacuation_is_acknowledged_and_changes_nothing() {
+fn repeated_evacuation_is_acknowledged_and_changes_nothing() {
     let mut state = State::default();
-    assert_eq!(state.carry_out(evacuate("zone-a", false, 0)), Outcome::Done, "never evacuated");
-    assert_eq!(evacuated_zones(&state.records), (1, Vec::new()));
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 1)), Outcome::Done);
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 2)), Outcome::Done);
-    assert_eq!(evacuated_zones(&state.records), (3, vec!["zone-a".to_owned()]));
+    assert_eq!(state.carry_out(evacuate("zone-a", false, 0)), Outcome::Applied, "never evacuated");
+    assert_eq!(evacuated_zones(&state.records), EvacuatedZones { sequence: 1, zones: Vec::new() });
+    assert_eq!(state.carry_out(evacuate("zone-a", true, 1)), Outcome::Applied);
+    assert_eq!(state.carry_out(evacuate("zone-a", true, 2)), Outcome::Applied);
+    assert_eq!(
+        evacuated_zones(&state.records),
+        EvacuatedZones { sequence: 3, zones: vec!["zone-a".to_owned()] }
+    );
 }
 
 /// A begin gets no clear answer; the operator takes it back and is acknowledged; then a copy of the begin comes through.
 #[test]
-fn an_acknowledged_order_voids_every_copy_of_earlier_ones() {
+fn acknowledged_command_voids_every_copy_of_earlier_ones() {
     for evacuated in [true, false] {
         let mut state = State::default();
         state.carry_out(evacuate("zone-a", !evacuated, 0));
         let held_up = evacuate("zone-a", evacuated, 1);
-        assert_eq!(state.carry_out(evacuate("zone-a", !evacuated, 1)), Outcome::Done, "nothing to do");
-        assert_eq!(state.carry_out(held_up), Outcome::Overtaken { sequence: 2 });
-        assert_eq!(evacuated_zones(&state.records).1.is_empty(), evacuated);
+        assert_eq!(state.carry_out(evacuate("zone-a", !evacuated, 1)), Outcome::Applied, "nothing to do");
+        assert_eq!(state.carry_out(held_up), Outcome::Superseded { sequence: 2 });
+        assert_eq!(evacuated_zones(&state.records).zones.is_empty(), evacuated);
     }
 }
 
 #[test]
-fn an_order_that_was_held_up_does_not_undo_a_newer_one() {
+fn delayed_command_does_not_undo_a_newer_one() {
     let mut state = State::default();
     state.carry_out(evacuate("zone-a", true, 0));
     state.carry_out(evacuate("zone-a", false, 1));
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 0)), Outcome::Overtaken { sequence: 2 });
-    assert_eq!(evacuated_zones(&state.records).1, Vec::<String>::new());
-    let seen = evacuation_sequence(&state.records, "zone-a");
-    assert_eq!(state.carry_out(evacuate("zone-a", true, seen)), Outcome::Done, "given anew it counts");
+    assert_eq!(state.carry_out(evacuate("zone-a", true, 0)), Outcome::Superseded { sequence: 2 });
+    assert_eq!(evacuated_zones(&state.records).zones, Vec::<String>::new());
+    let observed_sequence = evacuation_sequence(&state.records, "zone-a");
+    assert_eq!(
+        state.carry_out(evacuate("zone-a", true, observed_sequence)),
+        Outcome::Applied,
+        "given anew it counts"
+    );
 }
 
 #[test]
-fn an_instance_drains_and_ends_once() {
+fn instance_is_drained_and_deregistered_once() {
     let mut state = State::default();
-    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Done);
-    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Done);
+    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Applied);
+    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Applied);
     assert_eq!(state.sequence, 1);
-    assert_eq!(state.carry_out(drain("i-1", Departure::Gone)), Outcome::Done);
-    assert_eq!(departure_of(&state.records, "i-1"), Some(Departure::Gone));
-    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Done);
-    assert_eq!(departure_of(&state.records, "i-1"), Some(Departure::Gone), "an end is for good");
+    assert_eq!(state.carry_out(drain("i-1", Departure::Deregistered)), Outcome::Applied);
+    assert_eq!(departure_of(&state.records, "i-1"), Some(Departure::Deregistered));
+    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Applied);
+    assert_eq!(departure_of(&state.records, "i-1"), Some(Departure::Deregistered), "an end is for good");
     assert_eq!(departure_of(&state.records, "i-2"), None);
 }
 
 #[test]
-fn the_oldest_departures_are_forgotten() {
+fn oldest_departures_are_evicted() {
     let mut state = State::default();
     for number in 0..2_100 {
         state.carry_out(drain(&format!("i-{number}"), Departure::Draining));
--- a/controlplane/controller/tests/orders_model.rs
+++ b/controlplane/controller/tests/commands_model.rs
@@ -1,12 +1,13 @@
-//! Orders drawn at random against a model that forgets nothing: repeats at any distance, copies that come late, and
+//! Commands drawn at random against a model that forgets nothing: repeats at any distance, copies that come late, and
 //! records that were written to a disk and read again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use whinspindle_controller::orders::{
-    Departure, Order, Orders, Outcome, current_generation, departure_of, evacuated_zones, evacuation_sequence,
+use whinspindle_controller::commands::records::{
+    current_generation, departure_of, evacuated_zones, evacuation_sequence,
 };
+use whinspindle_controller::commands::{Command, CommandApplication, Departure, Outcome};
 use whinspindle_replica::{Answer, Application, Evaluation, Records};
 
 const SEQUENCES: u64 = 150;
@@ -30,16 +31,16 @@
     Burst {
         count: usize,
     },
-    /// One of the configuration orders so far once more, counted from the newest.
+    /// One of the configuration commands so far once more, counted from the newest.
     Repeat {
         distance: usize,
     },
-    /// An order on the newest record of the zone.
+    /// A command on the newest record of the zone.
     Evacuate {
         zone: usize,
         evacuated: bool,
     },
-    /// A copy of one of the evacuation orders so far.
+    /// A copy of one of the evacuation commands so far.
     LateEvacuation {
         distance: usize,
     },
@@ -85,7 +86,7 @@
 
 type Configuration = (u64, u64, Vec<u8>);
 
-/// What the orders so far should have come to.
+/// What the commands so far should have come to.
 #[derive(Default)]
 struct Model {
     records: Records,
@@ -118,16 +119,16 @@
                 }
             }
             Step::Evacuate { zone, evacuated } => {
-                let seen = evacuation_sequence(&self.records, ZONES[zone]);
-                self.evacuation_orders.push((zone, evacuated, seen));
-                assert_eq!(self.evacuate(zone, evacuated, seen), Outcome::Done);
+                let observed_sequence = evacuation_sequence(&self.records, ZONES[zone]);
+                self.evacuation_orders.push((zone, evacuated, observed_sequence));
+                assert_eq!(self.evacuate(zone, evacuated, observed_sequence), Outcome::Applied);
                 self.evacuated.insert(zone, evacuated);
             }
             Step::LateEvacuation { distance } => {
                 if let Some(index) = self.evacuation_orders.len().checked_sub(1 + distance) {
-                    let (zone, evacuated, seen) = self.evacuation_orders[index];
-                    let outcome = self.evacuate(zone, evacuated, seen);
-                    assert!(matches!(outcome, Outcome::Overtaken { .. }), "a late copy: {outcome:?}");
+                    let (zone, evacuated, observed_sequence) = self.evacuation_orders[index];
+                    let outcome = self.evacuate(zone, evacuated, observed_sequence);
+                    assert!(matches!(outcome, Outcome::Superseded { .. }), "a late copy: {outcome:?}");
                 }
             }
             Step::Drain { instance, is_gone } => self.drain(instance, is_gone),
@@ -140,42 +141,42 @@
         self.taken.last().map_or(0, |(_, generation, _)| *generation)
     }
 
-    fn replace(&mut self, order: Configuration) {
-        let (base, generation, body) = order.clone();
+    fn replace(&mut self, command: Configuration) {
+        let (base, generation, body) = command.clone();
         let was_in_force = self.taken.iter().any(|(_, _, taken)| *taken == body);
-        let outcome = self.carry_out(Order::Replace { base, generation, body });
+        let outcome = self.carry_out(Command::Replace { base, generation, body });
         match outcome {
-            Outcome::Done if was_in_force => {}
-            Outcome::Done => {
-                assert_eq!(base, self.current(), "taken on another base: {order:?}");
-                assert!(generation > self.current(), "taken though not above: {order:?}");
-                assert!(!self.refused.contains(&order), "refused and taken: {order:?}");
-                self.taken.push(order.clone());
+            Outcome::Applied if was_in_force => {}
+            Outcome::Applied => {
+                assert_eq!(base, self.current(), "taken on another base: {command:?}");
+                assert!(generation > self.current(), "taken though not above: {command:?}");
+                assert!(!self.refused.contains(&command), "refused and taken: {command:?}");
+                self.taken.push(command.clone());
             }
-            Outcome::OtherBase { .. } | Outcome::NotAbove { .. } => {
-                assert!(!was_in_force, "taken and refused: {order:?}");
+            Outcome::BaseMismatch { .. } | Outcome::GenerationTooLow { .. } => {
+                assert!(!was_in_force, "taken and refused: {command:?}");
                 let is_proper = base >= self.current() && generation > base;
-                assert!(!is_proper, "refused though it may be taken: {order:?}");
-                self.refused.insert(order.clone());
+                assert!(!is_proper, "refused though it may be taken: {command:?}");
+                self.refused.insert(command.clone());
             }
-            Outcome::BaseAhead { .. } => assert!(base > self.current(), "{order:?}"),
-            Outcome::Forgotten { .. } => {
+            Outcome::BaseNotInPlace { .. } => assert!(base > self.current(), "{command:?}"),
+            Outcome::HistoryExpired { .. } => {
                 let oldest = self.taken.len().checked_sub(HISTORY).map(|index| self.taken[index].1);
-                assert!(oldest.is_some_and(|oldest| generation < oldest), "forgotten soon: {order:?}");
+                assert!(oldest.is_some_and(|oldest| generation < oldest), "forgotten soon: {command:?}");
             }
-            Outcome::Overtaken { .. } | Outcome::Unreadable => panic!("{outcome:?} for {order:?}"),
+            Outcome::Superseded { .. } | Outcome::Unreadable => panic!("{outcome:?} for {command:?}"),
         }
-        self.asked.push(order);
+        self.asked.push(command);
     }
 
-    fn evacuate(&mut self, zone: usize, evacuated: bool, seen: u64) -> Outcome {
-        self.carry_out(Order::Evacuate { zone: ZONES[zone].to_owned(), evacuated, seen })
+    fn evacuate(&mut self, zone: usize, evacuated: bool, observed_sequence: u64) -> Outcome {
+        self.carry_out(Command::Evacuate { zone: ZONES[zone].to_owned(), evacuated, observed_sequence })
     }
 
     fn drain(&mut self, instance: u8, is_gone: bool) {
-        let departure = if is_gone { Departure::Gone } else { Departure::Draining };
-        let outcome = self.carry_out(Order::Drain { instance: format!("i-{instance}"), departure });
-        assert_eq!(outcome, Outcome::Done);
+        let departure = if is_gone { Departure::Deregistered } else { Departure::Draining };
+        let outcome = self.carry_out(Command::Drain { instance: format!("i-{instance}"), departure });
+        assert_eq!(outcome, Outcome::Applied);
         let held = self.departures.entry(instance).or_insert(departure);
         *held = departure.max(*held);
     }
@@ -186,9 +187,9 @@
         self.records = postcard::from_bytes(&encoded).expect("and read again");
     }
 
-    fn carry_out(&mut self, order: Order) -> Outcome {
+    fn carry_out(&mut self, command: Command) -> Outcome {
         let Evaluation { writes, answer } =
-            Orders.evaluate(&self.records, &order.encode().expect("a command"));
+            CommandApplication.evaluate(&self.records, &command.encode().expect("a command"));
         if !writes.is_empty() {
             self.sequence += 1;
             self.records.apply(self.sequence, &writes);
@@ -205,7 +206,7 @@
         assert_eq!(body, self.taken.last().map(|(_, _, body)| body.clone()));
         let evacuated = self.evacuated.iter().filter(|(_, evacuated)| **evacuated);
         let zones: Vec<String> = evacuated.map(|(zone, _)| ZONES[*zone].to_owned()).collect();
-        assert_eq!(evacuated_zones(&self.records).1, zones);
+        assert_eq!(evacuated_zones(&self.records).zones, zones);
         for (instance, departure) in &self.departures {
             assert_eq!(departure_of(&self.records, &format!("i-{instance}")), Some(*departure));
         }
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn orders_agree_with_a_model_that_forgets_nothing() {
+fn commands_agree_with_a_model_with_unbounded_history() {
     fn holds(steps: Steps) -> bool {
         let mut model = Model::default();
         steps.0.iter().for_each(|step| model.play(step));
--- a/controlplane/controller/tests/common/world.rs
+++ b/controlplane/controller/tests/common/deployment.rs
@@ -2,10 +2,10 @@
 //! anywhere, watched by the judge.
 
 mod checks;
-mod contact;
-mod controllers;
+mod controller_faults;
 mod edges;
 mod operators;
+mod reachability;
 mod reads;
 mod upstreams;
 
@@ -17,12 +17,12 @@
 use whinspindle_distribution::ToBalancer;
 use whinspindle_lab_simulated_cluster::{Occurrence, Pcg};
 
-pub use self::controllers::{Direction, Reach};
-use self::operators::{Race, ZoneOrder};
+pub use self::controller_faults::{Direction, Reach};
+use self::operators::{Race, ZoneCommand};
 use self::reads::Read;
 use super::edge::Edge;
 use super::fleet::{Answer, Fleet, SEEDS};
-use super::judge::Judge;
+use super::invariant_checker::Judge;
 use super::rules::{Rules, StandardRules};
 use super::upstream::Upstream;
 
@@ -30,7 +30,7 @@
 /// How often each controller is asked where clients connect.
 const RESOLVE_MS: u64 = 500;
 
-pub struct World<R: Rules = StandardRules> {
+pub struct Deployment<R: Rules = StandardRules> {
     pub fleet: Fleet<R::Controller>,
     pub edges: Vec<Edge<R::Agent>>,
     pub upstreams: Vec<Upstream>,
@@ -41,10 +41,10 @@
     pub acknowledgements: usize,
     /// The controller that gave the last one.
     pub acknowledged_by: Option<SocketAddr>,
-    /// Operators give no new orders.
+    /// Operators give no new commands.
     pub are_operators_resting: bool,
     race: Option<Race>,
-    zone_order: Option<ZoneOrder>,
+    zone_command: Option<ZoneCommand>,
     /// Reads of the configuration that have not been answered.
     reads: BTreeMap<CallId, Read>,
     read_at: u64,
@@ -74,19 +74,19 @@
     last_subscriber: u64,
 }
 
-impl World {
-    pub fn start(seed: u64, controllers: u8, edges: u8, upstreams: u8) -> World {
-        World::under(seed, controllers, edges, upstreams)
+impl Deployment {
+    pub fn start(seed: u64, controllers: u8, edges: u8, upstreams: u8) -> Deployment {
+        Deployment::under(seed, controllers, edges, upstreams)
     }
 }
 
-impl<R: Rules> World<R> {
-    /// Like [`World::start`], under these rules.
+impl<R: Rules> Deployment<R> {
+    /// Like [`Deployment::start`], under these rules.
     pub fn under(seed: u64, controllers: u8, edges: u8, upstreams: u8) -> Self {
         let fleet = Fleet::with_rules(seed, controllers);
         let now = fleet.cluster.now();
         let seeds: Vec<SocketAddr> = fleet.cluster.endpoints().into_iter().take(SEEDS).collect();
-        let mut world = World {
+        let mut deployment = Deployment {
             fleet,
             edges: (1..=edges).map(|number| Edge::new(number, seeds.clone())).collect(),
             upstreams: (1..=upstreams).map(Upstream::new).collect(),
@@ -96,7 +96,7 @@
             acknowledged_by: None,
             are_operators_resting: false,
             race: None,
-            zone_order: None,
+            zone_command: None,
             reads: BTreeMap::new(),
             read_at: now,
             late_heartbeats: Vec::new(),
@@ -116,10 +116,10 @@
             upstream_disturbed_at: BTreeMap::new(),
             last_subscriber: 0,
         };
-        for index in 0..world.edges.len() {
-            world.start_edge(index);
+        for index in 0..deployment.edges.len() {
+            deployment.start_edge(index);
         }
-        world
+        deployment
     }
 
     pub fn now(&self) -> u64 {
@@ -144,7 +144,7 @@
 
     fn step(&mut self) {
         let now = self.now() + STEP_MS;
-        self.give_orders();
+        self.submit_commands();
         self.fleet.send_waiting();
         self.read_configuration();
         self.deliver_late_heartbeats();
--- a/controlplane/controller/tests/common/world/checks.rs
+++ b/controlplane/controller/tests/common/deployment/checks.rs
@@ -6,9 +6,9 @@
 use whinspindle_controller::api::Call;
 use whinspindle_controller::{Action, Event};
 
-use super::{World, after};
+use super::{Deployment, after};
 use crate::common::edge::Edge;
-use crate::common::judge::{CONTACT_MS, KNOWN_MS, held_generation};
+use crate::common::invariant_checker::{CONTACT_MS, KNOWN_MS, held_generation};
 use crate::common::resolve;
 use crate::common::rules::Rules;
 use crate::common::upstream::{Phase, Upstream};
@@ -18,7 +18,7 @@
 /// A balancer that has ended is named for this long at most.
 const NAMED_MS: u64 = CONTACT_MS + 3_000;
 
-impl<R: Rules> World<R> {
+impl<R: Rules> Deployment<R> {
     pub(super) fn check_balancers(&mut self, now: u64) {
         let mut found = Vec::new();
         for edge in &self.edges {
--- a/controlplane/controller/tests/common/world/controllers.rs
+++ b/controlplane/controller/tests/common/deployment/controller_faults.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::World;
+use super::Deployment;
 use crate::common::fleet::{SEEDS, endpoint};
 use crate::common::rules::Rules;
 
@@ -26,7 +26,7 @@
     Inward,
 }
 
-impl<R: Rules> World<R> {
+impl<R: Rules> Deployment<R> {
     pub fn start_controller(&mut self, at: SocketAddr) {
         if !self.fleet.cluster.is_running(at) {
             self.disturb_core();
--- a/controlplane/controller/tests/common/world/edges.rs
+++ b/controlplane/controller/tests/common/deployment/edges.rs
@@ -3,12 +3,12 @@
 use whinspindle_agent::{ConnectionId, Input};
 use whinspindle_distribution::{SubscriberId, ToBalancer};
 
-use super::World;
+use super::Deployment;
 use crate::common::edge::{Wire, Wish};
 use crate::common::fleet::Command;
 use crate::common::rules::Rules;
 
-impl<R: Rules> World<R> {
+impl<R: Rules> Deployment<R> {
     pub(super) fn post_downward(&mut self, subscriber: SubscriberId, message: ToBalancer) {
         let wires = self.edges.iter_mut().flat_map(|edge| edge.wires.values_mut());
         if let Some(wire) = wires.into_iter().find(|wire| wire.subscriber == subscriber) {
--- a/controlplane/controller/tests/common/world/operators.rs
+++ b/controlplane/controller/tests/common/deployment/operators.rs
@@ -1,37 +1,37 @@
-//! Operators: two orders at a time on one base, and evacuations.
+//! Operators: two commands at a time on one base, and evacuations.
 
 use bytes::Bytes;
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
 
-use super::World;
+use super::Deployment;
 use crate::common::rules::Rules;
 use crate::common::{configuration, evacuate};
 
-/// Two orders on one base, of which one wins.
+/// Two commands on one base, of which one wins.
 pub(super) struct Race {
     pub(super) generation: u64,
     pub(super) attempts: [usize; 2],
     bodies: [Bytes; 2],
 }
 
-/// An order for a zone that has no answer yet.
-pub(super) struct ZoneOrder {
+/// A command for a zone that has no answer yet.
+pub(super) struct ZoneCommand {
     zone: &'static str,
     evacuated: bool,
     attempt: usize,
 }
 
-impl<R: Rules> World<R> {
-    pub(super) fn give_orders(&mut self) {
+impl<R: Rules> Deployment<R> {
+    pub(super) fn submit_commands(&mut self) {
         if self.are_operators_resting {
             return;
         }
         if self.race.is_none() {
             self.begin_race();
         }
-        if self.zone_order.is_none() {
-            self.begin_zone_order();
+        if self.zone_command.is_none() {
+            self.begin_zone_command();
         }
     }
 
@@ -46,12 +46,12 @@
         self.race = Some(Race { generation, attempts, bodies });
     }
 
-    fn begin_zone_order(&mut self) {
+    fn begin_zone_command(&mut self) {
         let zone = ["zone-a", "zone-b", "zone-c"][self.fleet.chance.below(3)];
         let evacuated = !self.judge.zones().get(zone).is_some_and(|(_, evacuated)| *evacuated);
         self.judge.evacuating(zone);
         let attempt = self.fleet.begin(evacuate(zone, evacuated));
-        self.zone_order = Some(ZoneOrder { zone, evacuated, attempt });
+        self.zone_command = Some(ZoneCommand { zone, evacuated, attempt });
     }
 
     pub(super) fn answer_of(&self, attempt: usize) -> Option<(u64, Response)> {
@@ -59,15 +59,15 @@
     }
 
     pub(super) fn take_outcomes(&mut self) {
-        if let Some(order) = &self.zone_order
-            && let Some((at, answer)) = self.answer_of(order.attempt)
+        if let Some(command) = &self.zone_command
+            && let Some((at, answer)) = self.answer_of(command.attempt)
         {
-            let ZoneOrder { zone, evacuated, .. } = *order;
+            let ZoneCommand { zone, evacuated, .. } = *command;
             if answer.status != StatusCode::OK {
                 self.problem(format!("an evacuation was answered {}", answer.status));
             }
             self.judge.evacuated(at, zone, evacuated);
-            self.zone_order = None;
+            self.zone_command = None;
         }
         if let Some(race) = &self.race
             && let [Some(one), Some(other)] = race.attempts.map(|attempt| self.answer_of(attempt))
@@ -90,15 +90,15 @@
         }
     }
 
-    /// Waits until no order is under way.
-    pub fn finish_orders(&mut self, limit_ms: u64) {
+    /// Waits until no command is under way.
+    pub fn finish_commands(&mut self, limit_ms: u64) {
         self.are_operators_resting = true;
         let end = self.now() + limit_ms;
-        while self.now() < end && (self.race.is_some() || self.zone_order.is_some()) {
+        while self.now() < end && (self.race.is_some() || self.zone_command.is_some()) {
             self.step();
         }
-        if self.race.is_some() || self.zone_order.is_some() {
-            self.problem(format!("an order has no outcome after {limit_ms} ms"));
+        if self.race.is_some() || self.zone_command.is_some() {
+            self.problem(format!("a command has no outcome after {limit_ms} ms"));
         }
     }
 }
--- a/controlplane/controller/tests/common/world/contact.rs
+++ b/controlplane/controller/tests/common/deployment/reachability.rs
@@ -5,13 +5,13 @@
 use whinspindle_controller::api::Call;
 use whinspindle_controller::{Action, Event};
 
-use super::{STEP_MS, World, after};
+use super::{Deployment, STEP_MS, after};
 use crate::common::rules::Rules;
 
 /// How often it is looked up who the voters are.
 const VOTERS_MS: u64 = 100;
 
-impl<R: Rules> World<R> {
+impl<R: Rules> Deployment<R> {
     pub(super) fn disturb_core(&mut self) {
         self.core_disturbed_at = self.now();
     }
--- a/controlplane/controller/tests/common/world/reads.rs
+++ b/controlplane/controller/tests/common/deployment/reads.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
 
-use super::{World, after};
+use super::{Deployment, after};
 use crate::common::fleet::Command;
 use crate::common::rules::Rules;
 
@@ -20,7 +20,7 @@
     acknowledged: u64,
 }
 
-impl<R: Rules> World<R> {
+impl<R: Rules> Deployment<R> {
     pub(super) fn read_configuration(&mut self) {
         let now = self.now();
         if now < self.read_at {
--- a/controlplane/controller/tests/common/world/upstreams.rs
+++ b/controlplane/controller/tests/common/deployment/upstreams.rs
@@ -6,7 +6,7 @@
 use whinspindle_controller::CallId;
 use whinspindle_controller::api::{Call, Response};
 
-use super::World;
+use super::Deployment;
 use crate::common::fleet::{Answer, Command};
 use crate::common::rules::Rules;
 use crate::common::upstream::{Phase, Upstream};
@@ -15,7 +15,7 @@
 const LATE_SHARE: f64 = 0.05;
 const LATEST_MS: usize = 6_000;
 
-impl<R: Rules> World<R> {
+impl<R: Rules> Deployment<R> {
     pub(super) fn call_for_upstreams(&mut self) {
         let now = self.now();
         let endpoints = self.fleet.cluster.endpoints();
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
-use whinspindle_controller::orders::Orders;
+use whinspindle_controller::commands::CommandApplication;
 use whinspindle_controller::{
     Action, CallId, Controller, ControllerSettings, Event, ProtocolRules, StandardRules,
 };
@@ -19,14 +19,14 @@
 };
 use whinspindle_replica::{DurableWrite, Message, Replica, ReplicaSettings, Timing, Tolerance};
 
-use super::lists::Lists;
+use super::instance_lists::InstanceLists;
 use super::{HEARTBEAT_MS, zones};
 
 /// The seeds are the first so many controllers that there are.
 pub const SEEDS: usize = 3;
 /// A caller takes a controller for silent after this time.
 const PATIENCE_MS: u64 = 1_000;
-/// The token of writes that the replica didn't order.
+/// The token of writes that the replica didn't command.
 const COMPACTION: u64 = u64::MAX;
 
 /// A frame, with the life of its sender's process: a new one means a new connection.
@@ -41,7 +41,7 @@
     Call { id: CallId, call: Call },
     Report { subscriber: SubscriberId, report: Report },
     Closed { subscriber: SubscriberId },
-    Leave,
+    Shutdown,
 }
 
 pub enum Answer {
@@ -51,13 +51,13 @@
 }
 
 /// What each controller remembers on its disk, beside the journal of the cluster.
-type Memories = Rc<RefCell<HashMap<SocketAddr, Vec<u8>>>>;
+type SavedStates = Rc<RefCell<HashMap<SocketAddr, Vec<u8>>>>;
 
 /// One controller of the fleet.
 pub struct Node<L = StandardRules> {
     pub controller: Controller<L>,
     endpoint: SocketAddr,
-    memories: Memories,
+    saved_states: SavedStates,
     life: u64,
     lives: HashMap<SocketAddr, u64>,
 }
@@ -70,7 +70,7 @@
     fn handle(&mut self, now: u64, event: Happening<Self>) -> Vec<Effect<Self>> {
         let actions = match event {
             Happening::Tick => {
-                let mut actions = self.controller.handle(now, Event::Remembered);
+                let mut actions = self.controller.handle(now, Event::StateSaved);
                 actions.extend(self.controller.handle(now, Event::Tick));
                 actions
             }
@@ -84,7 +84,7 @@
             Happening::Command(Command::Closed { subscriber }) => {
                 self.controller.handle(now, Event::SubscriberClosed { subscriber })
             }
-            Happening::Command(Command::Leave) => self.controller.handle(now, Event::Leave),
+            Happening::Command(Command::Shutdown) => self.controller.handle(now, Event::Shutdown),
             Happening::Persisted { token: COMPACTION } | Happening::PersistFailed { token: COMPACTION } => {
                 self.controller.handle(now, Event::Compacted)
             }
@@ -138,8 +138,8 @@
                 Effect::Checkpoint { token, state }
             }
             Action::Compact { state } => Effect::Checkpoint { token: COMPACTION, state },
-            Action::Remember { memory } => {
-                self.memories.borrow_mut().insert(self.endpoint, memory);
+            Action::SaveState { state } => {
+                self.saved_states.borrow_mut().insert(self.endpoint, state);
                 return None;
             }
         })
@@ -150,7 +150,7 @@
     SocketAddr::from(([10, 0, 0, number], 7700))
 }
 
-fn start_node<L: ProtocolRules>(start: Start, memories: Memories) -> (Node<L>, Vec<Effect<Node<L>>>) {
+fn start_node<L: ProtocolRules>(start: Start, saved_states: SavedStates) -> (Node<L>, Vec<Effect<Node<L>>>) {
     let zones: BTreeMap<String, String> = zones();
     let (zone, region) = zones.iter().nth(start.endpoint.port() as usize % zones.len()).unwrap();
     let replica_settings = ReplicaSettings {
@@ -164,18 +164,18 @@
         tolerance: Tolerance::of_machines(1),
         timing: Timing::default(),
     };
-    let (replica, outputs) =
-        Replica::new(replica_settings, Orders, start.recovered, start.now).expect("the disk can be read");
+    let (replica, outputs) = Replica::new(replica_settings, CommandApplication, start.recovered, start.now)
+        .expect("the disk can be read");
     let address = ControllerAddress { endpoint: start.endpoint, zone: zone.clone(), region: region.clone() };
     let node = start.endpoint.to_string();
     let settings = ControllerSettings { node, address, zones, heartbeat_ms: HEARTBEAT_MS };
     let (mut controller, mut actions) = Controller::with_rules(settings, replica, outputs, start.now);
-    let memory = memories.borrow().get(&start.endpoint).cloned();
-    if let Some(memory) = memory {
-        actions.extend(controller.handle(start.now, Event::Recalled { memory: memory.into() }));
+    let state = saved_states.borrow().get(&start.endpoint).cloned();
+    if let Some(state) = state {
+        actions.extend(controller.handle(start.now, Event::StateRestored { state: state.into() }));
     }
     let (endpoint, life) = (start.endpoint, start.chance);
-    let node = Node { controller, endpoint, memories, life, lives: HashMap::new() };
+    let node = Node { controller, endpoint, saved_states, life, lives: HashMap::new() };
     let effects = node.effects(actions);
     (node, effects)
 }
@@ -198,11 +198,11 @@
     pub attempts: Vec<Attempt>,
     /// What balancers were sent, with the instances whole.
     pub updates: Vec<(SubscriberId, Update)>,
-    lists: Lists,
+    lists: InstanceLists,
     pub links: Vec<(SubscriberId, Link)>,
     /// Updates and links in the order in which they were sent.
     pub sent: Vec<(SubscriberId, ToBalancer)>,
-    memories: Memories,
+    saved_states: SavedStates,
     last_call: u64,
 }
 
@@ -216,9 +216,9 @@
 impl<L: ProtocolRules> Fleet<L> {
     /// Like [`Fleet::start`], under rules of the caller's choice.
     pub fn with_rules(seed: u64, count: u8) -> Self {
-        let memories = Memories::default();
-        let recalled = Rc::clone(&memories);
-        let starter = move |start| start_node(start, Rc::clone(&recalled));
+        let saved_states = SavedStates::default();
+        let shared_states = Rc::clone(&saved_states);
+        let starter = move |start| start_node(start, Rc::clone(&shared_states));
         let mut cluster = Cluster::new(seed, NetworkTiming::default(), DiskTiming::default(), starter);
         for number in 1..=count {
             cluster.add(endpoint(number), true);
@@ -232,10 +232,10 @@
             lost_answers: 0.0,
             attempts: Vec::new(),
             updates: Vec::new(),
-            lists: Lists::default(),
+            lists: InstanceLists::default(),
             links: Vec::new(),
             sent: Vec::new(),
-            memories,
+            saved_states,
             last_call: 0,
         };
         fleet.pass(4_000);
@@ -333,7 +333,7 @@
     /// The disk of a stopped controller is lost.
     pub fn wipe(&mut self, at: SocketAddr) {
         self.cluster.wipe(at);
-        self.memories.borrow_mut().remove(&at);
+        self.saved_states.borrow_mut().remove(&at);
     }
 
     /// Cuts a controller off from all others, or joins it again.
--- a/controlplane/controller/tests/common/lists.rs
+++ b/controlplane/controller/tests/common/instance_lists.rs
@@ -7,11 +7,11 @@
 
 /// The newest list that was sent on each connection.
 #[derive(Default)]
-pub struct Lists {
+pub struct InstanceLists {
     held: HashMap<SubscriberId, Instances>,
 }
 
-impl Lists {
+impl InstanceLists {
     /// The update with the whole list in place of the changes. Changes have to build on the list that was sent before.
     pub fn whole(&mut self, to: SubscriberId, mut update: Update) -> Update {
         if let Some(changes) = update.changes.take() {
--- a/controlplane/controller/tests/common/judge.rs
+++ b/controlplane/controller/tests/common/invariant_checker.rs
@@ -17,7 +17,7 @@
 pub struct Judge {
     /// Acknowledged generations with the time, oldest first.
     configurations: Vec<(u64, u64)>,
-    /// The newest acknowledged state of a zone, and since when no order for it is under way.
+    /// The newest acknowledged state of a zone, and since when no command for it is under way.
     zones: BTreeMap<String, (u64, bool)>,
     /// Upstreams of which a controller has acknowledged that they leave.
     left: BTreeMap<String, u64>,
--- a/controlplane/controller/tests/common/mod.rs
+++ b/controlplane/controller/tests/common/mod.rs
@@ -1,15 +1,15 @@
 //! A controller alone in its chain, driven by hand: the disk answers when the test says so.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
+pub mod deployment;
 pub mod edge;
 pub mod fleet;
-pub mod judge;
-pub mod lists;
+pub mod instance_lists;
+pub mod invariant_checker;
 pub mod operators;
 pub mod rules;
 pub mod schedule;
 pub mod upstream;
-pub mod world;
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use http::StatusCode;
 use whinspindle_configuration::{Heartbeat, InstanceState};
 use whinspindle_controller::api::{Call, Response};
-use whinspindle_controller::orders::Orders;
+use whinspindle_controller::commands::CommandApplication;
 use whinspindle_controller::{Action, CallId, Controller, ControllerSettings, Event};
 use whinspindle_distribution::{
     ControllerAddress, InstanceChanges, Link, Report, SubscriberId, ToBalancer, Update, Versions,
@@ -29,7 +29,7 @@
 pub const START: u64 = 1_000_000;
 pub const TICK_MS: u64 = 50;
 pub const HEARTBEAT_MS: u64 = 1_000;
-/// An evacuation order waits for so long before it is given.
+/// An evacuation command waits for so long before it is given.
 pub const EVACUATION_WAIT_MS: u64 = 100;
 
 pub struct Single {
@@ -45,10 +45,10 @@
     pub changes_sent: Vec<InstanceChanges>,
     /// Bytes of all messages to other controllers.
     pub peer_bytes: usize,
-    lists: lists::Lists,
+    lists: instance_lists::InstanceLists,
     pub links: Vec<(SubscriberId, Link)>,
     /// What the controller has written to recall after a restart, oldest first.
-    pub memories: Vec<Vec<u8>>,
+    pub saved_states: Vec<Vec<u8>>,
     last_call: u64,
 }
 
@@ -67,7 +67,8 @@
             tolerance: Tolerance::of_machines(0),
             timing: Timing::default(),
         };
-        let (replica, outputs) = Replica::new(replica_settings, Orders, (None, Vec::new()), START).unwrap();
+        let (replica, outputs) =
+            Replica::new(replica_settings, CommandApplication, (None, Vec::new()), START).unwrap();
         let address = ControllerAddress { endpoint, zone: "zone-a".to_owned(), region: "north".to_owned() };
         let settings = ControllerSettings {
             node: "core-1".to_owned(),
@@ -85,9 +86,9 @@
             updates: Vec::new(),
             changes_sent: Vec::new(),
             peer_bytes: 0,
-            lists: lists::Lists::default(),
+            lists: instance_lists::InstanceLists::default(),
             links: Vec::new(),
-            memories: Vec::new(),
+            saved_states: Vec::new(),
             last_call: 0,
         };
         single.take(actions);
@@ -112,14 +113,14 @@
     }
 
     pub fn handle(&mut self, event: Event) {
-        let written = self.memories.len();
+        let written = self.saved_states.len();
         let actions = self.controller.handle(self.now, event);
         self.take(actions);
         if self.disk_works {
             self.finish_writes();
         }
-        if self.disk_works && self.memories.len() > written {
-            self.handle(Event::Remembered);
+        if self.disk_works && self.saved_states.len() > written {
+            self.handle(Event::StateSaved);
         }
     }
 
@@ -144,12 +145,12 @@
         self.answer(id).expect("the call is answered at once").status
     }
 
-    /// The status of an evacuation order, which is given to the chain after a short wait.
+    /// The status of an evacuation command, which is given to the chain after a short wait.
     pub fn evacuation_status(&mut self, zone: &str, evacuated: bool) -> StatusCode {
         let id = self.call(evacuate(zone, evacuated));
         assert_eq!(self.answer(id), None, "it is given at once");
         self.pass(EVACUATION_WAIT_MS);
-        self.answer(id).expect("the order is answered after the wait").status
+        self.answer(id).expect("the command is answered after the wait").status
     }
 
     pub fn answer(&self, id: CallId) -> Option<&Response> {
@@ -173,7 +174,7 @@
                 }
                 Action::SendBalancer { to, message: ToBalancer::Link(link) } => self.links.push((to, link)),
                 Action::Persist { token, .. } => self.held_writes.push_back(token),
-                Action::Remember { memory } => self.memories.push(memory),
+                Action::SaveState { state } => self.saved_states.push(state),
                 Action::SendPeer { payload, .. } => self.peer_bytes += payload.len(),
                 Action::Compact { .. } => {}
             }
--- a/controlplane/controller/tests/common/rules.rs
+++ b/controlplane/controller/tests/common/rules.rs
@@ -20,79 +20,79 @@
 
 /// A controller tells balancers its records whatever its contact with the others.
 #[derive(Clone, Debug)]
-pub struct TellsAlone;
+pub struct ServesRecordsWithoutQuorum;
 
-impl controller::ProtocolRules for TellsAlone {
-    fn hands_out(_may: bool) -> bool {
+impl controller::ProtocolRules for ServesRecordsWithoutQuorum {
+    fn serves_records(_may: bool) -> bool {
         true
     }
 }
 
 /// An agent without records takes the first ones that it is told, also those of a controller that is cut off.
 #[derive(Clone, Debug)]
-pub struct TakesAny;
+pub struct AcceptsAnyFirstRecords;
 
-impl agent::ProtocolRules for TakesAny {
+impl agent::ProtocolRules for AcceptsAnyFirstRecords {
     fn takes_first_records(_may: bool) -> bool {
         true
     }
 }
 
-impl Rules for TakesAny {
+impl Rules for AcceptsAnyFirstRecords {
     type Controller = controller::StandardRules;
-    type Agent = TakesAny;
+    type Agent = AcceptsAnyFirstRecords;
 }
 
 /// A controller that is cut off still tells its balancers, and they take it.
 #[derive(Clone, Debug)]
-pub struct CutOffTells;
+pub struct PartitionedControllerServesRecords;
 
-impl Rules for CutOffTells {
-    type Controller = TellsAlone;
-    type Agent = TakesAny;
+impl Rules for PartitionedControllerServesRecords {
+    type Controller = ServesRecordsWithoutQuorum;
+    type Agent = AcceptsAnyFirstRecords;
 }
 
 /// A departure is confirmed before it is committed.
 #[derive(Clone, Debug)]
-pub struct ConfirmsEarly;
+pub struct ConfirmsUncommittedDeparture;
 
-impl controller::ProtocolRules for ConfirmsEarly {
+impl controller::ProtocolRules for ConfirmsUncommittedDeparture {
     fn confirms_departure(_is_committed: bool) -> bool {
         true
     }
 }
 
-impl Rules for ConfirmsEarly {
-    type Controller = ConfirmsEarly;
+impl Rules for ConfirmsUncommittedDeparture {
+    type Controller = ConfirmsUncommittedDeparture;
     type Agent = agent::StandardRules;
 }
 
 /// A controller answers a read of the configuration by what it knows itself.
 #[derive(Clone, Debug)]
-pub struct ReadsAlone;
+pub struct AnswersReadsLocally;
 
-impl controller::ProtocolRules for ReadsAlone {
-    fn answers_reads_alone() -> bool {
+impl controller::ProtocolRules for AnswersReadsLocally {
+    fn answers_reads_locally() -> bool {
         true
     }
 }
 
-impl Rules for ReadsAlone {
-    type Controller = ReadsAlone;
+impl Rules for AnswersReadsLocally {
+    type Controller = AnswersReadsLocally;
     type Agent = agent::StandardRules;
 }
 
 /// A heartbeat is confirmed by a controller that no other one hears.
 #[derive(Clone, Debug)]
-pub struct ConfirmsAlone;
+pub struct ConfirmsHeartbeatWithoutQuorum;
 
-impl controller::ProtocolRules for ConfirmsAlone {
+impl controller::ProtocolRules for ConfirmsHeartbeatWithoutQuorum {
     fn confirms_heartbeat(_in_quorum: bool) -> bool {
         true
     }
 }
 
-impl Rules for ConfirmsAlone {
-    type Controller = ConfirmsAlone;
+impl Rules for ConfirmsHeartbeatWithoutQuorum {
+    type Controller = ConfirmsHeartbeatWithoutQuorum;
     type Agent = agent::StandardRules;
 }
--- a/controlplane/controller/tests/common/schedule.rs
+++ b/controlplane/controller/tests/common/schedule.rs
@@ -4,13 +4,13 @@
 
 use quickcheck::{Arbitrary, Gen};
 
+use super::deployment::{Deployment, Direction, Reach};
 use super::fleet::Command;
 use super::rules::Rules;
-use super::world::{Direction, Reach, World};
 
 /// How long it takes until all that is well again counts, and a lost disk has been made up for.
 const CALM_MS: u64 = 6_000;
-/// Once all faults have ended, every order has its outcome within this time.
+/// Once all faults have ended, every command has its outcome within this time.
 const OUTCOME_MS: u64 = 10_000;
 /// And everything is told everywhere after this.
 const CONVERGED_MS: u64 = 8_000;
@@ -234,7 +234,7 @@
 }
 
 struct Play<R: Rules> {
-    world: World<R>,
+    deployment: Deployment<R>,
     next_address: u8,
     /// When the last standstill will be over.
     standstill_until: u64,
@@ -242,13 +242,13 @@
 
 /// Plays a schedule; how many confirmations there were, or what went wrong.
 pub fn play<R: Rules>(schedule: &Schedule) -> Result<usize, String> {
-    let world: World<R> = World::under(schedule.seed, schedule.controllers, EDGES, UPSTREAMS);
-    let mut play = Play { world, next_address: 1 + schedule.controllers, standstill_until: 0 };
-    play.world.pass(CALM_MS);
+    let deployment: Deployment<R> = Deployment::under(schedule.seed, schedule.controllers, EDGES, UPSTREAMS);
+    let mut play = Play { deployment, next_address: 1 + schedule.controllers, standstill_until: 0 };
+    play.deployment.pass(CALM_MS);
     for step in &schedule.steps {
-        play.world.pass(step.wait_ms);
+        play.deployment.pass(step.wait_ms);
         play.happen(step.fault);
-        if !play.world.problems.is_empty() {
+        if !play.deployment.problems.is_empty() {
             break;
         }
     }
@@ -257,53 +257,53 @@
 
 impl<R: Rules> Play<R> {
     fn controller(&self, number: usize) -> SocketAddr {
-        let endpoints = self.world.fleet.cluster.endpoints();
+        let endpoints = self.deployment.fleet.cluster.endpoints();
         endpoints[number % endpoints.len()]
     }
 
     fn edge(&self, number: usize) -> usize {
-        number % self.world.edges.len()
+        number % self.deployment.edges.len()
     }
 
     fn happen(&mut self, fault: Fault) {
         if let Fault::Freeze(_, span) | Fault::FreezeEdge(_, span) = fault {
-            self.standstill_until = self.standstill_until.max(self.world.now() + span);
+            self.standstill_until = self.standstill_until.max(self.deployment.now() + span);
         }
         match fault {
-            Fault::Stop(number) => self.world.stop_controller(self.controller(number)),
-            Fault::Start(number) => self.world.start_controller(self.controller(number)),
+            Fault::Stop(number) => self.deployment.stop_controller(self.controller(number)),
+            Fault::Start(number) => self.deployment.start_controller(self.controller(number)),
             Fault::Restart(number) => self.restart(self.controller(number)),
             Fault::StopAll => self.stop_all(),
             Fault::StartAll => self.start_all(),
             Fault::Wipe(number) => {
                 self.calm();
-                self.world.wipe_controller(self.controller(number));
+                self.deployment.wipe_controller(self.controller(number));
             }
             Fault::StopAllAndWipe(number) => {
                 self.calm();
                 self.stop_all();
-                self.world.wipe_controller(self.controller(number));
+                self.deployment.wipe_controller(self.controller(number));
             }
             Fault::Replace(number) => self.replace(number),
             Fault::Leave(number) => self.leave(self.controller(number)),
-            Fault::Freeze(number, span) => self.world.freeze_controller(self.controller(number), span),
+            Fault::Freeze(number, span) => self.deployment.freeze_controller(self.controller(number), span),
             Fault::Cut(number, reach, direction) => {
-                self.world.cut_controller(self.controller(number), reach, direction);
+                self.deployment.cut_controller(self.controller(number), reach, direction);
             }
             Fault::CutEdge(edge, number, direction) => {
-                self.world.cut_edge(self.edge(edge), self.controller(number), direction);
+                self.deployment.cut_edge(self.edge(edge), self.controller(number), direction);
             }
-            Fault::Heal => self.world.heal_all(),
+            Fault::Heal => self.deployment.heal_all(),
             Fault::AfterAcknowledgement(blow) => self.strike(blow),
-            Fault::StopEdge(edge) => self.world.stop_edge(self.edge(edge)),
-            Fault::StartEdge(edge) => self.world.start_edge(self.edge(edge)),
-            Fault::RestartEdge(edge) => self.world.restart_edge(self.edge(edge)),
-            Fault::RestartAgent(edge) => self.world.restart_agent(self.edge(edge)),
-            Fault::RestartProxy(edge) => self.world.restart_proxy(self.edge(edge)),
-            Fault::FreezeEdge(edge, span) => self.world.freeze_edge(self.edge(edge), span),
-            Fault::LeaveUpstream(upstream, says_draining) => self.world.leave(upstream, says_draining),
-            Fault::Halves(half) => self.world.halve_controllers(half),
-            Fault::Scatter => self.world.scatter_controllers(),
+            Fault::StopEdge(edge) => self.deployment.stop_edge(self.edge(edge)),
+            Fault::StartEdge(edge) => self.deployment.start_edge(self.edge(edge)),
+            Fault::RestartEdge(edge) => self.deployment.restart_edge(self.edge(edge)),
+            Fault::RestartAgent(edge) => self.deployment.restart_agent(self.edge(edge)),
+            Fault::RestartProxy(edge) => self.deployment.restart_proxy(self.edge(edge)),
+            Fault::FreezeEdge(edge, span) => self.deployment.freeze_edge(self.edge(edge), span),
+            Fault::LeaveUpstream(upstream, says_draining) => self.deployment.leave(upstream, says_draining),
+            Fault::Halves(half) => self.deployment.halve_controllers(half),
+            Fault::Scatter => self.deployment.scatter_controllers(),
             Fault::WipeAmid(number) => self.wipe_amid(self.controller(number)),
             Fault::Calm => self.calm(),
         }
@@ -313,79 +313,79 @@
         if matches!(blow, Blow::Wipe) {
             self.calm();
         }
-        self.world.acknowledged_by = None;
-        self.world.pass_until_acknowledgement(ACKNOWLEDGEMENT_MS);
-        let Some(at) = self.world.acknowledged_by else { return };
+        self.deployment.acknowledged_by = None;
+        self.deployment.pass_until_acknowledgement(ACKNOWLEDGEMENT_MS);
+        let Some(at) = self.deployment.acknowledged_by else { return };
         match blow {
-            Blow::Kill => self.world.stop_controller(at),
-            Blow::Wipe => self.world.wipe_controller(at),
+            Blow::Kill => self.deployment.stop_controller(at),
+            Blow::Wipe => self.deployment.wipe_controller(at),
             Blow::Restart => self.restart(at),
-            Blow::Cut(reach, direction) => self.world.cut_controller(at, reach, direction),
+            Blow::Cut(reach, direction) => self.deployment.cut_controller(at, reach, direction),
         }
     }
 
     fn restart(&mut self, at: SocketAddr) {
-        self.world.stop_controller(at);
-        self.world.start_controller(at);
+        self.deployment.stop_controller(at);
+        self.deployment.start_controller(at);
     }
 
     /// No more than one disk is lost before all is well again.
     fn wipe_amid(&mut self, at: SocketAddr) {
-        if !self.world.disks_lost.is_empty() {
+        if !self.deployment.disks_lost.is_empty() {
             self.calm();
         }
-        self.world.wipe_controller(at);
+        self.deployment.wipe_controller(at);
     }
 
     fn leave(&mut self, at: SocketAddr) {
-        self.world.fleet.cluster.command(at, Command::Leave);
-        self.world.pass(LEAVING_MS);
-        self.world.stop_controller(at);
+        self.deployment.fleet.cluster.command(at, Command::Shutdown);
+        self.deployment.pass(LEAVING_MS);
+        self.deployment.stop_controller(at);
     }
 
     fn replace(&mut self, number: usize) {
         let at = self.controller(number);
         self.calm();
-        self.world.replace_controller(at, self.next_address);
+        self.deployment.replace_controller(at, self.next_address);
         self.next_address += 1;
     }
 
     fn stop_all(&mut self) {
-        for at in self.world.fleet.cluster.endpoints() {
-            self.world.stop_controller(at);
+        for at in self.deployment.fleet.cluster.endpoints() {
+            self.deployment.stop_controller(at);
         }
     }
 
     fn start_all(&mut self) {
-        for at in self.world.fleet.cluster.endpoints() {
-            self.world.start_controller(at);
+        for at in self.deployment.fleet.cluster.endpoints() {
+            self.deployment.start_controller(at);
         }
     }
 
     /// All is well, and stays so for a while.
     fn calm(&mut self) {
-        let rest = self.standstill_until.saturating_sub(self.world.now());
-        self.world.pass(rest);
-        self.world.heal_all();
+        let rest = self.standstill_until.saturating_sub(self.deployment.now());
+        self.deployment.pass(rest);
+        self.deployment.heal_all();
         self.start_all();
-        for edge in 0..self.world.edges.len() {
-            if !self.world.edges[edge].is_running() {
-                self.world.start_edge(edge);
+        for edge in 0..self.deployment.edges.len() {
+            if !self.deployment.edges[edge].is_running() {
+                self.deployment.start_edge(edge);
             }
         }
-        self.world.pass(CALM_MS);
-        self.world.disks_lost.clear();
+        self.deployment.pass(CALM_MS);
+        self.deployment.disks_lost.clear();
     }
 
     fn end(mut self) -> Result<usize, String> {
-        if self.world.problems.is_empty() {
+        if self.deployment.problems.is_empty() {
             self.calm();
-            self.world.finish_orders(OUTCOME_MS);
-            self.world.pass(CONVERGED_MS);
-            self.world.check_convergence();
+            self.deployment.finish_commands(OUTCOME_MS);
+            self.deployment.pass(CONVERGED_MS);
+            self.deployment.check_convergence();
         }
-        match self.world.problems.first() {
-            None => Ok(self.world.acknowledgements),
+        match self.deployment.problems.first() {
+            None => Ok(self.deployment.acknowledgements),
             Some(problem) => Err(problem.clone()),
         }
     }
--- a/controlplane/controller/tests/common/upstream.rs
+++ b/controlplane/controller/tests/common/upstream.rs
@@ -11,7 +11,7 @@
 /// A controller that has not answered by then is given up.
 const PATIENCE_MS: u64 = 1_000;
 /// Between a failure and the call of the next controller.
-const PAUSE_MS: u64 = 20;
+const RETRY_BACKOFF_MS: u64 = 20;
 /// How long one that leaves serves on.
 pub const LINGER_MS: u64 = 3_000;
 
@@ -96,7 +96,7 @@
     pub fn failed(&mut self, now: u64) {
         self.waiting = None;
         self.target += 1;
-        self.due_at = now + PAUSE_MS;
+        self.due_at = now + RETRY_BACKOFF_MS;
     }
 
     fn has_lingered(&self, now: u64) -> bool {
--- a/controlplane/controller/tests/controller.rs
+++ b/controlplane/controller/tests/controller.rs
@@ -40,23 +40,24 @@
 }
 
 #[test]
-fn an_order_is_acknowledged_only_once_it_is_durable() {
-    let orders = [replace(0, 3), evacuate("zone-a", true), heartbeat("i-1", 1, Draining), deregister("i-2")];
-    for order in orders {
+fn command_is_acknowledged_only_once_it_is_durable() {
+    let commands =
+        [replace(0, 3), evacuate("zone-a", true), heartbeat("i-1", 1, Draining), deregister("i-2")];
+    for command in commands {
         let mut single = Single::settled();
         single.disk_works = false;
-        let id = single.call(order.clone());
+        let id = single.call(command.clone());
         single.pass(EVACUATION_WAIT_MS);
-        assert_eq!(single.answer(id), None, "{order:?}");
+        assert_eq!(single.answer(id), None, "{command:?}");
         single.finish_writes();
         single.disk_works = true;
         single.pass(TICK_MS);
-        assert_eq!(single.answer(id).map(|answer| answer.status), Some(StatusCode::OK), "{order:?}");
+        assert_eq!(single.answer(id).map(|answer| answer.status), Some(StatusCode::OK), "{command:?}");
     }
 }
 
 #[test]
-fn an_order_without_an_outcome_is_answered_before_its_caller_gives_up() {
+fn command_without_an_outcome_is_answered_before_the_client_time_out() {
     let mut single = Single::settled();
     single.disk_works = false;
     let id = single.call(replace(0, 3));
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn the_status_counts_how_orders_were_answered() {
+fn status_counts_how_commands_were_answered() {
     let mut single = Single::settled();
     assert_eq!(single.status(replace(0, 3)), StatusCode::OK);
     assert_eq!(single.status(replace(0, 4)), StatusCode::PRECONDITION_FAILED);
@@ -117,11 +118,11 @@
     assert!(String::from_utf8_lossy(&status).contains(expected), "{status:?}");
 }
 
-/// A request that was held up on its way arrives together with the end of its connection, after newer orders.
+/// A request that was held up on its way arrives together with the end of its connection, after newer commands.
 #[test]
-fn an_evacuation_order_whose_caller_has_gone_is_not_given() {
+fn evacuation_command_of_a_closed_connection_is_not_submitted() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
-    assert_eq!(single.evacuation_status("zone-a", false), StatusCode::OK, "the newer order");
+    assert_eq!(single.evacuation_status("zone-a", false), StatusCode::OK, "the newer command");
     single.updates.clear();
     let id = single.call(evacuate("zone-a", true));
     single.pass(EVACUATION_WAIT_MS - TICK_MS);
@@ -129,11 +130,11 @@
     single.pass(2_000);
     assert_eq!(single.answer(id), None);
     let mut told = single.updates.iter().filter_map(|(_, update)| update.evacuations.as_ref());
-    assert!(told.all(|evacuations| evacuations.zones.is_empty()), "the held-up order was given");
+    assert!(told.all(|evacuations| evacuations.zones.is_empty()), "the held-up command was given");
 }
 
 #[test]
-fn a_configuration_on_a_base_to_come_is_not_refused_and_comes_after_it() {
+fn configuration_ahead_of_its_base_is_applied_after_it() {
     let mut single = Single::settled();
     let early = single.call(replace(3, 5));
     assert_eq!(single.answer(early), None, "the base may still come");
@@ -159,7 +160,7 @@
 
 /// 600 changes later the history doesn't hold the first any more.
 #[test]
-fn a_configuration_that_was_taken_long_ago_is_never_refused() {
+fn configuration_applied_long_ago_is_never_refused() {
     let mut single = Single::settled();
     for generation in 1..=600 {
         assert_eq!(single.status(replace(generation - 1, generation)), StatusCode::OK);
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn instances_that_come_together_are_told_together() {
+fn instances_that_arrive_together_are_published_together() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     single.updates.clear();
     for number in 1..=19 {
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn an_instance_that_has_ended_is_told_to_balancers() {
+fn ended_instance_is_published_to_balancers() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     single.call(heartbeat("i-2", 1, Ready));
@@ -279,7 +280,7 @@
 }
 
 #[test]
-fn a_controller_that_has_just_started_tells_neither_instances_nor_addresses() {
+fn controller_publishes_neither_instances_nor_addresses_right_after_its_start() {
     let mut single = Single::start();
     single.pass(500);
     single.report(1, report(1, "zone-a"));
@@ -295,13 +296,13 @@
 }
 
 #[test]
-fn a_controller_that_recalls_tells_instances_and_addresses_once_it_is_in_a_quorum() {
+fn controller_with_restored_state_publishes_instances_and_addresses_once_in_a_quorum() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     single.pass(1_100);
-    let memory = single.memories.pop().expect("a memory was written");
+    let state = single.saved_states.pop().expect("the state was saved");
     let mut single = Single::start();
-    single.handle(Event::Recalled { memory: memory.into() });
+    single.handle(Event::StateRestored { state: state.into() });
     single.report(1, report(1, "zone-a"));
     single.pass(200);
     assert!(single.controller.is_in_quorum(single.now));
@@ -310,58 +311,58 @@
 }
 
 #[test]
-fn memory_that_can_not_be_read_is_as_none() {
+fn unreadable_saved_state_is_ignored() {
     let mut single = Single::start();
-    single.handle(Event::Recalled { memory: Bytes::from_static(b"no memory") });
+    single.handle(Event::StateRestored { state: Bytes::from_static(b"no state") });
     single.pass(500);
     assert!(addresses(&mut single, "north", "zone-a").is_empty());
 }
 
 #[test]
-fn memory_is_written_on_changes_alone_and_not_too_often() {
+fn state_is_saved_on_changes_only_and_at_a_bounded_rate() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     single.pass(1_100);
-    let written = single.memories.len();
+    let written = single.saved_states.len();
     for beat in 2..6 {
         single.report(1, report(1, "zone-a"));
         single.call(heartbeat("i-1", beat, Ready));
         single.pass(400);
     }
-    assert_eq!(single.memories.len(), written, "nothing has changed");
+    assert_eq!(single.saved_states.len(), written, "nothing has changed");
     for number in 2..5 {
         single.report(number, report(number as u8, "zone-a"));
         single.pass(100);
     }
-    assert_eq!(single.memories.len(), written + 1);
+    assert_eq!(single.saved_states.len(), written + 1);
     single.pass(900);
-    assert_eq!(single.memories.len(), written + 2, "the later changes together");
+    assert_eq!(single.saved_states.len(), written + 2, "the later changes together");
 }
 
 #[test]
-fn a_stalled_write_of_the_memory_is_not_followed_by_others() {
+fn stalled_write_of_the_saved_state_is_not_followed_by_others() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     single.pass(1_100);
     single.disk_works = false;
-    let written = single.memories.len();
+    let written = single.saved_states.len();
     for number in 2..5 {
         single.report(u64::from(number), report(number, "zone-a"));
         single.pass(1_100);
     }
-    assert_eq!(single.memories.len(), written + 1);
+    assert_eq!(single.saved_states.len(), written + 1);
 }
 
 #[test]
-fn memory_is_written_again_once_a_cold_time_in_it_has_passed() {
+fn state_is_saved_again_once_a_slow_start_in_it_has_ended() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     let Call::Heartbeat { instance, heartbeat } = heartbeat("i-1", 1, Ready) else { unreachable!() };
     let heartbeat = whinspindle_configuration::Heartbeat { slow_start_ms: 1_500, ..heartbeat };
     single.call(Call::Heartbeat { instance, heartbeat });
     single.pass(1_200);
-    let written = single.memories.len();
+    let written = single.saved_states.len();
     single.report(1, report(1, "zone-a"));
     single.pass(500);
-    assert_eq!(single.memories.len(), written + 1);
+    assert_eq!(single.saved_states.len(), written + 1);
 }
 
 #[test]
@@ -379,7 +380,7 @@
 }
 
 #[test]
-fn balancers_that_are_not_ready_leave_or_fall_silent_get_no_clients() {
+fn unready_or_departing_or_silent_balancers_get_no_clients() {
     let mut single = settled_with_balancers(&[(1, "zone-a"), (2, "zone-a"), (3, "zone-a"), (4, "zone-a")]);
     single.report(2, Report { ready: false, ..report(2, "zone-a") });
     single.report(3, Report { shutting_down: true, ..report(3, "zone-a") });
@@ -394,24 +395,24 @@
 }
 
 #[test]
-fn balancers_hear_that_the_controller_lives_and_that_it_leaves() {
+fn balancers_receive_heartbeats_and_the_shutdown_notice() {
     let mut single = settled_with_balancers(&[(1, "zone-a")]);
     single.links.clear();
     single.pass(1_000);
     assert!(single.links.len() >= 3, "several a second");
     assert!(single.links.iter().all(|(_, link)| !link.shutting_down));
     single.links.clear();
-    single.handle(Event::Leave);
+    single.handle(Event::Shutdown);
     assert!(single.links.iter().any(|(_, link)| link.shutting_down), "at once");
 }
 
 #[test]
-fn a_caller_that_has_gone_is_not_answered() {
+fn closed_connection_is_not_answered() {
     let mut single = Single::settled();
     single.disk_works = false;
     let id = single.call(replace(0, 3));
     single.handle(Event::CallDropped { id });
-    assert!(!single.controller.has_pending_orders());
+    assert!(!single.controller.has_pending_commands());
     single.finish_writes();
     single.pass(2_000);
     assert_eq!(single.answer(id), None);
--- a/controlplane/controller/tests/held_up_orders.rs
+++ b/controlplane/controller/tests/delayed_commands.rs
@@ -1,4 +1,4 @@
-//! Orders that are held up on their way and come through after later orders were acknowledged.
+//! Commands that are held up on their way and come through after later commands were acknowledged.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use whinspindle_controller::api::Call;
 use whinspindle_distribution::SubscriberId;
 
-/// A caller's order is answered within this time wherever it goes.
+/// A caller's command is answered within this time wherever it goes.
 const ANSWER_MS: u64 = 1_000;
 /// The core is calm again within this time after a cut.
 const CALM_MS: u64 = 8_000;
@@ -54,10 +54,10 @@
     told.remove(0)
 }
 
-/// An order gets no clear answer at a controller that is cut off; elsewhere its opposite is acknowledged, which is what
+/// A command gets no clear answer at a controller that is cut off; elsewhere its opposite is acknowledged, which is what
 /// is in place already; then the links are healed.
 #[test]
-fn a_copy_of_an_evacuation_order_does_not_undo_a_later_one() {
+fn duplicate_evacuation_command_does_not_undo_a_later_one() {
     for (seed, evacuated) in (0..12).flat_map(|seed| [(seed, true), (seed, false)]) {
         let mut fleet = started(300 + seed, 3);
         let at = follower(&mut fleet);
@@ -77,10 +77,10 @@
     }
 }
 
-/// An order reaches the head late, though before its deadline; its caller has been acknowledged elsewhere, and so has
-/// the opposite order since.
+/// A command reaches the head late, though before its deadline; its caller has been acknowledged elsewhere, and so has
+/// the opposite command since.
 #[test]
-fn an_evacuation_order_is_not_renewed_after_its_caller_has_gone_on() {
+fn evacuation_command_is_not_resubmitted_after_its_caller_has_moved_on() {
     for seed in 0..12 {
         let mut fleet = started(340 + seed, 3);
         let at = follower(&mut fleet);
@@ -94,14 +94,14 @@
         fleet.pass(650 - fleet.since(first));
         fleet.cluster.heal(at, head);
         fleet.pass(SETTLED_MS);
-        assert_eq!(evacuated_zones(&mut fleet), Vec::<String>::new(), "seed {seed}: the order was renewed");
+        assert_eq!(evacuated_zones(&mut fleet), Vec::<String>::new(), "seed {seed}: the command was renewed");
     }
 }
 
-/// An order on a base that is not in place yet is held up at one controller and answered at another; its base comes, and
+/// A command on a base that is not in place yet is held up at one controller and answered at another; its base comes, and
 /// then the copy. Had the answer been a refusal, a refused configuration would be in force.
 #[test]
-fn a_configuration_that_a_copy_may_still_bring_is_not_refused() {
+fn configuration_that_a_duplicate_may_still_apply_is_not_refused() {
     let mut brought = 0;
     for seed in 0..12 {
         let mut fleet = started(380 + seed, 5);
@@ -126,7 +126,7 @@
 
 /// A configuration was clearly refused at one controller while a copy of it was held up at another.
 #[test]
-fn a_copy_of_a_refused_configuration_is_not_taken() {
+fn duplicate_of_a_refused_configuration_is_not_applied() {
     for seed in 0..12 {
         let mut fleet = started(400 + seed, 5);
         assert_eq!(fleet.complete(replace(0, 1), ANSWER_MS).status, StatusCode::OK);
@@ -146,9 +146,9 @@
     }
 }
 
-/// An order that was acknowledged and superseded is held up once more at a controller that was cut off.
+/// A command that was acknowledged and superseded is held up once more at a controller that was cut off.
 #[test]
-fn a_copy_of_a_superseded_configuration_is_not_taken() {
+fn duplicate_of_a_superseded_configuration_is_not_applied() {
     for seed in 0..12 {
         let mut fleet = started(420 + seed, 3);
         let at = follower(&mut fleet);
@@ -171,7 +171,7 @@
 /// More changes than the history and the kept outcomes hold, with checkpoints in between and a restart of all after
 /// them.
 #[test]
-fn after_hundreds_of_changes_and_a_restart_no_taken_order_is_refused() {
+fn applied_command_is_not_refused_after_hundreds_of_changes_and_a_restart() {
     let mut fleet = started(460, 3);
     for generation in 1..=530 {
         assert_eq!(fleet.complete(replace(generation - 1, generation), ANSWER_MS).status, StatusCode::OK);
--- a/controlplane/controller/tests/directory.rs
+++ b/controlplane/controller/tests/directory.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn clients_are_led_to_their_own_region_and_to_those_of_their_host_alone() {
+fn clients_are_directed_to_their_own_region_and_the_regions_of_their_host_only() {
     let cases: [(&[u8], From, &str, &[u8]); 28] = [
         // All stand: two of the region are enough; a region of one has another in reserve, where the host allows it.
         (&ALL, FROM_NORTH, FREE, &[NORTH_A, NORTH_B]),
@@ -164,7 +164,7 @@
 
 /// Whatever the reason for which balancers are missing, and whichever are: nothing outside is named.
 #[test]
-fn no_loss_leads_clients_out_of_their_regions() {
+fn no_loss_directs_clients_out_of_their_regions() {
     let losses: [fn(u8) -> Option<Report>; 3] =
         [|number| Some(shutting_down(number)), |number| Some(not_ready(number)), |_| None];
     for (lost, loss) in (0..16_u8).flat_map(|lost| losses.map(|loss| (lost, loss))) {
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_change_of_homes_holds_from_its_acknowledgement_on() {
+fn change_of_home_regions_holds_from_its_acknowledgement_on() {
     let mut single = with_balancers(&[NORTH_A, SOUTH, WEST]);
     assert_eq!(single.status(replace_routes(0, 1, &[(FREE, &["north", "south"])])), StatusCode::OK);
     assert_eq!(ask(&mut single, FREE, FROM_NORTH), [NORTH_A, SOUTH]);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_controller_that_is_cut_off_leads_clients_to_the_homes_it_knew() {
+fn partitioned_controller_directs_clients_to_the_last_known_home_regions() {
     let mut fleet = Fleet::start(22, 3);
     assert_eq!(fleet.complete(replace_hosts(0, 3), 3_000).status, StatusCode::OK);
     for _ in 0..5 {
@@ -257,9 +257,9 @@
     }
 }
 
-/// The order goes to one controller and the reports to others; one restarts and one comes back with an empty disk.
+/// The command goes to one controller and the reports to others; one restarts and one comes back with an empty disk.
 #[test]
-fn every_controller_keeps_to_the_homes_at_all_times() {
+fn every_controller_respects_the_home_regions_at_all_times() {
     let mut fleet = Fleet::start(21, 3);
     assert_eq!(fleet.complete(replace_hosts(0, 3), 3_000).status, StatusCode::OK);
     let keep_alive = |fleet: &mut Fleet| {
--- a/controlplane/controller/tests/evidence.rs
+++ b/controlplane/controller/tests/failing_instances.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use whinspindle_controller::evidence::failing;
-use whinspindle_registry::{Lease, SeenFailures};
+use whinspindle_controller::failing_instances;
+use whinspindle_registry::{Lease, SeenFailures, ServiceSize};
 
 /// A balancer that has seen these failures.
 fn balancer(number: u8, failures: &[(&str, u32)]) -> Lease {
@@ -22,31 +22,31 @@
 }
 
 /// Ten instances of `model`, two of `desk`; the first letter of an id tells which.
-fn service_of(id: &str) -> Option<(&'static str, usize)> {
+fn service_of(id: &str) -> Option<ServiceSize<'static>> {
     match id.chars().next()? {
-        'm' => Some(("model", 10)),
-        'd' => Some(("desk", 2)),
+        'm' => Some(ServiceSize { service: "model", instances: 10 }),
+        'd' => Some(ServiceSize { service: "desk", instances: 2 }),
         _ => None,
     }
 }
 
 fn named(balancers: &[Lease]) -> Vec<String> {
-    failing(balancers.iter(), service_of)
+    failing_instances::ids(balancers.iter(), service_of)
 }
 
 #[test]
-fn one_balancers_word_is_not_enough() {
+fn failures_seen_by_one_balancer_are_not_enough() {
     assert!(named(&[balancer(1, &[("m1", 50)])]).is_empty());
 }
 
 #[test]
-fn what_two_have_seen_fail_three_times_is_named() {
+fn three_failures_seen_by_two_balancers_are_enough() {
     assert_eq!(named(&[balancer(1, &[("m1", 1)]), balancer(2, &[("m1", 2)])]), ["m1"]);
     assert!(named(&[balancer(1, &[("m1", 1)]), balancer(2, &[("m1", 1)])]).is_empty(), "two failures");
 }
 
 #[test]
-fn where_all_fail_now_and_then_none_is_named() {
+fn no_instance_is_named_where_all_fail_occasionally() {
     let all: Vec<(String, u32)> = (0..10).map(|number| (format!("m{number}"), 3)).collect();
     let all: Vec<(&str, u32)> = all.iter().map(|(id, count)| (id.as_str(), *count)).collect();
     assert!(named(&[balancer(1, &all), balancer(2, &all)]).is_empty());
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn those_that_stand_out_are_named_beside_others() {
+fn outliers_are_named_among_occasional_failures() {
     let seen = [("m1", 9), ("m2", 9), ("m3", 1), ("m4", 1)];
     assert_eq!(named(&[balancer(1, &seen), balancer(2, &seen)]), ["m1", "m2"]);
 }
 
 #[test]
-fn instances_that_are_not_known_are_not_named() {
+fn unknown_instances_are_not_named() {
     assert!(named(&[balancer(1, &[("x", 9)]), balancer(2, &[("x", 9)])]).is_empty());
 }
--- a/controlplane/controller/tests/fleet.rs
+++ b/controlplane/controller/tests/fleet.rs
@@ -13,13 +13,13 @@
 use whinspindle_controller::api::Call;
 use whinspindle_distribution::{Instance, SubscriberId};
 
-/// While the core is calm an order is acknowledged within this time, wherever it goes.
+/// While the core is calm a command is acknowledged within this time, wherever it goes.
 const CALM_ORDER_MS: u64 = 400;
 /// After a start of all controllers balancers are told of a quorum within this time.
 const QUORUM_MS: u64 = 250;
 /// After a start of all controllers balancers are told what was known within this time.
 const RECALL_MS: u64 = 1_000;
-/// An order is acknowledged within this time after a trouble.
+/// A command is acknowledged within this time after a trouble.
 const TROUBLED_ORDER_MS: u64 = 15_000;
 
 fn newest_instance(fleet: &Fleet, subscriber: SubscriberId, id: &str) -> Option<Instance> {
@@ -34,23 +34,23 @@
 }
 
 #[test]
-fn every_controller_takes_orders_of_every_kind() {
+fn every_controller_accepts_commands_of_every_kind() {
     let mut fleet = Fleet::start(1, 5);
     let mut generation = 0;
     for number in 1..=5 {
         let at = endpoint(number);
-        let orders = [
+        let commands = [
             replace(generation, generation + 2),
             evacuate("zone-b", true),
             evacuate("zone-b", false),
             heartbeat(&format!("i-{number}"), 1, Draining),
             deregister(&format!("i-{number}")),
         ];
-        for order in orders {
+        for command in commands {
             let began = fleet.cluster.now();
-            let answer = fleet.ask(at, order.clone()).unwrap_or_else(|| panic!("{order:?} at {at}"));
-            assert_eq!(answer.status, StatusCode::OK, "{order:?} at {at}: {answer:?}");
-            assert!(fleet.cluster.now() < began + CALM_ORDER_MS, "{order:?} at {at} took long");
+            let answer = fleet.ask(at, command.clone()).unwrap_or_else(|| panic!("{command:?} at {at}"));
+            assert_eq!(answer.status, StatusCode::OK, "{command:?} at {at}: {answer:?}");
+            assert!(fleet.cluster.now() < began + CALM_ORDER_MS, "{command:?} at {at} took long");
         }
         generation += 2;
     }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn balancers_hear_of_controllers_outside_of_the_view_too() {
+fn balancers_learn_of_controllers_outside_of_the_view() {
     // Only three of five are voters, where one loss is tolerated.
     let mut fleet = Fleet::start(2, 5);
     fleet.report(endpoint(1), 1, report(1, "zone-a"));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_one_controller_hears_all_balancers_are_told() {
+fn observations_of_one_controller_reach_all_balancers() {
     let mut fleet = Fleet::start(2, 5);
     for number in 1..=5 {
         fleet.report(endpoint(number), u64::from(number), report(number, "zone-a"));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_restarted_controller_learns_from_the_others() {
+fn restarted_controller_is_brought_up_to_date_by_the_others() {
     let mut fleet = Fleet::start(4, 3);
     fleet.ask(endpoint(2), heartbeat("i-1", 1, Ready));
     fleet.ask(endpoint(2), heartbeat("i-2", 1, Draining));
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn after_a_loss_of_power_balancers_are_told_what_was_known_with_the_configuration() {
+fn restored_state_is_published_with_the_configuration_after_a_power_loss() {
     for wiped in [&[][..], &[1], &[3]] {
         let mut fleet = after_loss_of_power(8, wiped);
         for number in 1..=3 {
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn after_a_loss_of_power_a_quorum_comes_about_soon_and_is_told_at_once() {
+fn quorum_is_restored_soon_and_announced_at_once_after_a_power_loss() {
     for seed in 20..40 {
         let mut fleet = after_loss_of_power(seed, &[]);
         for number in 1..=3 {
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn after_a_loss_of_power_clients_are_told_where_balancers_were() {
+fn clients_are_directed_to_restored_balancers_after_a_power_loss() {
     let mut fleet = after_loss_of_power(9, &[2]);
     fleet.pass(RECALL_MS);
     for number in 1..=3 {
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn what_does_not_come_back_after_a_loss_of_power_is_dropped() {
+fn restored_state_that_is_not_confirmed_after_a_power_loss_is_dropped() {
     let mut fleet = after_loss_of_power(10, &[]);
     fleet.report(endpoint(1), 11, report(1, "zone-a"));
     for beat in 2..8 {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_single_restart_brings_no_lost_instance_back() {
+fn single_restart_does_not_revive_a_lost_instance() {
     let mut fleet = Fleet::start(11, 3);
     fleet.ask(endpoint(2), heartbeat("i-1", 1, Ready));
     fleet.ask(endpoint(2), heartbeat("i-2", 1, Ready));
@@ -227,13 +227,13 @@
 }
 
 #[test]
-fn a_controller_that_is_cut_off_acknowledges_no_order() {
+fn partitioned_controller_acknowledges_no_command() {
     let mut fleet = Fleet::start(5, 3);
     fleet.set_cut_off(endpoint(3), true);
-    let orders = [replace(0, 1), evacuate("zone-a", true), heartbeat("i-1", 1, Draining), Call::Fetch];
-    for order in orders {
-        let answer = fleet.ask(endpoint(3), order.clone()).expect("an answer in time");
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{order:?}");
+    let commands = [replace(0, 1), evacuate("zone-a", true), heartbeat("i-1", 1, Draining), Call::Fetch];
+    for command in commands {
+        let answer = fleet.ask(endpoint(3), command.clone()).expect("an answer in time");
+        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{command:?}");
     }
     let answer = fleet.ask(endpoint(3), heartbeat("i-2", 1, Ready)).expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "the others would take it for lost");
@@ -246,11 +246,11 @@
 }
 
 #[test]
-fn a_controller_that_leaves_hands_over_without_a_lost_order() {
+fn controller_shutdown_loses_no_command() {
     for shutting_down in 1..=3 {
         let mut fleet = Fleet::start(6, 3);
         fleet.complete(replace(0, 1), CALM_ORDER_MS);
-        fleet.cluster.command(endpoint(shutting_down), common::fleet::Command::Leave);
+        fleet.cluster.command(endpoint(shutting_down), common::fleet::Command::Shutdown);
         let attempt = fleet.begin(replace(1, 2));
         fleet.pass(400);
         fleet.cluster.stop(endpoint(shutting_down));
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_troubles_by_chance() {
+fn acknowledged_commands_survive_random_faults() {
     for seed in 0..24 {
         let mut play = Play::new(1_000 + seed);
         play.run(12);
--- a/controlplane/controller/tests/folder_fixture.rs
+++ b/controlplane/controller/tests/folder_fixture.rs
@@ -13,7 +13,8 @@
 use common::{START, TICK_MS, configuration, deregister, evacuate, heartbeat, replace, report, zones};
 use whinspindle_configuration::InstanceState;
 use whinspindle_controller::api::{Call, Response};
-use whinspindle_controller::orders::{self, Departure, Orders};
+use whinspindle_controller::commands::records::{self, EvacuatedZones};
+use whinspindle_controller::commands::{CommandApplication, Departure};
 use whinspindle_controller::{Action, CallId, Controller, ControllerSettings, Event};
 use whinspindle_distribution::{
     ControllerAddress, Gossip, GossipInstance, GossipLease, GossipScope, SubscriberId, decode_gossip,
@@ -27,8 +28,8 @@
 /// The files of both journals.
 const FILES: [&str; 8] =
     ["slot-a", "slot-b", "log-a", "log-b", "memory-slot-a", "memory-slot-b", "memory-log-a", "memory-log-b"];
-/// The names of the files of the memory begin with this.
-const MEMORY_PREFIX: &str = "memory-";
+/// The prefix of the files that hold the saved state.
+const SAVED_STATE_PREFIX: &str = "memory-";
 /// The start of the process that wrote the folder, and of the one that reads it.
 const FIRST_START: u64 = 2;
 const SECOND_START: u64 = 3;
@@ -98,7 +99,7 @@
     }
 }
 
-/// The journal of the replicated state, or that of the memory.
+/// The journal of the replicated state, or that of the saved state.
 fn open(path: &Path, prefix: &'static str) -> (Journal<Prefixed>, Recovered) {
     Journal::open(Prefixed::open(path, prefix)).expect("the journal can be read")
 }
@@ -108,7 +109,10 @@
 }
 
 /// A replica that is its own quorum. Each start of a process has another number.
-fn start_replica(recovered: Recovered, start: u64) -> (Replica<Orders>, Vec<whinspindle_replica::Output>) {
+fn start_replica(
+    recovered: Recovered,
+    start: u64,
+) -> (Replica<CommandApplication>, Vec<whinspindle_replica::Output>) {
     let settings = ReplicaSettings {
         endpoint: endpoint(),
         zone: "zone-a".to_owned(),
@@ -121,7 +125,7 @@
         timing: Timing::default(),
     };
     let found = (recovered.checkpoint, recovered.log);
-    Replica::new(settings, Orders, found, START).expect("the state can be read")
+    Replica::new(settings, CommandApplication, found, START).expect("the state can be read")
 }
 
 fn start_controller(recovered: Recovered, start: u64) -> (Controller, Vec<Action>) {
@@ -142,9 +146,9 @@
     controller: Controller,
     journal: Journal<Prefixed>,
     now: u64,
-    /// The next write fails, after which the replica orders a checkpoint.
+    /// The next write fails, after which the replica commands a checkpoint.
     next_write_fails: bool,
-    memories: Vec<Vec<u8>>,
+    saved_states: Vec<Vec<u8>>,
     answers: Vec<Response>,
 }
 
@@ -152,9 +156,9 @@
     fn start(path: &Path, start: u64) -> Written {
         let (journal, recovered) = open(path, "");
         let (controller, actions) = start_controller(recovered, start);
-        let (memories, answers) = (Vec::new(), Vec::new());
+        let (saved_states, answers) = (Vec::new(), Vec::new());
         let mut written =
-            Written { controller, journal, now: START, next_write_fails: false, memories, answers };
+            Written { controller, journal, now: START, next_write_fails: false, saved_states, answers };
         written.perform(actions);
         written
     }
@@ -183,9 +187,9 @@
                     self.journal.checkpoint(&state).expect("the folder can be written");
                     self.handle(Event::Compacted);
                 }
-                Action::Remember { memory } => {
-                    self.memories.push(memory);
-                    self.handle(Event::Remembered);
+                Action::SaveState { state } => {
+                    self.saved_states.push(state);
+                    self.handle(Event::StateSaved);
                 }
                 Action::Answer { response, .. } => self.answers.push(response),
                 Action::SendBalancer { .. } | Action::SendPeer { .. } => {}
@@ -214,7 +218,7 @@
     }
 }
 
-/// Writes the folder of a controller that took orders, before and after a checkpoint, and heard of an instance and a
+/// Writes the folder of a controller that took commands, before and after a checkpoint, and heard of an instance and a
 /// balancer.
 fn write_folder(path: &Path) {
     let mut written = Written::start(path, FIRST_START);
@@ -232,12 +236,12 @@
     written.pass(150);
     written.handle(Event::Report { subscriber: SubscriberId(1), report: report(1, "zone-a") });
     written.pass(2_000);
-    let memories = std::mem::take(&mut written.memories);
+    let saved_states = std::mem::take(&mut written.saved_states);
     drop(written);
-    assert!(memories.len() > 1, "both slots of the memory are written");
-    let (mut journal, _) = open(path, MEMORY_PREFIX);
-    for memory in memories {
-        journal.checkpoint(&memory).expect("the folder can be written");
+    assert!(saved_states.len() > 1, "both slots of the saved state are written");
+    let (mut journal, _) = open(path, SAVED_STATE_PREFIX);
+    for state in saved_states {
+        journal.checkpoint(&state).expect("the folder can be written");
     }
 }
 
@@ -253,7 +257,7 @@
 }
 
 /// Keys, sequences and values of all records that are committed.
-fn committed(replica: &Replica<Orders>) -> Vec<(String, u64, Vec<u8>)> {
+fn committed(replica: &Replica<CommandApplication>) -> Vec<(String, u64, Vec<u8>)> {
     let records = replica.committed().iter();
     records.map(|(key, record)| (key.clone(), record.sequence, record.value.to_vec())).collect()
 }
@@ -263,7 +267,7 @@
     let folder = TemporaryFolder::of_fixture("state");
     let (_, recovered) = open(&folder.0, "");
     assert!(recovered.checkpoint.is_some(), "the state of before is in a slot");
-    assert!(!recovered.log.is_empty(), "the orders since are in the log");
+    assert!(!recovered.log.is_empty(), "the commands since are in the log");
     let (replica, _) = start_replica(recovered, SECOND_START);
     let digest = |generation| blake3::hash(&configuration(generation)).as_bytes().to_vec();
     let expected = [
@@ -279,10 +283,11 @@
     assert_eq!(committed(&replica), expected.map(|(key, sequence, value)| (key.to_owned(), sequence, value)));
     assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (7, 7));
     let records = replica.committed();
-    assert_eq!(orders::current_generation(records), 7);
-    assert_eq!(orders::evacuated_zones(records), (6, vec!["zone-b".to_owned()]));
-    assert_eq!(orders::departure_of(records, "desk-2"), Some(Departure::Draining));
-    assert_eq!(orders::departure_of(records, "desk-9"), Some(Departure::Gone));
+    assert_eq!(records::current_generation(records), 7);
+    let expected = EvacuatedZones { sequence: 6, zones: vec!["zone-b".to_owned()] };
+    assert_eq!(records::evacuated_zones(records), expected);
+    assert_eq!(records::departure_of(records, "desk-2"), Some(Departure::Draining));
+    assert_eq!(records::departure_of(records, "desk-9"), Some(Departure::Deregistered));
     let view = replica.view();
     let voter = Voter { member: 0, incarnation: 0 };
     assert_eq!(view.number, 1);
@@ -309,12 +314,12 @@
     let (_, recovered) = open(&folder.0, "");
     let (replica, _) = start_replica(recovered, SECOND_START);
     assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (4, 4));
-    assert_eq!(orders::current_generation(replica.committed()), 3);
+    assert_eq!(records::current_generation(replica.committed()), 3);
     assert!(committed(&whole).len() > committed(&replica).len());
 }
 
-/// What the process writes to recall after a restart.
-fn memory() -> Gossip {
+/// The state that the process saves for a restart.
+fn saved_state() -> Gossip {
     let instance = |id: &str, host, sequence, draining, age_ms| GossipInstance {
         id: id.to_owned(),
         service: "desk".to_owned(),
@@ -340,26 +345,26 @@
         failing: Vec::new(),
     };
     let instances = vec![instance("desk-1", 18, 5, false, 700), instance("desk-2", 19, 6, true, 500)];
-    Gossip { scope: GossipScope::Recalled, instances, leases: vec![lease] }
+    Gossip { scope: GossipScope::Restored, instances, leases: vec![lease] }
 }
 
 #[test]
-fn the_memory_is_recalled() {
+fn the_saved_state_is_restored() {
     let folder = TemporaryFolder::of_fixture("memory");
-    let (_, recovered) = open(&folder.0, MEMORY_PREFIX);
+    let (_, recovered) = open(&folder.0, SAVED_STATE_PREFIX);
     assert!(recovered.log.is_empty());
-    let stored = recovered.checkpoint.expect("a memory was written");
-    assert_eq!(decode_gossip(&stored).expect("it can be read"), memory());
-    assert_eq!(encode_gossip(&memory()), stored);
+    let stored = recovered.checkpoint.expect("the state was saved");
+    assert_eq!(decode_gossip(&stored).expect("it can be read"), saved_state());
+    assert_eq!(encode_gossip(&saved_state()), stored);
 }
 
 #[test]
 fn a_controller_goes_on_from_the_folder() {
     let folder = TemporaryFolder::of_fixture("controller");
-    let (_, recovered) = open(&folder.0, MEMORY_PREFIX);
-    let memory = Bytes::from(recovered.checkpoint.expect("a memory was written"));
+    let (_, recovered) = open(&folder.0, SAVED_STATE_PREFIX);
+    let state = Bytes::from(recovered.checkpoint.expect("the state was saved"));
     let mut written = Written::start(&folder.0, SECOND_START);
-    written.handle(Event::Recalled { memory });
+    written.handle(Event::StateRestored { state });
     assert!(written.controller.has_departed("desk-2"));
     assert!(written.controller.has_departed("desk-9"));
     assert!(!written.controller.has_departed("desk-1"));
@@ -371,6 +376,6 @@
     drop(written);
     let (_, recovered) = open(&folder.0, "");
     let (replica, _) = start_replica(recovered, SECOND_START);
-    assert_eq!(orders::current_generation(replica.committed()), 8);
+    assert_eq!(records::current_generation(replica.committed()), 8);
     assert_eq!(replica.committed_sequence(), 8);
 }
--- a/controlplane/controller/tests/heartbeats.rs
+++ b/controlplane/controller/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and departures that come late, in another order than they were sent, or without a word before.
+//! Heartbeats and departures that come late, in another command than they were sent, or without a word before.
 
 mod common;
 
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_instance_that_deregisters_without_draining_is_gone_for_good() {
+fn deregistration_without_draining_is_permanent() {
     let mut single = settled_with_a_balancer();
     single.status(heartbeat("i-1", 1, Ready));
     single.status(heartbeat("i-2", 1, Ready));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_as_leaving_never_takes_requests_again_in_any_order() {
+fn acknowledged_departure_is_permanent_in_any_order_of_heartbeats() {
     fn property(words: Vec<Word>) -> bool {
         let mut single = settled_with_a_balancer();
         let mut left: Vec<(&str, Kind)> = Vec::new();
--- a/controlplane/controller/tests/many_balancers.rs
+++ b/controlplane/controller/tests/many_balancers.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn balancers_that_come_together_are_told_of_each_other_a_few_times() {
+fn balancers_that_arrive_together_cause_few_updates() {
     let mut single = Single::settled();
     for number in 1..=BALANCERS {
         single.report(u64::from(number), report(number, "zone-a"));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_new_balancer_is_told_all_at_once_and_others_nothing_by_it() {
+fn new_balancer_gets_everything_at_once_and_causes_no_update_to_others() {
     let mut single = Single::settled();
     single.status(replace(0, 3));
     single.status(heartbeat("i-1", 1, Ready));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_change_of_one_instance_is_told_without_the_others() {
+fn change_of_one_instance_is_sent_without_the_other_instances() {
     let mut single = Single::settled();
     for number in 1..=100 {
         single.status(heartbeat_at(&format!("i-{number}"), number));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_peer_that_connects_again_soon_is_not_sent_all_again() {
+fn peer_that_reconnects_soon_gets_no_second_snapshot() {
     let peer = "10.0.0.2:7700".parse().unwrap();
     let mut single = Single::settled();
     for number in 1..=600 {
--- a/controlplane/controller/tests/cut_off.rs
+++ b/controlplane/controller/tests/partitioned_controller.rs
@@ -11,9 +11,9 @@
 /// A loss of contact is noticed within this time.
 const NOTICED_MS: u64 = 2_000;
 /// A controller alone tells new balancers nothing for this long.
-const ALONE_MS: u64 = 8_000;
+const ISOLATED_SERVE_DELAY_MS: u64 = 8_000;
 const CUT_MS: u64 = 20_000;
-const ORDER_MS: u64 = 15_000;
+const COMMAND_TIMEOUT_MS: u64 = 15_000;
 /// A caller goes on to another controller after this time without an answer.
 const CALLER_PATIENCE_MS: u64 = 1_000;
 
@@ -42,24 +42,24 @@
 }
 
 /// Configuration 1 is on all disks, and 2 on all but that of the third controller, which is down.
-fn third_is_down_with_an_old_disk(seed: u64) -> Fleet {
+fn third_controller_is_down_with_an_old_disk(seed: u64) -> Fleet {
     let mut fleet = Fleet::start(seed, 3);
-    fleet.complete(replace(0, 1), ORDER_MS);
+    fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.pass(1_000);
     fleet.cluster.stop(endpoint(3));
     fleet.pass(3_000);
-    fleet.complete(replace(1, 2), ORDER_MS);
+    fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
     fleet.pass(1_000);
     fleet
 }
 
 #[test]
-fn a_controller_that_starts_alone_on_an_old_disk_tells_nothing_at_first() {
-    let mut fleet = third_is_down_with_an_old_disk(1);
+fn isolated_controller_with_an_old_disk_publishes_nothing_at_first() {
+    let mut fleet = third_controller_is_down_with_an_old_disk(1);
     fleet.set_cut_off(endpoint(3), true);
     fleet.cluster.start(endpoint(3));
     fleet.report(endpoint(3), 30, report(1, "zone-a"));
-    fleet.pass(ALONE_MS - 200);
+    fleet.pass(ISOLATED_SERVE_DELAY_MS - 200);
     assert!(sent_configurations(&fleet, 30).is_empty(), "the others have gone on");
     assert!(!said_in_quorum(&fleet, 30));
     fleet.pass(1_000);
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn a_controller_that_starts_alone_tells_nothing_once_a_balancer_knows_more() {
-    let mut fleet = third_is_down_with_an_old_disk(2);
+fn isolated_controller_publishes_nothing_once_a_balancer_is_ahead() {
+    let mut fleet = third_controller_is_down_with_an_old_disk(2);
     fleet.report(endpoint(1), 10, report(1, "zone-a"));
     fleet.pass(100);
     let newest = newest_position(&fleet);
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn a_controller_that_comes_back_on_an_old_disk_never_tells_old_records() {
+fn controller_restarted_with_an_old_disk_never_publishes_old_records() {
     for seed in 0..20 {
-        let mut fleet = third_is_down_with_an_old_disk(100 + seed);
+        let mut fleet = third_controller_is_down_with_an_old_disk(100 + seed);
         fleet.cluster.start(endpoint(3));
         fleet.report(endpoint(3), 30, report(1, "zone-a"));
         fleet.pass(6_000);
@@ -96,14 +96,14 @@
 }
 
 #[test]
-fn a_cut_off_controller_hands_a_new_balancer_nothing_old() {
+fn partitioned_controller_serves_no_old_records_to_a_new_balancer() {
     let mut fleet = Fleet::start(3, 3);
-    fleet.complete(replace(0, 1), ORDER_MS);
+    fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.report(endpoint(3), 30, report(1, "zone-a"));
     fleet.pass(1_000);
     fleet.set_cut_off(endpoint(3), true);
     fleet.pass(NOTICED_MS);
-    fleet.complete(replace(1, 2), ORDER_MS);
+    fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
     fleet.report(endpoint(3), 31, report(2, "zone-a"));
     fleet.pass(3_000);
     assert!(sent_configurations(&fleet, 31).is_empty());
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn a_cut_off_controller_confirms_no_heartbeat_and_tells_its_own_balancers() {
+fn partitioned_controller_confirms_no_heartbeat_and_notifies_its_own_balancers() {
     let mut fleet = Fleet::start(4, 3);
-    fleet.complete(replace(0, 1), ORDER_MS);
+    fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.report(endpoint(3), 30, report(1, "zone-a"));
     fleet.pass(1_000);
     fleet.set_cut_off(endpoint(3), true);
@@ -141,10 +141,10 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_is_noticed_on_both_sides() {
+fn one_way_partition_is_detected_on_both_sides() {
     for outward in [true, false] {
         let mut fleet = Fleet::start(5, 3);
-        fleet.complete(replace(0, 1), ORDER_MS);
+        fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
         fleet.report(endpoint(3), 30, report(1, "zone-a"));
         fleet.pass(1_000);
         for other in [1, 2].map(endpoint) {
@@ -153,7 +153,7 @@
         }
         fleet.pass(NOTICED_MS);
         fleet.links.clear();
-        fleet.complete(replace(1, 2), ORDER_MS);
+        fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
         fleet.report(endpoint(3), 31, report(2, "zone-a"));
         fleet.pass(2_000);
         assert!(!said_in_quorum(&fleet, 30), "outward {outward}");
@@ -167,16 +167,16 @@
 }
 
 #[test]
-fn a_controller_that_was_frozen_serves_nothing_before_it_has_contact_again() {
+fn paused_controller_serves_nothing_before_it_has_contact_again() {
     for seed in 0..20 {
         let mut fleet = Fleet::start(200 + seed, 3);
-        fleet.complete(replace(0, 1), ORDER_MS);
+        fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
         fleet.report(endpoint(3), 29, report(2, "zone-a"));
         fleet.pass(1_000);
         let thaws_at = fleet.cluster.now() + CUT_MS;
         fleet.cluster.freeze(endpoint(3), thaws_at);
         fleet.pass(3_000);
-        fleet.complete(replace(1, 2), ORDER_MS);
+        fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
         // The thawed process reads first what was sent to it right before and during its pause.
         fleet.sent.clear();
         fleet.pass(thaws_at + 200 - fleet.cluster.now());
@@ -196,14 +196,14 @@
 }
 
 #[test]
-fn a_balancer_that_is_the_first_to_speak_to_a_thawed_controller_is_told_nothing_old() {
+fn resumed_controller_serves_no_old_records_to_its_first_caller() {
     let mut fleet = Fleet::start(6, 3);
-    fleet.complete(replace(0, 1), ORDER_MS);
+    fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.pass(1_000);
     let thaws_at = fleet.cluster.now() + CUT_MS;
     fleet.cluster.freeze(endpoint(3), thaws_at + 1);
     fleet.pass(3_000);
-    fleet.complete(replace(1, 2), ORDER_MS);
+    fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
     fleet.pass(thaws_at - fleet.cluster.now());
     // Its report is read before the frames of the other controllers, and before the first tick.
     fleet.cluster.freeze(endpoint(3), thaws_at);
@@ -213,13 +213,13 @@
 }
 
 #[test]
-fn orders_and_departures_in_the_moment_of_the_return_have_one_outcome() {
+fn commands_and_departures_during_the_heal_have_one_outcome() {
     for seed in 0..10 {
         let mut fleet = Fleet::start(300 + seed, 3);
-        fleet.complete(replace(0, 1), ORDER_MS);
+        fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
         fleet.set_cut_off(endpoint(3), true);
         fleet.pass(CUT_MS);
-        fleet.complete(replace(1, 2), ORDER_MS);
+        fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
         fleet.set_cut_off(endpoint(3), false);
         // Given to the returning controller first, on the base that it last knew.
         let stale = fleet.ask(endpoint(3), replace(1, 3));
--- a/controlplane/controller/tests/operators_drawn.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -1,4 +1,4 @@
-//! Operators with several orders under way, through troubles drawn at random: what was confirmed is a chain, what was
+//! Operators with several commands under way, through troubles drawn at random: what was confirmed is a chain, what was
 //! refused is never in force, and what was confirmed is confirmed again however often it is sent.
 
 mod common;
@@ -17,18 +17,18 @@
 const CONTROLLERS: u8 = 5;
 /// Plays in an ordinary run; as many as this variable says otherwise.
 const ORDINARY: u64 = 40;
-/// Plays that have found a fault: 196 found a controller without a vote that gave no order to the chain any more, since
+/// Plays that have found a fault: 196 found a controller without a vote that gave no command to the chain any more, since
 /// a promise of an earlier view was left over.
 const FOUND: [u64; 1] = [196];
 const COUNT_VARIABLE: &str = "WHINSPINDLE_PLAYS";
 const ROUNDS: usize = 8;
-/// An operator gives up an order without a clear answer after this time.
+/// An operator gives up a command without a clear answer after this time.
 const LONGEST_ORDER_MS: u64 = 12_000;
 /// One loss at a time is borne. A machine that was out of touch counts as a loss until it has been back for so long, and
 /// so does a disk.
 const RECOVERY_MS: u64 = 6_000;
 const START_MS: u64 = 8_000;
-/// An evacuation order that was given up may still take effect within this time.
+/// An evacuation command that was given up may still take effect within this time.
 const EVACUATION_ECHO_MS: u64 = 500;
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
@@ -55,7 +55,7 @@
 /// Pauses between reads at most.
 const READ_MS: u64 = 150;
 
-/// An evacuation order, with the time in which it may take effect.
+/// An evacuation command, with the time in which it may take effect.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     evacuated: bool,
@@ -218,7 +218,7 @@
         Change::new(base, base + above, &format!("number {}", self.sent))
     }
 
-    /// One order at a time for each zone; some are given up.
+    /// One command at a time for each zone; some are given up.
     fn send_evacuations(&mut self) {
         for zone in ZONES {
             self.conclude_evacuation(zone);
@@ -230,16 +230,16 @@
             let evacuated = self.below(2) == 0;
             let at = self.anywhere();
             let attempt = Some(self.fleet.begin_at(at, evacuate(zone, evacuated)));
-            let order =
+            let command =
                 Evacuation { evacuated, attempt, begun: now, ended: u64::MAX, is_acknowledged: false };
-            self.evacuations.get_mut(zone).expect("it is known").push(order);
+            self.evacuations.get_mut(zone).expect("it is known").push(command);
         }
     }
 
     fn conclude_evacuation(&mut self, zone: &'static str) {
         let gives_up = self.below(3) == 0;
         let now = self.fleet.cluster.now();
-        let latest = self.evacuations.get_mut(zone).and_then(|orders| orders.last_mut()).expect("one");
+        let latest = self.evacuations.get_mut(zone).and_then(|commands| commands.last_mut()).expect("one");
         let Some(attempt) = latest.attempt else { return };
         if let Some((at, answer)) = &self.fleet.attempts[attempt].answered {
             assert_eq!(answer.status, StatusCode::OK, "{latest:?} of {zone}");
@@ -313,7 +313,7 @@
         assert_eq!(self.fleet.complete(Call::Fetch, LONGEST_ORDER_MS).body, newest);
     }
 
-    /// The state of a zone is that of an order after which no other was acknowledged from begin to end.
+    /// The state of a zone is that of a command after which no other was acknowledged from begin to end.
     fn verify_zones(&mut self) {
         let subscriber = SubscriberId(100);
         self.fleet.report(endpoint(1), subscriber.0, report(1, "zone-a"));
@@ -321,14 +321,14 @@
         let mut sent = self.fleet.updates.iter().rev().filter(|(to, _)| *to == subscriber);
         let told = sent.find_map(|(_, update)| Some(update.evacuations.as_ref()?.zones.clone()));
         let told = told.unwrap_or_default();
-        for (zone, orders) in &self.evacuations {
+        for (zone, commands) in &self.evacuations {
             let is_evacuated = told.iter().any(|evacuated| evacuated == zone);
-            let explains = |(place, order): &(usize, &Evacuation)| {
-                let is_undone = |later: &Evacuation| later.is_acknowledged && later.begun >= order.ended;
-                order.evacuated == is_evacuated && !orders[place + 1..].iter().any(is_undone)
+            let explains = |(place, command): &(usize, &Evacuation)| {
+                let is_undone = |later: &Evacuation| later.is_acknowledged && later.begun >= command.ended;
+                command.evacuated == is_evacuated && !commands[place + 1..].iter().any(is_undone)
             };
-            let explanation = orders.iter().enumerate().find(explains);
-            assert!(explanation.is_some(), "{zone} evacuated: {is_evacuated}, after {orders:?}");
+            let explanation = commands.iter().enumerate().find(explains);
+            assert!(explanation.is_some(), "{zone} evacuated: {is_evacuated}, after {commands:?}");
         }
     }
 }
@@ -350,14 +350,14 @@
 }
 
 #[test]
-fn what_operators_read_and_were_answered_holds_through_halves() {
+fn reads_and_answers_stay_consistent_through_split_halves() {
     for seed in 0..count() {
         Play::new(9_000 + seed).run_split();
     }
 }
 
 #[test]
-fn what_operators_were_answered_holds_through_any_troubles() {
+fn answers_stay_consistent_through_random_faults() {
     for seed in (0..count()).chain(FOUND) {
         Play::new(4_800 + seed).run();
     }
--- a/controlplane/controller/tests/reads.rs
+++ b/controlplane/controller/tests/reads.rs
@@ -10,7 +10,7 @@
 use http::StatusCode;
 use whinspindle_controller::api::Call;
 
-const ORDER_MS: u64 = 15_000;
+const COMMAND_TIMEOUT_MS: u64 = 15_000;
 /// A loss of contact is noticed within this time, and a return is made up for.
 const NOTICED_MS: u64 = 2_000;
 const READS: usize = 40;
@@ -19,7 +19,7 @@
 /// Three controllers with configuration 1 everywhere.
 fn started(seed: u64) -> Fleet {
     let mut fleet = Fleet::start(seed, 3);
-    fleet.complete(replace(0, 1), ORDER_MS);
+    fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.pass(1_000);
     fleet
 }
@@ -33,12 +33,12 @@
 
 /// From the first moment of the cut on; each of the controllers may be the head or the tail of the chain.
 #[test]
-fn a_controller_that_is_cut_off_reads_nothing_older_than_was_acknowledged() {
+fn partitioned_controller_reads_nothing_older_than_was_acknowledged() {
     for seed in 1..=5 {
         for cut_off in [1, 2, 3].map(endpoint) {
             let mut fleet = started(seed);
             fleet.set_cut_off(cut_off, true);
-            fleet.complete(replace(1, 2), ORDER_MS);
+            fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
             for _ in 0..READS {
                 assert_eq!(read(&mut fleet, cut_off), None, "it can't be sure of the newest");
                 fleet.pass(READ_MS);
@@ -57,10 +57,10 @@
 
 /// No half has a majority: one of the three is down.
 #[test]
-fn without_a_majority_anywhere_no_controller_answers_a_read() {
+fn no_controller_answers_a_read_without_a_majority() {
     let mut fleet = started(1);
     fleet.cluster.stop(endpoint(2));
-    fleet.complete(replace(1, 2), ORDER_MS);
+    fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
     fleet.set_cut_off(endpoint(1), true);
     fleet.pass(NOTICED_MS);
     for at in [1, 3].map(endpoint) {
@@ -78,11 +78,11 @@
 
 /// Its disk has configuration 1, and the one in force is 2.
 #[test]
-fn a_controller_that_starts_on_an_old_disk_reads_nothing_old() {
+fn controller_started_with_an_old_disk_reads_nothing_old() {
     for seed in 1..=5 {
         let mut fleet = started(seed);
         fleet.cluster.stop(endpoint(3));
-        fleet.complete(replace(1, 2), ORDER_MS);
+        fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
         fleet.cluster.start(endpoint(3));
         let mut answers = Vec::new();
         for _ in 0..READS {
--- a/controlplane/controller/tests/schedules.rs
+++ b/controlplane/controller/tests/schedules.rs
@@ -1,10 +1,13 @@
 //! Schedules of faults drawn at random over controllers with edge machines, upstreams and operators: no acknowledged
 //! configuration, evacuation or departure is lost, balancers in touch have the newest and never go back, no controller
-//! answers a read with less than was acknowledged before, and of two orders on one base one is confirmed.
+//! answers a read with less than was acknowledged before, and of two commands on one base one is confirmed.
 
 mod common;
 
-use common::rules::{ConfirmsAlone, ConfirmsEarly, CutOffTells, ReadsAlone, Rules, StandardRules, TakesAny};
+use common::rules::{
+    AcceptsAnyFirstRecords, AnswersReadsLocally, ConfirmsHeartbeatWithoutQuorum,
+    ConfirmsUncommittedDeparture, PartitionedControllerServesRecords, Rules, StandardRules,
+};
 use common::schedule::{Overlapping, Schedule, Starting, play};
 use quickcheck::{Arbitrary, Gen};
 
@@ -45,7 +48,7 @@
 }
 
 /// Plays as many schedules as the environment says.
-fn are_borne(draw: fn(u64) -> Schedule) {
+fn are_tolerated(draw: fn(u64) -> Schedule) {
     let count = from_environment(COUNT_VARIABLE).unwrap_or(ORDINARY);
     let first = from_environment(SEED_VARIABLE).unwrap_or(FIRST_SEED);
     let play_share = move |share: usize| {
@@ -66,21 +69,21 @@
 }
 
 #[test]
-fn any_schedule_is_borne() {
-    are_borne(ordinary);
+fn any_schedule_is_tolerated() {
+    are_tolerated(ordinary);
 }
 
 /// Machines start without a configuration while controllers are cut off.
 #[test]
-fn any_schedule_of_starting_machines_is_borne() {
-    are_borne(starting);
+fn any_schedule_of_starting_machines_is_tolerated() {
+    are_tolerated(starting);
 }
 
 /// The controllers are cut into two halves, or all from each other, and more of them are away than may be, though no
 /// more disks are lost.
 #[test]
-fn any_schedule_of_halves_and_overlapping_losses_is_borne() {
-    are_borne(overlapping);
+fn any_schedule_of_split_halves_and_overlapping_losses_is_tolerated() {
+    are_tolerated(overlapping);
 }
 
 /// What is planted shows first at `seed`, and as `problem`; the standard rules bear all schedules up to there.
@@ -96,26 +99,26 @@
 
 /// A machine that starts beside such a controller handles requests by an old configuration.
 #[test]
-fn a_cut_off_controller_that_tells_its_balancers_is_found() {
-    is_found::<CutOffTells>(starting, 22, "edge 2, in reach, holds configuration");
+fn partitioned_controller_that_serves_records_is_detected() {
+    is_found::<PartitionedControllerServesRecords>(starting, 22, "edge 2, in reach, holds configuration");
 }
 
 #[test]
-fn an_agent_that_takes_its_first_records_from_a_cut_off_controller_is_found() {
-    is_found::<TakesAny>(starting, 22, "edge 2, in reach, holds configuration");
+fn agent_that_accepts_first_records_of_a_partitioned_controller_is_detected() {
+    is_found::<AcceptsAnyFirstRecords>(starting, 22, "edge 2, in reach, holds configuration");
 }
 
 #[test]
-fn a_departure_confirmed_before_it_is_committed_is_found() {
-    is_found::<ConfirmsEarly>(ordinary, 19, "has forgotten that u-5 left");
+fn departure_confirmed_before_its_commit_is_detected() {
+    is_found::<ConfirmsUncommittedDeparture>(ordinary, 19, "has forgotten that u-5 left");
 }
 
 #[test]
-fn a_heartbeat_confirmed_by_a_cut_off_controller_is_found() {
-    is_found::<ConfirmsAlone>(overlapping, 12, "edge 1 doesn't know u-3, which serves");
+fn heartbeat_confirmed_by_a_partitioned_controller_is_detected() {
+    is_found::<ConfirmsHeartbeatWithoutQuorum>(overlapping, 12, "edge 1 doesn't know u-3, which serves");
 }
 
 #[test]
-fn a_controller_that_answers_reads_alone_is_found() {
-    is_found::<ReadsAlone>(overlapping, 1, "and read ");
+fn controller_that_answers_reads_locally_is_detected() {
+    is_found::<AnswersReadsLocally>(overlapping, 1, "and read ");
 }
--- a/controlplane/controller/tests/two_operators.rs
+++ b/controlplane/controller/tests/two_operators.rs
@@ -1,4 +1,4 @@
-//! Two operators on one base, whose orders meet every kind of trouble at every moment: one is confirmed, stays so
+//! Two operators on one base, whose commands meet every kind of trouble at every moment: one is confirmed, stays so
 //! however often and wherever it is sent again, and the other is never in force.
 
 mod common;
@@ -11,10 +11,10 @@
 use http::StatusCode;
 
 const CONTROLLERS: u8 = 3;
-/// An order passes a calm chain of three within this time: the troubles come at each of these moments.
-const ORDER_MS: u64 = 60;
+/// A command passes a calm chain of three within this time: the troubles come at each of these moments.
+const COMMAND_TIMEOUT_MS: u64 = 60;
 const MOMENT_MS: usize = 2;
-/// An order is answered within this time after a trouble.
+/// A command is answered within this time after a trouble.
 const TROUBLED_ORDER_MS: u64 = 15_000;
 /// After a start of all controllers there is a quorum within this time.
 const START_MS: u64 = 4_000;
@@ -28,7 +28,7 @@
     for number in 1..=CONTROLLERS {
         fleet.report(endpoint(number), u64::from(number), report(number, "zone-a"));
     }
-    assert_eq!(fleet.complete(replace(0, 1), ORDER_MS).status, StatusCode::OK);
+    assert_eq!(fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS).status, StatusCode::OK);
     fleet
 }
 
@@ -52,7 +52,7 @@
     fleet.pass(100);
 }
 
-/// Two orders on one base, of one number or of two, go to the first or to the last members of the chain.
+/// Two commands on one base, of one number or of two, go to the first or to the last members of the chain.
 fn race(seed: u64, trouble: Trouble, place: usize, moment: u64) {
     let mut fleet = started(seed);
     let chain = fleet.chain(endpoint(1));
@@ -84,8 +84,8 @@
     judge.told(&fleet);
 }
 
-fn race_at_every_moment(trouble: Trouble) {
-    for moment in (0..ORDER_MS).step_by(MOMENT_MS) {
+fn race_at_every_offset(trouble: Trouble) {
+    for moment in (0..COMMAND_TIMEOUT_MS).step_by(MOMENT_MS) {
         for place in 0..usize::from(CONTROLLERS) {
             let seed = 100 + moment + place as u64;
             race(seed, trouble, place, moment);
@@ -95,40 +95,40 @@
 
 #[test]
 fn one_of_two_is_confirmed_where_a_controller_is_killed() {
-    race_at_every_moment(Trouble::Kill);
+    race_at_every_offset(Trouble::Kill);
 }
 
 #[test]
-fn one_of_two_is_confirmed_where_a_controller_is_cut_off() {
-    race_at_every_moment(Trouble::CutOff);
+fn one_of_two_is_confirmed_where_a_controller_is_partitioned() {
+    race_at_every_offset(Trouble::CutOff);
 }
 
 #[test]
-fn one_of_two_is_confirmed_where_a_controller_is_cut_one_way() {
-    race_at_every_moment(Trouble::CutOneWay);
+fn one_of_two_is_confirmed_with_a_one_way_partition() {
+    race_at_every_offset(Trouble::CutOneWay);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_controller_is_frozen() {
-    race_at_every_moment(Trouble::Freeze);
+    race_at_every_offset(Trouble::Freeze);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_disk_is_lost() {
-    race_at_every_moment(Trouble::Wipe);
+    race_at_every_offset(Trouble::Wipe);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_disk_stalls() {
-    race_at_every_moment(Trouble::StalledDisk);
+    race_at_every_offset(Trouble::StalledDisk);
 }
 
 #[test]
-fn one_of_two_is_confirmed_where_all_lose_power() {
-    race_at_every_moment(Trouble::LossOfPower);
+fn one_of_two_is_confirmed_where_all_controllers_lose_power() {
+    race_at_every_offset(Trouble::LossOfPower);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_answers_are_lost() {
-    race_at_every_moment(Trouble::LostAnswers);
+    race_at_every_offset(Trouble::LostAnswers);
 }
--- a/controlplane/distribution/src/codec/gossip.rs
+++ b/controlplane/distribution/src/codec/gossip.rs
@@ -37,7 +37,7 @@
         GossipScope::Changes => distribution_capnp::GossipScope::Changes,
         GossipScope::Heard => distribution_capnp::GossipScope::Heard,
         GossipScope::Complete => distribution_capnp::GossipScope::Complete,
-        GossipScope::Recalled => distribution_capnp::GossipScope::Recalled,
+        GossipScope::Restored => distribution_capnp::GossipScope::Recalled,
     }
 }
 
@@ -46,7 +46,7 @@
         distribution_capnp::GossipScope::Changes => GossipScope::Changes,
         distribution_capnp::GossipScope::Heard => GossipScope::Heard,
         distribution_capnp::GossipScope::Complete => GossipScope::Complete,
-        distribution_capnp::GossipScope::Recalled => GossipScope::Recalled,
+        distribution_capnp::GossipScope::Recalled => GossipScope::Restored,
     }
 }
 
--- a/controlplane/distribution/src/gossip.rs
+++ b/controlplane/distribution/src/gossip.rs
@@ -24,7 +24,7 @@
     /// All that lives: the sender has had the time to hear of it.
     Complete,
     /// What the sender found on its disk when it started and has not heard of since.
-    Recalled,
+    Restored,
 }
 
 /// The newest heartbeat of an upstream that the sender knows.
--- a/controlplane/distribution/tests/common/mod.rs
+++ b/controlplane/distribution/tests/common/mod.rs
@@ -156,7 +156,7 @@
 
 impl Draw for Gossip {
     fn draw(source: &mut Gen) -> Self {
-        let scopes = [GossipScope::Changes, GossipScope::Heard, GossipScope::Complete, GossipScope::Recalled];
+        let scopes = [GossipScope::Changes, GossipScope::Heard, GossipScope::Complete, GossipScope::Restored];
         Gossip {
             scope: *source.choose(&scopes).unwrap_or(&GossipScope::Changes),
             instances: several(source, gossip_instance),
