--- a/controlplane/distribution/tests/wire_fixtures.rs
+++ b/controlplane/distribution/tests/wire_fixtures.rs
@@ -235,7 +235,7 @@
         GossipScope::Changes => 0,
         GossipScope::Heard => 1,
         GossipScope::Complete => 2,
-        GossipScope::Recalled => 3,
+        GossipScope::Restored => 3,
     }
 }
 
@@ -245,7 +245,7 @@
         ("gossip-changes", gossip(GossipScope::Changes)),
         ("gossip-heard", gossip(GossipScope::Heard)),
         ("gossip-complete", gossip(GossipScope::Complete)),
-        ("gossip-recalled", gossip(GossipScope::Recalled)),
+        ("gossip-recalled", gossip(GossipScope::Restored)),
     ];
     let scopes: BTreeSet<usize> = gossips.iter().map(|(_, gossip)| scope(gossip)).collect();
     assert_eq!(scopes, (0..SCOPES).collect());
--- a/controlplane/registry/src/leases.rs
+++ b/controlplane/registry/src/leases.rs
@@ -1,208 +1,223 @@
-//! The balancers that hold a lease.
+//! The table of balancers' leases, fed by their reports and by the records of other controllers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
 
-/// How many balancers are held at once.
+/// The number of balancers that are kept at once.
 const LEASE_CAPACITY: usize = 4096;
 
-/// How long a lease lasts, and how long a lost balancer is still counted.
+/// How long a lease lasts, and how long a balancer without one is still counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// A lease ends this long after its last renewal.
+    /// A lease ends this long after its last renewal, in milliseconds.
     pub lease_ms: u64,
-    /// A balancer that lost its lease counts this long as one that may still send.
-    pub hold_ms: u64,
+    /// How long a balancer that lost its lease is still counted as one that may send requests, in milliseconds.
+    pub retention_ms: u64,
 }
 
 impl Default for LeaseTiming {
     fn default() -> Self {
-        LeaseTiming { lease_ms: 2_000, hold_ms: 30_000 }
+        LeaseTiming { lease_ms: 2_000, retention_ms: 30_000 }
     }
 }
 
-/// Requests a second that a balancer sends to the instances of a service in a region.
+/// The rate of requests that a balancer sends to the instances of a service in a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionSends {
+    /// The service.
     pub service: String,
+    /// The region of the instances.
     pub region: String,
+    /// Requests a second.
     pub requests_per_s: f64,
 }
 
 /// Failures of an instance that a balancer has seen a short while ago.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SeenFailures {
+    /// The id of the instance.
     pub instance: String,
+    /// The number of failed requests.
     pub failures: u32,
 }
 
-/// What a balancer says of itself with each renewal.
+/// What a balancer reports of itself with each renewal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lease {
+    /// The name of the balancer's node; the key of its lease.
     pub node: String,
     /// Differs for each start of the balancer.
     pub incarnation: u64,
+    /// The zone that it runs in.
     pub zone: String,
+    /// The region of that zone.
     pub region: String,
     /// Where clients connect.
     pub front: SocketAddr,
+    /// It can handle requests.
     pub ready: bool,
-    /// No new clients are to be sent to it; holds for the rest of the incarnation.
+    /// It is in graceful shutdown, for the rest of the incarnation: no new clients are sent to it.
     pub shutting_down: bool,
+    /// What it sends to the instances of each service and region.
     pub sends: Vec<RegionSends>,
+    /// Instances that have failed requests of it.
     pub failing: Vec<SeenFailures>,
 }
 
-/// A lease, as controllers tell it to each other.
+/// A lease, as controllers send it to each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRecord {
+    /// The lease as it was last renewed.
     pub lease: Lease,
-    /// Time since the renewal.
+    /// The time since the renewal, in milliseconds.
     pub age_ms: u64,
 }
 
 #[derive(Debug)]
-struct Held {
+struct LeaseEntry {
     lease: Lease,
     renewed_at: u64,
     lost: bool,
-    /// Known from before the start of this controller alone.
-    recalled: bool,
+    /// Known from the saved state alone.
+    restored: bool,
 }
 
-/// Knows the balancers from their renewals here and from the records of other controllers.
+/// The balancers that are known from their reports to this controller and from the records of others.
 #[derive(Debug)]
 pub struct LeaseTable {
     timing: LeaseTiming,
-    held: IndexMap<String, Held>,
-    /// Nodes that renewed here since the last `take_changes`.
+    entries: IndexMap<String, LeaseEntry>,
+    /// Nodes that renewed their leases here since the last `take_changes`.
     unsent: BTreeSet<String>,
-    /// Since when this controller is cut off from the others, if it is.
+    /// Since when this controller is partitioned from the others, if it is.
     isolated_since: Option<u64>,
     version: u64,
 }
 
 impl LeaseTable {
+    /// An empty table.
     pub fn new(timing: LeaseTiming) -> Self {
         LeaseTable {
             timing,
-            held: IndexMap::new(),
+            entries: IndexMap::new(),
             unsent: BTreeSet::new(),
             isolated_since: None,
             version: 1,
         }
     }
 
-    /// Takes a renewal; answers whether anything but the rates of sends is new.
+    /// Renews a lease; returns whether anything but the rates of sends has changed.
     pub fn renew(&mut self, now: u64, lease: Lease) -> bool {
         self.unsent.insert(lease.node.clone());
         self.take(lease, now)
     }
 
-    /// Takes what another controller knows of a balancer; answers as `renew`.
+    /// Merges the record of another controller; returns the same as `renew`.
     pub fn merge(&mut self, now: u64, record: LeaseRecord) -> bool {
         let renewed_at = now.saturating_sub(record.age_ms);
-        let held = self.held.get(&record.lease.node);
-        let newer = held.is_none_or(|held| held.recalled || renewed_at > held.renewed_at);
-        let remembered = renewed_at + self.timing.lease_ms + self.timing.hold_ms >= now;
-        newer && remembered && self.take(record.lease, renewed_at)
+        let entry = self.entries.get(&record.lease.node);
+        let newer = entry.is_none_or(|entry| entry.restored || renewed_at > entry.renewed_at);
+        let is_recent = renewed_at + self.timing.lease_ms + self.timing.retention_ms >= now;
+        newer && is_recent && self.take(record.lease, renewed_at)
     }
 
-    /// Takes what was known before this controller started; a lease that held then is as good as renewed now. Anything
-    /// that is heard takes its place. Answers whether the balancer was unknown.
-    pub fn recall(&mut self, now: u64, record: LeaseRecord) -> bool {
-        if self.held.contains_key(&record.lease.node) || self.held.len() >= LEASE_CAPACITY {
+    /// Restores a record of the saved state; a lease that was in force then counts as renewed now. Any report or record
+    /// of another controller replaces it. Returns whether the balancer was unknown.
+    pub fn restore(&mut self, now: u64, record: LeaseRecord) -> bool {
+        if self.entries.contains_key(&record.lease.node) || self.entries.len() >= LEASE_CAPACITY {
             return false;
         }
-        let held_then = record.age_ms <= self.timing.lease_ms;
-        let renewed_at = if held_then { now } else { now.saturating_sub(record.age_ms) };
+        let was_live = record.age_ms <= self.timing.lease_ms;
+        let renewed_at = if was_live { now } else { now.saturating_sub(record.age_ms) };
         let node = record.lease.node.clone();
-        self.held.insert(node, Held { lease: record.lease, renewed_at, lost: !held_then, recalled: true });
+        self.entries
+            .insert(node, LeaseEntry { lease: record.lease, renewed_at, lost: !was_live, restored: true });
         self.version += 1;
         true
     }
 
-    /// All balancers have been heard of: those known from before the start alone have ended.
-    pub fn drop_recalled(&mut self) {
-        let count = self.held.len();
-        self.held.retain(|_, held| !held.recalled);
-        self.version += (count - self.held.len()) as u64;
+    /// Removes what is known from the saved state alone: by now every live balancer has reported.
+    pub fn drop_restored(&mut self) {
+        let count = self.entries.len();
+        self.entries.retain(|_, entry| !entry.restored);
+        self.version += (count - self.entries.len()) as u64;
     }
 
-    /// Records of the renewals since the last call, for the other controllers.
+    /// Records of the renewals here since the last call, for the other controllers.
     pub fn take_changes(&mut self, now: u64) -> Vec<LeaseRecord> {
         let unsent = std::mem::take(&mut self.unsent);
-        unsent.iter().filter_map(|node| self.held.get(node)).map(|held| held.record(now)).collect()
+        unsent.iter().filter_map(|node| self.entries.get(node)).map(|entry| entry.record(now)).collect()
     }
 
-    /// Whether something waits for `take_changes`.
+    /// Whether `take_changes` would return any record.
     pub fn has_changes(&self) -> bool {
         !self.unsent.is_empty()
     }
 
-    /// All balancers that are counted, with the age of their last renewal.
+    /// Records of all balancers that are counted.
     pub fn snapshot(&self, now: u64) -> Vec<LeaseRecord> {
-        self.held.values().map(|held| held.record(now)).collect()
+        self.entries.values().map(|entry| entry.record(now)).collect()
     }
 
-    /// Those of `snapshot` that were heard of since this controller started.
-    pub fn heard(&self, now: u64) -> Vec<LeaseRecord> {
-        self.held.values().filter(|held| !held.recalled).map(|held| held.record(now)).collect()
+    /// The records of `snapshot` that have been renewed since this process started.
+    pub fn observed(&self, now: u64) -> Vec<LeaseRecord> {
+        self.entries.values().filter(|entry| !entry.restored).map(|entry| entry.record(now)).collect()
     }
 
-    /// Those of `snapshot` that are known from before the start alone.
-    pub fn recalled(&self, now: u64) -> Vec<LeaseRecord> {
-        self.held.values().filter(|held| held.recalled).map(|held| held.record(now)).collect()
+    /// The records of `snapshot` that are known from the saved state alone.
+    pub fn restored(&self, now: u64) -> Vec<LeaseRecord> {
+        self.entries.values().filter(|entry| entry.restored).map(|entry| entry.record(now)).collect()
     }
 
-    /// While this controller is cut off from the others it keeps counting the balancers that it can't hear.
+    /// While this controller is partitioned from the others it keeps counting the balancers that it can't reach.
     pub fn set_isolated(&mut self, now: u64, isolated: bool) {
         self.isolated_since = isolated.then(|| self.isolated_since.unwrap_or(now));
     }
 
-    /// Ends leases that were not renewed and forgets the long lost; answers whether there were any.
+    /// Ends leases that were not renewed and removes balancers after the retention time; returns whether there were any.
     pub fn expire(&mut self, now: u64) -> bool {
         let version = self.version;
-        for held in self.held.values_mut().filter(|held| !held.lost) {
-            held.lost = !held.is_live(now, &self.timing);
-            self.version += u64::from(held.lost);
+        for entry in self.entries.values_mut().filter(|entry| !entry.lost) {
+            entry.lost = !entry.is_live(now, &self.timing);
+            self.version += u64::from(entry.lost);
         }
         if self.isolated_since.is_none() {
-            let forgotten_after = self.timing.lease_ms + self.timing.hold_ms;
-            let count = self.held.len();
-            self.held.retain(|_, held| held.renewed_at + forgotten_after >= now);
-            self.version += (count - self.held.len()) as u64;
+            let removed_after = self.timing.lease_ms + self.timing.retention_ms;
+            let count = self.entries.len();
+            self.entries.retain(|_, entry| entry.renewed_at + removed_after >= now);
+            self.version += (count - self.entries.len()) as u64;
         }
         self.version != version
     }
 
-    /// The leases that hold.
+    /// The leases in force.
     pub fn live(&self, now: u64) -> impl Iterator<Item = &Lease> {
-        self.held.values().filter(move |held| held.is_live(now, &self.timing)).map(|held| &held.lease)
+        self.entries.values().filter(move |entry| entry.is_live(now, &self.timing)).map(|entry| &entry.lease)
     }
 
-    /// The leases that hold, and those that held when this controller was cut off from the others: their balancers
-    /// can't be heard here, but clients may reach them.
+    /// The leases in force, and those that were in force when this controller was partitioned from the others: it does
+    /// not receive the reports of these balancers, but clients may reach them.
     pub fn presumed(&self, now: u64) -> impl Iterator<Item = &Lease> {
-        let held_at_cut = move |held: &Held| {
-            self.isolated_since.is_some_and(|since| held.renewed_at + 2 * self.timing.lease_ms >= since)
+        let was_live_at_partition = move |entry: &LeaseEntry| {
+            self.isolated_since.is_some_and(|since| entry.renewed_at + 2 * self.timing.lease_ms >= since)
         };
-        let presumed = move |held: &&Held| held.is_live(now, &self.timing) || held_at_cut(held);
-        self.held.values().filter(presumed).map(|held| &held.lease)
+        let presumed =
+            move |entry: &&LeaseEntry| entry.is_live(now, &self.timing) || was_live_at_partition(entry);
+        self.entries.values().filter(presumed).map(|entry| &entry.lease)
     }
 
-    /// How many balancers may be sending: those with a lease, and those that lost theirs a short while ago. A node
-    /// that has started anew counts once.
+    /// The number of balancers that may send requests: those with a lease, and those that lost theirs less than the
+    /// retention time ago. A node that has restarted counts once.
     pub fn balancers(&self, now: u64) -> u32 {
-        let forgotten_after = self.timing.lease_ms + self.timing.hold_ms;
+        let removed_after = self.timing.lease_ms + self.timing.retention_ms;
         let counted =
-            |held: &&Held| self.isolated_since.is_some() || held.renewed_at + forgotten_after >= now;
-        self.held.values().filter(counted).count() as u32
+            |entry: &&LeaseEntry| self.isolated_since.is_some() || entry.renewed_at + removed_after >= now;
+        self.entries.values().filter(counted).count() as u32
     }
 
-    /// Requests a second that the balancers with a lease send, by service and region.
+    /// The rates of requests of all balancers with a lease, summed by service and region.
     pub fn loads(&self, now: u64) -> Vec<RegionSends> {
         let mut sums: BTreeMap<(&str, &str), f64> = BTreeMap::new();
         for sends in self.live(now).flat_map(|lease| &lease.sends) {
@@ -216,20 +231,21 @@
         sums.into_iter().map(load).collect()
     }
 
-    /// Rises when a balancer comes, goes, or changes anything but its rates.
+    /// Rises when a balancer is added or removed, or changes anything but its rates.
     pub fn version(&self) -> u64 {
         self.version
     }
 
     fn take(&mut self, mut lease: Lease, renewed_at: u64) -> bool {
-        let held = self.held.get(&lease.node);
-        let same_life = held.filter(|held| held.lease.incarnation == lease.incarnation);
-        lease.shutting_down |= same_life.is_some_and(|held| held.lease.shutting_down);
-        let changed = held.is_none_or(|held| held.lost || held.lease.differs_beyond_sends(&lease));
-        if held.is_none() && self.held.len() >= LEASE_CAPACITY {
+        let entry = self.entries.get(&lease.node);
+        let same_incarnation = entry.filter(|entry| entry.lease.incarnation == lease.incarnation);
+        lease.shutting_down |= same_incarnation.is_some_and(|entry| entry.lease.shutting_down);
+        let changed = entry.is_none_or(|entry| entry.lost || entry.lease.differs_beyond_sends(&lease));
+        if entry.is_none() && self.entries.len() >= LEASE_CAPACITY {
             return false;
         }
-        self.held.insert(lease.node.clone(), Held { lease, renewed_at, lost: false, recalled: false });
+        self.entries
+            .insert(lease.node.clone(), LeaseEntry { lease, renewed_at, lost: false, restored: false });
         self.version += u64::from(changed);
         changed
     }
@@ -246,7 +262,7 @@
     }
 }
 
-impl Held {
+impl LeaseEntry {
     fn is_live(&self, now: u64, timing: &LeaseTiming) -> bool {
         self.renewed_at + timing.lease_ms >= now
     }
--- a/controlplane/registry/tests/instances.rs
+++ b/controlplane/registry/tests/instances.rs
@@ -7,7 +7,7 @@
 use whinspindle_registry::{HeartbeatEffect, InstanceRecord, InstanceRegistry, RegistryTiming};
 
 const HEARTBEAT_MS: u64 = 1_000;
-const SILENCE_MS: u64 = 3_500;
+const SILENCE_TIMEOUT_MS: u64 = 3_500;
 
 fn registry() -> InstanceRegistry {
     InstanceRegistry::new(RegistryTiming { heartbeat_ms: HEARTBEAT_MS })
@@ -86,10 +86,10 @@
     registry.heartbeat(0, "a", &ready(1, 5));
     let mut record = registry.snapshot(0).remove(0);
     let version = registry.version();
-    for heard_at in [1_000, 2_000, 3_000] {
+    for last_seen_at in [1_000, 2_000, 3_000] {
         record.sequence += 1;
         record.age_ms = 300;
-        assert!(!registry.merge(heard_at + record.age_ms, record.clone()), "it was warm and still is");
+        assert!(!registry.merge(last_seen_at + record.age_ms, record.clone()), "it was warm and still is");
     }
     assert_eq!(registry.version(), version);
 }
@@ -98,10 +98,10 @@
 fn a_drain_asks_for_a_commit_until_there_is_one() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
-    assert_eq!(registry.heartbeat(1, "a", &draining(1, 2)), HeartbeatEffect::StartsDraining);
+    assert_eq!(registry.heartbeat(1, "a", &draining(1, 2)), HeartbeatEffect::DrainingAnnounced);
     assert!(registry.snapshot(1)[0].draining, "balancers are told before the commit");
-    assert_eq!(registry.heartbeat(2, "a", &draining(1, 3)), HeartbeatEffect::StartsDraining);
-    registry.drained("a");
+    assert_eq!(registry.heartbeat(2, "a", &draining(1, 3)), HeartbeatEffect::DrainingAnnounced);
+    registry.draining_committed("a");
     assert_eq!(registry.heartbeat(3, "a", &draining(1, 4)), HeartbeatEffect::Accepted { changed: false });
 }
 
@@ -109,7 +109,7 @@
 fn a_late_word_of_a_drain_counts_too() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 9));
-    assert_eq!(registry.heartbeat(1, "a", &draining(1, 8)), HeartbeatEffect::StartsDraining);
+    assert_eq!(registry.heartbeat(1, "a", &draining(1, 8)), HeartbeatEffect::DrainingAnnounced);
     assert!(registry.snapshot(1)[0].draining);
 }
 
@@ -127,7 +127,7 @@
 #[test]
 fn a_committed_drain_holds_for_an_instance_heard_of_later() {
     let mut registry = registry();
-    registry.drained("a");
+    registry.draining_committed("a");
     registry.heartbeat(0, "a", &ready(1, 1));
     assert!(registry.snapshot(0)[0].draining);
 }
@@ -137,7 +137,7 @@
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     let mut record = registry.snapshot(0).remove(0);
-    registry.gone("a");
+    registry.deregistered("a");
     assert!(ids(&registry).is_empty());
     assert_eq!(registry.heartbeat(1, "a", &ready(1, 2)), HeartbeatEffect::Stale);
     record.sequence = 7;
@@ -176,10 +176,10 @@
 fn silence_ends_an_instance() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
-    for now in (0..=SILENCE_MS).step_by(500) {
+    for now in (0..=SILENCE_TIMEOUT_MS).step_by(500) {
         assert!(!registry.expire(now));
     }
-    assert!(registry.expire(SILENCE_MS + 1));
+    assert!(registry.expire(SILENCE_TIMEOUT_MS + 1));
     assert!(ids(&registry).is_empty());
 }
 
@@ -191,10 +191,10 @@
     record.sequence = 3;
     record.age_ms = 200;
     registry.merge(2_200, record);
-    for now in (0..=2_000 + SILENCE_MS).step_by(500) {
+    for now in (0..=2_000 + SILENCE_TIMEOUT_MS).step_by(500) {
         assert!(!registry.expire(now));
     }
-    assert!(registry.expire(2_000 + SILENCE_MS + 1));
+    assert!(registry.expire(2_000 + SILENCE_TIMEOUT_MS + 1));
 }
 
 #[test]
@@ -204,7 +204,7 @@
     let record = InstanceRecord {
         id: "b".into(),
         address: address(2),
-        age_ms: SILENCE_MS + 1,
+        age_ms: SILENCE_TIMEOUT_MS + 1,
         ..registry.snapshot(0).remove(0)
     };
     assert!(!registry.merge(10_000, record));
@@ -221,10 +221,10 @@
     }
     registry.set_isolated(20_000, false);
     assert!(!registry.expire(20_500));
-    for now in (20_500..=20_000 + SILENCE_MS).step_by(500) {
+    for now in (20_500..=20_000 + SILENCE_TIMEOUT_MS).step_by(500) {
         assert!(!registry.expire(now));
     }
-    assert!(registry.expire(20_000 + SILENCE_MS + 1));
+    assert!(registry.expire(20_000 + SILENCE_TIMEOUT_MS + 1));
 }
 
 #[test]
@@ -246,7 +246,7 @@
     assert_eq!(ids(&returning), ["a"], "it may only have called others");
     assert_eq!(returning.snapshot(20_100)[0].age_ms, 20_100);
     let mut other = registry();
-    for record in returning.heard(20_100) {
+    for record in returning.observed(20_100) {
         assert!(!other.merge(20_100, record), "it has been silent for too long");
     }
     returning.heartbeat(21_000, "a", &ready(1, 2));
@@ -261,10 +261,10 @@
     assert!(!paused.expire(30_500));
     assert_eq!(paused.snapshot(30_500)[0].age_ms, 30_500);
     let pause_end = 30_500;
-    for now in (pause_end..=pause_end + SILENCE_MS - 500).step_by(500) {
+    for now in (pause_end..=pause_end + SILENCE_TIMEOUT_MS - 500).step_by(500) {
         assert!(!paused.expire(now));
     }
-    assert!(paused.expire(pause_end + SILENCE_MS), "half a second of silence came before the pause");
+    assert!(paused.expire(pause_end + SILENCE_TIMEOUT_MS), "half a second of silence came before the pause");
 }
 
 #[test]
@@ -275,7 +275,7 @@
     returning.set_isolated(20_000, false);
     let mut other = registry();
     other.heartbeat(19_000, "b", &ready(1, 1));
-    for record in other.heard(20_100) {
+    for record in other.observed(20_100) {
         assert!(returning.merge(20_100, record), "it was heard there later");
     }
     assert_eq!(ids(&returning), ["b"]);
@@ -398,35 +398,35 @@
 #[test]
 fn what_is_recalled_counts_like_heard_until_it_has_been_silent() {
     let mut registry = registry();
-    assert!(registry.recall(0, record(1, "a", 3)));
+    assert!(registry.restore(0, record(1, "a", 3)));
     assert_eq!(ids(&registry), ["a"]);
-    assert!(registry.heard(0).is_empty());
-    assert_eq!(registry.recalled(0).len(), 1);
-    for now in [1_000, 2_000, 3_000, SILENCE_MS] {
+    assert!(registry.observed(0).is_empty());
+    assert_eq!(registry.restored(0).len(), 1);
+    for now in [1_000, 2_000, 3_000, SILENCE_TIMEOUT_MS] {
         registry.expire(now);
     }
     assert_eq!(ids(&registry), ["a"]);
-    registry.expire(SILENCE_MS + 1);
+    registry.expire(SILENCE_TIMEOUT_MS + 1);
     assert!(ids(&registry).is_empty());
 }
 
 #[test]
 fn a_heartbeat_confirms_what_was_recalled() {
     let mut registry = registry();
-    registry.recall(0, record(1, "a", 3));
-    registry.recall(0, record(2, "b", 3));
+    registry.restore(0, record(1, "a", 3));
+    registry.restore(0, record(2, "b", 3));
     registry.heartbeat(100, "a", &ready(1, 4));
-    assert_eq!(registry.heard(100).len(), 1);
-    registry.drop_recalled();
+    assert_eq!(registry.observed(100).len(), 1);
+    registry.drop_restored();
     assert_eq!(ids(&registry), ["a"]);
 }
 
 #[test]
 fn a_record_of_another_controller_confirms_what_was_recalled_at_its_age() {
     let mut registry = registry();
-    registry.recall(5_000, record(1, "a", 3));
+    registry.restore(5_000, record(1, "a", 3));
     registry.merge(5_000, InstanceRecord { age_ms: 3_000, ..record(1, "a", 3) });
-    registry.drop_recalled();
+    registry.drop_restored();
     registry.expire(5_400);
     assert_eq!(ids(&registry), ["a"]);
     registry.expire(5_600);
@@ -436,25 +436,25 @@
 #[test]
 fn a_recalled_instance_gives_way_to_another_one_at_its_address() {
     let mut registry = registry();
-    registry.recall(5_000, record(1, "a", 3));
+    registry.restore(5_000, record(1, "a", 3));
     registry.merge(5_000, InstanceRecord { age_ms: 1_000, ..record(1, "b", 1) });
     assert_eq!(ids(&registry), ["b"]);
-    assert!(!registry.recall(5_000, record(1, "a", 3)), "what was heard stands");
+    assert!(!registry.restore(5_000, record(1, "a", 3)), "what was heard stands");
 }
 
 #[test]
 fn what_has_departed_is_not_recalled_as_ready() {
     let mut registry = registry();
-    registry.gone("a");
-    registry.drained("b");
-    assert!(!registry.recall(0, record(1, "a", 3)));
-    assert!(registry.recall(0, record(2, "b", 3)));
+    registry.deregistered("a");
+    registry.draining_committed("b");
+    assert!(!registry.restore(0, record(1, "a", 3)));
+    assert!(registry.restore(0, record(2, "b", 3)));
     assert!(registry.snapshot(0)[0].draining);
 }
 
 #[test]
 fn a_recalled_cold_time_counts_from_the_recall() {
     let mut registry = registry();
-    registry.recall(1_000, InstanceRecord { slow_start_ms: 2_000, ..record(1, "a", 3) });
+    registry.restore(1_000, InstanceRecord { slow_start_ms: 2_000, ..record(1, "a", 3) });
     assert_eq!(registry.snapshot(1_500)[0].slow_start_ms, 1_500);
 }
--- a/controlplane/registry/tests/leases.rs
+++ b/controlplane/registry/tests/leases.rs
@@ -6,10 +6,10 @@
 use whinspindle_registry::{Lease, LeaseRecord, LeaseTable, LeaseTiming, RegionSends};
 
 const LEASE_MS: u64 = 2_000;
-const HOLD_MS: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 
 fn table() -> LeaseTable {
-    LeaseTable::new(LeaseTiming { lease_ms: LEASE_MS, hold_ms: HOLD_MS })
+    LeaseTable::new(LeaseTiming { lease_ms: LEASE_MS, retention_ms: RETENTION_MS })
 }
 
 fn front(last: u8) -> SocketAddr {
@@ -38,9 +38,9 @@
     assert_eq!(table.live(LEASE_MS + 1).count(), 0);
     assert!(table.expire(LEASE_MS + 1));
     assert!(!table.expire(LEASE_MS + 2), "told once");
-    assert_eq!(table.balancers(LEASE_MS + HOLD_MS), 1);
-    assert_eq!(table.balancers(LEASE_MS + HOLD_MS + 1), 0);
-    assert!(table.expire(LEASE_MS + HOLD_MS + 1));
+    assert_eq!(table.balancers(LEASE_MS + RETENTION_MS), 1);
+    assert_eq!(table.balancers(LEASE_MS + RETENTION_MS + 1), 0);
+    assert!(table.expire(LEASE_MS + RETENTION_MS + 1));
 }
 
 #[test]
@@ -135,10 +135,10 @@
 fn a_recalled_lease_holds_for_a_whole_term() {
     let mut table = table();
     let lease = lease(1, "z1", "r1");
-    assert!(table.recall(10_000, LeaseRecord { lease: lease.clone(), age_ms: 1_500 }));
+    assert!(table.restore(10_000, LeaseRecord { lease: lease.clone(), age_ms: 1_500 }));
     assert_eq!(table.live(10_000 + LEASE_MS).count(), 1);
-    assert!(table.heard(10_000).is_empty());
-    assert!(!table.recall(10_000, LeaseRecord { lease, age_ms: 0 }), "it is known");
+    assert!(table.observed(10_000).is_empty());
+    assert!(!table.restore(10_000, LeaseRecord { lease, age_ms: 0 }), "it is known");
     table.expire(10_001 + LEASE_MS);
     assert_eq!((table.live(10_001 + LEASE_MS).count(), table.balancers(10_001 + LEASE_MS)), (0, 1));
 }
@@ -146,18 +146,18 @@
 #[test]
 fn a_recalled_lease_that_was_lost_before_only_counts() {
     let mut table = table();
-    table.recall(40_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: LEASE_MS + 1 });
+    table.restore(40_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: LEASE_MS + 1 });
     assert_eq!((table.live(40_000).count(), table.balancers(40_000)), (0, 1));
 }
 
 #[test]
 fn what_another_controller_heard_takes_the_place_of_a_recalled_lease() {
     let mut table = table();
-    table.recall(10_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 0 });
-    table.recall(10_000, LeaseRecord { lease: lease(2, "z1", "r1"), age_ms: 0 });
+    table.restore(10_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 0 });
+    table.restore(10_000, LeaseRecord { lease: lease(2, "z1", "r1"), age_ms: 0 });
     let shutting_down = Lease { shutting_down: true, ..lease(1, "z1", "r1") };
     assert!(table.merge(10_100, LeaseRecord { lease: shutting_down, age_ms: 1_000 }));
     assert!(table.live(10_100).any(|lease| lease.shutting_down));
-    table.drop_recalled();
+    table.drop_restored();
     assert_eq!(table.balancers(10_100), 1);
 }
