--- a/controlplane/controller/tests/calls.rs
+++ b/controlplane/controller/tests/calls.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn each_caller_gets_the_answer_to_its_own_command() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     single.disk_works = false;
     let first = single.call(replace(0, 1));
     let second = single.call(replace(0, 2));
@@ -27,7 +27,7 @@
 
 #[test]
 fn answer_to_a_closed_connection_reaches_no_other_caller() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     single.disk_works = false;
     let gone = single.call(evacuate("zone-a", true));
     let stays = single.call(evacuate("zone-b", true));
@@ -43,10 +43,10 @@
 /// to meet them.
 #[test]
 fn a_start_knows_no_call_of_the_process_before() {
-    let mut before = Single::settled();
+    let mut before = Single::in_quorum();
     before.disk_works = false;
     before.call(replace(0, 1));
-    let mut after = Single::settled();
+    let mut after = Single::in_quorum();
     let beat = after.call(heartbeat("i-1", 1, InstanceState::Ready));
     after.pass(10_000);
     assert_eq!(after.answers.keys().copied().collect::<Vec<_>>(), [beat]);
--- a/controlplane/controller/tests/commands_model.rs
+++ b/controlplane/controller/tests/commands_model.rs
@@ -222,7 +222,7 @@
         steps.0.iter().for_each(|step| model.play(step));
         true
     }
-    let chance = Gen::from_size_and_seed(STEPS, SEED);
-    let mut check = QuickCheck::new().tests(SEQUENCES).max_tests(SEQUENCES).rng(chance);
+    let random = Gen::from_size_and_seed(STEPS, SEED);
+    let mut check = QuickCheck::new().tests(SEQUENCES).max_tests(SEQUENCES).rng(random);
     check.quickcheck(holds as fn(Steps) -> bool);
 }
--- a/controlplane/controller/tests/common/deployment.rs
+++ b/controlplane/controller/tests/common/deployment.rs
@@ -1,5 +1,5 @@
 //! Controllers with all that speaks to them: edge machines, upstreams and operators, on a network that can be cut
-//! anywhere, watched by the judge.
+//! anywhere, watched by the checker.
 
 mod checks;
 mod controller_faults;
@@ -22,7 +22,7 @@
 use self::reads::Read;
 use super::edge::Edge;
 use super::fleet::{Answer, Fleet, SEEDS};
-use super::invariant_checker::Judge;
+use super::invariant_checker::InvariantChecker;
 use super::rules::{Rules, StandardRules};
 use super::upstream::Upstream;
 
@@ -34,7 +34,7 @@
     pub fleet: Fleet<R::Controller>,
     pub edges: Vec<Edge<R::Agent>>,
     pub upstreams: Vec<Upstream>,
-    pub judge: Judge,
+    pub checker: InvariantChecker,
     /// What broke a rule, the first one of each kind.
     pub problems: Vec<String>,
     /// Confirmations to operators and upstreams so far.
@@ -51,10 +51,10 @@
     /// Heartbeats that are held up, with the time at which they arrive.
     late_heartbeats: Vec<(u64, SocketAddr, Call)>,
     /// What is drawn for reads and late heartbeats.
-    chance: Pcg,
+    random: Pcg,
     cuts: BTreeSet<(SocketAddr, SocketAddr)>,
     /// Lives of the controllers' processes.
-    lives: BTreeMap<SocketAddr, u64>,
+    incarnations: BTreeMap<SocketAddr, u64>,
     frozen: BTreeMap<SocketAddr, u64>,
     /// When what was sent to a frozen process arrives, also if another process has taken its place by then.
     thaws: BTreeMap<SocketAddr, u64>,
@@ -90,7 +90,7 @@
             fleet,
             edges: (1..=edges).map(|number| Edge::new(number, seeds.clone())).collect(),
             upstreams: (1..=upstreams).map(Upstream::new).collect(),
-            judge: Judge::default(),
+            checker: InvariantChecker::default(),
             problems: Vec::new(),
             acknowledgements: 0,
             acknowledged_by: None,
@@ -100,9 +100,9 @@
             reads: BTreeMap::new(),
             read_at: now,
             late_heartbeats: Vec::new(),
-            chance: Pcg::new(seed ^ 0x4ead),
+            random: Pcg::new(seed ^ 0x4ead),
             cuts: BTreeSet::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             frozen: BTreeMap::new(),
             thaws: BTreeMap::new(),
             voters: Vec::new(),
@@ -156,7 +156,7 @@
             self.run_edge(now, index);
         }
         self.take_outcomes();
-        self.note_contact(now);
+        self.update_reachability(now);
         self.check_balancers(now);
         if now >= self.resolved_at + RESOLVE_MS {
             self.resolved_at = now;
--- a/controlplane/controller/tests/common/deployment/checks.rs
+++ b/controlplane/controller/tests/common/deployment/checks.rs
@@ -8,7 +8,7 @@
 
 use super::{Deployment, after};
 use crate::common::edge::Edge;
-use crate::common::invariant_checker::{CONTACT_MS, KNOWN_MS, held_generation};
+use crate::common::invariant_checker::{CONTACT_MS, KNOWN_MS, applied_generation};
 use crate::common::resolve;
 use crate::common::rules::Rules;
 use crate::common::upstream::{Phase, Upstream};
@@ -22,21 +22,21 @@
     pub(super) fn check_balancers(&mut self, now: u64) {
         let mut found = Vec::new();
         for edge in &self.edges {
-            let Some(held) = edge.held() else { continue };
-            let configured = held.versions().configured;
+            let Some(applied) = edge.applied() else { continue };
+            let configured = applied.versions().configured;
             if configured > 0 && configured < edge.reported {
                 found.push(format!("edge {} went back to {configured} from {}", edge.number, edge.reported));
             }
             if configured > 0
                 && self.is_in_reach(now, edge)
-                && let Err(problem) = self.judge.check_configuration(now, held)
+                && let Err(problem) = self.checker.check_configuration(now, applied)
             {
                 found.push(format!("edge {}, in reach, {problem}", edge.number));
             }
             if !self.is_in_touch(now, edge) {
                 continue;
             }
-            if let Err(problem) = self.judge.check(now, held) {
+            if let Err(problem) = self.checker.check(now, applied) {
                 found.push(format!("edge {}: {problem}", edge.number));
             }
             if let Some(upstream) = self.missing_upstream(now, edge) {
@@ -107,9 +107,9 @@
     }
 
     fn missing_upstream(&self, now: u64, edge: &Edge<R::Agent>) -> Option<&str> {
-        let held = edge.held()?;
+        let applied = edge.applied()?;
         let is_ready = |id: &str| {
-            let listed = held.instances().map_or(&[][..], |section| &section.list);
+            let listed = applied.instances().map_or(&[][..], |section| &section.list);
             listed.iter().any(|instance| instance.id == id && !instance.draining)
         };
         let is_known = |upstream: &&Upstream| {
@@ -124,7 +124,7 @@
 
     /// All is well for a while: everything is told everywhere.
     pub fn check_convergence(&mut self) {
-        let newest = self.judge.newest_generation();
+        let newest = self.checker.newest_generation();
         for at in self.fleet.cluster.endpoints() {
             let body = match self.fleet.ask(at, Call::Fetch) {
                 Some(answer) if answer.status == StatusCode::OK => answer.body,
@@ -137,7 +137,7 @@
             if !text.contains(&format!("\"generation\":{newest},")) {
                 self.problem(format!("read back at {at}: {text}, {newest} was acknowledged"));
             }
-            let left: Vec<String> = self.judge.left_upstreams().cloned().collect();
+            let left: Vec<String> = self.checker.left_upstreams().cloned().collect();
             let process = self.fleet.cluster.process(at).expect("all run");
             if let Some(lost) = left.iter().find(|id| !process.controller.has_departed(id)) {
                 let problem = format!("{at} has forgotten that {lost} left");
@@ -145,7 +145,7 @@
             }
         }
         let generations: Vec<u64> =
-            self.edges.iter().filter_map(|edge| edge.held().map(held_generation)).collect();
+            self.edges.iter().filter_map(|edge| edge.applied().map(applied_generation)).collect();
         if generations.iter().any(|generation| *generation != newest) {
             self.problem(format!("balancers hold {generations:?}, {newest} was acknowledged"));
         }
--- a/controlplane/controller/tests/common/deployment/controller_faults.rs
+++ b/controlplane/controller/tests/common/deployment/controller_faults.rs
@@ -30,7 +30,7 @@
     pub fn start_controller(&mut self, at: SocketAddr) {
         if !self.fleet.cluster.is_running(at) {
             self.disturb_core();
-            *self.lives.entry(at).or_insert(0) += 1;
+            *self.incarnations.entry(at).or_insert(0) += 1;
             self.frozen.remove(&at);
             self.fleet.cluster.start(at);
         }
@@ -69,7 +69,7 @@
         self.edges.iter_mut().for_each(|edge| edge.seeds = seeds.clone());
     }
 
-    pub fn cut_controller(&mut self, at: SocketAddr, reach: Reach, direction: Direction) {
+    pub fn partition_controller(&mut self, at: SocketAddr, reach: Reach, direction: Direction) {
         self.disturb_core();
         if reach != Reach::Clients {
             for other in self.fleet.cluster.endpoints().into_iter().filter(|other| *other != at) {
@@ -91,15 +91,15 @@
 
     /// The controllers are cut into two halves, which all clients reach: those whose bit is set, and the others.
     pub fn halve_controllers(&mut self, half: u64) {
-        self.cut_between(|one, other| ((half >> one) ^ (half >> other)) & 1 == 1);
+        self.partition_where(|one, other| ((half >> one) ^ (half >> other)) & 1 == 1);
     }
 
     /// No controller reaches another one; all clients reach all of them.
     pub fn scatter_controllers(&mut self) {
-        self.cut_between(|_, _| true);
+        self.partition_where(|_, _| true);
     }
 
-    fn cut_between(&mut self, is_cut: impl Fn(usize, usize) -> bool) {
+    fn partition_where(&mut self, is_cut: impl Fn(usize, usize) -> bool) {
         self.disturb_core();
         let endpoints = self.fleet.cluster.endpoints();
         for (one, from) in endpoints.iter().enumerate() {
@@ -112,7 +112,7 @@
     }
 
     /// An edge machine is cut off from a controller.
-    pub fn cut_edge(&mut self, index: usize, at: SocketAddr, direction: Direction) {
+    pub fn partition_edge(&mut self, index: usize, at: SocketAddr, direction: Direction) {
         self.cuts.extend(directed(at, self.edges[index].address, direction));
     }
 
--- a/controlplane/controller/tests/common/deployment/edges.rs
+++ b/controlplane/controller/tests/common/deployment/edges.rs
@@ -4,7 +4,7 @@
 use whinspindle_distribution::{SubscriberId, ToBalancer};
 
 use super::Deployment;
-use crate::common::edge::{Wire, Wish};
+use crate::common::edge::{EdgeAction, Wire};
 use crate::common::fleet::Command;
 use crate::common::rules::Rules;
 
@@ -24,19 +24,19 @@
         for connection in connections {
             self.run_wire(now, index, connection);
         }
-        let wishes = self.edges[index].tick(now);
-        self.grant(index, wishes);
+        let actions = self.edges[index].tick(now);
+        self.perform(index, actions);
     }
 
     fn run_wire(&mut self, now: u64, index: usize, connection: ConnectionId) {
         let edge = &mut self.edges[index];
         let Some(wire) = edge.wires.get_mut(&connection) else { return };
         let controller = wire.controller;
-        let life = self.lives.get(&controller).copied().unwrap_or(0);
+        let incarnation = self.incarnations.get(&controller).copied().unwrap_or(0);
         let is_running = self.fleet.cluster.is_running(controller);
         let goes_up = !self.cuts.contains(&(edge.address, controller));
         let goes_down = !self.cuts.contains(&(controller, edge.address));
-        let is_standing = wire.accepted_by == Some(life) && is_running;
+        let is_standing = wire.accepted_by == Some(incarnation) && is_running;
         if is_standing {
             while goes_up && let Some(report) = wire.upward.front() {
                 let command = Command::Report { subscriber: wire.subscriber, report: report.clone() };
@@ -47,26 +47,26 @@
             }
             let arrived = if goes_down { std::mem::take(&mut wire.downward) } else { Default::default() };
             for message in arrived {
-                let wishes = self.edges[index].give(now, Input::FromController(connection, message));
-                self.grant(index, wishes);
+                let actions = self.edges[index].give(now, Input::FromController(connection, message));
+                self.perform(index, actions);
             }
         } else if goes_up && goes_down {
             let input = if wire.accepted_by.is_none() && is_running {
-                wire.accepted_by = Some(life);
+                wire.accepted_by = Some(incarnation);
                 Input::Connected(connection)
             } else {
                 edge.wires.remove(&connection);
                 Input::Closed(connection)
             };
-            let wishes = self.edges[index].give(now, input);
-            self.grant(index, wishes);
+            let actions = self.edges[index].give(now, input);
+            self.perform(index, actions);
         }
     }
 
-    fn grant(&mut self, index: usize, wishes: Vec<Wish>) {
-        for wish in wishes {
-            match wish {
-                Wish::Connect(connection, controller) => {
+    fn perform(&mut self, index: usize, actions: Vec<EdgeAction>) {
+        for action in actions {
+            match action {
+                EdgeAction::Connect(connection, controller) => {
                     self.last_subscriber += 1;
                     let wire = Wire {
                         controller,
@@ -77,10 +77,10 @@
                     };
                     self.edges[index].wires.insert(connection, wire);
                 }
-                Wish::Closed(wire) => {
-                    let life = self.lives.get(&wire.controller).copied().unwrap_or(0);
+                EdgeAction::Closed(wire) => {
+                    let incarnation = self.incarnations.get(&wire.controller).copied().unwrap_or(0);
                     let goes_up = !self.cuts.contains(&(self.edges[index].address, wire.controller));
-                    if goes_up && wire.accepted_by == Some(life) {
+                    if goes_up && wire.accepted_by == Some(incarnation) {
                         let command = Command::Closed { subscriber: wire.subscriber };
                         self.fleet.cluster.command(wire.controller, command);
                     }
@@ -92,18 +92,18 @@
     pub fn start_edge(&mut self, index: usize) {
         let now = self.now();
         self.disturb_edge(index);
-        let wishes = self.edges[index].start_agent(now);
-        self.grant(index, wishes);
-        let wishes = self.edges[index].start_proxy(now);
-        self.grant(index, wishes);
+        let actions = self.edges[index].start_agent(now);
+        self.perform(index, actions);
+        let actions = self.edges[index].start_proxy(now);
+        self.perform(index, actions);
     }
 
     pub fn stop_edge(&mut self, index: usize) {
         self.disturb_edge(index);
         let now = self.now();
         self.edge_ended_at.insert(self.edges[index].address, now);
-        let wishes = self.edges[index].stop_agent();
-        self.grant(index, wishes);
+        let actions = self.edges[index].stop_agent();
+        self.perform(index, actions);
         self.edges[index].stop_proxy(now);
     }
 
@@ -115,19 +115,19 @@
     pub fn restart_agent(&mut self, index: usize) {
         self.disturb_edge(index);
         let now = self.now();
-        let wishes = self.edges[index].stop_agent();
-        self.grant(index, wishes);
-        let wishes = self.edges[index].start_agent(now);
-        self.grant(index, wishes);
+        let actions = self.edges[index].stop_agent();
+        self.perform(index, actions);
+        let actions = self.edges[index].start_agent(now);
+        self.perform(index, actions);
     }
 
     pub fn restart_proxy(&mut self, index: usize) {
         self.disturb_edge(index);
         let now = self.now();
-        let wishes = self.edges[index].stop_proxy(now);
-        self.grant(index, wishes);
-        let wishes = self.edges[index].start_proxy(now);
-        self.grant(index, wishes);
+        let actions = self.edges[index].stop_proxy(now);
+        self.perform(index, actions);
+        let actions = self.edges[index].start_proxy(now);
+        self.perform(index, actions);
     }
 
     pub fn freeze_edge(&mut self, index: usize, span_ms: u64) {
--- a/controlplane/controller/tests/common/deployment/operators.rs
+++ b/controlplane/controller/tests/common/deployment/operators.rs
@@ -36,8 +36,8 @@
     }
 
     fn begin_race(&mut self) {
-        let base = self.judge.newest_generation();
-        let generation = base + 1 + self.fleet.chance.below(2) as u64;
+        let base = self.checker.newest_generation();
+        let generation = base + 1 + self.fleet.random.below(2) as u64;
         let bodies = ["one", "other"].map(|operator| {
             let text = String::from_utf8(configuration(generation).to_vec()).unwrap();
             Bytes::from(text.replacen('{', &format!("{{\"operator\":\"{operator}\","), 1))
@@ -47,9 +47,9 @@
     }
 
     fn begin_zone_command(&mut self) {
-        let zone = ["zone-a", "zone-b", "zone-c"][self.fleet.chance.below(3)];
-        let evacuated = !self.judge.zones().get(zone).is_some_and(|(_, evacuated)| *evacuated);
-        self.judge.evacuating(zone);
+        let zone = ["zone-a", "zone-b", "zone-c"][self.fleet.random.below(3)];
+        let evacuated = !self.checker.zones().get(zone).is_some_and(|(_, evacuated)| *evacuated);
+        self.checker.evacuating(zone);
         let attempt = self.fleet.begin(evacuate(zone, evacuated));
         self.zone_command = Some(ZoneCommand { zone, evacuated, attempt });
     }
@@ -66,7 +66,7 @@
             if answer.status != StatusCode::OK {
                 self.problem(format!("an evacuation was answered {}", answer.status));
             }
-            self.judge.evacuated(at, zone, evacuated);
+            self.checker.evacuated(at, zone, evacuated);
             self.zone_command = None;
         }
         if let Some(race) = &self.race
@@ -81,10 +81,10 @@
         let statuses = (one.1.status, other.1.status);
         match statuses {
             (StatusCode::OK, StatusCode::PRECONDITION_FAILED) => {
-                self.judge.configured(one.0, race.generation)
+                self.checker.configured(one.0, race.generation)
             }
             (StatusCode::PRECONDITION_FAILED, StatusCode::OK) => {
-                self.judge.configured(other.0, race.generation);
+                self.checker.configured(other.0, race.generation);
             }
             _ => self.problem(format!("of two changes on one base: {statuses:?} {:?}", race.bodies)),
         }
--- a/controlplane/controller/tests/common/deployment/reachability.rs
+++ b/controlplane/controller/tests/common/deployment/reachability.rs
@@ -21,7 +21,7 @@
         self.edge_disturbed_at.insert(self.edges[index].address, now);
     }
 
-    pub(super) fn note_contact(&mut self, now: u64) {
+    pub(super) fn update_reachability(&mut self, now: u64) {
         if now >= self.voters_at + VOTERS_MS {
             self.voters_at = now;
             self.voters = self.find_voters(now);
--- a/controlplane/controller/tests/common/deployment/reads.rs
+++ b/controlplane/controller/tests/common/deployment/reads.rs
@@ -28,7 +28,7 @@
         }
         self.read_at = now + READ_MS;
         let endpoints = self.fleet.cluster.endpoints();
-        let at = endpoints[self.chance.below(endpoints.len())];
+        let at = endpoints[self.random.below(endpoints.len())];
         let id = self.fleet.next_call();
         let read = Read { at, sent_at: now, acknowledged: self.newest_acknowledged() };
         if self.fleet.cluster.command(at, Command::Call { id, call: Call::Fetch }) {
@@ -42,7 +42,7 @@
             self.answer_of(attempt).is_some_and(|(_, answer)| answer.status == StatusCode::OK)
         };
         let raced = self.race.as_ref().filter(|race| race.attempts.into_iter().any(is_taken));
-        raced.map_or(0, |race| race.generation).max(self.judge.newest_generation())
+        raced.map_or(0, |race| race.generation).max(self.checker.newest_generation())
     }
 
     /// An answer that is older than what was acknowledged before the read was sent is never right. 503 always is.
--- a/controlplane/controller/tests/common/deployment/upstreams.rs
+++ b/controlplane/controller/tests/common/deployment/upstreams.rs
@@ -12,8 +12,8 @@
 use crate::common::upstream::{Phase, Upstream};
 
 /// The share of heartbeats of which a copy comes late, and how late at most.
-const LATE_SHARE: f64 = 0.05;
-const LATEST_MS: usize = 6_000;
+const LATE_RATIO: f64 = 0.05;
+const MAX_LATE_MS: usize = 6_000;
 
 impl<R: Rules> Deployment<R> {
     pub(super) fn call_for_upstreams(&mut self) {
@@ -30,18 +30,18 @@
             }
             self.upstreams[index].waiting = Some((id, at, now));
             if reaches {
-                self.hold_up_copy(now, &call);
+                self.schedule_late_copy(now, &call);
                 self.fleet.cluster.command(at, Command::Call { id, call });
             }
         }
     }
 
     /// Now and then a copy of a heartbeat arrives seconds later, at any controller.
-    fn hold_up_copy(&mut self, now: u64, call: &Call) {
-        if matches!(call, Call::Heartbeat { .. }) && self.chance.unit() < LATE_SHARE {
+    fn schedule_late_copy(&mut self, now: u64, call: &Call) {
+        if matches!(call, Call::Heartbeat { .. }) && self.random.unit() < LATE_RATIO {
             let endpoints = self.fleet.cluster.endpoints();
-            let at = endpoints[self.chance.below(endpoints.len())];
-            let due = now + self.chance.below(LATEST_MS) as u64;
+            let at = endpoints[self.random.below(endpoints.len())];
+            let due = now + self.random.below(MAX_LATE_MS) as u64;
             self.late_heartbeats.push((due, at, call.clone()));
         }
     }
@@ -79,7 +79,7 @@
             return;
         }
         if upstream.phase != Phase::Serving {
-            self.judge.left(at, &upstream.id);
+            self.checker.left(at, &upstream.id);
         }
         upstream.acknowledged(at);
     }
--- a/controlplane/controller/tests/common/edge.rs
+++ b/controlplane/controller/tests/common/edge.rs
@@ -16,14 +16,14 @@
 pub struct Wire {
     pub controller: SocketAddr,
     pub subscriber: SubscriberId,
-    /// The life of the controller's process that accepted it; none while it is being made.
+    /// The incarnation of the controller's process that accepted it; none while it is being made.
     pub accepted_by: Option<u64>,
     pub upward: VecDeque<Report>,
     pub downward: VecDeque<ToBalancer>,
 }
 
 /// What an edge machine wants of the network.
-pub enum Wish {
+pub enum EdgeAction {
     Connect(ConnectionId, SocketAddr),
     Closed(Wire),
 }
@@ -31,7 +31,7 @@
 /// What the proxy process holds.
 #[derive(Default)]
 struct Proxy {
-    holder: AppliedState,
+    applied: AppliedState,
     report_at: u64,
 }
 
@@ -43,7 +43,7 @@
     pub seeds: Vec<SocketAddr>,
     agent: Option<Agent<L>>,
     proxy: Option<Proxy>,
-    lives: u64,
+    incarnations: u64,
     pub frozen_until: u64,
     /// The newest position of a configuration that a proxy has reported to the running agent.
     pub reported: u64,
@@ -58,7 +58,7 @@
             seeds,
             agent: None,
             proxy: None,
-            lives: 0,
+            incarnations: 0,
             frozen_until: 0,
             reported: 0,
         }
@@ -69,15 +69,15 @@
     }
 
     /// What the proxy holds, if it runs.
-    pub fn held(&self) -> Option<&AppliedState> {
-        self.proxy.as_ref().map(|proxy| &proxy.holder)
+    pub fn applied(&self) -> Option<&AppliedState> {
+        self.proxy.as_ref().map(|proxy| &proxy.applied)
     }
 
-    pub fn start_agent(&mut self, now: u64) -> Vec<Wish> {
+    pub fn start_agent(&mut self, now: u64) -> Vec<EdgeAction> {
         if self.agent.is_some() {
             return Vec::new();
         }
-        self.lives += 1;
+        self.incarnations += 1;
         self.reported = 0;
         let (zone, region) = self.place();
         let settings = AgentSettings {
@@ -87,48 +87,48 @@
             region,
             seeds: self.seeds.clone(),
             grace_ms: GRACE_MS,
-            incarnation: u64::from(self.number) << 32 | self.lives,
+            incarnation: u64::from(self.number) << 32 | self.incarnations,
         };
         self.agent = Some(Agent::with_rules(now, settings));
-        let mut wishes = Vec::new();
+        let mut actions = Vec::new();
         if self.proxy.is_some() {
-            wishes = self.give(now, Input::ProxyConnected);
+            actions = self.give(now, Input::ProxyConnected);
         }
-        wishes
+        actions
     }
 
-    pub fn start_proxy(&mut self, now: u64) -> Vec<Wish> {
+    pub fn start_proxy(&mut self, now: u64) -> Vec<EdgeAction> {
         if self.proxy.is_some() {
             return Vec::new();
         }
-        self.proxy = Some(Proxy { holder: AppliedState::new(), report_at: now });
+        self.proxy = Some(Proxy { applied: AppliedState::new(), report_at: now });
         self.give(now, Input::ProxyConnected)
     }
 
     /// The kernel closes the connections of a process that has ended.
-    pub fn stop_agent(&mut self) -> Vec<Wish> {
+    pub fn stop_agent(&mut self) -> Vec<EdgeAction> {
         self.agent = None;
-        std::mem::take(&mut self.wires).into_values().map(Wish::Closed).collect()
+        std::mem::take(&mut self.wires).into_values().map(EdgeAction::Closed).collect()
     }
 
-    pub fn stop_proxy(&mut self, now: u64) -> Vec<Wish> {
+    pub fn stop_proxy(&mut self, now: u64) -> Vec<EdgeAction> {
         self.proxy = None;
         self.give(now, Input::ProxyClosed)
     }
 
     /// Lets the agent and the proxy do what is due.
-    pub fn tick(&mut self, now: u64) -> Vec<Wish> {
-        let mut wishes = Vec::new();
+    pub fn tick(&mut self, now: u64) -> Vec<EdgeAction> {
+        let mut actions = Vec::new();
         if self.proxy.as_ref().is_some_and(|proxy| now >= proxy.report_at) {
-            wishes.extend(self.report(now));
+            actions.extend(self.report(now));
         }
         if self.agent.as_ref().is_some_and(|agent| now >= agent.next_wake(now)) {
-            wishes.extend(self.give(now, Input::Tick));
+            actions.extend(self.give(now, Input::Tick));
         }
-        wishes
+        actions
     }
 
-    pub fn give(&mut self, now: u64, input: Input) -> Vec<Wish> {
+    pub fn give(&mut self, now: u64, input: Input) -> Vec<EdgeAction> {
         let Some(agent) = &mut self.agent else { return Vec::new() };
         let mut outputs = agent.handle(now, input);
         if outputs.contains(&Output::ReadSettings) {
@@ -137,10 +137,12 @@
         outputs.into_iter().filter_map(|output| self.carry_out(now, output)).collect()
     }
 
-    fn carry_out(&mut self, now: u64, output: Output) -> Option<Wish> {
+    fn carry_out(&mut self, now: u64, output: Output) -> Option<EdgeAction> {
         match output {
-            Output::Connect { connection, endpoint } => return Some(Wish::Connect(connection, endpoint)),
-            Output::Close(connection) => return self.wires.remove(&connection).map(Wish::Closed),
+            Output::Connect { connection, endpoint } => {
+                return Some(EdgeAction::Connect(connection, endpoint));
+            }
+            Output::Close(connection) => return self.wires.remove(&connection).map(EdgeAction::Closed),
             Output::Report(connection, report) => {
                 if let Some(wire) = self.wires.get_mut(&connection) {
                     wire.upward.push_back(report);
@@ -148,7 +150,7 @@
             }
             Output::ToProxy(ToBalancer::Update(update)) => {
                 if let Some(proxy) = &mut self.proxy {
-                    proxy.holder.apply(now, update);
+                    proxy.applied.apply(now, update);
                     proxy.report_at = now;
                 }
             }
@@ -161,14 +163,14 @@
         None
     }
 
-    fn report(&mut self, now: u64) -> Vec<Wish> {
+    fn report(&mut self, now: u64) -> Vec<EdgeAction> {
         let (zone, region) = self.place();
         let Some(proxy) = &mut self.proxy else { return Vec::new() };
         proxy.report_at = now + REPORT_MS;
-        let applied = proxy.holder.versions();
+        let applied = proxy.applied.versions();
         let report = Report {
             node: self.node(),
-            incarnation: self.lives,
+            incarnation: self.incarnations,
             zone,
             region,
             front: self.address,
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -29,10 +29,10 @@
 /// The token of writes that the replica didn't command.
 const COMPACTION: u64 = u64::MAX;
 
-/// A frame, with the life of its sender's process: a new one means a new connection.
+/// A frame, with the incarnation of its sender's process: a new one means a new connection.
 #[derive(Clone)]
 pub struct Frame {
-    life: u64,
+    incarnation: u64,
     kind: FrameKind,
     payload: Bytes,
 }
@@ -58,8 +58,8 @@
     pub controller: Controller<L>,
     endpoint: SocketAddr,
     saved_states: SavedStates,
-    life: u64,
-    lives: HashMap<SocketAddr, u64>,
+    incarnation: u64,
+    incarnations: HashMap<SocketAddr, u64>,
 }
 
 impl<L: ProtocolRules> Process for Node<L> {
@@ -100,7 +100,7 @@
 impl<L: ProtocolRules> Node<L> {
     fn receive(&mut self, now: u64, from: SocketAddr, frame: Frame) -> Vec<Action> {
         let mut actions = Vec::new();
-        if self.lives.insert(from, frame.life) != Some(frame.life) {
+        if self.incarnations.insert(from, frame.incarnation) != Some(frame.incarnation) {
             actions = self.controller.handle(now, Event::PeerConnected { peer: from });
         }
         let event = match frame.kind {
@@ -123,7 +123,7 @@
         Some(match action {
             Action::Answer { id, response } => Effect::Answer(Answer::Response { id, response }),
             Action::SendPeer { to, kind, payload } => {
-                Effect::Send { to, message: Frame { life: self.life, kind, payload } }
+                Effect::Send { to, message: Frame { incarnation: self.incarnation, kind, payload } }
             }
             Action::SendBalancer { to, message: ToBalancer::Update(update) } => {
                 Effect::Answer(Answer::Update { subscriber: to, update })
@@ -174,8 +174,8 @@
     if let Some(state) = state {
         actions.extend(controller.handle(start.now, Event::StateRestored { state: state.into() }));
     }
-    let (endpoint, life) = (start.endpoint, start.chance);
-    let node = Node { controller, endpoint, saved_states, life, lives: HashMap::new() };
+    let (endpoint, incarnation) = (start.endpoint, start.chance);
+    let node = Node { controller, endpoint, saved_states, incarnation, incarnations: HashMap::new() };
     let effects = node.effects(actions);
     (node, effects)
 }
@@ -192,7 +192,7 @@
 /// Controllers, callers and what balancers were sent.
 pub struct Fleet<L: ProtocolRules = StandardRules> {
     pub cluster: Cluster<Node<L>>,
-    pub chance: Pcg,
+    pub random: Pcg,
     /// Share of the answers that don't reach their callers.
     pub lost_answers: f64,
     pub attempts: Vec<Attempt>,
@@ -228,7 +228,7 @@
         }
         let mut fleet = Fleet {
             cluster,
-            chance: Pcg::new(seed ^ 0x5eed),
+            random: Pcg::new(seed ^ 0x5eed),
             lost_answers: 0.0,
             attempts: Vec::new(),
             updates: Vec::new(),
@@ -337,7 +337,7 @@
     }
 
     /// Cuts a controller off from all others, or joins it again.
-    pub fn set_cut_off(&mut self, at: SocketAddr, cut_off: bool) {
+    pub fn set_partitioned(&mut self, at: SocketAddr, cut_off: bool) {
         for other in self.cluster.endpoints().into_iter().filter(|other| *other != at) {
             for (from, to) in [(at, other), (other, at)] {
                 if cut_off {
@@ -360,7 +360,7 @@
                 continue;
             }
             let call = attempt.call.clone();
-            let at = endpoints[self.chance.below(endpoints.len())];
+            let at = endpoints[self.random.below(endpoints.len())];
             self.send(index, at, call);
         }
     }
@@ -377,7 +377,7 @@
             Answer::Response { id, response } => self.answered(at, id, response),
             Answer::Update { subscriber, update } => {
                 self.sent.push((subscriber, ToBalancer::Update(update.clone())));
-                self.updates.push((subscriber, self.lists.whole(subscriber, update)));
+                self.updates.push((subscriber, self.lists.expand(subscriber, update)));
             }
             Answer::Link { subscriber, link } => {
                 self.sent.push((subscriber, ToBalancer::Link(link.clone())));
@@ -388,7 +388,7 @@
 
     fn answered(&mut self, at: u64, id: CallId, response: Response) {
         let waits = |attempt: &&mut Attempt| attempt.waiting.is_some_and(|(waiting, _)| waiting == id);
-        if self.lost_answers > 0.0 && self.chance.unit() < self.lost_answers {
+        if self.lost_answers > 0.0 && self.random.unit() < self.lost_answers {
             return;
         }
         let Some(attempt) = self.attempts.iter_mut().find(waits) else { return };
--- a/controlplane/controller/tests/common/instance_lists.rs
+++ b/controlplane/controller/tests/common/instance_lists.rs
@@ -8,19 +8,19 @@
 /// The newest list that was sent on each connection.
 #[derive(Default)]
 pub struct InstanceLists {
-    held: HashMap<SubscriberId, Instances>,
+    sent: HashMap<SubscriberId, Instances>,
 }
 
 impl InstanceLists {
     /// The update with the whole list in place of the changes. Changes have to build on the list that was sent before.
-    pub fn whole(&mut self, to: SubscriberId, mut update: Update) -> Update {
+    pub fn expand(&mut self, to: SubscriberId, mut update: Update) -> Update {
         if let Some(changes) = update.changes.take() {
-            let held = self.held.get_mut(&to).expect("changes follow a list");
-            assert!(changes.apply_to(held), "changes build on the list before");
-            update.instances = Some(held.clone());
+            let sent = self.sent.get_mut(&to).expect("changes follow a list");
+            assert!(changes.apply_to(sent), "changes build on the list before");
+            update.instances = Some(sent.clone());
         }
         if let Some(section) = &update.instances {
-            self.held.insert(to, section.clone());
+            self.sent.insert(to, section.clone());
         }
         update
     }
--- a/controlplane/controller/tests/common/invariant_checker.rs
+++ b/controlplane/controller/tests/common/invariant_checker.rs
@@ -14,7 +14,7 @@
 pub const KNOWN_MS: u64 = 6_000;
 
 #[derive(Clone, Debug, Default)]
-pub struct Judge {
+pub struct InvariantChecker {
     /// Acknowledged generations with the time, oldest first.
     configurations: Vec<(u64, u64)>,
     /// The newest acknowledged state of a zone, and since when no command for it is under way.
@@ -23,7 +23,7 @@
     left: BTreeMap<String, u64>,
 }
 
-impl Judge {
+impl InvariantChecker {
     pub fn configured(&mut self, at: u64, generation: u64) {
         self.configurations.push((at, generation));
     }
@@ -54,25 +54,25 @@
     }
 
     /// Whether what a balancer in touch holds is as new as it has to be.
-    pub fn check(&self, now: u64, held: &AppliedState) -> Result<(), String> {
-        self.check_configuration(now, held)?;
-        self.check_evacuations(now, held)?;
-        self.check_departures(now, held)
+    pub fn check(&self, now: u64, applied: &AppliedState) -> Result<(), String> {
+        self.check_configuration(now, applied)?;
+        self.check_evacuations(now, applied)?;
+        self.check_departures(now, applied)
     }
 
-    pub fn check_configuration(&self, now: u64, held: &AppliedState) -> Result<(), String> {
+    pub fn check_configuration(&self, now: u64, applied: &AppliedState) -> Result<(), String> {
         let due = self.configurations.iter().filter(|(at, _)| at + CONVERGE_MS < now);
         let due = due.map(|(_, generation)| *generation).max().unwrap_or(0);
-        let generation = held_generation(held);
+        let generation = applied_generation(applied);
         if generation < due {
             return Err(format!("holds configuration {generation}, {due} was acknowledged"));
         }
         Ok(())
     }
 
-    fn check_evacuations(&self, now: u64, held: &AppliedState) -> Result<(), String> {
+    fn check_evacuations(&self, now: u64, applied: &AppliedState) -> Result<(), String> {
         for (zone, (at, evacuated)) in &self.zones {
-            let holds = held.evacuations().is_some_and(|section| section.zones.contains(zone));
+            let holds = applied.evacuations().is_some_and(|section| section.zones.contains(zone));
             if at + EVACUATE_MS < now && holds != *evacuated {
                 return Err(format!("{zone} evacuated: {holds}, acknowledged: {evacuated}"));
             }
@@ -80,8 +80,8 @@
         Ok(())
     }
 
-    fn check_departures(&self, now: u64, held: &AppliedState) -> Result<(), String> {
-        let listed = held.instances().map_or(&[][..], |section| &section.list);
+    fn check_departures(&self, now: u64, applied: &AppliedState) -> Result<(), String> {
+        let listed = applied.instances().map_or(&[][..], |section| &section.list);
         let is_due = |id: &String| self.left.get(id).is_some_and(|at| at + DRAIN_MS < now);
         match listed.iter().find(|instance| !instance.draining && is_due(&instance.id)) {
             Some(instance) => Err(format!("{} takes requests, though it has left", instance.id)),
@@ -91,8 +91,8 @@
 }
 
 /// The generation of the configuration that a balancer holds, 0 without one.
-pub fn held_generation(held: &AppliedState) -> u64 {
-    let Some(section) = held.configured() else { return 0 };
+pub fn applied_generation(applied: &AppliedState) -> u64 {
+    let Some(section) = applied.configured() else { return 0 };
     let text = std::str::from_utf8(&section.body).expect("a configuration is text");
     let digits = text.split("\"generation\":").nth(1).expect("a generation");
     digits.split(',').next().and_then(|digits| digits.parse().ok()).expect("a number")
--- a/controlplane/controller/tests/common/mod.rs
+++ b/controlplane/controller/tests/common/mod.rs
@@ -37,7 +37,7 @@
     pub now: u64,
     /// Whether writes become durable at once.
     pub disk_works: bool,
-    held_writes: VecDeque<u64>,
+    queued_writes: VecDeque<u64>,
     pub answers: HashMap<CallId, Response>,
     /// What balancers were sent, with the instances whole.
     pub updates: Vec<(SubscriberId, Update)>,
@@ -81,7 +81,7 @@
             controller,
             now: START,
             disk_works: true,
-            held_writes: VecDeque::new(),
+            queued_writes: VecDeque::new(),
             answers: HashMap::new(),
             updates: Vec::new(),
             changes_sent: Vec::new(),
@@ -97,7 +97,7 @@
     }
 
     /// A controller that is in a quorum and has learned what there is.
-    pub fn settled() -> Single {
+    pub fn in_quorum() -> Single {
         let mut single = Single::start();
         single.pass(5_000);
         assert!(single.controller.is_in_quorum(single.now), "a controller alone is its own quorum");
@@ -126,7 +126,7 @@
 
     /// Makes durable what waits for the disk.
     pub fn finish_writes(&mut self) {
-        while let Some(token) = self.held_writes.pop_front() {
+        while let Some(token) = self.queued_writes.pop_front() {
             let actions = self.controller.handle(self.now, Event::Persisted { token, log_bytes: 0 });
             self.take(actions);
         }
@@ -170,10 +170,10 @@
                 }
                 Action::SendBalancer { to, message: ToBalancer::Update(update) } => {
                     self.changes_sent.extend(update.changes.clone());
-                    self.updates.push((to, self.lists.whole(to, update)));
+                    self.updates.push((to, self.lists.expand(to, update)));
                 }
                 Action::SendBalancer { to, message: ToBalancer::Link(link) } => self.links.push((to, link)),
-                Action::Persist { token, .. } => self.held_writes.push_back(token),
+                Action::Persist { token, .. } => self.queued_writes.push_back(token),
                 Action::SaveState { state } => self.saved_states.push(state),
                 Action::SendPeer { payload, .. } => self.peer_bytes += payload.len(),
                 Action::Compact { .. } => {}
--- a/controlplane/controller/tests/common/operators.rs
+++ b/controlplane/controller/tests/common/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' changes, the troubles that they meet, and what their answers must not contradict.
+//! Operators' changes, the faults that they meet, and what their answers must not contradict.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,17 +10,17 @@
 use super::configuration;
 use super::fleet::Fleet;
 
-/// How long a trouble lasts.
-pub const TROUBLE_MS: u64 = 3_000;
+/// How long a fault lasts.
+pub const FAULT_MS: u64 = 3_000;
 
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// Killed, and started again later.
     Kill,
     /// Cut off both ways; what was sent comes through later, or not.
-    CutOff,
+    Partition,
     /// Hears the others, and isn't heard.
-    CutOneWay,
+    OneWayPartition,
     Freeze,
     /// Killed, and its disk is lost.
     Wipe,
@@ -41,7 +41,7 @@
 }
 
 /// Cuts those controllers off from each other of which the numbers say so.
-fn cut_where(fleet: &mut Fleet, is_cut: impl Fn(usize, usize) -> bool) {
+fn partition_where(fleet: &mut Fleet, is_cut: impl Fn(usize, usize) -> bool) {
     let endpoints = fleet.cluster.endpoints();
     for (one, from) in endpoints.iter().enumerate() {
         for (other, to) in endpoints.iter().enumerate().filter(|(other, _)| *other != one) {
@@ -52,34 +52,34 @@
     }
 }
 
-impl Trouble {
+impl Fault {
     pub fn begin(self, fleet: &mut Fleet, at: SocketAddr) {
-        let until = fleet.cluster.now() + TROUBLE_MS;
+        let until = fleet.cluster.now() + FAULT_MS;
         match self {
-            Trouble::Kill => fleet.cluster.stop(at),
-            Trouble::CutOff => fleet.set_cut_off(at, true),
-            Trouble::CutOneWay => others(fleet, at).for_each(|other| fleet.cluster.cut(at, other)),
-            Trouble::Freeze => fleet.cluster.freeze(at, until),
-            Trouble::Wipe => {
+            Fault::Kill => fleet.cluster.stop(at),
+            Fault::Partition => fleet.set_partitioned(at, true),
+            Fault::OneWayPartition => others(fleet, at).for_each(|other| fleet.cluster.cut(at, other)),
+            Fault::Freeze => fleet.cluster.freeze(at, until),
+            Fault::Wipe => {
                 fleet.cluster.stop(at);
                 fleet.wipe(at);
             }
-            Trouble::Halves => cut_where(fleet, |one, other| (one + other) % 2 == 1),
-            Trouble::Apart => cut_where(fleet, |_, _| true),
-            Trouble::StalledDisk => fleet.cluster.disk(at).expect("it has a disk").stall(until),
-            Trouble::LossOfPower => fleet.cluster.endpoints().into_iter().for_each(|at| fleet.restart(at)),
-            Trouble::LostAnswers => fleet.lost_answers = 1.0,
+            Fault::Halves => partition_where(fleet, |one, other| (one + other) % 2 == 1),
+            Fault::Apart => partition_where(fleet, |_, _| true),
+            Fault::StalledDisk => fleet.cluster.disk(at).expect("it has a disk").stall(until),
+            Fault::LossOfPower => fleet.cluster.endpoints().into_iter().for_each(|at| fleet.restart(at)),
+            Fault::LostAnswers => fleet.lost_answers = 1.0,
         }
     }
 
     pub fn end(self, fleet: &mut Fleet, at: SocketAddr) {
         match self {
-            Trouble::Kill | Trouble::Wipe => fleet.cluster.start(at),
-            Trouble::CutOff => fleet.set_cut_off(at, false),
-            Trouble::CutOneWay => others(fleet, at).for_each(|other| fleet.cluster.heal(at, other)),
-            Trouble::Halves | Trouble::Apart => fleet.cluster.heal_all(),
-            Trouble::LostAnswers => fleet.lost_answers = 0.0,
-            Trouble::Freeze | Trouble::StalledDisk | Trouble::LossOfPower => {}
+            Fault::Kill | Fault::Wipe => fleet.cluster.start(at),
+            Fault::Partition => fleet.set_partitioned(at, false),
+            Fault::OneWayPartition => others(fleet, at).for_each(|other| fleet.cluster.heal(at, other)),
+            Fault::Halves | Fault::Apart => fleet.cluster.heal_all(),
+            Fault::LostAnswers => fleet.lost_answers = 0.0,
+            Fault::Freeze | Fault::StalledDisk | Fault::LossOfPower => {}
         }
     }
 }
@@ -106,12 +106,12 @@
 
 /// What operators were answered, and what it must not contradict.
 #[derive(Default)]
-pub struct Judge {
+pub struct OutcomeChecker {
     pub confirmed: BTreeSet<Change>,
     pub refused: BTreeSet<Change>,
 }
 
-impl Judge {
+impl OutcomeChecker {
     pub fn answered(&mut self, change: &Change, status: StatusCode) {
         match status {
             StatusCode::OK => {
--- a/controlplane/controller/tests/common/schedule.rs
+++ b/controlplane/controller/tests/common/schedule.rs
@@ -26,7 +26,7 @@
 
 /// What happens to the controller that has just confirmed something.
 #[derive(Clone, Copy, Debug)]
-pub enum Blow {
+pub enum TargetedFault {
     Kill,
     Wipe,
     Restart,
@@ -53,7 +53,7 @@
     Cut(usize, Reach, Direction),
     CutEdge(usize, usize, Direction),
     Heal,
-    AfterAcknowledgement(Blow),
+    AfterAcknowledgement(TargetedFault),
     StopEdge(usize),
     StartEdge(usize),
     RestartEdge(usize),
@@ -100,13 +100,13 @@
     }
 }
 
-impl Arbitrary for Blow {
+impl Arbitrary for TargetedFault {
     fn arbitrary(g: &mut Gen) -> Self {
         match below(g, 4) {
-            0 => Blow::Kill,
-            1 => Blow::Wipe,
-            2 => Blow::Restart,
-            _ => Blow::Cut(Reach::arbitrary(g), Direction::arbitrary(g)),
+            0 => TargetedFault::Kill,
+            1 => TargetedFault::Wipe,
+            2 => TargetedFault::Restart,
+            _ => TargetedFault::Cut(Reach::arbitrary(g), Direction::arbitrary(g)),
         }
     }
 }
@@ -130,7 +130,7 @@
             14..18 => Fault::Cut(one, Reach::arbitrary(g), Direction::arbitrary(g)),
             18 => Fault::CutEdge(one, other, Direction::arbitrary(g)),
             19 | 20 => Fault::Heal,
-            21..24 => Fault::AfterAcknowledgement(Blow::arbitrary(g)),
+            21..24 => Fault::AfterAcknowledgement(TargetedFault::arbitrary(g)),
             24 => Fault::StopEdge(one),
             25 => Fault::StartEdge(one),
             26 => Fault::RestartEdge(one),
@@ -247,7 +247,7 @@
     play.deployment.pass(CALM_MS);
     for step in &schedule.steps {
         play.deployment.pass(step.wait_ms);
-        play.happen(step.fault);
+        play.inject(step.fault);
         if !play.deployment.problems.is_empty() {
             break;
         }
@@ -265,7 +265,7 @@
         number % self.deployment.edges.len()
     }
 
-    fn happen(&mut self, fault: Fault) {
+    fn inject(&mut self, fault: Fault) {
         if let Fault::Freeze(_, span) | Fault::FreezeEdge(_, span) = fault {
             self.standstill_until = self.standstill_until.max(self.deployment.now() + span);
         }
@@ -288,13 +288,13 @@
             Fault::Leave(number) => self.leave(self.controller(number)),
             Fault::Freeze(number, span) => self.deployment.freeze_controller(self.controller(number), span),
             Fault::Cut(number, reach, direction) => {
-                self.deployment.cut_controller(self.controller(number), reach, direction);
+                self.deployment.partition_controller(self.controller(number), reach, direction);
             }
             Fault::CutEdge(edge, number, direction) => {
-                self.deployment.cut_edge(self.edge(edge), self.controller(number), direction);
+                self.deployment.partition_edge(self.edge(edge), self.controller(number), direction);
             }
             Fault::Heal => self.deployment.heal_all(),
-            Fault::AfterAcknowledgement(blow) => self.strike(blow),
+            Fault::AfterAcknowledgement(fault) => self.inject_after_acknowledgement(fault),
             Fault::StopEdge(edge) => self.deployment.stop_edge(self.edge(edge)),
             Fault::StartEdge(edge) => self.deployment.start_edge(self.edge(edge)),
             Fault::RestartEdge(edge) => self.deployment.restart_edge(self.edge(edge)),
@@ -309,18 +309,20 @@
         }
     }
 
-    fn strike(&mut self, blow: Blow) {
-        if matches!(blow, Blow::Wipe) {
+    fn inject_after_acknowledgement(&mut self, fault: TargetedFault) {
+        if matches!(fault, TargetedFault::Wipe) {
             self.calm();
         }
         self.deployment.acknowledged_by = None;
         self.deployment.pass_until_acknowledgement(ACKNOWLEDGEMENT_MS);
         let Some(at) = self.deployment.acknowledged_by else { return };
-        match blow {
-            Blow::Kill => self.deployment.stop_controller(at),
-            Blow::Wipe => self.deployment.wipe_controller(at),
-            Blow::Restart => self.restart(at),
-            Blow::Cut(reach, direction) => self.deployment.cut_controller(at, reach, direction),
+        match fault {
+            TargetedFault::Kill => self.deployment.stop_controller(at),
+            TargetedFault::Wipe => self.deployment.wipe_controller(at),
+            TargetedFault::Restart => self.restart(at),
+            TargetedFault::Cut(reach, direction) => {
+                self.deployment.partition_controller(at, reach, direction)
+            }
         }
     }
 
--- a/controlplane/controller/tests/controller.rs
+++ b/controlplane/controller/tests/controller.rs
@@ -31,8 +31,8 @@
 }
 
 /// Balancers say that they live for as long as a test needs.
-fn settled_with_balancers(balancers: &[(u8, &str)]) -> Single {
-    let mut single = Single::settled();
+fn started_with_balancers(balancers: &[(u8, &str)]) -> Single {
+    let mut single = Single::in_quorum();
     for (number, zone) in balancers {
         single.report(u64::from(*number), report(*number, zone));
     }
@@ -44,7 +44,7 @@
     let commands =
         [replace(0, 3), evacuate("zone-a", true), heartbeat("i-1", 1, Draining), deregister("i-2")];
     for command in commands {
-        let mut single = Single::settled();
+        let mut single = Single::in_quorum();
         single.disk_works = false;
         let id = single.call(command.clone());
         single.pass(EVACUATION_WAIT_MS);
@@ -58,7 +58,7 @@
 
 #[test]
 fn command_without_an_outcome_is_answered_before_the_client_time_out() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     single.disk_works = false;
     let id = single.call(replace(0, 3));
     single.pass(850);
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_configuration_is_replaced_once_and_acknowledged_again() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     assert_eq!(single.status(replace(0, 3)), StatusCode::OK);
     assert_eq!(single.status(replace(0, 3)), StatusCode::OK, "a repeat");
     assert_eq!(single.status(replace(0, 4)), StatusCode::PRECONDITION_FAILED, "another base is current");
@@ -87,13 +87,13 @@
 
 #[test]
 fn without_a_configuration_there_is_none_to_fetch() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     assert_eq!(single.status(Call::Fetch), StatusCode::NOT_FOUND);
 }
 
 #[test]
 fn only_known_zones_are_evacuated() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     assert_eq!(single.status(evacuate("zone-x", true)), StatusCode::NOT_FOUND);
     for _ in 0..2 {
         assert_eq!(single.evacuation_status("zone-a", true), StatusCode::OK);
@@ -106,7 +106,7 @@
 
 #[test]
 fn status_counts_how_commands_were_answered() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     assert_eq!(single.status(replace(0, 3)), StatusCode::OK);
     assert_eq!(single.status(replace(0, 4)), StatusCode::PRECONDITION_FAILED);
     assert_eq!(single.status(replace(3, 3)), StatusCode::OK, "the same bytes as before");
@@ -121,7 +121,7 @@
 /// A request that was held up on its way arrives together with the end of its connection, after newer commands.
 #[test]
 fn evacuation_command_of_a_closed_connection_is_not_submitted() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     assert_eq!(single.evacuation_status("zone-a", false), StatusCode::OK, "the newer command");
     single.updates.clear();
     let id = single.call(evacuate("zone-a", true));
@@ -135,7 +135,7 @@
 
 #[test]
 fn configuration_ahead_of_its_base_is_applied_after_it() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     let early = single.call(replace(3, 5));
     assert_eq!(single.answer(early), None, "the base may still come");
     single.pass(300);
@@ -161,7 +161,7 @@
 /// 600 changes later the history doesn't hold the first any more.
 #[test]
 fn configuration_applied_long_ago_is_never_refused() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     for generation in 1..=600 {
         assert_eq!(single.status(replace(generation - 1, generation)), StatusCode::OK);
     }
@@ -175,7 +175,7 @@
 
 #[test]
 fn heartbeats_are_acknowledged_without_the_disk() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     single.disk_works = false;
     assert_eq!(single.status(heartbeat("i-1", 5, Ready)), StatusCode::OK);
     assert_eq!(single.status(heartbeat("i-1", 4, Ready)), StatusCode::OK, "a late one");
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_draining_instance_is_hidden_before_it_is_acknowledged() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     assert_eq!(instances_sent(&single), [("i-1".to_owned(), false)]);
     single.disk_works = false;
@@ -194,7 +194,7 @@
 
 #[test]
 fn a_repeated_draining_heartbeat_is_acknowledged_without_another_write() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     assert_eq!(single.status(heartbeat("i-1", 1, Draining)), StatusCode::OK);
     single.disk_works = false;
     assert_eq!(single.status(heartbeat("i-1", 2, Draining)), StatusCode::OK);
@@ -203,7 +203,7 @@
 
 #[test]
 fn instances_that_arrive_together_are_published_together() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.updates.clear();
     for number in 1..=19 {
         single.status(heartbeat(&format!("i-{number}"), 1, Ready));
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_withdrawn_instance_does_not_wait_for_others() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.status(heartbeat("i-1", 1, Ready));
     single.pass(400);
     single.status(heartbeat("i-2", 1, Ready));
@@ -226,7 +226,7 @@
 
 #[test]
 fn ended_instance_is_published_to_balancers() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     single.call(heartbeat("i-2", 1, Ready));
     assert_eq!(single.status(deregister("i-1")), StatusCode::OK);
@@ -245,7 +245,7 @@
 
 #[test]
 fn a_committed_change_goes_to_every_balancer_at_once() {
-    let mut single = settled_with_balancers(&[(1, "zone-a"), (2, "zone-c")]);
+    let mut single = started_with_balancers(&[(1, "zone-a"), (2, "zone-c")]);
     single.updates.clear();
     single.call(replace(0, 3));
     single.evacuation_status("zone-b", true);
@@ -261,7 +261,7 @@
 
 #[test]
 fn a_new_balancer_gets_what_it_lacks() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     single.call(replace(0, 3));
     single.call(heartbeat("i-1", 1, Ready));
     single.report(7, report(7, "zone-a"));
@@ -297,7 +297,7 @@
 
 #[test]
 fn controller_with_restored_state_publishes_instances_and_addresses_once_in_a_quorum() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     single.pass(1_100);
     let state = single.saved_states.pop().expect("the state was saved");
@@ -320,7 +320,7 @@
 
 #[test]
 fn state_is_saved_on_changes_only_and_at_a_bounded_rate() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     single.pass(1_100);
     let written = single.saved_states.len();
@@ -341,7 +341,7 @@
 
 #[test]
 fn stalled_write_of_the_saved_state_is_not_followed_by_others() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.pass(1_100);
     single.disk_works = false;
     let written = single.saved_states.len();
@@ -354,7 +354,7 @@
 
 #[test]
 fn state_is_saved_again_once_a_slow_start_in_it_has_ended() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     let Call::Heartbeat { instance, heartbeat } = heartbeat("i-1", 1, Ready) else { unreachable!() };
     let heartbeat = whinspindle_configuration::Heartbeat { slow_start_ms: 1_500, ..heartbeat };
     single.call(Call::Heartbeat { instance, heartbeat });
@@ -368,7 +368,7 @@
 #[test]
 fn clients_are_sent_to_balancers_near_them() {
     let fleet = [(1, "zone-a"), (2, "zone-a"), (3, "zone-b"), (4, "zone-c")];
-    let mut single = settled_with_balancers(&fleet);
+    let mut single = started_with_balancers(&fleet);
     assert_eq!(addresses(&mut single, "north", "zone-a"), ["10.1.0.1:8161", "10.1.0.2:8161"], "the zone's");
     let region = ["10.1.0.1:8161", "10.1.0.2:8161", "10.1.0.3:8161"];
     assert_eq!(addresses(&mut single, "north", "zone-b"), region, "the region's, where the zone has too few");
@@ -381,7 +381,7 @@
 
 #[test]
 fn unready_or_departing_or_silent_balancers_get_no_clients() {
-    let mut single = settled_with_balancers(&[(1, "zone-a"), (2, "zone-a"), (3, "zone-a"), (4, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a"), (2, "zone-a"), (3, "zone-a"), (4, "zone-a")]);
     single.report(2, Report { ready: false, ..report(2, "zone-a") });
     single.report(3, Report { shutting_down: true, ..report(3, "zone-a") });
     assert_eq!(addresses(&mut single, "north", "zone-a"), ["10.1.0.1:8161", "10.1.0.4:8161"]);
@@ -396,7 +396,7 @@
 
 #[test]
 fn balancers_receive_heartbeats_and_the_shutdown_notice() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.links.clear();
     single.pass(1_000);
     assert!(single.links.len() >= 3, "several a second");
@@ -408,7 +408,7 @@
 
 #[test]
 fn closed_connection_is_not_answered() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     single.disk_works = false;
     let id = single.call(replace(0, 3));
     single.handle(Event::CallDropped { id });
@@ -420,7 +420,7 @@
 
 #[test]
 fn the_status_is_an_object() {
-    let mut single = settled_with_balancers(&[(1, "zone-a")]);
+    let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.call(replace(0, 3));
     let id = single.call(Call::Status);
     let body: &Bytes = &single.answer(id).expect("it is answered at once").body;
--- a/controlplane/controller/tests/delayed_commands.rs
+++ b/controlplane/controller/tests/delayed_commands.rs
@@ -15,7 +15,7 @@
 /// The core is calm again within this time after a cut.
 const CALM_MS: u64 = 8_000;
 /// All that was under way has come through, or was given up.
-const SETTLED_MS: u64 = 6_000;
+const STARTUP_MS: u64 = 6_000;
 
 /// Links that are cut let everything through once they are healed.
 fn started(seed: u64, controllers: u8) -> Fleet {
@@ -64,12 +64,12 @@
         let elsewhere = fleet.chain(endpoint(1))[0];
         assert_eq!(status(&mut fleet, elsewhere, evacuate("zone-a", !evacuated)), StatusCode::OK);
         fleet.pass(500);
-        fleet.set_cut_off(at, true);
+        fleet.set_partitioned(at, true);
         let answer = status(&mut fleet, at, evacuate("zone-a", evacuated));
         assert_eq!(answer, StatusCode::SERVICE_UNAVAILABLE, "seed {seed}");
         let opposite = fleet.begin_at(elsewhere, evacuate("zone-a", !evacuated));
         fleet.pass(ANSWER_MS + 500);
-        fleet.set_cut_off(at, false);
+        fleet.set_partitioned(at, false);
         fleet.pass(CALM_MS);
         let (_, answer) = fleet.attempts[opposite].answered.clone().expect("an answer");
         assert_eq!(answer.status, StatusCode::OK, "seed {seed}");
@@ -93,7 +93,7 @@
         assert_eq!(status(&mut fleet, head, evacuate("zone-a", false)), StatusCode::OK, "seed {seed}");
         fleet.pass(650 - fleet.since(first));
         fleet.cluster.heal(at, head);
-        fleet.pass(SETTLED_MS);
+        fleet.pass(STARTUP_MS);
         assert_eq!(evacuated_zones(&mut fleet), Vec::<String>::new(), "seed {seed}: the command was renewed");
     }
 }
@@ -108,13 +108,13 @@
         assert_eq!(fleet.complete(replace(0, 1), ANSWER_MS).status, StatusCode::OK);
         let at = outsider(&mut fleet);
         let head = fleet.chain(endpoint(1))[0];
-        fleet.set_cut_off(at, true);
+        fleet.set_partitioned(at, true);
         let held_up = fleet.begin_at(at, replace(2, 3));
         fleet.abandon(held_up);
         let early = status(&mut fleet, head, replace(2, 3));
         assert_eq!(early, StatusCode::SERVICE_UNAVAILABLE, "seed {seed}: its base may come");
         assert_eq!(status(&mut fleet, head, replace(1, 2)), StatusCode::OK);
-        fleet.set_cut_off(at, false);
+        fleet.set_partitioned(at, false);
         fleet.pass(CALM_MS);
         let newest = fleet.complete(Call::Fetch, ANSWER_MS).body;
         brought += usize::from(newest == configuration(3));
@@ -132,12 +132,12 @@
         assert_eq!(fleet.complete(replace(0, 1), ANSWER_MS).status, StatusCode::OK);
         let at = outsider(&mut fleet);
         let head = fleet.chain(endpoint(1))[0];
-        fleet.set_cut_off(at, true);
+        fleet.set_partitioned(at, true);
         let held_up = fleet.begin_at(at, replace(1, 4));
         fleet.abandon(held_up);
         assert_eq!(status(&mut fleet, head, replace(1, 3)), StatusCode::OK, "seed {seed}");
         assert_eq!(status(&mut fleet, head, replace(1, 4)), StatusCode::PRECONDITION_FAILED, "seed {seed}");
-        fleet.set_cut_off(at, false);
+        fleet.set_partitioned(at, false);
         fleet.pass(CALM_MS);
         for number in 1..=5 {
             let newest = fleet.ask(endpoint(number), Call::Fetch).expect("an answer").body;
@@ -152,13 +152,13 @@
     for seed in 0..12 {
         let mut fleet = started(420 + seed, 3);
         let at = follower(&mut fleet);
-        fleet.set_cut_off(at, true);
+        fleet.set_partitioned(at, true);
         let held_up = fleet.begin_at(at, replace(0, 1));
         fleet.abandon(held_up);
         for generation in 1..=3 {
             assert_eq!(fleet.complete(replace(generation - 1, generation), CALM_MS).status, StatusCode::OK);
         }
-        fleet.set_cut_off(at, false);
+        fleet.set_partitioned(at, false);
         fleet.pass(CALM_MS);
         for number in 1..=3 {
             let newest = fleet.ask(endpoint(number), Call::Fetch).expect("an answer").body;
--- a/controlplane/controller/tests/directory.rs
+++ b/controlplane/controller/tests/directory.rs
@@ -106,7 +106,7 @@
 
 /// A controller that knows of these balancers; the others report something else.
 fn with_balancers_and(staying: &[u8], others: fn(u8) -> Report) -> Single {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     for number in ALL {
         let report = if staying.contains(&number) { balancer(number) } else { others(number) };
         single.report(u64::from(number), report);
@@ -299,7 +299,7 @@
 
 #[test]
 fn zones_share_balancers_of_which_there_are_more_than_an_answer_names() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     assert_eq!(single.status(replace_routes(0, 1, &[(SOUTH_ALONE, &["south"])])), StatusCode::OK);
     for number in 1..=MANY {
         single.report(u64::from(number), southern(number));
--- a/controlplane/controller/tests/fleet.rs
+++ b/controlplane/controller/tests/fleet.rs
@@ -18,8 +18,8 @@
 /// After a start of all controllers balancers are told of a quorum within this time.
 const QUORUM_MS: u64 = 250;
 /// After a start of all controllers balancers are told what was known within this time.
-const RECALL_MS: u64 = 1_000;
-/// A command is acknowledged within this time after a trouble.
+const RESTORE_MS: u64 = 1_000;
+/// A command is acknowledged within this time after a fault.
 const TROUBLED_ORDER_MS: u64 = 15_000;
 
 fn newest_instance(fleet: &Fleet, subscriber: SubscriberId, id: &str) -> Option<Instance> {
@@ -147,7 +147,7 @@
         for number in 1..=3 {
             fleet.report(endpoint(number), 10 + u64::from(number), report(number, "zone-a"));
         }
-        fleet.pass(RECALL_MS);
+        fleet.pass(RESTORE_MS);
         for number in 1..=3 {
             let subscriber = SubscriberId(10 + number);
             let draining = |id| newest_instance(&fleet, subscriber, id).map(|instance| instance.draining);
@@ -180,7 +180,7 @@
 #[test]
 fn clients_are_directed_to_restored_balancers_after_a_power_loss() {
     let mut fleet = after_loss_of_power(9, &[2]);
-    fleet.pass(RECALL_MS);
+    fleet.pass(RESTORE_MS);
     for number in 1..=3 {
         let answer = fleet.ask(endpoint(number), resolve("north", "zone-a")).expect("an answer");
         assert_eq!(answer.body, r#"{"addrs":["10.1.0.1:8161"],"ttl_s":2}"#, "controller {number}");
@@ -215,7 +215,7 @@
     fleet.cluster.start(endpoint(1));
     fleet.report(endpoint(1), 11, report(1, "zone-a"));
     fleet.updates.clear();
-    fleet.pass(RECALL_MS);
+    fleet.pass(RESTORE_MS);
     fleet.report(endpoint(1), 11, report(1, "zone-a"));
     fleet.ask(endpoint(1), heartbeat("i-1", 8, Ready));
     fleet.pass(100);
@@ -229,7 +229,7 @@
 #[test]
 fn partitioned_controller_acknowledges_no_command() {
     let mut fleet = Fleet::start(5, 3);
-    fleet.set_cut_off(endpoint(3), true);
+    fleet.set_partitioned(endpoint(3), true);
     let commands = [replace(0, 1), evacuate("zone-a", true), heartbeat("i-1", 1, Draining), Call::Fetch];
     for command in commands {
         let answer = fleet.ask(endpoint(3), command.clone()).expect("an answer in time");
@@ -239,7 +239,7 @@
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "the others would take it for lost");
     fleet.pass(2_000);
     assert_eq!(fleet.complete(replace(0, 1), TROUBLED_ORDER_MS).status, StatusCode::OK);
-    fleet.set_cut_off(endpoint(3), false);
+    fleet.set_partitioned(endpoint(3), false);
     fleet.pass(4_000);
     let answer = fleet.ask(endpoint(3), Call::Fetch).expect("an answer");
     assert_eq!(answer.body, configuration(1));
@@ -262,7 +262,7 @@
     }
 }
 
-/// Two operators, upstreams that leave, and troubles by chance.
+/// Two operators, upstreams that leave, and faults by random.
 struct Play {
     fleet: Fleet,
     /// Bodies that were sent, by generation; two operators never send equal ones.
@@ -286,23 +286,23 @@
 
     fn run(&mut self, rounds: usize) {
         for round in 0..rounds {
-            let trouble = self.trouble();
+            let fault = self.fault();
             self.race(round);
             self.evacuate(round);
             self.depart(round);
-            let span = self.fleet.chance.below(1_500) as u64;
+            let span = self.fleet.random.below(1_500) as u64;
             self.fleet.pass(span);
-            self.mend(trouble);
+            self.mend(fault);
         }
     }
 
     /// A controller is killed, cut off, or has lost its disk.
-    fn trouble(&mut self) -> (u8, usize) {
-        let number = 1 + self.fleet.chance.below(5) as u8;
-        let kind = self.fleet.chance.below(5);
+    fn fault(&mut self) -> (u8, usize) {
+        let number = 1 + self.fleet.random.below(5) as u8;
+        let kind = self.fleet.random.below(5);
         match kind {
             0 => self.fleet.cluster.stop(endpoint(number)),
-            1 => self.fleet.set_cut_off(endpoint(number), true),
+            1 => self.fleet.set_partitioned(endpoint(number), true),
             2 => {
                 self.fleet.cluster.stop(endpoint(number));
                 self.fleet.wipe(endpoint(number));
@@ -317,7 +317,7 @@
     fn mend(&mut self, (number, kind): (u8, usize)) {
         match kind {
             0 => self.fleet.cluster.start(endpoint(number)),
-            1 => self.fleet.set_cut_off(endpoint(number), false),
+            1 => self.fleet.set_partitioned(endpoint(number), false),
             2 => {
                 self.fleet.cluster.start(endpoint(number));
                 self.fleet.pass(6_000);
@@ -329,7 +329,7 @@
     fn race(&mut self, round: usize) {
         let base = self.acknowledged.last().map_or(0, |(_, generation, _)| *generation);
         let operators = ["one", "other"].map(|operator| {
-            let generation = base + 1 + self.fleet.chance.below(2) as u64;
+            let generation = base + 1 + self.fleet.random.below(2) as u64;
             let body = Bytes::from(String::from_utf8(configuration(generation).to_vec()).unwrap().replacen(
                 '{',
                 &format!("{{\"operator\":\"{operator} {round}\","),
--- a/controlplane/controller/tests/heartbeats.rs
+++ b/controlplane/controller/tests/heartbeats.rs
@@ -29,15 +29,15 @@
     ended.map(|instance| instance.id.clone()).collect()
 }
 
-fn settled_with_a_balancer() -> Single {
-    let mut single = Single::settled();
+fn started_with_a_balancer() -> Single {
+    let mut single = Single::in_quorum();
     single.report(1, report(1, "zone-a"));
     single
 }
 
 #[test]
 fn the_answer_to_a_heartbeat_is_short() {
-    let mut single = settled_with_a_balancer();
+    let mut single = started_with_a_balancer();
     for number in 1..=200 {
         single.status(heartbeat(&format!("i-{number}"), 1, Ready));
     }
@@ -51,7 +51,7 @@
 
 #[test]
 fn deregistration_without_draining_is_permanent() {
-    let mut single = settled_with_a_balancer();
+    let mut single = started_with_a_balancer();
     single.status(heartbeat("i-1", 1, Ready));
     single.status(heartbeat("i-2", 1, Ready));
     assert_eq!(single.status(deregister("i-1")), StatusCode::OK);
@@ -103,7 +103,7 @@
 #[test]
 fn acknowledged_departure_is_permanent_in_any_order_of_heartbeats() {
     fn property(words: Vec<Word>) -> bool {
-        let mut single = settled_with_a_balancer();
+        let mut single = started_with_a_balancer();
         let mut left: Vec<(&str, Kind)> = Vec::new();
         words.iter().all(|word| {
             let acknowledged = single.status(word.call()) == StatusCode::OK;
--- a/controlplane/controller/tests/many_balancers.rs
+++ b/controlplane/controller/tests/many_balancers.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn balancers_that_arrive_together_cause_few_updates() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     for number in 1..=BALANCERS {
         single.report(u64::from(number), report(number, "zone-a"));
         if number % 20 == 0 {
@@ -36,7 +36,7 @@
 
 #[test]
 fn new_balancer_gets_everything_at_once_and_causes_no_update_to_others() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     single.status(replace(0, 3));
     single.status(heartbeat("i-1", 1, Ready));
     single.report(1, report(1, "zone-a"));
@@ -59,7 +59,7 @@
 
 #[test]
 fn change_of_one_instance_is_sent_without_the_other_instances() {
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     for number in 1..=100 {
         single.status(heartbeat_at(&format!("i-{number}"), number));
     }
@@ -77,7 +77,7 @@
 #[test]
 fn peer_that_reconnects_soon_gets_no_second_snapshot() {
     let peer = "10.0.0.2:7700".parse().unwrap();
-    let mut single = Single::settled();
+    let mut single = Single::in_quorum();
     for number in 1..=600 {
         single.status(heartbeat_at(&format!("i-{number}"), number));
     }
--- a/controlplane/controller/tests/partitioned_controller.rs
+++ b/controlplane/controller/tests/partitioned_controller.rs
@@ -12,7 +12,7 @@
 const NOTICED_MS: u64 = 2_000;
 /// A controller alone tells new balancers nothing for this long.
 const ISOLATED_SERVE_DELAY_MS: u64 = 8_000;
-const CUT_MS: u64 = 20_000;
+const PARTITION_MS: u64 = 20_000;
 const COMMAND_TIMEOUT_MS: u64 = 15_000;
 /// A caller goes on to another controller after this time without an answer.
 const CALLER_PATIENCE_MS: u64 = 1_000;
@@ -56,7 +56,7 @@
 #[test]
 fn isolated_controller_with_an_old_disk_publishes_nothing_at_first() {
     let mut fleet = third_controller_is_down_with_an_old_disk(1);
-    fleet.set_cut_off(endpoint(3), true);
+    fleet.set_partitioned(endpoint(3), true);
     fleet.cluster.start(endpoint(3));
     fleet.report(endpoint(3), 30, report(1, "zone-a"));
     fleet.pass(ISOLATED_SERVE_DELAY_MS - 200);
@@ -72,14 +72,14 @@
     fleet.report(endpoint(1), 10, report(1, "zone-a"));
     fleet.pass(100);
     let newest = newest_position(&fleet);
-    fleet.set_cut_off(endpoint(3), true);
+    fleet.set_partitioned(endpoint(3), true);
     fleet.cluster.start(endpoint(3));
     fleet.report(endpoint(3), 30, report(1, "zone-a"));
     fleet.report(endpoint(3), 31, applied(report(2, "zone-a"), newest));
-    fleet.pass(CUT_MS);
+    fleet.pass(PARTITION_MS);
     assert!(sent_configurations(&fleet, 30).is_empty(), "it knows that it is behind");
     assert!(sent_configurations(&fleet, 31).is_empty());
-    fleet.set_cut_off(endpoint(3), false);
+    fleet.set_partitioned(endpoint(3), false);
     fleet.pass(4_000);
     assert_eq!(sent_configurations(&fleet, 30), [configuration(2)]);
 }
@@ -101,7 +101,7 @@
     fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.report(endpoint(3), 30, report(1, "zone-a"));
     fleet.pass(1_000);
-    fleet.set_cut_off(endpoint(3), true);
+    fleet.set_partitioned(endpoint(3), true);
     fleet.pass(NOTICED_MS);
     fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
     fleet.report(endpoint(3), 31, report(2, "zone-a"));
@@ -123,7 +123,7 @@
     fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.report(endpoint(3), 30, report(1, "zone-a"));
     fleet.pass(1_000);
-    fleet.set_cut_off(endpoint(3), true);
+    fleet.set_partitioned(endpoint(3), true);
     fleet.pass(NOTICED_MS);
     for (beat, state) in [(1, Ready), (2, Draining)] {
         let began = fleet.cluster.now();
@@ -173,7 +173,7 @@
         fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
         fleet.report(endpoint(3), 29, report(2, "zone-a"));
         fleet.pass(1_000);
-        let thaws_at = fleet.cluster.now() + CUT_MS;
+        let thaws_at = fleet.cluster.now() + PARTITION_MS;
         fleet.cluster.freeze(endpoint(3), thaws_at);
         fleet.pass(3_000);
         fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
@@ -200,7 +200,7 @@
     let mut fleet = Fleet::start(6, 3);
     fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.pass(1_000);
-    let thaws_at = fleet.cluster.now() + CUT_MS;
+    let thaws_at = fleet.cluster.now() + PARTITION_MS;
     fleet.cluster.freeze(endpoint(3), thaws_at + 1);
     fleet.pass(3_000);
     fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
@@ -217,10 +217,10 @@
     for seed in 0..10 {
         let mut fleet = Fleet::start(300 + seed, 3);
         fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
-        fleet.set_cut_off(endpoint(3), true);
-        fleet.pass(CUT_MS);
+        fleet.set_partitioned(endpoint(3), true);
+        fleet.pass(PARTITION_MS);
         fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
-        fleet.set_cut_off(endpoint(3), false);
+        fleet.set_partitioned(endpoint(3), false);
         // Given to the returning controller first, on the base that it last knew.
         let stale = fleet.ask(endpoint(3), replace(1, 3));
         assert!(stale.is_none_or(|answer| answer.status != StatusCode::OK), "seed {seed}");
--- a/controlplane/controller/tests/partitioned_deployment.rs
+++ b/controlplane/controller/tests/partitioned_deployment.rs
@@ -5,7 +5,7 @@
 use common::deployment::{Deployment, Direction, Reach};
 use common::fleet::endpoint;
 
-const CUT_MS: u64 = 20_000;
+const PARTITION_MS: u64 = 20_000;
 const CALM_MS: u64 = 8_000;
 const LAST_ORDER_MS: u64 = 10_000;
 
@@ -13,12 +13,12 @@
 fn play(seed: u64, controllers: u8, reach: Reach, direction: Direction) -> Vec<String> {
     let mut deployment = Deployment::start(seed, controllers, 4, 6);
     deployment.pass(CALM_MS);
-    deployment.cut_controller(endpoint(1 + (seed % 3) as u8), reach, direction);
+    deployment.partition_controller(endpoint(1 + (seed % 3) as u8), reach, direction);
     deployment.pass(1_500);
     deployment.leave(0, false);
-    deployment.pass(CUT_MS / 2 - 1_500);
+    deployment.pass(PARTITION_MS / 2 - 1_500);
     deployment.leave(1, true);
-    deployment.pass(CUT_MS / 2);
+    deployment.pass(PARTITION_MS / 2);
     deployment.heal_all();
     deployment.leave(2, true);
     deployment.leave(3, false);
--- a/controlplane/controller/tests/random_operators.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -1,4 +1,4 @@
-//! Operators with several commands under way, through troubles drawn at random: what was confirmed is a chain, what was
+//! Operators with several commands under way, through faults drawn at random: what was confirmed is a chain, what was
 //! refused is never in force, and what was confirmed is confirmed again however often it is sent.
 
 mod common;
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use common::fleet::{Fleet, endpoint};
-use common::operators::{Change, Judge, Trouble};
+use common::operators::{Change, Fault, OutcomeChecker};
 use common::*;
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
@@ -32,26 +32,20 @@
 const EVACUATION_ECHO_MS: u64 = 500;
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-const TROUBLES: [Trouble; 8] = [
-    Trouble::Kill,
-    Trouble::CutOff,
-    Trouble::CutOneWay,
-    Trouble::Freeze,
-    Trouble::Wipe,
-    Trouble::StalledDisk,
-    Trouble::LossOfPower,
-    Trouble::LostAnswers,
+const FAULTS: [Fault; 8] = [
+    Fault::Kill,
+    Fault::Partition,
+    Fault::OneWayPartition,
+    Fault::Freeze,
+    Fault::Wipe,
+    Fault::StalledDisk,
+    Fault::LossOfPower,
+    Fault::LostAnswers,
 ];
 
-/// The troubles of plays in which operators also read the configuration all the time.
-const SPLITS: [Trouble; 6] = [
-    Trouble::Halves,
-    Trouble::Apart,
-    Trouble::Halves,
-    Trouble::CutOff,
-    Trouble::LossOfPower,
-    Trouble::LostAnswers,
-];
+/// The faults of plays in which operators also read the configuration all the time.
+const SPLITS: [Fault; 6] =
+    [Fault::Halves, Fault::Apart, Fault::Halves, Fault::Partition, Fault::LossOfPower, Fault::LostAnswers];
 /// Pauses between reads at most.
 const READ_MS: u64 = 150;
 
@@ -67,7 +61,7 @@
 
 struct Play {
     fleet: Fleet,
-    judge: Judge,
+    checker: OutcomeChecker,
     changes: Vec<Change>,
     /// Changes whose answers are waited for.
     under_way: Vec<(Change, usize)>,
@@ -87,7 +81,7 @@
         let evacuations = ZONES.map(|zone| (zone, vec![in_service])).into();
         Play {
             fleet,
-            judge: Judge::default(),
+            checker: OutcomeChecker::default(),
             changes: Vec::new(),
             under_way: Vec::new(),
             evacuations,
@@ -98,21 +92,21 @@
 
     fn run(&mut self) {
         for _ in 0..ROUNDS {
-            let trouble = TROUBLES[self.below(TROUBLES.len())];
+            let fault = FAULTS[self.below(FAULTS.len())];
             let at = self.anywhere();
-            if matches!(trouble, Trouble::Wipe) {
+            if matches!(fault, Fault::Wipe) {
                 self.pass(RECOVERY_MS);
             }
             self.send_changes();
             self.send_evacuations();
             let span = self.below(120) as u64;
             self.pass(span);
-            trouble.begin(&mut self.fleet, at);
+            fault.begin(&mut self.fleet, at);
             self.send_changes();
             let span = self.below(3_000) as u64;
             self.pass(span);
-            trouble.end(&mut self.fleet, at);
-            if matches!(trouble, Trouble::Wipe) {
+            fault.end(&mut self.fleet, at);
+            if matches!(fault, Fault::Wipe) {
                 self.pass(RECOVERY_MS);
             }
         }
@@ -120,18 +114,18 @@
         self.verify();
     }
 
-    /// As `run`, with reads at any controller at any time. Each trouble has as long as it takes to be noticed.
+    /// As `run`, with reads at any controller at any time. Each fault has as long as it takes to be noticed.
     fn run_split(&mut self) {
         for _ in 0..ROUNDS {
-            let trouble = SPLITS[self.below(SPLITS.len())];
+            let fault = SPLITS[self.below(SPLITS.len())];
             let at = self.anywhere();
             self.send_changes();
             self.read_for(500);
-            trouble.begin(&mut self.fleet, at);
+            fault.begin(&mut self.fleet, at);
             self.send_changes();
             let span = self.below(4_000) as u64;
             self.read_for(span);
-            trouble.end(&mut self.fleet, at);
+            fault.end(&mut self.fleet, at);
             let span = self.below(3_000) as u64;
             self.read_for(span);
         }
@@ -167,7 +161,7 @@
     }
 
     fn below(&mut self, bound: usize) -> usize {
-        self.fleet.chance.below(bound)
+        self.fleet.random.below(bound)
     }
 
     fn anywhere(&mut self) -> SocketAddr {
@@ -176,7 +170,7 @@
 
     /// The newest generation that operators know of.
     fn known(&self) -> u64 {
-        self.judge.confirmed.iter().map(|change| change.generation).max().unwrap_or(0)
+        self.checker.confirmed.iter().map(|change| change.generation).max().unwrap_or(0)
     }
 
     fn send_changes(&mut self) {
@@ -255,7 +249,7 @@
         let (now, mut waiting) = (self.fleet.cluster.now(), Vec::new());
         for (change, attempt) in std::mem::take(&mut self.under_way) {
             if let Some((_, answer)) = &self.fleet.attempts[attempt].answered {
-                self.judge.answered(&change, answer.status);
+                self.checker.answered(&change, answer.status);
             } else if now > self.fleet.attempts[attempt].first_sent_at + LONGEST_ORDER_MS {
                 self.fleet.abandon(attempt);
             } else {
@@ -278,7 +272,7 @@
         let mut in_force = Vec::new();
         for change in self.changes.clone() {
             let status = self.answer_in_calm(&change);
-            self.judge.answered(&change, status);
+            self.checker.answered(&change, status);
             assert_eq!(self.answer_in_calm(&change), status, "{change:?}");
             if status == StatusCode::SERVICE_UNAVAILABLE {
                 assert!(change.base > self.known(), "no clear answer to {change:?}");
@@ -289,7 +283,7 @@
         }
         self.verify_chain(in_force);
         self.verify_zones();
-        self.judge.told(&self.fleet);
+        self.checker.told(&self.fleet);
     }
 
     fn answer_in_calm(&mut self, change: &Change) -> StatusCode {
--- a/controlplane/controller/tests/reads.rs
+++ b/controlplane/controller/tests/reads.rs
@@ -37,13 +37,13 @@
     for seed in 1..=5 {
         for cut_off in [1, 2, 3].map(endpoint) {
             let mut fleet = started(seed);
-            fleet.set_cut_off(cut_off, true);
+            fleet.set_partitioned(cut_off, true);
             fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
             for _ in 0..READS {
                 assert_eq!(read(&mut fleet, cut_off), None, "it can't be sure of the newest");
                 fleet.pass(READ_MS);
             }
-            fleet.set_cut_off(cut_off, false);
+            fleet.set_partitioned(cut_off, false);
             let mut answers = Vec::new();
             for _ in 0..READS {
                 answers.extend(read(&mut fleet, cut_off));
@@ -61,7 +61,7 @@
     let mut fleet = started(1);
     fleet.cluster.stop(endpoint(2));
     fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
-    fleet.set_cut_off(endpoint(1), true);
+    fleet.set_partitioned(endpoint(1), true);
     fleet.pass(NOTICED_MS);
     for at in [1, 3].map(endpoint) {
         for _ in 0..READS {
@@ -69,7 +69,7 @@
             fleet.pass(READ_MS);
         }
     }
-    fleet.set_cut_off(endpoint(1), false);
+    fleet.set_partitioned(endpoint(1), false);
     fleet.pass(NOTICED_MS);
     for at in [1, 3].map(endpoint) {
         assert_eq!(read(&mut fleet, at), Some(configuration(2)));
--- a/controlplane/controller/tests/schedules.rs
+++ b/controlplane/controller/tests/schedules.rs
@@ -87,7 +87,7 @@
 }
 
 /// What is planted shows first at `seed`, and as `problem`; the standard rules bear all schedules up to there.
-fn is_found<R: Rules>(draw: fn(u64) -> Schedule, seed: u64, problem: &str) {
+fn is_detected<R: Rules>(draw: fn(u64) -> Schedule, seed: u64, problem: &str) {
     for earlier in FIRST_SEED..=seed {
         play::<StandardRules>(&draw(earlier)).unwrap();
     }
@@ -100,25 +100,25 @@
 /// A machine that starts beside such a controller handles requests by an old configuration.
 #[test]
 fn partitioned_controller_that_serves_records_is_detected() {
-    is_found::<PartitionedControllerServesRecords>(starting, 22, "edge 2, in reach, holds configuration");
+    is_detected::<PartitionedControllerServesRecords>(starting, 22, "edge 2, in reach, holds configuration");
 }
 
 #[test]
 fn agent_that_accepts_first_records_of_a_partitioned_controller_is_detected() {
-    is_found::<AcceptsAnyFirstRecords>(starting, 22, "edge 2, in reach, holds configuration");
+    is_detected::<AcceptsAnyFirstRecords>(starting, 22, "edge 2, in reach, holds configuration");
 }
 
 #[test]
 fn departure_confirmed_before_its_commit_is_detected() {
-    is_found::<ConfirmsUncommittedDeparture>(ordinary, 19, "has forgotten that u-5 left");
+    is_detected::<ConfirmsUncommittedDeparture>(ordinary, 19, "has forgotten that u-5 left");
 }
 
 #[test]
 fn heartbeat_confirmed_by_a_partitioned_controller_is_detected() {
-    is_found::<ConfirmsHeartbeatWithoutQuorum>(overlapping, 12, "edge 1 doesn't know u-3, which serves");
+    is_detected::<ConfirmsHeartbeatWithoutQuorum>(overlapping, 12, "edge 1 doesn't know u-3, which serves");
 }
 
 #[test]
 fn controller_that_answers_reads_locally_is_detected() {
-    is_found::<AnswersReadsLocally>(overlapping, 1, "and read ");
+    is_detected::<AnswersReadsLocally>(overlapping, 1, "and read ");
 }
--- a/controlplane/controller/tests/two_operators.rs
+++ b/controlplane/controller/tests/two_operators.rs
@@ -1,4 +1,4 @@
-//! Two operators on one base, whose commands meet every kind of trouble at every moment: one is confirmed, stays so
+//! Two operators on one base, whose commands meet every kind of fault at every moment: one is confirmed, stays so
 //! however often and wherever it is sent again, and the other is never in force.
 
 mod common;
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 
 use common::fleet::{Fleet, endpoint};
-use common::operators::{Change, Judge, TROUBLE_MS, Trouble};
+use common::operators::{Change, FAULT_MS, Fault, OutcomeChecker};
 use common::*;
 use http::StatusCode;
 
 const CONTROLLERS: u8 = 3;
-/// A command passes a calm chain of three within this time: the troubles come at each of these moments.
+/// A command passes a calm chain of three within this time: the faults come at each of these moments.
 const COMMAND_TIMEOUT_MS: u64 = 60;
-const MOMENT_MS: usize = 2;
-/// A command is answered within this time after a trouble.
+const OFFSET_STEP_MS: usize = 2;
+/// A command is answered within this time after a fault.
 const TROUBLED_ORDER_MS: u64 = 15_000;
 /// After a start of all controllers there is a quorum within this time.
 const START_MS: u64 = 4_000;
@@ -53,82 +53,82 @@
 }
 
 /// Two commands on one base, of one number or of two, go to the first or to the last members of the chain.
-fn race(seed: u64, trouble: Trouble, place: usize, moment: u64) {
+fn race(seed: u64, fault: Fault, place: usize, moment: u64) {
     let mut fleet = started(seed);
     let chain = fleet.chain(endpoint(1));
     let at = chain[place];
     let (one_at, other_at) = if seed.is_multiple_of(2) { (chain[0], chain[1]) } else { (chain[1], chain[2]) };
-    let changes = [Change::new(1, 2, "one"), Change::new(1, 2 + moment / MOMENT_MS as u64 % 2, "other")];
+    let changes = [Change::new(1, 2, "one"), Change::new(1, 2 + moment / OFFSET_STEP_MS as u64 % 2, "other")];
     let attempts = [fleet.begin_at(one_at, changes[0].call()), fleet.begin_at(other_at, changes[1].call())];
     fleet.pass(moment);
-    trouble.begin(&mut fleet, at);
-    fleet.pass(TROUBLE_MS);
-    trouble.end(&mut fleet, at);
+    fault.begin(&mut fleet, at);
+    fleet.pass(FAULT_MS);
+    fault.end(&mut fleet, at);
     let statuses = wait_for(&mut fleet, &attempts);
 
-    let mut judge = Judge::default();
-    changes.iter().zip(&statuses).for_each(|(change, status)| judge.answered(change, *status));
+    let mut checker = OutcomeChecker::default();
+    changes.iter().zip(&statuses).for_each(|(change, status)| checker.answered(change, *status));
     let winner = usize::from(statuses[0] != StatusCode::OK);
     assert_eq!(statuses[winner], StatusCode::OK, "one is confirmed");
     assert_eq!(statuses[1 - winner], StatusCode::PRECONDITION_FAILED, "the other is refused");
 
-    fleet.pass(2 * TROUBLE_MS);
-    judge.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
+    fleet.pass(2 * FAULT_MS);
+    checker.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
     lose_power(&mut fleet);
-    judge.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
-    judge.sent_everywhere(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
+    checker.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
+    checker.sent_everywhere(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
     let current = changes[winner].generation;
-    judge.sent_everywhere(&mut fleet, &Change::new(current, current + 1, "next"), StatusCode::OK);
-    judge.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
-    judge.sent_everywhere(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
-    judge.told(&fleet);
+    checker.sent_everywhere(&mut fleet, &Change::new(current, current + 1, "next"), StatusCode::OK);
+    checker.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
+    checker.sent_everywhere(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
+    checker.told(&fleet);
 }
 
-fn race_at_every_offset(trouble: Trouble) {
-    for moment in (0..COMMAND_TIMEOUT_MS).step_by(MOMENT_MS) {
+fn race_at_every_offset(fault: Fault) {
+    for moment in (0..COMMAND_TIMEOUT_MS).step_by(OFFSET_STEP_MS) {
         for place in 0..usize::from(CONTROLLERS) {
             let seed = 100 + moment + place as u64;
-            race(seed, trouble, place, moment);
+            race(seed, fault, place, moment);
         }
     }
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_controller_is_killed() {
-    race_at_every_offset(Trouble::Kill);
+    race_at_every_offset(Fault::Kill);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_controller_is_partitioned() {
-    race_at_every_offset(Trouble::CutOff);
+    race_at_every_offset(Fault::Partition);
 }
 
 #[test]
 fn one_of_two_is_confirmed_with_a_one_way_partition() {
-    race_at_every_offset(Trouble::CutOneWay);
+    race_at_every_offset(Fault::OneWayPartition);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_controller_is_frozen() {
-    race_at_every_offset(Trouble::Freeze);
+    race_at_every_offset(Fault::Freeze);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_disk_is_lost() {
-    race_at_every_offset(Trouble::Wipe);
+    race_at_every_offset(Fault::Wipe);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_a_disk_stalls() {
-    race_at_every_offset(Trouble::StalledDisk);
+    race_at_every_offset(Fault::StalledDisk);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_all_controllers_lose_power() {
-    race_at_every_offset(Trouble::LossOfPower);
+    race_at_every_offset(Fault::LossOfPower);
 }
 
 #[test]
 fn one_of_two_is_confirmed_where_answers_are_lost() {
-    race_at_every_offset(Trouble::LostAnswers);
+    race_at_every_offset(Fault::LostAnswers);
 }
--- a/controlplane/distribution/tests/applied_state.rs
+++ b/controlplane/distribution/tests/applied_state.rs
@@ -34,7 +34,7 @@
 }
 
 quickcheck! {
-    fn the_replicated_sections_never_go_back(updates: Vec<Any<Update>>) -> bool {
+    fn replicated_sections_never_go_back(updates: Vec<Any<Update>>) -> bool {
         let mut holder = AppliedState::new();
         updates.into_iter().all(|update| {
             let before = holder.versions();
@@ -46,7 +46,7 @@
         })
     }
 
-    fn a_snapshot_brings_another_holder_to_the_same_state(updates: Vec<Any<Update>>) -> bool {
+    fn snapshot_brings_another_receiver_to_the_same_state(updates: Vec<Any<Update>>) -> bool {
         let mut holder = AppliedState::new();
         for update in updates {
             holder.apply(0, update.0);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn another_controllers_instances_stand_though_its_numbers_are_lower() {
+fn instances_of_another_controller_apply_despite_lower_versions() {
     let mut holder = AppliedState::new();
     holder.apply(0, instances(900, vec![instance("i-1", false, 0)]));
     holder.apply(0, instances(5, vec![instance("i-2", false, 0)]));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_draining_instance_stays_so_whoever_speaks_of_it_later() {
+fn draining_instance_stays_draining_for_every_controller() {
     let mut holder = AppliedState::new();
     holder.apply(0, instances(1, vec![instance("i-1", true, 0)]));
     holder.apply(0, instances(2, vec![]));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_snapshot_counts_cold_times_down() {
+fn snapshot_counts_slow_starts_down() {
     let mut holder = AppliedState::new();
     holder.apply(1_000, instances(1, vec![instance("i-1", false, 700), instance("i-2", false, 100)]));
     let list = vec![instance("i-1", false, 400), instance("i-2", false, 0)];
--- a/controlplane/distribution/tests/changes.rs
+++ b/controlplane/distribution/tests/changes.rs
@@ -34,7 +34,7 @@
 }
 
 /// Ids are told once in a list.
-fn without_repeats(mut section: Instances, version: u64) -> Instances {
+fn deduplicated(mut section: Instances, version: u64) -> Instances {
     section.version = version;
     let mut section = by_id(section);
     section.list.dedup_by(|one, other| one.id == other.id);
@@ -61,18 +61,18 @@
 }
 
 quickcheck! {
-    fn changes_lead_from_one_list_to_the_other(older: Any<Instances>, newer: Any<Instances>, shared: Any<Instances>) -> bool {
+    fn changes_turn_one_list_into_the_other(older: Any<Instances>, newer: Any<Instances>, shared: Any<Instances>) -> bool {
         let mut both = [older.0, newer.0];
         both.iter_mut().for_each(|section| section.list.extend(shared.0.list.clone()));
         let [older, newer] = both;
-        let (mut older, newer) = (without_repeats(older, 7), without_repeats(newer, 9));
+        let (mut older, newer) = (deduplicated(older, 7), deduplicated(newer, 9));
         let changes = InstanceChanges::between(&older, &newer);
         changes.apply_to(&mut older) && by_id(older) == newer
     }
 }
 
 #[test]
-fn a_connection_that_was_sent_the_list_before_is_sent_the_changes() {
+fn connection_with_the_previous_list_is_sent_the_changes() {
     let mut publisher = subscribed();
     acknowledge(&mut publisher, 100, 1);
     publisher.set_instances(300, listed(2, 1, 21));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_connection_that_missed_a_list_is_sent_the_whole_one() {
+fn connection_that_missed_a_list_is_sent_the_complete_one() {
     let mut publisher = subscribed();
     publisher.set_instances(300, listed(2, 1, 21));
     publisher.set_instances(600, listed(3, 1, 22));
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_connection_that_acknowledges_nothing_is_sent_the_whole_list_again() {
+fn connection_without_acknowledgements_is_sent_the_complete_list_again() {
     let mut publisher = subscribed();
     for (now, version) in [(300, 2), (600, 3), (900, 4)] {
         publisher.set_instances(now, listed(version, 0, 20 + version));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn the_changes_that_nobody_acknowledged_are_followed_by_the_whole_list() {
+fn unacknowledged_changes_are_followed_by_the_complete_list() {
     let mut publisher = subscribed();
     acknowledge(&mut publisher, 100, 1);
     publisher.set_instances(300, listed(2, 0, 21));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn cold_times_that_pass_are_no_change() {
+fn elapsed_slow_start_is_not_a_change() {
     let mut publisher = Publisher::new();
     let cold = |version, slow_start_ms| {
         let list = (0..10).map(|number| instance(number, slow_start_ms)).collect();
--- a/controlplane/distribution/tests/codec.rs
+++ b/controlplane/distribution/tests/codec.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn no_bytes_are_no_message() {
+fn empty_input_is_no_message() {
     assert!(decode_hello(&[]).is_err());
     assert!(decode_to_balancer(&[]).is_err());
     assert!(decode_report(&[]).is_err());
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_large_claim_in_few_bytes_is_refused() {
+fn large_length_in_few_bytes_is_refused() {
     let claim = [0, 0, 0, 0, 0xff, 0xff, 0xff, 0x7f, 0, 0, 0, 0, 0, 0, 0, 0];
     assert!(decode_report(&claim).is_err());
 }
--- a/controlplane/distribution/tests/frame.rs
+++ b/controlplane/distribution/tests/frame.rs
@@ -28,7 +28,7 @@
 }
 
 quickcheck! {
-    fn pieces_of_any_size_give_the_same_frames(frames: Vec<(u8, Vec<u8>)>, piece: usize) -> bool {
+    fn chunks_of_any_size_give_the_same_frames(frames: Vec<(u8, Vec<u8>)>, piece: usize) -> bool {
         let mut decoder = FrameDecoder::default();
         let mut received = Vec::new();
         for bytes in buffer(&frames).as_slice().chunks(piece % 9 + 1) {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_payload_above_the_bound_is_not_taken_for_sending() {
+fn oversized_payload_is_not_queued() {
     let mut buffer = FrameBuffer::default();
     let payload = vec![0; MAXIMUM_PAYLOAD_BYTES + 1];
     assert!(matches!(buffer.push(FrameKind::Replica, &payload), Err(FrameError::TooLong { .. })));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn frames_that_came_together_are_had_without_waiting() {
+fn frames_received_together_are_returned_without_waiting() {
     run(async {
         let (mut near, far) = tokio::io::duplex(1 << 10);
         buffer(&[(0, vec![1]), (1, vec![2])]).write_to(&mut near).await.unwrap();
--- a/controlplane/distribution/tests/publisher.rs
+++ b/controlplane/distribution/tests/publisher.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_subscriber_that_lags_is_named_with_its_section() {
+fn lagging_subscriber_is_listed_with_its_section() {
     let mut publisher = Publisher::new();
     publisher.configure(configured(4));
     subscribed(&mut publisher);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn cold_times_count_down_until_they_are_sent() {
+fn slow_starts_count_down_until_they_are_sent() {
     let mut publisher = Publisher::new();
     let instance = Instance {
         id: "i-1".to_owned(),
--- a/controlplane/registry/tests/instances.rs
+++ b/controlplane/registry/tests/instances.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_same_heartbeat_heard_again_by_gossip_changes_nothing() {
+fn heartbeat_received_again_by_gossip_changes_nothing() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 5));
     let record = registry.snapshot(0).remove(0);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn heartbeats_that_gossip_brings_late_change_nothing() {
+fn heartbeats_received_late_by_gossip_change_nothing() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 5));
     let mut record = registry.snapshot(0).remove(0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_drain_asks_for_a_commit_until_there_is_one() {
+fn drain_is_announced_until_it_is_committed() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     assert_eq!(registry.heartbeat(1, "a", &draining(1, 2)), HeartbeatEffect::DrainingAnnounced);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_late_word_of_a_drain_counts_too() {
+fn late_heartbeat_of_a_draining_instance_counts() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 9));
     assert_eq!(registry.heartbeat(1, "a", &draining(1, 8)), HeartbeatEffect::DrainingAnnounced);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_committed_drain_holds_for_an_instance_heard_of_later() {
+fn committed_drain_applies_to_an_instance_observed_later() {
     let mut registry = registry();
     registry.draining_committed("a");
     registry.heartbeat(0, "a", &ready(1, 1));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_ended_instance_stays_away() {
+fn deregistered_instance_is_not_added_again() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     let mut record = registry.snapshot(0).remove(0);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn an_instance_pushed_out_by_a_late_heartbeat_comes_back() {
+fn instance_displaced_by_a_late_heartbeat_comes_back() {
     let mut registry = registry();
     registry.heartbeat(0, "new", &ready(1, 3));
     registry.heartbeat(10, "old", &ready(1, 40));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn silence_ends_an_instance() {
+fn instance_is_removed_after_the_silence_timeout() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     for now in (0..=SILENCE_TIMEOUT_MS).step_by(500) {
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_newest_evidence_of_any_controller_counts_against_silence() {
+fn newest_heartbeat_at_any_controller_restarts_the_silence_timeout() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     let mut record = registry.snapshot(0).remove(0);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_record_older_than_the_silence_is_dropped() {
+fn record_older_than_the_silence_timeout_is_ignored() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     let record = InstanceRecord {
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_pause_of_the_controller_itself_is_no_silence_of_instances() {
+fn pause_of_the_controller_does_not_count_as_silence() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     registry.expire(500);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn what_fell_silent_during_a_cut_is_not_told_to_others_as_just_heard() {
+fn instance_silent_during_a_partition_keeps_its_age_for_others() {
     let mut returning = registry();
     returning.heartbeat(0, "a", &ready(1, 1));
     returning.set_isolated(100, true);
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn what_fell_silent_during_a_pause_is_not_told_to_others_as_just_heard() {
+fn instance_silent_during_a_pause_keeps_its_age_for_others() {
     let mut paused = registry();
     paused.heartbeat(0, "a", &ready(1, 1));
     paused.expire(500);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn an_address_that_another_instance_has_taken_during_a_cut_stays_taken() {
+fn address_taken_over_during_a_partition_stays_taken() {
     let mut returning = registry();
     returning.heartbeat(0, "a", &ready(1, 1));
     returning.set_isolated(100, true);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn the_cold_time_is_told_as_what_remains() {
+fn slow_start_is_exported_as_remaining_time() {
     let mut registry = registry();
     registry.heartbeat(1_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 1) });
     assert_eq!(registry.snapshot(1_500)[0].slow_start_ms, 2_500);
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn changes_hold_what_was_heard_here_once() {
+fn changes_contain_each_local_heartbeat_once() {
     let mut registry = registry();
     registry.heartbeat(0, "a", &ready(1, 1));
     registry.heartbeat(0, "a", &ready(1, 2));
@@ -309,16 +309,16 @@
 
 /// A few heartbeats of a few instances.
 #[derive(Clone, Debug)]
-struct Beat {
+struct RandomHeartbeat {
     instance: u8,
     sequence: u64,
     draining: bool,
     slow_start_ms: u64,
 }
 
-impl Arbitrary for Beat {
+impl Arbitrary for RandomHeartbeat {
     fn arbitrary(g: &mut Gen) -> Self {
-        Beat {
+        RandomHeartbeat {
             instance: u8::arbitrary(g) % 4,
             sequence: u64::arbitrary(g) % 16,
             draining: u8::arbitrary(g) % 8 == 0,
@@ -327,11 +327,11 @@
     }
 }
 
-fn play(registry: &mut InstanceRegistry, now: u64, beat: &Beat) {
-    let state = if beat.draining { InstanceState::Draining } else { InstanceState::Ready };
+fn play(registry: &mut InstanceRegistry, now: u64, random: &RandomHeartbeat) {
+    let state = if random.draining { InstanceState::Draining } else { InstanceState::Ready };
     let heartbeat =
-        Heartbeat { state, slow_start_ms: beat.slow_start_ms, ..ready(beat.instance, beat.sequence) };
-    registry.heartbeat(now, &format!("i{}", beat.instance), &heartbeat);
+        Heartbeat { state, slow_start_ms: random.slow_start_ms, ..ready(random.instance, random.sequence) };
+    registry.heartbeat(now, &format!("i{}", random.instance), &heartbeat);
 }
 
 fn sorted(registry: &InstanceRegistry, now: u64) -> Vec<InstanceRecord> {
@@ -341,9 +341,9 @@
 }
 
 quickcheck! {
-    fn merging_twice_is_merging_once(beats: Vec<Beat>) -> bool {
+    fn merging_twice_is_merging_once(heartbeats: Vec<RandomHeartbeat>) -> bool {
         let (mut source, mut copy) = (registry(), registry());
-        beats.iter().for_each(|beat| play(&mut source, 100, beat));
+        heartbeats.iter().for_each(|random| play(&mut source, 100, random));
         let records = source.snapshot(100);
         for record in &records {
             copy.merge(100, record.clone());
@@ -353,10 +353,10 @@
         !again && once == sorted(&copy, 100) && once == sorted(&source, 100)
     }
 
-    fn controllers_that_exchange_all_agree_on_sequences_and_drains(first: Vec<Beat>, second: Vec<Beat>) -> bool {
+    fn controllers_that_exchange_everything_agree_on_sequences_and_drains(first: Vec<RandomHeartbeat>, second: Vec<RandomHeartbeat>) -> bool {
         let (mut a, mut b) = (registry(), registry());
-        first.iter().for_each(|beat| play(&mut a, 100, beat));
-        second.iter().for_each(|beat| play(&mut b, 100, beat));
+        first.iter().for_each(|random| play(&mut a, 100, random));
+        second.iter().for_each(|random| play(&mut b, 100, random));
         let (from_a, from_b) = (a.take_changes(100), b.take_changes(100));
         from_a.into_iter().for_each(|record| { b.merge(100, record); });
         from_b.into_iter().for_each(|record| { a.merge(100, record); });
@@ -366,13 +366,13 @@
         seen(&a) == seen(&b)
     }
 
-    fn a_drain_is_never_taken_back(beats: Vec<Beat>) -> bool {
+    fn drain_is_never_reverted(heartbeats: Vec<RandomHeartbeat>) -> bool {
         let mut registry = registry();
         let mut drained = std::collections::BTreeSet::new();
-        beats.iter().all(|beat| {
-            play(&mut registry, 100, beat);
-            if beat.draining {
-                drained.insert(format!("i{}", beat.instance));
+        heartbeats.iter().all(|random| {
+            play(&mut registry, 100, random);
+            if random.draining {
+                drained.insert(format!("i{}", random.instance));
             }
             registry.snapshot(100).iter().all(|record| record.draining == drained.contains(&record.id))
         })
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn what_is_recalled_counts_like_heard_until_it_has_been_silent() {
+fn restored_instance_is_kept_until_the_silence_timeout() {
     let mut registry = registry();
     assert!(registry.restore(0, record(1, "a", 3)));
     assert_eq!(ids(&registry), ["a"]);
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn a_heartbeat_confirms_what_was_recalled() {
+fn heartbeat_confirms_a_restored_instance() {
     let mut registry = registry();
     registry.restore(0, record(1, "a", 3));
     registry.restore(0, record(2, "b", 3));
@@ -422,7 +422,7 @@
 }
 
 #[test]
-fn a_record_of_another_controller_confirms_what_was_recalled_at_its_age() {
+fn remote_record_confirms_a_restored_instance_at_its_age() {
     let mut registry = registry();
     registry.restore(5_000, record(1, "a", 3));
     registry.merge(5_000, InstanceRecord { age_ms: 3_000, ..record(1, "a", 3) });
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn a_recalled_instance_gives_way_to_another_one_at_its_address() {
+fn restored_instance_yields_its_address_to_another_one() {
     let mut registry = registry();
     registry.restore(5_000, record(1, "a", 3));
     registry.merge(5_000, InstanceRecord { age_ms: 1_000, ..record(1, "b", 1) });
@@ -443,7 +443,7 @@
 }
 
 #[test]
-fn what_has_departed_is_not_recalled_as_ready() {
+fn departed_instance_is_not_restored_as_ready() {
     let mut registry = registry();
     registry.deregistered("a");
     registry.draining_committed("b");
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn a_recalled_cold_time_counts_from_the_recall() {
+fn restored_slow_start_counts_from_the_restore() {
     let mut registry = registry();
     registry.restore(1_000, InstanceRecord { slow_start_ms: 2_000, ..record(1, "a", 3) });
     assert_eq!(registry.snapshot(1_500)[0].slow_start_ms, 1_500);
--- a/controlplane/registry/tests/leases.rs
+++ b/controlplane/registry/tests/leases.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_balancer_started_anew_counts_once() {
+fn restarted_balancer_counts_once() {
     let mut table = table();
     table.renew(0, lease(1, "z1", "r1"));
     assert!(table.renew(5_000, Lease { incarnation: 2, ..lease(1, "z1", "r1") }));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn leaving_holds_for_the_rest_of_an_incarnation() {
+fn shutdown_lasts_for_the_rest_of_an_incarnation() {
     let mut table = table();
     table.renew(100, Lease { shutting_down: true, ..lease(1, "z1", "r1") });
     table.merge(105, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 0 });
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_older_record_changes_nothing() {
+fn older_record_changes_nothing() {
     let mut table = table();
     table.renew(1_000, Lease { incarnation: 2, ..lease(1, "z1", "r1") });
     assert!(!table.merge(1_100, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 500 }));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn new_rates_alone_are_no_change() {
+fn changed_rates_are_not_a_change() {
     let mut table = table();
     assert!(table.renew(0, lease(1, "z1", "r1")));
     let version = table.version();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn changes_hold_renewals_made_here_once() {
+fn changes_contain_each_local_renewal_once() {
     let mut table = table();
     table.renew(0, lease(1, "z1", "r1"));
     table.merge(0, LeaseRecord { lease: lease(2, "z1", "r1"), age_ms: 0 });
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_recalled_lease_holds_for_a_whole_term() {
+fn restored_lease_lasts_for_a_full_term() {
     let mut table = table();
     let lease = lease(1, "z1", "r1");
     assert!(table.restore(10_000, LeaseRecord { lease: lease.clone(), age_ms: 1_500 }));
@@ -144,14 +144,14 @@
 }
 
 #[test]
-fn a_recalled_lease_that_was_lost_before_only_counts() {
+fn restored_lease_that_had_ended_is_only_counted() {
     let mut table = table();
     table.restore(40_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: LEASE_MS + 1 });
     assert_eq!((table.live(40_000).count(), table.balancers(40_000)), (0, 1));
 }
 
 #[test]
-fn what_another_controller_heard_takes_the_place_of_a_recalled_lease() {
+fn remote_renewal_replaces_a_restored_lease() {
     let mut table = table();
     table.restore(10_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 0 });
     table.restore(10_000, LeaseRecord { lease: lease(2, "z1", "r1"), age_ms: 0 });
