--- a/controlplane/controller/examples/load.rs
+++ b/controlplane/controller/examples/load.rs
@@ -159,7 +159,7 @@
         slots: 128,
         sequence: now,
         draining: false,
-        gone: false,
+        deregistered: false,
         slow_start_ms: 0,
         age_ms: 100,
     }
--- a/controlplane/controller/src/controller/gossip.rs
+++ b/controlplane/controller/src/controller/gossip.rs
@@ -73,7 +73,8 @@
             return;
         }
         self.snapshots_sent.insert(to, now);
-        let scope = if self.is_discovery_complete(now) { GossipScope::Complete } else { GossipScope::Heard };
+        let scope =
+            if self.is_discovery_complete(now) { GossipScope::Complete } else { GossipScope::Observed };
         let gossip = gossip_records::observed(now, scope, &self.registry, &self.leases);
         let payload = Bytes::from(encode_gossip(&gossip));
         self.actions.push(Action::SendPeer { to, kind: FrameKind::Gossip, payload });
--- a/controlplane/controller/src/gossip_records.rs
+++ b/controlplane/controller/src/gossip_records.rs
@@ -121,7 +121,7 @@
         slots: record.slots,
         sequence: record.sequence,
         draining: record.draining,
-        gone: false,
+        deregistered: false,
         slow_start_ms: record.slow_start_ms,
         age_ms: record.age_ms,
     }
--- a/controlplane/controller/tests/folder_fixture.rs
+++ b/controlplane/controller/tests/folder_fixture.rs
@@ -328,7 +328,7 @@
         slots: 6,
         sequence,
         draining,
-        gone: false,
+        deregistered: false,
         slow_start_ms: 0,
         age_ms,
     };
--- a/controlplane/distribution/examples/publish.rs
+++ b/controlplane/distribution/examples/publish.rs
@@ -5,7 +5,7 @@
 
 fn main() {
     let subscriber = SubscriberId(1);
-    let (mut publisher, mut holder) = (Publisher::new(), AppliedState::new());
+    let (mut publisher, mut applied) = (Publisher::new(), AppliedState::new());
     publisher.configure(Configured { sequence: 1, body: Bytes::from_static(b"{}") });
     publisher.subscribe(subscriber, Versions::default());
     for now in [0, 10, 20] {
@@ -14,9 +14,9 @@
         }
         match publisher.update_for(now, subscriber) {
             Some(update) => {
-                let news = holder.apply(now, update);
-                println!("at {now} ms: {news:?}");
-                publisher.acknowledge(now, subscriber, holder.versions());
+                let changes = applied.apply(now, update);
+                println!("at {now} ms: {changes:?}");
+                publisher.acknowledge(now, subscriber, applied.versions());
             }
             None => println!("at {now} ms: nothing new"),
         }
--- a/controlplane/distribution/src/applied_state.rs
+++ b/controlplane/distribution/src/applied_state.rs
@@ -1,14 +1,14 @@
-//! What the receiver of updates holds: the newest section of each kind.
+//! The state of a receiver of updates: the newest section of each kind.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::{Configured, Evacuations, Fleet, Instances, Update, Versions};
 
-/// The most ids of draining instances that are remembered.
-const REMEMBERED_DRAINING: usize = 4096;
+/// The number of ids of draining instances that are kept.
+const DRAINING_CAPACITY: usize = 4096;
 
 /// The newest sections received. Configurations and evacuations follow the replicated history and only go forward;
-/// instances and fleet are each controller's own view, so the newest received stands.
+/// instances and fleet are each controller's own view, so the last one received applies.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedState {
     configured: Option<Configured>,
@@ -20,11 +20,13 @@
 }
 
 impl AppliedState {
+    /// A state without sections.
     pub fn new() -> Self {
         AppliedState::default()
     }
 
-    /// Takes the sections of an update that are news, and returns just these.
+    /// Applies the sections of an update that change anything, and returns just these. Changes of instances are not
+    /// applied: they are to be expanded to a list first ([`InstanceChanges::apply_to`](crate::InstanceChanges::apply_to)).
     pub fn apply(&mut self, now: u64, update: Update) -> Update {
         Update {
             configured: update.configured.filter(|section| self.take_configured(section)),
@@ -35,12 +37,12 @@
         }
     }
 
-    /// From now on this instance is draining, whoever speaks of it.
+    /// Marks an instance as draining from now on, whatever later lists say.
     pub fn retire(&mut self, instance: &str) {
         self.draining.insert(instance);
     }
 
-    /// Everything that is held as of now, for a receiver that has nothing yet.
+    /// All sections as of now, for a receiver that has none yet.
     pub fn snapshot(&self, now: u64) -> Update {
         let elapsed_ms = now.saturating_sub(self.instances_at);
         Update {
@@ -52,24 +54,27 @@
         }
     }
 
+    /// The configuration, if one was received.
     pub fn configured(&self) -> Option<&Configured> {
         self.configured.as_ref()
     }
 
+    /// The evacuated zones, if they were received.
     pub fn evacuations(&self) -> Option<&Evacuations> {
         self.evacuations.as_ref()
     }
 
-    /// The instances as they were received; `snapshot` counts the cold times down.
+    /// The instances as they were received; `snapshot` counts the slow starts down.
     pub fn instances(&self) -> Option<&Instances> {
         self.instances.as_ref()
     }
 
+    /// The state of the fleet, if it was received.
     pub fn fleet(&self) -> Option<&Fleet> {
         self.fleet.as_ref()
     }
 
-    /// The version of each section that is held, as a `Report` acknowledges them.
+    /// The version of each section, 0 without one, as a [`Report`](crate::Report) acknowledges them.
     pub fn versions(&self) -> Versions {
         Versions {
             configured: self.configured.as_ref().map_or(0, |section| section.sequence),
@@ -80,7 +85,7 @@
     }
 
     fn take_configured(&mut self, section: &Configured) -> bool {
-        let newer = self.configured.as_ref().is_none_or(|held| section.sequence > held.sequence);
+        let newer = self.configured.as_ref().is_none_or(|present| section.sequence > present.sequence);
         if newer {
             self.configured = Some(section.clone());
         }
@@ -88,14 +93,14 @@
     }
 
     fn take_evacuations(&mut self, section: &Evacuations) -> bool {
-        let newer = self.evacuations.as_ref().is_none_or(|held| section.sequence > held.sequence);
+        let newer = self.evacuations.as_ref().is_none_or(|present| section.sequence > present.sequence);
         if newer {
             self.evacuations = Some(section.clone());
         }
         newer
     }
 
-    /// An instance that was draining once stays so, whichever controller speaks of it later.
+    /// An instance that was draining once stays so, whatever another controller's list says.
     fn take_instances(&mut self, now: u64, mut section: Instances) -> Option<Instances> {
         for instance in &mut section.list {
             if instance.draining {
@@ -121,7 +126,7 @@
     }
 }
 
-/// Ids of instances that were draining; the oldest are forgotten first.
+/// Ids of instances that were draining; beyond the capacity the oldest are removed.
 #[derive(Clone, Debug, Default)]
 struct DrainingIds {
     ids: HashSet<String>,
@@ -137,7 +142,7 @@
         if self.contains(id) {
             return;
         }
-        if self.order.len() == REMEMBERED_DRAINING
+        if self.order.len() == DRAINING_CAPACITY
             && let Some(oldest) = self.order.pop_front()
         {
             self.ids.remove(&oldest);
--- a/controlplane/distribution/src/codec.rs
+++ b/controlplane/distribution/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the bytes of a frame's payload. The schema is in schema/distribution.capnp.
+//! Encoding of messages as the payloads of frames. The schema is in `schema/distribution.capnp`.
 
 mod balancer;
 mod gossip;
--- a/controlplane/distribution/src/codec/balancer.rs
+++ b/controlplane/distribution/src/codec/balancer.rs
@@ -17,6 +17,7 @@
     ToBalancer, Update,
 };
 
+/// Encodes a message of the type [`ToBalancer`].
 pub fn encode_to_balancer(to_balancer: &ToBalancer) -> Vec<u8> {
     let mut message = new_message();
     let builder = message.init_root::<to_balancer::Builder<'_>>();
@@ -27,6 +28,7 @@
     write_message_to_words(&message)
 }
 
+/// Decodes a message of the type [`ToBalancer`].
 pub fn decode_to_balancer(bytes: &[u8]) -> Result<ToBalancer, DecodeError> {
     let message = read_message(bytes)?;
     match message.get_root::<to_balancer::Reader<'_>>()?.which()? {
--- a/controlplane/distribution/src/codec/gossip.rs
+++ b/controlplane/distribution/src/codec/gossip.rs
@@ -9,6 +9,7 @@
 use crate::distribution_capnp::{self, gossip, gossip_instance, gossip_lease};
 use crate::{Gossip, GossipInstance, GossipLease, GossipScope};
 
+/// Encodes a message of the type [`Gossip`].
 pub fn encode_gossip(gossip: &Gossip) -> Vec<u8> {
     let mut message = new_message();
     let mut builder = message.init_root::<gossip::Builder<'_>>();
@@ -24,6 +25,7 @@
     write_message_to_words(&message)
 }
 
+/// Decodes a message of the type [`Gossip`].
 pub fn decode_gossip(bytes: &[u8]) -> Result<Gossip, DecodeError> {
     let message = read_message(bytes)?;
     let reader = message.get_root::<gossip::Reader<'_>>()?;
@@ -35,7 +37,7 @@
 fn scope_to_wire(scope: GossipScope) -> distribution_capnp::GossipScope {
     match scope {
         GossipScope::Changes => distribution_capnp::GossipScope::Changes,
-        GossipScope::Heard => distribution_capnp::GossipScope::Heard,
+        GossipScope::Observed => distribution_capnp::GossipScope::Heard,
         GossipScope::Complete => distribution_capnp::GossipScope::Complete,
         GossipScope::Restored => distribution_capnp::GossipScope::Recalled,
     }
@@ -44,7 +46,7 @@
 fn scope_from_wire(scope: distribution_capnp::GossipScope) -> GossipScope {
     match scope {
         distribution_capnp::GossipScope::Changes => GossipScope::Changes,
-        distribution_capnp::GossipScope::Heard => GossipScope::Heard,
+        distribution_capnp::GossipScope::Heard => GossipScope::Observed,
         distribution_capnp::GossipScope::Complete => GossipScope::Complete,
         distribution_capnp::GossipScope::Recalled => GossipScope::Restored,
     }
@@ -57,7 +59,7 @@
     builder.set_slots(instance.slots);
     builder.set_sequence(instance.sequence);
     builder.set_draining(instance.draining);
-    builder.set_gone(instance.gone);
+    builder.set_gone(instance.deregistered);
     builder.set_cold_ms(instance.slow_start_ms);
     builder.set_age_ms(instance.age_ms);
     write_endpoint(builder.init_address(), instance.address);
@@ -72,7 +74,7 @@
         slots: reader.get_slots(),
         sequence: reader.get_sequence(),
         draining: reader.get_draining(),
-        gone: reader.get_gone(),
+        deregistered: reader.get_gone(),
         slow_start_ms: reader.get_cold_ms(),
         age_ms: reader.get_age_ms(),
     })
--- a/controlplane/distribution/src/codec/report.rs
+++ b/controlplane/distribution/src/codec/report.rs
@@ -12,6 +12,7 @@
 use crate::distribution_capnp::{hello, report};
 use crate::{Hello, Report, Role};
 
+/// Encodes a message of the type [`Hello`].
 pub fn encode_hello(hello: &Hello) -> Vec<u8> {
     let mut message = new_message();
     let mut builder = message.init_root::<hello::Builder<'_>>();
@@ -23,6 +24,7 @@
     write_message_to_words(&message)
 }
 
+/// Decodes a message of the type [`Hello`].
 pub fn decode_hello(bytes: &[u8]) -> Result<Hello, DecodeError> {
     let message = read_message(bytes)?;
     let reader = message.get_root::<hello::Reader<'_>>()?;
@@ -33,6 +35,7 @@
     Ok(Hello { role, endpoint: read_endpoint(reader.get_endpoint()?)? })
 }
 
+/// Encodes a message of the type [`Report`].
 pub fn encode_report(report: &Report) -> Vec<u8> {
     let mut message = new_message();
     let mut builder = message.init_root::<report::Builder<'_>>();
@@ -49,6 +52,7 @@
     write_message_to_words(&message)
 }
 
+/// Decodes a message of the type [`Report`].
 pub fn decode_report(bytes: &[u8]) -> Result<Report, DecodeError> {
     let message = read_message(bytes)?;
     let reader = message.get_root::<report::Reader<'_>>()?;
--- a/controlplane/distribution/src/frame.rs
+++ b/controlplane/distribution/src/frame.rs
@@ -1,19 +1,21 @@
-//! Frames on a byte stream: four bytes of length, one byte of kind, then the payload. The length counts the payload
-//! alone and is bounded, so that a broken peer cannot make the reader allocate at will.
+//! Framing of messages on a byte stream: four bytes of length, one byte of kind, then the payload. The length counts the
+//! payload only and is bounded, so that a faulty peer can't make the reader allocate without limit.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use snafu::{ResultExt, Snafu, ensure};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The longest payload of a frame.
+/// The longest payload of a frame, in bytes.
 pub const MAXIMUM_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
+/// Length and kind.
 const HEADER_BYTES: usize = 5;
+/// The space that is reserved for a read.
 const READ_BYTES: usize = 8 * 1024;
-/// A buffer that has grown beyond this is given back once it is empty.
+/// A write buffer that has grown beyond this is freed once it is empty.
 const KEPT_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a frame's payload holds.
+/// The type of a frame's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum FrameKind {
@@ -42,34 +44,55 @@
     }
 }
 
+/// One message on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
+    /// The type of the payload.
     pub kind: FrameKind,
+    /// The encoded message.
     pub payload: Bytes,
 }
 
+/// Why a connection can't go on.
 #[derive(Debug, Snafu)]
 pub enum FrameError {
+    /// The kind is none of [`FrameKind`].
     #[snafu(display("a frame of unknown kind {kind}"))]
-    UnknownKind { kind: u8 },
+    UnknownKind {
+        /// The byte that was received.
+        kind: u8,
+    },
+    /// The payload exceeds [`MAXIMUM_PAYLOAD_BYTES`].
     #[snafu(display("a frame of {length} bytes, above the bound of {MAXIMUM_PAYLOAD_BYTES}"))]
-    TooLong { length: usize },
+    TooLong {
+        /// The length of the payload.
+        length: usize,
+    },
+    /// The connection ended inside a frame.
     #[snafu(display("the connection ended inside a frame"))]
     Truncated,
+    /// Reading failed.
     #[snafu(display("reading from the connection"))]
-    Read { source: std::io::Error },
+    Read {
+        /// What the system reports.
+        source: std::io::Error,
+    },
+    /// Writing failed.
     #[snafu(display("writing to the connection"))]
-    Write { source: std::io::Error },
+    Write {
+        /// What the system reports.
+        source: std::io::Error,
+    },
 }
 
-/// Takes frames out of received bytes.
+/// Decodes frames from received bytes.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
 impl FrameDecoder {
-    /// The next whole frame, if its bytes have arrived.
+    /// The next frame, if all of its bytes have been received.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         if self.buffer.len() < HEADER_BYTES {
             return Ok(None);
@@ -108,11 +131,12 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
+    /// A reader of a connection's frames, from its first byte.
     pub fn new(reader: R) -> Self {
         FrameReader { reader, decoder: FrameDecoder::default() }
     }
 
-    /// The next frame, or none at an orderly end. Nothing is lost if the future is dropped before it is ready.
+    /// The next frame, or none at an orderly end. Cancel safe: nothing is lost if the future is dropped.
     pub async fn next(&mut self) -> Result<Option<Frame>, FrameError> {
         loop {
             if let Some(frame) = self.decoder.next_frame()? {
@@ -126,19 +150,20 @@
         }
     }
 
-    /// A further frame that has already been read, without waiting.
+    /// A further frame that has been received already, without waiting.
     pub fn buffered(&mut self) -> Result<Option<Frame>, FrameError> {
         self.decoder.next_frame()
     }
 }
 
-/// Frames that wait to be written together.
+/// Frames that are to be written together.
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
     bytes: BytesMut,
 }
 
 impl FrameBuffer {
+    /// Appends a frame.
     pub fn push(&mut self, kind: FrameKind, payload: &[u8]) -> Result<(), FrameError> {
         ensure!(payload.len() <= MAXIMUM_PAYLOAD_BYTES, TooLongSnafu { length: payload.len() });
         self.bytes.reserve(HEADER_BYTES + payload.len());
@@ -148,26 +173,28 @@
         Ok(())
     }
 
+    /// Whether everything has been written.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Bytes that have not been written yet.
+    /// The number of bytes that have not been written yet.
     pub fn pending_bytes(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Forgets what has not been written; for a connection that has ended.
+    /// Drops what has not been written; for a connection that has ended.
     pub fn clear(&mut self) {
         self.bytes = BytesMut::new();
     }
 
+    /// The bytes that have not been written yet.
     pub fn as_slice(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Writes everything, in one call where the connection takes it. If the future is dropped before it is ready, the
-    /// rest stays for the next call.
+    /// Writes everything, in one call if the connection accepts that much. Cancel safe: if the future is dropped, the rest
+    /// stays for the next call.
     pub async fn write_to<W: AsyncWrite + Unpin>(&mut self, writer: &mut W) -> Result<(), FrameError> {
         while !self.bytes.is_empty() {
             let count = writer.write(&self.bytes).await.context(WriteSnafu)?;
--- a/controlplane/distribution/src/lib.rs
+++ b/controlplane/distribution/src/lib.rs
@@ -1,10 +1,24 @@
-//! Versioned updates from the control plane to the balancers over long-lived connections, and what the balancers
-//! report back. One protocol serves both hops: controller to agent, and agent to proxy. The controllers' own links
+//! Distribution of versioned state from the control plane to the balancers over long-lived connections, and the balancers'
+//! reports. One protocol serves both hops: controller to agent, and agent to proxy. The connections between controllers
 //! use the same framing.
+//!
+//! A [`Publisher`] on the sending side decides what each subscriber is sent; an [`AppliedState`] on the receiving side
+//! holds the newest sections. [`frame`] puts the encoded messages on a byte stream.
+//!
+//! ```
+//! use whinspindle_distribution::{AppliedState, Evacuations, Publisher, SubscriberId, Versions};
+//!
+//! let subscriber = SubscriberId(1);
+//! let (mut publisher, mut applied) = (Publisher::new(), AppliedState::new());
+//! publisher.subscribe(subscriber, Versions::default());
+//! publisher.evacuate(Evacuations { sequence: 1, zones: vec!["zone-a".to_owned()] });
+//!
+//! let update = publisher.update_for(0, subscriber).expect("there is a new section");
+//! applied.apply(0, update);
+//! publisher.acknowledge(10, subscriber, applied.versions());
+//! assert_eq!(publisher.update_for(20, subscriber), None);
+//! ```
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
-mod allowance;
 mod applied_state;
 mod changes;
 mod codec;
@@ -21,6 +35,7 @@
 mod distribution_capnp;
 pub mod frame;
 mod gossip;
+mod list_budget;
 mod message;
 mod publisher;
 
--- a/controlplane/distribution/src/message.rs
+++ b/controlplane/distribution/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of a link. A section of an update replaces what the receiver held of that section before.
+//! The messages of a connection. A section of an update replaces the receiver's former one.
 
 use std::net::SocketAddr;
 
@@ -7,8 +7,9 @@
 /// The first frame that the connecting side sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
+    /// What the connecting process is.
     pub role: Role,
-    /// Where the connecting process takes connections of other machines.
+    /// Where the connecting process accepts connections of other machines.
     pub endpoint: SocketAddr,
 }
 
@@ -21,48 +22,56 @@
     Balancer,
 }
 
-/// From the control plane towards a balancer.
+/// A message from the control plane towards a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToBalancer {
+    /// Newer sections.
     Update(Update),
+    /// A heartbeat with the state of the sender.
     Link(Link),
 }
 
-/// The state of the sender; the answer to the first report, then sent several times a second, so that a silent link
-/// is known to be dead.
+/// The state of the sender: the answer to the first report, then the heartbeat of the connection, several times a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Link {
-    /// The sender is in a chain of the newest view that it knows and hears a majority of the voters.
+    /// The sender is in the chain of the newest view that it knows, and in contact with a majority of the voters.
     pub in_quorum: bool,
-    /// The sender is about to stop: the receiver moves to another controller.
+    /// The sender is in graceful shutdown: the receiver moves to another controller.
     pub shutting_down: bool,
-    /// Controllers that the sender knows of, itself included; empty where nothing has changed since the last one.
+    /// The controllers that the sender knows, itself included; empty if unchanged since the last heartbeat.
     pub controllers: Vec<ControllerAddress>,
 }
 
-/// Where a controller takes connections of other machines, and where it stands.
+/// The address of a controller, and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControllerAddress {
+    /// Where it accepts connections of other machines.
     pub endpoint: SocketAddr,
+    /// The zone that it runs in.
     pub zone: String,
+    /// The region of that zone.
     pub region: String,
 }
 
 /// The sections that have changed since the receiver's last acknowledgement.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
+    /// The configuration.
     pub configured: Option<Configured>,
+    /// The evacuated zones.
     pub evacuations: Option<Evacuations>,
+    /// The complete list of upstream instances.
     pub instances: Option<Instances>,
+    /// The state of the fleet of balancers.
     pub fleet: Option<Fleet>,
-    /// In place of the instances, for a receiver that was sent the list that they build on.
+    /// Changes of the instances in place of the list, for a receiver that was sent the list that they build on.
     pub changes: Option<InstanceChanges>,
 }
 
 /// A committed configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configured {
-    /// The position in the replicated history. The receiver drops one that is not above what it holds.
+    /// The position in the replicated history. The receiver ignores one that is not newer than its own.
     pub sequence: u64,
     /// The operator's JSON, unchanged.
     pub body: Bytes,
@@ -71,19 +80,24 @@
 /// All zones that are evacuated now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
+    /// The position in the replicated history.
     pub sequence: u64,
+    /// The evacuated zones.
     pub zones: Vec<String>,
 }
 
-/// All upstream instances that are known, and the ends of some. An agent passes no ends on to its proxy.
+/// All known upstream instances, and entries for some that have ended ([`Instance::ended`]). An agent doesn't forward the
+/// latter to its proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Instances {
+    /// The sender's own version of the list.
     pub version: u64,
+    /// The instances.
     pub list: Vec<Instance>,
 }
 
 impl Instances {
-    /// The same list as of a later moment: cold instances have that much less time to go.
+    /// The same list as of a later time: slow starts have that much less time left.
     pub fn aged(&self, elapsed_ms: u64) -> Instances {
         let mut aged = self.clone();
         aged.list.iter_mut().for_each(|instance| instance.age(elapsed_ms));
@@ -91,40 +105,45 @@
     }
 }
 
-/// What differs between two lists of one sender.
+/// The differences between two lists of one sender.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InstanceChanges {
     /// The version of the list that the changes build on.
     pub base: u64,
     /// The version of the list that they lead to.
     pub version: u64,
-    /// Instances that are new or look other, ends included.
+    /// Instances that are new or have changed, ended ones included.
     pub changed: Vec<Instance>,
-    /// Ids that the newer list doesn't name.
+    /// Ids that are not in the newer list.
     pub removed: Vec<String>,
 }
 
-/// One incarnation of an upstream.
+/// One upstream instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
+    /// Its id; each start of an upstream has a new one.
     pub id: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// Where it takes requests.
     pub address: SocketAddr,
+    /// The zone that it runs in.
     pub zone: String,
+    /// Requests that it handles at once.
     pub slots: u32,
-    /// Takes no new requests, now or ever again.
+    /// It takes no new requests, now or ever again.
     pub draining: bool,
-    /// Remaining time for which the instance is cold, from the moment this was sent, in milliseconds.
+    /// The remaining time of its slow start when this was sent, in milliseconds.
     pub slow_start_ms: u64,
 }
 
 impl Instance {
-    /// Counts the cold time down.
+    /// Counts the remaining slow start down.
     pub fn age(&mut self, elapsed_ms: u64) {
         self.slow_start_ms = self.slow_start_ms.saturating_sub(elapsed_ms);
     }
 
-    /// Says of an instance that it has ended, and nothing else.
+    /// An entry that says of an instance only that it has ended.
     pub fn ended(id: String) -> Instance {
         Instance {
             id,
@@ -137,17 +156,18 @@
         }
     }
 
-    /// Whether it is told of this instance just that it has ended.
+    /// Whether this is an entry of [`Instance::ended`].
     pub fn is_ended(&self) -> bool {
         self.draining && self.service.is_empty() && self.address.ip().is_unspecified()
     }
 }
 
-/// What the fleet of balancers is and sends.
+/// The state of the fleet of balancers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
+    /// The sender's own version of the section.
     pub version: u64,
-    /// Balancers that may be serving: the live ones, and those lost a short while ago.
+    /// The number of balancers that may be serving: those with a lease, and those that lost theirs a short while ago.
     pub balancers: u32,
     /// Requests a second that all balancers together send, by service and region.
     pub loads: Vec<RegionLoad>,
@@ -158,49 +178,65 @@
 /// Failures of an instance that one balancer has seen a short while ago.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceFailures {
+    /// The id of the instance.
     pub id: String,
+    /// The number of failed requests.
     pub failures: u32,
 }
 
+/// The instances of a service in a region.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServiceRegion {
+    /// The service.
     pub service: String,
+    /// The region.
     pub region: String,
 }
 
+/// The rate of requests to the instances of a service in a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionLoad {
+    /// Where the requests go.
     pub target: ServiceRegion,
+    /// Requests a second.
     pub requests_per_s: f64,
 }
 
 /// The newest version of each section that the receiver has applied; 0 before any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
+    /// The sequence of the configuration.
     pub configured: u64,
+    /// The sequence of the evacuations.
     pub evacuations: u64,
+    /// The version of the instances.
     pub instances: u64,
+    /// The version of the fleet's state.
     pub fleet: u64,
 }
 
-/// From a balancer towards the control plane: renews the balancer's lease and acknowledges updates. Sent right after
-/// the hello, then several times a second and at once when a section was applied.
+/// A balancer's message towards the control plane: renews its lease and acknowledges updates. Sent right after the hello,
+/// then several times a second, and at once when a section was applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
+    /// The name of the balancer's node.
     pub node: String,
     /// Differs for each start of the sending process.
     pub incarnation: u64,
+    /// The zone that it runs in.
     pub zone: String,
+    /// The region of that zone.
     pub region: String,
     /// Where clients connect.
     pub front: SocketAddr,
     /// The proxy has a configuration and takes clients.
     pub ready: bool,
-    /// The machine is stopping: no new clients are to be sent to it.
+    /// The machine is in graceful shutdown: no new clients are to be sent to it.
     pub shutting_down: bool,
+    /// The newest version of each section that it has applied.
     pub applied: Versions,
-    /// Requests a second that this balancer sends.
+    /// The rates of requests that it sends.
     pub sends: Vec<RegionLoad>,
-    /// Instances that have failed requests of this balancer lately.
+    /// Instances that have failed requests of it lately.
     pub failing: Vec<InstanceFailures>,
 }
--- a/controlplane/distribution/src/publisher.rs
+++ b/controlplane/distribution/src/publisher.rs
@@ -1,16 +1,18 @@
-//! The sender of updates: what is newest, and what each subscriber was sent and has acknowledged.
+//! The sender of updates: the newest sections, and what each subscriber was sent and has acknowledged.
+//!
+//! Sections are set as they change; [`Publisher::update_for`] then returns what a subscriber lacks, and its reports
+//! acknowledge what it has applied. A section whose acknowledgement is overdue is sent again.
+
+mod delivery;
 
 use std::collections::BTreeMap;
 
-use crate::allowance::ListAllowance;
+use self::delivery::Delivery;
+use crate::list_budget::ListBudget;
 use crate::{Configured, Evacuations, Fleet, InstanceChanges, Instances, Report, Update, Versions};
 
-/// A section that has not been acknowledged for this long is sent again.
-const RESEND_MS: u64 = 1_000;
-/// Changes of the instances are sent in place of the list if there are fewer of them than this part of it.
-const LEAST_SAVING: usize = 2;
-/// Each repeat doubles the wait, up to this.
-const LONGEST_RESEND_MS: u64 = 8_000;
+/// Changes of the instances are sent in place of the list if the list is longer by more than this factor.
+const MIN_CHANGE_SAVING: usize = 2;
 
 /// A connection of a balancer, numbered by the owner of the connections; a number is not used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -19,104 +21,96 @@
 /// The parts of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Section {
+    /// The configuration.
     Configured,
+    /// The evacuated zones.
     Evacuations,
+    /// The upstream instances.
     Instances,
+    /// The state of the fleet of balancers.
     Fleet,
 }
 
 /// A section that a subscriber was sent and has not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lag {
+    /// The subscriber that lags.
     pub subscriber: SubscriberId,
+    /// The section.
     pub section: Section,
     /// The version that was sent.
     pub version: u64,
-    /// Since the oldest version that has not been acknowledged was sent.
+    /// The time since the oldest unacknowledged version was sent, in milliseconds.
     pub waiting_ms: u64,
 }
 
-/// Holds the newest sections and decides what goes to which subscriber.
+/// The newest sections and the delivery to each subscriber.
 #[derive(Clone, Debug, Default)]
 pub struct Publisher {
     configured: Option<Configured>,
     evacuations: Option<Evacuations>,
     instances: Option<Instances>,
     instances_at: u64,
-    /// What may be sent of whole lists.
-    allowance: ListAllowance,
-    /// What leads from the list before to the one held, where that is less than the list.
+    /// Limits the complete lists of instances.
+    list_budget: ListBudget,
+    /// The changes from the previous list to the present one, where these are much shorter.
     changes: Option<InstanceChanges>,
     fleet: Option<Fleet>,
     subscribers: BTreeMap<SubscriberId, Subscriber>,
 }
 
+/// One connection: what its balancer has applied, and the delivery of each section.
 #[derive(Clone, Copy, Debug, Default)]
 struct Subscriber {
     applied: Versions,
-    configured: Progress,
-    evacuations: Progress,
-    instances: Progress,
-    fleet: Progress,
-}
-
-/// How far one subscriber is with one section on its present connection.
-#[derive(Clone, Copy, Debug, Default)]
-struct Progress {
-    sent: Option<Sent>,
-    /// The newest version of this connection that was acknowledged.
-    acknowledged: Option<u64>,
-}
-
-#[derive(Clone, Copy, Debug)]
-struct Sent {
-    first_version: u64,
-    version: u64,
-    /// When the oldest version that still waits for its acknowledgement was sent.
-    waiting_since: u64,
-    resend_at: u64,
-    resend_after_ms: u64,
+    configured: Delivery,
+    evacuations: Delivery,
+    instances: Delivery,
+    fleet: Delivery,
 }
 
 impl Publisher {
+    /// A publisher without sections and subscribers.
     pub fn new() -> Self {
         Publisher::default()
     }
 
-    /// Takes a committed configuration; false if it is not newer than the one held.
+    /// Sets the committed configuration; false, and no change, unless it is newer than the present one.
     pub fn configure(&mut self, section: Configured) -> bool {
-        let newer = self.configured.as_ref().is_none_or(|held| section.sequence > held.sequence);
+        let newer = self.configured.as_ref().is_none_or(|present| section.sequence > present.sequence);
         if newer {
             self.configured = Some(section);
         }
         newer
     }
 
-    /// Takes the committed evacuations; false if they are not newer than those held.
+    /// Sets the committed evacuations; false, and no change, unless they are newer than the present ones.
     pub fn evacuate(&mut self, section: Evacuations) -> bool {
-        let newer = self.evacuations.as_ref().is_none_or(|held| section.sequence > held.sequence);
+        let newer = self.evacuations.as_ref().is_none_or(|present| section.sequence > present.sequence);
         if newer {
             self.evacuations = Some(section);
         }
         newer
     }
 
-    /// Takes the instances that are known now.
+    /// Sets the known instances, as of `now`.
     pub fn set_instances(&mut self, now: u64, section: Instances) {
         let elapsed_ms = now.saturating_sub(self.instances_at);
-        let changes =
-            self.instances.as_ref().map(|held| InstanceChanges::between(&held.aged(elapsed_ms), &section));
-        self.changes = changes.filter(|changes| changes.len() * LEAST_SAVING < section.list.len());
+        let changes = self
+            .instances
+            .as_ref()
+            .map(|present| InstanceChanges::between(&present.aged(elapsed_ms), &section));
+        self.changes = changes.filter(|changes| changes.len() * MIN_CHANGE_SAVING < section.list.len());
         self.instances = Some(section);
         self.instances_at = now;
     }
 
-    /// Takes the state of the fleet.
+    /// Sets the state of the fleet.
     pub fn set_fleet(&mut self, section: Fleet) {
         self.fleet = Some(section);
     }
 
-    /// Versions of the sections held.
+    /// The versions of the newest sections.
     pub fn versions(&self) -> Versions {
         Versions {
             configured: self.configured.as_ref().map_or(0, |section| section.sequence),
@@ -126,16 +120,18 @@
         }
     }
 
-    /// Adds a connection, with the versions of its first report. Sections of the replicated history that the balancer
-    /// has already are not sent.
+    /// Adds a connection, with the versions of its first report. Configurations and evacuations that the balancer has
+    /// applied already are not sent.
     pub fn subscribe(&mut self, subscriber: SubscriberId, applied: Versions) {
         self.subscribers.insert(subscriber, Subscriber { applied, ..Subscriber::default() });
     }
 
+    /// Removes a connection.
     pub fn unsubscribe(&mut self, subscriber: SubscriberId) {
         self.subscribers.remove(&subscriber);
     }
 
+    /// All connections, in the order of their numbers.
     pub fn subscribers(&self) -> impl Iterator<Item = SubscriberId> + '_ {
         self.subscribers.keys().copied()
     }
@@ -143,30 +139,32 @@
     /// Whether a subscriber has a configuration, sent on this connection or reported as applied.
     pub fn has_configuration(&self, subscriber: SubscriberId) -> bool {
         let state = self.subscribers.get(&subscriber);
-        state.is_some_and(|state| state.applied.configured > 0 || state.configured.sent.is_some())
+        state.is_some_and(|state| state.applied.configured > 0 || state.configured.has_been_sent())
     }
 
-    /// What is to be sent to a subscriber now: sections newer than those sent on this connection, and those whose
-    /// acknowledgement is overdue. None where there is nothing to send. Of the instances the changes are sent to a
-    /// connection on which the list before was sent last and no acknowledgement is overdue, else the list.
+    /// The update to send to a subscriber now: sections newer than those sent on this connection, and those whose
+    /// acknowledgement is overdue; none if there is nothing to send. The instances are sent as changes on a connection on
+    /// which the previous list was sent last and no acknowledgement is overdue, otherwise as a complete list.
     pub fn update_for(&mut self, now: u64, subscriber: SubscriberId) -> Option<Update> {
         let state = self.subscribers.get_mut(&subscriber)?;
         let configured = self.configured.as_ref().filter(|section| {
-            section.sequence > state.applied.configured && state.configured.due(now, section.sequence)
+            section.sequence > state.applied.configured
+                && state.configured.begin_if_due(now, section.sequence)
         });
         let evacuations = self.evacuations.as_ref().filter(|section| {
-            section.sequence > state.applied.evacuations && state.evacuations.due(now, section.sequence)
+            section.sequence > state.applied.evacuations
+                && state.evacuations.begin_if_due(now, section.sequence)
         });
-        let base = state.instances.relied_on(now);
+        let base = state.instances.assumed_version(now);
         let changes = self.changes.as_ref().filter(|changes| Some(changes.base) == base);
-        let allowance = &mut self.allowance;
-        let instances = self.instances.as_ref().filter(|_| changes.is_some() || allowance.has_any(now));
-        let instances = instances.filter(|section| state.instances.due(now, section.version));
+        let list_budget = &mut self.list_budget;
+        let instances = self.instances.as_ref().filter(|_| changes.is_some() || list_budget.has_any(now));
+        let instances = instances.filter(|section| state.instances.begin_if_due(now, section.version));
         let changes = changes.filter(|_| instances.is_some());
         let instances = instances.filter(|_| changes.is_none());
-        allowance.spend(instances.map_or(0, |section| section.list.len()));
+        list_budget.spend(instances.map_or(0, |section| section.list.len()));
         let elapsed_ms = now.saturating_sub(self.instances_at);
-        let fleet = self.fleet.as_ref().filter(|section| state.fleet.due(now, section.version));
+        let fleet = self.fleet.as_ref().filter(|section| state.fleet.begin_if_due(now, section.version));
         let update = Update {
             configured: configured.cloned(),
             evacuations: evacuations.cloned(),
@@ -177,7 +175,7 @@
         (update != Update::default()).then_some(update)
     }
 
-    /// Takes the versions that a subscriber's report says are in force there.
+    /// Takes the versions that a subscriber has applied.
     pub fn acknowledge(&mut self, now: u64, subscriber: SubscriberId, applied: Versions) {
         let Some(state) = self.subscribers.get_mut(&subscriber) else { return };
         state.applied = applied;
@@ -187,7 +185,7 @@
         state.fleet.acknowledge(now, applied.fleet);
     }
 
-    /// As `acknowledge`, subscribing a connection that is new.
+    /// Takes a report: subscribes its connection if that is new, and acknowledges what it has applied.
     pub fn reported(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         if !self.subscribers.contains_key(&subscriber) {
             self.subscribe(subscriber, report.applied);
@@ -195,17 +193,17 @@
         self.acknowledge(now, subscriber, report.applied);
     }
 
-    /// What was sent and has not been acknowledged, for logs and status pages.
+    /// The sections that were sent and have not been acknowledged, for logs and the status.
     pub fn lagging(&self, now: u64) -> Vec<Lag> {
         self.subscribers.iter().flat_map(|(&subscriber, state)| state.lags(now, subscriber)).collect()
     }
 
-    /// Whether every subscriber has applied this position of the configuration.
+    /// Whether every subscriber has applied the configuration of this sequence.
     pub fn is_configured_everywhere(&self, sequence: u64) -> bool {
         self.subscribers.values().all(|state| state.applied.configured >= sequence)
     }
 
-    /// Whether every subscriber has applied this position of the evacuations.
+    /// Whether every subscriber has applied the evacuations of this sequence.
     pub fn is_evacuated_everywhere(&self, sequence: u64) -> bool {
         self.subscribers.values().all(|state| state.applied.evacuations >= sequence)
     }
@@ -219,67 +217,10 @@
             (Section::Instances, self.instances),
             (Section::Fleet, self.fleet),
         ];
-        sections.into_iter().filter_map(move |(section, progress)| {
-            let sent = progress.waiting()?;
+        sections.into_iter().filter_map(move |(section, delivery)| {
+            let sent = delivery.unacknowledged()?;
             let waiting_ms = now.saturating_sub(sent.waiting_since);
             Some(Lag { subscriber, section, version: sent.version, waiting_ms })
         })
     }
 }
-
-impl Progress {
-    /// What was sent last, if it has not been acknowledged.
-    fn waiting(&self) -> Option<Sent> {
-        self.sent.filter(|sent| self.acknowledged != Some(sent.version))
-    }
-
-    /// The version that the subscriber holds or is about to: the newest sent, unless it should have been acknowledged.
-    /// A connection keeps the order, so what was sent comes before what builds on it.
-    fn relied_on(&self, now: u64) -> Option<u64> {
-        let is_overdue = self.waiting().is_some_and(|sent| now >= sent.waiting_since + RESEND_MS);
-        self.sent.filter(|_| !is_overdue).map(|sent| sent.version)
-    }
-
-    /// Whether a version is to be sent now; if so, it is noted as sent.
-    fn due(&mut self, now: u64, version: u64) -> bool {
-        let Some(sent) = self.sent else {
-            self.sent = Some(Sent::first(now, version));
-            return true;
-        };
-        let waits = self.waiting().is_some();
-        if sent.version != version {
-            let waiting_since = if waits { sent.waiting_since } else { now };
-            let first_version = sent.first_version;
-            self.sent = Some(Sent { first_version, waiting_since, ..Sent::first(now, version) });
-            return true;
-        }
-        if !waits || now < sent.resend_at {
-            return false;
-        }
-        let resend_after_ms = (2 * sent.resend_after_ms).min(LONGEST_RESEND_MS);
-        self.sent = Some(Sent { resend_at: now + resend_after_ms, resend_after_ms, ..sent });
-        true
-    }
-
-    /// A version that this connection never carried is another controller's and says nothing.
-    fn acknowledge(&mut self, now: u64, applied: u64) {
-        let Some(sent) = &mut self.sent else { return };
-        if !(sent.first_version..=sent.version).contains(&applied) || self.acknowledged == Some(applied) {
-            return;
-        }
-        self.acknowledged = Some(applied);
-        sent.waiting_since = now;
-    }
-}
-
-impl Sent {
-    fn first(now: u64, version: u64) -> Sent {
-        Sent {
-            first_version: version,
-            version,
-            waiting_since: now,
-            resend_at: now + RESEND_MS,
-            resend_after_ms: RESEND_MS,
-        }
-    }
-}
--- a/controlplane/distribution/tests/common/mod.rs
+++ b/controlplane/distribution/tests/common/mod.rs
@@ -156,7 +156,8 @@
 
 impl Draw for Gossip {
     fn draw(source: &mut Gen) -> Self {
-        let scopes = [GossipScope::Changes, GossipScope::Heard, GossipScope::Complete, GossipScope::Restored];
+        let scopes =
+            [GossipScope::Changes, GossipScope::Observed, GossipScope::Complete, GossipScope::Restored];
         Gossip {
             scope: *source.choose(&scopes).unwrap_or(&GossipScope::Changes),
             instances: several(source, gossip_instance),
@@ -174,7 +175,7 @@
         slots: u32::arbitrary(source),
         sequence: u64::arbitrary(source),
         draining: bool::arbitrary(source),
-        gone: bool::arbitrary(source),
+        deregistered: bool::arbitrary(source),
         slow_start_ms: u64::arbitrary(source),
         age_ms: u64::arbitrary(source),
     }
--- a/controlplane/distribution/tests/wire_fixtures.rs
+++ b/controlplane/distribution/tests/wire_fixtures.rs
@@ -190,7 +190,7 @@
 }
 
 fn gossip(scope: GossipScope) -> Gossip {
-    let instance = |id: &str, address, draining, gone, sequence| GossipInstance {
+    let instance = |id: &str, address, draining, deregistered, sequence| GossipInstance {
         id: id.to_owned(),
         service: "desk".to_owned(),
         address,
@@ -198,7 +198,7 @@
         slots: 6,
         sequence,
         draining,
-        gone,
+        deregistered,
         slow_start_ms: 2_500,
         age_ms: 125,
     };
@@ -233,7 +233,7 @@
     let Gossip { scope, instances: _, leases: _ } = gossip;
     match scope {
         GossipScope::Changes => 0,
-        GossipScope::Heard => 1,
+        GossipScope::Observed => 1,
         GossipScope::Complete => 2,
         GossipScope::Restored => 3,
     }
@@ -243,7 +243,7 @@
 fn gossip_is_read_and_written_as_it_was() {
     let gossips = [
         ("gossip-changes", gossip(GossipScope::Changes)),
-        ("gossip-heard", gossip(GossipScope::Heard)),
+        ("gossip-heard", gossip(GossipScope::Observed)),
         ("gossip-complete", gossip(GossipScope::Complete)),
         ("gossip-recalled", gossip(GossipScope::Restored)),
     ];
