--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
-use whinspindle_controller::orders::Orders;
+use whinspindle_controller::commands::CommandApplication;
 use whinspindle_controller::{
     Action, CallId, Controller, ControllerSettings, Event, ProtocolRules, StandardRules,
 };
@@ -19,20 +19,20 @@
 };
 use whinspindle_replica::{DurableWrite, Message, Replica, ReplicaSettings, Timing, Tolerance};
 
-use super::lists::Lists;
+use super::instance_lists::InstanceLists;
 use super::{HEARTBEAT_MS, zones};
 
 /// The seeds are the first so many controllers that there are.
 pub const SEEDS: usize = 3;
 /// A caller takes a controller for silent after this time.
 const PATIENCE_MS: u64 = 1_000;
-/// The token of writes that the replica didn't order.
+/// The token of writes that the replica didn't command.
 const COMPACTION: u64 = u64::MAX;
 
-/// A frame, with the life of its sender's process: a new one means a new connection.
+/// A frame, with the incarnation of its sender's process: a new one means a new connection.
 #[derive(Clone)]
 pub struct Frame {
-    life: u64,
+    incarnation: u64,
     kind: FrameKind,
     payload: Bytes,
 }
@@ -41,7 +41,7 @@
     Call { id: CallId, call: Call },
     Report { subscriber: SubscriberId, report: Report },
     Closed { subscriber: SubscriberId },
-    Leave,
+    Shutdown,
 }
 
 pub enum Answer {
@@ -51,15 +51,15 @@
 }
 
 /// What each controller remembers on its disk, beside the journal of the cluster.
-type Memories = Rc<RefCell<HashMap<SocketAddr, Vec<u8>>>>;
+type SavedStates = Rc<RefCell<HashMap<SocketAddr, Vec<u8>>>>;
 
 /// One controller of the fleet.
 pub struct Node<L = StandardRules> {
     pub controller: Controller<L>,
     endpoint: SocketAddr,
-    memories: Memories,
-    life: u64,
-    lives: HashMap<SocketAddr, u64>,
+    saved_states: SavedStates,
+    incarnation: u64,
+    incarnations: HashMap<SocketAddr, u64>,
 }
 
 impl<L: ProtocolRules> Process for Node<L> {
@@ -70,7 +70,7 @@
     fn handle(&mut self, now: u64, event: Happening<Self>) -> Vec<Effect<Self>> {
         let actions = match event {
             Happening::Tick => {
-                let mut actions = self.controller.handle(now, Event::Remembered);
+                let mut actions = self.controller.handle(now, Event::StateSaved);
                 actions.extend(self.controller.handle(now, Event::Tick));
                 actions
             }
@@ -84,7 +84,7 @@
             Happening::Command(Command::Closed { subscriber }) => {
                 self.controller.handle(now, Event::SubscriberClosed { subscriber })
             }
-            Happening::Command(Command::Leave) => self.controller.handle(now, Event::Leave),
+            Happening::Command(Command::Shutdown) => self.controller.handle(now, Event::Shutdown),
             Happening::Persisted { token: COMPACTION } | Happening::PersistFailed { token: COMPACTION } => {
                 self.controller.handle(now, Event::Compacted)
             }
@@ -100,7 +100,7 @@
 impl<L: ProtocolRules> Node<L> {
     fn receive(&mut self, now: u64, from: SocketAddr, frame: Frame) -> Vec<Action> {
         let mut actions = Vec::new();
-        if self.lives.insert(from, frame.life) != Some(frame.life) {
+        if self.incarnations.insert(from, frame.incarnation) != Some(frame.incarnation) {
             actions = self.controller.handle(now, Event::PeerConnected { peer: from });
         }
         let event = match frame.kind {
@@ -123,7 +123,7 @@
         Some(match action {
             Action::Answer { id, response } => Effect::Answer(Answer::Response { id, response }),
             Action::SendPeer { to, kind, payload } => {
-                Effect::Send { to, message: Frame { life: self.life, kind, payload } }
+                Effect::Send { to, message: Frame { incarnation: self.incarnation, kind, payload } }
             }
             Action::SendBalancer { to, message: ToBalancer::Update(update) } => {
                 Effect::Answer(Answer::Update { subscriber: to, update })
@@ -138,8 +138,8 @@
                 Effect::Checkpoint { token, state }
             }
             Action::Compact { state } => Effect::Checkpoint { token: COMPACTION, state },
-            Action::Remember { memory } => {
-                self.memories.borrow_mut().insert(self.endpoint, memory);
+            Action::SaveState { state } => {
+                self.saved_states.borrow_mut().insert(self.endpoint, state);
                 return None;
             }
         })
@@ -150,7 +150,7 @@
     SocketAddr::from(([10, 0, 0, number], 7700))
 }
 
-fn start_node<L: ProtocolRules>(start: Start, memories: Memories) -> (Node<L>, Vec<Effect<Node<L>>>) {
+fn start_node<L: ProtocolRules>(start: Start, saved_states: SavedStates) -> (Node<L>, Vec<Effect<Node<L>>>) {
     let zones: BTreeMap<String, String> = zones();
     let (zone, region) = zones.iter().nth(start.endpoint.port() as usize % zones.len()).unwrap();
     let replica_settings = ReplicaSettings {
@@ -164,18 +164,18 @@
         tolerance: Tolerance::of_machines(1),
         timing: Timing::default(),
     };
-    let (replica, outputs) =
-        Replica::new(replica_settings, Orders, start.recovered, start.now).expect("the disk can be read");
+    let (replica, outputs) = Replica::new(replica_settings, CommandApplication, start.recovered, start.now)
+        .expect("the disk can be read");
     let address = ControllerAddress { endpoint: start.endpoint, zone: zone.clone(), region: region.clone() };
     let node = start.endpoint.to_string();
     let settings = ControllerSettings { node, address, zones, heartbeat_ms: HEARTBEAT_MS };
     let (mut controller, mut actions) = Controller::with_rules(settings, replica, outputs, start.now);
-    let memory = memories.borrow().get(&start.endpoint).cloned();
-    if let Some(memory) = memory {
-        actions.extend(controller.handle(start.now, Event::Recalled { memory: memory.into() }));
+    let state = saved_states.borrow().get(&start.endpoint).cloned();
+    if let Some(state) = state {
+        actions.extend(controller.handle(start.now, Event::StateRestored { state: state.into() }));
     }
-    let (endpoint, life) = (start.endpoint, start.chance);
-    let node = Node { controller, endpoint, memories, life, lives: HashMap::new() };
+    let (endpoint, incarnation) = (start.endpoint, start.chance);
+    let node = Node { controller, endpoint, saved_states, incarnation, incarnations: HashMap::new() };
     let effects = node.effects(actions);
     (node, effects)
 }
@@ -192,17 +192,17 @@
 /// Controllers, callers and what balancers were sent.
 pub struct Fleet<L: ProtocolRules = StandardRules> {
     pub cluster: Cluster<Node<L>>,
-    pub chance: Pcg,
+    pub random: Pcg,
     /// Share of the answers that don't reach their callers.
     pub lost_answers: f64,
     pub attempts: Vec<Attempt>,
     /// What balancers were sent, with the instances whole.
     pub updates: Vec<(SubscriberId, Update)>,
-    lists: Lists,
+    lists: InstanceLists,
     pub links: Vec<(SubscriberId, Link)>,
     /// Updates and links in the order in which they were sent.
     pub sent: Vec<(SubscriberId, ToBalancer)>,
-    memories: Memories,
+    saved_states: SavedStates,
     last_call: u64,
 }
 
@@ -216,9 +216,9 @@
 impl<L: ProtocolRules> Fleet<L> {
     /// Like [`Fleet::start`], under rules of the caller's choice.
     pub fn with_rules(seed: u64, count: u8) -> Self {
-        let memories = Memories::default();
-        let recalled = Rc::clone(&memories);
-        let starter = move |start| start_node(start, Rc::clone(&recalled));
+        let saved_states = SavedStates::default();
+        let shared_states = Rc::clone(&saved_states);
+        let starter = move |start| start_node(start, Rc::clone(&shared_states));
         let mut cluster = Cluster::new(seed, NetworkTiming::default(), DiskTiming::default(), starter);
         for number in 1..=count {
             cluster.add(endpoint(number), true);
@@ -228,14 +228,14 @@
         }
         let mut fleet = Fleet {
             cluster,
-            chance: Pcg::new(seed ^ 0x5eed),
+            random: Pcg::new(seed ^ 0x5eed),
             lost_answers: 0.0,
             attempts: Vec::new(),
             updates: Vec::new(),
-            lists: Lists::default(),
+            lists: InstanceLists::default(),
             links: Vec::new(),
             sent: Vec::new(),
-            memories,
+            saved_states,
             last_call: 0,
         };
         fleet.pass(4_000);
@@ -333,11 +333,11 @@
     /// The disk of a stopped controller is lost.
     pub fn wipe(&mut self, at: SocketAddr) {
         self.cluster.wipe(at);
-        self.memories.borrow_mut().remove(&at);
+        self.saved_states.borrow_mut().remove(&at);
     }
 
     /// Cuts a controller off from all others, or joins it again.
-    pub fn set_cut_off(&mut self, at: SocketAddr, cut_off: bool) {
+    pub fn set_partitioned(&mut self, at: SocketAddr, cut_off: bool) {
         for other in self.cluster.endpoints().into_iter().filter(|other| *other != at) {
             for (from, to) in [(at, other), (other, at)] {
                 if cut_off {
@@ -360,7 +360,7 @@
                 continue;
             }
             let call = attempt.call.clone();
-            let at = endpoints[self.chance.below(endpoints.len())];
+            let at = endpoints[self.random.below(endpoints.len())];
             self.send(index, at, call);
         }
     }
@@ -377,7 +377,7 @@
             Answer::Response { id, response } => self.answered(at, id, response),
             Answer::Update { subscriber, update } => {
                 self.sent.push((subscriber, ToBalancer::Update(update.clone())));
-                self.updates.push((subscriber, self.lists.whole(subscriber, update)));
+                self.updates.push((subscriber, self.lists.expand(subscriber, update)));
             }
             Answer::Link { subscriber, link } => {
                 self.sent.push((subscriber, ToBalancer::Link(link.clone())));
@@ -388,7 +388,7 @@
 
     fn answered(&mut self, at: u64, id: CallId, response: Response) {
         let waits = |attempt: &&mut Attempt| attempt.waiting.is_some_and(|(waiting, _)| waiting == id);
-        if self.lost_answers > 0.0 && self.chance.unit() < self.lost_answers {
+        if self.lost_answers > 0.0 && self.random.unit() < self.lost_answers {
             return;
         }
         let Some(attempt) = self.attempts.iter_mut().find(waits) else { return };
--- a/controlplane/controller/tests/operators_drawn.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -1,4 +1,4 @@
-//! Operators with several orders under way, through troubles drawn at random: what was confirmed is a chain, what was
+//! Operators with several commands under way, through faults drawn at random: what was confirmed is a chain, what was
 //! refused is never in force, and what was confirmed is confirmed again however often it is sent.
 
 mod common;
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use common::fleet::{Fleet, endpoint};
-use common::operators::{Change, Judge, Trouble};
+use common::operators::{Change, Fault, OutcomeChecker};
 use common::*;
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
@@ -17,45 +17,39 @@
 const CONTROLLERS: u8 = 5;
 /// Plays in an ordinary run; as many as this variable says otherwise.
 const ORDINARY: u64 = 40;
-/// Plays that have found a fault: 196 found a controller without a vote that gave no order to the chain any more, since
+/// Plays that have found a fault: 196 found a controller without a vote that gave no command to the chain any more, since
 /// a promise of an earlier view was left over.
 const FOUND: [u64; 1] = [196];
 const COUNT_VARIABLE: &str = "WHINSPINDLE_PLAYS";
 const ROUNDS: usize = 8;
-/// An operator gives up an order without a clear answer after this time.
+/// An operator gives up a command without a clear answer after this time.
 const LONGEST_ORDER_MS: u64 = 12_000;
 /// One loss at a time is borne. A machine that was out of touch counts as a loss until it has been back for so long, and
 /// so does a disk.
 const RECOVERY_MS: u64 = 6_000;
 const START_MS: u64 = 8_000;
-/// An evacuation order that was given up may still take effect within this time.
+/// An evacuation command that was given up may still take effect within this time.
 const EVACUATION_ECHO_MS: u64 = 500;
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-const TROUBLES: [Trouble; 8] = [
-    Trouble::Kill,
-    Trouble::CutOff,
-    Trouble::CutOneWay,
-    Trouble::Freeze,
-    Trouble::Wipe,
-    Trouble::StalledDisk,
-    Trouble::LossOfPower,
-    Trouble::LostAnswers,
+const FAULTS: [Fault; 8] = [
+    Fault::Kill,
+    Fault::Partition,
+    Fault::OneWayPartition,
+    Fault::Freeze,
+    Fault::Wipe,
+    Fault::StalledDisk,
+    Fault::LossOfPower,
+    Fault::LostAnswers,
 ];
 
-/// The troubles of plays in which operators also read the configuration all the time.
-const SPLITS: [Trouble; 6] = [
-    Trouble::Halves,
-    Trouble::Apart,
-    Trouble::Halves,
-    Trouble::CutOff,
-    Trouble::LossOfPower,
-    Trouble::LostAnswers,
-];
+/// The faults of plays in which operators also read the configuration all the time.
+const SPLITS: [Fault; 6] =
+    [Fault::Halves, Fault::Apart, Fault::Halves, Fault::Partition, Fault::LossOfPower, Fault::LostAnswers];
 /// Pauses between reads at most.
 const READ_MS: u64 = 150;
 
-/// An evacuation order, with the time in which it may take effect.
+/// An evacuation command, with the time in which it may take effect.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     evacuated: bool,
@@ -67,7 +61,7 @@
 
 struct Play {
     fleet: Fleet,
-    judge: Judge,
+    checker: OutcomeChecker,
     changes: Vec<Change>,
     /// Changes whose answers are waited for.
     under_way: Vec<(Change, usize)>,
@@ -87,7 +81,7 @@
         let evacuations = ZONES.map(|zone| (zone, vec![in_service])).into();
         Play {
             fleet,
-            judge: Judge::default(),
+            checker: OutcomeChecker::default(),
             changes: Vec::new(),
             under_way: Vec::new(),
             evacuations,
@@ -98,21 +92,21 @@
 
     fn run(&mut self) {
         for _ in 0..ROUNDS {
-            let trouble = TROUBLES[self.below(TROUBLES.len())];
+            let fault = FAULTS[self.below(FAULTS.len())];
             let at = self.anywhere();
-            if matches!(trouble, Trouble::Wipe) {
+            if matches!(fault, Fault::Wipe) {
                 self.pass(RECOVERY_MS);
             }
             self.send_changes();
             self.send_evacuations();
             let span = self.below(120) as u64;
             self.pass(span);
-            trouble.begin(&mut self.fleet, at);
+            fault.begin(&mut self.fleet, at);
             self.send_changes();
             let span = self.below(3_000) as u64;
             self.pass(span);
-            trouble.end(&mut self.fleet, at);
-            if matches!(trouble, Trouble::Wipe) {
+            fault.end(&mut self.fleet, at);
+            if matches!(fault, Fault::Wipe) {
                 self.pass(RECOVERY_MS);
             }
         }
@@ -120,18 +114,18 @@
         self.verify();
     }
 
-    /// As `run`, with reads at any controller at any time. Each trouble has as long as it takes to be noticed.
+    /// As `run`, with reads at any controller at any time. Each fault has as long as it takes to be noticed.
     fn run_split(&mut self) {
         for _ in 0..ROUNDS {
-            let trouble = SPLITS[self.below(SPLITS.len())];
+            let fault = SPLITS[self.below(SPLITS.len())];
             let at = self.anywhere();
             self.send_changes();
             self.read_for(500);
-            trouble.begin(&mut self.fleet, at);
+            fault.begin(&mut self.fleet, at);
             self.send_changes();
             let span = self.below(4_000) as u64;
             self.read_for(span);
-            trouble.end(&mut self.fleet, at);
+            fault.end(&mut self.fleet, at);
             let span = self.below(3_000) as u64;
             self.read_for(span);
         }
@@ -167,7 +161,7 @@
     }
 
     fn below(&mut self, bound: usize) -> usize {
-        self.fleet.chance.below(bound)
+        self.fleet.random.below(bound)
     }
 
     fn anywhere(&mut self) -> SocketAddr {
@@ -176,7 +170,7 @@
 
     /// The newest generation that operators know of.
     fn known(&self) -> u64 {
-        self.judge.confirmed.iter().map(|change| change.generation).max().unwrap_or(0)
+        self.checker.confirmed.iter().map(|change| change.generation).max().unwrap_or(0)
     }
 
     fn send_changes(&mut self) {
@@ -218,7 +212,7 @@
         Change::new(base, base + above, &format!("number {}", self.sent))
     }
 
-    /// One order at a time for each zone; some are given up.
+    /// One command at a time for each zone; some are given up.
     fn send_evacuations(&mut self) {
         for zone in ZONES {
             self.conclude_evacuation(zone);
@@ -230,16 +224,16 @@
             let evacuated = self.below(2) == 0;
             let at = self.anywhere();
             let attempt = Some(self.fleet.begin_at(at, evacuate(zone, evacuated)));
-            let order =
+            let command =
                 Evacuation { evacuated, attempt, begun: now, ended: u64::MAX, is_acknowledged: false };
-            self.evacuations.get_mut(zone).expect("it is known").push(order);
+            self.evacuations.get_mut(zone).expect("it is known").push(command);
         }
     }
 
     fn conclude_evacuation(&mut self, zone: &'static str) {
         let gives_up = self.below(3) == 0;
         let now = self.fleet.cluster.now();
-        let latest = self.evacuations.get_mut(zone).and_then(|orders| orders.last_mut()).expect("one");
+        let latest = self.evacuations.get_mut(zone).and_then(|commands| commands.last_mut()).expect("one");
         let Some(attempt) = latest.attempt else { return };
         if let Some((at, answer)) = &self.fleet.attempts[attempt].answered {
             assert_eq!(answer.status, StatusCode::OK, "{latest:?} of {zone}");
@@ -255,7 +249,7 @@
         let (now, mut waiting) = (self.fleet.cluster.now(), Vec::new());
         for (change, attempt) in std::mem::take(&mut self.under_way) {
             if let Some((_, answer)) = &self.fleet.attempts[attempt].answered {
-                self.judge.answered(&change, answer.status);
+                self.checker.answered(&change, answer.status);
             } else if now > self.fleet.attempts[attempt].first_sent_at + LONGEST_ORDER_MS {
                 self.fleet.abandon(attempt);
             } else {
@@ -278,7 +272,7 @@
         let mut in_force = Vec::new();
         for change in self.changes.clone() {
             let status = self.answer_in_calm(&change);
-            self.judge.answered(&change, status);
+            self.checker.answered(&change, status);
             assert_eq!(self.answer_in_calm(&change), status, "{change:?}");
             if status == StatusCode::SERVICE_UNAVAILABLE {
                 assert!(change.base > self.known(), "no clear answer to {change:?}");
@@ -289,7 +283,7 @@
         }
         self.verify_chain(in_force);
         self.verify_zones();
-        self.judge.told(&self.fleet);
+        self.checker.told(&self.fleet);
     }
 
     fn answer_in_calm(&mut self, change: &Change) -> StatusCode {
@@ -313,7 +307,7 @@
         assert_eq!(self.fleet.complete(Call::Fetch, LONGEST_ORDER_MS).body, newest);
     }
 
-    /// The state of a zone is that of an order after which no other was acknowledged from begin to end.
+    /// The state of a zone is that of a command after which no other was acknowledged from begin to end.
     fn verify_zones(&mut self) {
         let subscriber = SubscriberId(100);
         self.fleet.report(endpoint(1), subscriber.0, report(1, "zone-a"));
@@ -321,14 +315,14 @@
         let mut sent = self.fleet.updates.iter().rev().filter(|(to, _)| *to == subscriber);
         let told = sent.find_map(|(_, update)| Some(update.evacuations.as_ref()?.zones.clone()));
         let told = told.unwrap_or_default();
-        for (zone, orders) in &self.evacuations {
+        for (zone, commands) in &self.evacuations {
             let is_evacuated = told.iter().any(|evacuated| evacuated == zone);
-            let explains = |(place, order): &(usize, &Evacuation)| {
-                let is_undone = |later: &Evacuation| later.is_acknowledged && later.begun >= order.ended;
-                order.evacuated == is_evacuated && !orders[place + 1..].iter().any(is_undone)
+            let explains = |(place, command): &(usize, &Evacuation)| {
+                let is_undone = |later: &Evacuation| later.is_acknowledged && later.begun >= command.ended;
+                command.evacuated == is_evacuated && !commands[place + 1..].iter().any(is_undone)
             };
-            let explanation = orders.iter().enumerate().find(explains);
-            assert!(explanation.is_some(), "{zone} evacuated: {is_evacuated}, after {orders:?}");
+            let explanation = commands.iter().enumerate().find(explains);
+            assert!(explanation.is_some(), "{zone} evacuated: {is_evacuated}, after {commands:?}");
         }
     }
 }
@@ -350,14 +344,14 @@
 }
 
 #[test]
-fn what_operators_read_and_were_answered_holds_through_halves() {
+fn reads_and_answers_stay_consistent_through_split_halves() {
     for seed in 0..count() {
         Play::new(9_000 + seed).run_split();
     }
 }
 
 #[test]
-fn what_operators_were_answered_holds_through_any_troubles() {
+fn answers_stay_consistent_through_random_faults() {
     for seed in (0..count()).chain(FOUND) {
         Play::new(4_800 + seed).run();
     }
