--- a/dataplane/proxy/src/verdict.rs
+++ b/dataplane/proxy/src/classify.rs
@@ -7,7 +7,7 @@
 
 /// What an answer's head says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AnswerClass {
     /// A success; it counts once its body is whole.
     Success,
     /// A failure that goes back as it is.
@@ -23,7 +23,7 @@
 
 /// What the answer is held against.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct Expected<'a> {
     /// The request's id, if it has one.
     pub id: Option<&'a HeaderValue>,
     /// The id of the instance that was meant.
@@ -35,29 +35,33 @@
 }
 
 /// Judges a head.
-pub fn judge(asked: &Asked, status: StatusCode, headers: &HeaderMap) -> Verdict {
+pub fn classify(expected: &Expected, status: StatusCode, headers: &HeaderMap) -> AnswerClass {
     let not_run = headers.contains_key(NOT_RUN);
     let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-    let may_lack_id = asked.fresh && (not_run || misdirected);
-    if !belongs(asked.id, headers, may_lack_id) {
-        return Verdict::Unusable;
+    let may_lack_id = expected.fresh && (not_run || misdirected);
+    if !belongs(expected.id, headers, may_lack_id) {
+        return AnswerClass::Unusable;
     }
     if misdirected {
-        return if is_other_version(asked, headers) { Verdict::Rejected } else { Verdict::Misdirected };
+        return if is_other_version(expected, headers) {
+            AnswerClass::Rejected
+        } else {
+            AnswerClass::Misdirected
+        };
     }
     if not_run && promises_not_run(status) {
-        return Verdict::Rejected;
+        return AnswerClass::Rejected;
     }
     let encoded = headers.contains_key(CONTENT_ENCODING);
     if encoded || (promises_not_run(status) && !not_run) {
-        return Verdict::Unusable;
+        return AnswerClass::Unusable;
     }
     if status.is_success() {
         let stamped = headers.contains_key(SERVER_STAMP);
-        return if stamped { Verdict::Success } else { Verdict::Unusable };
+        return if stamped { AnswerClass::Success } else { AnswerClass::Unusable };
     }
     let failure = status.is_client_error() || status.is_server_error();
-    if failure { Verdict::Failure } else { Verdict::Unusable }
+    if failure { AnswerClass::Failure } else { AnswerClass::Unusable }
 }
 
 fn belongs(id: Option<&HeaderValue>, headers: &HeaderMap, may_lack_id: bool) -> bool {
@@ -68,9 +72,9 @@
 }
 
 /// Whether it is the instance that was meant, with other weights than asked for.
-fn is_other_version(asked: &Asked, headers: &HeaderMap) -> bool {
+fn is_other_version(expected: &Expected, headers: &HeaderMap) -> bool {
     let answered = headers.get(INSTANCE_ID);
-    answered.map_or(asked.names_version, |id| id.as_bytes() == asked.instance.as_bytes())
+    answered.map_or(expected.names_version, |id| id.as_bytes() == expected.instance.as_bytes())
 }
 
 /// Statuses by which a client knows that its request has not run.
--- a/dataplane/proxy/src/lane.rs
+++ b/dataplane/proxy/src/connection.rs
@@ -22,7 +22,7 @@
 type Wire = TokioIo<Metered<BoxedSocket>>;
 
 /// A connection and how much it has carried.
-pub struct Lane {
+pub struct UpstreamConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Pin<Box<Connection<Wire, Full<Bytes>>>>,
     ended: bool,
@@ -30,13 +30,13 @@
     answers: u64,
 }
 
-impl Lane {
+impl UpstreamConnection {
     /// Makes a connected socket ready for requests.
-    pub async fn open(socket: BoxedSocket) -> hyper::Result<Lane> {
+    pub async fn open(socket: BoxedSocket) -> hyper::Result<UpstreamConnection> {
         let meter = Rc::new(Meter::default());
         let wire = TokioIo::new(Metered::new(socket, Rc::clone(&meter)));
         let (sender, connection) = Builder::new().max_buf_size(BUFFER_BYTES).handshake(wire).await?;
-        Ok(Lane { sender, connection: Box::pin(connection), ended: false, meter, answers: 0 })
+        Ok(UpstreamConnection { sender, connection: Box::pin(connection), ended: false, meter, answers: 0 })
     }
 
     /// Whether no answer has come on it before the one that is under way.
--- a/dataplane/proxy/src/feed.rs
+++ b/dataplane/proxy/src/control_link.rs
@@ -19,7 +19,7 @@
 
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
 /// Between two tries to reach the agent.
-const CONNECT_PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// An agent that is there is heard several times a second.
 const SILENCE_LIMIT: Duration = Duration::from_secs(3);
@@ -52,7 +52,7 @@
     loop {
         let Err(fault) = link(&node, identity).await;
         spdlog::debug!("feed: {fault}");
-        sleep(CONNECT_PAUSE).await;
+        sleep(RECONNECT_BACKOFF).await;
     }
 }
 
@@ -144,8 +144,8 @@
         region: node.settings.region.clone(),
         front: identity.front,
         ready: node.is_ready(),
-        shutting_down: node.stop.is_ordered(),
-        applied: node.holder.borrow().versions(),
+        shutting_down: node.shutdown.is_requested(),
+        applied: node.applied_state.borrow().versions(),
         sends: node.router.borrow().attempt_rates(node.clock.now_ms()),
         failing: node.router.borrow().failing(node.clock.now_ms()),
     };
--- a/dataplane/proxy/src/exchange.rs
+++ b/dataplane/proxy/src/exchange.rs
@@ -14,22 +14,22 @@
 
 use self::reading::Answered;
 use crate::answers::RETRY_AFTER_MS;
+use crate::classify::{AnswerClass, Expected, classify};
 use crate::events::{EventSplitter, Position};
 use crate::headers::{EXPECT_VERSION, PRIORITY};
-use crate::limits::BudgetShare;
+use crate::limits::Reservation;
 use crate::node::Node;
-use crate::pool::{Leased, NoLane};
+use crate::pool::{ConnectionError, Leased};
 use crate::request::{ClientRequest, MatchedRoute};
-use crate::retry::{self, History, Next, OwnFailure, SendEnd};
-use crate::tally::Event;
-use crate::verdict::{Asked, Verdict, judge};
+use crate::request_counts::RequestEvent;
+use crate::retry::{self, AttemptEnd, AttemptHistory, Decision, ProxyFailure};
 
 /// With less time left nothing is sent any more.
 const LEAST_TIME: Duration = Duration::from_millis(15);
 
 /// A send that the router has granted.
 #[derive(Clone, Copy, Debug)]
-pub struct Chosen {
+pub struct ChosenInstance {
     pub attempt: AttemptId,
     pub instance: InstanceKey,
 }
@@ -37,13 +37,13 @@
 /// Why a request has no answer of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
-    pub failure: OwnFailure,
+    pub failure: ProxyFailure,
     pub retry_after_ms: u64,
 }
 
 /// An answer of an upstream that can be passed on.
 pub enum Opened {
-    Whole(Response<Bytes>),
+    Complete(Response<Bytes>),
     Stream(Box<OpenStream>),
 }
 
@@ -52,71 +52,71 @@
     pub head: response::Parts,
     pub first: Bytes,
     /// What follows; nothing if the stream has ended.
-    pub run: Option<Run>,
+    pub run: Option<StreamRun>,
 }
 
 /// A stream under way at an upstream.
-pub struct Run {
+pub struct StreamRun {
     pub leased: Leased,
     pub body: Incoming,
     pub splitter: EventSplitter,
-    pub sent: Sent,
+    pub attempt: OpenAttempt,
 }
 
-impl Run {
+impl StreamRun {
     /// The stream is complete: its connection may serve again.
     pub fn complete(mut self, node: &Node, cx: &mut std::task::Context<'_>) {
-        self.sent.finish(Outcome::Served);
-        if self.leased.lane.is_reusable(cx) {
-            node.pool.give_back(self.leased);
+        self.attempt.finish(Outcome::Served);
+        if self.leased.connection.is_reusable(cx) {
+            node.pool.release(self.leased);
         }
     }
 }
 
 /// A send under way; the router is told how it ends, also when it is dropped.
-pub struct Sent {
+pub struct OpenAttempt {
     node: Rc<Node>,
-    attempt: Option<AttemptId>,
+    id: Option<AttemptId>,
 }
 
-impl Sent {
-    fn new(node: &Rc<Node>, attempt: AttemptId) -> Self {
-        Sent { node: Rc::clone(node), attempt: Some(attempt) }
+impl OpenAttempt {
+    fn new(node: &Rc<Node>, id: AttemptId) -> Self {
+        OpenAttempt { node: Rc::clone(node), id: Some(id) }
     }
 
     fn first_event(&self) {
-        if let Some(attempt) = self.attempt {
-            self.node.router.borrow_mut().first_event(self.node.clock.now_ms(), attempt);
+        if let Some(id) = self.id {
+            self.node.router.borrow_mut().first_event(self.node.clock.now_ms(), id);
         }
     }
 
     /// Tells the router how the send ended.
     pub fn finish(&mut self, outcome: Outcome) {
-        if let Some(attempt) = self.attempt.take() {
-            self.node.router.borrow_mut().finished(self.node.clock.now_ms(), attempt, outcome);
+        if let Some(id) = self.id.take() {
+            self.node.router.borrow_mut().finished(self.node.clock.now_ms(), id, outcome);
         }
     }
 }
 
-impl Drop for Sent {
+impl Drop for OpenAttempt {
     fn drop(&mut self) {
         self.finish(Outcome::Cancelled);
     }
 }
 
 /// How a send ended without an answer, and what else is known of it.
-struct Missed {
-    end: SendEnd,
+struct FailedAttempt {
+    end: AttemptEnd,
     outcome: Outcome,
 }
 
-impl Missed {
+impl FailedAttempt {
     fn not_sent(outcome: Outcome) -> Self {
-        Missed { end: SendEnd::NotSent, outcome }
+        FailedAttempt { end: AttemptEnd::NotSent, outcome }
     }
 
     fn broken() -> Self {
-        Missed { end: SendEnd::Broken, outcome: Outcome::Broken }
+        FailedAttempt { end: AttemptEnd::Broken, outcome: Outcome::Broken }
     }
 }
 
@@ -127,7 +127,7 @@
     matched: MatchedRoute,
     due: Instant,
     tried: Vec<InstanceKey>,
-    history: History,
+    history: AttemptHistory,
     /// A send is under way, of which bytes may have been written.
     in_flight: bool,
     retry_after_ms: u64,
@@ -135,15 +135,15 @@
     /// The last failure of an upstream, to be passed back if no other serves.
     failure: Option<Response<Bytes>>,
     /// Room for the request's body, and for the answer while it is read.
-    _request_room: BudgetShare,
-    _answer_room: Option<BudgetShare>,
+    _request_memory: Reservation,
+    _answer_memory: Option<Reservation>,
 }
 
 impl Exchange {
     pub fn new(
         node: Rc<Node>,
         request: ClientRequest,
-        request_room: BudgetShare,
+        request_memory: Reservation,
         matched: MatchedRoute,
     ) -> Self {
         let due = request.due(Duration::from_millis(matched.route().timeout_ms));
@@ -153,13 +153,13 @@
             matched,
             due,
             tried: Vec::new(),
-            history: History::default(),
+            history: AttemptHistory::default(),
             in_flight: false,
             retry_after_ms: RETRY_AFTER_MS,
             resume: None,
             failure: None,
-            _request_room: request_room,
-            _answer_room: None,
+            _request_memory: request_memory,
+            _answer_memory: None,
         }
     }
 
@@ -178,7 +178,7 @@
         let mechanisms = self.node.settings.mechanisms;
         route.resumable
             && mechanisms.has(Mechanism::Resumption)
-            && retry::may_run_again(self.matched.permission(), self.history)
+            && retry::may_run_again(self.matched.retry_policy(), self.history)
     }
 
     /// From now on sends ask for what follows the events that were passed on.
@@ -191,12 +191,12 @@
     pub fn release(&mut self) {
         if !self.may_resume() {
             self.request.release();
-            self._request_room = self.node.bodies.share();
+            self._request_memory = self.node.bodies.reserve();
         }
     }
 
     /// Asks the router for another upstream.
-    pub fn choose(&mut self) -> Result<Chosen, GivenUp> {
+    pub fn choose(&mut self) -> Result<ChosenInstance, GivenUp> {
         self.follow_configuration()?;
         let facts = &mut self.request.facts;
         facts.generation = self.matched.configuration.generation;
@@ -207,7 +207,7 @@
         let now = self.node.clock.now_ms();
         let choice = self.node.router.borrow_mut().choose(now, facts, &self.tried);
         match choice {
-            Choice::Forward { attempt, instance } => Ok(Chosen { attempt, instance }),
+            Choice::Forward { attempt, instance } => Ok(ChosenInstance { attempt, instance }),
             Choice::Reject(refusal) => {
                 self.retry_after_ms = refusal.retry_after_ms;
                 Err(self.given_up(retry::give_up(self.history)))
@@ -216,7 +216,7 @@
     }
 
     /// Sends the request until an answer has come that can be passed on. `first` is a send that was granted already.
-    pub async fn open(&mut self, first: Option<Chosen>) -> Result<Opened, GivenUp> {
+    pub async fn open(&mut self, first: Option<ChosenInstance>) -> Result<Opened, GivenUp> {
         let due = self.due;
         match timeout_at(due, self.open_untimed(first)).await {
             Ok(end) => end,
@@ -224,7 +224,7 @@
         }
     }
 
-    async fn open_untimed(&mut self, mut granted: Option<Chosen>) -> Result<Opened, GivenUp> {
+    async fn open_untimed(&mut self, mut granted: Option<ChosenInstance>) -> Result<Opened, GivenUp> {
         loop {
             if self.time_left() < LEAST_TIME {
                 return self.failure_or(retry::time_is_over(self.history));
@@ -234,73 +234,73 @@
                 Err(given_up) => return self.failure_or(given_up.failure),
             };
             self.in_flight = false;
-            let mut sent = Sent::new(&self.node, chosen.attempt);
-            let missed = match self.send(chosen.instance).await {
-                Ok(answer) => match self.read(answer, sent).await {
+            let mut attempt = OpenAttempt::new(&self.node, chosen.attempt);
+            let failed = match self.send(chosen.instance).await {
+                Ok(answer) => match self.read(answer, attempt).await {
                     Ok(opened) => {
                         self.tried.push(chosen.instance);
-                        self.history.note_run();
+                        self.history.record_run();
                         return Ok(opened);
                     }
                     Err(end) => end,
                 },
-                Err(missed) => {
-                    sent.finish(missed.outcome);
-                    missed.end
+                Err(failed) => {
+                    attempt.finish(failed.outcome);
+                    failed.end
                 }
             };
             self.in_flight = false;
             self.tried.push(chosen.instance);
-            self.history.note(missed);
-            self.node.tally.note(event_of(missed));
-            match retry::next(self.matched.permission(), self.history, missed) {
-                Next::SendAgain => {}
-                Next::PassBack => return self.failure_or(OwnFailure::BadGateway),
-                Next::GiveUp(failure) => return Err(self.given_up(failure)),
+            self.history.record(failed);
+            self.node.request_counts.record(event_of(failed));
+            match retry::next(self.matched.retry_policy(), self.history, failed) {
+                Decision::Retry => {}
+                Decision::PassBack => return self.failure_or(ProxyFailure::BadGateway),
+                Decision::GiveUp(failure) => return Err(self.given_up(failure)),
             }
         }
     }
 
     /// Puts the request on a connection and waits for the head of a fitting answer.
-    async fn send(&mut self, instance: InstanceKey) -> Result<Answered, Missed> {
+    async fn send(&mut self, instance: InstanceKey) -> Result<Answered, FailedAttempt> {
         let target = self.node.router.borrow().target(instance).cloned();
-        let Some(target) = target else { return Err(Missed::not_sent(Outcome::Cancelled)) };
+        let Some(target) = target else { return Err(FailedAttempt::not_sent(Outcome::Cancelled)) };
         let most = self.node.most_connections(self.matched.service().max_conns);
         let trusts_idle = !self.node.router.borrow().is_in_doubt(instance);
         let leased = self.node.pool.lease(instance, target.address, most, trusts_idle).await;
         let mut leased = leased.map_err(|fault| {
             spdlog::debug!("{}: {fault}", target.id);
-            Missed::not_sent(match fault {
-                NoLane::Full => Outcome::Cancelled,
-                NoLane::Silent => Outcome::Silent,
-                NoLane::Refused { .. } | NoLane::Handshake { .. } => Outcome::Unreachable,
+            FailedAttempt::not_sent(match fault {
+                ConnectionError::Full => Outcome::Cancelled,
+                ConnectionError::Silent => Outcome::Silent,
+                ConnectionError::Refused { .. } | ConnectionError::Handshake { .. } => Outcome::Unreachable,
             })
         })?;
-        if leased.lane.is_fresh() {
+        if leased.connection.is_fresh() {
             self.node.router.borrow_mut().record_received(instance);
         }
         // The connect may have taken a while.
         let wanted = self.node.router.borrow().may_still_send(instance);
         if !wanted || self.time_left() < LEAST_TIME {
-            self.node.pool.give_back(leased);
-            return Err(Missed::not_sent(Outcome::Cancelled));
+            self.node.pool.release(leased);
+            return Err(FailedAttempt::not_sent(Outcome::Cancelled));
         }
         let answer = self.write(&mut leased, &target).await?;
         let (head, body) = answer.into_parts();
         let names_version = self.request.headers.contains_key(EXPECT_VERSION)
             || self.resume.is_some_and(|position| position.versions.is_some());
-        let asked = Asked {
+        let expected = Expected {
             id: self.request.id.as_ref(),
             instance: &target.id,
             names_version,
-            fresh: leased.lane.is_fresh(),
+            fresh: leased.connection.is_fresh(),
         };
-        match judge(&asked, head.status, &head.headers) {
-            Verdict::Unusable => {
-                spdlog::debug!("{}: {} is no answer to {:?}", target.id, head.status, asked.id);
-                Err(Missed::broken())
+        match classify(&expected, head.status, &head.headers) {
+            AnswerClass::Unusable => {
+                spdlog::debug!("{}: {} is no answer to {:?}", target.id, head.status, expected.id);
+                Err(FailedAttempt::broken())
             }
-            verdict => Ok(Answered { verdict, head, body, leased }),
+            class => Ok(Answered { class, head, body, leased }),
         }
     }
 
@@ -308,18 +308,18 @@
         &mut self,
         leased: &mut Leased,
         target: &InstanceTarget,
-    ) -> Result<Response<Incoming>, Missed> {
+    ) -> Result<Response<Incoming>, FailedAttempt> {
         let mut request = self.request.to_upstream(target, &self.matched, self.due, self.resume);
         if !self.node.settings.mechanisms.has(Mechanism::Priority) {
             request.headers_mut().remove(PRIORITY);
         }
-        let before = leased.lane.written();
+        let before = leased.connection.written();
         self.in_flight = true;
-        let answer = leased.lane.send(request).await;
+        let answer = leased.connection.send(request).await;
         answer.map_err(|fault| {
-            let written = leased.lane.written() - before;
+            let written = leased.connection.written() - before;
             spdlog::debug!("{}: {fault}, {written} bytes written", target.id);
-            if written > 0 { Missed::broken() } else { Missed::not_sent(Outcome::Unreachable) }
+            if written > 0 { FailedAttempt::broken() } else { FailedAttempt::not_sent(Outcome::Unreachable) }
         })
     }
 
@@ -346,30 +346,30 @@
 
     fn time_is_over(&mut self) -> GivenUp {
         if std::mem::take(&mut self.in_flight) {
-            self.history.note_run();
+            self.history.record_run();
         }
         self.given_up(retry::time_is_over(self.history))
     }
 
-    fn given_up(&self, failure: OwnFailure) -> GivenUp {
+    fn given_up(&self, failure: ProxyFailure) -> GivenUp {
         GivenUp { failure, retry_after_ms: self.retry_after_ms }
     }
 
     /// The upstream's failure goes back, where there is one.
-    fn failure_or(&mut self, failure: OwnFailure) -> Result<Opened, GivenUp> {
+    fn failure_or(&mut self, failure: ProxyFailure) -> Result<Opened, GivenUp> {
         match self.failure.take() {
-            Some(answer) => Ok(Opened::Whole(answer)),
+            Some(answer) => Ok(Opened::Complete(answer)),
             None => Err(self.given_up(failure)),
         }
     }
 }
 
 /// How a send that gave no answer is counted.
-fn event_of(end: SendEnd) -> Event {
+fn event_of(end: AttemptEnd) -> RequestEvent {
     match end {
-        SendEnd::NotSent => Event::SendUnsent,
-        SendEnd::Misdirected => Event::SendMisdirected,
-        SendEnd::Rejected => Event::SendRejected,
-        SendEnd::Failed | SendEnd::Broken => Event::SendBroken,
+        AttemptEnd::NotSent => RequestEvent::AttemptUnsent,
+        AttemptEnd::Misdirected => RequestEvent::AttemptMisdirected,
+        AttemptEnd::Rejected => RequestEvent::AttemptRejected,
+        AttemptEnd::Failed | AttemptEnd::Broken => RequestEvent::AttemptBroken,
     }
 }
--- a/dataplane/proxy/src/exchange/reading.rs
+++ b/dataplane/proxy/src/exchange/reading.rs
@@ -10,12 +10,12 @@
 use tokio::time::timeout;
 use whinspindle_routing::Outcome;
 
-use super::{Exchange, OpenStream, Opened, Run, Sent};
+use super::{Exchange, OpenAttempt, OpenStream, Opened, StreamRun};
+use crate::classify::AnswerClass;
 use crate::events::EventSplitter;
 use crate::headers::{VERSIONS, keep_alive_ms, number, retry_after_ms, strip_hop_by_hop};
 use crate::pool::Leased;
-use crate::retry::SendEnd;
-use crate::verdict::Verdict;
+use crate::retry::AttemptEnd;
 
 /// The body of a refusal is waited for so long, for the sake of the connection.
 const REFUSAL_BODY: Duration = Duration::from_millis(20);
@@ -26,7 +26,7 @@
 
 /// The head of an answer that has been judged, and the connection on which the rest comes.
 pub(super) struct Answered {
-    pub(super) verdict: Verdict,
+    pub(super) class: AnswerClass,
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
     pub(super) leased: Leased,
@@ -34,35 +34,41 @@
 
 impl Exchange {
     /// Reads an answer as far as it has to be known before it is passed on.
-    pub(super) async fn read(&mut self, answered: Answered, mut sent: Sent) -> Result<Opened, SendEnd> {
-        let Answered { verdict, head, body, mut leased } = answered;
+    pub(super) async fn read(
+        &mut self,
+        answered: Answered,
+        mut attempt: OpenAttempt,
+    ) -> Result<Opened, AttemptEnd> {
+        let Answered { class, head, body, mut leased } = answered;
         // Where the head alone says that the request did not run, the body does not count.
-        let counts = !matches!(verdict, Verdict::Rejected | Verdict::Misdirected);
+        let counts = !matches!(class, AnswerClass::Rejected | AnswerClass::Misdirected);
         self.in_flight = counts;
         if counts && !is_framed(&self.request.method, &head, &body) {
-            sent.finish(Outcome::Broken);
-            return Err(SendEnd::Broken);
+            attempt.finish(Outcome::Broken);
+            return Err(AttemptEnd::Broken);
         }
-        let keeps = keep_alive_ms(&head.headers).map(Duration::from_millis);
-        leased.keeps = keeps.or(leased.keeps);
-        if verdict == Verdict::Success && is_event_stream(&head.headers) {
-            return self.read_first_events(head, body, leased, sent).await;
+        let keep_alive = keep_alive_ms(&head.headers).map(Duration::from_millis);
+        leased.keep_alive = keep_alive.or(leased.keep_alive);
+        if class == AnswerClass::Success && is_event_stream(&head.headers) {
+            return self.read_first_events(head, body, leased, attempt).await;
         }
-        if verdict == Verdict::Success {
-            sent.first_event();
+        if class == AnswerClass::Success {
+            attempt.first_event();
         }
         let framed = is_framed(&self.request.method, &head, &body);
         let whole = match (framed, counts) {
             (false, _) => None,
-            (true, true) => self.read_whole(body, &mut leased).await,
-            (true, false) => timeout(REFUSAL_BODY, self.read_whole(body, &mut leased)).await.ok().flatten(),
+            (true, true) => self.read_complete(body, &mut leased).await,
+            (true, false) => {
+                timeout(REFUSAL_BODY, self.read_complete(body, &mut leased)).await.ok().flatten()
+            }
         };
         let is_whole = whole.is_some();
-        let end = self.conclude(verdict, head, whole, &mut sent);
+        let end = self.conclude(class, head, whole, &mut attempt);
         if is_whole {
-            let reusable = poll_fn(|cx| leased.lane.is_reusable(cx).into()).await;
+            let reusable = poll_fn(|cx| leased.connection.is_reusable(cx).into()).await;
             if reusable {
-                self.node.pool.give_back(leased);
+                self.node.pool.release(leased);
             }
         }
         end
@@ -70,52 +76,52 @@
 
     fn conclude(
         &mut self,
-        verdict: Verdict,
+        class: AnswerClass,
         head: response::Parts,
         body: Option<Bytes>,
-        sent: &mut Sent,
-    ) -> Result<Opened, SendEnd> {
+        attempt: &mut OpenAttempt,
+    ) -> Result<Opened, AttemptEnd> {
         // The head alone says that the request did not run.
-        match verdict {
-            Verdict::Misdirected => {
-                sent.finish(Outcome::Misdirected);
-                return Err(SendEnd::Misdirected);
+        match class {
+            AnswerClass::Misdirected => {
+                attempt.finish(Outcome::Misdirected);
+                return Err(AttemptEnd::Misdirected);
             }
-            Verdict::Rejected => {
+            AnswerClass::Rejected => {
                 self.retry_after_ms = retry_after_ms(&head.headers).unwrap_or(self.retry_after_ms);
-                sent.finish(Outcome::Rejected);
-                return Err(SendEnd::Rejected);
+                attempt.finish(Outcome::Rejected);
+                return Err(AttemptEnd::Rejected);
             }
             _ => {}
         }
         let Some(body) = body else {
-            sent.finish(Outcome::Broken);
-            return Err(SendEnd::Broken);
+            attempt.finish(Outcome::Broken);
+            return Err(AttemptEnd::Broken);
         };
         let failed = head.status.is_server_error();
-        sent.finish(if failed { Outcome::Failed } else { Outcome::Served });
+        attempt.finish(if failed { Outcome::Failed } else { Outcome::Served });
         let answer = Response::from_parts(passed_on(head), body);
         if !failed {
-            return Ok(Opened::Whole(answer));
+            return Ok(Opened::Complete(answer));
         }
         self.failure = Some(answer);
-        Err(SendEnd::Failed)
+        Err(AttemptEnd::Failed)
     }
 
     /// The whole body; nothing if it broke off or is too long.
-    async fn read_whole(&mut self, mut body: Incoming, leased: &mut Leased) -> Option<Bytes> {
-        let mut room = self.node.bodies.share();
+    async fn read_complete(&mut self, mut body: Incoming, leased: &mut Leased) -> Option<Bytes> {
+        let mut memory = self.node.bodies.reserve();
         let mut first = Bytes::new();
         let mut rest = BytesMut::new();
         loop {
-            let frame = match poll_fn(|cx| leased.lane.poll_body(&mut body, cx)).await {
+            let frame = match poll_fn(|cx| leased.connection.poll_body(&mut body, cx)).await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => return None,
                 None => break,
             };
             let Ok(data) = frame.into_data() else { continue };
             let total = first.len() + rest.len() + data.len();
-            if total > MOST_ANSWER_BYTES || !room.grow_to(total) {
+            if total > MOST_ANSWER_BYTES || !memory.grow_to(total) {
                 return None;
             }
             if first.is_empty() {
@@ -124,7 +130,7 @@
                 rest.extend_from_slice(&data);
             }
         }
-        self._answer_room = Some(room);
+        self._answer_memory = Some(memory);
         if rest.is_empty() {
             return Some(first);
         }
@@ -136,18 +142,18 @@
         head: response::Parts,
         mut body: Incoming,
         mut leased: Leased,
-        mut sent: Sent,
-    ) -> Result<Opened, SendEnd> {
+        mut attempt: OpenAttempt,
+    ) -> Result<Opened, AttemptEnd> {
         let mut splitter = match self.resume {
             Some(position) => EventSplitter::resuming(position),
             None => EventSplitter::new(number(&head.headers, &VERSIONS)),
         };
         loop {
-            let frame = match poll_fn(|cx| leased.lane.poll_body(&mut body, cx)).await {
+            let frame = match poll_fn(|cx| leased.connection.poll_body(&mut body, cx)).await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => break,
                 None => {
-                    let run = Run { leased, body, splitter, sent };
+                    let run = StreamRun { leased, body, splitter, attempt };
                     return Ok(self.ended_stream(head, run).await);
                 }
             };
@@ -155,18 +161,18 @@
             match splitter.push(data) {
                 Ok(first) if first.is_empty() => {}
                 Ok(first) => {
-                    sent.first_event();
-                    let run = Some(Run { leased, body, splitter, sent });
+                    attempt.first_event();
+                    let run = Some(StreamRun { leased, body, splitter, attempt });
                     return Ok(Opened::Stream(Box::new(OpenStream { head: passed_on(head), first, run })));
                 }
                 Err(_) => break,
             }
         }
-        sent.finish(Outcome::Broken);
-        Err(SendEnd::Broken)
+        attempt.finish(Outcome::Broken);
+        Err(AttemptEnd::Broken)
     }
 
-    async fn ended_stream(&self, head: response::Parts, mut run: Run) -> Opened {
+    async fn ended_stream(&self, head: response::Parts, mut run: StreamRun) -> Opened {
         let first = run.splitter.finish();
         let mut run = Some(run);
         poll_fn(|cx| {
--- a/dataplane/proxy/src/lib.rs
+++ b/dataplane/proxy/src/lib.rs
@@ -3,27 +3,28 @@
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 
 pub mod answers;
+pub mod classify;
 pub mod clients;
 pub mod clock;
 pub mod connect;
+pub mod connection;
+pub mod control_link;
 pub mod events;
 pub mod exchange;
-pub mod feed;
-pub mod figures;
-pub mod front;
-pub mod head_watch;
+pub mod handler;
 pub mod headers;
-pub mod lane;
 pub mod limits;
+pub mod metrics;
 pub mod node;
 pub mod pool;
-pub mod ready;
+pub mod readiness;
 pub mod request;
+pub mod request_body;
+pub mod request_counts;
+pub mod request_framing;
 pub mod retry;
-pub mod stop;
+pub mod shutdown;
 pub mod stream;
-pub mod tally;
-pub mod verdict;
 
 use std::hash::{BuildHasher, Hasher, RandomState};
 use std::net::SocketAddr;
@@ -40,7 +41,7 @@
 
 use crate::clients::Clients;
 use crate::connect::TcpConnect;
-use crate::feed::Identity;
+use crate::control_link::Identity;
 use crate::node::Node;
 
 /// How often times that are over are looked for.
@@ -72,17 +73,17 @@
     let node = Rc::new(Node::new(settings, Box::new(TcpConnect), random_number()));
     let clients = Rc::new(Clients::default());
     spawn_local(signals.follow(Rc::clone(&node)));
-    spawn_local(ready::run(ready_listener, Rc::clone(&node)));
-    spawn_local(feed::run(Rc::clone(&node), Identity { front, incarnation: random_number() }));
+    spawn_local(readiness::run(ready_listener, Rc::clone(&node)));
+    spawn_local(control_link::run(Rc::clone(&node), Identity { front, incarnation: random_number() }));
     spawn_local(tick(Rc::clone(&node), Rc::clone(&clients)));
     if let Some(endpoint) = metrics {
         let watched = Rc::clone(&node);
-        let text = Rc::new(move || figures::text(&watched));
+        let text = Rc::new(move || metrics::text(&watched));
         spawn_local(whinspindle_metrics::serve(node.settings.ip, endpoint, text));
     }
     tokio::select! {
         () = clients::run(front_listener, Rc::clone(&node), clients) => {}
-        () = node.stop.answering_ends() => spdlog::warn!("stopping with answers under way"),
+        () = node.shutdown.answering_ends() => spdlog::warn!("stopping with answers under way"),
     }
     Ok(())
 }
@@ -136,6 +137,6 @@
 
 fn stop(node: &Node) {
     spdlog::info!("stopping");
-    node.stop.order();
+    node.shutdown.request();
     node.report_due.notify_one();
 }
--- a/dataplane/proxy/src/limits.rs
+++ b/dataplane/proxy/src/limits.rs
@@ -18,13 +18,13 @@
 
 /// How the descriptors and the memory are shared out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shares {
+pub struct Capacities {
     pub clients: usize,
     pub upstreams: usize,
     pub body_bytes: usize,
 }
 
-impl Shares {
+impl Capacities {
     pub fn of(limits: &MachineLimits) -> Self {
         let descriptors = if limits.max_fds == 0 { DEFAULT_DESCRIPTORS } else { limits.max_fds };
         let memory_mb = if limits.memory_mb == 0 { DEFAULT_MEMORY_MB } else { limits.memory_mb };
@@ -32,7 +32,7 @@
         let sockets = descriptors.saturating_sub(SPARE_DESCRIPTORS).max(64);
         let by_memory = memory / CLIENT_PART / CLIENT_BYTES;
         let clients = (sockets / 2).min(by_memory).max(16);
-        Shares {
+        Capacities {
             clients: clients as usize,
             upstreams: (sockets / 2) as usize,
             body_bytes: (memory / BODY_PART) as usize,
@@ -42,44 +42,44 @@
 
 /// Bytes that may be held; what is taken goes back when the share is dropped.
 #[derive(Clone)]
-pub struct Budget {
-    left: Rc<Cell<usize>>,
+pub struct MemoryBudget {
+    available: Rc<Cell<usize>>,
 }
 
-impl Budget {
+impl MemoryBudget {
     pub fn new(bytes: usize) -> Self {
-        Budget { left: Rc::new(Cell::new(bytes)) }
+        MemoryBudget { available: Rc::new(Cell::new(bytes)) }
     }
 
     /// A share that holds nothing yet.
-    pub fn share(&self) -> BudgetShare {
-        BudgetShare { left: Rc::clone(&self.left), held: 0 }
+    pub fn reserve(&self) -> Reservation {
+        Reservation { available: Rc::clone(&self.available), reserved: 0 }
     }
 }
 
 /// A part of a budget.
-pub struct BudgetShare {
-    left: Rc<Cell<usize>>,
-    held: usize,
+pub struct Reservation {
+    available: Rc<Cell<usize>>,
+    reserved: usize,
 }
 
-impl BudgetShare {
+impl Reservation {
     /// Takes as much as is missing to hold so many bytes; false if there is no room.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
-        let more = bytes.saturating_sub(self.held);
-        let left = self.left.get();
-        if more > left {
+        let more = bytes.saturating_sub(self.reserved);
+        let available = self.available.get();
+        if more > available {
             return false;
         }
-        self.left.set(left - more);
-        self.held += more;
+        self.available.set(available - more);
+        self.reserved += more;
         true
     }
 }
 
-impl Drop for BudgetShare {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.left.set(self.left.get() + self.held);
+        self.available.set(self.available.get() + self.reserved);
     }
 }
 
--- a/dataplane/proxy/src/figures.rs
+++ b/dataplane/proxy/src/metrics.rs
@@ -15,9 +15,9 @@
 }
 
 fn add_requests(figures: &mut Figures, node: &Node) {
-    let counts = node.tally.totals();
+    let counts = node.request_counts.totals();
     let names: Vec<(String, u64)> =
-        counts.iter().map(|(event, count)| (format!("{event:?}"), *count)).collect();
+        counts.iter().map(|(event, count)| (event.label().to_owned(), *count)).collect();
     let labels: Vec<[(&str, &str); 1]> = names.iter().map(|(name, _)| [("event", name.as_str())]).collect();
     let counted = labels.iter().zip(&names).map(|(labels, (_, count))| (labels.as_slice(), *count));
     figures.count("requests", "Answers, streams and sends by how they ended", counted);
--- a/dataplane/proxy/src/node.rs
+++ b/dataplane/proxy/src/node.rs
@@ -11,10 +11,10 @@
 
 use crate::clock::Clock;
 use crate::connect::Connect;
-use crate::limits::{Budget, LimitsInForce, Shares};
+use crate::limits::{Capacities, LimitsInForce, MemoryBudget};
 use crate::pool::{Pool, PoolLimits};
-use crate::stop::{Stop, StopTimes};
-use crate::tally::Tally;
+use crate::request_counts::RequestCounts;
+use crate::shutdown::{Shutdown, ShutdownTimes};
 
 /// The part of an upstream's connections that all balancers together use.
 const CONNECTIONS_PART: f64 = 0.9;
@@ -23,18 +23,18 @@
 pub struct Node {
     pub settings: Settings,
     pub clock: Clock,
-    pub shares: Shares,
+    pub capacities: Capacities,
     pub router: RefCell<Router>,
     pub limits: RefCell<LimitsInForce>,
     pub pool: Pool,
-    pub bodies: Budget,
-    pub stop: Stop,
+    pub bodies: MemoryBudget,
+    pub shutdown: Shutdown,
     /// Something has changed that the control plane wants to know at once.
     pub report_due: Notify,
-    pub holder: RefCell<AppliedState>,
+    pub applied_state: RefCell<AppliedState>,
     /// Something new is in force.
-    news: Notify,
-    pub tally: Tally,
+    updated: Notify,
+    pub request_counts: RequestCounts,
     configuration: RefCell<Option<Arc<Configuration>>>,
     balancers: Cell<u32>,
 }
@@ -42,7 +42,7 @@
 impl Node {
     pub fn new(settings: Settings, connect: Box<dyn Connect>, seed: u64) -> Self {
         let clock = Clock::starting_now();
-        let shares = Shares::of(&settings.limits);
+        let capacities = Capacities::of(&settings.limits);
         let router_settings = RouterSettings {
             zone: settings.zone.clone(),
             region: settings.region.clone(),
@@ -55,16 +55,16 @@
         let grace = std::time::Duration::from_millis(settings.bounds.grace_ms);
         Node {
             clock,
-            shares,
+            capacities,
             router: RefCell::new(Router::new(router_settings, clock.now_ms())),
             limits: RefCell::default(),
-            pool: Pool::new(connect, PoolLimits { total: shares.upstreams }),
-            bodies: Budget::new(shares.body_bytes),
-            stop: Stop::new(StopTimes::of(grace)),
+            pool: Pool::new(connect, PoolLimits { total: capacities.upstreams }),
+            bodies: MemoryBudget::new(capacities.body_bytes),
+            shutdown: Shutdown::new(ShutdownTimes::of(grace)),
             report_due: Notify::new(),
-            holder: RefCell::default(),
-            news: Notify::new(),
-            tally: Tally::default(),
+            applied_state: RefCell::default(),
+            updated: Notify::new(),
+            request_counts: RequestCounts::default(),
             configuration: RefCell::default(),
             balancers: Cell::new(1),
             settings,
@@ -78,16 +78,16 @@
 
     /// A configuration and the instances are known, and the process is not stopping.
     pub fn is_ready(&self) -> bool {
-        self.is_informed() && !self.stop.is_ordered()
+        self.is_informed() && !self.shutdown.is_requested()
     }
 
     fn is_informed(&self) -> bool {
-        self.configuration.borrow().is_some() && self.holder.borrow().instances().is_some()
+        self.configuration.borrow().is_some() && self.applied_state.borrow().instances().is_some()
     }
 
     /// Waits until a configuration and the instances are known, not longer than until then.
     pub async fn informed(&self, until: Instant) {
-        while !self.is_informed() && timeout_at(until, self.news.notified()).await.is_ok() {}
+        while !self.is_informed() && timeout_at(until, self.updated.notified()).await.is_ok() {}
     }
 
     /// The most connections that this process may have to one upstream of a service.
@@ -99,7 +99,7 @@
     /// Puts what is new in an update in force.
     pub fn apply(&self, update: Update) -> Result<(), ConfigurationError> {
         let now = self.clock.now_ms();
-        let news = self.holder.borrow_mut().apply(now, update);
+        let news = self.applied_state.borrow_mut().apply(now, update);
         let configured = news.configured.map(|configured| self.configure(now, &configured.body));
         let mut router = self.router.borrow_mut();
         if let Some(evacuations) = &news.evacuations {
@@ -113,7 +113,7 @@
             router.instances(now, instances);
         }
         drop(router);
-        self.news.notify_waiters();
+        self.updated.notify_waiters();
         configured.unwrap_or(Ok(()))
     }
 
@@ -130,7 +130,7 @@
         self.router.borrow_mut().tick(self.clock.now_ms());
         let router = self.router.borrow();
         self.pool.sweep(|instance| router.target(instance).is_some());
-        if let Some(counts) = self.tally.look() {
+        if let Some(counts) = self.request_counts.tick() {
             spdlog::info!("requests: {counts}; {} connections to upstreams", self.pool.open());
         }
     }
--- a/dataplane/proxy/src/pool.rs
+++ b/dataplane/proxy/src/pool.rs
@@ -11,20 +11,20 @@
 use whinspindle_routing::InstanceKey;
 
 use crate::connect::Connect;
-use crate::lane::Lane;
+use crate::connection::UpstreamConnection;
 
 /// After an answer a connection carries nothing for so long: a surplus answer shows itself meanwhile.
-const REST: Duration = Duration::from_millis(20);
+const SETTLE: Duration = Duration::from_millis(20);
 /// A connection is dropped at this part of the time after which the upstream closes it.
 const IDLE_PART: f64 = 0.7;
 /// For how long an upstream keeps an idle connection if its answers give no time, which is less than a second.
-const UNTOLD_IDLE: Duration = Duration::from_millis(500);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(500);
 /// Longer than a round trip between regions.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
 /// Why there is no connection.
 #[derive(Debug, Snafu)]
-pub enum NoLane {
+pub enum ConnectionError {
     #[snafu(display("all connections that may be open to the upstream are in use"))]
     Full,
     #[snafu(display("the upstream did not take the connection in time"))]
@@ -47,14 +47,14 @@
     connect: Box<dyn Connect>,
     limits: PoolLimits,
     total: Rc<Cell<usize>>,
-    instances: RefCell<HashMap<InstanceKey, Lanes>>,
+    instances: RefCell<HashMap<InstanceKey, InstanceConnections>>,
 }
 
 #[derive(Default)]
-struct Lanes {
+struct InstanceConnections {
     open: Rc<Cell<usize>>,
     /// For how long the upstream keeps idle connections, as it last told on any of them.
-    keeps: Option<Duration>,
+    keep_alive: Option<Duration>,
     /// The one used last stands last.
     idle: Vec<Idle>,
 }
@@ -67,11 +67,11 @@
 
 /// A connection in use; it counts among the open ones until it is dropped.
 pub struct Leased {
-    pub lane: Lane,
+    pub connection: UpstreamConnection,
     /// For how long the upstream keeps it once it is idle, as far as its answers tell.
-    pub keeps: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     instance: InstanceKey,
-    _place: Place,
+    _slot: Slot,
 }
 
 impl Leased {
@@ -81,20 +81,20 @@
     }
 }
 
-struct Place {
+struct Slot {
     total: Rc<Cell<usize>>,
     open: Rc<Cell<usize>>,
 }
 
-impl Place {
-    fn take(total: &Rc<Cell<usize>>, open: &Rc<Cell<usize>>) -> Place {
+impl Slot {
+    fn take(total: &Rc<Cell<usize>>, open: &Rc<Cell<usize>>) -> Slot {
         total.set(total.get() + 1);
         open.set(open.get() + 1);
-        Place { total: Rc::clone(total), open: Rc::clone(open) }
+        Slot { total: Rc::clone(total), open: Rc::clone(open) }
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.total.set(self.total.get() - 1);
         self.open.set(self.open.get() - 1);
@@ -115,42 +115,42 @@
         address: SocketAddr,
         most: usize,
         trusts_idle: bool,
-    ) -> Result<Leased, NoLane> {
+    ) -> Result<Leased, ConnectionError> {
         if !trusts_idle {
             self.drop_idle(instance);
         }
         while let Some(mut leased) = self.take_idle(instance) {
-            if leased.lane.is_still_open().await {
+            if leased.connection.is_still_open().await {
                 return Ok(leased);
             }
         }
-        let place = self.take_place(instance, most)?;
+        let place = self.take_slot(instance, most)?;
         let socket = timeout(CONNECT_LIMIT, self.connect.connect(address)).await;
-        let socket = socket.map_err(|_| NoLane::Silent)?.context(RefusedSnafu)?;
-        let lane = Lane::open(socket).await.context(HandshakeSnafu)?;
-        Ok(Leased { lane, keeps: None, instance, _place: place })
+        let socket = socket.map_err(|_| ConnectionError::Silent)?.context(RefusedSnafu)?;
+        let connection = UpstreamConnection::open(socket).await.context(HandshakeSnafu)?;
+        Ok(Leased { connection, keep_alive: None, instance, _slot: place })
     }
 
     /// Puts back a connection that may carry another request.
-    pub fn give_back(&self, leased: Leased) {
+    pub fn release(&self, leased: Leased) {
         let mut instances = self.instances.borrow_mut();
-        let lanes = instances.entry(leased.instance).or_default();
-        lanes.keeps = leased.keeps.or(lanes.keeps);
+        let connections = instances.entry(leased.instance).or_default();
+        connections.keep_alive = leased.keep_alive.or(connections.keep_alive);
         let since = Instant::now();
-        let until = since + lanes.keeps.unwrap_or(UNTOLD_IDLE).mul_f64(IDLE_PART);
-        lanes.idle.push(Idle { since, until, leased });
+        let until = since + connections.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).mul_f64(IDLE_PART);
+        connections.idle.push(Idle { since, until, leased });
     }
 
     /// Drops idle connections whose time is over, and those to instances that are gone.
     pub fn sweep(&self, is_known: impl Fn(InstanceKey) -> bool) {
         let now = Instant::now();
-        self.instances.borrow_mut().retain(|&instance, lanes| {
-            lanes.idle.retain(|idle| idle.until > now);
+        self.instances.borrow_mut().retain(|&instance, connections| {
+            connections.idle.retain(|idle| idle.until > now);
             let known = is_known(instance);
             if !known {
-                lanes.idle.clear();
+                connections.idle.clear();
             }
-            known || lanes.open.get() > 0
+            known || connections.open.get() > 0
         });
     }
 
@@ -160,8 +160,8 @@
     }
 
     fn drop_idle(&self, instance: InstanceKey) {
-        if let Some(lanes) = self.instances.borrow_mut().get_mut(&instance) {
-            lanes.idle.clear();
+        if let Some(connections) = self.instances.borrow_mut().get_mut(&instance) {
+            connections.idle.clear();
         }
     }
 
@@ -169,29 +169,31 @@
     fn take_idle(&self, instance: InstanceKey) -> Option<Leased> {
         let now = Instant::now();
         let mut instances = self.instances.borrow_mut();
-        let lanes = instances.get_mut(&instance)?;
-        lanes.idle.retain(|idle| idle.until > now);
-        let rested = lanes.idle.iter().rposition(|idle| idle.since + REST <= now)?;
-        Some(lanes.idle.remove(rested).leased)
+        let connections = instances.get_mut(&instance)?;
+        connections.idle.retain(|idle| idle.until > now);
+        let rested = connections.idle.iter().rposition(|idle| idle.since + SETTLE <= now)?;
+        Some(connections.idle.remove(rested).leased)
     }
 
-    fn take_place(&self, instance: InstanceKey, most: usize) -> Result<Place, NoLane> {
+    fn take_slot(&self, instance: InstanceKey, most: usize) -> Result<Slot, ConnectionError> {
         if self.total.get() >= self.limits.total && !self.drop_oldest_idle() {
             return FullSnafu.fail();
         }
         let mut instances = self.instances.borrow_mut();
-        let lanes = instances.entry(instance).or_default();
-        if lanes.open.get() >= most {
+        let connections = instances.entry(instance).or_default();
+        if connections.open.get() >= most {
             return FullSnafu.fail();
         }
-        Ok(Place::take(&self.total, &lanes.open))
+        Ok(Slot::take(&self.total, &connections.open))
     }
 
     fn drop_oldest_idle(&self) -> bool {
         let mut instances = self.instances.borrow_mut();
-        let oldest = instances.values_mut().filter(|lanes| !lanes.idle.is_empty());
-        let Some(lanes) = oldest.min_by_key(|lanes| lanes.idle[0].since) else { return false };
-        lanes.idle.remove(0);
+        let oldest = instances.values_mut().filter(|connections| !connections.idle.is_empty());
+        let Some(connections) = oldest.min_by_key(|connections| connections.idle[0].since) else {
+            return false;
+        };
+        connections.idle.remove(0);
         true
     }
 }
--- a/dataplane/proxy/src/request.rs
+++ b/dataplane/proxy/src/request.rs
@@ -18,7 +18,7 @@
     DEADLINE, EXPECT_INSTANCE, EXPECT_VERSION, LAST_EVENT_ID, PRIORITY, REQUEST_ID, number, number_value,
     prompt_parts, strip_hop_by_hop, token_counts,
 };
-use crate::retry::Permission;
+use crate::retry::RetryPolicy;
 
 /// An answer has to leave so long before the client gives the request up.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
@@ -38,7 +38,7 @@
     pub id: Option<HeaderValue>,
     pub received: Instant,
     /// For how long the client waits.
-    pub patience: Option<Duration>,
+    pub client_timeout: Option<Duration>,
     /// What the router wants to know; the route is filled in when it is asked.
     pub facts: RequestFacts,
 }
@@ -61,7 +61,7 @@
             target: origin_form(&parts.uri),
             host,
             id: headers.get(REQUEST_ID).cloned(),
-            patience: number(&headers, &DEADLINE).map(Duration::from_millis),
+            client_timeout: number(&headers, &DEADLINE).map(Duration::from_millis),
             facts,
             headers,
             body,
@@ -78,8 +78,9 @@
 
     /// When the request is to be answered at the latest on a route with this time-out.
     pub fn due(&self, timeout: Duration) -> Instant {
-        let patience = self.patience.map(|patience| patience.saturating_sub(ANSWER_MARGIN));
-        self.received + patience.map_or(timeout, |patience| patience.min(timeout))
+        let client_timeout =
+            self.client_timeout.map(|client_timeout| client_timeout.saturating_sub(ANSWER_MARGIN));
+        self.received + client_timeout.map_or(timeout, |client_timeout| client_timeout.min(timeout))
     }
 
     /// The request as it goes to an upstream.
@@ -164,14 +165,14 @@
     }
 
     /// What may be repeated of a request on this route.
-    pub fn permission(&self) -> Permission {
+    pub fn retry_policy(&self) -> RetryPolicy {
         let route = self.route();
-        let repeatable = match route.kind {
+        let idempotent = match route.kind {
             RouteKind::Safe => true,
             RouteKind::Unsafe => false,
             RouteKind::Streaming => route.resumable,
         };
-        Permission { repeatable, most_runs: route.retries.max(1) }
+        RetryPolicy { idempotent, most_runs: route.retries.max(1) }
     }
 
     /// The same route and service in a newer configuration, if both still belong together.
--- a/dataplane/proxy/src/head_watch.rs
+++ b/dataplane/proxy/src/request_framing.rs
@@ -47,14 +47,14 @@
 }
 
 impl Lengths {
-    fn take(&mut self, line: &[u8], is_cut: bool) {
+    fn take(&mut self, line: &[u8], is_truncated: bool) {
         if !std::mem::replace(&mut self.has_begun, true) {
             return;
         }
         let (name, value) = split_at_colon(line);
         if name.eq_ignore_ascii_case(LENGTH) {
             self.has_length = true;
-            self.length = if is_cut { None } else { number(value, 10) };
+            self.length = if is_truncated { None } else { number(value, 10) };
         }
         self.has_coding |= name.eq_ignore_ascii_case(CODING);
     }
@@ -76,18 +76,18 @@
 
 /// Follows the bytes of requests, and remembers of each head whether it names two kinds of length.
 #[derive(Debug, Default)]
-pub struct HeadWatch {
+pub struct RequestFraming {
     part: Part,
     /// The beginning of the line that has not ended yet.
     line: Vec<u8>,
     /// The line goes on beyond what is kept of it.
-    is_cut: bool,
+    is_truncated: bool,
     lengths: Lengths,
     /// Whole heads of requests that are not done, the oldest first: whether they are ambiguous.
     heads: VecDeque<bool>,
 }
 
-impl HeadWatch {
+impl RequestFraming {
     /// Takes bytes as they are read.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
@@ -127,24 +127,24 @@
     fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let end = bytes.iter().position(|&byte| byte == b'\n');
         let piece = &bytes[..end.unwrap_or(bytes.len())];
-        let room = LINE_BYTES.saturating_sub(self.line.len());
-        self.line.extend_from_slice(&piece[..piece.len().min(room)]);
-        self.is_cut |= piece.len() > room;
+        let memory = LINE_BYTES.saturating_sub(self.line.len());
+        self.line.extend_from_slice(&piece[..piece.len().min(memory)]);
+        self.is_truncated |= piece.len() > memory;
         let Some(end) = end else { return &[] };
         let line = std::mem::take(&mut self.line);
-        let is_cut = std::mem::take(&mut self.is_cut);
-        self.take_line(line.strip_suffix(b"\r").unwrap_or(&line), is_cut);
+        let is_truncated = std::mem::take(&mut self.is_truncated);
+        self.take_line(line.strip_suffix(b"\r").unwrap_or(&line), is_truncated);
         &bytes[end + 1..]
     }
 
     /// Takes a line, or its beginning.
-    fn take_line(&mut self, line: &[u8], is_cut: bool) {
+    fn take_line(&mut self, line: &[u8], is_truncated: bool) {
         match self.part {
             // Empty lines before a request are passed over.
             Part::Head if line.is_empty() && self.lengths.has_begun => self.end_head(),
             Part::Head if line.is_empty() => {}
-            Part::Head => self.lengths.take(line, is_cut),
-            Part::ChunkSize => self.part = chunk(line, is_cut),
+            Part::Head => self.lengths.take(line, is_truncated),
+            Part::ChunkSize => self.part = chunk(line, is_truncated),
             Part::Trailers if line.is_empty() => self.part = Part::Head,
             _ => {}
         }
@@ -158,10 +158,10 @@
 }
 
 /// What follows the line of a chunk's size.
-fn chunk(line: &[u8], is_cut: bool) -> Part {
+fn chunk(line: &[u8], is_truncated: bool) -> Part {
     const LINE_END: u64 = 2;
     let size = line.split(|&byte| byte == b';').next().unwrap_or_default();
-    let is_whole = !is_cut || size.len() < line.len();
+    let is_whole = !is_truncated || size.len() < line.len();
     match number(size, 16).filter(|_| is_whole) {
         Some(0) => Part::Trailers,
         Some(size) => Part::Chunk { left: size.saturating_add(LINE_END) },
@@ -182,18 +182,18 @@
 }
 
 /// A socket whose requests are watched.
-pub struct Watched<S> {
+pub struct ObservedSocket<S> {
     socket: S,
-    watch: Rc<RefCell<HeadWatch>>,
+    watch: Rc<RefCell<RequestFraming>>,
 }
 
-impl<S> Watched<S> {
-    pub fn new(socket: S, watch: Rc<RefCell<HeadWatch>>) -> Self {
-        Watched { socket, watch }
+impl<S> ObservedSocket<S> {
+    pub fn new(socket: S, watch: Rc<RefCell<RequestFraming>>) -> Self {
+        ObservedSocket { socket, watch }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for ObservedSocket<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -209,7 +209,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for ObservedSocket<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/dataplane/proxy/src/retry.rs
+++ b/dataplane/proxy/src/retry.rs
@@ -10,7 +10,7 @@
 
 /// How a send ended that gave no answer for the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum AttemptEnd {
     /// Not a byte of the request was written.
     NotSent,
     /// Another instance has the address; it did not run the request.
@@ -25,16 +25,16 @@
 
 /// What the route allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Permission {
+pub struct RetryPolicy {
     /// The request may run more than once.
-    pub repeatable: bool,
+    pub idempotent: bool,
     /// The most upstreams on which the request may run.
     pub most_runs: u32,
 }
 
 /// What has become of the sends of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct History {
+pub struct AttemptHistory {
     pub unsent: u32,
     pub misdirected: u32,
     pub rejected: u32,
@@ -42,39 +42,39 @@
     pub runs: u32,
 }
 
-impl History {
+impl AttemptHistory {
     /// Notes how a send ended.
-    pub fn note(&mut self, end: SendEnd) {
+    pub fn record(&mut self, end: AttemptEnd) {
         match end {
-            SendEnd::NotSent => self.unsent += 1,
-            SendEnd::Misdirected => self.misdirected += 1,
-            SendEnd::Rejected => self.rejected += 1,
-            SendEnd::Failed | SendEnd::Broken => self.note_run(),
+            AttemptEnd::NotSent => self.unsent += 1,
+            AttemptEnd::Misdirected => self.misdirected += 1,
+            AttemptEnd::Rejected => self.rejected += 1,
+            AttemptEnd::Failed | AttemptEnd::Broken => self.record_run(),
         }
     }
 
     /// Notes an upstream that may run, or has run, the request.
-    pub fn note_run(&mut self) {
+    pub fn record_run(&mut self) {
         self.runs += 1;
     }
 }
 
 /// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Decision {
     /// Choose another upstream, if the router grants one.
-    SendAgain,
+    Retry,
     /// Pass the upstream's failure back.
     PassBack,
     /// Answer with a failure of one's own.
-    GiveUp(OwnFailure),
+    GiveUp(ProxyFailure),
 }
 
 /// A failure that no upstream gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnFailure {
+pub enum ProxyFailure {
     /// 503: the request has not run and never will.
-    Refused,
+    Rejected,
     /// 502: the request may have run.
     BadGateway,
     /// 504: the time is over, and the request may have run.
@@ -82,33 +82,33 @@
 }
 
 /// Decides what follows a send. `history` includes the send that has just ended.
-pub fn next(permission: Permission, history: History, end: SendEnd) -> Next {
+pub fn next(retry_policy: RetryPolicy, history: AttemptHistory, end: AttemptEnd) -> Decision {
     let may_go_on = match end {
-        SendEnd::NotSent => history.unsent < MOST_UNSENT,
-        SendEnd::Misdirected => history.misdirected < MOST_MISDIRECTED,
-        SendEnd::Rejected => history.rejected < MOST_REJECTED,
-        SendEnd::Failed | SendEnd::Broken => true,
+        AttemptEnd::NotSent => history.unsent < MOST_UNSENT,
+        AttemptEnd::Misdirected => history.misdirected < MOST_MISDIRECTED,
+        AttemptEnd::Rejected => history.rejected < MOST_REJECTED,
+        AttemptEnd::Failed | AttemptEnd::Broken => true,
     };
-    if may_go_on && may_run_again(permission, history) {
-        Next::SendAgain
-    } else if end == SendEnd::Failed {
-        Next::PassBack
+    if may_go_on && may_run_again(retry_policy, history) {
+        Decision::Retry
+    } else if end == AttemptEnd::Failed {
+        Decision::PassBack
     } else {
-        Next::GiveUp(give_up(history))
+        Decision::GiveUp(give_up(history))
     }
 }
 
 /// Whether one more upstream may run the request.
-pub fn may_run_again(permission: Permission, history: History) -> bool {
-    history.runs == 0 || (permission.repeatable && history.runs < permission.most_runs)
+pub fn may_run_again(retry_policy: RetryPolicy, history: AttemptHistory) -> bool {
+    history.runs == 0 || (retry_policy.idempotent && history.runs < retry_policy.most_runs)
 }
 
 /// The failure for a request that goes to no further upstream.
-pub fn give_up(history: History) -> OwnFailure {
-    if history.runs == 0 { OwnFailure::Refused } else { OwnFailure::BadGateway }
+pub fn give_up(history: AttemptHistory) -> ProxyFailure {
+    if history.runs == 0 { ProxyFailure::Rejected } else { ProxyFailure::BadGateway }
 }
 
 /// The failure for a request whose time is over.
-pub fn time_is_over(history: History) -> OwnFailure {
-    if history.runs == 0 { OwnFailure::Refused } else { OwnFailure::TimedOut }
+pub fn time_is_over(history: AttemptHistory) -> ProxyFailure {
+    if history.runs == 0 { ProxyFailure::Rejected } else { ProxyFailure::TimedOut }
 }
--- a/dataplane/proxy/src/stop.rs
+++ b/dataplane/proxy/src/shutdown.rs
@@ -20,17 +20,17 @@
 
 /// When things end after the order to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopTimes {
+pub struct ShutdownTimes {
     /// From the order to the end of the listener.
     pub accepting: Duration,
     /// From the order to the end of the process.
     pub answering: Duration,
 }
 
-impl StopTimes {
+impl ShutdownTimes {
     /// The process is killed `grace` after the order.
     pub fn of(grace: Duration) -> Self {
-        StopTimes {
+        ShutdownTimes {
             accepting: STILL_ACCEPTING.min(grace * 3 / 8),
             answering: grace.saturating_sub(LAST_ANSWERS.min(grace / LAST_ANSWERS_PART)),
         }
@@ -38,46 +38,46 @@
 }
 
 /// Whether and when the process was told to stop.
-pub struct Stop {
-    times: StopTimes,
-    ordered: Cell<Option<Instant>>,
-    order: Notify,
+pub struct Shutdown {
+    times: ShutdownTimes,
+    requested_at: Cell<Option<Instant>>,
+    request: Notify,
 }
 
-impl Stop {
-    pub fn new(times: StopTimes) -> Self {
-        Stop { times, ordered: Cell::new(None), order: Notify::new() }
+impl Shutdown {
+    pub fn new(times: ShutdownTimes) -> Self {
+        Shutdown { times, requested_at: Cell::new(None), request: Notify::new() }
     }
 
     /// Gives the order. Further orders change nothing.
-    pub fn order(&self) {
-        if self.ordered.get().is_none() {
-            self.ordered.set(Some(Instant::now()));
-            self.order.notify_waiters();
+    pub fn request(&self) {
+        if self.requested_at.get().is_none() {
+            self.requested_at.set(Some(Instant::now()));
+            self.request.notify_waiters();
         }
     }
 
-    pub fn is_ordered(&self) -> bool {
-        self.ordered.get().is_some()
+    pub fn is_requested(&self) -> bool {
+        self.requested_at.get().is_some()
     }
 
     /// Waits for the order, and then until no more clients are to be taken.
     pub async fn accepting_ends(&self) {
-        sleep_until(self.ordered().await + self.times.accepting).await;
+        sleep_until(self.requested().await + self.times.accepting).await;
     }
 
     /// Waits for the order, and then until the process has to end.
     pub async fn answering_ends(&self) {
-        sleep_until(self.ordered().await + self.times.answering).await;
+        sleep_until(self.requested().await + self.times.answering).await;
     }
 
-    async fn ordered(&self) -> Instant {
+    async fn requested(&self) -> Instant {
         loop {
-            let order = self.order.notified();
-            if let Some(at) = self.ordered.get() {
+            let request = self.request.notified();
+            if let Some(at) = self.requested_at.get() {
                 return at;
             }
-            order.await;
+            request.await;
         }
     }
 }
--- a/dataplane/proxy/src/stream.rs
+++ b/dataplane/proxy/src/stream.rs
@@ -13,26 +13,26 @@
 use whinspindle_configuration::{Mechanism, Route};
 use whinspindle_routing::Outcome;
 
-use crate::answers::StreamCut;
+use crate::answers::StreamTruncated;
 use crate::events::Position;
-use crate::exchange::{Chosen, Exchange, GivenUp, OpenStream, Opened, Run};
+use crate::exchange::{ChosenInstance, Exchange, GivenUp, OpenStream, Opened, StreamRun};
 use crate::node::Node;
-use crate::tally::Event;
+use crate::request_counts::RequestEvent;
 
 /// So many bytes of events go on at once at most.
 const MOST_AT_ONCE: usize = 64 * 1024;
 /// Clients give a stream up after the longest of this silence, so many objectives and so many pauses.
-const CLIENT_SILENCE: Duration = Duration::from_secs(2);
-const CLIENT_OBJECTIVES: u64 = 4;
-const CLIENT_PAUSES: u64 = 8;
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+const CLIENT_LATENCY_TARGETS: u64 = 4;
+const CLIENT_EVENT_GAPS: u64 = 8;
 /// The part of a client's patience after which a silent stream moves to another upstream.
-const SILENCE_PART: f64 = 0.6;
+const SILENCE_FRACTION: f64 = 0.6;
 
 /// For how long a stream may be silent before it moves to another upstream.
 pub fn silence_limit(route: &Route) -> Duration {
-    let objectives = Duration::from_millis(route.target_ms.saturating_mul(CLIENT_OBJECTIVES));
-    let pauses = Duration::from_millis(route.gap_aim_ms.unwrap_or(0).saturating_mul(CLIENT_PAUSES));
-    CLIENT_SILENCE.max(objectives).max(pauses).mul_f64(SILENCE_PART)
+    let objectives = Duration::from_millis(route.target_ms.saturating_mul(CLIENT_LATENCY_TARGETS));
+    let pauses = Duration::from_millis(route.gap_aim_ms.unwrap_or(0).saturating_mul(CLIENT_EVENT_GAPS));
+    CLIENT_TIMEOUT.max(objectives).max(pauses).mul_f64(SILENCE_FRACTION)
 }
 
 type Resumed = (Exchange, Result<Opened, GivenUp>);
@@ -44,14 +44,14 @@
     Abandoned,
     /// What has been handed on is to be written, and then the client's connection is to be cut.
     Flushing,
-    Cut,
+    Truncated,
     Ended,
 }
 
 /// A run under way, and the request it answers.
 struct Flow {
     exchange: Exchange,
-    run: Run,
+    run: StreamRun,
 }
 
 /// A streaming answer under way.
@@ -64,21 +64,21 @@
     position: Position,
     due: Pin<Box<Sleep>>,
     /// Ends when the stream has been silent for too long; only where it may move.
-    silence: Option<Silence>,
+    silence: Option<SilenceTimer>,
     /// The resumption under way follows a silence, not a break.
-    moved_for_silence: bool,
+    moved_after_silence: bool,
 }
 
-struct Silence {
+struct SilenceTimer {
     limit: Duration,
     last_event: Instant,
     timer: Pin<Box<Sleep>>,
 }
 
-impl Silence {
+impl SilenceTimer {
     fn new(limit: Duration) -> Self {
         let now = Instant::now();
-        Silence { limit, last_event: now, timer: Box::pin(sleep_until(now + limit)) }
+        SilenceTimer { limit, last_event: now, timer: Box::pin(sleep_until(now + limit)) }
     }
 
     /// Ready once nothing has come for the whole limit. The timer is not moved with each event.
@@ -106,7 +106,7 @@
         let node = Rc::clone(&exchange.node);
         let route = exchange.matched().route();
         let moves = exchange.may_resume() && node.settings.mechanisms.has(Mechanism::SilenceMove);
-        let silence = moves.then(|| Silence::new(silence_limit(route)));
+        let silence = moves.then(|| SilenceTimer::new(silence_limit(route)));
         let due = Box::pin(sleep_until(exchange.due()));
         let position = open.run.as_ref().map(|run| run.splitter.position()).unwrap_or_default();
         let state = match open.run {
@@ -115,7 +115,15 @@
         };
         (
             open.head,
-            StreamAnswer { node, state, ready: open.first, position, due, silence, moved_for_silence: false },
+            StreamAnswer {
+                node,
+                state,
+                ready: open.first,
+                position,
+                due,
+                silence,
+                moved_after_silence: false,
+            },
         )
     }
 
@@ -125,24 +133,24 @@
     }
 
     /// The next whole events; none once the stream is complete.
-    pub fn poll_events(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamCut>>> {
+    pub fn poll_events(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamTruncated>>> {
         if !self.ready.is_empty() {
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.ready))));
         }
         if !matches!(self.state, State::Ended) && self.due.as_mut().poll(cx).is_ready() {
             self.state = State::Ended;
-            self.node.tally.note(Event::StreamCut);
-            return Poll::Ready(Some(Err(StreamCut::TimeOver)));
+            self.node.request_counts.record(RequestEvent::StreamTruncated);
+            return Poll::Ready(Some(Err(StreamTruncated::TimeOver)));
         }
         loop {
             let events = match std::mem::replace(&mut self.state, State::Ended) {
                 State::Ended => return Poll::Ready(None),
                 State::Flushing => {
-                    self.state = State::Cut;
+                    self.state = State::Truncated;
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
-                State::Cut => return Poll::Ready(Some(Err(StreamCut::Broken))),
+                State::Truncated => return Poll::Ready(Some(Err(StreamTruncated::Broken))),
                 State::Flowing(flow) => ready!(self.poll_flow(flow, cx)),
                 State::Resuming(resuming) => ready!(self.poll_resuming(resuming, cx)),
                 State::Abandoned => {
@@ -164,12 +172,12 @@
                 break false;
             }
             let run = &mut flow.run;
-            let data = match run.leased.lane.poll_body(&mut run.body, cx) {
+            let data = match run.leased.connection.poll_body(&mut run.body, cx) {
                 Poll::Pending => break false,
                 Poll::Ready(None) => {
                     events.add(run.splitter.finish());
                     let Flow { exchange, run } = *flow;
-                    self.node.tally.note(Event::StreamComplete);
+                    self.node.request_counts.record(RequestEvent::StreamComplete);
                     run.complete(&exchange.node, cx);
                     return Poll::Ready(events.take());
                 }
@@ -187,10 +195,10 @@
         };
         if events.length > 0 {
             self.node.router.borrow_mut().record_received(flow.run.leased.instance());
-            self.note_events();
+            self.record_events();
         }
         if broke {
-            self.resume_or_cut(flow);
+            self.resume_or_truncate(flow);
         } else if events.length > 0 {
             self.state = State::Flowing(flow);
         } else {
@@ -238,9 +246,9 @@
                 return Poll::Ready(Bytes::new());
             }
         };
-        self.moved_for_silence = false;
-        self.node.tally.note(Event::StreamResumed);
-        self.note_events();
+        self.moved_after_silence = false;
+        self.node.request_counts.record(RequestEvent::StreamResumed);
+        self.record_events();
         if let Some(run) = open.run {
             self.position = run.splitter.position();
             self.state = State::Flowing(Box::new(Flow { exchange, run }));
@@ -250,29 +258,29 @@
 
     /// What comes after a resumption that no upstream took.
     fn give_up_resuming(&mut self) {
-        if self.moved_for_silence {
+        if self.moved_after_silence {
             self.state = State::Abandoned;
             return;
         }
-        self.node.tally.note(Event::StreamCut);
+        self.node.request_counts.record(RequestEvent::StreamTruncated);
         self.state = State::Flushing;
     }
 
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         if let Some(silence) = &mut self.silence {
             silence.last_event = Instant::now();
         }
     }
 
     /// What comes after a run that broke.
-    fn resume_or_cut(&mut self, mut flow: Box<Flow>) {
+    fn resume_or_truncate(&mut self, mut flow: Box<Flow>) {
         self.log_break(&flow);
         if self.position.last_id.is_some() && flow.exchange.may_resume() {
             self.move_on(flow, None);
             return;
         }
-        flow.run.sent.finish(Outcome::Broken);
-        self.node.tally.note(Event::StreamCut);
+        flow.run.attempt.finish(Outcome::Broken);
+        self.node.request_counts.record(RequestEvent::StreamTruncated);
         self.state = State::Flushing;
     }
 
@@ -284,10 +292,10 @@
     }
 
     /// Ends a run and asks another upstream for what follows.
-    fn move_on(&mut self, flow: Box<Flow>, chosen: Option<Chosen>) {
+    fn move_on(&mut self, flow: Box<Flow>, chosen: Option<ChosenInstance>) {
         let Flow { mut exchange, mut run } = *flow;
-        self.moved_for_silence = chosen.is_some();
-        run.sent.finish(Outcome::Broken);
+        self.moved_after_silence = chosen.is_some();
+        run.attempt.finish(Outcome::Broken);
         // The old run must not go on beside the new one.
         drop(run);
         exchange.resume_after(self.position);
--- a/dataplane/proxy/tests/verdict.rs
+++ b/dataplane/proxy/tests/classify.rs
@@ -1,7 +1,7 @@
 //! What the heads of answers mean.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
-use whinspindle_proxy::verdict::{Asked, Verdict, judge};
+use whinspindle_proxy::classify::{AnswerClass, Expected, classify};
 
 const ID: (&str, &str) = ("whinspindle-request-id", "a1");
 const OTHER_ID: (&str, &str) = ("whinspindle-request-id", "b2");
@@ -11,10 +11,10 @@
 
 type Headers<'a> = &'a [(&'static str, &'static str)];
 
-fn verdict(status: u16, headers: Headers, fresh: bool) -> Verdict {
+fn class(status: u16, headers: Headers, fresh: bool) -> AnswerClass {
     let id = HeaderValue::from_static("a1");
-    let asked = Asked { id: Some(&id), instance: "i-1", names_version: false, fresh };
-    judge(&asked, StatusCode::from_u16(status).expect("a status"), &map(headers))
+    let request = Expected { id: Some(&id), instance: "i-1", names_version: false, fresh };
+    classify(&request, StatusCode::from_u16(status).expect("a status"), &map(headers))
 }
 
 fn map(headers: Headers) -> HeaderMap {
@@ -24,8 +24,8 @@
 
 #[test]
 fn the_table_of_heads() {
-    use Verdict::{Failure, Misdirected, Rejected, Success, Unusable};
-    let cases: &[(u16, Headers, Verdict)] = &[
+    use AnswerClass::{Failure, Misdirected, Rejected, Success, Unusable};
+    let cases: &[(u16, Headers, AnswerClass)] = &[
         (200, &[ID, STAMP], Success),
         (200, &[ID], Unusable),
         (200, &[STAMP], Unusable),
@@ -50,27 +50,27 @@
         (408, &[ID, STAMP], Unusable),
     ];
     for &(status, headers, expected) in cases {
-        assert_eq!(verdict(status, headers, false), expected, "{status} {headers:?}");
-        assert_eq!(verdict(status, headers, true), expected, "{status} {headers:?} on a fresh connection");
+        assert_eq!(class(status, headers, false), expected, "{status} {headers:?}");
+        assert_eq!(class(status, headers, true), expected, "{status} {headers:?} on a fresh connection");
     }
 }
 
 #[test]
 fn an_answer_without_an_id_counts_only_on_a_fresh_connection() {
     for (status, headers, expected) in
-        [(503, &[NOT_RUN][..], Verdict::Rejected), (421, &[][..], Verdict::Misdirected)]
+        [(503, &[NOT_RUN][..], AnswerClass::Rejected), (421, &[][..], AnswerClass::Misdirected)]
     {
-        assert_eq!(verdict(status, headers, true), expected);
-        assert_eq!(verdict(status, headers, false), Verdict::Unusable);
+        assert_eq!(class(status, headers, true), expected);
+        assert_eq!(class(status, headers, false), AnswerClass::Unusable);
     }
 }
 
 #[test]
 fn a_request_without_an_id_wants_an_answer_without_one() {
-    let asked = Asked { id: None, instance: "i-1", names_version: false, fresh: false };
-    let judged = |headers| judge(&asked, StatusCode::BAD_REQUEST, &map(headers));
-    assert_eq!(judged(&[NOT_RUN]), Verdict::Failure);
-    assert_eq!(judged(&[ID, NOT_RUN]), Verdict::Unusable);
+    let request = Expected { id: None, instance: "i-1", names_version: false, fresh: false };
+    let found = |headers| classify(&request, StatusCode::BAD_REQUEST, &map(headers));
+    assert_eq!(found(&[NOT_RUN]), AnswerClass::Failure);
+    assert_eq!(found(&[ID, NOT_RUN]), AnswerClass::Unusable);
 }
 
 #[test]
@@ -78,16 +78,16 @@
     let id = HeaderValue::from_static("a1");
     const SAME: (&str, &str) = ("whinspindle-instance-id", "i-1");
     const OTHER: (&str, &str) = ("whinspindle-instance-id", "i-2");
-    let cases: &[(Headers, bool, Verdict)] = &[
-        (&[ID, SAME], true, Verdict::Rejected),
-        (&[ID, OTHER], true, Verdict::Misdirected),
-        (&[ID, OTHER], false, Verdict::Misdirected),
-        (&[ID], true, Verdict::Rejected),
-        (&[ID], false, Verdict::Misdirected),
+    let cases: &[(Headers, bool, AnswerClass)] = &[
+        (&[ID, SAME], true, AnswerClass::Rejected),
+        (&[ID, OTHER], true, AnswerClass::Misdirected),
+        (&[ID, OTHER], false, AnswerClass::Misdirected),
+        (&[ID], true, AnswerClass::Rejected),
+        (&[ID], false, AnswerClass::Misdirected),
     ];
     for &(headers, names_version, expected) in cases {
-        let asked = Asked { id: Some(&id), instance: "i-1", names_version, fresh: false };
-        let judged = judge(&asked, StatusCode::MISDIRECTED_REQUEST, &map(headers));
-        assert_eq!(judged, expected, "{headers:?} {names_version}");
+        let request = Expected { id: Some(&id), instance: "i-1", names_version, fresh: false };
+        let found = classify(&request, StatusCode::MISDIRECTED_REQUEST, &map(headers));
+        assert_eq!(found, expected, "{headers:?} {names_version}");
     }
 }
--- a/dataplane/proxy/tests/closes.rs
+++ b/dataplane/proxy/tests/closes.rs
@@ -78,7 +78,7 @@
     match close {
         Close::Idle | Close::LateHead => world.clients.sweep(&world.node),
         Close::Stop => {
-            world.node.stop.order();
+            world.node.shutdown.request();
             let (node, clients) = (Rc::clone(&world.node), Rc::clone(&world.clients));
             spawn_local(async move { finish(&node, &clients).await });
         }
--- a/dataplane/proxy/tests/feed.rs
+++ b/dataplane/proxy/tests/control_link.rs
@@ -17,7 +17,7 @@
     Configured, Evacuations, Instances, Link, Report, Role, ToBalancer, Update, decode_hello, decode_report,
     encode_to_balancer,
 };
-use whinspindle_proxy::feed::{Identity, LinkError, converse};
+use whinspindle_proxy::control_link::{Identity, LinkError, converse};
 
 /// The agent's side of a link.
 struct Agent {
@@ -135,7 +135,7 @@
         agent.hello().await;
         agent.report().await;
         timeout(Duration::from_millis(600), agent.report()).await.expect("a regular report");
-        world.node.stop.order();
+        world.node.shutdown.request();
         world.node.report_due.notify_one();
         let report = timeout(MOMENT, agent.report()).await.expect("at once");
         assert!(report.shutting_down && !report.ready);
--- a/dataplane/proxy/tests/exchange.rs
+++ b/dataplane/proxy/tests/exchange.rs
@@ -663,7 +663,7 @@
         world.upstreams.script(slow);
         busy.send(&post("/stream/x").replace("3000", "9000")).await;
         sleep(MOMENT).await;
-        world.node.stop.order();
+        world.node.shutdown.request();
         assert!(!world.node.is_ready());
         world.upstreams.script(served("late"));
         let late = world.ask(&post("/unsafe/x")).await;
@@ -688,7 +688,7 @@
         let mut client = world.client();
         client.send(first).await;
         sleep(MOMENT).await;
-        world.node.stop.order();
+        world.node.shutdown.request();
         world.upstreams.script(served("ok"));
         let ended = whinspindle_proxy::clients::finish(&world.node, &world.clients);
         let asking = async {
--- a/dataplane/proxy/tests/limits.rs
+++ b/dataplane/proxy/tests/limits.rs
@@ -3,25 +3,25 @@
 use std::time::Duration;
 
 use whinspindle_configuration::{Limits, MachineLimits};
-use whinspindle_proxy::limits::{Budget, LimitsInForce, Shares};
-use whinspindle_proxy::stop::StopTimes;
+use whinspindle_proxy::limits::{Capacities, LimitsInForce, MemoryBudget};
+use whinspindle_proxy::shutdown::ShutdownTimes;
 
 #[test]
 fn sockets_stay_within_the_descriptors() {
     for max_fds in [0, 300, 1024, 4100, 65_536] {
-        let shares = Shares::of(&MachineLimits { memory_mb: 260, max_fds, disk_mb: 0 });
+        let capacities = Capacities::of(&MachineLimits { memory_mb: 260, max_fds, disk_mb: 0 });
         let allowed = if max_fds == 0 { 1024 } else { max_fds };
-        let sockets = (shares.clients + shares.upstreams) as u64;
-        assert!(sockets + 200 <= allowed, "{max_fds}: {shares:?}");
-        assert!(shares.body_bytes < 100 << 20, "{shares:?}");
+        let sockets = (capacities.clients + capacities.upstreams) as u64;
+        assert!(sockets + 200 <= allowed, "{max_fds}: {capacities:?}");
+        assert!(capacities.body_bytes < 100 << 20, "{capacities:?}");
     }
 }
 
 #[test]
 fn a_budget_is_never_overdrawn() {
-    let budget = Budget::new(100);
-    let mut first = budget.share();
-    let mut second = budget.share();
+    let budget = MemoryBudget::new(100);
+    let mut first = budget.reserve();
+    let mut second = budget.reserve();
     assert!(first.grow_to(60));
     assert!(first.grow_to(50), "less than it holds");
     assert!(!second.grow_to(41));
@@ -53,7 +53,7 @@
 fn a_stop_leaves_time_for_answers() {
     for grace_ms in [1000, 4000, 8000, 30_000] {
         let grace = Duration::from_millis(grace_ms);
-        let times = StopTimes::of(grace);
+        let times = ShutdownTimes::of(grace);
         assert!(times.accepting < grace / 2);
         assert!(times.answering < grace && times.answering > times.accepting);
     }
@@ -63,7 +63,7 @@
 fn a_request_that_is_sent_three_seconds_after_the_order_to_stop_is_not_taken() {
     const SOON: Duration = Duration::from_millis(100);
     for grace_ms in [1000, 4000, 8000, 30_000] {
-        let times = StopTimes::of(Duration::from_millis(grace_ms));
+        let times = ShutdownTimes::of(Duration::from_millis(grace_ms));
         assert!(times.accepting + SOON < Duration::from_secs(3), "{times:?}");
     }
 }
@@ -72,7 +72,7 @@
 fn what_an_upstream_has_answered_before_the_last_sixth_of_the_grace_still_goes_to_its_client() {
     for grace_ms in [500, 1000, 2000, 2300, 4000, 8000, 30_000] {
         let grace = Duration::from_millis(grace_ms);
-        let times = StopTimes::of(grace);
+        let times = ShutdownTimes::of(grace);
         let way_to_the_client = grace / 24;
         assert!(times.answering >= grace * 5 / 6 + way_to_the_client, "{grace:?}: {times:?}");
     }
--- a/dataplane/proxy/tests/figures.rs
+++ b/dataplane/proxy/tests/metrics.rs
@@ -7,7 +7,7 @@
 
 use common::{World, play, post, served, status};
 use tokio::time::sleep;
-use whinspindle_proxy::figures::text;
+use whinspindle_proxy::metrics::text;
 
 #[test]
 fn requests_upstreams_and_places_out_of_reach_are_told() {
--- a/dataplane/proxy/tests/head_watch.rs
+++ b/dataplane/proxy/tests/request_framing.rs
@@ -1,10 +1,10 @@
 //! Heads that name two kinds of length are found, however their bytes come.
 
 use quickcheck::quickcheck;
-use whinspindle_proxy::head_watch::HeadWatch;
+use whinspindle_proxy::request_framing::RequestFraming;
 
 fn is_ambiguous(pieces: &[&[u8]]) -> bool {
-    let mut watch = HeadWatch::default();
+    let mut watch = RequestFraming::default();
     pieces.iter().for_each(|piece| watch.push(piece));
     watch.is_ambiguous()
 }
@@ -25,7 +25,7 @@
 
 #[test]
 fn each_request_is_watched_anew() {
-    let mut watch = HeadWatch::default();
+    let mut watch = RequestFraming::default();
     watch.push(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
     watch.restart();
     watch.push(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -54,7 +54,7 @@
     for first in [LENGTH, CHUNKED, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "\r\nGET / HTTP/1.1\n\n"] {
         let bytes = [first, LENGTH, CHUNKED, BOTH].concat();
         for piece in 1..=bytes.len() {
-            let mut watch = HeadWatch::default();
+            let mut watch = RequestFraming::default();
             bytes.as_bytes().chunks(piece).for_each(|bytes| watch.push(bytes));
             for expected in [false, false, false, true] {
                 assert_eq!(watch.is_ambiguous(), expected, "{piece} at once after {first}");
@@ -66,14 +66,14 @@
 
 #[test]
 fn a_head_whose_lines_lack_returns_is_looked_at() {
-    let mut watch = HeadWatch::default();
+    let mut watch = RequestFraming::default();
     watch.push(BOTH.replace("\r\n", "\n").as_bytes());
     assert!(watch.is_ambiguous());
 }
 
 #[test]
 fn a_body_that_looks_like_a_head_is_none() {
-    let mut watch = HeadWatch::default();
+    let mut watch = RequestFraming::default();
     let body = BOTH;
     watch.push(format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
     assert!(!watch.is_ambiguous());
@@ -91,7 +91,7 @@
         lengths.iter().map(|length| LENGTH.replace(" 5", &format!(" {length}"))).collect();
     firsts.push(CHUNKED.replace("3;x=y", &format!("{zeros}3;x=y")));
     for first in firsts {
-        let mut watch = HeadWatch::default();
+        let mut watch = RequestFraming::default();
         watch.push(first.as_bytes());
         assert!(watch.is_lost(), "what follows can't be told: {first}");
         watch.push(BOTH.as_bytes());
@@ -105,7 +105,7 @@
     let extended = CHUNKED.replace("3;x=y", &format!("3;x={long}"));
     let other = LENGTH.replace("Content-Length", &format!("X: {long}\r\nContent-Length"));
     for first in [extended, other] {
-        let mut watch = HeadWatch::default();
+        let mut watch = RequestFraming::default();
         watch.push([first.as_str(), BOTH].concat().as_bytes());
         assert!(!watch.is_lost() && !watch.is_ambiguous(), "{first}");
         watch.restart();
--- a/dataplane/proxy/tests/retry.rs
+++ b/dataplane/proxy/tests/retry.rs
@@ -2,94 +2,95 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use whinspindle_proxy::retry::{
-    History, Next, OwnFailure, Permission, SendEnd, give_up, may_run_again, next, time_is_over,
+    AttemptEnd, AttemptHistory, Decision, ProxyFailure, RetryPolicy, give_up, may_run_again, next,
+    time_is_over,
 };
 
-const ONCE: Permission = Permission { repeatable: false, most_runs: 3 };
-const TWICE: Permission = Permission { repeatable: true, most_runs: 2 };
-const REPEATABLE_ONCE: Permission = Permission { repeatable: true, most_runs: 1 };
-const REFUSED: Next = Next::GiveUp(OwnFailure::Refused);
-const BAD_GATEWAY: Next = Next::GiveUp(OwnFailure::BadGateway);
+const ONCE: RetryPolicy = RetryPolicy { idempotent: false, most_runs: 3 };
+const TWICE: RetryPolicy = RetryPolicy { idempotent: true, most_runs: 2 };
+const IDEMPOTENT_ONCE: RetryPolicy = RetryPolicy { idempotent: true, most_runs: 1 };
+const REJECTED: Decision = Decision::GiveUp(ProxyFailure::Rejected);
+const BAD_GATEWAY: Decision = Decision::GiveUp(ProxyFailure::BadGateway);
 
-fn after(permission: Permission, ends: &[SendEnd]) -> Next {
-    let mut history = History::default();
-    ends.iter().for_each(|&end| history.note(end));
-    next(permission, history, *ends.last().expect("a send"))
+fn after(policy: RetryPolicy, ends: &[AttemptEnd]) -> Decision {
+    let mut history = AttemptHistory::default();
+    ends.iter().for_each(|&end| history.record(end));
+    next(policy, history, *ends.last().expect("a send"))
 }
 
 #[test]
 fn the_table_of_what_follows_a_send() {
-    use SendEnd::{Broken, Failed, Misdirected, NotSent, Rejected};
-    let cases: &[(Permission, &[SendEnd], Next)] = &[
+    use AttemptEnd::{Broken, Failed, Misdirected, NotSent, Rejected};
+    let cases: &[(RetryPolicy, &[AttemptEnd], Decision)] = &[
         // Nothing ran: another upstream may.
-        (ONCE, &[NotSent], Next::SendAgain),
-        (ONCE, &[Misdirected], Next::SendAgain),
-        (ONCE, &[Rejected], Next::SendAgain),
-        (TWICE, &[NotSent, NotSent, NotSent], Next::SendAgain),
+        (ONCE, &[NotSent], Decision::Retry),
+        (ONCE, &[Misdirected], Decision::Retry),
+        (ONCE, &[Rejected], Decision::Retry),
+        (TWICE, &[NotSent, NotSent, NotSent], Decision::Retry),
         // Only so often.
-        (ONCE, &[NotSent, NotSent, NotSent, NotSent], REFUSED),
-        (ONCE, &[Misdirected, Misdirected, Misdirected], REFUSED),
-        (ONCE, &[Rejected, Rejected], REFUSED),
-        (TWICE, &[Rejected, Rejected], REFUSED),
+        (ONCE, &[NotSent, NotSent, NotSent, NotSent], REJECTED),
+        (ONCE, &[Misdirected, Misdirected, Misdirected], REJECTED),
+        (ONCE, &[Rejected, Rejected], REJECTED),
+        (TWICE, &[Rejected, Rejected], REJECTED),
         // It may have run: no other upstream may, unless the route says so.
         (ONCE, &[Broken], BAD_GATEWAY),
         (ONCE, &[Rejected, Broken], BAD_GATEWAY),
-        (ONCE, &[Failed], Next::PassBack),
-        (TWICE, &[Broken], Next::SendAgain),
-        (TWICE, &[Failed], Next::SendAgain),
+        (ONCE, &[Failed], Decision::PassBack),
+        (TWICE, &[Broken], Decision::Retry),
+        (TWICE, &[Failed], Decision::Retry),
         (TWICE, &[Broken, Broken], BAD_GATEWAY),
-        (TWICE, &[Broken, Failed], Next::PassBack),
-        (REPEATABLE_ONCE, &[Broken], BAD_GATEWAY),
-        (REPEATABLE_ONCE, &[Failed], Next::PassBack),
+        (TWICE, &[Broken, Failed], Decision::PassBack),
+        (IDEMPOTENT_ONCE, &[Broken], BAD_GATEWAY),
+        (IDEMPOTENT_ONCE, &[Failed], Decision::PassBack),
         // A run before rules out the promise that it has not run.
-        (TWICE, &[Broken, Rejected], Next::SendAgain),
+        (TWICE, &[Broken, Rejected], Decision::Retry),
         (TWICE, &[Broken, Rejected, Rejected], BAD_GATEWAY),
     ];
-    for (permission, ends, expected) in cases {
-        assert_eq!(after(*permission, ends), *expected, "{permission:?} {ends:?}");
+    for (policy, ends, expected) in cases {
+        assert_eq!(after(*policy, ends), *expected, "{policy:?} {ends:?}");
     }
 }
 
 #[test]
 fn time_that_is_over_promises_only_what_is_known() {
-    let mut history = History::default();
-    history.note(SendEnd::Rejected);
-    history.note(SendEnd::NotSent);
-    assert_eq!(time_is_over(history), OwnFailure::Refused);
-    history.note_run();
-    assert_eq!(time_is_over(history), OwnFailure::TimedOut);
+    let mut history = AttemptHistory::default();
+    history.record(AttemptEnd::Rejected);
+    history.record(AttemptEnd::NotSent);
+    assert_eq!(time_is_over(history), ProxyFailure::Rejected);
+    history.record_run();
+    assert_eq!(time_is_over(history), ProxyFailure::TimedOut);
 }
 
 #[derive(Clone, Copy, Debug)]
-struct AnyEnd(SendEnd);
+struct AnyEnd(AttemptEnd);
 
 impl Arbitrary for AnyEnd {
     fn arbitrary(gen_: &mut Gen) -> Self {
-        use SendEnd::{Broken, Failed, Misdirected, NotSent, Rejected};
+        use AttemptEnd::{Broken, Failed, Misdirected, NotSent, Rejected};
         AnyEnd(*gen_.choose(&[NotSent, Misdirected, Rejected, Failed, Broken]).expect("not empty"))
     }
 }
 
 quickcheck! {
     /// Plays sends until the table ends them.
-    fn runs_stay_within_what_the_route_allows(ends: Vec<AnyEnd>, repeatable: bool, most_runs: u8) -> bool {
-        let permission = Permission { repeatable, most_runs: u32::from(most_runs).max(1) };
-        let allowed = if repeatable { permission.most_runs } else { 1 };
-        let mut history = History::default();
+    fn runs_stay_within_what_the_route_allows(ends: Vec<AnyEnd>, idempotent: bool, most_runs: u8) -> bool {
+        let policy = RetryPolicy { idempotent, most_runs: u32::from(most_runs).max(1) };
+        let allowed = if idempotent { policy.most_runs } else { 1 };
+        let mut history = AttemptHistory::default();
         for AnyEnd(end) in ends {
-            if !may_run_again(permission, history) {
+            if !may_run_again(policy, history) {
                 return false;
             }
-            history.note(end);
+            history.record(end);
             if history.runs > allowed {
                 return false;
             }
-            match next(permission, history, end) {
-                Next::SendAgain => {}
-                Next::PassBack => return end == SendEnd::Failed,
-                Next::GiveUp(failure) => return (failure == OwnFailure::Refused) == (history.runs == 0),
+            match next(policy, history, end) {
+                Decision::Retry => {}
+                Decision::PassBack => return end == AttemptEnd::Failed,
+                Decision::GiveUp(failure) => return (failure == ProxyFailure::Rejected) == (history.runs == 0),
             }
         }
-        (give_up(history) == OwnFailure::Refused) == (history.runs == 0)
+        (give_up(history) == ProxyFailure::Rejected) == (history.runs == 0)
     }
 }
--- a/dataplane/proxy/tests/rules.rs
+++ b/dataplane/proxy/tests/rules.rs
@@ -235,7 +235,7 @@
         let mut client = world.client();
         client.send(&post("/safe/x")).await;
         sleep(MOMENT).await;
-        world.node.stop.order();
+        world.node.shutdown.request();
         let shutting_down = async {
             sleep(Duration::from_millis(300)).await;
             drop(client);
