--- a/dataplane/proxy/src/answers.rs
+++ b/dataplane/proxy/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the proxy's own, and the body of every answer to a client.
+//! Answers to clients: those that the proxy makes itself, and the body of every answer.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -14,14 +14,16 @@
 use crate::retry::ProxyFailure;
 use crate::stream::StreamAnswer;
 
-/// When to come back if nothing tells more.
+/// When to retry if there is no better estimate, in milliseconds.
 pub const RETRY_AFTER_MS: u64 = 250;
 
-/// A stream ended before it was complete; the client's connection is cut.
+/// A stream ended before it was complete; the client's connection is closed without the last chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum StreamTruncated {
+    /// The upstream broke the stream off, and it could not be resumed.
     #[snafu(display("the upstream broke the stream off"))]
     Broken,
+    /// The deadline of the request has passed.
     #[snafu(display("the time of the request is over"))]
     TimeOver,
 }
@@ -29,7 +31,7 @@
 /// The body of an answer.
 pub struct AnswerBody {
     kind: BodyKind,
-    /// The client's connection is busy for as long as the body is.
+    /// Marks the client's connection as busy until the body is dropped.
     _busy: Option<RequestInProgress>,
 }
 
@@ -39,10 +41,12 @@
 }
 
 impl AnswerBody {
+    /// A body that is complete.
     pub fn complete(bytes: Bytes) -> Self {
         AnswerBody { kind: BodyKind::Complete(bytes), _busy: None }
     }
 
+    /// A body that follows a stream.
     pub fn stream(stream: StreamAnswer) -> Self {
         AnswerBody { kind: BodyKind::Stream(Box::new(stream)), _busy: None }
     }
@@ -83,35 +87,49 @@
     }
 }
 
+/// An answer to a client.
 pub type Answer = Response<AnswerBody>;
 
-/// An answer that no upstream gave. None carries an upstream's stamp.
+/// An answer that the proxy makes itself. It carries no upstream's stamp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ProxyAnswer {
+    /// 503: the request has not run and never will; the client may retry.
     #[snafu(display("the request has not run and never will; it may come again"))]
-    Rejected { retry_after_ms: u64 },
+    Rejected {
+        /// When the client may retry, in milliseconds.
+        retry_after_ms: u64,
+    },
+    /// 502: the request may have run.
     #[snafu(display("the request may have run, but there is no answer"))]
     BadGateway,
+    /// 504: the deadline has passed, and the request may have run.
     #[snafu(display("the time of the request is over, and it may have run"))]
     TimedOut,
+    /// 404: no route of the configuration matches.
     #[snafu(display("no route matches"))]
     NoRoute,
+    /// 431: the head is above the limit.
     #[snafu(display("the head is too long"))]
     HeadTooLong,
+    /// 413: the body is above the limit.
     #[snafu(display("the body is too long"))]
     BodyTooLong,
+    /// 400: the head has both `Content-Length` and `Transfer-Encoding`.
     #[snafu(display("the head names two kinds of length"))]
     AmbiguousLength,
+    /// 400: the connection ended inside the body.
     #[snafu(display("the body broke off"))]
     BrokenBody,
+    /// 408: the body was not complete in time.
     #[snafu(display("the body was not whole in time"))]
     LateBody,
+    /// 505: HTTP/1.0 cannot tell the end of a stream from its break.
     #[snafu(display("this version of the protocol can't carry a stream"))]
     OldVersion,
 }
 
 impl ProxyAnswer {
-    /// The answer for a failure that ended a request's sends.
+    /// The answer for a failure that ended a request's attempts.
     pub fn of(failure: ProxyFailure, retry_after_ms: u64) -> Self {
         match failure {
             ProxyFailure::Rejected => ProxyAnswer::Rejected { retry_after_ms },
@@ -120,6 +138,7 @@
         }
     }
 
+    /// The status of the answer.
     pub fn status(self) -> StatusCode {
         match self {
             ProxyAnswer::Rejected { .. } => StatusCode::SERVICE_UNAVAILABLE,
@@ -160,7 +179,7 @@
     }
 }
 
-/// Asks the client to take its next request elsewhere.
+/// Tells the client that the connection closes after this answer.
 pub fn close_after(answer: &mut Answer) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/dataplane/proxy/src/classify.rs
+++ b/dataplane/proxy/src/classify.rs
@@ -1,19 +1,19 @@
-//! What the head of an upstream's answer means for the request.
+//! Classifies an upstream's answer by its head alone: whether it belongs to the request, and whether the request has run.
 
 use http::header::CONTENT_ENCODING;
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 use crate::headers::{INSTANCE_ID, NOT_RUN, REQUEST_ID, SERVER_STAMP};
 
-/// What an answer's head says.
+/// The class of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerClass {
-    /// A success; it counts once its body is whole.
+    /// A success, once its body is complete.
     Success,
-    /// A failure that goes back as it is.
+    /// A failure that is passed back as it is.
     Failure,
-    /// The request did not run: the upstream is full, the request was late in its queue, or the upstream's weights
-    /// have another version than the one asked for.
+    /// The request did not run: the upstream is full, the deadline passed in its queue, or its model has another version of
+    /// the weights than the one asked for.
     Rejected,
     /// The address belongs to another instance; the request did not run.
     Misdirected,
@@ -21,12 +21,12 @@
     Unusable,
 }
 
-/// What the answer is held against.
+/// What the answer has to match.
 #[derive(Clone, Copy, Debug)]
 pub struct Expected<'a> {
     /// The request's id, if it has one.
     pub id: Option<&'a HeaderValue>,
-    /// The id of the instance that was meant.
+    /// The id of the instance that the attempt was meant for.
     pub instance: &'a str,
     /// The request asks for one version of the weights.
     pub names_version: bool,
@@ -34,7 +34,7 @@
     pub fresh: bool,
 }
 
-/// Judges a head.
+/// Classifies a head.
 pub fn classify(expected: &Expected, status: StatusCode, headers: &HeaderMap) -> AnswerClass {
     let not_run = headers.contains_key(NOT_RUN);
     let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
@@ -71,13 +71,13 @@
     }
 }
 
-/// Whether it is the instance that was meant, with other weights than asked for.
+/// Whether a 421 comes from the instance that was meant, which has other weights than asked for.
 fn is_other_version(expected: &Expected, headers: &HeaderMap) -> bool {
     let answered = headers.get(INSTANCE_ID);
     answered.map_or(expected.names_version, |id| id.as_bytes() == expected.instance.as_bytes())
 }
 
-/// Statuses by which a client knows that its request has not run.
+/// Statuses that promise a client that its request has not run.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/dataplane/proxy/src/clients.rs
+++ b/dataplane/proxy/src/clients.rs
@@ -1,7 +1,7 @@
 //! Client connections: accepted up to the capacity, closed after their time-outs or to make way for others, and drained
 //! when the process shuts down.
 //!
-//! [`connection`] holds the state of one connection, [`serving`] drives it with hyper.
+//! [`connection`] holds the state of one connection, its submodule `serving` drives it with hyper.
 
 pub mod connection;
 mod serving;
@@ -23,30 +23,31 @@
 /// Backoff of the listener after an error of the system, such as a lack of descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The connections now open, by the order in which they came.
+/// The open connections, by the order in which they were accepted.
 #[derive(Default)]
 pub struct Clients {
     open: RefCell<BTreeMap<u64, Rc<Client>>>,
     next: Cell<u64>,
-    /// One has ended, or has become idle.
+    /// Notified when a connection has ended or has become idle.
     capacity_freed: Notify,
-    /// Once the process stops: by when the last requests must be whole.
+    /// In shutdown: the time by which the heads of the last requests must be complete.
     last_complete: Cell<Option<Instant>>,
 }
 
 impl Clients {
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Ends connections whose time is over; to be called now and then.
+    /// Closes connections whose time-out has passed; to be called regularly.
     pub fn sweep(&self, node: &Node) {
         let (now, times) = (Instant::now(), ClientTimeouts::of(node));
         self.open.borrow().values().for_each(|client| client.sweep(now, &times));
     }
 
-    /// At the brim a connection makes room: one that is only parting, else the longest idle of those that have asked
-    /// nothing since they came, else of all.
+    /// Closes the connection that is needed least: one that only lingers, else the longest idle of those that have had no
+    /// request, else the longest idle of all.
     fn close_longest_idle(&self) {
         let open = self.open.borrow();
         let now = Instant::now();
@@ -87,7 +88,7 @@
     }
 }
 
-/// Accepts connections until the process stops, and returns when all clients have their answers.
+/// Accepts connections until the process shuts down, and returns when all clients have their answers.
 pub async fn run(listener: TcpListener, node: Rc<Node>, clients: Rc<Clients>) {
     let accepting_ends = node.shutdown.accepting_ends();
     tokio::pin!(accepting_ends);
@@ -113,7 +114,7 @@
     finish(&node, &clients).await;
 }
 
-/// Brings all connections to their end.
+/// Closes all connections gracefully and waits for their end.
 pub async fn finish(node: &Node, clients: &Clients) {
     clients.last_complete.set(Some(Instant::now() + ClientTimeouts::of(node).header));
     clients.close_all();
--- a/dataplane/proxy/src/clients/connection.rs
+++ b/dataplane/proxy/src/clients/connection.rs
@@ -12,8 +12,8 @@
 use crate::node::Node;
 use crate::request_framing::RequestFraming;
 
-/// A connection is closed this much later than the idle time-out that clients are told, so that a close never meets a
-/// request that came in time.
+/// A connection is closed this much later than the idle time-out that clients know, so that a close never crosses a
+/// request that was sent in time.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 /// The same for the time-out of a request's head.
 pub(super) const HEADER_MARGIN: Duration = Duration::from_secs(1);
@@ -22,28 +22,28 @@
 /// Where a connection has to make way for another, one that has been open for so long without a request goes first.
 const UNUSED: Duration = Duration::from_millis(500);
 
-/// One connection of a client.
+/// The state of one client connection.
 pub struct Client {
-    /// Since when no request of it is in hand.
+    /// Since when no request is in progress; none while one is.
     pub(super) idle_since: Cell<Option<Instant>>,
-    /// Nothing of it has been a whole head yet.
+    /// No complete head of a request has been received yet.
     pub(super) fresh: Cell<bool>,
-    /// By when the answer under way has to be out.
-    answer_due: Cell<Option<Instant>>,
-    /// The longest idle time that has been in force since it came.
+    /// Deadline of the answer in progress.
+    answer_deadline: Cell<Option<Instant>>,
+    /// The longest idle time-out that has been in force since it was opened.
     idle_timeout: Cell<Duration>,
-    /// Heard, if the first bytes of a request have come that is not answered yet.
+    /// Counts bytes; its time is set from the first bytes of a request until the answer.
     pub(super) meter: Rc<Meter>,
     pub(super) head: Rc<RefCell<RequestFraming>>,
-    /// When it was told to come to its end.
+    /// When it was told to close.
     closing: Cell<Option<Instant>>,
     pub(super) close: Notify,
     pub(super) drop: Notify,
-    /// All is answered, and only its end is waited for.
+    /// It is in lingering close: everything is answered, and only the client's end is waited for.
     pub(super) lingering: Cell<bool>,
 }
 
-/// A request of a client is in hand; the connection is idle again once this is dropped.
+/// Marks a connection as busy with a request; it is idle again once this is dropped.
 pub struct RequestInProgress {
     client: Rc<Client>,
     clients: Rc<Clients>,
@@ -56,31 +56,31 @@
         RequestInProgress { client: Rc::clone(client), clients: Rc::clone(clients) }
     }
 
-    /// When the first bytes of the request came.
+    /// When the first bytes of the request were received.
     pub fn received(&self) -> Instant {
         self.client.meter.heard.get().unwrap_or_else(Instant::now)
     }
 
-    /// The request's head names two kinds of length.
+    /// Whether the request's head has both `Content-Length` and `Transfer-Encoding`.
     pub fn is_ambiguous(&self) -> bool {
         self.client.head.borrow().is_ambiguous()
     }
 
-    /// None may be served after the request on its connection.
+    /// Whether no further request may be served on the connection.
     pub fn is_last(&self) -> bool {
         self.is_ambiguous() || self.client.head.borrow().is_lost()
     }
 
-    /// Tells by when the answer has to be out.
-    pub fn set_answer_due(&self, due: Instant) {
-        self.client.answer_due.set(Some(due));
+    /// Sets the deadline of the answer.
+    pub fn set_answer_deadline(&self, deadline: Instant) {
+        self.client.answer_deadline.set(Some(deadline));
     }
 }
 
 impl Drop for RequestInProgress {
     fn drop(&mut self) {
         self.client.idle_since.set(Some(Instant::now()));
-        self.client.answer_due.set(None);
+        self.client.answer_deadline.set(None);
         self.client.meter.heard.set(None);
         self.client.head.borrow_mut().restart();
         self.clients.capacity_freed.notify_one();
@@ -92,7 +92,7 @@
         Client {
             idle_since: Cell::new(Some(Instant::now())),
             fresh: Cell::new(true),
-            answer_due: Cell::default(),
+            answer_deadline: Cell::default(),
             idle_timeout: Cell::new(idle_timeout),
             meter: Rc::default(),
             head: Rc::default(),
@@ -107,16 +107,17 @@
         self.idle_since.get().is_some()
     }
 
-    /// The first bytes of a request have come that is not whole yet.
+    /// Whether the head of a request has begun and is incomplete.
     pub(super) fn has_begun(&self) -> bool {
         self.is_idle() && self.meter.heard.get().is_some()
     }
 
-    /// Waits for an order to drop it that counts. One that meets a request just taken is void.
+    /// Waits until the connection is to be dropped. A drop that crosses the begin of a request is ignored.
     pub(super) async fn dropped(&self) {
         loop {
             self.drop.notified().await;
-            let unread = self.answer_due.get().is_some_and(|due| due + UNREAD_MARGIN <= Instant::now());
+            let unread =
+                self.answer_deadline.get().is_some_and(|deadline| deadline + UNREAD_MARGIN <= Instant::now());
             if self.is_idle() || unread {
                 return;
             }
@@ -153,10 +154,10 @@
         }
     }
 
-    /// Closes or drops the connection if a time of it is over.
+    /// Closes or drops the connection if one of its time limits has passed.
     pub(super) fn sweep(&self, now: Instant, times: &ClientTimeouts) {
         let Some(idle_since) = self.idle_since.get() else {
-            if self.answer_due.get().is_some_and(|due| due + UNREAD_MARGIN <= now) {
+            if self.answer_deadline.get().is_some_and(|deadline| deadline + UNREAD_MARGIN <= now) {
                 self.drop.notify_one();
             }
             return;
@@ -173,7 +174,7 @@
     }
 }
 
-/// For how long connections may be silent.
+/// Time-outs of connections without a request in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ClientTimeouts {
     /// From the first byte of a request to the end of its head.
--- a/dataplane/proxy/src/clients/serving.rs
+++ b/dataplane/proxy/src/clients/serving.rs
@@ -79,8 +79,7 @@
 where
     S: HttpService<Incoming, ResBody = AnswerBody, Error = Infallible>,
 {
-    /// Moves the connection until it has ended, or its client has left. The end is looked for also behind bytes that
-    /// nobody has read.
+    /// Drives the connection until it has ended or the client has closed it. The close is detected even behind unread bytes.
     async fn ended(&mut self) {
         poll_fn(|cx| {
             if self.connection.as_mut().poll(cx).is_ready() {
@@ -93,7 +92,7 @@
 
     async fn run(&mut self, clients: &Clients) {
         let client = self.client;
-        // What has come goes before what was ordered meanwhile: a request that is in hand by then is served.
+        // Biased: a request that has been received is served before an order to close is followed.
         tokio::select! {
             biased;
             () = self.ended() => {}
@@ -102,16 +101,16 @@
         }
     }
 
-    /// Lets a connection that is to close come to its end.
+    /// Closes the connection gracefully.
     async fn finish(&mut self, clients: &Clients) {
         let client = self.client;
-        // A request that has come already is taken: the runtime is let at its sockets, and hyper at what is there.
+        // Yield once, so that the runtime polls its sockets and hyper takes a request that has arrived already.
         tokio::select! {
             biased;
             () = self.ended() => return,
             () = yield_now() => {}
         }
-        // A connection that has said nothing has nothing to lose.
+        // Without a byte received there is no request to lose.
         if client.fresh.get() && client.meter.heard.get().is_none() {
             return;
         }
@@ -124,7 +123,7 @@
                 biased;
                 () = self.ended() => return,
                 () = client.dropped() => return,
-                // Guards against a first head that never becomes whole: hyper would wait for the rest of it.
+                // Hyper would wait forever for the rest of an incomplete first head.
                 () = sleep(CLOSE_CHECK) => if client.fresh.get() {
                     return;
                 }
@@ -132,28 +131,28 @@
         }
     }
 
-    /// Waits for a request of which the client is still writing the head. False if the connection has ended.
+    /// Waits for the head of a request that has begun. Returns false if the connection has ended.
     async fn wait_for_begun(&mut self, clients: &Clients) -> bool {
         let client = self.client;
-        let whole_by = clients.last_complete.get().unwrap_or_else(|| Instant::now() + HEADER_MARGIN);
-        while client.has_begun() && Instant::now() < whole_by {
+        let complete_by = clients.last_complete.get().unwrap_or_else(|| Instant::now() + HEADER_MARGIN);
+        while client.has_begun() && Instant::now() < complete_by {
             tokio::select! {
                 biased;
                 () = self.ended() => return false,
                 () = client.dropped() => return false,
-                () = sleep_until(whole_by.min(Instant::now() + CLOSE_CHECK)) => {}
+                () = sleep_until(complete_by.min(Instant::now() + CLOSE_CHECK)) => {}
             }
         }
         true
     }
 
-    /// Waits a while for the client to end its side too, so that its last answer reaches it whole. What it sends now
-    /// is no request any more.
+    /// Lingering close: waits for the client to close its side, so that the last answer arrives complete. What the client
+    /// sends now is not served.
     async fn part(self) {
         let ClientSession { connection, ending, client } = self;
-        // Hyper is done with the socket, or does not get to it any more.
+        // Hyper has finished with the socket, or is not to use it any more.
         drop(connection);
-        // What comes in when no answer is on its way is not read: the client may send it again elsewhere.
+        // Without an answer on its way there is nothing to wait for; the client may send a request again elsewhere.
         let rested = client.idle_since.get().is_some_and(|since| since + LINGER <= Instant::now());
         if rested || client.meter.written.get() == 0 {
             return;
--- a/dataplane/proxy/src/connect.rs
+++ b/dataplane/proxy/src/connect.rs
@@ -1,4 +1,4 @@
-//! Sockets, and how they are opened and set up.
+//! Sockets: how they are opened, and their TCP options.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -9,24 +9,28 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// Written bytes that an upstream has not confirmed for so long end the connection.
+/// TCP user time-out of upstreams: unacknowledged bytes end the connection after this time.
 const UPSTREAM_UNCONFIRMED: Duration = Duration::from_millis(1800);
-/// The same for clients, whose ways are longer.
+/// The same for clients, which are further away.
 const CLIENT_UNCONFIRMED: Duration = Duration::from_secs(6);
-/// A connection that is silent for so long is probed.
+/// Keep-alive probes begin after this idle time.
 const PROBE_AFTER: Duration = Duration::from_secs(2);
+/// The time between two keep-alive probes.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A byte stream both ways.
+/// A bidirectional byte stream.
 pub trait Socket: AsyncRead + AsyncWrite + Unpin {}
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Socket for S {}
 
+/// A byte stream of any kind.
 pub type BoxedSocket = Box<dyn Socket>;
+/// A connect under way.
 pub type Connecting = Pin<Box<dyn Future<Output = std::io::Result<BoxedSocket>>>>;
 
 /// Opens connections to upstreams.
 pub trait Connect {
+    /// Begins to connect to an upstream.
     fn connect(&self, address: SocketAddr) -> Connecting;
 }
 
@@ -43,14 +47,14 @@
     }
 }
 
-/// Makes an accepted connection ready to serve.
+/// Sets up an accepted connection.
 pub fn accepted(socket: TcpStream) -> BoxedSocket {
     set_up(&socket, CLIENT_UNCONFIRMED);
     Box::new(socket)
 }
 
-/// Sends small pieces at once, and finds out when the other side is gone without a word. A system that lacks one of
-/// the options still carries the connection.
+/// Disables Nagle's algorithm, and detects peers that vanish without a close. Errors are ignored: the connection works
+/// without these options as well.
 fn set_up(socket: &TcpStream, unconfirmed: Duration) {
     let _ = socket.set_nodelay(true);
     let options = SockRef::from(socket);
--- a/dataplane/proxy/src/connection.rs
+++ b/dataplane/proxy/src/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to an upstream. It carries one request at a time and has no task of its own: it moves while an
-//! exchange is polled, and closes when it is dropped.
+//! One HTTP/1.1 connection to an upstream. It carries one request at a time and has no task of its own: it makes progress
+//! while an exchange is polled, and closes when it is dropped.
 
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
@@ -16,12 +16,12 @@
 
 use crate::connect::BoxedSocket;
 
-/// More than the longest head of an answer, and enough for what comes between two reads.
+/// Read buffer: more than the longest head of an answer, and enough for what arrives between two reads.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 type Wire = TokioIo<Metered<BoxedSocket>>;
 
-/// A connection and how much it has carried.
+/// A connection to an upstream, and how much it has carried.
 pub struct UpstreamConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Pin<Box<Connection<Wire, Full<Bytes>>>>,
@@ -39,7 +39,7 @@
         Ok(UpstreamConnection { sender, connection: Box::pin(connection), ended: false, meter, answers: 0 })
     }
 
-    /// Whether no answer has come on it before the one that is under way.
+    /// Whether it has carried no answer before the one in progress.
     pub fn is_fresh(&self) -> bool {
         self.answers == 0
     }
@@ -62,7 +62,7 @@
         .await
     }
 
-    /// The next piece of an answer's body.
+    /// The next chunk of an answer's body.
     pub fn poll_body(
         &mut self,
         body: &mut Incoming,
@@ -76,15 +76,14 @@
         body.poll_frame(cx)
     }
 
-    /// Notes a whole answer; tells whether the connection may carry another request. Bytes behind the answer rule
-    /// that out.
+    /// Counts a complete answer. Returns whether the connection may carry another request, which bytes behind the answer rule
+    /// out.
     pub fn is_reusable(&mut self, cx: &mut Context<'_>) -> bool {
         self.answers += 1;
         self.is_open(cx) && self.sender.is_ready()
     }
 
-    /// Whether a connection that stood idle is still there. The runtime is let at its sockets first, since it may not
-    /// have looked at them for a while.
+    /// Whether an idle connection is still open. Yields first, since the runtime may not have polled its sockets for a while.
     pub async fn is_still_open(&mut self) -> bool {
         tokio::task::yield_now().await;
         poll_fn(|cx| Poll::Ready(self.is_open(cx))).await
--- a/dataplane/proxy/src/control_link.rs
+++ b/dataplane/proxy/src/control_link.rs
@@ -1,5 +1,5 @@
-//! The link to the agent of the machine: takes what the control plane knows, and reports back. The proxy serves on
-//! with what it has while there is no agent.
+//! The control link to the agent of the machine: receives updates of the control plane, and sends reports. While there is
+//! no agent, the proxy goes on with the last applied state.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,37 +17,54 @@
 
 use crate::node::Node;
 
+/// Time-out of connecting to the agent.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Between two tries to reach the agent.
+/// Backoff between two attempts to connect to the agent.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
+/// The longest time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// An agent that is there is heard several times a second.
+/// The link ends if nothing is received for this time; an agent sends several messages a second.
 const SILENCE_LIMIT: Duration = Duration::from_secs(3);
 
 /// Why a link to the agent ended.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
+    /// Connecting failed.
     #[snafu(display("{source}"))]
-    NoConnection { source: ConnectError },
+    NoConnection {
+        /// Why.
+        source: ConnectError,
+    },
+    /// A frame could not be read or written.
     #[snafu(display("{source}"))]
-    Frame { source: FrameError },
+    Frame {
+        /// Why.
+        source: FrameError,
+    },
+    /// A message could not be decoded.
     #[snafu(display("a message can't be read: {source}"))]
-    Message { source: DecodeError },
+    Message {
+        /// Why.
+        source: DecodeError,
+    },
+    /// The agent closed the connection.
     #[snafu(display("the agent ended the connection"))]
     Ended,
+    /// Nothing was received, or could be written, within the silence limit.
     #[snafu(display("the agent has been silent"))]
     Silent,
 }
 
-/// Who this process is for the control plane.
+/// The identity of this process for the control plane.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
+    /// The address on which clients are served.
     pub front: SocketAddr,
-    /// Differs for each start.
+    /// A number that differs for each start.
     pub incarnation: u64,
 }
 
-/// Keeps up the link for as long as the process lives.
+/// Keeps the link up as long as the process lives.
 pub async fn run(node: Rc<Node>, identity: Identity) -> Infallible {
     loop {
         let Err(fault) = link(&node, identity).await;
@@ -56,15 +73,16 @@
     }
 }
 
+/// Connects to the agent and follows it until the connection ends.
 async fn link(node: &Node, identity: Identity) -> Result<Infallible, LinkError> {
     let agent = node.settings.agent_endpoint();
     let stream = connect(agent, CONNECT_LIMIT).await.context(NoConnectionSnafu)?;
     let (reader, writer) = stream.into_split();
-    converse(node, identity, reader, writer).await
+    exchange_messages(node, identity, reader, writer).await
 }
 
-/// Follows the agent at the other side of a connection until the connection ends or falls silent.
-pub async fn converse<R, W>(
+/// Exchanges updates and reports over a connection until it ends or exceeds the silence limit.
+pub async fn exchange_messages<R, W>(
     node: &Node,
     identity: Identity,
     reader: R,
@@ -80,19 +98,19 @@
     frames.push(FrameKind::Hello, &encode_hello(&hello)).context(FrameSnafu)?;
     report(node, identity, &mut frames, &mut writer).await?;
     let mut report_due = Instant::now() + REPORT_INTERVAL;
-    let mut heard = Instant::now();
+    let mut received_at = Instant::now();
     loop {
         tokio::select! {
             frame = reader.next() => {
-                heard = Instant::now();
+                received_at = Instant::now();
                 let frame = frame.context(FrameSnafu)?.ok_or(LinkError::Ended)?;
-                if !take_all(node, frame, &mut reader)? {
+                if !apply_all(node, frame, &mut reader)? {
                     continue;
                 }
             }
             () = node.report_due.notified() => {}
             () = sleep_until(report_due) => {
-                if heard + SILENCE_LIMIT <= Instant::now() {
+                if received_at + SILENCE_LIMIT <= Instant::now() {
                     return SilentSnafu.fail();
                 }
             }
@@ -102,21 +120,21 @@
     }
 }
 
-/// Puts a message and those that have come with it in force; tells whether there was news to acknowledge.
-fn take_all<R: AsyncRead + Unpin>(
+/// Applies a message and those that are buffered behind it. Returns whether there is an update to acknowledge.
+fn apply_all<R: AsyncRead + Unpin>(
     node: &Node,
     frame: Frame,
     reader: &mut FrameReader<R>,
 ) -> Result<bool, LinkError> {
-    let mut news = take(node, frame)?;
+    let mut has_update = apply(node, frame)?;
     while let Some(frame) = reader.buffered().context(FrameSnafu)? {
-        news |= take(node, frame)?;
+        has_update |= apply(node, frame)?;
     }
-    Ok(news)
+    Ok(has_update)
 }
 
-/// Puts a message in force; tells whether it holds news to acknowledge.
-fn take(node: &Node, frame: Frame) -> Result<bool, LinkError> {
+/// Applies a message. Returns whether it is an update to acknowledge.
+fn apply(node: &Node, frame: Frame) -> Result<bool, LinkError> {
     if frame.kind != FrameKind::ToBalancer {
         return Ok(false);
     }
@@ -131,6 +149,7 @@
     }
 }
 
+/// Writes the present state of the proxy as a report.
 async fn report<W: AsyncWrite + Unpin>(
     node: &Node,
     identity: Identity,
--- a/dataplane/proxy/src/events.rs
+++ b/dataplane/proxy/src/events.rs
@@ -1,70 +1,83 @@
-//! Splits the body of an event stream into whole events and follows their ids. A pure state machine: pieces of the
-//! body in, whole events out.
+//! Splits the body of an event stream into complete events and tracks their ids. A pure state machine: chunks of the body
+//! in, complete events out.
 
 use bytes::{Bytes, BytesMut};
 use snafu::{Snafu, ensure};
 
-/// The longest event that is waited for.
+/// The longest event that is accepted.
 pub const MAXIMUM_EVENT_BYTES: usize = 1024 * 1024;
 
 const ID_FIELD: &[u8] = b"id:";
 const VERSIONS_FIELD: &[u8] = b"versions:";
 
-/// Where a stream stands: what a resumed run has to go on from.
+/// The position in a stream after which a resumed run has to continue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Position {
-    /// The id of the last whole event that had one.
+    /// The id of the last complete event that had one.
     pub last_id: Option<u64>,
-    /// The largest distance between the ids of two events in a row.
+    /// The largest difference between the ids of two consecutive events.
     pub largest_step: Option<u64>,
-    /// The version of the weights that made the last event.
+    /// The version of the model's weights that made the last event.
     pub versions: Option<u64>,
 }
 
-/// Why a body is not a stream that may be passed on.
+/// Why a body is no stream that may be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum EventError {
+    /// Ids of events do not rise.
     #[snafu(display("event {id} comes after event {last}"))]
-    NotRising { last: u64, id: u64 },
+    NotRising {
+        /// The id before.
+        last: u64,
+        /// The id that does not rise.
+        id: u64,
+    },
+    /// A resumed run seems to leave events out.
     #[snafu(display("the resumed run begins at event {id}, too far after event {last}"))]
-    Gap { last: u64, id: u64 },
+    Gap {
+        /// The id of the last event before.
+        last: u64,
+        /// The first id of the resumed run.
+        id: u64,
+    },
+    /// An event is above the limit.
     #[snafu(display("an event is longer than {MAXIMUM_EVENT_BYTES} bytes"))]
     TooLong,
 }
 
-/// Takes the pieces of a body and gives back whole events. An event ends with an empty line.
+/// Takes the chunks of a body and returns complete events. An event ends with an empty line.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// The bytes behind the last whole event.
+    /// The bytes after the last complete event.
     partial: BytesMut,
-    /// How many of them are whole lines that have been looked at.
+    /// Number of these that are complete lines which were scanned.
     scanned: usize,
-    /// The id in the lines that have been looked at, and the version.
+    /// The id and the version in the scanned lines.
     partial_id: Option<u64>,
     partial_versions: Option<u64>,
     position: Position,
-    /// The next id follows one of another run.
+    /// The next id is the first one after events of another run.
     joins: bool,
 }
 
 impl EventSplitter {
-    /// A splitter for a run of which the head names this version.
+    /// A splitter for a run whose head names this version.
     pub fn new(versions: Option<u64>) -> Self {
         let position = Position { versions, ..Position::default() };
         EventSplitter { position, ..EventSplitter::default() }
     }
 
-    /// A splitter for a run that goes on after events of another run.
+    /// A splitter for a run that resumes after events of another run.
     pub fn resuming(position: Position) -> Self {
         EventSplitter { position, joins: true, ..EventSplitter::default() }
     }
 
-    /// Where the stream stands after the whole events so far.
+    /// The position after the complete events so far.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// Takes a piece of the body and returns the whole events that end in it; empty if none does.
+    /// Takes a chunk of the body and returns the complete events that end in it; empty if none does.
     pub fn push(&mut self, piece: Bytes) -> Result<Bytes, EventError> {
         if self.partial.is_empty() {
             let end = self.scan(&piece)?;
@@ -82,13 +95,13 @@
         Ok(self.partial.split_to(end).freeze())
     }
 
-    /// What is left behind the last whole event once the body has ended.
+    /// The bytes after the last complete event once the body has ended.
     pub fn finish(&mut self) -> Bytes {
         self.scanned = 0;
         std::mem::take(&mut self.partial).freeze()
     }
 
-    /// Looks at the lines that are new in the buffer; returns the end of the last whole event.
+    /// Scans the lines that are new in the buffer; returns the end of the last complete event.
     fn scan(&mut self, buffer: &[u8]) -> Result<usize, EventError> {
         let mut event_end = 0;
         while let Some(length) = buffer[self.scanned..].iter().position(|&byte| byte == b'\n') {
@@ -107,6 +120,7 @@
         Ok(event_end)
     }
 
+    /// Takes the fields of an event that is complete into the position.
     fn end_event(&mut self) -> Result<(), EventError> {
         self.position.versions = self.partial_versions.take().or(self.position.versions);
         let Some(id) = self.partial_id.take() else { return Ok(()) };
--- a/dataplane/proxy/src/exchange.rs
+++ b/dataplane/proxy/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a client and the sends it leads to, up to an answer that can be passed on.
+//! The exchange of one client request: attempts at upstreams and retries, until there is an answer to pass on.
 
 mod reading;
 
@@ -24,47 +24,59 @@
 use crate::request_counts::RequestEvent;
 use crate::retry::{self, AttemptEnd, AttemptHistory, Decision, ProxyFailure};
 
-/// With less time left nothing is sent any more.
+/// With less time until the deadline no attempt is made.
 const LEAST_TIME: Duration = Duration::from_millis(15);
 
-/// A send that the router has granted.
+/// An attempt that the router has granted.
 #[derive(Clone, Copy, Debug)]
 pub struct ChosenInstance {
+    /// The router's id of the attempt.
     pub attempt: AttemptId,
+    /// The instance to forward to.
     pub instance: InstanceKey,
 }
 
-/// Why a request has no answer of an upstream.
+/// The end of an exchange without an upstream's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
+    /// What is answered instead.
     pub failure: ProxyFailure,
+    /// When the client may retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
 /// An answer of an upstream that can be passed on.
 pub enum Opened {
+    /// An answer with its complete body.
     Complete(Response<Bytes>),
+    /// A stream that has begun.
     Stream(Box<OpenStream>),
 }
 
-/// A stream whose first events are here.
+/// A stream whose first events have been received.
 pub struct OpenStream {
+    /// The head of the answer, as it goes to the client.
     pub head: response::Parts,
+    /// The first complete events.
     pub first: Bytes,
-    /// What follows; nothing if the stream has ended.
+    /// The rest of the stream; none if it has ended.
     pub run: Option<StreamRun>,
 }
 
-/// A stream under way at an upstream.
+/// A stream in progress at an upstream.
 pub struct StreamRun {
+    /// The connection on which it arrives.
     pub leased: Leased,
+    /// The rest of the body.
     pub body: Incoming,
+    /// Splits the body into events.
     pub splitter: EventSplitter,
+    /// The attempt, which the end of the stream ends.
     pub attempt: OpenAttempt,
 }
 
 impl StreamRun {
-    /// The stream is complete: its connection may serve again.
+    /// Ends a complete stream and returns its connection to the pool.
     pub fn complete(mut self, node: &Node, cx: &mut std::task::Context<'_>) {
         self.attempt.finish(Outcome::Served);
         if self.leased.connection.is_reusable(cx) {
@@ -73,7 +85,7 @@
     }
 }
 
-/// A send under way; the router is told how it ends, also when it is dropped.
+/// An attempt in progress. Its end is reported to the router, as cancelled if this is dropped.
 pub struct OpenAttempt {
     node: Rc<Node>,
     id: Option<AttemptId>,
@@ -84,13 +96,14 @@
         OpenAttempt { node: Rc::clone(node), id: Some(id) }
     }
 
+    /// Tells the router that the head of the answer or the first event has arrived.
     fn first_event(&self) {
         if let Some(id) = self.id {
             self.node.router.borrow_mut().first_event(self.node.clock.now_ms(), id);
         }
     }
 
-    /// Tells the router how the send ended.
+    /// Reports how the attempt ended.
     pub fn finish(&mut self, outcome: Outcome) {
         if let Some(id) = self.id.take() {
             self.node.router.borrow_mut().finished(self.node.clock.now_ms(), id, outcome);
@@ -104,7 +117,7 @@
     }
 }
 
-/// How a send ended without an answer, and what else is known of it.
+/// An attempt that ended without an answer: for the retry policy, and for the router.
 struct FailedAttempt {
     end: AttemptEnd,
     outcome: Outcome,
@@ -120,38 +133,40 @@
     }
 }
 
-/// A request and what has become of it so far.
+/// A request, and the history of its attempts.
 pub struct Exchange {
+    /// The state of the process.
     pub node: Rc<Node>,
     request: ClientRequest,
     matched: MatchedRoute,
-    due: Instant,
+    deadline: Instant,
     tried: Vec<InstanceKey>,
     history: AttemptHistory,
-    /// A send is under way, of which bytes may have been written.
+    /// An attempt is in progress of which bytes may have been written.
     in_flight: bool,
     retry_after_ms: u64,
     resume: Option<Position>,
-    /// The last failure of an upstream, to be passed back if no other serves.
+    /// The last failure answered by an upstream, to be passed back if no other one serves the request.
     failure: Option<Response<Bytes>>,
-    /// Room for the request's body, and for the answer while it is read.
+    /// Memory reserved for the request's body, and for the answer while it is read.
     _request_memory: Reservation,
     _answer_memory: Option<Reservation>,
 }
 
 impl Exchange {
+    /// An exchange without attempts so far; `request_memory` is reserved for the request's body.
     pub fn new(
         node: Rc<Node>,
         request: ClientRequest,
         request_memory: Reservation,
         matched: MatchedRoute,
     ) -> Self {
-        let due = request.due(Duration::from_millis(matched.route().timeout_ms));
+        let deadline = request.deadline(Duration::from_millis(matched.route().timeout_ms));
         Exchange {
             node,
             request,
             matched,
-            due,
+            deadline,
             tried: Vec::new(),
             history: AttemptHistory::default(),
             in_flight: false,
@@ -163,16 +178,17 @@
         }
     }
 
-    /// When the request is to be answered at the latest.
-    pub fn due(&self) -> Instant {
-        self.due
+    /// The deadline of the answer.
+    pub fn deadline(&self) -> Instant {
+        self.deadline
     }
 
+    /// The route of the request.
     pub fn matched(&self) -> &MatchedRoute {
         &self.matched
     }
 
-    /// Whether the stream may go on at one more upstream.
+    /// Whether the stream may be resumed at another upstream.
     pub fn may_resume(&self) -> bool {
         let route = self.matched.route();
         let mechanisms = self.node.settings.mechanisms;
@@ -181,13 +197,13 @@
             && retry::may_run_again(self.matched.retry_policy(), self.history)
     }
 
-    /// From now on sends ask for what follows the events that were passed on.
+    /// Makes further attempts resume the stream after this position.
     pub fn resume_after(&mut self, position: Position) {
         self.resume = Some(position);
         self.failure = None;
     }
 
-    /// Gives up what only another send would need, where there won't be any.
+    /// Releases what only another attempt would need, if there will be none.
     pub fn release(&mut self) {
         if !self.may_resume() {
             self.request.release();
@@ -195,7 +211,7 @@
         }
     }
 
-    /// Asks the router for another upstream.
+    /// Has the router choose an upstream for the next attempt.
     pub fn choose(&mut self) -> Result<ChosenInstance, GivenUp> {
         self.follow_configuration()?;
         let facts = &mut self.request.facts;
@@ -203,7 +219,7 @@
         facts.route = self.matched.route;
         facts.service = self.matched.service;
         facts.unreached = self.history.unsent as usize;
-        facts.time_left_ms = self.due.saturating_duration_since(Instant::now()).as_millis() as u64;
+        facts.time_left_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
         let now = self.node.clock.now_ms();
         let choice = self.node.router.borrow_mut().choose(now, facts, &self.tried);
         match choice {
@@ -215,10 +231,10 @@
         }
     }
 
-    /// Sends the request until an answer has come that can be passed on. `first` is a send that was granted already.
+    /// Makes attempts until there is an answer to pass on. `first` is an attempt that was granted already.
     pub async fn open(&mut self, first: Option<ChosenInstance>) -> Result<Opened, GivenUp> {
-        let due = self.due;
-        match timeout_at(due, self.open_untimed(first)).await {
+        let deadline = self.deadline;
+        match timeout_at(deadline, self.open_untimed(first)).await {
             Ok(end) => end,
             Err(_) => Err(self.time_is_over()),
         }
@@ -261,7 +277,7 @@
         }
     }
 
-    /// Puts the request on a connection and waits for the head of a fitting answer.
+    /// Writes the request to a connection and waits for the head of its answer.
     async fn send(&mut self, instance: InstanceKey) -> Result<Answered, FailedAttempt> {
         let target = self.node.router.borrow().target(instance).cloned();
         let Some(target) = target else { return Err(FailedAttempt::not_sent(Outcome::Cancelled)) };
@@ -279,7 +295,7 @@
         if leased.connection.is_fresh() {
             self.node.router.borrow_mut().record_received(instance);
         }
-        // The connect may have taken a while.
+        // Connecting may have taken a while.
         let wanted = self.node.router.borrow().may_still_send(instance);
         if !wanted || self.time_left() < LEAST_TIME {
             self.node.pool.release(leased);
@@ -309,7 +325,7 @@
         leased: &mut Leased,
         target: &InstanceTarget,
     ) -> Result<Response<Incoming>, FailedAttempt> {
-        let mut request = self.request.to_upstream(target, &self.matched, self.due, self.resume);
+        let mut request = self.request.to_upstream(target, &self.matched, self.deadline, self.resume);
         if !self.node.settings.mechanisms.has(Mechanism::Priority) {
             request.headers_mut().remove(PRIORITY);
         }
@@ -323,7 +339,7 @@
         })
     }
 
-    /// A newer configuration may have moved or dropped the route.
+    /// Matches the request again under a newer configuration, which may have moved or dropped the route.
     fn follow_configuration(&mut self) -> Result<(), GivenUp> {
         let newest = self.node.configuration();
         let Some(newest) = newest else { return Ok(()) };
@@ -341,7 +357,7 @@
     }
 
     fn time_left(&self) -> Duration {
-        self.due.saturating_duration_since(Instant::now())
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     fn time_is_over(&mut self) -> GivenUp {
@@ -355,7 +371,7 @@
         GivenUp { failure, retry_after_ms: self.retry_after_ms }
     }
 
-    /// The upstream's failure goes back, where there is one.
+    /// Passes back the last failure of an upstream, if there is one.
     fn failure_or(&mut self, failure: ProxyFailure) -> Result<Opened, GivenUp> {
         match self.failure.take() {
             Some(answer) => Ok(Opened::Complete(answer)),
@@ -364,7 +380,7 @@
     }
 }
 
-/// How a send that gave no answer is counted.
+/// How an attempt without an answer is counted.
 fn event_of(end: AttemptEnd) -> RequestEvent {
     match end {
         AttemptEnd::NotSent => RequestEvent::AttemptUnsent,
--- a/dataplane/proxy/src/exchange/reading.rs
+++ b/dataplane/proxy/src/exchange/reading.rs
@@ -1,4 +1,4 @@
-//! Reads an upstream's answer as far as it has to be known before it is passed on.
+//! Reads an upstream's answer before it is passed on: the complete body, or the first events of a stream.
 
 use std::future::poll_fn;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::pool::Leased;
 use crate::retry::AttemptEnd;
 
-/// The body of a refusal is waited for so long, for the sake of the connection.
-const REFUSAL_BODY: Duration = Duration::from_millis(20);
-/// The longest answer that is read whole.
+/// Time-out of reading the body of a rejection, which only serves to reuse the connection.
+const REJECTION_BODY_LIMIT: Duration = Duration::from_millis(20);
+/// The longest answer that is read completely, in bytes.
 const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 const CHUNKED: &[u8] = b"chunked";
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// The head of an answer that has been judged, and the connection on which the rest comes.
+/// The classified head of an answer, and the connection on which the body arrives.
 pub(super) struct Answered {
     pub(super) class: AnswerClass,
     pub(super) head: response::Parts,
@@ -33,14 +33,14 @@
 }
 
 impl Exchange {
-    /// Reads an answer as far as it has to be known before it is passed on.
+    /// Reads an answer until it can be passed on, or is known to be unusable.
     pub(super) async fn read(
         &mut self,
         answered: Answered,
         mut attempt: OpenAttempt,
     ) -> Result<Opened, AttemptEnd> {
         let Answered { class, head, body, mut leased } = answered;
-        // Where the head alone says that the request did not run, the body does not count.
+        // If the head alone says that the request did not run, the body does not matter.
         let counts = !matches!(class, AnswerClass::Rejected | AnswerClass::Misdirected);
         self.in_flight = counts;
         if counts && !is_framed(&self.request.method, &head, &body) {
@@ -56,16 +56,16 @@
             attempt.first_event();
         }
         let framed = is_framed(&self.request.method, &head, &body);
-        let whole = match (framed, counts) {
+        let body = match (framed, counts) {
             (false, _) => None,
             (true, true) => self.read_complete(body, &mut leased).await,
             (true, false) => {
-                timeout(REFUSAL_BODY, self.read_complete(body, &mut leased)).await.ok().flatten()
+                timeout(REJECTION_BODY_LIMIT, self.read_complete(body, &mut leased)).await.ok().flatten()
             }
         };
-        let is_whole = whole.is_some();
-        let end = self.conclude(class, head, whole, &mut attempt);
-        if is_whole {
+        let is_complete = body.is_some();
+        let end = self.conclude(class, head, body, &mut attempt);
+        if is_complete {
             let reusable = poll_fn(|cx| leased.connection.is_reusable(cx).into()).await;
             if reusable {
                 self.node.pool.release(leased);
@@ -108,7 +108,7 @@
         Err(AttemptEnd::Failed)
     }
 
-    /// The whole body; nothing if it broke off or is too long.
+    /// The complete body; none if it broke off or is too long.
     async fn read_complete(&mut self, mut body: Incoming, leased: &mut Leased) -> Option<Bytes> {
         let mut memory = self.node.bodies.reserve();
         let mut first = Bytes::new();
@@ -191,9 +191,9 @@
     kind.get(..EVENT_STREAM.len()).is_some_and(|start| start.eq_ignore_ascii_case(EVENT_STREAM))
 }
 
-/// Whether the end of the body is known from its framing: one that lasts until the connection closes can't be told
-/// from one that broke off, one with two kinds of length can't be trusted, and of one with another coding than chunks
-/// the bytes would not be the upstream's body.
+/// Whether the framing marks the end of the body. A body that lasts until the connection closes can't be told from one
+/// that broke off, one with both `Content-Length` and `Transfer-Encoding` is ambiguous, and another transfer coding than
+/// `chunked` would change its bytes.
 fn is_framed(method: &Method, head: &response::Parts, body: &Incoming) -> bool {
     let length = head.headers.contains_key(CONTENT_LENGTH);
     let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
@@ -212,7 +212,7 @@
     length || coding || bodyless || body.is_end_stream()
 }
 
-/// The head as it goes to the client.
+/// The head as it is passed to the client.
 fn passed_on(mut head: response::Parts) -> response::Parts {
     strip_hop_by_hop(&mut head.headers);
     head.version = http::Version::HTTP_11;
--- a/dataplane/proxy/src/handler.rs
+++ b/dataplane/proxy/src/handler.rs
@@ -1,4 +1,4 @@
-//! What clients meet: a request is read whole, matched with a route and sent on.
+//! The request handler: reads a request completely, matches it with a route, and answers with the result of its exchange.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use crate::request_counts::RequestEvent;
 use crate::stream::StreamAnswer;
 
-/// A body must be whole after so long if the client gives no time.
+/// Time for the body of a request whose client gives no deadline.
 const BODY_LIMIT: Duration = Duration::from_secs(30);
-/// A process that has just started is told what it needs within this time; requests wait for it meanwhile.
-const START: Duration = Duration::from_millis(1_000);
-/// They wait for this part of the time that the client gives at most.
-const START_PART: u32 = 4;
-/// Bytes of a header beside its name and value.
+/// A process that has just started receives its configuration within this time; requests wait for it meanwhile.
+const START_WAIT: Duration = Duration::from_millis(1_000);
+/// They wait for at most one part in so many of their time.
+const START_DIVISOR: u32 = 4;
+/// Bytes of a header line besides name and value.
 const HEADER_OVERHEAD: usize = ": \r\n".len();
 
 /// Answers a request.
@@ -54,27 +54,27 @@
         return Err(ProxyAnswer::AmbiguousLength);
     }
     let client_timeout = number(&parts.headers, &DEADLINE).map_or(BODY_LIMIT, Duration::from_millis);
-    busy.set_answer_due(received + client_timeout);
-    let body_due =
+    busy.set_answer_deadline(received + client_timeout);
+    let body_deadline =
         received + route_timeout(node, &parts).map_or(client_timeout, |timeout| client_timeout.min(timeout));
     let mut memory = node.bodies.reserve();
     let most = node.limits.borrow().longest_body();
-    let body = read_body(body, most, &mut memory, body_due).await?;
+    let body = read_body(body, most, &mut memory, body_deadline).await?;
     let version = parts.version;
     let request = ClientRequest::new(parts, body, received);
     if node.settings.mechanisms.has(Mechanism::StartWait) {
-        node.informed((node.clock.start() + START).min(received + client_timeout / START_PART)).await;
+        node.informed((node.clock.start() + START_WAIT).min(received + client_timeout / START_DIVISOR)).await;
     }
     let matched = match_route(node, &request)?;
-    // The limits may have become known meanwhile.
+    // The limits may have been received meanwhile.
     check_head(node, head_bytes)?;
     check_body(node, request.body.len())?;
-    // The end of a stream can't be told from its break there.
+    // HTTP/1.0 can't tell the end of a stream from its break.
     if version == Version::HTTP_10 && matched.route().kind == RouteKind::Streaming {
         return Err(ProxyAnswer::OldVersion);
     }
     let mut exchange = Exchange::new(Rc::clone(node), request, memory, matched);
-    busy.set_answer_due(exchange.due());
+    busy.set_answer_deadline(exchange.deadline());
     match exchange.open(None).await {
         Ok(Opened::Complete(whole)) => Ok(whole.map(AnswerBody::complete)),
         Ok(Opened::Stream(_)) if version == Version::HTTP_10 => Err(ProxyAnswer::BadGateway),
@@ -98,7 +98,7 @@
     if bytes > node.limits.borrow().longest_body() { Err(ProxyAnswer::BodyTooLong) } else { Ok(()) }
 }
 
-/// The time-out of the route to which a head leads, as far as that is known by now.
+/// The time-out of the route that matches a head, if a configuration is known.
 fn route_timeout(node: &Node, parts: &Parts) -> Option<Duration> {
     let configuration = node.configuration()?;
     let route = configuration.find_route(&host_of(&parts.uri, &parts.headers), parts.uri.path())?;
--- a/dataplane/proxy/src/headers.rs
+++ b/dataplane/proxy/src/headers.rs
@@ -4,17 +4,29 @@
 use http::{HeaderMap, HeaderValue};
 use whinspindle_routing::PromptPart;
 
+/// Id of a request, which its answer repeats.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("whinspindle-request-id");
+/// Stamp by which an answer proves that an upstream made it.
 pub const SERVER_STAMP: HeaderName = HeaderName::from_static("whinspindle-server-stamp");
+/// Says that the request did not and will not run.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("whinspindle-not-run");
+/// Time that the client waits, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("whinspindle-deadline-ms");
+/// Id of the instance that an attempt is meant for.
 pub const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("whinspindle-expect-instance");
+/// Id of the instance that answers.
 pub const INSTANCE_ID: HeaderName = HeaderName::from_static("whinspindle-instance-id");
+/// Tokens of the prompt and the most tokens of the answer.
 pub const TOKEN_COUNT: HeaderName = HeaderName::from_static("whinspindle-token-count");
+/// Hashes and lengths of the parts of the prompt.
 pub const PREFIX_HASH: HeaderName = HeaderName::from_static("whinspindle-prefix-hash");
+/// Id of the event after which a stream is to go on.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
+/// Urgency of a request for engines; 0 is the most urgent.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
+/// Version of the model's weights that answers.
 pub const VERSIONS: HeaderName = HeaderName::from_static("versions");
+/// Version of the model's weights that is asked for.
 pub const EXPECT_VERSION: HeaderName = HeaderName::from_static("expect-version");
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
--- a/dataplane/proxy/src/lib.rs
+++ b/dataplane/proxy/src/lib.rs
@@ -1,6 +1,10 @@
-//! The proxy: takes requests, sends each to an upstream, carries answers and streams back.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! The proxy: a reverse proxy for HTTP/1.1 that forwards each request to an upstream instance and passes its answer or
+//! event stream back.
+//!
+//! [`run`] is the program. Inside, [`clients`] accepts connections, [`handler`] reads and matches a request, [`exchange`]
+//! makes the attempts at upstreams over connections of the [`pool`], and [`stream`] passes events on. [`control_link`]
+//! receives configurations, endpoint lists and fleet state from the agent of the machine; [`node`] holds what they share.
+//! Everything runs on one thread.
 
 pub mod answers;
 pub mod classify;
@@ -44,21 +48,35 @@
 use crate::control_link::Identity;
 use crate::node::Node;
 
-/// How often times that are over are looked for.
+/// How often time limits are checked.
 const TICK: Duration = Duration::from_millis(500);
 
 /// Why the proxy could not start.
 #[derive(Debug, Snafu)]
 pub enum ProxyError {
+    /// The settings lack an address to listen on.
     #[snafu(display("the settings name no `listen.{name}`"))]
-    NoAddress { name: &'static str },
+    NoAddress {
+        /// Name of the missing key in the section `listen`.
+        name: &'static str,
+    },
+    /// A listener could not be opened.
     #[snafu(display("cannot listen on {address}"))]
-    Listen { address: SocketAddr, source: std::io::Error },
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The error of the system.
+        source: std::io::Error,
+    },
+    /// Signal handlers could not be installed.
     #[snafu(display("cannot wait for signals"))]
-    Signals { source: std::io::Error },
+    Signals {
+        /// The error of the system.
+        source: std::io::Error,
+    },
 }
 
-/// Runs the proxy until it is told to stop and its clients have their answers. Wants a runtime of one thread. Its figures
+/// Runs the proxy until it is told to shut down and its clients have their answers. Needs a runtime of one thread. Metrics
 /// are served at `metrics`, if given.
 pub async fn run(settings: Settings, metrics: Option<MetricsEndpoint>) -> Result<(), ProxyError> {
     LocalSet::new().run_until(serve(settings, metrics)).await
@@ -102,7 +120,7 @@
     }
 }
 
-/// Differs for each start of the process.
+/// A number that differs for each start of the process.
 fn random_number() -> u64 {
     RandomState::new().build_hasher().finish()
 }
@@ -128,7 +146,7 @@
             tokio::select! {
                 _ = self.terminate.recv() => stop(&node),
                 _ = self.interrupt.recv() => stop(&node),
-                // All that the proxy follows at run time comes by its agent.
+                // What can change at run time comes from the agent.
                 _ = self.hang_up.recv() => spdlog::info!("settings may have changed"),
             }
         }
--- a/dataplane/proxy/src/metrics.rs
+++ b/dataplane/proxy/src/metrics.rs
@@ -1,94 +1,94 @@
-//! The proxy's own figures, read from its state when somebody asks.
+//! The proxy's metrics, read from its state at each scrape.
 
 use whinspindle_metrics::Figures;
 use whinspindle_routing::{RegionMetrics, RejectionReason, ServiceMetrics};
 
 use crate::node::Node;
 
-/// The figures of this moment as OpenMetrics text.
+/// The present metrics as OpenMetrics text.
 pub fn text(node: &Node) -> String {
-    let mut figures = Figures::default();
-    add_requests(&mut figures, node);
+    let mut metrics = Figures::default();
+    add_requests(&mut metrics, node);
     let services = node.router.borrow().metrics(node.clock.now_ms());
-    add_services(&mut figures, &services);
-    figures.into_text()
+    add_services(&mut metrics, &services);
+    metrics.into_text()
 }
 
-fn add_requests(figures: &mut Figures, node: &Node) {
+fn add_requests(metrics: &mut Figures, node: &Node) {
     let counts = node.request_counts.totals();
     let names: Vec<(String, u64)> =
         counts.iter().map(|(event, count)| (event.label().to_owned(), *count)).collect();
     let labels: Vec<[(&str, &str); 1]> = names.iter().map(|(name, _)| [("event", name.as_str())]).collect();
     let counted = labels.iter().zip(&names).map(|(labels, (_, count))| (labels.as_slice(), *count));
-    figures.count("requests", "Answers, streams and sends by how they ended", counted);
+    metrics.count("requests", "Answers, streams and sends by how they ended", counted);
     let open = node.pool.open() as f64;
-    figures.gauge("upstream_connections", "Open connections to upstreams", [([].as_slice(), open)]);
+    metrics.gauge("upstream_connections", "Open connections to upstreams", [([].as_slice(), open)]);
     let is_ready = if node.is_ready() { 1.0 } else { 0.0 };
-    figures.gauge("ready", "1 while the proxy takes clients", [([].as_slice(), is_ready)]);
+    metrics.gauge("ready", "1 while the proxy takes clients", [([].as_slice(), is_ready)]);
 }
 
-fn add_services(figures: &mut Figures, services: &[ServiceMetrics]) {
+fn add_services(metrics: &mut Figures, services: &[ServiceMetrics]) {
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
     let left = labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.retry_budget));
-    figures.gauge("repeats_left", "Repeated sends that this balancer's part of the budget allows", left);
-    add_choices(figures, services);
-    add_regions(figures, services, "region_share", "Weight by which the region is drawn", |region| {
+    metrics.gauge("repeats_left", "Repeated sends that this balancer's part of the budget allows", left);
+    add_choices(metrics, services);
+    add_regions(metrics, services, "region_share", "Weight by which the region is drawn", |region| {
         region.weight
     });
     add_regions(
-        figures,
+        metrics,
         services,
         "fit_error_seconds",
         "How far latencies lie beside the fit that the weight is solved with",
         |region| region.fit_error_ms / 1_000.0,
     );
     add_regions(
-        figures,
+        metrics,
         services,
         "upstreams_ready",
         "Upstreams that may be sent to and don't rest",
         |region| region.ready as f64,
     );
-    add_regions(figures, services, "upstreams_cold", "Upstreams that are cold", |region| {
+    add_regions(metrics, services, "upstreams_cold", "Upstreams that are cold", |region| {
         region.warming_up as f64
     });
-    add_regions(figures, services, "upstreams_resting", "Upstreams that rest after failures", |region| {
+    add_regions(metrics, services, "upstreams_resting", "Upstreams that rest after failures", |region| {
         region.ejected as f64
     });
-    add_regions(figures, services, "upstreams_out_of_reach", "Upstreams in places out of reach", |region| {
+    add_regions(metrics, services, "upstreams_out_of_reach", "Upstreams in places out of reach", |region| {
         region.unreachable as f64
     });
-    add_regions(figures, services, "sends_in_flight", "This balancer's sends under way", |region| {
+    add_regions(metrics, services, "sends_in_flight", "This balancer's sends under way", |region| {
         region.in_flight as f64
     });
 }
 
-fn add_choices(figures: &mut Figures, services: &[ServiceMetrics]) {
-    let refusals = services.iter().flat_map(|service| {
+fn add_choices(metrics: &mut Figures, services: &[ServiceMetrics]) {
+    let rejections = services.iter().flat_map(|service| {
         let named = |(reason, count): &(RejectionReason, u64)| (reason.label().to_owned(), *count);
         service.rejections.iter().map(named).map(|(reason, count)| (service.service.as_str(), reason, count))
     });
-    let refusals: Vec<_> = refusals.collect();
-    let labels: Vec<_> = refusals
+    let rejections: Vec<_> = rejections.collect();
+    let labels: Vec<_> = rejections
         .iter()
         .map(|(service, reason, _)| [("service", *service), ("reason", reason.as_str())])
         .collect();
-    let counted = labels.iter().zip(&refusals).map(|(labels, (_, _, count))| (labels.as_slice(), *count));
-    figures.count("refusals", "Requests that were refused, by reason", counted);
+    let counted = labels.iter().zip(&rejections).map(|(labels, (_, _, count))| (labels.as_slice(), *count));
+    metrics.count("refusals", "Requests that were refused, by reason", counted);
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
     let passed =
         labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.passed_over));
-    figures.count("passed_over", "Picks that passed over an upstream for its sends in flight", passed);
+    metrics.count("passed_over", "Picks that passed over an upstream for its sends in flight", passed);
     let prompts: Vec<_> = services
         .iter()
         .flat_map(|service| {
             let name = service.service.as_str();
             [(name, "holder", service.at_cache_owner), (name, "elsewhere", service.beside_cache_owner)]
         })
-        .map(|(service, place, count)| ([("service", service), ("to", place)], count))
+        .map(|(service, target, count)| ([("service", service), ("to", target)], count))
         .collect();
     let counted = prompts.iter().map(|(labels, count)| (labels.as_slice(), *count));
-    figures.count(
+    metrics.count(
         "prompts",
         "Prompts sent to the upstream that is to keep their shared parts, and elsewhere",
         counted,
@@ -96,7 +96,7 @@
 }
 
 fn add_regions(
-    figures: &mut Figures,
+    metrics: &mut Figures,
     services: &[ServiceMetrics],
     name: &str,
     help: &str,
@@ -109,5 +109,5 @@
             ([("service", service.service.as_str()), ("region", region.region.as_str())], value(region))
         })
         .collect();
-    figures.gauge(name, help, regions.iter().map(|(labels, value)| (labels.as_slice(), *value)));
+    metrics.gauge(name, help, regions.iter().map(|(labels, value)| (labels.as_slice(), *value)));
 }
--- a/dataplane/proxy/src/node.rs
+++ b/dataplane/proxy/src/node.rs
@@ -1,4 +1,4 @@
-//! What the parts of the proxy share.
+//! The state that the parts of the proxy share.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -16,30 +16,41 @@
 use crate::request_counts::RequestCounts;
 use crate::shutdown::{Shutdown, ShutdownTimes};
 
-/// The part of an upstream's connections that all balancers together use.
-const CONNECTIONS_PART: f64 = 0.9;
+/// Fraction of an upstream's connections that all balancers together use.
+const USED_CONNECTIONS_FRACTION: f64 = 0.9;
 
-/// The state of the process. One thread uses it; nothing is borrowed over a wait.
+/// The state of the process. It is used by one thread; nothing is borrowed across an `await`.
 pub struct Node {
+    /// The settings of the process.
     pub settings: Settings,
+    /// The clock of the router.
     pub clock: Clock,
+    /// Descriptors and memory by use.
     pub capacities: Capacities,
+    /// The router.
     pub router: RefCell<Router>,
+    /// Limits of requests that clients may count on.
     pub limits: RefCell<LimitsInForce>,
+    /// Connections to upstreams.
     pub pool: Pool,
+    /// Memory for bodies.
     pub bodies: MemoryBudget,
+    /// The graceful shutdown.
     pub shutdown: Shutdown,
-    /// Something has changed that the control plane wants to know at once.
+    /// Notified when a report is due at once.
     pub report_due: Notify,
+    /// Sections of updates that are in force.
     pub applied_state: RefCell<AppliedState>,
-    /// Something new is in force.
+    /// Notified when an update has been applied.
     updated: Notify,
+    /// Counters of requests and attempts.
     pub request_counts: RequestCounts,
     configuration: RefCell<Option<Arc<Configuration>>>,
     balancers: Cell<u32>,
 }
 
 impl Node {
+    /// The state of a process that knows no configuration and no instances yet; `seed` is the router's.
     pub fn new(settings: Settings, connect: Box<dyn Connect>, seed: u64) -> Self {
         let clock = Clock::starting_now();
         let capacities = Capacities::of(&settings.limits);
@@ -76,7 +87,7 @@
         self.configuration.borrow().clone()
     }
 
-    /// A configuration and the instances are known, and the process is not stopping.
+    /// Whether a configuration and the instances are known, and the process is not shutting down.
     pub fn is_ready(&self) -> bool {
         self.is_informed() && !self.shutdown.is_requested()
     }
@@ -85,31 +96,32 @@
         self.configuration.borrow().is_some() && self.applied_state.borrow().instances().is_some()
     }
 
-    /// Waits until a configuration and the instances are known, not longer than until then.
+    /// Waits until a configuration and the instances are known, at most until then.
     pub async fn informed(&self, until: Instant) {
         while !self.is_informed() && timeout_at(until, self.updated.notified()).await.is_ok() {}
     }
 
-    /// The most connections that this process may have to one upstream of a service.
+    /// The most connections that this process may open to one upstream of a service with this `max_conns`.
     pub fn most_connections(&self, max_conns: u32) -> usize {
-        let share = f64::from(max_conns) * CONNECTIONS_PART / f64::from(self.balancers.get().max(1));
-        (share as usize).max(1)
+        let allowed =
+            f64::from(max_conns) * USED_CONNECTIONS_FRACTION / f64::from(self.balancers.get().max(1));
+        (allowed as usize).max(1)
     }
 
-    /// Puts what is new in an update in force.
+    /// Applies the sections of an update that are newer.
     pub fn apply(&self, update: Update) -> Result<(), ConfigurationError> {
         let now = self.clock.now_ms();
-        let news = self.applied_state.borrow_mut().apply(now, update);
-        let configured = news.configured.map(|configured| self.configure(now, &configured.body));
+        let changes = self.applied_state.borrow_mut().apply(now, update);
+        let configured = changes.configured.map(|configured| self.configure(now, &configured.body));
         let mut router = self.router.borrow_mut();
-        if let Some(evacuations) = &news.evacuations {
+        if let Some(evacuations) = &changes.evacuations {
             router.evacuations(now, &evacuations.zones);
         }
-        if let Some(fleet) = &news.fleet {
+        if let Some(fleet) = &changes.fleet {
             self.balancers.set(fleet.balancers);
             router.fleet(now, fleet);
         }
-        if let Some(instances) = &news.instances {
+        if let Some(instances) = &changes.instances {
             router.instances(now, instances);
         }
         drop(router);
--- a/dataplane/proxy/src/pool.rs
+++ b/dataplane/proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: those that stand idle, and how many may be open.
+//! The connection pool: idle connections to upstreams, and the limits of open ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,29 +13,39 @@
 use crate::connect::Connect;
 use crate::connection::UpstreamConnection;
 
-/// After an answer a connection carries nothing for so long: a surplus answer shows itself meanwhile.
-const SETTLE: Duration = Duration::from_millis(20);
-/// A connection is dropped at this part of the time after which the upstream closes it.
-const IDLE_PART: f64 = 0.7;
-/// For how long an upstream keeps an idle connection if its answers give no time, which is less than a second.
+/// A connection is not reused within this time after an answer, so that a surplus answer is noticed.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+/// An idle connection is closed after this fraction of the upstream's keep-alive time.
+const IDLE_FRACTION: f64 = 0.7;
+/// Keep-alive time of an upstream whose answers give none, which is less than a second.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(500);
-/// Longer than a round trip between regions.
+/// Time-out of connecting; longer than a round trip between regions.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
-/// Why there is no connection.
+/// Why there is no connection to an upstream.
 #[derive(Debug, Snafu)]
 pub enum ConnectionError {
+    /// The limit of connections is reached.
     #[snafu(display("all connections that may be open to the upstream are in use"))]
     Full,
+    /// Connecting timed out.
     #[snafu(display("the upstream did not take the connection in time"))]
     Silent,
+    /// The connection was refused or could not be made.
     #[snafu(display("the upstream did not take the connection"))]
-    Refused { source: std::io::Error },
+    Refused {
+        /// The error of the system.
+        source: std::io::Error,
+    },
+    /// The connection could not be made ready for HTTP.
     #[snafu(display("the connection can't be made ready"))]
-    Handshake { source: hyper::Error },
+    Handshake {
+        /// The error of the HTTP library.
+        source: hyper::Error,
+    },
 }
 
-/// How many connections may be open.
+/// The most connections that may be open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
     /// To all upstreams together.
@@ -53,9 +63,9 @@
 #[derive(Default)]
 struct InstanceConnections {
     open: Rc<Cell<usize>>,
-    /// For how long the upstream keeps idle connections, as it last told on any of them.
+    /// The upstream's keep-alive time, as its last answer on any connection gave it.
     keep_alive: Option<Duration>,
-    /// The one used last stands last.
+    /// Sorted by the time of the last use, the last used one last.
     idle: Vec<Idle>,
 }
 
@@ -65,22 +75,24 @@
     leased: Leased,
 }
 
-/// A connection in use; it counts among the open ones until it is dropped.
+/// A connection in use; it counts as open until it is dropped.
 pub struct Leased {
+    /// The connection.
     pub connection: UpstreamConnection,
-    /// For how long the upstream keeps it once it is idle, as far as its answers tell.
+    /// The upstream's keep-alive time, as far as its answers give it.
     pub keep_alive: Option<Duration>,
     instance: InstanceKey,
     _slot: Slot,
 }
 
 impl Leased {
-    /// The upstream to which it leads.
+    /// The instance that it is connected to.
     pub fn instance(&self) -> InstanceKey {
         self.instance
     }
 }
 
+/// Counts one open connection until it is dropped.
 struct Slot {
     total: Rc<Cell<usize>>,
     open: Rc<Cell<usize>>,
@@ -102,13 +114,15 @@
 }
 
 impl Pool {
+    /// An empty pool.
     pub fn new(connect: Box<dyn Connect>, limits: PoolLimits) -> Self {
         Pool { connect, limits, total: Rc::default(), instances: RefCell::default() }
     }
 
-    /// A connection to the instance: an idle one, or a new one if no more than `most` are open. Idle ones that are not
-    /// to be trusted are dropped: what is written to an upstream that has gone dark may not be sent again, while a new
-    /// connection that does not come up costs a moment and nothing else.
+    /// A connection to the instance: an idle one, or a new one if fewer than `most` are open.
+    ///
+    /// Without `trusts_idle`, idle connections are closed first: a request that is written to an unreachable upstream may not
+    /// be retried, while a new connection that does not come up costs little time.
     pub async fn lease(
         &self,
         instance: InstanceKey,
@@ -131,17 +145,17 @@
         Ok(Leased { connection, keep_alive: None, instance, _slot: place })
     }
 
-    /// Puts back a connection that may carry another request.
+    /// Returns a connection that may carry another request to the pool.
     pub fn release(&self, leased: Leased) {
         let mut instances = self.instances.borrow_mut();
         let connections = instances.entry(leased.instance).or_default();
         connections.keep_alive = leased.keep_alive.or(connections.keep_alive);
         let since = Instant::now();
-        let until = since + connections.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).mul_f64(IDLE_PART);
+        let until = since + connections.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).mul_f64(IDLE_FRACTION);
         connections.idle.push(Idle { since, until, leased });
     }
 
-    /// Drops idle connections whose time is over, and those to instances that are gone.
+    /// Closes idle connections whose time is over, and those to instances that are no longer known.
     pub fn sweep(&self, is_known: impl Fn(InstanceKey) -> bool) {
         let now = Instant::now();
         self.instances.borrow_mut().retain(|&instance, connections| {
@@ -154,7 +168,7 @@
         });
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.total.get()
     }
@@ -165,13 +179,13 @@
         }
     }
 
-    /// The idle connection that was used last, so that those that are not needed grow old.
+    /// The idle connection that was used last, so that surplus ones reach their time-out.
     fn take_idle(&self, instance: InstanceKey) -> Option<Leased> {
         let now = Instant::now();
         let mut instances = self.instances.borrow_mut();
         let connections = instances.get_mut(&instance)?;
         connections.idle.retain(|idle| idle.until > now);
-        let rested = connections.idle.iter().rposition(|idle| idle.since + SETTLE <= now)?;
+        let rested = connections.idle.iter().rposition(|idle| idle.since + REUSE_DELAY <= now)?;
         Some(connections.idle.remove(rested).leased)
     }
 
@@ -187,6 +201,7 @@
         Ok(Slot::take(&self.total, &connections.open))
     }
 
+    /// Closes the connection that has been idle longest, of any instance.
     fn drop_oldest_idle(&self) -> bool {
         let mut instances = self.instances.borrow_mut();
         let oldest = instances.values_mut().filter(|connections| !connections.idle.is_empty());
--- a/dataplane/proxy/src/request.rs
+++ b/dataplane/proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is sent on, and the route it goes by.
+//! A client's request as it is forwarded, and the route that it matches.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,31 +20,37 @@
 };
 use crate::retry::RetryPolicy;
 
-/// An answer has to leave so long before the client gives the request up.
+/// An answer has to leave this long before the client's deadline.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
-/// So much less time is told to an upstream than there is, for the way back.
+/// The deadline of an upstream is this much earlier, for the way back.
 const UPSTREAM_MARGIN: Duration = Duration::from_millis(10);
+/// The highest number that `Priority` may carry.
 const LEAST_URGENT: u8 = 9;
 
-/// A whole request of a client.
+/// A complete request of a client.
 pub struct ClientRequest {
+    /// Method.
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, unchanged.
     pub target: Uri,
+    /// Host by the `Host` header, or by an absolute target.
     pub host: String,
-    /// Without those that concern the client's connection.
+    /// Headers without those of the client's connection (hop-by-hop headers).
     pub headers: HeaderMap,
+    /// The complete body.
     pub body: Bytes,
+    /// The request's id, if the client gave one.
     pub id: Option<HeaderValue>,
+    /// When its first bytes were received.
     pub received: Instant,
-    /// For how long the client waits.
+    /// How long the client waits, if it says so.
     pub client_timeout: Option<Duration>,
-    /// What the router wants to know; the route is filled in when it is asked.
+    /// The facts for the router; the route is filled in at each choice.
     pub facts: RequestFacts,
 }
 
 impl ClientRequest {
-    /// Takes a request apart. `received` is when its first bytes came.
+    /// A request of these parts; `received` is when its first bytes were received.
     pub fn new(parts: Parts, body: Bytes, received: Instant) -> Self {
         let mut headers = parts.headers;
         let host = host_of(&parts.uri, &headers);
@@ -69,33 +75,33 @@
         }
     }
 
-    /// Gives up what only another send would need.
+    /// Releases what only another attempt would need.
     pub fn release(&mut self) {
         self.body = Bytes::new();
         self.headers = HeaderMap::new();
         self.facts = RequestFacts::default();
     }
 
-    /// When the request is to be answered at the latest on a route with this time-out.
-    pub fn due(&self, timeout: Duration) -> Instant {
+    /// The deadline of the answer on a route with this time-out.
+    pub fn deadline(&self, timeout: Duration) -> Instant {
         let client_timeout =
             self.client_timeout.map(|client_timeout| client_timeout.saturating_sub(ANSWER_MARGIN));
         self.received + client_timeout.map_or(timeout, |client_timeout| client_timeout.min(timeout))
     }
 
-    /// The request as it goes to an upstream.
+    /// The request as it is forwarded to an upstream.
     pub fn to_upstream(
         &self,
         target: &InstanceTarget,
         matched: &MatchedRoute,
-        due: Instant,
+        deadline: Instant,
         resume: Option<Position>,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
-        let left = due.saturating_duration_since(Instant::now()).saturating_sub(UPSTREAM_MARGIN);
+        let left = deadline.saturating_duration_since(Instant::now()).saturating_sub(UPSTREAM_MARGIN);
         headers.insert(DEADLINE, number_value(left.as_millis() as u64));
         if let Ok(id) = HeaderValue::from_str(&target.id) {
             headers.insert(EXPECT_INSTANCE, id);
@@ -137,7 +143,7 @@
     header.or_else(|| uri.authority().map(|authority| authority.as_str())).unwrap_or_default().to_owned()
 }
 
-/// Path and query alone, as upstreams expect them.
+/// The target in origin form (path and query), as upstreams expect it.
 fn origin_form(uri: &Uri) -> Uri {
     if uri.authority().is_none() {
         return uri.clone();
@@ -148,6 +154,7 @@
 /// The route of a request in one configuration, and the service that was drawn for it.
 #[derive(Clone)]
 pub struct MatchedRoute {
+    /// The configuration under which the request was matched.
     pub configuration: Arc<Configuration>,
     /// Index into the configuration's routes.
     pub route: usize,
@@ -156,15 +163,17 @@
 }
 
 impl MatchedRoute {
+    /// The route.
     pub fn route(&self) -> &Route {
         &self.configuration.routes[self.route]
     }
 
+    /// The service.
     pub fn service(&self) -> &Service {
         &self.configuration.services[self.service]
     }
 
-    /// What may be repeated of a request on this route.
+    /// The retry policy of the route.
     pub fn retry_policy(&self) -> RetryPolicy {
         let route = self.route();
         let idempotent = match route.kind {
@@ -175,7 +184,7 @@
         RetryPolicy { idempotent, most_runs: route.retries.max(1) }
     }
 
-    /// The same route and service in a newer configuration, if both still belong together.
+    /// The route in a newer configuration, if it still has the same service as a backend.
     pub fn moved_to(&self, newer: &Arc<Configuration>, host: &str, path: &str) -> Option<MatchedRoute> {
         let route = newer.find_route(host, path)?;
         let name = &self.service().name;
--- a/dataplane/proxy/src/request_body.rs
+++ b/dataplane/proxy/src/request_body.rs
@@ -13,7 +13,7 @@
     body: Incoming,
     most: usize,
     memory: &mut Reservation,
-    due: Instant,
+    deadline: Instant,
 ) -> Result<Bytes, ProxyAnswer> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
@@ -26,7 +26,7 @@
         return Err(ProxyAnswer::Rejected { retry_after_ms: RETRY_AFTER_MS });
     }
     let collecting = collect(body, announced, most, memory);
-    timeout_at(due, collecting).await.unwrap_or_else(|_| Err(ProxyAnswer::LateBody))
+    timeout_at(deadline, collecting).await.unwrap_or_else(|_| Err(ProxyAnswer::LateBody))
 }
 
 async fn collect(
--- a/dataplane/proxy/src/request_framing.rs
+++ b/dataplane/proxy/src/request_framing.rs
@@ -1,8 +1,8 @@
-//! Looks at the heads of requests as they are read, for what the HTTP library does not pass on: it keeps only one of
-//! two kinds of length. A request that names both may hide another one behind its end.
+//! Observes the framing of requests as they are read, to prevent request smuggling.
 //!
-//! Bytes are followed through bodies too: a client may send its next request before it has the answer to the last, and
-//! that head is read while the request before it is still in hand.
+//! The HTTP library passes on only one of `Content-Length` and `Transfer-Encoding`. A request with both may hide another
+//! one behind its end. Bodies are tracked too: a client may pipeline its next request, whose head is then read while the
+//! request before it is in progress.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,10 +14,10 @@
 
 const LENGTH: &[u8] = b"content-length";
 const CODING: &[u8] = b"transfer-encoding";
-/// What is kept of a line: more than the names and numbers that are looked for.
+/// Bytes kept of a line: more than the names and numbers that are parsed.
 const LINE_BYTES: usize = 256;
 
-/// Where in a request the next byte stands.
+/// The part of a request to which the next byte belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Part {
     #[default]
@@ -26,23 +26,23 @@
         left: u64,
     },
     ChunkSize,
-    /// With the line end behind it.
+    /// Includes the line end behind the chunk.
     Chunk {
         left: u64,
     },
     Trailers,
-    /// The end of the request can't be told. Nothing after it is served.
+    /// The end of the request is unknown. Nothing after it is served.
     Unknown,
 }
 
-/// What the lines of a head have said so far.
+/// The headers of a head that give the length of the body.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lengths {
-    /// The request line has come.
+    /// The request line has been read.
     has_begun: bool,
     has_length: bool,
     has_coding: bool,
-    /// Nothing if it can't be read.
+    /// None if it can't be parsed.
     length: Option<u64>,
 }
 
@@ -74,16 +74,16 @@
     }
 }
 
-/// Follows the bytes of requests, and remembers of each head whether it names two kinds of length.
+/// Tracks the bytes of requests, and which heads have an ambiguous length.
 #[derive(Debug, Default)]
 pub struct RequestFraming {
     part: Part,
-    /// The beginning of the line that has not ended yet.
+    /// The beginning of the present line.
     line: Vec<u8>,
-    /// The line goes on beyond what is kept of it.
+    /// The present line is longer than what is kept of it.
     is_truncated: bool,
     lengths: Lengths,
-    /// Whole heads of requests that are not done, the oldest first: whether they are ambiguous.
+    /// For each complete head of a request that is not finished, oldest first: whether its length is ambiguous.
     heads: VecDeque<bool>,
 }
 
@@ -100,22 +100,22 @@
         }
     }
 
-    /// Whether the head of the request in hand names two kinds of length.
+    /// Whether the head of the request in progress has both kinds of length.
     pub fn is_ambiguous(&self) -> bool {
         self.heads.front().copied().unwrap_or_default()
     }
 
-    /// Whether the end of the request in hand can't be told, so that none may be served after it.
+    /// Whether the end of the request in progress is unknown, so that none may be served after it.
     pub fn is_lost(&self) -> bool {
         self.part == Part::Unknown && self.heads.len() <= 1
     }
 
-    /// The request in hand is done.
+    /// The request in progress is finished.
     pub fn restart(&mut self) {
         self.heads.pop_front();
     }
 
-    /// Passes over bytes of which so many are left; returns what follows.
+    /// Skips bytes of a body or chunk with `left` bytes to come; returns what follows.
     fn skip<'a>(&mut self, bytes: &'a [u8], left: u64, then: Part, more: fn(u64) -> Part) -> &'a [u8] {
         let skipped = usize::try_from(left).map_or(bytes.len(), |left| left.min(bytes.len()));
         let left = left - skipped as u64;
@@ -161,8 +161,8 @@
 fn chunk(line: &[u8], is_truncated: bool) -> Part {
     const LINE_END: u64 = 2;
     let size = line.split(|&byte| byte == b';').next().unwrap_or_default();
-    let is_whole = !is_truncated || size.len() < line.len();
-    match number(size, 16).filter(|_| is_whole) {
+    let is_complete = !is_truncated || size.len() < line.len();
+    match number(size, 16).filter(|_| is_complete) {
         Some(0) => Part::Trailers,
         Some(size) => Part::Chunk { left: size.saturating_add(LINE_END) },
         None => Part::Unknown,
@@ -181,13 +181,14 @@
     u64::from_str_radix(text, radix).ok()
 }
 
-/// A socket whose requests are watched.
+/// A socket whose input is observed.
 pub struct ObservedSocket<S> {
     socket: S,
     watch: Rc<RefCell<RequestFraming>>,
 }
 
 impl<S> ObservedSocket<S> {
+    /// Observes what is read from a socket.
     pub fn new(socket: S, watch: Rc<RefCell<RequestFraming>>) -> Self {
         ObservedSocket { socket, watch }
     }
--- a/dataplane/proxy/src/retry.rs
+++ b/dataplane/proxy/src/retry.rs
@@ -1,14 +1,14 @@
-//! What may be done after a send that gave no answer for the client: a pure table of how the send ended, what the
-//! route allows, and what has happened to the request before.
+//! Retry decisions: what follows an attempt without an answer, by its end, the policy of the route and the history of the
+//! request. Pure functions without state.
 
-/// Sends that may fail without a byte written, before the request is given up.
+/// Attempts without a byte written after which a request is given up.
 const MOST_UNSENT: u32 = 4;
-/// Sends that may reach another instance than the one meant.
+/// Attempts that reached another instance than the one meant, after which it is given up.
 const MOST_MISDIRECTED: u32 = 3;
-/// Sends that upstreams may reject before the request is given up.
+/// Attempts rejected by their upstreams after which it is given up.
 const MOST_REJECTED: u32 = 2;
 
-/// How a send ended that gave no answer for the client.
+/// How an attempt without an answer for the client ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
     /// Not a byte of the request was written.
@@ -19,11 +19,11 @@
     Rejected,
     /// The upstream answered with a failure of its own, which may be passed back.
     Failed,
-    /// The connection broke, or what came is no answer to this request: it may have run.
+    /// The connection broke, or what was received is no answer to this request: it may have run.
     Broken,
 }
 
-/// What the route allows.
+/// What a route allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
     /// The request may run more than once.
@@ -32,18 +32,21 @@
     pub most_runs: u32,
 }
 
-/// What has become of the sends of a request.
+/// The attempts of a request so far, by their end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
+    /// Attempts of which not a byte was written.
     pub unsent: u32,
+    /// Attempts that reached another instance.
     pub misdirected: u32,
+    /// Attempts that their upstreams rejected.
     pub rejected: u32,
-    /// Sends that may have run.
+    /// Attempts that may have run.
     pub runs: u32,
 }
 
 impl AttemptHistory {
-    /// Notes how a send ended.
+    /// Records how an attempt ended.
     pub fn record(&mut self, end: AttemptEnd) {
         match end {
             AttemptEnd::NotSent => self.unsent += 1,
@@ -53,35 +56,35 @@
         }
     }
 
-    /// Notes an upstream that may run, or has run, the request.
+    /// Records an attempt that may have run.
     pub fn record_run(&mut self) {
         self.runs += 1;
     }
 }
 
-/// What to do next.
+/// What follows an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Choose another upstream, if the router grants one.
+    /// Retry at another upstream, if the router grants one.
     Retry,
     /// Pass the upstream's failure back.
     PassBack,
-    /// Answer with a failure of one's own.
+    /// Answer with a failure of the proxy's own.
     GiveUp(ProxyFailure),
 }
 
-/// A failure that no upstream gave.
+/// A failure that the proxy answers itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyFailure {
     /// 503: the request has not run and never will.
     Rejected,
     /// 502: the request may have run.
     BadGateway,
-    /// 504: the time is over, and the request may have run.
+    /// 504: the deadline has passed, and the request may have run.
     TimedOut,
 }
 
-/// Decides what follows a send. `history` includes the send that has just ended.
+/// Decides what follows an attempt. `history` includes the attempt that has just ended.
 pub fn next(retry_policy: RetryPolicy, history: AttemptHistory, end: AttemptEnd) -> Decision {
     let may_go_on = match end {
         AttemptEnd::NotSent => history.unsent < MOST_UNSENT,
@@ -103,12 +106,12 @@
     history.runs == 0 || (retry_policy.idempotent && history.runs < retry_policy.most_runs)
 }
 
-/// The failure for a request that goes to no further upstream.
+/// The failure for a request without further attempts.
 pub fn give_up(history: AttemptHistory) -> ProxyFailure {
     if history.runs == 0 { ProxyFailure::Rejected } else { ProxyFailure::BadGateway }
 }
 
-/// The failure for a request whose time is over.
+/// The failure for a request whose deadline has passed.
 pub fn time_is_over(history: AttemptHistory) -> ProxyFailure {
     if history.runs == 0 { ProxyFailure::Rejected } else { ProxyFailure::TimedOut }
 }
--- a/dataplane/proxy/src/shutdown.rs
+++ b/dataplane/proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The order to stop: how long clients are still taken, and by when all answers must be out.
+//! Graceful shutdown: how long clients are still accepted, and by when all answers must be written.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -6,38 +6,38 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-/// A request that is sent up to so long after the order may find its answer cut at the end of the grace; one that is
-/// sent later must not be taken.
+/// The answer to a request that is sent up to this long after the signal may be truncated at the end of the grace period;
+/// a request that is sent later must not be accepted.
 const LAST_REQUESTS: Duration = Duration::from_secs(3);
-/// What a request may need from its client to this process, so that none that was sent too late is taken.
-const REQUEST_WAY: Duration = Duration::from_millis(200);
-/// Clients learn from new answers to their look-ups that this machine leaves, and are served meanwhile.
-const STILL_ACCEPTING: Duration = LAST_REQUESTS.saturating_sub(REQUEST_WAY);
-/// What the last answers need to reach their clients.
+/// Assumed time from the client to this process, so that no request is accepted that was sent too late.
+const REQUEST_TRANSIT: Duration = Duration::from_millis(200);
+/// New clients are accepted for this time, in which all learn from their look-ups that this machine shuts down.
+const ACCEPTING: Duration = LAST_REQUESTS.saturating_sub(REQUEST_TRANSIT);
+/// Time for the last answers to reach their clients.
 const LAST_ANSWERS: Duration = Duration::from_millis(400);
-/// They get no more than this part of the grace: what upstreams answer before its last sixth has to go out whole.
-const LAST_ANSWERS_PART: u32 = 12;
+/// At most one part in so many of the grace period: what upstreams answer before its last sixth is passed on completely.
+const LAST_ANSWERS_DIVISOR: u32 = 12;
 
-/// When things end after the order to stop.
+/// The times of the phases of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownTimes {
-    /// From the order to the end of the listener.
+    /// From the signal to the end of accepting.
     pub accepting: Duration,
-    /// From the order to the end of the process.
+    /// From the signal to the end of the process.
     pub answering: Duration,
 }
 
 impl ShutdownTimes {
-    /// The process is killed `grace` after the order.
+    /// The phases for a process that is killed `grace` after the signal.
     pub fn of(grace: Duration) -> Self {
         ShutdownTimes {
-            accepting: STILL_ACCEPTING.min(grace * 3 / 8),
-            answering: grace.saturating_sub(LAST_ANSWERS.min(grace / LAST_ANSWERS_PART)),
+            accepting: ACCEPTING.min(grace * 3 / 8),
+            answering: grace.saturating_sub(LAST_ANSWERS.min(grace / LAST_ANSWERS_DIVISOR)),
         }
     }
 }
 
-/// Whether and when the process was told to stop.
+/// Whether and when a shutdown was requested.
 pub struct Shutdown {
     times: ShutdownTimes,
     requested_at: Cell<Option<Instant>>,
@@ -45,11 +45,12 @@
 }
 
 impl Shutdown {
+    /// A process that has not been told to shut down.
     pub fn new(times: ShutdownTimes) -> Self {
         Shutdown { times, requested_at: Cell::new(None), request: Notify::new() }
     }
 
-    /// Gives the order. Further orders change nothing.
+    /// Requests the shutdown. Further requests have no effect.
     pub fn request(&self) {
         if self.requested_at.get().is_none() {
             self.requested_at.set(Some(Instant::now()));
@@ -57,16 +58,17 @@
         }
     }
 
+    /// Whether the process was told to shut down.
     pub fn is_requested(&self) -> bool {
         self.requested_at.get().is_some()
     }
 
-    /// Waits for the order, and then until no more clients are to be taken.
+    /// Waits for the request, and then until no more clients are to be accepted.
     pub async fn accepting_ends(&self) {
         sleep_until(self.requested().await + self.times.accepting).await;
     }
 
-    /// Waits for the order, and then until the process has to end.
+    /// Waits for the request, and then until the process has to end.
     pub async fn answering_ends(&self) {
         sleep_until(self.requested().await + self.times.answering).await;
     }
--- a/dataplane/proxy/src/stream.rs
+++ b/dataplane/proxy/src/stream.rs
@@ -1,5 +1,5 @@
-//! The body of a streaming answer: whole events go on as they come, and a resumable stream that breaks goes on at
-//! another upstream inside the same answer.
+//! The body of a streaming answer: complete events are passed on as they arrive, and a resumable stream that breaks off is
+//! resumed at another upstream inside the same answer.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -19,16 +19,16 @@
 use crate::node::Node;
 use crate::request_counts::RequestEvent;
 
-/// So many bytes of events go on at once at most.
+/// The most bytes of events that are passed on at once.
 const MOST_AT_ONCE: usize = 64 * 1024;
-/// Clients give a stream up after the longest of this silence, so many objectives and so many pauses.
+/// Clients give up a silent stream after the longest of this time, a number of latency targets and a number of event gaps.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 const CLIENT_LATENCY_TARGETS: u64 = 4;
 const CLIENT_EVENT_GAPS: u64 = 8;
-/// The part of a client's patience after which a silent stream moves to another upstream.
+/// Fraction of that time after which a silent stream is resumed at another upstream.
 const SILENCE_FRACTION: f64 = 0.6;
 
-/// For how long a stream may be silent before it moves to another upstream.
+/// How long a stream may be silent before it is resumed at another upstream.
 pub fn silence_limit(route: &Route) -> Duration {
     let objectives = Duration::from_millis(route.target_ms.saturating_mul(CLIENT_LATENCY_TARGETS));
     let pauses = Duration::from_millis(route.gap_aim_ms.unwrap_or(0).saturating_mul(CLIENT_EVENT_GAPS));
@@ -40,32 +40,32 @@
 enum State {
     Flowing(Box<Flow>),
     Resuming(Pin<Box<dyn Future<Output = Resumed>>>),
-    /// No upstream has taken up a stream that moved for silence alone: silence is no reason to end it before its time.
+    /// The resumption of a silent stream failed: it stays open until its deadline, since silence alone does not end it.
     Abandoned,
-    /// What has been handed on is to be written, and then the client's connection is to be cut.
+    /// Hyper writes what it has been given, then the client's connection is closed without the last chunk.
     Flushing,
     Truncated,
     Ended,
 }
 
-/// A run under way, and the request it answers.
+/// A run in progress, and the exchange of its request.
 struct Flow {
     exchange: Exchange,
     run: StreamRun,
 }
 
-/// A streaming answer under way.
+/// A streaming answer in progress.
 pub struct StreamAnswer {
     node: Rc<Node>,
     state: State,
-    /// Whole events that have not gone on yet.
+    /// Complete events that have not been passed on yet.
     ready: Bytes,
-    /// Events have been passed on up to here.
+    /// The position after the events that have been passed on.
     position: Position,
-    due: Pin<Box<Sleep>>,
-    /// Ends when the stream has been silent for too long; only where it may move.
+    deadline: Pin<Box<Sleep>>,
+    /// Fires when the stream exceeds the silence limit; only where it may be resumed.
     silence: Option<SilenceTimer>,
-    /// The resumption under way follows a silence, not a break.
+    /// The resumption in progress follows a silence, not a break.
     moved_after_silence: bool,
 }
 
@@ -81,7 +81,7 @@
         SilenceTimer { limit, last_event: now, timer: Box::pin(sleep_until(now + limit)) }
     }
 
-    /// Ready once nothing has come for the whole limit. The timer is not moved with each event.
+    /// Ready once nothing has been received for the limit. The timer is not reset at each event.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             ready!(self.timer.as_mut().poll(cx));
@@ -107,7 +107,7 @@
         let route = exchange.matched().route();
         let moves = exchange.may_resume() && node.settings.mechanisms.has(Mechanism::SilenceMove);
         let silence = moves.then(|| SilenceTimer::new(silence_limit(route)));
-        let due = Box::pin(sleep_until(exchange.due()));
+        let deadline = Box::pin(sleep_until(exchange.deadline()));
         let position = open.run.as_ref().map(|run| run.splitter.position()).unwrap_or_default();
         let state = match open.run {
             Some(run) => State::Flowing(Box::new(Flow { exchange, run })),
@@ -120,24 +120,24 @@
                 state,
                 ready: open.first,
                 position,
-                due,
+                deadline,
                 silence,
                 moved_after_silence: false,
             },
         )
     }
 
-    /// Nothing more follows.
+    /// Whether the stream has ended.
     pub fn is_ended(&self) -> bool {
         self.ready.is_empty() && matches!(self.state, State::Ended)
     }
 
-    /// The next whole events; none once the stream is complete.
+    /// The next complete events; none once the stream is complete.
     pub fn poll_events(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamTruncated>>> {
         if !self.ready.is_empty() {
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.ready))));
         }
-        if !matches!(self.state, State::Ended) && self.due.as_mut().poll(cx).is_ready() {
+        if !matches!(self.state, State::Ended) && self.deadline.as_mut().poll(cx).is_ready() {
             self.state = State::Ended;
             self.node.request_counts.record(RequestEvent::StreamTruncated);
             return Poll::Ready(Some(Err(StreamTruncated::TimeOver)));
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Moves a run on. Ready with whole events, or with none if the state has changed.
+    /// Drives a run. Ready with complete events, or with none if the state has changed.
     fn poll_flow(&mut self, mut flow: Box<Flow>, cx: &mut Context<'_>) -> Poll<Bytes> {
         let mut events = Events::default();
         let broke = loop {
@@ -185,9 +185,9 @@
                 Poll::Ready(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
             match run.splitter.push(data) {
-                Ok(whole) => {
-                    events.add(whole);
-                    // Of a piece that can't be passed on, none of the events count.
+                Ok(complete) => {
+                    events.add(complete);
+                    // Of a chunk with an error, no event is passed on.
                     self.position = run.splitter.position();
                 }
                 Err(_) => break true,
@@ -207,7 +207,7 @@
         Poll::Ready(events.take())
     }
 
-    /// Nothing is here for now. A stream that has been silent for too long moves on, if another upstream takes it.
+    /// Nothing has been received. Resumes a stream beyond the silence limit, if the router grants another upstream.
     fn wait(&mut self, mut flow: Box<Flow>, cx: &mut Context<'_>) -> Poll<Bytes> {
         if let Some(silence) = &mut self.silence
             && silence.poll(cx).is_ready()
@@ -216,7 +216,7 @@
                 && flow.exchange.may_resume()
                 && let Ok(chosen) = flow.exchange.choose()
             {
-                self.move_on(flow, Some(chosen));
+                self.resume_elsewhere(flow, Some(chosen));
                 return Poll::Ready(Bytes::new());
             }
             silence.restart();
@@ -256,7 +256,7 @@
         Poll::Ready(open.first)
     }
 
-    /// What comes after a resumption that no upstream took.
+    /// The state after a failed resumption.
     fn give_up_resuming(&mut self) {
         if self.moved_after_silence {
             self.state = State::Abandoned;
@@ -272,11 +272,11 @@
         }
     }
 
-    /// What comes after a run that broke.
+    /// Resumes the stream after a run that broke off, or truncates it.
     fn resume_or_truncate(&mut self, mut flow: Box<Flow>) {
         self.log_break(&flow);
         if self.position.last_id.is_some() && flow.exchange.may_resume() {
-            self.move_on(flow, None);
+            self.resume_elsewhere(flow, None);
             return;
         }
         flow.run.attempt.finish(Outcome::Broken);
@@ -291,12 +291,12 @@
         }
     }
 
-    /// Ends a run and asks another upstream for what follows.
-    fn move_on(&mut self, flow: Box<Flow>, chosen: Option<ChosenInstance>) {
+    /// Ends a run and resumes the stream at another upstream.
+    fn resume_elsewhere(&mut self, flow: Box<Flow>, chosen: Option<ChosenInstance>) {
         let Flow { mut exchange, mut run } = *flow;
         self.moved_after_silence = chosen.is_some();
         run.attempt.finish(Outcome::Broken);
-        // The old run must not go on beside the new one.
+        // The old run must not continue beside the new one.
         drop(run);
         exchange.resume_after(self.position);
         self.state = State::Resuming(Box::pin(async move {
@@ -306,7 +306,7 @@
     }
 }
 
-/// Whole events that go on together.
+/// Complete events that are passed on together.
 #[derive(Default)]
 struct Events {
     first: Bytes,
@@ -330,9 +330,9 @@
         if self.more.is_empty() {
             return first;
         }
-        let mut whole = BytesMut::with_capacity(first.len() + self.more.len());
-        whole.extend_from_slice(&first);
-        whole.extend_from_slice(&std::mem::take(&mut self.more));
-        whole.freeze()
+        let mut events = BytesMut::with_capacity(first.len() + self.more.len());
+        events.extend_from_slice(&first);
+        events.extend_from_slice(&std::mem::take(&mut self.more));
+        events.freeze()
     }
 }
--- a/dataplane/proxy/tests/answers.rs
+++ b/dataplane/proxy/tests/answers.rs
@@ -7,7 +7,9 @@
 
 use std::time::Duration;
 
-use common::{Client, MOMENT, REST, STAMP, Script, Step, World, body, chunks, header, play, status, write};
+use common::{
+    Client, Harness, REUSE_DELAY, SETTLE_TIME, STAMP, Script, Step, body, chunks, header, play, status, write,
+};
 use tokio::time::sleep;
 
 const FIRST: &str = "aaaaaaaaaaaaaaa1";
@@ -90,7 +92,7 @@
 }
 
 /// The body by its length or in chunks; of chunks without an end nothing.
-fn whole_body(got: &str) -> String {
+fn complete_body(got: &str) -> String {
     match header(got, "transfer-encoding") {
         Some(_) => Some(chunks(got)).filter(|(_, is_complete)| *is_complete).unwrap_or_default().0,
         None => body(got).to_owned(),
@@ -125,7 +127,7 @@
     /// Whether the next request must be served: what came behind the answer came long before it, or meets a
     /// connection that rests.
     fn spares_next(&self, gap: Duration) -> bool {
-        self.must_serve && (self.ends_after < REST / 2 || gap < REST / 2)
+        self.must_serve && (self.ends_after < REUSE_DELAY / 2 || gap < REUSE_DELAY / 2)
     }
 }
 
@@ -356,17 +358,17 @@
     }
 
     async fn play(&self) {
-        let world = World::new();
-        world.upstreams.otherwise(vec![Step::Run, write(self.kind.whole())]);
+        let harness = Harness::new();
+        harness.upstreams.otherwise(vec![Step::Run, write(self.kind.whole())]);
         if self.is_narrow {
-            world.upstreams.pipe_bytes.set(Some(NARROW));
+            harness.upstreams.pipe_bytes.set(Some(NARROW));
         }
         if self.is_reused {
-            self.warm_up(&world).await;
+            self.warm_up(&harness).await;
         }
-        let connections = world.upstreams.connections();
-        world.upstreams.script(self.event.script.clone());
-        let mut client = world.client();
+        let connections = harness.upstreams.connections();
+        harness.upstreams.script(self.event.script.clone());
+        let mut client = harness.client();
         client.send(&self.request(FIRST)).await;
         match self.leaves {
             Some(time) => {
@@ -375,42 +377,42 @@
             }
             None => {
                 let got = client.answer().await;
-                self.check_answer(&world, FIRST, &got);
+                self.check_answer(&harness, FIRST, &got);
                 if self.event.must_serve {
                     assert_eq!(status(&got), 200, "{got}");
-                    assert!(!self.is_reused || world.upstreams.connections() == connections, "reused");
+                    assert!(!self.is_reused || harness.upstreams.connections() == connections, "reused");
                 }
             }
         }
         sleep(self.gap).await;
-        let got = world.ask(&self.request(SECOND)).await;
-        self.check_answer(&world, SECOND, &got);
+        let got = harness.ask(&self.request(SECOND)).await;
+        self.check_answer(&harness, SECOND, &got);
         // The event may be left for the next request by a client that leaves at once.
         let must_serve = self.leaves.is_none() && self.event.spares_next(self.gap);
         assert!(!must_serve || status(&got) == 200, "the next is served: {got}");
-        sleep(REST).await;
-        self.check_upstreams(&world);
+        sleep(REUSE_DELAY).await;
+        self.check_upstreams(&harness);
     }
 
     /// Six requests at once leave an idle connection to each of the three upstreams.
-    async fn warm_up(&self, world: &World) {
-        let mut clients: Vec<Client> = (0..6).map(|_| world.client()).collect();
+    async fn warm_up(&self, harness: &Harness) {
+        let mut clients: Vec<Client> = (0..6).map(|_| harness.client()).collect();
         for client in &mut clients {
-            let mut script = vec![Step::Wait(MOMENT * 5)];
+            let mut script = vec![Step::Wait(SETTLE_TIME * 5)];
             script.push(write(self.kind.whole()));
-            world.upstreams.script(script);
+            harness.upstreams.script(script);
             client.send(&self.request(WARM)).await;
         }
         for client in &mut clients {
             assert_eq!(status(&client.answer().await), 200);
         }
-        sleep(REST).await;
+        sleep(REUSE_DELAY).await;
     }
 
-    fn check_answer(&self, world: &World, id: &str, got: &str) {
+    fn check_answer(&self, harness: &Harness, id: &str, got: &str) {
         let code = status(got);
         if matches!(code, 408 | 421 | 429 | 503) {
-            assert_eq!(world.upstreams.runs(id), 0, "{code} promises that it has not run");
+            assert_eq!(harness.upstreams.runs(id), 0, "{code} promises that it has not run");
         }
         if let Some(answered) = header(got, "whinspindle-request-id") {
             assert_eq!(answered, id, "the answer is its own: {got}");
@@ -427,7 +429,7 @@
         assert_eq!(header(got, "content-encoding"), None, "{got}");
         assert_eq!(header(got, "whinspindle-server-stamp").as_deref(), Some(STAMP), "{got}");
         if !self.kind.is_stream() {
-            assert_eq!(whole_body(got), with_id("{id} is served", id), "the whole body");
+            assert_eq!(complete_body(got), with_id("{id} is served", id), "the whole body");
             return;
         }
         let whole = with_id(&event_texts().concat(), id);
@@ -436,17 +438,17 @@
         assert!(!is_complete || events == whole, "no stream looks complete that is not: {got}");
     }
 
-    fn check_upstreams(&self, world: &World) {
+    fn check_upstreams(&self, harness: &Harness) {
         for id in [FIRST, SECOND] {
-            let runs = world.upstreams.runs(id);
+            let runs = harness.upstreams.runs(id);
             assert!(runs <= self.kind.most_runs(), "{id} ran {runs} times");
         }
-        for request in world.upstreams.requests() {
+        for request in harness.upstreams.requests() {
             let id = header(&request, "whinspindle-request-id").unwrap_or_default();
             assert!([FIRST, SECOND, WARM].contains(&id.as_str()), "{request}");
             assert_eq!(body(&request), id[..1].repeat(self.body_bytes), "its own body");
         }
-        for part in world.upstreams.broken_bodies() {
+        for part in harness.upstreams.broken_bodies() {
             let bytes = part.as_bytes();
             let is_own = bytes.iter().all(|byte| *byte == bytes[0] && b"abc".contains(byte));
             assert!(is_own, "nothing but its own body where a body is due: {part}");
@@ -477,13 +479,13 @@
 }
 
 #[test]
-fn every_order_keeps_answers_apart() {
+fn every_schedule_matches_answers_to_requests() {
     let played = play_orders(None, &GAPS_MS);
     assert!(played > 5_000, "{played} orders");
 }
 
 #[test]
-fn every_order_with_a_client_that_leaves_keeps_answers_apart() {
+fn every_schedule_with_a_disconnect_matches_answers_to_requests() {
     let played: usize =
         [0, 1, 20].into_iter().map(|time| play_orders(Some(Duration::from_millis(time)), &[0])).sum();
     assert!(played > 5_000, "{played} orders");
--- a/dataplane/proxy/tests/callers.rs
+++ b/dataplane/proxy/tests/callers.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    Client, ID, MOMENT, REST, STAMP, Script, Step, World, answer, body, chunk, chunks, event, header,
-    last_chunk, play, post, post_with, served, status, stream_head, write,
+    Client, Harness, ID, REUSE_DELAY, SETTLE_TIME, STAMP, Script, Step, answer, body, chunk, chunks, event,
+    header, last_chunk, play, post, post_with, served, status, stream_head, write,
 };
 use tokio::time::sleep;
 
@@ -18,100 +18,100 @@
     post("/unsafe/x").replace("Whinspindle-Deadline-Ms: 3000", &format!("Whinspindle-Deadline-Ms: {value}"))
 }
 
-fn told_deadline(request: &str) -> u64 {
+fn forwarded_deadline(request: &str) -> u64 {
     header(request, "whinspindle-deadline-ms").expect("a deadline").parse().expect("a whole number")
 }
 
 #[test]
-fn a_time_that_is_none_counts_as_the_routes_time() {
+fn an_invalid_deadline_counts_as_the_route_timeout() {
     let numbers = ["-1", "3000.5", "1e3", "soon", "", "18446744073709551616", "0x10", "3000, 2000"];
     for value in numbers {
         play(async move {
-            let world = World::new();
-            world.upstreams.script(served("ok"));
-            let got = world.ask(&with_deadline(value)).await;
+            let harness = Harness::new();
+            harness.upstreams.script(served("ok"));
+            let got = harness.ask(&with_deadline(value)).await;
             assert_eq!(status(&got), 200, "{value}");
-            let told = told_deadline(&world.upstreams.requests()[0]);
+            let told = forwarded_deadline(&harness.upstreams.requests()[0]);
             assert!((TIMEOUT_MS - 100..TIMEOUT_MS).contains(&told), "{value}: {told}");
         });
     }
 }
 
 #[test]
-fn a_time_beyond_all_bounds_counts_as_the_routes_time() {
+fn a_deadline_beyond_all_bounds_counts_as_the_route_timeout() {
     for value in ["4001000", "18446744073709551615", " 9223372036854775807 "] {
         play(async move {
-            let world = World::new();
-            world.upstreams.script(served("ok"));
-            assert_eq!(status(&world.ask(&with_deadline(value)).await), 200, "{value}");
-            let told = told_deadline(&world.upstreams.requests()[0]);
+            let harness = Harness::new();
+            harness.upstreams.script(served("ok"));
+            assert_eq!(status(&harness.ask(&with_deadline(value)).await), 200, "{value}");
+            let told = forwarded_deadline(&harness.upstreams.requests()[0]);
             assert!((TIMEOUT_MS - 100..TIMEOUT_MS).contains(&told), "{value}: {told}");
         });
     }
 }
 
 #[test]
-fn a_request_without_any_time_left_is_refused_and_sent_nowhere() {
+fn a_request_whose_deadline_has_passed_is_rejected_and_not_forwarded() {
     for value in ["0", "1", "40", "000"] {
         play(async move {
-            let world = World::new();
-            world.upstreams.otherwise(served("no"));
-            let got = world.ask(&with_deadline(value)).await;
+            let harness = Harness::new();
+            harness.upstreams.otherwise(served("no"));
+            let got = harness.ask(&with_deadline(value)).await;
             assert_eq!(status(&got), 503, "{value}: {got}");
-            sleep(REST).await;
-            assert_eq!(world.upstreams.requests().len(), 0, "{value}");
+            sleep(REUSE_DELAY).await;
+            assert_eq!(harness.upstreams.requests().len(), 0, "{value}");
         });
     }
 }
 
 #[test]
-fn a_time_that_is_said_twice_is_told_once() {
+fn a_deadline_that_is_given_twice_is_forwarded_once() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(served("ok"));
+        let harness = Harness::new();
+        harness.upstreams.script(served("ok"));
         let twice = with_deadline("3000\r\nWhinspindle-Deadline-Ms: 9000");
-        assert_eq!(status(&world.ask(&twice).await), 200);
-        let sent = world.upstreams.requests()[0].to_ascii_lowercase();
+        assert_eq!(status(&harness.ask(&twice).await), 200);
+        let sent = harness.upstreams.requests()[0].to_ascii_lowercase();
         assert_eq!(sent.matches("whinspindle-deadline-ms").count(), 1, "{sent}");
-        assert!(told_deadline(&sent) < 3000);
+        assert!(forwarded_deadline(&sent) < 3000);
     });
 }
 
 #[test]
-fn what_a_client_says_of_its_place_in_a_stream_goes_on_as_it_came() {
+fn the_last_event_id_of_a_client_is_forwarded_unchanged() {
     for value in ["-1", "abc", "18446744073709551616", "1, 2", ""] {
         play(async move {
-            let world = World::new();
-            world.upstreams.script(vec![stream_head(), chunk(&event(3)), last_chunk()]);
-            let got = world.ask(&post_with("/resumable/x", &format!("Last-Event-Id: {value}\r\n"))).await;
+            let harness = Harness::new();
+            harness.upstreams.script(vec![stream_head(), chunk(&event(3)), last_chunk()]);
+            let got = harness.ask(&post_with("/resumable/x", &format!("Last-Event-Id: {value}\r\n"))).await;
             assert_eq!(chunks(&got), (event(3), true), "{value}");
-            assert_eq!(header(&world.upstreams.requests()[0], "last-event-id").as_deref(), Some(value));
+            assert_eq!(header(&harness.upstreams.requests()[0], "last-event-id").as_deref(), Some(value));
         });
     }
 }
 
 /// A prompt that nobody can read or that is far too large, on many requests at once.
 #[test]
-fn a_prompt_that_cannot_be_read_keeps_no_request_from_its_upstream() {
+fn a_prompt_that_cannot_be_parsed_does_not_stop_its_request() {
     let counts = ["-1", "4294967295,4294967295", "99999999999999999999,1", "a,b,c", ",", "1;2"];
     let parts = ["", ":", "1:", ":1", "ffffffffffffffffff:1", "1:4294967295,2:4294967295,3:1", "1:-1", ",,,"];
     for (tokens, prefix) in
         counts.iter().flat_map(|tokens| parts.iter().map(move |prefix| (*tokens, *prefix)))
     {
         play(async move {
-            let world = World::new();
-            let slow = vec![Step::Wait(REST), stream_head(), chunk(&event(1)), last_chunk()];
-            world.upstreams.otherwise(slow);
+            let harness = Harness::new();
+            let slow = vec![Step::Wait(REUSE_DELAY), stream_head(), chunk(&event(1)), last_chunk()];
+            harness.upstreams.otherwise(slow);
             let headers =
                 format!("Whinspindle-Token-Count: {tokens}\r\nWhinspindle-Prefix-Hash: {prefix}\r\n");
-            let mut clients: Vec<Client> = (0..8).map(|_| world.client()).collect();
+            let mut clients: Vec<Client> = (0..8).map(|_| harness.client()).collect();
             for client in &mut clients {
                 client.send(&post_with("/stream/x", &headers)).await;
             }
             for client in &mut clients {
                 assert_eq!(chunks(&client.answer().await), (event(1), true), "{tokens} {prefix}");
             }
-            for sent in world.upstreams.requests() {
+            for sent in harness.upstreams.requests() {
                 assert_eq!(header(&sent, "whinspindle-token-count").as_deref(), Some(tokens));
                 assert_eq!(header(&sent, "whinspindle-prefix-hash").as_deref(), Some(prefix));
             }
@@ -120,102 +120,102 @@
 }
 
 #[test]
-fn a_head_beyond_the_limit_is_turned_down_however_its_bytes_come() {
+fn a_head_beyond_the_limit_is_rejected_in_any_chunks() {
     let pad = "x".repeat(1000);
     let headers: String = (0..17).map(|number| format!("X-{number}: {pad}\r\n")).collect();
     let request = post_with("/unsafe/x", &headers);
     for piece in [1, 1000, 8192, request.len()] {
         let request = request.clone();
         play(async move {
-            let world = World::new();
-            world.upstreams.otherwise(served("no"));
-            let mut client = world.client();
+            let harness = Harness::new();
+            harness.upstreams.otherwise(served("no"));
+            let mut client = harness.client();
             for bytes in request.as_bytes().chunks(piece) {
-                client.send_what_goes(std::str::from_utf8(bytes).expect("text")).await;
+                client.send_ignoring_close(std::str::from_utf8(bytes).expect("text")).await;
                 if piece > 1 {
-                    sleep(MOMENT).await;
+                    sleep(SETTLE_TIME).await;
                 }
             }
-            let got = client.heard(REST).await;
+            let got = client.receive_for(REUSE_DELAY).await;
             assert_eq!(status(&got), 431, "{piece}: {got}");
-            sleep(REST).await;
-            assert_eq!(world.upstreams.requests().len(), 0, "{piece}");
+            sleep(REUSE_DELAY).await;
+            assert_eq!(harness.upstreams.requests().len(), 0, "{piece}");
         });
     }
 }
 
 #[test]
-fn a_head_within_the_limit_passes_however_its_bytes_come() {
+fn a_head_within_the_limit_passes_in_any_chunks() {
     let pad = "x".repeat(1000);
     let headers: String = (0..15).map(|number| format!("X-{number}: {pad}\r\n")).collect();
     let request = post_with("/unsafe/x", &headers);
     for piece in [7, 1000, request.len()] {
         let request = request.clone();
         play(async move {
-            let world = World::new();
-            world.upstreams.script(served("ok"));
-            let mut client = world.client();
+            let harness = Harness::new();
+            harness.upstreams.script(served("ok"));
+            let mut client = harness.client();
             for bytes in request.as_bytes().chunks(piece) {
                 client.send(std::str::from_utf8(bytes).expect("text")).await;
                 tokio::task::yield_now().await;
             }
             assert_eq!(body(&client.answer().await), "ok", "{piece}");
-            assert_eq!(header(&world.upstreams.requests()[0], "x-14").map(|value| value.len()), Some(1000));
+            assert_eq!(header(&harness.upstreams.requests()[0], "x-14").map(|value| value.len()), Some(1000));
         });
     }
 }
 
 #[test]
-fn a_body_that_waits_for_a_word_gets_it_and_the_upstream_hears_nothing_of_it() {
+fn expect_continue_is_answered_and_not_forwarded() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(served("ok"));
+        let harness = Harness::new();
+        harness.upstreams.script(served("ok"));
         let request = post_with("/unsafe/x", "Expect: 100-continue\r\n");
         let (head, rest) = request.split_at(request.len() - 5);
-        let mut client = world.client();
+        let mut client = harness.client();
         client.send(head).await;
-        assert_eq!(client.heard(MOMENT).await, "HTTP/1.1 100 Continue\r\n\r\n");
+        assert_eq!(client.receive_for(SETTLE_TIME).await, "HTTP/1.1 100 Continue\r\n\r\n");
         client.send(rest).await;
         assert_eq!(body(&client.answer().await), "ok");
-        let sent = &world.upstreams.requests()[0];
+        let sent = &harness.upstreams.requests()[0];
         assert_eq!((header(sent, "expect"), body(sent)), (None, "hello"));
     });
 }
 
 #[test]
-fn a_body_that_is_too_long_gets_no_word_to_come() {
+fn a_body_that_is_too_long_gets_no_continue() {
     play(async {
-        let world = World::new();
-        world.upstreams.otherwise(served("no"));
+        let harness = Harness::new();
+        harness.upstreams.otherwise(served("no"));
         let request = post_with("/unsafe/x", "Expect: 100-continue\r\n").replace("Length: 5", "Length: 1001");
-        let mut client = world.client();
+        let mut client = harness.client();
         client.send(request.trim_end_matches("hello")).await;
-        let got = client.heard(REST).await;
+        let got = client.receive_for(REUSE_DELAY).await;
         assert_eq!(status(&got), 413, "{got}");
         // What the client sends as that body is no request.
-        client.send_what_goes(&post("/unsafe/hidden")).await;
-        assert_eq!(client.heard(REST).await, "");
-        assert_eq!(world.upstreams.requests().len(), 0);
+        client.send_ignoring_close(&post("/unsafe/hidden")).await;
+        assert_eq!(client.receive_for(REUSE_DELAY).await, "");
+        assert_eq!(harness.upstreams.requests().len(), 0);
     });
 }
 
 #[test]
-fn chunks_with_extensions_and_trailers_go_on_as_one_body() {
+fn chunks_with_extensions_and_trailers_are_forwarded_as_one_body() {
     play(async {
-        let world = World::new();
-        world.upstreams.otherwise(served("ok"));
+        let harness = Harness::new();
+        harness.upstreams.otherwise(served("ok"));
         let request = format!(
             "POST /unsafe/x HTTP/1.1\r\nHost: a.example\r\nWhinspindle-Request-Id: {ID}\r\nTrailer: X-Last\r\n\
              Transfer-Encoding: chunked\r\n\r\n3;a=b;c=\"d e\"\r\nhel\r\n02 ; x\r\nlo\r\n0;last\r\n\
              Whinspindle-Request-Id: another\r\nX-Last: 1\r\n\r\n"
         );
-        let mut client = world.client();
+        let mut client = harness.client();
         for path in ["/unsafe/x", "/unsafe/y"] {
             client.send(&request.replace("/unsafe/x", path)).await;
             assert_eq!(body(&client.answer().await), "ok");
-            sleep(REST).await;
+            sleep(REUSE_DELAY).await;
         }
-        for sent in world.upstreams.requests() {
+        for sent in harness.upstreams.requests() {
             assert_eq!((body(&sent), header(&sent, "content-length").as_deref()), ("hello", Some("5")));
             assert_eq!(header(&sent, "whinspindle-request-id").as_deref(), Some(ID));
             assert!(!sent.contains("another") && !sent.to_ascii_lowercase().contains("x-last"), "{sent}");
@@ -225,36 +225,37 @@
 
 /// Requests at once whose client then says that it sends no more: it has left, as far as a proxy can tell.
 #[test]
-fn a_client_that_ends_its_side_gets_no_answer_of_another_request() {
+fn a_client_that_closes_its_side_gets_no_answer_of_another_request() {
     play(async {
-        let world = World::new();
-        world
-            .upstreams
-            .script(vec![Step::Wait(REST), answer("200 OK", "Whinspindle-Server-Stamp: a\r\n", "one")]);
-        world.upstreams.script(served("two"));
-        let mut client = world.client();
+        let harness = Harness::new();
+        harness.upstreams.script(vec![
+            Step::Wait(REUSE_DELAY),
+            answer("200 OK", "Whinspindle-Server-Stamp: a\r\n", "one"),
+        ]);
+        harness.upstreams.script(served("two"));
+        let mut client = harness.client();
         client.send(&format!("{}{}", post("/unsafe/1"), post("/unsafe/2"))).await;
-        sleep(MOMENT).await;
+        sleep(SETTLE_TIME).await;
         client.end().await;
-        assert_eq!(client.heard(MOMENT).await, "", "it is taken for one that has left");
-        sleep(REST * 2).await;
-        assert!(world.upstreams.requests().len() <= 1, "nothing is begun for it any more");
-        assert_eq!(world.upstreams.open(), 0);
+        assert_eq!(client.receive_for(SETTLE_TIME).await, "", "it is taken for one that has left");
+        sleep(REUSE_DELAY * 2).await;
+        assert!(harness.upstreams.requests().len() <= 1, "nothing is begun for it any more");
+        assert_eq!(harness.upstreams.open(), 0);
     });
 }
 
 /// The system's own headers, and the client's of the same names.
 #[test]
-fn headers_that_the_system_sets_itself_are_its_own_and_all_others_the_clients() {
+fn headers_that_the_proxy_sets_replace_those_of_the_client_and_others_pass() {
     let own = "Whinspindle-Expect-Instance: i-evil\r\nPriority: 9\r\nX-Twice: 1\r\nX-Twice: 2\r\nCookie: a=b\r\n\
                Accept-Encoding: gzip\r\nVersions: 3\r\nWhinspindle-Not-Run: 1\r\nConnection: X-Hop, keep-alive\r\n\
                X-Hop: 1\r\n";
     for (path, service, priority) in [("/unsafe/x", "plain-", "9"), ("/stream/x", "model-", "1")] {
         play(async move {
-            let world = World::new();
-            world.upstreams.script(served("ok"));
-            assert_eq!(status(&world.ask(&post_with(path, own)).await), 200);
-            let sent = world.upstreams.requests()[0].to_ascii_lowercase();
+            let harness = Harness::new();
+            harness.upstreams.script(served("ok"));
+            assert_eq!(status(&harness.ask(&post_with(path, own)).await), 200);
+            let sent = harness.upstreams.requests()[0].to_ascii_lowercase();
             let mut names: Vec<&str> = sent
                 .split("\r\n\r\n")
                 .next()
@@ -284,18 +285,18 @@
     }
 }
 
-fn refused_until(pause: &str) -> Script {
+fn rejected_until(pause: &str) -> Script {
     let headers = format!("Whinspindle-Not-Run: 1\r\nRetry-After: {pause}\r\nKeep-Alive: timeout=5\r\n");
     vec![answer("503 Service Unavailable", &headers, "")]
 }
 
 #[test]
-fn a_pause_that_upstreams_ask_for_reaches_the_client_as_a_number() {
+fn the_retry_after_of_upstreams_reaches_the_client_as_a_number() {
     for pause in ["0.25", "1e300", "NaN", "inf", "-1", "soon", "Wed, 21 Oct 2026 07:28:00 GMT", ""] {
         play(async move {
-            let world = World::new();
-            world.upstreams.otherwise(refused_until(pause));
-            let got = world.ask(&post("/unsafe/x")).await;
+            let harness = Harness::new();
+            harness.upstreams.otherwise(rejected_until(pause));
+            let got = harness.ask(&post("/unsafe/x")).await;
             assert_eq!(status(&got), 503, "{pause}");
             let told: f64 = header(&got, "retry-after").expect("a pause").parse().expect("a number");
             assert!(told.is_finite() && told >= 0.0, "{pause}: {told}");
@@ -306,22 +307,22 @@
 
 /// The address of an upstream goes to another one between two requests on one connection.
 #[test]
-fn an_upstream_that_is_another_one_by_now_gets_nothing_more() {
+fn an_instance_that_was_replaced_gets_no_more_attempts() {
     for path in ["/unsafe/x", "/safe/x"] {
         play(async move {
-            let world = World::new();
-            world.instances(2, &["plain-3"]);
-            world.upstreams.script(served("ok"));
-            assert_eq!(body(&world.ask(&post(path)).await), "ok");
-            sleep(REST).await;
+            let harness = Harness::new();
+            harness.instances(2, &["plain-3"]);
+            harness.upstreams.script(served("ok"));
+            assert_eq!(body(&harness.ask(&post(path)).await), "ok");
+            sleep(REUSE_DELAY).await;
             let other = answer("421 Misdirected Request", "Whinspindle-Instance-Id: i-x\r\n", "");
-            world.upstreams.script(vec![other]);
-            world.upstreams.otherwise(served("elsewhere"));
+            harness.upstreams.script(vec![other]);
+            harness.upstreams.otherwise(served("elsewhere"));
             for _ in 0..6 {
-                assert_eq!(body(&world.ask(&post(path)).await), "elsewhere");
-                sleep(REST).await;
+                assert_eq!(body(&harness.ask(&post(path)).await), "elsewhere");
+                sleep(REUSE_DELAY).await;
             }
-            let asked: Vec<String> = world
+            let asked: Vec<String> = harness
                 .upstreams
                 .requests()
                 .iter()
@@ -334,20 +335,20 @@
 }
 
 #[test]
-fn informational_heads_and_trailers_are_no_part_of_an_answer() {
+fn informational_heads_and_trailers_are_not_part_of_an_answer() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let early = "HTTP/1.1 103 Early Hints\r\nWhinspindle-Request-Id: other\r\nLink: </a>\r\n\r\n";
-        world.upstreams.script(vec![
+        harness.upstreams.script(vec![
             write(early.repeat(20)),
-            Step::Wait(MOMENT),
+            Step::Wait(SETTLE_TIME),
             write(format!(
                 "HTTP/1.1 200 OK\r\nWhinspindle-Request-Id: {{id}}\r\nWhinspindle-Server-Stamp: {STAMP}\r\n\
                  Trailer: X-Sum\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nok\r\n0\r\nX-Sum: 1\r\n\
                  Whinspindle-Request-Id: other\r\n\r\n"
             )),
         ]);
-        let got = world.ask(&post("/unsafe/x")).await;
+        let got = harness.ask(&post("/unsafe/x")).await;
         assert_eq!((status(&got), body(&got)), (200, "ok"), "{got}");
         assert!(!got.contains("103") && !got.contains("other") && !got.contains("x-sum"), "{got}");
     });
@@ -364,19 +365,19 @@
             ))],
             500,
         ),
-        (refused_until("0.1"), 503),
+        (rejected_until("0.1"), 503),
         (vec![Step::Close], 502),
     ] {
         play(async move {
-            let world = World::new();
-            world.upstreams.otherwise(script);
+            let harness = Harness::new();
+            harness.upstreams.otherwise(script);
             let head = format!(
                 "HEAD /unsafe/x HTTP/1.1\r\nHost: a.example\r\nWhinspindle-Request-Id: {ID}\r\n\
                  Whinspindle-Deadline-Ms: 3000\r\n\r\n"
             );
-            let mut client = world.client();
+            let mut client = harness.client();
             client.send(&head).await;
-            let got = client.heard(Duration::from_millis(200)).await;
+            let got = client.receive_for(Duration::from_millis(200)).await;
             assert_eq!((status(&got), body(&got)), (expected, ""), "{got}");
         });
     }
@@ -384,24 +385,28 @@
 
 /// What the HTTP library bounds by itself.
 #[test]
-fn a_hundred_headers_pass_both_ways_and_more_are_turned_down() {
+fn a_hundred_headers_pass_both_ways_and_more_are_rejected() {
     // Host, id, deadline and length are the others of the request; id, stamp and length those of the answer.
     for (extra, expected, sent) in [(96, 200, 1), (97, 431, 0)] {
         play(async move {
-            let world = World::new();
-            world.upstreams.otherwise(served("ok"));
+            let harness = Harness::new();
+            harness.upstreams.otherwise(served("ok"));
             let headers: String = (0..extra).map(|number| format!("X-{number}: 1\r\n")).collect();
-            let got = world.ask(&post_with("/unsafe/x", &headers)).await;
-            assert_eq!((status(&got), world.upstreams.requests().len()), (expected, sent), "{extra}: {got}");
+            let got = harness.ask(&post_with("/unsafe/x", &headers)).await;
+            assert_eq!(
+                (status(&got), harness.upstreams.requests().len()),
+                (expected, sent),
+                "{extra}: {got}"
+            );
         });
     }
     for (extra, expected) in [(97, 200), (98, 502)] {
         play(async move {
-            let world = World::new();
+            let harness = Harness::new();
             let headers: String = (0..extra).map(|number| format!("X-{number}: 1\r\n")).collect();
             let stamp = format!("Whinspindle-Server-Stamp: {STAMP}\r\n");
-            world.upstreams.script(vec![answer("200 OK", &format!("{stamp}{headers}"), "ok")]);
-            let got = world.ask(&post("/unsafe/x")).await;
+            harness.upstreams.script(vec![answer("200 OK", &format!("{stamp}{headers}"), "ok")]);
+            let got = harness.ask(&post("/unsafe/x")).await;
             assert_eq!(status(&got), expected, "{extra}: {got}");
         });
     }
--- a/dataplane/proxy/tests/classify.rs
+++ b/dataplane/proxy/tests/classify.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_table_of_heads() {
+fn heads_are_classified() {
     use AnswerClass::{Failure, Misdirected, Rejected, Success, Unusable};
     let cases: &[(u16, Headers, AnswerClass)] = &[
         (200, &[ID, STAMP], Success),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_request_without_an_id_wants_an_answer_without_one() {
+fn a_request_without_an_id_needs_an_answer_without_one() {
     let request = Expected { id: None, instance: "i-1", names_version: false, fresh: false };
     let found = |headers| classify(&request, StatusCode::BAD_REQUEST, &map(headers));
     assert_eq!(found(&[NOT_RUN]), AnswerClass::Failure);
--- a/dataplane/proxy/tests/closes.rs
+++ b/dataplane/proxy/tests/closes.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{Client, MOMENT, REST, Script, Step, World, body, play, post, served, status};
+use common::{Client, Harness, REUSE_DELAY, SETTLE_TIME, Script, Step, body, play, post, served, status};
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 use whinspindle_proxy::clients::finish;
@@ -60,9 +60,9 @@
     script
 }
 
-async fn kept_connection(world: &World) -> Client {
-    let mut client = world.client();
-    world.upstreams.script(served("first"));
+async fn kept_connection(harness: &Harness) -> Client {
+    let mut client = harness.client();
+    harness.upstreams.script(served("first"));
     client.send(&post("/stream/first")).await;
     assert_eq!(body(&client.answer().await), "first");
     client
@@ -74,12 +74,12 @@
     }
 }
 
-fn order(world: &World, close: Close) {
+fn order(harness: &Harness, close: Close) {
     match close {
-        Close::Idle | Close::LateHead => world.clients.sweep(&world.node),
+        Close::Idle | Close::LateHead => harness.clients.sweep(&harness.node),
         Close::Stop => {
-            world.node.shutdown.request();
-            let (node, clients) = (Rc::clone(&world.node), Rc::clone(&world.clients));
+            harness.node.shutdown.request();
+            let (node, clients) = (Rc::clone(&harness.node), Rc::clone(&harness.clients));
             spawn_local(async move { finish(&node, &clients).await });
         }
     }
@@ -87,28 +87,28 @@
 
 async fn cross(crossing: Crossing) -> Seen {
     let Crossing { close, before, turns, wait } = crossing;
-    let world = World::new();
-    let mut client = kept_connection(&world).await;
-    world.upstreams.script(work());
+    let harness = Harness::new();
+    let mut client = kept_connection(&harness).await;
+    harness.upstreams.script(work());
     let request = second();
     let (first, rest) = request.split_at(before);
     match close {
-        Close::Idle => sleep(ALMOST_IDLE + MOMENT).await,
+        Close::Idle => sleep(ALMOST_IDLE + SETTLE_TIME).await,
         Close::LateHead => {
             client.send(&first[..before.min(10)]).await;
-            sleep(ALMOST_LATE + MOMENT).await;
+            sleep(ALMOST_LATE + SETTLE_TIME).await;
         }
-        Close::Stop => sleep(REST).await,
+        Close::Stop => sleep(REUSE_DELAY).await,
     }
     let sent = if close == Close::LateHead { before.min(10) } else { 0 };
     client.send(&first[sent..]).await;
     give_turns(turns.0).await;
     sleep_if_any(wait).await;
-    order(&world, close);
+    order(&harness, close);
     give_turns(turns.1).await;
-    client.send_what_goes(rest).await;
-    let answer = client.heard(Duration::from_secs(5)).await;
-    let passed_on = world.upstreams.requests().iter().any(|request| request.contains(SECOND));
+    client.send_ignoring_close(rest).await;
+    let answer = client.receive_for(Duration::from_secs(5)).await;
+    let passed_on = harness.upstreams.requests().iter().any(|request| request.contains(SECOND));
     Seen { passed_on, answer }
 }
 
--- a/dataplane/proxy/tests/common/mod.rs
+++ b/dataplane/proxy/tests/common/mod.rs
@@ -22,9 +22,9 @@
 
 const PIPE_BYTES: usize = 256 * 1024;
 /// Enough for all that is due at this moment to happen.
-pub const MOMENT: Duration = Duration::from_millis(1);
+pub const SETTLE_TIME: Duration = Duration::from_millis(1);
 /// Longer than a connection to an upstream rests.
-pub const REST: Duration = Duration::from_millis(50);
+pub const REUSE_DELAY: Duration = Duration::from_millis(50);
 pub const ID: &str = "9c41d07be2a35f68";
 pub const STAMP: &str = "3e1b.07.5a2";
 
@@ -359,44 +359,44 @@
 }
 
 /// A proxy with its upstreams.
-pub struct World {
+pub struct Harness {
     pub node: Rc<Node>,
     pub clients: Rc<Clients>,
     pub upstreams: Rc<Upstreams>,
 }
 
-impl World {
+impl Harness {
     /// A proxy that knows nothing yet.
-    pub fn empty() -> World {
-        World::with_settings(SETTINGS)
+    pub fn empty() -> Harness {
+        Harness::with_settings(SETTINGS)
     }
 
     /// A proxy with a configuration and upstreams that may not repeat a request at all.
-    pub fn without_repeats() -> World {
+    pub fn without_retries() -> Harness {
         let settings = SETTINGS
             .replace(r#""retry_ratio": 0.2"#, r#""retry_ratio": 0.0"#)
             .replace(r#""retry_slack": 52"#, r#""retry_slack": 0"#);
-        let world = World::with_settings(&settings);
-        world.furnish();
-        world
+        let harness = Harness::with_settings(&settings);
+        harness.apply_defaults();
+        harness
     }
 
-    fn with_settings(settings: &str) -> World {
+    fn with_settings(settings: &str) -> Harness {
         let settings = Settings::parse(settings.as_bytes()).expect("settings");
         let upstreams = Rc::new(Upstreams::default());
         let node = Node::new(settings, Box::new(ScriptedConnect(Rc::clone(&upstreams))), 7);
-        World { node: Rc::new(node), clients: Rc::default(), upstreams }
+        Harness { node: Rc::new(node), clients: Rc::default(), upstreams }
     }
 
     /// A proxy with a configuration and three upstreams of each service.
-    pub fn new() -> World {
-        let world = World::empty();
-        world.furnish();
-        world
+    pub fn new() -> Harness {
+        let harness = Harness::empty();
+        harness.apply_defaults();
+        harness
     }
 
     /// Tells the proxy of a configuration, the upstreams and the number of balancers.
-    pub fn furnish(&self) {
+    pub fn apply_defaults(&self) {
         self.configure(1, CONFIGURATION);
         self.instances(1, &[]);
         let fleet = Fleet { version: 1, balancers: 1, loads: Vec::new(), failing: vec![] };
@@ -477,7 +477,7 @@
     }
 
     /// Sends what still goes out on a connection that may be closed meanwhile.
-    pub async fn send_what_goes(&mut self, text: &str) {
+    pub async fn send_ignoring_close(&mut self, text: &str) {
         // What the proxy does not read any more is what such a test is about.
         let _ = self.socket.write_all(text.as_bytes()).await;
     }
@@ -501,7 +501,7 @@
     }
 
     /// What comes within a while, without waiting for more.
-    pub async fn heard(&mut self, time: Duration) -> String {
+    pub async fn receive_for(&mut self, time: Duration) -> String {
         let mut bytes = Vec::new();
         let mut piece = [0; 4096];
         while let Ok(Ok(count)) = tokio::time::timeout(time, self.socket.read(&mut piece)).await {
@@ -515,7 +515,7 @@
 
     /// Whether the proxy has closed the connection.
     pub async fn is_closed(&mut self) -> bool {
-        matches!(tokio::time::timeout(MOMENT, self.socket.read_u8()).await, Ok(Err(_)))
+        matches!(tokio::time::timeout(SETTLE_TIME, self.socket.read_u8()).await, Ok(Err(_)))
     }
 }
 
--- a/dataplane/proxy/tests/control_link.rs
+++ b/dataplane/proxy/tests/control_link.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{CONFIGURATION, MOMENT, World, play};
+use common::{CONFIGURATION, Harness, SETTLE_TIME, play};
 use tokio::io::{AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf, duplex, split};
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
@@ -17,7 +17,7 @@
     Configured, Evacuations, Instances, Link, Report, Role, ToBalancer, Update, decode_hello, decode_report,
     encode_to_balancer,
 };
-use whinspindle_proxy::control_link::{Identity, LinkError, converse};
+use whinspindle_proxy::control_link::{Identity, LinkError, exchange_messages};
 
 /// The agent's side of a link.
 struct Agent {
@@ -27,13 +27,13 @@
 }
 
 impl Agent {
-    fn connect(world: &World) -> Agent {
+    fn connect(harness: &Harness) -> Agent {
         let (near, far) = duplex(1 << 20);
-        let node = Rc::clone(&world.node);
+        let node = Rc::clone(&harness.node);
         let identity = Identity { front: SocketAddr::from(([10, 0, 0, 9], 8161)), incarnation: 77 };
         let link = spawn_local(async move {
             let (reader, writer) = split(far);
-            let Err(fault) = converse(&node, identity, reader, writer).await;
+            let Err(fault) = exchange_messages(&node, identity, reader, writer).await;
             fault
         });
         let (reader, writer) = split(near);
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn news_are_put_in_force_and_acknowledged_at_once() {
+fn updates_are_applied_and_acknowledged_at_once() {
     play(async {
-        let world = World::empty();
-        let mut agent = Agent::connect(&world);
+        let harness = Harness::empty();
+        let mut agent = Agent::connect(&harness);
         agent.hello().await;
         let first = agent.report().await;
         assert!(!first.ready && !first.shutting_down);
@@ -77,35 +77,35 @@
         update.instances = Some(Instances { version: 3, list: Vec::new() });
         update.evacuations = Some(Evacuations { sequence: 4, zones: vec!["z2".to_owned()] });
         agent.tell(ToBalancer::Update(update)).await;
-        let report = timeout(MOMENT, agent.report()).await.expect("at once");
+        let report = timeout(SETTLE_TIME, agent.report()).await.expect("at once");
         assert!(report.ready);
         let applied = (report.applied.configured, report.applied.instances, report.applied.evacuations);
         assert_eq!(applied, (5, 3, 4));
-        assert_eq!(world.node.configuration().map(|held| held.generation), Some(7));
+        assert_eq!(harness.node.configuration().map(|held| held.generation), Some(7));
     });
 }
 
 #[test]
 fn an_older_configuration_changes_nothing() {
     play(async {
-        let world = World::empty();
-        let mut agent = Agent::connect(&world);
+        let harness = Harness::empty();
+        let mut agent = Agent::connect(&harness);
         agent.hello().await;
         agent.report().await;
         agent.tell(ToBalancer::Update(configured(5))).await;
         let mut older = configured(4);
         older.configured.as_mut().expect("a section").body = Bytes::from_static(b"{}");
         agent.tell(ToBalancer::Update(older)).await;
-        sleep(MOMENT).await;
-        assert_eq!(world.node.configuration().map(|held| held.generation), Some(7));
+        sleep(SETTLE_TIME).await;
+        assert_eq!(harness.node.configuration().map(|held| held.generation), Some(7));
     });
 }
 
 #[test]
-fn an_agent_that_has_just_started_takes_nothing_back() {
+fn an_agent_that_has_just_started_withdraws_nothing() {
     play(async {
-        let world = World::empty();
-        let mut before = Agent::connect(&world);
+        let harness = Harness::empty();
+        let mut before = Agent::connect(&harness);
         before.hello().await;
         before.report().await;
         before.tell(ToBalancer::Update(configured(5))).await;
@@ -116,10 +116,10 @@
         let mut bytes = Vec::new();
         frames.write_to(&mut bytes).await.expect("room");
         before.writer.write_all(&bytes[..bytes.len() / 2]).await.expect("the proxy reads");
-        sleep(MOMENT).await;
+        sleep(SETTLE_TIME).await;
         drop((before.reader, before.writer));
         before.link.await.expect("the link has ended");
-        let mut after = Agent::connect(&world);
+        let mut after = Agent::connect(&harness);
         after.hello().await;
         assert_eq!(after.report().await.applied.configured, 5, "told again to the next agent");
         after.tell(ToBalancer::Update(configured(3))).await;
@@ -128,25 +128,25 @@
 }
 
 #[test]
-fn reports_come_regularly_and_at_once_when_the_proxy_leaves() {
+fn reports_are_sent_regularly_and_at_once_on_shutdown() {
     play(async {
-        let world = World::empty();
-        let mut agent = Agent::connect(&world);
+        let harness = Harness::empty();
+        let mut agent = Agent::connect(&harness);
         agent.hello().await;
         agent.report().await;
         timeout(Duration::from_millis(600), agent.report()).await.expect("a regular report");
-        world.node.shutdown.request();
-        world.node.report_due.notify_one();
-        let report = timeout(MOMENT, agent.report()).await.expect("at once");
+        harness.node.shutdown.request();
+        harness.node.report_due.notify_one();
+        let report = timeout(SETTLE_TIME, agent.report()).await.expect("at once");
         assert!(report.shutting_down && !report.ready);
     });
 }
 
 #[test]
-fn a_silent_agent_is_left() {
+fn a_silent_agent_is_disconnected() {
     play(async {
-        let world = World::empty();
-        let mut agent = Agent::connect(&world);
+        let harness = Harness::empty();
+        let mut agent = Agent::connect(&harness);
         for _ in 0..20 {
             sleep(Duration::from_millis(250)).await;
             agent.tell(ToBalancer::Link(Link::default())).await;
@@ -158,10 +158,10 @@
 }
 
 #[test]
-fn what_is_no_message_ends_the_link() {
+fn an_invalid_message_ends_the_link() {
     play(async {
-        let world = World::empty();
-        let mut agent = Agent::connect(&world);
+        let harness = Harness::empty();
+        let mut agent = Agent::connect(&harness);
         agent.writer.write_all(&[0, 0, 0, 1, 99, 0]).await.expect("written");
         assert!(matches!(agent.link.await, Ok(LinkError::Frame { .. })));
     });
--- a/dataplane/proxy/tests/events.rs
+++ b/dataplane/proxy/tests/events.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn whole_events_pass_at_once() {
+fn complete_events_pass_at_once() {
     let mut splitter = EventSplitter::new(None);
     let two = event(1, "a") + &event(2, "b");
     assert_eq!(push(&mut splitter, &two), Ok(two));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_change_of_versions_is_followed() {
+fn a_change_of_versions_is_tracked() {
     let mut splitter = EventSplitter::new(Some(3));
     assert_eq!(push(&mut splitter, &event(1, "a")), Ok(event(1, "a")));
     assert_eq!(splitter.position().versions, Some(3));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_resumed_run_goes_on_where_the_first_stopped() {
+fn a_resumed_run_continues_after_the_first() {
     let position = Position { last_id: Some(12), largest_step: Some(4), versions: None };
     let cases = [
         (13, Ok(())),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn only_the_first_event_of_a_resumed_run_is_held_against_the_step() {
+fn only_the_first_event_of_a_resumed_run_is_checked_against_the_step() {
     let mut splitter =
         EventSplitter::resuming(Position { last_id: Some(12), largest_step: Some(1), versions: None });
     let events = event(13, "a") + &event(20, "b");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn an_endless_event_is_rejected() {
     let mut splitter = EventSplitter::new(None);
     let half = "x".repeat(MAXIMUM_EVENT_BYTES / 2 + 1);
     assert_eq!(push(&mut splitter, &half), Ok(String::new()));
@@ -113,7 +113,7 @@
 }
 
 quickcheck! {
-    fn pieces_change_nothing(steps: Vec<u8>, cuts: Vec<usize>, tail: bool) -> TestResult {
+    fn chunk_boundaries_do_not_matter(steps: Vec<u8>, cuts: Vec<usize>, tail: bool) -> TestResult {
         let mut id = 0;
         let mut text = String::new();
         for step in &steps {
--- a/dataplane/proxy/tests/headers.rs
+++ b/dataplane/proxy/tests/headers.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn prompt_parts_are_read_up_to_the_first_that_is_none() {
+fn prompt_parts_are_parsed_up_to_the_first_invalid_one() {
     let headers = map(&[("whinspindle-prefix-hash", "5c1e07a2:800, 91bd3f06:410,zz:3,1:1")]);
     let parts = [PromptPart { id: 0x5c1e_07a2, tokens: 800 }, PromptPart { id: 0x91bd_3f06, tokens: 410 }];
     assert_eq!(prompt_parts(&headers), parts);
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn token_counts_are_read() {
+fn token_counts_are_parsed() {
     assert_eq!(token_counts(&map(&[("whinspindle-token-count", "1460,80")])), (1460, 80));
     assert_eq!(token_counts(&map(&[("whinspindle-token-count", "x")])), (0, 0));
     assert_eq!(token_counts(&HeaderMap::new()), (0, 0));
 }
 
 #[test]
-fn times_are_read() {
+fn times_are_parsed() {
     assert_eq!(keep_alive_ms(&map(&[("keep-alive", "max=100, timeout=5")])), Some(5000));
     assert_eq!(keep_alive_ms(&map(&[("keep-alive", "max=100")])), None);
     assert_eq!(retry_after_ms(&map(&[("retry-after", "0.25")])), Some(250));
--- a/dataplane/proxy/tests/limits.rs
+++ b/dataplane/proxy/tests/limits.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn clients_may_count_on_the_wider_of_the_newest_two_limits() {
+fn the_wider_of_the_newest_two_limits_is_in_force() {
     let limits = |idle_timeout_ms, max_body_bytes| Limits {
         max_header_bytes: 1000,
         max_body_bytes,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_stop_leaves_time_for_answers() {
+fn a_shutdown_has_time_for_answers() {
     for grace_ms in [1000, 4000, 8000, 30_000] {
         let grace = Duration::from_millis(grace_ms);
         let times = ShutdownTimes::of(grace);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_request_that_is_sent_three_seconds_after_the_order_to_stop_is_not_taken() {
+fn a_request_sent_three_seconds_after_the_shutdown_request_is_not_accepted() {
     const SOON: Duration = Duration::from_millis(100);
     for grace_ms in [1000, 4000, 8000, 30_000] {
         let times = ShutdownTimes::of(Duration::from_millis(grace_ms));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_an_upstream_has_answered_before_the_last_sixth_of_the_grace_still_goes_to_its_client() {
+fn an_answer_before_the_last_sixth_of_the_grace_period_still_reaches_its_client() {
     for grace_ms in [500, 1000, 2000, 2300, 4000, 8000, 30_000] {
         let grace = Duration::from_millis(grace_ms);
         let times = ShutdownTimes::of(grace);
--- a/dataplane/proxy/tests/metrics.rs
+++ b/dataplane/proxy/tests/metrics.rs
@@ -5,17 +5,17 @@
 
 use std::time::Duration;
 
-use common::{World, play, post, served, status};
+use common::{Harness, play, post, served, status};
 use tokio::time::sleep;
 use whinspindle_proxy::metrics::text;
 
 #[test]
-fn requests_upstreams_and_places_out_of_reach_are_told() {
+fn requests_upstreams_and_unreachable_domains_are_served() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(served("ok"));
-        assert_eq!(status(&world.ask(&post("/unsafe/a")).await), 200);
-        let told = text(&world.node);
+        let harness = Harness::new();
+        harness.upstreams.script(served("ok"));
+        assert_eq!(status(&harness.ask(&post("/unsafe/a")).await), 200);
+        let told = text(&harness.node);
         for line in [
             "whinspindle_requests_total{event=\"Answered\"} 1\n",
             "whinspindle_ready{} 1.0\n",
@@ -26,9 +26,9 @@
         ] {
             assert!(told.contains(line), "{line} in {told}");
         }
-        world.upstreams.connect_time.set(Duration::from_secs(1));
-        assert_eq!(status(&world.ask(&post("/stream/a")).await), 503);
-        let told = text(&world.node);
+        harness.upstreams.connect_time.set(Duration::from_secs(1));
+        assert_eq!(status(&harness.ask(&post("/stream/a")).await), 503);
+        let told = text(&harness.node);
         let line = "whinspindle_upstreams_out_of_reach{service=\"model\",region=\"r1\"} 3.0\n";
         assert!(told.contains(line), "{told}");
         assert!(told.contains("event=\"Refused\"} 1\n"), "{told}");
@@ -47,14 +47,14 @@
 #[test]
 fn counts_never_fall() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         for _ in 0..3 {
-            world.upstreams.script(served("ok"));
-            assert_eq!(status(&world.ask(&post("/unsafe/a")).await), 200);
-            world.pass(Duration::from_secs(11)).await;
+            harness.upstreams.script(served("ok"));
+            assert_eq!(status(&harness.ask(&post("/unsafe/a")).await), 200);
+            harness.pass(Duration::from_secs(11)).await;
         }
         sleep(Duration::from_millis(10)).await;
-        let told = text(&world.node);
+        let told = text(&harness.node);
         assert!(told.contains("whinspindle_requests_total{event=\"Answered\"} 3\n"), "{told}");
     });
 }
--- a/dataplane/proxy/tests/request_framing.rs
+++ b/dataplane/proxy/tests/request_framing.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_request_is_watched_anew() {
+fn each_request_is_observed_anew() {
     let mut watch = RequestFraming::default();
     watch.push(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
     watch.restart();
@@ -33,7 +33,7 @@
 }
 
 quickcheck! {
-    fn pieces_change_nothing(cuts: Vec<usize>, both: bool) -> bool {
+    fn chunk_boundaries_do_not_matter(cuts: Vec<usize>, both: bool) -> bool {
         let more = if both { "Content-Length: 5\r\n" } else { "" };
         let text = format!("POST / HTTP/1.1\r\n{more}Host: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
         let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).collect();
@@ -50,7 +50,7 @@
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nhel\r\n2\r\nlo\r\n0\r\nA: b\r\n\r\n";
 
 #[test]
-fn heads_that_come_before_the_last_answer_are_looked_at() {
+fn heads_of_pipelined_requests_are_observed() {
     for first in [LENGTH, CHUNKED, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "\r\nGET / HTTP/1.1\n\n"] {
         let bytes = [first, LENGTH, CHUNKED, BOTH].concat();
         for piece in 1..=bytes.len() {
@@ -65,14 +65,14 @@
 }
 
 #[test]
-fn a_head_whose_lines_lack_returns_is_looked_at() {
+fn a_head_without_carriage_returns_is_observed() {
     let mut watch = RequestFraming::default();
     watch.push(BOTH.replace("\r\n", "\n").as_bytes());
     assert!(watch.is_ambiguous());
 }
 
 #[test]
-fn a_body_that_looks_like_a_head_is_none() {
+fn a_body_that_resembles_a_head_is_none() {
     let mut watch = RequestFraming::default();
     let body = BOTH;
     watch.push(format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_length_that_is_padded_beyond_what_is_kept_of_a_line_is_not_taken_for_another() {
+fn a_length_padded_beyond_the_kept_bytes_of_a_line_is_unknown() {
     let zeros = "0".repeat(300);
     let spaces = " ".repeat(300);
     let lengths = [format!("{zeros}5"), format!("{spaces}5")];
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn long_lines_of_other_kinds_are_followed() {
+fn long_lines_of_other_kinds_are_skipped() {
     let long = "x".repeat(300);
     let extended = CHUNKED.replace("3;x=y", &format!("3;x={long}"));
     let other = LENGTH.replace("Content-Length", &format!("X: {long}\r\nContent-Length"));
--- a/dataplane/proxy/tests/retry.rs
+++ b/dataplane/proxy/tests/retry.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_table_of_what_follows_a_send() {
+fn the_decision_after_each_end_of_an_attempt() {
     use AttemptEnd::{Broken, Failed, Misdirected, NotSent, Rejected};
     let cases: &[(RetryPolicy, &[AttemptEnd], Decision)] = &[
         // Nothing ran: another upstream may.
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn time_that_is_over_promises_only_what_is_known() {
+fn the_failure_after_the_deadline_depends_on_the_runs() {
     let mut history = AttemptHistory::default();
     history.record(AttemptEnd::Rejected);
     history.record(AttemptEnd::NotSent);
--- a/dataplane/proxy/tests/rules.rs
+++ b/dataplane/proxy/tests/rules.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use common::{
-    CONFIGURATION, ID, MOMENT, Script, Step, World, answer, body, chunk, chunks, event, header, last_chunk,
-    misdirected, play, post, post_with, served, status, write,
+    CONFIGURATION, Harness, ID, SETTLE_TIME, Script, Step, answer, body, chunk, chunks, event, header,
+    last_chunk, misdirected, play, post, post_with, served, status, write,
 };
 use tokio::time::{Instant, sleep, timeout};
 
@@ -38,14 +38,19 @@
     script
 }
 
-fn deadlines(world: &World) -> Vec<u64> {
+fn deadlines(harness: &Harness) -> Vec<u64> {
     let deadline = |sent: &String| header(sent, "whinspindle-deadline-ms").and_then(|ms| ms.parse().ok());
-    world.upstreams.requests().iter().map(|sent| deadline(sent).expect("a deadline on every send")).collect()
+    harness
+        .upstreams
+        .requests()
+        .iter()
+        .map(|sent| deadline(sent).expect("a deadline on every send"))
+        .collect()
 }
 
 /// What comes for a request until its answer or connection ends, which it has to within a minute.
-async fn ask_to_the_end(world: &World, request: &str) -> String {
-    timeout(Duration::from_secs(60), world.ask(request)).await.expect("an end")
+async fn ask_to_the_end(harness: &Harness, request: &str) -> String {
+    timeout(Duration::from_secs(60), harness.ask(request)).await.expect("an end")
 }
 
 /// The request of `post`, by a client that waits so long.
@@ -59,13 +64,13 @@
 }
 
 #[test]
-fn what_a_client_says_of_its_prompt_is_the_same_on_every_send() {
+fn prompt_headers_of_the_client_are_the_same_on_every_attempt() {
     for (path, first) in [("/safe/x", vec![Step::Close]), ("/resumable/x", broken_stream([1]))] {
         play(async {
-            let world = World::new();
-            world.upstreams.script(first.clone());
-            world.ask(&post_with(path, &prompt_headers())).await;
-            let sent = world.upstreams.requests();
+            let harness = Harness::new();
+            harness.upstreams.script(first.clone());
+            harness.ask(&post_with(path, &prompt_headers())).await;
+            let sent = harness.upstreams.requests();
             assert_eq!(sent.len(), 2, "{path}");
             for (sent, (name, value)) in sent.iter().flat_map(|sent| PROMPT.map(|pair| (sent, pair))) {
                 assert_eq!(header(sent, name).as_deref(), Some(value), "{path}");
@@ -75,7 +80,7 @@
 }
 
 #[test]
-fn a_proxy_without_a_configuration_turns_nothing_down() {
+fn a_proxy_without_a_configuration_has_no_limits() {
     let long_body = "x".repeat(5_000_000);
     let long_body = format!(
         "POST /unsafe/x HTTP/1.1\r\nHost: a.example\r\nContent-Length: {}\r\n\r\n{long_body}",
@@ -84,9 +89,9 @@
     let long_head = post_with("/unsafe/x", &format!("X-Long: {}\r\n", "x".repeat(20_000)));
     for request in [post("/none/x"), long_body, long_head] {
         play(async {
-            let world = World::empty();
+            let harness = Harness::empty();
             sleep(Duration::from_secs(2)).await;
-            let got = world.ask(&request).await;
+            let got = harness.ask(&request).await;
             assert_eq!(status(&got), 503, "{}", &request[..60]);
             assert!(header(&got, "retry-after").is_some());
         });
@@ -94,30 +99,30 @@
 }
 
 #[test]
-fn a_configuration_that_comes_with_a_request_bounds_it() {
+fn a_configuration_received_during_a_request_bounds_it() {
     play(async {
-        let world = World::empty();
+        let harness = Harness::empty();
         let request = format!(
             "POST /unsafe/x HTTP/1.1\r\nHost: a.example\r\nContent-Length: 1001\r\n\r\n{}",
             "x".repeat(1001)
         );
         let informed = async {
             sleep(Duration::from_millis(300)).await;
-            world.furnish();
+            harness.apply_defaults();
         };
-        let (got, ()) = tokio::join!(world.ask(&request), informed);
+        let (got, ()) = tokio::join!(harness.ask(&request), informed);
         assert_eq!(status(&got), 413);
-        assert_eq!(world.upstreams.requests().len(), 0);
+        assert_eq!(harness.upstreams.requests().len(), 0);
     });
 }
 
 #[test]
-fn a_repeated_send_is_told_the_time_that_is_left() {
+fn a_retry_has_the_remaining_time_as_deadline() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(vec![Step::Wait(Duration::from_secs(1)), Step::Close]);
-        world.ask(&post("/safe/x")).await;
-        let told = deadlines(&world);
+        let harness = Harness::new();
+        harness.upstreams.script(vec![Step::Wait(Duration::from_secs(1)), Step::Close]);
+        harness.ask(&post("/safe/x")).await;
+        let told = deadlines(&harness);
         assert_eq!(told.len(), 2);
         assert!((2_900..=3_000).contains(&told[0]), "{told:?}");
         assert!((1_900..=2_000).contains(&told[1]), "{told:?}");
@@ -125,27 +130,27 @@
 }
 
 #[test]
-fn a_resumed_stream_is_told_the_time_that_is_left() {
+fn a_resumed_stream_has_the_remaining_time_as_deadline() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = broken_stream([1]);
         script.insert(2, Step::Wait(Duration::from_secs(1)));
-        world.upstreams.script(script);
-        world.ask(&post("/resumable/x")).await;
-        let told = deadlines(&world);
+        harness.upstreams.script(script);
+        harness.ask(&post("/resumable/x")).await;
+        let told = deadlines(&harness);
         assert_eq!(told.len(), 2);
         assert!((1_900..=2_000).contains(&told[1]), "{told:?}");
     });
 }
 
 #[test]
-fn the_time_of_a_route_is_told_where_the_client_gives_none_or_more() {
+fn the_timeout_of_a_route_is_the_deadline_where_the_client_gives_none_or_more() {
     for request in [without_deadline("/safe/x"), patient("/safe/x", 30_000)] {
         play(async {
-            let world = World::new();
-            world.upstreams.script(vec![Step::Wait(Duration::from_secs(1)), Step::Close]);
-            ask_to_the_end(&world, &request).await;
-            let told = deadlines(&world);
+            let harness = Harness::new();
+            harness.upstreams.script(vec![Step::Wait(Duration::from_secs(1)), Step::Close]);
+            ask_to_the_end(&harness, &request).await;
+            let told = deadlines(&harness);
             assert_eq!(told.len(), 2);
             assert!((3_900..=4_000).contains(&told[0]), "{told:?}");
             assert!((2_900..=3_000).contains(&told[1]), "{told:?}");
@@ -154,109 +159,109 @@
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_during_the_connect() {
+fn nothing_is_forwarded_after_a_disconnect_during_the_connect() {
     play(async {
-        let world = World::new();
-        world.upstreams.connect_time.set(Duration::from_millis(100));
-        let mut client = world.client();
+        let harness = Harness::new();
+        harness.upstreams.connect_time.set(Duration::from_millis(100));
+        let mut client = harness.client();
         client.send(&post("/safe/x")).await;
         sleep(Duration::from_millis(50)).await;
         drop(client);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(world.upstreams.requests().len(), 0);
-        assert_eq!(world.upstreams.open(), 0);
+        assert_eq!(harness.upstreams.requests().len(), 0);
+        assert_eq!(harness.upstreams.open(), 0);
     });
 }
 
 #[test]
-fn nothing_is_sent_again_for_a_client_that_has_left() {
+fn nothing_is_retried_after_a_disconnect() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(vec![Step::Wait(Duration::from_millis(100)), Step::Close]);
-        let mut client = world.client();
+        let harness = Harness::new();
+        harness.upstreams.script(vec![Step::Wait(Duration::from_millis(100)), Step::Close]);
+        let mut client = harness.client();
         client.send(&post("/safe/x")).await;
         sleep(Duration::from_millis(50)).await;
         drop(client);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(world.upstreams.requests().len(), 1);
+        assert_eq!(harness.upstreams.requests().len(), 1);
     });
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left_before_its_body_was_whole() {
+fn nothing_is_forwarded_after_a_disconnect_before_the_body_is_complete() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let request = post("/safe/x");
-        let mut client = world.client();
+        let mut client = harness.client();
         client.send(&request[..request.len() - 1]).await;
-        sleep(MOMENT).await;
+        sleep(SETTLE_TIME).await;
         drop(client);
         sleep(Duration::from_secs(1)).await;
-        assert_eq!(world.upstreams.requests().len(), 0);
+        assert_eq!(harness.upstreams.requests().len(), 0);
     });
 }
 
 #[test]
-fn a_client_that_left_is_seen_behind_what_it_sent_on() {
+fn a_disconnect_is_detected_behind_unread_bytes() {
     play(async {
-        let world = World::new();
-        let mut client = world.client();
+        let harness = Harness::new();
+        let mut client = harness.client();
         client.send(&post("/safe/x")).await;
-        sleep(MOMENT).await;
+        sleep(SETTLE_TIME).await;
         client.send(&post("/safe/y")).await;
-        assert_eq!(world.upstreams.open(), 1);
+        assert_eq!(harness.upstreams.open(), 1);
         drop(client);
-        sleep(MOMENT).await;
-        assert_eq!(world.upstreams.open(), 0);
-        assert_eq!(world.upstreams.requests().len(), 1);
+        sleep(SETTLE_TIME).await;
+        assert_eq!(harness.upstreams.open(), 0);
+        assert_eq!(harness.upstreams.requests().len(), 1);
     });
 }
 
 #[test]
-fn a_client_that_leaves_ends_a_stream_that_is_being_resumed() {
+fn a_disconnect_ends_a_stream_that_is_being_resumed() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(broken_stream([1]));
-        let mut client = world.client();
+        let harness = Harness::new();
+        harness.upstreams.script(broken_stream([1]));
+        let mut client = harness.client();
         client.send(&post("/resumable/x")).await;
-        client.heard(MOMENT).await;
-        sleep(MOMENT).await;
-        assert_eq!((world.upstreams.requests().len(), world.upstreams.open()), (2, 1));
+        client.receive_for(SETTLE_TIME).await;
+        sleep(SETTLE_TIME).await;
+        assert_eq!((harness.upstreams.requests().len(), harness.upstreams.open()), (2, 1));
         drop(client);
-        sleep(MOMENT).await;
-        assert_eq!(world.upstreams.open(), 0);
+        sleep(SETTLE_TIME).await;
+        assert_eq!(harness.upstreams.open(), 0);
     });
 }
 
 #[test]
-fn a_client_that_leaves_a_stopping_proxy_ends_the_exchange() {
+fn a_disconnect_in_shutdown_ends_the_exchange() {
     play(async {
-        let world = World::new();
-        let mut client = world.client();
+        let harness = Harness::new();
+        let mut client = harness.client();
         client.send(&post("/safe/x")).await;
-        sleep(MOMENT).await;
-        world.node.shutdown.request();
+        sleep(SETTLE_TIME).await;
+        harness.node.shutdown.request();
         let shutting_down = async {
             sleep(Duration::from_millis(300)).await;
             drop(client);
-            sleep(MOMENT).await;
-            assert_eq!(world.upstreams.open(), 0);
+            sleep(SETTLE_TIME).await;
+            assert_eq!(harness.upstreams.open(), 0);
         };
-        tokio::join!(whinspindle_proxy::clients::finish(&world.node, &world.clients), shutting_down);
+        tokio::join!(whinspindle_proxy::clients::finish(&harness.node, &harness.clients), shutting_down);
     });
 }
 
 #[test]
-fn the_time_of_a_route_bounds_an_answer_that_comes_in_drops() {
+fn the_timeout_of_a_route_bounds_an_answer_that_arrives_slowly() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let stamp = "Whinspindle-Server-Stamp: s\r\nContent-Length: 100";
         let mut script =
             vec![write(format!("HTTP/1.1 200 OK\r\nWhinspindle-Request-Id: {ID}\r\n{stamp}\r\n\r\n"))];
         (0..100).for_each(|_| script.extend([write("x"), Step::Wait(Duration::from_millis(200))]));
-        world.upstreams.script(script);
+        harness.upstreams.script(script);
         let start = Instant::now();
-        let got = ask_to_the_end(&world, &patient("/unsafe/x", 30_000)).await;
+        let got = ask_to_the_end(&harness, &patient("/unsafe/x", 30_000)).await;
         let held = start.elapsed();
         assert_eq!(status(&got), 504);
         assert_eq!(header(&got, "whinspindle-server-stamp"), None);
@@ -265,53 +270,53 @@
 }
 
 #[test]
-fn the_time_of_a_route_bounds_a_body_that_comes_late() {
+fn the_timeout_of_a_route_bounds_a_body_that_arrives_late() {
     for (path, limit_ms) in [("/unsafe/x", 4_000), ("/stream/x", 15_000)] {
         play(async {
-            let world = World::new();
+            let harness = Harness::new();
             let request = patient(path, 60_000);
-            let mut client = world.client();
+            let mut client = harness.client();
             let start = Instant::now();
             client.send(&request[..request.len() - 1]).await;
             let got = timeout(Duration::from_secs(90), client.answer()).await.expect("an answer");
             let held = start.elapsed();
             assert_eq!(status(&got), 408, "{path}");
             assert!(held <= Duration::from_millis(limit_ms + 100), "{path}: {held:?}");
-            assert_eq!(world.upstreams.requests().len(), 0);
+            assert_eq!(harness.upstreams.requests().len(), 0);
         });
     }
 }
 
 #[test]
-fn the_time_of_a_route_bounds_a_stream_that_flows() {
+fn the_timeout_of_a_route_bounds_a_stream_that_flows() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = vec![versioned_head("first", 7)];
         for id in 1..=40 {
             script.extend([chunk(&event(id)), Step::Wait(Duration::from_millis(500))]);
         }
-        world.upstreams.script(script);
+        harness.upstreams.script(script);
         let start = Instant::now();
-        let got = ask_to_the_end(&world, &patient("/stream/x", 60_000)).await;
+        let got = ask_to_the_end(&harness, &patient("/stream/x", 60_000)).await;
         let held = start.elapsed();
         assert!(!chunks(&got).1, "it does not look complete");
         assert!(held >= Duration::from_millis(14_900) && held <= Duration::from_millis(15_100), "{held:?}");
-        sleep(MOMENT).await;
-        assert_eq!(world.upstreams.open(), 0);
+        sleep(SETTLE_TIME).await;
+        assert_eq!(harness.upstreams.open(), 0);
     });
 }
 
 #[test]
-fn the_time_of_a_route_bounds_a_resumption_that_hangs() {
+fn the_timeout_of_a_route_bounds_a_resumption_that_hangs() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(broken_stream([1]));
+        let harness = Harness::new();
+        harness.upstreams.script(broken_stream([1]));
         let start = Instant::now();
-        let got = ask_to_the_end(&world, &patient("/resumable/x", 60_000)).await;
+        let got = ask_to_the_end(&harness, &patient("/resumable/x", 60_000)).await;
         let held = start.elapsed();
         assert_eq!(chunks(&got), (event(1), false));
         assert!(held <= Duration::from_millis(15_100), "{held:?}");
-        assert_eq!(world.upstreams.open(), 0);
+        assert_eq!(harness.upstreams.open(), 0);
     });
 }
 
@@ -323,14 +328,14 @@
         .replace("\"timeout_ms\": 4000", "\"timeout_ms\": 200");
     for configuration in [dropped, shorter] {
         play(async {
-            let world = World::new();
+            let harness = Harness::new();
             let mut script = served("the bytes");
             script.insert(0, Step::Wait(Duration::from_secs(2)));
-            world.upstreams.script(script);
-            let mut client = world.client();
+            harness.upstreams.script(script);
+            let mut client = harness.client();
             client.send(&post("/unsafe/x")).await;
-            sleep(MOMENT).await;
-            world.configure(2, &configuration);
+            sleep(SETTLE_TIME).await;
+            harness.configure(2, &configuration);
             let got = client.answer().await;
             assert_eq!((status(&got), body(&got)), (200, "the bytes"));
         });
@@ -338,36 +343,36 @@
 }
 
 #[test]
-fn an_upstream_that_leaves_ends_what_it_has_begun() {
+fn a_draining_upstream_finishes_what_it_has_begun() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = vec![versioned_head("first", 7), chunk(&event(1))];
         script.extend([Step::Wait(Duration::from_secs(2)), chunk(&event(2)), last_chunk()]);
-        world.upstreams.script(script);
-        let mut client = world.client();
+        harness.upstreams.script(script);
+        let mut client = harness.client();
         client.send(&post("/stream/x")).await;
-        sleep(MOMENT).await;
-        world.instances(2, &["model-1", "model-2", "model-3"]);
-        world.pass(Duration::from_secs(1)).await;
+        sleep(SETTLE_TIME).await;
+        harness.instances(2, &["model-1", "model-2", "model-3"]);
+        harness.pass(Duration::from_secs(1)).await;
         // It has told that it is gone.
-        world.apply(whinspindle_distribution::Update {
+        harness.apply(whinspindle_distribution::Update {
             instances: Some(whinspindle_distribution::Instances { version: 3, list: Vec::new() }),
             ..Default::default()
         });
         let got = client.answer().await;
         assert_eq!(chunks(&got), (event(1) + &event(2), true));
-        assert_eq!(status(&world.ask(&post("/stream/x")).await), 503);
-        assert_eq!(world.upstreams.requests().len(), 1);
+        assert_eq!(status(&harness.ask(&post("/stream/x")).await), 503);
+        assert_eq!(harness.upstreams.requests().len(), 1);
     });
 }
 
 #[test]
 fn a_resumed_answer_keeps_the_head_of_its_first_upstream() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(broken_stream([1, 2]));
-        world.upstreams.script(vec![versioned_head("second", 7), chunk(&event(3)), last_chunk()]);
-        let got = world.ask(&post("/resumable/x")).await;
+        let harness = Harness::new();
+        harness.upstreams.script(broken_stream([1, 2]));
+        harness.upstreams.script(vec![versioned_head("second", 7), chunk(&event(3)), last_chunk()]);
+        let got = harness.ask(&post("/resumable/x")).await;
         assert_eq!(header(&got, "whinspindle-server-stamp").as_deref(), Some("first"));
         assert_eq!(got.matches("HTTP/1.1").count(), 1);
         assert!(!got.contains("second"), "{got}");
@@ -379,7 +384,7 @@
 fn a_change_of_weights_passes_and_binds_the_resumed_run() {
     let changed = "versions: 8\nid: 2\ndata: t2\n\n";
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let script = vec![
             versioned_head("first", 7),
             chunk(&event(1)),
@@ -387,52 +392,52 @@
             chunk("versions: 9\nid: 3"),
             Step::Close,
         ];
-        world.upstreams.script(script);
+        harness.upstreams.script(script);
         // The next one has other weights.
-        world.upstreams.script(vec![answer("421 Misdirected Request", "Whinspindle-Not-Run: 1\r\n", "")]);
+        harness.upstreams.script(vec![answer("421 Misdirected Request", "Whinspindle-Not-Run: 1\r\n", "")]);
         let again = "versions: 9\nid: 4\ndata: t4\n\n";
         let rest = [chunk(&event(3)), chunk(again), last_chunk()];
-        world.upstreams.script([vec![versioned_head("third", 8)], rest.to_vec()].concat());
-        let got = world.ask(&post("/resumable/x")).await;
+        harness.upstreams.script([vec![versioned_head("third", 8)], rest.to_vec()].concat());
+        let got = harness.ask(&post("/resumable/x")).await;
         assert_eq!(chunks(&got), (event(1) + changed + &event(3) + again, true));
         assert_eq!(header(&got, "versions").as_deref(), Some("7"));
-        let sent = world.upstreams.requests();
+        let sent = harness.upstreams.requests();
         let asked: Vec<_> = sent.iter().map(|sent| header(sent, "expect-version")).collect();
         assert_eq!(asked, [None, Some("8".to_owned()), Some("8".to_owned())]);
         // The one with other weights still serves who asks for no version.
         let other = header(&sent[1], "whinspindle-expect-instance").expect("an instance");
         let rest: Vec<String> =
             (1..=3).map(|number| format!("model-{number}")).filter(|id| *id != other).collect();
-        world.instances(2, &rest.iter().map(String::as_str).collect::<Vec<_>>());
-        world.pass(Duration::from_secs(1)).await;
-        world.upstreams.script(vec![versioned_head("other", 7), chunk(&event(1)), last_chunk()]);
-        assert_eq!(status(&world.ask(&post("/stream/x")).await), 200);
+        harness.instances(2, &rest.iter().map(String::as_str).collect::<Vec<_>>());
+        harness.pass(Duration::from_secs(1)).await;
+        harness.upstreams.script(vec![versioned_head("other", 7), chunk(&event(1)), last_chunk()]);
+        assert_eq!(status(&harness.ask(&post("/stream/x")).await), 200);
     });
 }
 
 #[test]
-fn a_resumable_stream_whose_upstream_is_another_one_goes_elsewhere() {
+fn a_resumable_stream_whose_upstream_was_replaced_goes_elsewhere() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(broken_stream([1]));
-        world.upstreams.script(misdirected());
-        world.upstreams.script(vec![versioned_head("third", 7), chunk(&event(2)), last_chunk()]);
-        let got = world.ask(&post("/resumable/x")).await;
+        let harness = Harness::new();
+        harness.upstreams.script(broken_stream([1]));
+        harness.upstreams.script(misdirected());
+        harness.upstreams.script(vec![versioned_head("third", 7), chunk(&event(2)), last_chunk()]);
+        let got = harness.ask(&post("/resumable/x")).await;
         assert_eq!(chunks(&got), (event(1) + &event(2), true));
     });
 }
 
 #[test]
-fn a_stream_that_moved_for_silence_in_vain_is_not_cut_before_its_time() {
+fn a_silent_stream_that_no_upstream_resumes_is_not_truncated_before_its_deadline() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(vec![versioned_head("first", 7), chunk(&event(1)), Step::Hang]);
+        let harness = Harness::new();
+        harness.upstreams.script(vec![versioned_head("first", 7), chunk(&event(1)), Step::Hang]);
         // The other one breaks off as well.
-        world.upstreams.script(vec![Step::Close]);
+        harness.upstreams.script(vec![Step::Close]);
         let start = Instant::now();
-        let got = ask_to_the_end(&world, &patient("/resumable/x", 6_000)).await;
+        let got = ask_to_the_end(&harness, &patient("/resumable/x", 6_000)).await;
         let held = start.elapsed();
-        assert_eq!(world.upstreams.requests().len(), 2);
+        assert_eq!(harness.upstreams.requests().len(), 2);
         assert_eq!(chunks(&got), (event(1), false));
         assert!(held >= Duration::from_millis(5_900) && held < Duration::from_millis(6_000), "{held:?}");
     });
