--- a/dataplane/proxy/tests/streams.rs
+++ b/dataplane/proxy/tests/streams.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use common::{
-    MOMENT, Script, Step, World, body, chunk, chunks, event, header, last_chunk, play, post, post_with,
-    rejected, status, stream_head, write,
+    Harness, SETTLE_TIME, Script, Step, body, chunk, chunks, event, header, last_chunk, play, post,
+    post_with, rejected, status, stream_head, write,
 };
 use quickcheck::quickcheck;
 use tokio::time::{Instant, sleep};
@@ -22,7 +22,7 @@
     script
 }
 
-fn whole_stream(ids: impl IntoIterator<Item = u64>) -> Script {
+fn complete_stream(ids: impl IntoIterator<Item = u64>) -> Script {
     let mut script = stream(ids);
     script.push(last_chunk());
     script
@@ -36,71 +36,71 @@
 }
 
 #[test]
-fn events_go_on_as_they_come() {
+fn events_are_passed_on_as_they_arrive() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1]);
         script.extend([Step::Wait(Duration::from_millis(200)), chunk(&event(2)), Step::Hang]);
-        world.upstreams.script(script);
-        let mut client = world.client();
+        harness.upstreams.script(script);
+        let mut client = harness.client();
         client.send(&post("/stream/x")).await;
-        let first = client.heard(MOMENT).await;
+        let first = client.receive_for(SETTLE_TIME).await;
         assert_eq!(status(&first), 200);
         assert_eq!(chunks(&first), (event(1), false));
         sleep(Duration::from_millis(200)).await;
-        assert!(client.heard(MOMENT).await.contains(&event(2)));
+        assert!(client.receive_for(SETTLE_TIME).await.contains(&event(2)));
     });
 }
 
 #[test]
 fn a_stream_ends_as_its_upstream_ends_it() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(whole_stream(1..=9));
-        let got = world.ask(&post("/stream/x")).await;
+        let harness = Harness::new();
+        harness.upstreams.script(complete_stream(1..=9));
+        let got = harness.ask(&post("/stream/x")).await;
         assert_eq!(chunks(&got), (events(1..=9), true));
         assert!(header(&got, "whinspindle-server-stamp").is_some());
         // The connection is kept.
-        sleep(MOMENT).await;
-        assert_eq!(world.upstreams.open(), 1);
+        sleep(SETTLE_TIME).await;
+        assert_eq!(harness.upstreams.open(), 1);
     });
 }
 
 #[test]
-fn a_partial_event_is_held_back_and_the_broken_stream_is_cut() {
+fn a_partial_event_is_held_back_and_the_broken_stream_is_truncated() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1, 2]);
         script.extend([chunk("id: 3\nda"), Step::Close]);
-        world.upstreams.script(script);
-        let got = world.ask(&post("/stream/x")).await;
+        harness.upstreams.script(script);
+        let got = harness.ask(&post("/stream/x")).await;
         assert_eq!(chunks(&got), (events([1, 2]), false));
-        assert_eq!(world.upstreams.requests().len(), 1);
+        assert_eq!(harness.upstreams.requests().len(), 1);
     });
 }
 
 #[test]
 fn a_stream_that_breaks_before_its_first_event_has_no_answer_yet() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(vec![stream_head(), chunk("id: 1\n"), Step::Close]);
-        let got = world.ask(&post("/stream/x")).await;
+        let harness = Harness::new();
+        harness.upstreams.script(vec![stream_head(), chunk("id: 1\n"), Step::Close]);
+        let got = harness.ask(&post("/stream/x")).await;
         assert_eq!(status(&got), 502);
         assert_eq!(header(&got, "whinspindle-server-stamp"), None);
     });
 }
 
 #[test]
-fn a_resumable_stream_goes_on_inside_the_same_answer() {
+fn a_resumable_stream_continues_inside_the_same_answer() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1, 2]);
         script.extend([chunk("id: 3\nda"), Step::Close]);
-        world.upstreams.script(script);
-        world.upstreams.script(whole_stream(3..=5));
-        let got = world.ask(&post("/resumable/x")).await;
+        harness.upstreams.script(script);
+        harness.upstreams.script(complete_stream(3..=5));
+        let got = harness.ask(&post("/resumable/x")).await;
         assert_eq!(chunks(&got), (events(1..=5), true));
-        let sent = world.upstreams.requests();
+        let sent = harness.upstreams.requests();
         assert_eq!(header(&sent[0], "last-event-id"), None);
         assert_eq!(header(&sent[1], "last-event-id").as_deref(), Some("2"));
         assert_ne!(
@@ -111,47 +111,47 @@
 }
 
 #[test]
-fn the_clients_own_place_in_a_stream_is_passed_on() {
+fn the_last_event_id_of_the_client_is_passed_on() {
     play(async {
-        let world = World::new();
-        world.upstreams.script(vec![stream_head(), Step::Close]);
-        world.upstreams.script(whole_stream([13, 14]));
-        let got = world.ask(&post_with("/resumable/x", "Last-Event-Id: 12\r\n")).await;
+        let harness = Harness::new();
+        harness.upstreams.script(vec![stream_head(), Step::Close]);
+        harness.upstreams.script(complete_stream([13, 14]));
+        let got = harness.ask(&post_with("/resumable/x", "Last-Event-Id: 12\r\n")).await;
         assert_eq!(chunks(&got), (events([13, 14]), true));
-        for sent in world.upstreams.requests() {
+        for sent in harness.upstreams.requests() {
             assert_eq!(header(&sent, "last-event-id").as_deref(), Some("12"));
         }
     });
 }
 
 #[test]
-fn a_resumed_run_that_does_not_fit_cuts_the_stream() {
+fn a_resumed_run_that_does_not_fit_truncates_the_stream() {
     for ids in [vec![2, 3], vec![1, 2, 3], vec![5, 6]] {
         play(async {
-            let world = World::new();
+            let harness = Harness::new();
             let mut script = stream([1, 2]);
             script.push(Step::Close);
-            world.upstreams.script(script);
-            world.upstreams.script(whole_stream(ids.clone()));
-            let got = world.ask(&post("/resumable/x")).await;
+            harness.upstreams.script(script);
+            harness.upstreams.script(complete_stream(ids.clone()));
+            let got = harness.ask(&post("/resumable/x")).await;
             assert_eq!(chunks(&got), (events([1, 2]), false), "{ids:?}");
         });
     }
 }
 
 #[test]
-fn a_stream_goes_on_after_the_events_that_were_passed_on() {
+fn a_stream_resumes_after_the_events_that_were_passed_on() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let spoilt = [chunk(&event(2)), chunk(&events([3, 3]))];
         let mut script = stream([1]);
-        script.push(Step::Wait(MOMENT));
+        script.push(Step::Wait(SETTLE_TIME));
         script.push(write(spoilt.map(text_of).concat()));
-        world.upstreams.script(script);
-        world.upstreams.script(whole_stream(3..=5));
-        let got = world.ask(&post("/resumable/x")).await;
+        harness.upstreams.script(script);
+        harness.upstreams.script(complete_stream(3..=5));
+        let got = harness.ask(&post("/resumable/x")).await;
         assert_eq!(chunks(&got), (events(1..=5), true));
-        let sent = world.upstreams.requests();
+        let sent = harness.upstreams.requests();
         assert_eq!(header(&sent[1], "last-event-id").as_deref(), Some("2"));
     });
 }
@@ -159,58 +159,58 @@
 #[test]
 fn a_resumable_stream_runs_on_no_more_upstreams_than_its_route_says() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         for ids in [[1, 2], [3, 4], [5, 6]] {
             let mut script = stream(ids);
             script.push(Step::Close);
-            world.upstreams.script(script);
+            harness.upstreams.script(script);
         }
-        let got = world.ask(&post("/resumable/x")).await;
+        let got = harness.ask(&post("/resumable/x")).await;
         assert_eq!(chunks(&got), (events(1..=4), false));
-        assert_eq!(world.upstreams.requests().len(), 2);
+        assert_eq!(harness.upstreams.requests().len(), 2);
     });
 }
 
 #[test]
 fn a_rejected_resumption_goes_to_another_upstream() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1]);
         script.push(Step::Close);
-        world.upstreams.script(script);
-        world.upstreams.script(rejected());
-        world.upstreams.script(whole_stream([2]));
-        assert_eq!(chunks(&world.ask(&post("/resumable/x")).await), (events([1, 2]), true));
+        harness.upstreams.script(script);
+        harness.upstreams.script(rejected());
+        harness.upstreams.script(complete_stream([2]));
+        assert_eq!(chunks(&harness.ask(&post("/resumable/x")).await), (events([1, 2]), true));
     });
 }
 
 #[test]
-fn a_silent_resumable_stream_moves_before_its_client_gives_up() {
+fn a_silent_resumable_stream_is_resumed_before_its_client_gives_up() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1]);
         script.push(Step::Hang);
-        world.upstreams.script(script);
-        world.upstreams.script(whole_stream([2]));
+        harness.upstreams.script(script);
+        harness.upstreams.script(complete_stream([2]));
         let start = Instant::now();
-        let got = world.ask(&post("/resumable/x").replace("3000", "15000")).await;
+        let got = harness.ask(&post("/resumable/x").replace("3000", "15000")).await;
         assert_eq!(chunks(&got), (events([1, 2]), true));
         // The client waits four objectives.
         assert!(start.elapsed() < Duration::from_millis(4 * 600), "{:?}", start.elapsed());
-        sleep(MOMENT).await;
-        assert_eq!(world.upstreams.open(), 1);
+        sleep(SETTLE_TIME).await;
+        assert_eq!(harness.upstreams.open(), 1);
     });
 }
 
 #[test]
-fn a_silent_stream_is_cut_when_its_time_is_over() {
+fn a_silent_stream_is_truncated_at_its_deadline() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1]);
         script.push(Step::Hang);
-        world.upstreams.script(script);
+        harness.upstreams.script(script);
         let start = Instant::now();
-        let got = world.ask(&post("/stream/x")).await;
+        let got = harness.ask(&post("/stream/x")).await;
         assert_eq!(chunks(&got), (event(1), false));
         let held = start.elapsed();
         assert!(held >= Duration::from_millis(2900) && held < Duration::from_millis(3000), "{held:?}");
@@ -218,44 +218,44 @@
 }
 
 #[test]
-fn a_client_that_leaves_a_stream_ends_it() {
+fn a_disconnect_ends_a_stream() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1]);
         script.push(Step::Hang);
-        world.upstreams.script(script);
-        let mut client = world.client();
+        harness.upstreams.script(script);
+        let mut client = harness.client();
         client.send(&post("/stream/x")).await;
-        client.heard(MOMENT).await;
-        assert_eq!(world.upstreams.open(), 1);
+        client.receive_for(SETTLE_TIME).await;
+        assert_eq!(harness.upstreams.open(), 1);
         drop(client);
-        sleep(MOMENT).await;
-        assert_eq!(world.upstreams.open(), 0);
+        sleep(SETTLE_TIME).await;
+        assert_eq!(harness.upstreams.open(), 0);
     });
 }
 
 #[test]
-fn a_new_configuration_cuts_no_stream() {
+fn a_new_configuration_truncates_no_stream() {
     play(async {
-        let world = World::new();
+        let harness = Harness::new();
         let mut script = stream([1]);
         script.extend([Step::Wait(Duration::from_secs(1)), chunk(&event(2)), last_chunk()]);
-        world.upstreams.script(script);
-        let mut client = world.client();
+        harness.upstreams.script(script);
+        let mut client = harness.client();
         client.send(&post("/stream/x")).await;
-        sleep(MOMENT).await;
+        sleep(SETTLE_TIME).await;
         let other = r#"{"generation": 8, "routes": [], "services": [], "limits": {"max_header_bytes": 16384,
             "max_body_bytes": 1000, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}}"#;
-        world.configure(2, other);
+        harness.configure(2, other);
         assert_eq!(chunks(&client.answer().await), (events([1, 2]), true));
-        assert_eq!(status(&world.ask(&post("/stream/x")).await), 404);
+        assert_eq!(status(&harness.ask(&post("/stream/x")).await), 404);
     });
 }
 
 quickcheck! {
     /// However the bytes of a stream are cut into pieces, whole events come out, in order, and only a stream that
     /// has ended looks complete.
-    fn pieces_of_a_stream_change_nothing(lengths: Vec<u8>, cuts: Vec<usize>, ended: bool) -> bool {
+    fn chunk_boundaries_of_a_stream_do_not_matter(lengths: Vec<u8>, cuts: Vec<usize>, ended: bool) -> bool {
         let mut text = String::new();
         for (id, length) in lengths.iter().enumerate() {
             text += &format!("id: {}\ndata: {}\n\n", id + 1, "x".repeat(usize::from(*length)));
@@ -272,9 +272,9 @@
         let outcome = std::rc::Rc::clone(&fits);
         let expected = text.clone();
         play(async move {
-            let world = World::new();
-            world.upstreams.script(script);
-            let got = world.ask(&post("/stream/x")).await;
+            let harness = Harness::new();
+            harness.upstreams.script(script);
+            let got = harness.ask(&post("/stream/x")).await;
             let fit = match (ended, expected.is_empty()) {
                 (true, true) => (status(&got), body(&got)) == (200, ""),
                 (true, false) => chunks(&got) == (expected, true),
