--- a/dataplane/agent/src/agent.rs
+++ b/dataplane/agent/src/agent.rs
@@ -1,4 +1,5 @@
-//! What the agent does: keeps the link, holds the newest sections, feeds its proxy and passes its reports on.
+//! The agent's state machine: keeps a link to a controller, sends the newest sections to its proxy and forwards the proxy's
+//! reports.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -6,110 +7,138 @@
 
 use crate::catalog::ControllerCatalog;
 use crate::connection::ConnectionId;
-use crate::figures::AgentFigures;
+use crate::guarded_sections::GuardedSections;
+use crate::metrics::AgentMetrics;
 use crate::protocol_rules::{ProtocolRules, StandardRules};
-use crate::report::ProxyState;
-use crate::sections::GuardedSections;
+use crate::proxy_state::ProxyState;
 use crate::selector::{LinkEvent, LinkSelector, LossReason};
 
-/// How often the agent reports while no proxy does.
+/// Interval of reports while no proxy reports.
 const REPORT_MS: u64 = 500;
-/// How often the proxy hears of the link at least, at its reports: a silent agent is given up.
+/// Interval of link messages to a proxy that reports, which would disconnect a silent agent.
 const KEEP_ALIVE_MS: u64 = 1_000;
-/// How often the settings are read again while no controller is reached.
+/// Interval of reading the settings again while there is no link.
 const SETTINGS_MS: u64 = 2_000;
-/// Time kept of the grace for the end itself.
+/// The agent exits this long before the end of the grace period.
 const EXIT_RESERVE_MS: u64 = 1_000;
 
-/// What an agent is told at its start.
+/// Settings of an agent.
 #[derive(Clone, Debug)]
 pub struct AgentSettings {
+    /// Name of the node.
     pub node: String,
+    /// Address of the machine.
     pub machine: IpAddr,
+    /// Zone of the machine.
     pub zone: String,
+    /// Region of the machine.
     pub region: String,
-    /// The internal endpoints of the controllers of the settings.
+    /// Internal endpoints of the controllers in the settings.
     pub seeds: Vec<SocketAddr>,
-    /// Time between the order to stop and the end by force.
+    /// Grace period between the request to shut down and the kill, in milliseconds.
     pub grace_ms: u64,
-    /// Differs for each start; also spreads the first attempts.
+    /// A number that differs for each start; also spreads the first attempts over the controllers.
     pub incarnation: u64,
 }
 
-/// What happens to an agent.
+/// Inputs of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The time of `next_wake` has come.
+    /// The time of [`Agent::next_wake`] has come.
     Tick,
+    /// A connection to a controller is established.
     Connected(ConnectionId),
-    /// A connection has ended or could not be made.
+    /// A connection has ended, or could not be made.
     Closed(ConnectionId),
+    /// A message of a controller.
     FromController(ConnectionId, ToBalancer),
-    /// A proxy has connected; an earlier one is gone.
+    /// A proxy has connected, in place of an earlier one.
     ProxyConnected,
+    /// The connection of the proxy has ended.
     ProxyClosed,
+    /// A report of the proxy.
     FromProxy(Report),
     /// The settings were read again.
     Seeds(Vec<SocketAddr>),
-    /// The process is to stop.
+    /// The process is to shut down.
     Terminate,
 }
 
-/// What an agent wants done.
+/// Outputs of the state machine, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
+    /// Connect to a controller.
     Connect {
+        /// The id of the new connection.
         connection: ConnectionId,
+        /// The controller's endpoint.
         endpoint: SocketAddr,
     },
+    /// Close a connection.
     Close(ConnectionId),
-    /// Send a hello; the first frame of a connection.
+    /// Send a hello, the first frame of a connection.
     Greet(ConnectionId),
+    /// Send a report to a controller.
     Report(ConnectionId, Report),
+    /// Send a message to the proxy.
     ToProxy(ToBalancer),
-    /// Read the settings and hand in the controllers.
+    /// Read the settings file and pass its controllers in as [`Input::Seeds`].
     ReadSettings,
-    /// Write out what is pending and end.
+    /// Write what is queued and exit.
     Exit,
+    /// Log a notice.
     Log(Notice),
 }
 
-/// What is worth a line in the log.
+/// Notices for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
+    /// A controller has become the link.
     Linked {
+        /// The controller's endpoint.
         endpoint: SocketAddr,
+        /// Whether it is in a quorum.
         in_quorum: bool,
     },
+    /// The link has ended, and no other one is there.
     LinkLost {
+        /// The controller's endpoint.
         endpoint: SocketAddr,
+        /// Why.
         reason: LossReason,
     },
+    /// The link's controller has lost or regained its quorum.
     QuorumChanged {
+        /// Whether it is in a quorum now.
         in_quorum: bool,
     },
+    /// A proxy has connected.
     ProxyConnected,
+    /// The connection of the proxy has ended.
     ProxyClosed,
-    /// The proxy has put a newer configuration or evacuation into force.
+    /// The proxy has applied a newer configuration or newer evacuations.
     Applied {
+        /// Sequence number of the configuration.
         configured: u64,
+        /// Sequence number of the evacuations.
         evacuations: u64,
     },
-    Leaving,
+    /// The process shuts down.
+    ShuttingDown,
 }
 
-/// The agent's state.
+/// The state machine of an agent. Times are milliseconds of a monotonic clock that the caller reads.
 #[derive(Clone, Debug)]
 pub struct Agent<L = StandardRules> {
     selector: LinkSelector,
     sections: GuardedSections<L>,
     proxy: ProxyState,
-    /// What the proxy was told of the link last.
+    /// The link as last sent to the proxy.
     link: Link,
-    link_told_at: u64,
-    /// When the link's controller, or the last one that was linked, was heard.
-    heard_at: Option<u64>,
-    /// What the log says of the quorum of the link's controller.
+    link_sent_at: u64,
+    /// When something was last received from the present or last link.
+    received_at: Option<u64>,
+    /// The quorum of the link's controller as last logged.
     logged_quorum: bool,
     grace_ms: u64,
     exit_at: Option<u64>,
@@ -120,13 +149,14 @@
 }
 
 impl Agent {
+    /// An agent without connections.
     pub fn new(now: u64, settings: AgentSettings) -> Self {
         Agent::with_rules(now, settings)
     }
 }
 
 impl<L: ProtocolRules> Agent<L> {
-    /// Like [`Agent::new`], under rules of the caller's choice.
+    /// Like [`Agent::new`], with other protocol rules.
     pub fn with_rules(now: u64, settings: AgentSettings) -> Self {
         let AgentSettings { node, machine, zone, region, seeds, grace_ms, incarnation } = settings;
         let mut catalog = ControllerCatalog::new(zone.clone(), region.clone(), incarnation);
@@ -136,8 +166,8 @@
             sections: GuardedSections::new(),
             proxy: ProxyState::absent(node, zone, region, machine, incarnation),
             link: Link::default(),
-            link_told_at: now,
-            heard_at: None,
+            link_sent_at: now,
+            received_at: None,
             logged_quorum: false,
             grace_ms,
             exit_at: None,
@@ -148,7 +178,7 @@
         }
     }
 
-    /// Takes an input, and returns what is to be done, in order.
+    /// Handles an input. Returns the outputs in order.
     pub fn handle(&mut self, now: u64, input: Input) -> Vec<Output> {
         let mut outputs = Vec::new();
         match input {
@@ -156,17 +186,17 @@
             Input::Connected(connection) => self.connected(now, connection, &mut outputs),
             Input::Closed(connection) => {
                 let events = self.selector.closed(now, connection);
-                self.follow(now, events, &mut outputs);
+                self.carry_out(now, events, &mut outputs);
             }
             Input::FromController(connection, message) => {
-                self.controller_said(now, connection, message, &mut outputs);
+                self.handle_controller_message(now, connection, message, &mut outputs);
             }
             Input::ProxyConnected => self.proxy_connected(now, &mut outputs),
             Input::ProxyClosed => self.proxy_closed(now, &mut outputs),
             Input::FromProxy(report) => self.proxy_reported(now, report, &mut outputs),
             Input::Seeds(seeds) => {
                 let events = self.selector.set_seeds(now, &seeds);
-                self.follow(now, events, &mut outputs);
+                self.carry_out(now, events, &mut outputs);
             }
             Input::Terminate => self.terminate(now, &mut outputs),
         }
@@ -174,22 +204,22 @@
         outputs
     }
 
-    /// What whoever watches the agent is told.
-    pub fn figures(&self, now: u64) -> AgentFigures {
-        AgentFigures {
+    /// The present metrics.
+    pub fn metrics(&self, now: u64) -> AgentMetrics {
+        AgentMetrics {
             linked: self.selector.current().is_some(),
             in_quorum: self.selector.has_quorum(),
             proxy_connected: self.proxy.is_connected(),
-            heard_ms_ago: self.heard_at.map(|at| now.saturating_sub(at)),
+            received_ms_ago: self.received_at.map(|at| now.saturating_sub(at)),
             held: self.sections.versions(),
             applied: self.applied,
         }
     }
 
-    /// When to hand in a tick at the latest.
+    /// The time of the next [`Input::Tick`] at the latest.
     pub fn next_wake(&self, now: u64) -> u64 {
         let report = match self.selector.current() {
-            Some(_) if self.proxy.speaks(now) => Some(self.proxy.silent_at()),
+            Some(_) if self.proxy.is_reporting(now) => Some(self.proxy.times_out_at()),
             Some(_) => Some(self.next_report_at),
             None => None,
         };
@@ -200,10 +230,10 @@
 
     fn tick(&mut self, now: u64, outputs: &mut Vec<Output>) {
         let events = self.selector.tick(now);
-        self.follow(now, events, outputs);
-        let news = self.sections.settle(now);
-        self.pass_on(news, outputs);
-        if !self.proxy.speaks(now) && now >= self.next_report_at {
+        self.carry_out(now, events, outputs);
+        let changes = self.sections.release_pending(now);
+        self.forward(changes, outputs);
+        if !self.proxy.is_reporting(now) && now >= self.next_report_at {
             self.report(now, outputs);
         }
         if self.selector.current().is_none() && now >= self.next_settings_at {
@@ -215,15 +245,15 @@
         }
     }
 
-    /// A controller answers the first report with its state, so both frames go out together.
+    /// Sends hello and report together, since a controller answers the first report with its state.
     fn connected(&mut self, now: u64, connection: ConnectionId, outputs: &mut Vec<Output>) {
         let events = self.selector.connected(now, connection);
         outputs.push(Output::Greet(connection));
-        outputs.push(Output::Report(connection, self.upward(now)));
-        self.follow(now, events, outputs);
+        outputs.push(Output::Report(connection, self.outgoing_report(now)));
+        self.carry_out(now, events, outputs);
     }
 
-    fn controller_said(
+    fn handle_controller_message(
         &mut self,
         now: u64,
         id: ConnectionId,
@@ -231,30 +261,30 @@
         outputs: &mut Vec<Output>,
     ) {
         if self.selector.current() == Some(id) {
-            self.heard_at = Some(now);
+            self.received_at = Some(now);
         }
         match message {
             ToBalancer::Link(link) => {
-                let events = self.selector.told(now, id, &link);
-                self.follow(now, events, outputs);
-                self.quorum_told(now, id, link.in_quorum, outputs);
+                let events = self.selector.record_state(now, id, &link);
+                self.carry_out(now, events, outputs);
+                self.record_quorum(now, id, link.in_quorum, outputs);
             }
             ToBalancer::Update(update) => {
-                self.selector.heard(now, id);
+                self.selector.record_received(now, id);
                 if self.selector.current() == Some(id) {
-                    let news = self.sections.apply(now, update);
-                    self.took_sections(now, news, outputs);
+                    let changes = self.sections.apply(now, update);
+                    self.forward_and_acknowledge(now, changes, outputs);
                 }
             }
         }
     }
 
-    fn quorum_told(&mut self, now: u64, id: ConnectionId, in_quorum: bool, outputs: &mut Vec<Output>) {
+    fn record_quorum(&mut self, now: u64, id: ConnectionId, in_quorum: bool, outputs: &mut Vec<Output>) {
         if self.selector.current() != Some(id) {
             return;
         }
-        let news = self.sections.set_quorum(now, in_quorum);
-        self.took_sections(now, news, outputs);
+        let changes = self.sections.set_quorum(now, in_quorum);
+        self.forward_and_acknowledge(now, changes, outputs);
         if std::mem::replace(&mut self.logged_quorum, in_quorum) != in_quorum {
             outputs.push(Output::Log(Notice::QuorumChanged { in_quorum }));
         }
@@ -267,34 +297,34 @@
         }
         self.link.in_quorum = in_quorum;
         if self.proxy.is_connected() {
-            self.tell_proxy_of_link(now, outputs);
+            self.send_link_to_proxy(now, outputs);
         }
     }
 
-    fn tell_proxy_of_link(&mut self, now: u64, outputs: &mut Vec<Output>) {
-        self.link_told_at = now;
+    fn send_link_to_proxy(&mut self, now: u64, outputs: &mut Vec<Output>) {
+        self.link_sent_at = now;
         outputs.push(Output::ToProxy(ToBalancer::Link(self.link.clone())));
     }
 
-    /// Passes news on to the proxy. What the proxy has applied already is acknowledged at once.
-    fn took_sections(&mut self, now: u64, news: Update, outputs: &mut Vec<Output>) {
-        self.pass_on(news, outputs);
-        if self.proxy.speaks(now) && self.upward(now).applied != self.applied {
+    /// Forwards changes to the proxy, and acknowledges at once what the proxy has applied already.
+    fn forward_and_acknowledge(&mut self, now: u64, changes: Update, outputs: &mut Vec<Output>) {
+        self.forward(changes, outputs);
+        if self.proxy.is_reporting(now) && self.outgoing_report(now).applied != self.applied {
             self.report(now, outputs);
         }
     }
 
-    fn pass_on(&self, news: Update, outputs: &mut Vec<Output>) {
-        if self.proxy.is_connected() && news != Update::default() {
-            outputs.push(Output::ToProxy(ToBalancer::Update(news)));
+    fn forward(&self, changes: Update, outputs: &mut Vec<Output>) {
+        if self.proxy.is_connected() && changes != Update::default() {
+            outputs.push(Output::ToProxy(ToBalancer::Update(changes)));
         }
     }
 
     fn proxy_connected(&mut self, now: u64, outputs: &mut Vec<Output>) {
         self.proxy.connected(now);
         outputs.push(Output::Log(Notice::ProxyConnected));
-        self.tell_proxy_of_link(now, outputs);
-        self.pass_on(self.sections.snapshot(now), outputs);
+        self.send_link_to_proxy(now, outputs);
+        self.forward(self.sections.snapshot(now), outputs);
     }
 
     fn proxy_closed(&mut self, now: u64, outputs: &mut Vec<Output>) {
@@ -308,11 +338,11 @@
 
     fn proxy_reported(&mut self, now: u64, report: Report, outputs: &mut Vec<Output>) {
         let before = self.applied;
-        self.sections.in_force(report.applied);
+        self.sections.record_in_force(report.applied);
         self.proxy.reported(now, report);
         self.report(now, outputs);
-        if now >= self.link_told_at + KEEP_ALIVE_MS {
-            self.tell_proxy_of_link(now, outputs);
+        if now >= self.link_sent_at + KEEP_ALIVE_MS {
+            self.send_link_to_proxy(now, outputs);
         }
         let (configured, evacuations) = (self.applied.configured, self.applied.evacuations);
         if configured > before.configured || evacuations > before.evacuations {
@@ -325,7 +355,7 @@
             return;
         }
         self.exit_at = Some(now + self.grace_ms.saturating_sub(EXIT_RESERVE_MS));
-        outputs.push(Output::Log(Notice::Leaving));
+        outputs.push(Output::Log(Notice::ShuttingDown));
         self.report(now, outputs);
         if !self.proxy.is_connected() {
             self.exit(outputs);
@@ -339,20 +369,20 @@
         }
     }
 
-    fn upward(&self, now: u64) -> Report {
-        self.proxy.upward(now, self.sections.versions(), self.exit_at.is_some())
+    fn outgoing_report(&self, now: u64) -> Report {
+        self.proxy.outgoing_report(now, self.sections.versions(), self.exit_at.is_some())
     }
 
     fn report(&mut self, now: u64, outputs: &mut Vec<Output>) {
         self.next_report_at = now + REPORT_MS;
-        let report = self.upward(now);
+        let report = self.outgoing_report(now);
         self.applied = report.applied;
         if let Some(connection) = self.selector.current() {
             outputs.push(Output::Report(connection, report));
         }
     }
 
-    fn follow(&mut self, now: u64, events: Vec<LinkEvent>, outputs: &mut Vec<Output>) {
+    fn carry_out(&mut self, now: u64, events: Vec<LinkEvent>, outputs: &mut Vec<Output>) {
         for event in events {
             match event {
                 LinkEvent::Connect { connection, endpoint } => {
--- a/dataplane/agent/src/link_list.rs
+++ b/dataplane/agent/src/endpoint_list.rs
@@ -1,17 +1,17 @@
-//! The instances as the controller of the link tells them: its newest list, made whole of the changes that it sends.
+//! The endpoint list of the link: incremental changes are applied to the last complete list of the same controller.
 
 use whinspindle_distribution::{Instances, Update};
 
-/// The newest list of the link.
+/// The newest endpoint list of the link.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LinkList {
+pub(crate) struct EndpointList {
     held: Option<Instances>,
     received_at: u64,
 }
 
-impl LinkList {
-    /// Makes the instances of an update whole. Changes of another list than the one held are dropped; the controller
-    /// sends its list once the acknowledgement is overdue.
+impl EndpointList {
+    /// Replaces the changes in an update by the complete list. Changes of another list than the last one are dropped; the
+    /// controller sends its complete list once the acknowledgement is overdue.
     pub fn complete(&mut self, now: u64, mut update: Update) -> Update {
         if let Some(section) = &update.instances {
             self.held = Some(section.clone());
--- a/dataplane/agent/src/lib.rs
+++ b/dataplane/agent/src/lib.rs
@@ -1,25 +1,24 @@
-//! The agent beside each proxy: link to the control plane, feeds the proxy over loopback.
+//! The agent beside each proxy: keeps a link to a controller, sends the control plane's updates to the proxy over loopback
+//! and forwards the proxy's reports.
 //!
-//! The state machines [`LinkSelector`] (which controller) and [`Agent`] (what goes where) have no clock, socket or
-//! chance of their own; [`run`] is the program around them.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! [`Agent`] is the state machine, with [`LinkSelector`] to choose the controller. Both have no clock, socket or random
+//! numbers of their own: inputs and times are passed in, outputs are returned. [`run`] is the process around them.
 
 mod agent;
 mod catalog;
 mod connection;
-pub mod figures;
-mod link_list;
+mod endpoint_list;
+mod guarded_sections;
+pub mod metrics;
 mod protocol_rules;
-mod report;
-mod sections;
+mod proxy_state;
+mod runtime;
 mod selector;
 pub mod settings_file;
-mod shell;
 
 pub use agent::{Agent, AgentSettings, Input, Notice, Output};
 pub use catalog::{ControllerCatalog, Rank};
 pub use connection::ConnectionId;
 pub use protocol_rules::{ProtocolRules, StandardRules};
+pub use runtime::{AgentError, run};
 pub use selector::{LinkEvent, LinkSelector, LossReason};
-pub use shell::{AgentError, run};
--- a/dataplane/agent/src/figures.rs
+++ b/dataplane/agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The agent's own figures, read from its state when somebody asks.
+//! The agent's metrics, read from its state at each scrape.
 
 use whinspindle_distribution::Versions;
 use whinspindle_metrics::Figures;
@@ -6,24 +6,26 @@
 use crate::agent::Agent;
 use crate::protocol_rules::ProtocolRules;
 
-/// What an agent knows of its link and its proxy.
+/// Metrics of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AgentFigures {
+pub struct AgentMetrics {
+    /// A controller is linked.
     pub linked: bool,
     /// The link's controller is in a quorum.
     pub in_quorum: bool,
+    /// The proxy is connected.
     pub proxy_connected: bool,
-    /// Time since the link's controller, or the last one that was linked, was heard; none before the first.
-    pub heard_ms_ago: Option<u64>,
-    /// The newest versions that the agent holds.
+    /// Milliseconds since something was received from the present or last link; none before the first link.
+    pub received_ms_ago: Option<u64>,
+    /// Versions of the sections that the agent has.
     pub held: Versions,
-    /// The versions that its proxy has put into force.
+    /// Versions of the sections that its proxy has applied.
     pub applied: Versions,
 }
 
-/// The figures of this moment as OpenMetrics text.
+/// The present metrics as OpenMetrics text.
 pub fn text<L: ProtocolRules>(agent: &Agent<L>, now: u64) -> String {
-    let told = agent.figures(now);
+    let told = agent.metrics(now);
     let mut figures = Figures::default();
     let flags = [
         ("agent_linked", "1 while a controller is linked", told.linked),
@@ -33,7 +35,7 @@
     for (name, help, flag) in flags {
         figures.gauge(name, help, [([].as_slice(), if flag { 1.0 } else { 0.0 })]);
     }
-    let heard = told.heard_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
+    let heard = told.received_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
     figures.gauge("agent_heard_seconds", "Time since a controller was last heard", heard);
     add_versions(&mut figures, "agent_held", "Newest versions that the agent holds", told.held);
     add_versions(&mut figures, "agent_applied", "Versions that the proxy has in force", told.applied);
--- a/dataplane/agent/src/protocol_rules.rs
+++ b/dataplane/agent/src/protocol_rules.rs
@@ -1,16 +1,16 @@
-//! The rule for which records an agent takes. It is a type parameter, so that tests can show that it is needed.
+//! The safety rule for records as a type parameter, so that tests can replace it by a fault.
 
 use std::fmt::Debug;
 
-/// What must hold. The default is what the program runs; tests plant a fault in its place.
+/// The rules of the protocol. The defaults are those of the program.
 pub trait ProtocolRules: Clone + Debug {
-    /// Whether an agent that holds no records takes those of its link, if by quorum and time it `may`.
+    /// Whether an agent without records takes those of its link, where quorum and time allow it (`may`).
     fn takes_first_records(may: bool) -> bool {
         may
     }
 }
 
-/// The rules as the program keeps them.
+/// The rules of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandardRules;
 
--- a/dataplane/agent/src/report.rs
+++ b/dataplane/agent/src/proxy_state.rs
@@ -1,25 +1,25 @@
-//! What the agent reports upward, made of its proxy's newest report.
+//! The state of the proxy, and the report to the controller that is made from its newest report.
 
 use std::net::SocketAddr;
 
 use whinspindle_distribution::{Report, Versions};
 
-/// A proxy that has not reported for this long is not ready.
-const PROXY_SILENCE_MS: u64 = 3_000;
+/// A proxy that has not reported for this time is not ready, in milliseconds.
+const PROXY_TIMEOUT_MS: u64 = 3_000;
 
-/// What the agent knows of its proxy.
+/// The state of the proxy.
 #[derive(Clone, Debug)]
 pub(crate) struct ProxyState {
     connected: bool,
-    /// Of the agent itself.
+    /// Incarnation of the agent itself.
     incarnation: u64,
     reported_at: u64,
-    /// The newest report, or one that stands in for it until the first.
+    /// The newest report, or a substitute until the first one.
     report: Report,
 }
 
 impl ProxyState {
-    /// A proxy that has not connected yet; its front address is not known.
+    /// A proxy that has not connected yet; the address on which it serves clients is unknown.
     pub fn absent(
         node: String,
         zone: String,
@@ -42,47 +42,53 @@
         ProxyState { connected: false, incarnation, reported_at: 0, report }
     }
 
+    /// Whether a proxy is connected.
     pub fn is_connected(&self) -> bool {
         self.connected
     }
 
+    /// A proxy has connected.
     pub fn connected(&mut self, now: u64) {
         self.connected = true;
         self.reported_at = now;
         self.withdraw();
     }
 
+    /// The proxy's connection has ended.
     pub fn closed(&mut self) {
         self.connected = false;
         self.withdraw();
     }
 
+    /// Takes a report of the proxy.
     pub fn reported(&mut self, now: u64, report: Report) {
         self.connected = true;
         self.reported_at = now;
         self.report = report;
     }
 
-    /// Whether reports of the proxy are coming in, so that the agent has none to make up.
-    pub fn speaks(&self, now: u64) -> bool {
-        self.connected && now < self.reported_at + PROXY_SILENCE_MS
+    /// Whether the proxy reports regularly, so that the agent needs no reports of its own.
+    pub fn is_reporting(&self, now: u64) -> bool {
+        self.connected && now < self.reported_at + PROXY_TIMEOUT_MS
     }
 
-    /// When the proxy counts as silent.
-    pub fn silent_at(&self) -> u64 {
-        self.reported_at + PROXY_SILENCE_MS
+    /// When the proxy times out.
+    pub fn times_out_at(&self) -> u64 {
+        self.reported_at + PROXY_TIMEOUT_MS
     }
 
-    /// The report to send. An agent that leaves alone does so in a life of its own: a proxy that lives on is not left
-    /// out once the next agent reports it. What the agent does not hold itself is not acknowledged: the next proxy would lack it.
-    pub fn upward(&self, now: u64, held: Versions, shutting_down: bool) -> Report {
+    /// The report for the controller.
+    ///
+    /// An agent that shuts down without its proxy reports its own incarnation, so that the proxy is not excluded once the next
+    /// agent reports it. Sections that the agent lacks are not acknowledged, since the next proxy would lack them.
+    pub fn outgoing_report(&self, now: u64, held: Versions, shutting_down: bool) -> Report {
         let mut report = self.report.clone();
         if shutting_down && !report.shutting_down {
             report.shutting_down = true;
             report.incarnation = self.incarnation;
         }
         report.applied = acknowledged(report.applied, held);
-        if !self.speaks(now) {
+        if !self.is_reporting(now) {
             report.ready = false;
             report.sends.clear();
             report.failing.clear();
@@ -90,6 +96,7 @@
         report
     }
 
+    /// Clears what only holds for a proxy that reports.
     fn withdraw(&mut self) {
         self.report.ready = false;
         self.report.applied = Versions::default();
@@ -98,7 +105,7 @@
     }
 }
 
-/// The numbers of instances and fleet are each controller's own, and are not compared.
+/// Versions of instances and fleet are numbered by each controller and can't be compared.
 fn acknowledged(applied: Versions, held: Versions) -> Versions {
     Versions {
         configured: applied.configured.min(held.configured),
--- a/dataplane/agent/src/shell.rs
+++ b/dataplane/agent/src/runtime.rs
@@ -1,7 +1,7 @@
-//! The program around the state machine: sockets, clock, signals, settings file and log.
+//! The process runtime around the state machine: sockets, clock, signals, settings file and log.
 
 mod channel;
-mod notices;
+mod log_lines;
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -28,27 +28,37 @@
 
 use crate::agent::{Agent, AgentSettings, Input, Output};
 use crate::connection::ConnectionId;
-use crate::{figures, settings_file};
-use channel::{Channel, Event, Happening, Source};
+use crate::{metrics, settings_file};
+use channel::{Channel, ChannelEvent, Event, Source};
 
-/// Events that wait for the state machine; connections that have more are not read meanwhile.
-const WAITING_EVENTS: usize = 64;
-/// Time for the last frames to leave before the process ends.
+/// Length of the queue of events for the state machine; connections are not read while it is full.
+const EVENT_QUEUE: usize = 64;
+/// Time to write the last frames before the process ends.
 const FLUSH_LIMIT: Duration = Duration::from_millis(200);
-/// Pause after a failed accept, such as with too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Backoff after a failed accept, such as with too many open files.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// What keeps the agent from running.
+/// Why the agent could not start.
 #[derive(Debug, Snafu)]
 pub enum AgentError {
+    /// The listener for the proxy could not be opened.
     #[snafu(display("listening for the proxy on {endpoint}: {source}"))]
-    Listen { endpoint: SocketAddr, source: std::io::Error },
+    Listen {
+        /// Its address.
+        endpoint: SocketAddr,
+        /// The error of the system.
+        source: std::io::Error,
+    },
+    /// Signal handlers could not be installed.
     #[snafu(display("waiting for signals: {source}"))]
-    Signals { source: std::io::Error },
+    Signals {
+        /// The error of the system.
+        source: std::io::Error,
+    },
 }
 
-/// Runs the agent until it is told to stop. The settings come from this file, which is read again at a hang-up. The
-/// agent's tasks need a `LocalSet` around it. Its figures are served at `metrics`, if given.
+/// Runs the agent until it is told to shut down. `settings_file` is read again at a hang-up signal. The agent's tasks need
+/// a `LocalSet` around it. Metrics are served at `metrics`, if given.
 pub async fn run(
     settings: Settings,
     settings_file: PathBuf,
@@ -58,20 +68,20 @@
     let listener = TcpListener::bind(endpoint).await.context(ListenSnafu { endpoint })?;
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let (events, mut waiting) = mpsc::channel(WAITING_EVENTS);
+    let (events, mut waiting) = mpsc::channel(EVENT_QUEUE);
     spawn_local(accept(listener, events.clone()));
-    let mut shell = Shell::new(&settings, settings_file, events);
+    let mut runtime = Runtime::new(&settings, settings_file, events);
     if let Some(endpoint) = metrics {
-        spawn_local(whinspindle_metrics::serve(settings.ip, endpoint, shell.figures()));
+        spawn_local(whinspindle_metrics::serve(settings.ip, endpoint, runtime.metrics()));
     }
-    shell.handle(Input::Tick);
-    while !shell.exiting {
-        let input = next_input(&mut shell, &mut waiting, &mut terminate, &mut hangup).await;
+    runtime.handle(Input::Tick);
+    while !runtime.exiting {
+        let input = next_input(&mut runtime, &mut waiting, &mut terminate, &mut hangup).await;
         if let Some(input) = input {
-            shell.handle(input);
+            runtime.handle(input);
         }
     }
-    shell.flush().await;
+    runtime.flush().await;
     Ok(())
 }
 
@@ -83,29 +93,29 @@
                     return;
                 }
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
 async fn next_input(
-    shell: &mut Shell,
+    runtime: &mut Runtime,
     waiting: &mut mpsc::Receiver<Event>,
     terminate: &mut Signal,
     hangup: &mut Signal,
 ) -> Option<Input> {
-    let wake = shell.next_wake();
+    let wake = runtime.next_wake();
     tokio::select! {
         biased;
-        Some(event) = waiting.recv() => shell.input_of(event),
+        Some(event) = waiting.recv() => runtime.input_of(event),
         _ = terminate.recv() => Some(Input::Terminate),
-        _ = hangup.recv() => settings_file::seeds(&shell.settings_file).map(Input::Seeds),
+        _ = hangup.recv() => settings_file::seeds(&runtime.settings_file).map(Input::Seeds),
         () = sleep_until(wake.into()) => Some(Input::Tick),
     }
 }
 
 /// The state machine with its connections.
-struct Shell {
+struct Runtime {
     agent: Rc<RefCell<Agent>>,
     settings_file: PathBuf,
     started: Instant,
@@ -113,12 +123,12 @@
     events: mpsc::Sender<Event>,
     controllers: HashMap<ConnectionId, Channel>,
     proxy: Option<Channel>,
-    /// Proxies that have connected; the last one counts.
+    /// Number of proxies that have connected; only the last one is served.
     proxies: u64,
     exiting: bool,
 }
 
-impl Shell {
+impl Runtime {
     fn new(settings: &Settings, settings_file: PathBuf, events: mpsc::Sender<Event>) -> Self {
         let own = SocketAddr::new(settings.ip, settings.agent_endpoint().port());
         let hello = encode_hello(&Hello { role: Role::Balancer, endpoint: own });
@@ -131,7 +141,7 @@
             grace_ms: settings.bounds.grace_ms,
             incarnation: RandomState::new().build_hasher().finish(),
         };
-        Shell {
+        Runtime {
             agent: Rc::new(RefCell::new(Agent::new(0, agent_settings))),
             settings_file,
             started: Instant::now(),
@@ -148,10 +158,10 @@
         milliseconds_since(self.started)
     }
 
-    /// Makes the text of the figures whenever somebody asks.
-    fn figures(&self) -> Rc<dyn Fn() -> String> {
+    /// A function that renders the present metrics.
+    fn metrics(&self) -> Rc<dyn Fn() -> String> {
         let (agent, started) = (Rc::clone(&self.agent), self.started);
-        Rc::new(move || figures::text(&agent.borrow(), milliseconds_since(started)))
+        Rc::new(move || metrics::text(&agent.borrow(), milliseconds_since(started)))
     }
 
     fn next_wake(&self) -> Instant {
@@ -193,7 +203,7 @@
                 }
             }
             Output::Exit => self.exiting = true,
-            Output::Log(notice) => notices::log(notice),
+            Output::Log(notice) => log_lines::log(notice),
         }
     }
 
@@ -206,12 +216,12 @@
     fn input_of(&mut self, event: Event) -> Option<Input> {
         match event {
             Event::Accepted(stream) => Some(self.accepted(stream)),
-            Event::Channel(Source::Controller(connection), happening) => self
+            Event::Channel(Source::Controller(connection), event) => self
                 .controllers
                 .contains_key(&connection)
-                .then(|| self.controller_input(connection, happening))?,
-            Event::Channel(Source::Proxy(number), happening) => {
-                (number == self.proxies && self.proxy.is_some()).then(|| self.proxy_input(happening))?
+                .then(|| self.controller_input(connection, event))?,
+            Event::Channel(Source::Proxy(number), event) => {
+                (number == self.proxies && self.proxy.is_some()).then(|| self.proxy_input(event))?
             }
         }
     }
@@ -222,17 +232,17 @@
         Input::ProxyConnected
     }
 
-    fn controller_input(&mut self, connection: ConnectionId, happening: Happening) -> Option<Input> {
-        match happening {
-            Happening::Connected => Some(Input::Connected(connection)),
-            Happening::Received(frame) if frame.kind == FrameKind::ToBalancer => {
+    fn controller_input(&mut self, connection: ConnectionId, event: ChannelEvent) -> Option<Input> {
+        match event {
+            ChannelEvent::Connected => Some(Input::Connected(connection)),
+            ChannelEvent::Received(frame) if frame.kind == FrameKind::ToBalancer => {
                 match decode_to_balancer(&frame.payload) {
                     Ok(message) => Some(Input::FromController(connection, message)),
                     Err(error) => Some(self.controller_failed(connection, &error)),
                 }
             }
-            Happening::Received(_) => None,
-            Happening::Closed => {
+            ChannelEvent::Received(_) => None,
+            ChannelEvent::Closed => {
                 self.controllers.remove(&connection);
                 Some(Input::Closed(connection))
             }
@@ -240,24 +250,24 @@
     }
 
     fn controller_failed(&mut self, connection: ConnectionId, error: &DecodeError) -> Input {
-        spdlog::warn!("a controller sent what cannot be read: {error}");
+        spdlog::warn!("a message of a controller cannot be decoded: {error}");
         self.controllers.remove(&connection);
         Input::Closed(connection)
     }
 
-    fn proxy_input(&mut self, happening: Happening) -> Option<Input> {
-        match happening {
-            Happening::Received(frame) if frame.kind == FrameKind::Report => {
+    fn proxy_input(&mut self, event: ChannelEvent) -> Option<Input> {
+        match event {
+            ChannelEvent::Received(frame) if frame.kind == FrameKind::Report => {
                 match decode_report(&frame.payload) {
                     Ok(report) => Some(Input::FromProxy(report)),
                     Err(error) => {
-                        spdlog::warn!("the proxy sent what cannot be read: {error}");
+                        spdlog::warn!("a message of the proxy cannot be decoded: {error}");
                         Some(self.proxy_closed())
                     }
                 }
             }
-            Happening::Connected | Happening::Received(_) => None,
-            Happening::Closed => Some(self.proxy_closed()),
+            ChannelEvent::Connected | ChannelEvent::Received(_) => None,
+            ChannelEvent::Closed => Some(self.proxy_closed()),
         }
     }
 
@@ -266,11 +276,11 @@
         Input::ProxyClosed
     }
 
-    /// Lets the last frames go out.
+    /// Writes the frames that are queued.
     async fn flush(self) {
         let channels = self.controllers.into_values().chain(self.proxy);
         let ends: Vec<_> = channels.filter_map(Channel::finish).collect();
-        // What has not left by then never will: the peer does not read.
+        // A peer that has not read them by then never will.
         let _ = tokio::time::timeout(FLUSH_LIMIT, async {
             for end in ends {
                 let _ = end.await;
--- a/dataplane/agent/src/shell/channel.rs
+++ b/dataplane/agent/src/runtime/channel.rs
@@ -1,4 +1,4 @@
-//! A connection with a task of its own that reads and writes its frames.
+//! A connection with a task of its own that reads and writes frames.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,34 +13,39 @@
 
 use crate::connection::ConnectionId;
 
-/// Frames that wait to be written; a peer that reads so slowly is dropped.
-const WAITING_FRAMES: usize = 256;
-/// The state machine gives an attempt up before that.
+/// Length of the queue of frames to write; a slower peer is disconnected.
+const FRAME_QUEUE: usize = 256;
+/// Time-out of connecting; the state machine gives up earlier.
 const CONNECT_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// What the tasks tell the program.
+/// Events that tasks send to the runtime.
 pub enum Event {
     /// A proxy has connected.
     Accepted(TcpStream),
-    Channel(Source, Happening),
+    /// Something has happened on a connection.
+    Channel(Source, ChannelEvent),
 }
 
-/// The connection that an event is of.
+/// The connection on which an event has happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
+    /// A connection to a controller.
     Controller(ConnectionId),
     /// The number of the proxy's connection.
     Proxy(u64),
 }
 
-pub enum Happening {
+/// What happens on a connection.
+pub enum ChannelEvent {
+    /// The connection is established.
     Connected,
+    /// A frame was received.
     Received(Frame),
     /// The connection has ended, or could not be made.
     Closed,
 }
 
-/// The program's end of a connection; dropping it closes the connection.
+/// The handle of a connection; dropping it closes the connection.
 pub struct Channel {
     source: Source,
     outgoing: mpsc::Sender<Frame>,
@@ -54,18 +59,18 @@
         let source = Source::Controller(connection);
         Channel::start(source, events, async move |outgoing, events| {
             let Ok(stream) = connect(endpoint, CONNECT_LIMIT).await else { return };
-            if events.send(Event::Channel(source, Happening::Connected)).await.is_ok() {
-                // Whichever way it ends, the end is told.
+            if events.send(Event::Channel(source, ChannelEvent::Connected)).await.is_ok() {
+                // `Closed` is sent however it ends.
                 let _ = serve(stream, source, outgoing, &events).await;
             }
         })
     }
 
-    /// Takes over a connection that a proxy has opened.
+    /// Serves a connection that a proxy has opened.
     pub fn accepted(number: u64, stream: TcpStream, events: mpsc::Sender<Event>) -> Channel {
         let source = Source::Proxy(number);
         Channel::start(source, events, async move |outgoing, events| {
-            // Without it the connection works, only slower.
+            // The connection works without this option too, only slower.
             let _ = stream.set_nodelay(true);
             let _ = serve(stream, source, outgoing, &events).await;
         })
@@ -75,27 +80,27 @@
     where
         F: AsyncFnOnce(mpsc::Receiver<Frame>, mpsc::Sender<Event>) + 'static,
     {
-        let (outgoing, waiting) = mpsc::channel(WAITING_FRAMES);
+        let (outgoing, waiting) = mpsc::channel(FRAME_QUEUE);
         let told = events.clone();
         let task = spawn_local(async move {
             body(waiting, told.clone()).await;
-            // The program may have ended already.
-            let _ = told.send(Event::Channel(source, Happening::Closed)).await;
+            // The runtime may have ended already.
+            let _ = told.send(Event::Channel(source, ChannelEvent::Closed)).await;
         });
         Channel { source, outgoing, events, task: Some(task) }
     }
 
-    /// Queues a frame. A peer that does not read is dropped.
+    /// Queues a frame. A peer whose queue is full is disconnected.
     pub fn send(&mut self, frame: Frame) {
         let full = matches!(self.outgoing.try_send(frame), Err(mpsc::error::TrySendError::Full(_)));
         if full && let Some(task) = self.task.take() {
             task.abort();
             let (events, source) = (self.events.clone(), self.source);
-            spawn_local(async move { events.send(Event::Channel(source, Happening::Closed)).await });
+            spawn_local(async move { events.send(Event::Channel(source, ChannelEvent::Closed)).await });
         }
     }
 
-    /// Queues nothing more; the task that is returned ends once the rest is written.
+    /// Closes the queue; the returned task ends once the rest is written.
     pub fn finish(mut self) -> Option<JoinHandle<()>> {
         self.task.take()
     }
@@ -131,7 +136,7 @@
             }
             next = reader.next() => {
                 let Some(frame) = next? else { return Ok(()) };
-                let event = Event::Channel(source, Happening::Received(frame));
+                let event = Event::Channel(source, ChannelEvent::Received(frame));
                 if events.send(event).await.is_err() {
                     return Ok(());
                 }
@@ -140,7 +145,7 @@
     }
 }
 
-/// Ends a connection in order: a close with unread bytes would take the last frames with it.
+/// Closes a connection gracefully: a close with unread bytes would discard the last frames.
 async fn end(mut reader: FrameReader<OwnedReadHalf>, mut writer: OwnedWriteHalf) -> Result<(), FrameError> {
     if writer.shutdown().await.is_err() {
         return Ok(());
--- a/dataplane/agent/src/shell/notices.rs
+++ b/dataplane/agent/src/runtime/log_lines.rs
@@ -1,10 +1,11 @@
-//! The agent's lines in the log.
+//! The agent's log lines.
 
 use spdlog::{info, warn};
 
 use crate::agent::Notice;
 use crate::selector::LossReason;
 
+/// Logs a notice.
 pub fn log(notice: Notice) {
     match notice {
         Notice::Linked { endpoint, in_quorum: true } => info!("linked to controller {endpoint}"),
@@ -14,8 +15,8 @@
         Notice::LinkLost { endpoint, reason: LossReason::Closed } => {
             warn!("the link to controller {endpoint} was closed");
         }
-        Notice::LinkLost { endpoint, reason: LossReason::Silent } => {
-            warn!("controller {endpoint} fell silent")
+        Notice::LinkLost { endpoint, reason: LossReason::TimedOut } => {
+            warn!("the link to controller {endpoint} timed out")
         }
         Notice::QuorumChanged { in_quorum: true } => info!("the controller of the link has a quorum"),
         Notice::QuorumChanged { in_quorum: false } => warn!("the controller of the link has no quorum"),
@@ -24,6 +25,6 @@
         Notice::Applied { configured, evacuations } => {
             info!("the proxy has applied configuration {configured}, evacuations {evacuations}");
         }
-        Notice::Leaving => info!("stopping: the controller is told"),
+        Notice::ShuttingDown => info!("shutting down: the controller is notified"),
     }
 }
--- a/dataplane/agent/src/selector.rs
+++ b/dataplane/agent/src/selector.rs
@@ -1,5 +1,5 @@
-//! Which controller the agent is linked to. A new link is made before the old one is broken, wherever the old one
-//! still speaks.
+//! Selects the controller that the agent is linked to. A new link is established before the old one is closed, as long as
+//! the old one works.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,44 +9,56 @@
 use crate::catalog::ControllerCatalog;
 use crate::connection::{Connection, ConnectionId};
 
-/// The most attempts at once.
+/// The most concurrent attempts.
 const MAXIMUM_ATTEMPTS: usize = 3;
-/// The least time between the starts of two attempts, unless one has failed.
+/// The least time between the starts of two attempts, unless one has failed, in milliseconds.
 const ATTEMPT_SPACING_MS: u64 = 150;
-/// How often nearer controllers are tried while the link is fit.
+/// Interval of attempts at nearer controllers while the link is healthy, in milliseconds.
 const IMPROVEMENT_MS: u64 = 5_000;
 
 /// Why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossReason {
+    /// The connection was closed, or could not be made.
     Closed,
-    Silent,
+    /// Nothing was received within the time-out.
+    TimedOut,
 }
 
-/// What the selector wants done, and what it tells.
+/// Outputs of the selector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LinkEvent {
+    /// Connect to a controller.
     Connect {
+        /// The id of the new connection.
         connection: ConnectionId,
+        /// The controller's endpoint.
         endpoint: SocketAddr,
     },
+    /// Close a connection.
     Close {
+        /// The connection.
         connection: ConnectionId,
     },
-    /// From now on this connection is the link.
+    /// This connection has become the link.
     Adopted {
+        /// The connection.
         connection: ConnectionId,
+        /// The controller's endpoint.
         endpoint: SocketAddr,
+        /// Whether the controller is in a quorum.
         in_quorum: bool,
     },
     /// The link has ended, and no other one is there.
     Lost {
+        /// The controller's endpoint.
         endpoint: SocketAddr,
+        /// Why.
         reason: LossReason,
     },
 }
 
-/// Chooses and keeps the link.
+/// Selects the link among the controllers of a catalog.
 #[derive(Clone, Debug)]
 pub struct LinkSelector {
     catalog: ControllerCatalog,
@@ -58,6 +70,7 @@
 }
 
 impl LinkSelector {
+    /// A selector without connections.
     pub fn new(catalog: ControllerCatalog) -> Self {
         LinkSelector {
             catalog,
@@ -69,12 +82,12 @@
         }
     }
 
-    /// The connection that is the link now.
+    /// The connection that is the link.
     pub fn current(&self) -> Option<ConnectionId> {
         self.current
     }
 
-    /// Whether the link stands and its controller has a quorum.
+    /// Whether there is a link whose controller is in a quorum.
     pub fn has_quorum(&self) -> bool {
         self.current_connection().is_some_and(Connection::has_quorum)
     }
@@ -85,7 +98,7 @@
         self.tick(now)
     }
 
-    /// The connection stands.
+    /// The connection is established.
     pub fn connected(&mut self, now: u64, id: ConnectionId) -> Vec<LinkEvent> {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.connected(now);
@@ -101,45 +114,45 @@
         events
     }
 
-    /// Something other than the controller's state arrived.
-    pub fn heard(&mut self, now: u64, id: ConnectionId) {
+    /// Records that something other than the controller's state was received.
+    pub fn record_received(&mut self, now: u64, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.heard(now);
+            connection.record_received(now);
         }
     }
 
-    /// A controller told of its state.
-    pub fn told(&mut self, now: u64, id: ConnectionId, link: &Link) -> Vec<LinkEvent> {
+    /// Takes the state of a controller.
+    pub fn record_state(&mut self, now: u64, id: ConnectionId, link: &Link) -> Vec<LinkEvent> {
         let Some(connection) = self.connections.get_mut(&id) else { return Vec::new() };
-        connection.told(now, link);
+        connection.record_state(now, link);
         self.catalog.learn(now, &link.controllers);
         let mut events = Vec::new();
         if self.current != Some(id) {
-            self.judge(now, id, &mut events);
+            self.evaluate(now, id, &mut events);
         }
         events.extend(self.tick(now));
         events
     }
 
-    /// Gives up what is silent, and starts the attempts that are due.
+    /// Drops connections that have timed out, and starts the attempts that are due.
     pub fn tick(&mut self, now: u64) -> Vec<LinkEvent> {
         let mut events = Vec::new();
-        self.give_up_silent(now, &mut events);
+        self.drop_timed_out(now, &mut events);
         self.search(now, &mut events);
         self.improve(now, &mut events);
         events
     }
 
-    /// When `tick` is to be called at the latest if nothing happens before.
+    /// The time of the next [`LinkSelector::tick`] at the latest.
     pub fn next_wake(&self, now: u64) -> u64 {
-        let give_up = self.connections.values().map(Connection::gives_up_at).min();
+        let time_out = self.connections.values().map(Connection::times_out_at).min();
         let search = match self.current_connection() {
             Some(current) if current.unfit_from() > now => Some(current.unfit_from()),
             _ => self.next_search_at(),
         };
         let improvement =
             self.improvement().filter(|_| self.may_improve(now)).map(|_| self.next_improvement_at);
-        let wakes = [give_up, search, improvement];
+        let wakes = [time_out, search, improvement];
         wakes.into_iter().flatten().min().unwrap_or(now + IMPROVEMENT_MS)
     }
 
@@ -159,8 +172,8 @@
         self.connections.values().any(|connection| connection.endpoint == endpoint)
     }
 
-    /// Takes a candidate as the link, or closes it.
-    fn judge(&mut self, now: u64, id: ConnectionId, events: &mut Vec<LinkEvent>) {
+    /// Makes a candidate the link, or closes it.
+    fn evaluate(&mut self, now: u64, id: ConnectionId, events: &mut Vec<LinkEvent>) {
         let Some(candidate) = self.connections.get(&id) else { return };
         let endpoint = candidate.endpoint;
         let better = match self.current_connection() {
@@ -209,15 +222,15 @@
         }
     }
 
-    fn give_up_silent(&mut self, now: u64, events: &mut Vec<LinkEvent>) {
+    fn drop_timed_out(&mut self, now: u64, events: &mut Vec<LinkEvent>) {
         let silent: Vec<_> = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.gives_up_at() <= now)
+            .filter(|(_, connection)| connection.times_out_at() <= now)
             .map(|(&id, _)| id)
             .collect();
         for id in silent {
-            self.drop_connection(now, id, LossReason::Silent, events);
+            self.drop_connection(now, id, LossReason::TimedOut, events);
             events.push(LinkEvent::Close { connection: id });
         }
     }
@@ -238,7 +251,7 @@
         }
     }
 
-    /// Starts an attempt if the link is missing or unfit.
+    /// Starts an attempt if there is no healthy link.
     fn search(&mut self, now: u64, events: &mut Vec<LinkEvent>) {
         if self.is_fit(now) || now < self.next_attempt_at || self.attempts() >= MAXIMUM_ATTEMPTS {
             return;
@@ -256,7 +269,7 @@
         Some(eligible_at.max(self.next_attempt_at))
     }
 
-    /// Tries a nearer controller now and then while the link is fit.
+    /// Starts an attempt at a nearer controller from time to time while the link is healthy.
     fn improve(&mut self, now: u64, events: &mut Vec<LinkEvent>) {
         if now < self.next_improvement_at || !self.may_improve(now) {
             return;
--- a/dataplane/agent/src/settings_file.rs
+++ b/dataplane/agent/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file, read again while the agent runs.
+//! Reads the settings file again while the agent runs.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -6,12 +6,12 @@
 use spdlog::warn;
 use whinspindle_configuration::Settings;
 
-/// The internal endpoints of the controllers that the settings name.
+/// The internal endpoints of the controllers in the settings.
 pub fn internal_endpoints(settings: &Settings) -> Vec<SocketAddr> {
     settings.seeds.iter().map(|seed| settings.internal_endpoint(seed.ip())).collect()
 }
 
-/// The controllers that the file names now; none if it cannot be read, perhaps because it is being written.
+/// The controllers in the file; none if it cannot be read or parsed, perhaps because it is being written.
 pub fn seeds(path: &Path) -> Option<Vec<SocketAddr>> {
     let text = match std::fs::read(path) {
         Ok(text) => text,
--- a/dataplane/agent/tests/common/mod.rs
+++ b/dataplane/agent/tests/common/mod.rs
@@ -41,24 +41,24 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Wire {
+struct SimulatedConnection {
     endpoint: SocketAddr,
     reported: bool,
 }
 
-pub struct World {
+pub struct Harness {
     pub now: u64,
     pub agent: Agent,
     pub controllers: BTreeMap<SocketAddr, Controller>,
     /// The controllers that every controller tells of.
-    pub told: Vec<SocketAddr>,
+    pub listed: Vec<SocketAddr>,
     pub reports: Vec<(u64, SocketAddr, Report)>,
     pub attempts: Vec<(u64, SocketAddr)>,
     pub to_proxy: Vec<ToBalancer>,
     pub notices: Vec<(u64, Notice)>,
     pub settings_read: Vec<u64>,
     pub exited_at: Option<u64>,
-    wires: BTreeMap<ConnectionId, Wire>,
+    connections: BTreeMap<ConnectionId, SimulatedConnection>,
     inbox: BTreeMap<(u64, u64), Input>,
     queued: u64,
     keep_alive_at: u64,
@@ -127,9 +127,9 @@
     }
 }
 
-impl World {
+impl Harness {
     /// An agent in zone `a` of region `north` whose settings name these controllers.
-    pub fn new(controllers: &[(u8, Controller)], seeds: &[u8], incarnation: u64) -> World {
+    pub fn new(controllers: &[(u8, Controller)], seeds: &[u8], incarnation: u64) -> Harness {
         let settings = AgentSettings {
             node: "edge-1".to_owned(),
             machine: "10.0.0.99".parse().unwrap(),
@@ -139,21 +139,21 @@
             grace_ms: GRACE_MS,
             incarnation,
         };
-        World {
+        Harness {
             now: 0,
             agent: Agent::new(0, settings),
             controllers: controllers
                 .iter()
                 .map(|(number, state)| (endpoint(*number), state.clone()))
                 .collect(),
-            told: controllers.iter().map(|(number, _)| endpoint(*number)).collect(),
+            listed: controllers.iter().map(|(number, _)| endpoint(*number)).collect(),
             reports: Vec::new(),
             attempts: Vec::new(),
             to_proxy: Vec::new(),
             notices: Vec::new(),
             settings_read: Vec::new(),
             exited_at: None,
-            wires: BTreeMap::new(),
+            connections: BTreeMap::new(),
             inbox: BTreeMap::new(),
             queued: 0,
             keep_alive_at: 0,
@@ -170,13 +170,13 @@
             return;
         }
         let ended: Vec<_> = self
-            .wires
+            .connections
             .iter()
             .filter(|(_, wire)| wire.endpoint == endpoint(number))
             .map(|(&id, _)| id)
             .collect();
         for connection in ended {
-            self.wires.remove(&connection);
+            self.connections.remove(&connection);
             self.queue(1, Input::Closed(connection));
         }
     }
@@ -221,7 +221,7 @@
         match output {
             Output::Connect { connection, endpoint } => self.connect(connection, endpoint),
             Output::Close(connection) => {
-                self.wires.remove(&connection);
+                self.connections.remove(&connection);
                 self.inbox.retain(|_, input| connection_of(input) != Some(connection));
             }
             Output::Greet(_) => {}
@@ -237,7 +237,7 @@
         self.attempts.push((self.now, endpoint));
         match self.controllers.get(&endpoint).map(|state| (state.mode, state.delay_ms)) {
             Some((Mode::Up, delay_ms)) => {
-                self.wires.insert(connection, Wire { endpoint, reported: false });
+                self.connections.insert(connection, SimulatedConnection { endpoint, reported: false });
                 self.queue(2 * delay_ms, Input::Connected(connection));
             }
             Some((Mode::Down, delay_ms)) => self.queue(2 * delay_ms, Input::Closed(connection)),
@@ -246,7 +246,7 @@
     }
 
     fn take_report(&mut self, connection: ConnectionId, report: Report) {
-        let Some(wire) = self.wires.get_mut(&connection) else { return };
+        let Some(wire) = self.connections.get_mut(&connection) else { return };
         let endpoint = wire.endpoint;
         let state = &self.controllers[&endpoint];
         if state.mode != Mode::Up {
@@ -265,20 +265,20 @@
 
     fn link(&self, endpoint: SocketAddr, with_controllers: bool) -> ToBalancer {
         let state = &self.controllers[&endpoint];
-        let told = self.told.iter().filter(|_| with_controllers).map(|&endpoint| {
+        let listed_controllers = self.listed.iter().filter(|_| with_controllers).map(|&endpoint| {
             let of = &self.controllers[&endpoint];
             ControllerAddress { endpoint, zone: of.zone.to_owned(), region: of.region.to_owned() }
         });
         ToBalancer::Link(Link {
             in_quorum: state.in_quorum,
             shutting_down: state.shutting_down,
-            controllers: told.collect(),
+            controllers: listed_controllers.collect(),
         })
     }
 
     fn send_keep_alives(&mut self) {
-        let wires: Vec<_> = self.wires.iter().map(|(&id, &wire)| (id, wire)).collect();
-        for (connection, wire) in wires {
+        let connections: Vec<_> = self.connections.iter().map(|(&id, &wire)| (id, wire)).collect();
+        for (connection, wire) in connections {
             let state = &self.controllers[&wire.endpoint];
             if state.mode == Mode::Up && wire.reported {
                 let delay_ms = state.delay_ms;
@@ -290,8 +290,8 @@
 
     /// Sends an update from a controller to the agent.
     pub fn update(&mut self, number: u8, update: Update) {
-        let wires: Vec<_> = self.wires.iter().map(|(&id, &wire)| (id, wire)).collect();
-        for (connection, wire) in wires {
+        let connections: Vec<_> = self.connections.iter().map(|(&id, &wire)| (id, wire)).collect();
+        for (connection, wire) in connections {
             if wire.endpoint == endpoint(number) && wire.reported {
                 self.queue(5, Input::FromController(connection, ToBalancer::Update(update.clone())));
             }
@@ -305,7 +305,7 @@
 
     /// The controllers that have a connection of the agent on which it has reported.
     pub fn linked_to(&self) -> Vec<SocketAddr> {
-        self.wires.values().filter(|wire| wire.reported).map(|wire| wire.endpoint).collect()
+        self.connections.values().filter(|wire| wire.reported).map(|wire| wire.endpoint).collect()
     }
 
     /// Where the agent was linked to, in order.
--- a/dataplane/agent/tests/connections.rs
+++ b/dataplane/agent/tests/connections.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_comes_late_on_a_connection_that_is_gone_is_not_taken() {
+fn late_messages_on_a_closed_connection_are_not_applied() {
     let mut agent = agent();
     let first = connect(&agent.handle(0, Input::Tick));
     adopt(&mut agent, 10, first);
@@ -73,19 +73,19 @@
 }
 
 #[test]
-fn what_a_proxy_has_applied_says_nothing_of_the_next() {
+fn what_a_proxy_has_applied_is_not_acknowledged_for_the_next() {
     let mut agent = agent();
     let link = connect(&agent.handle(0, Input::Tick));
     adopt(&mut agent, 10, link);
     agent.handle(20, Input::ProxyConnected);
     agent.handle(30, update(link, configured(5)));
     let applied = Versions { configured: 5, ..Versions::default() };
-    let told = agent.handle(40, Input::FromProxy(proxy_report(applied)));
-    assert_eq!(reports(&told).last().map(|report| report.applied.configured), Some(5));
+    let outputs = agent.handle(40, Input::FromProxy(proxy_report(applied)));
+    assert_eq!(reports(&outputs).last().map(|report| report.applied.configured), Some(5));
     // The next proxy connects before the end of the old connection is seen.
-    let told = agent.handle(50, Input::ProxyConnected);
-    assert_eq!(updates(&told).len(), 1, "it gets all that is held");
-    let told = agent.handle(60, update(link, configured(6)));
-    let last = reports(&told).last().map(|report| (report.applied.configured, report.ready));
+    let outputs = agent.handle(50, Input::ProxyConnected);
+    assert_eq!(updates(&outputs).len(), 1, "it gets all that is held");
+    let outputs = agent.handle(60, update(link, configured(6)));
+    let last = reports(&outputs).last().map(|report| (report.applied.configured, report.ready));
     assert_eq!(last, Some((0, false)));
 }
--- a/dataplane/agent/tests/settings_file.rs
+++ b/dataplane/agent/tests/settings_file.rs
@@ -5,7 +5,7 @@
 use whinspindle_agent::settings_file::seeds;
 
 #[test]
-fn the_seeds_come_from_the_file_that_is_named() {
+fn seeds_are_read_from_the_settings_file() {
     let path = std::env::temp_dir().join(format!("whinspindle-settings-{}.json", std::process::id()));
     assert_eq!(seeds(&path), None, "there is no file");
     let settings = |seeds: &str| {
