--- a/dataplane/proxy/src/pool.rs
+++ b/dataplane/proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: those that stand idle, and how many may be open.
+//! The connection pool: idle connections to upstreams, and the limits of open ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,31 +11,41 @@
 use whinspindle_routing::InstanceKey;
 
 use crate::connect::Connect;
-use crate::lane::Lane;
-
-/// After an answer a connection carries nothing for so long: a surplus answer shows itself meanwhile.
-const REST: Duration = Duration::from_millis(20);
-/// A connection is dropped at this part of the time after which the upstream closes it.
-const IDLE_PART: f64 = 0.7;
-/// For how long an upstream keeps an idle connection if its answers give no time, which is less than a second.
-const UNTOLD_IDLE: Duration = Duration::from_millis(500);
-/// Longer than a round trip between regions.
+use crate::connection::UpstreamConnection;
+
+/// A connection is not reused within this time after an answer, so that a surplus answer is noticed.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+/// An idle connection is closed after this fraction of the upstream's keep-alive time.
+const IDLE_FRACTION: f64 = 0.7;
+/// Keep-alive time of an upstream whose answers give none, which is less than a second.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(500);
+/// Time-out of connecting; longer than a round trip between regions.
 const CONNECT_LIMIT: Duration = Duration::from_millis(250);
 
-/// Why there is no connection.
+/// Why there is no connection to an upstream.
 #[derive(Debug, Snafu)]
-pub enum NoLane {
+pub enum ConnectionError {
+    /// The limit of connections is reached.
     #[snafu(display("all connections that may be open to the upstream are in use"))]
     Full,
+    /// Connecting timed out.
     #[snafu(display("the upstream did not take the connection in time"))]
     Silent,
+    /// The connection was refused or could not be made.
     #[snafu(display("the upstream did not take the connection"))]
-    Refused { source: std::io::Error },
+    Refused {
+        /// The error of the system.
+        source: std::io::Error,
+    },
+    /// The connection could not be made ready for HTTP.
     #[snafu(display("the connection can't be made ready"))]
-    Handshake { source: hyper::Error },
+    Handshake {
+        /// The error of the HTTP library.
+        source: hyper::Error,
+    },
 }
 
-/// How many connections may be open.
+/// The most connections that may be open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
     /// To all upstreams together.
@@ -47,15 +57,15 @@
     connect: Box<dyn Connect>,
     limits: PoolLimits,
     total: Rc<Cell<usize>>,
-    instances: RefCell<HashMap<InstanceKey, Lanes>>,
+    instances: RefCell<HashMap<InstanceKey, InstanceConnections>>,
 }
 
 #[derive(Default)]
-struct Lanes {
+struct InstanceConnections {
     open: Rc<Cell<usize>>,
-    /// For how long the upstream keeps idle connections, as it last told on any of them.
-    keeps: Option<Duration>,
-    /// The one used last stands last.
+    /// The upstream's keep-alive time, as its last answer on any connection gave it.
+    keep_alive: Option<Duration>,
+    /// Sorted by the time of the last use, the last used one last.
     idle: Vec<Idle>,
 }
 
@@ -65,36 +75,38 @@
     leased: Leased,
 }
 
-/// A connection in use; it counts among the open ones until it is dropped.
+/// A connection in use; it counts as open until it is dropped.
 pub struct Leased {
-    pub lane: Lane,
-    /// For how long the upstream keeps it once it is idle, as far as its answers tell.
-    pub keeps: Option<Duration>,
+    /// The connection.
+    pub connection: UpstreamConnection,
+    /// The upstream's keep-alive time, as far as its answers give it.
+    pub keep_alive: Option<Duration>,
     instance: InstanceKey,
-    _place: Place,
+    _slot: Slot,
 }
 
 impl Leased {
-    /// The upstream to which it leads.
+    /// The instance that it is connected to.
     pub fn instance(&self) -> InstanceKey {
         self.instance
     }
 }
 
-struct Place {
+/// Counts one open connection until it is dropped.
+struct Slot {
     total: Rc<Cell<usize>>,
     open: Rc<Cell<usize>>,
 }
 
-impl Place {
-    fn take(total: &Rc<Cell<usize>>, open: &Rc<Cell<usize>>) -> Place {
+impl Slot {
+    fn take(total: &Rc<Cell<usize>>, open: &Rc<Cell<usize>>) -> Slot {
         total.set(total.get() + 1);
         open.set(open.get() + 1);
-        Place { total: Rc::clone(total), open: Rc::clone(open) }
+        Slot { total: Rc::clone(total), open: Rc::clone(open) }
     }
 }
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
         self.total.set(self.total.get() - 1);
         self.open.set(self.open.get() - 1);
@@ -102,96 +114,101 @@
 }
 
 impl Pool {
+    /// An empty pool.
     pub fn new(connect: Box<dyn Connect>, limits: PoolLimits) -> Self {
         Pool { connect, limits, total: Rc::default(), instances: RefCell::default() }
     }
 
-    /// A connection to the instance: an idle one, or a new one if no more than `most` are open. Idle ones that are not
-    /// to be trusted are dropped: what is written to an upstream that has gone dark may not be sent again, while a new
-    /// connection that does not come up costs a moment and nothing else.
+    /// A connection to the instance: an idle one, or a new one if fewer than `most` are open.
+    ///
+    /// Without `trusts_idle`, idle connections are closed first: a request that is written to an unreachable upstream may not
+    /// be retried, while a new connection that does not come up costs little time.
     pub async fn lease(
         &self,
         instance: InstanceKey,
         address: SocketAddr,
         most: usize,
         trusts_idle: bool,
-    ) -> Result<Leased, NoLane> {
+    ) -> Result<Leased, ConnectionError> {
         if !trusts_idle {
             self.drop_idle(instance);
         }
         while let Some(mut leased) = self.take_idle(instance) {
-            if leased.lane.is_still_open().await {
+            if leased.connection.is_still_open().await {
                 return Ok(leased);
             }
         }
-        let place = self.take_place(instance, most)?;
+        let place = self.take_slot(instance, most)?;
         let socket = timeout(CONNECT_LIMIT, self.connect.connect(address)).await;
-        let socket = socket.map_err(|_| NoLane::Silent)?.context(RefusedSnafu)?;
-        let lane = Lane::open(socket).await.context(HandshakeSnafu)?;
-        Ok(Leased { lane, keeps: None, instance, _place: place })
+        let socket = socket.map_err(|_| ConnectionError::Silent)?.context(RefusedSnafu)?;
+        let connection = UpstreamConnection::open(socket).await.context(HandshakeSnafu)?;
+        Ok(Leased { connection, keep_alive: None, instance, _slot: place })
     }
 
-    /// Puts back a connection that may carry another request.
-    pub fn give_back(&self, leased: Leased) {
+    /// Returns a connection that may carry another request to the pool.
+    pub fn release(&self, leased: Leased) {
         let mut instances = self.instances.borrow_mut();
-        let lanes = instances.entry(leased.instance).or_default();
-        lanes.keeps = leased.keeps.or(lanes.keeps);
+        let connections = instances.entry(leased.instance).or_default();
+        connections.keep_alive = leased.keep_alive.or(connections.keep_alive);
         let since = Instant::now();
-        let until = since + lanes.keeps.unwrap_or(UNTOLD_IDLE).mul_f64(IDLE_PART);
-        lanes.idle.push(Idle { since, until, leased });
+        let until = since + connections.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).mul_f64(IDLE_FRACTION);
+        connections.idle.push(Idle { since, until, leased });
     }
 
-    /// Drops idle connections whose time is over, and those to instances that are gone.
+    /// Closes idle connections whose time is over, and those to instances that are no longer known.
     pub fn sweep(&self, is_known: impl Fn(InstanceKey) -> bool) {
         let now = Instant::now();
-        self.instances.borrow_mut().retain(|&instance, lanes| {
-            lanes.idle.retain(|idle| idle.until > now);
+        self.instances.borrow_mut().retain(|&instance, connections| {
+            connections.idle.retain(|idle| idle.until > now);
             let known = is_known(instance);
             if !known {
-                lanes.idle.clear();
+                connections.idle.clear();
             }
-            known || lanes.open.get() > 0
+            known || connections.open.get() > 0
         });
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.total.get()
     }
 
     fn drop_idle(&self, instance: InstanceKey) {
-        if let Some(lanes) = self.instances.borrow_mut().get_mut(&instance) {
-            lanes.idle.clear();
+        if let Some(connections) = self.instances.borrow_mut().get_mut(&instance) {
+            connections.idle.clear();
         }
     }
 
-    /// The idle connection that was used last, so that those that are not needed grow old.
+    /// The idle connection that was used last, so that surplus ones reach their time-out.
     fn take_idle(&self, instance: InstanceKey) -> Option<Leased> {
         let now = Instant::now();
         let mut instances = self.instances.borrow_mut();
-        let lanes = instances.get_mut(&instance)?;
-        lanes.idle.retain(|idle| idle.until > now);
-        let rested = lanes.idle.iter().rposition(|idle| idle.since + REST <= now)?;
-        Some(lanes.idle.remove(rested).leased)
+        let connections = instances.get_mut(&instance)?;
+        connections.idle.retain(|idle| idle.until > now);
+        let rested = connections.idle.iter().rposition(|idle| idle.since + REUSE_DELAY <= now)?;
+        Some(connections.idle.remove(rested).leased)
     }
 
-    fn take_place(&self, instance: InstanceKey, most: usize) -> Result<Place, NoLane> {
+    fn take_slot(&self, instance: InstanceKey, most: usize) -> Result<Slot, ConnectionError> {
         if self.total.get() >= self.limits.total && !self.drop_oldest_idle() {
             return FullSnafu.fail();
         }
         let mut instances = self.instances.borrow_mut();
-        let lanes = instances.entry(instance).or_default();
-        if lanes.open.get() >= most {
+        let connections = instances.entry(instance).or_default();
+        if connections.open.get() >= most {
             return FullSnafu.fail();
         }
-        Ok(Place::take(&self.total, &lanes.open))
+        Ok(Slot::take(&self.total, &connections.open))
     }
 
+    /// Closes the connection that has been idle longest, of any instance.
     fn drop_oldest_idle(&self) -> bool {
         let mut instances = self.instances.borrow_mut();
-        let oldest = instances.values_mut().filter(|lanes| !lanes.idle.is_empty());
-        let Some(lanes) = oldest.min_by_key(|lanes| lanes.idle[0].since) else { return false };
-        lanes.idle.remove(0);
+        let oldest = instances.values_mut().filter(|connections| !connections.idle.is_empty());
+        let Some(connections) = oldest.min_by_key(|connections| connections.idle[0].since) else {
+            return false;
+        };
+        connections.idle.remove(0);
         true
     }
 }
--- a/dataplane/proxy/src/stream.rs
+++ b/dataplane/proxy/src/stream.rs
@@ -1,5 +1,5 @@
-//! The body of a streaming answer: whole events go on as they come, and a resumable stream that breaks goes on at
-//! another upstream inside the same answer.
+//! The body of a streaming answer: complete events are passed on as they arrive, and a resumable stream that breaks off is
+//! resumed at another upstream inside the same answer.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,26 +13,26 @@
 use whinspindle_configuration::{Mechanism, Route};
 use whinspindle_routing::Outcome;
 
-use crate::answers::StreamCut;
+use crate::answers::StreamTruncated;
 use crate::events::Position;
-use crate::exchange::{Chosen, Exchange, GivenUp, OpenStream, Opened, Run};
+use crate::exchange::{ChosenInstance, Exchange, GivenUp, OpenStream, Opened, StreamRun};
 use crate::node::Node;
-use crate::tally::Event;
+use crate::request_counts::RequestEvent;
 
-/// So many bytes of events go on at once at most.
+/// The most bytes of events that are passed on at once.
 const MOST_AT_ONCE: usize = 64 * 1024;
-/// Clients give a stream up after the longest of this silence, so many objectives and so many pauses.
-const CLIENT_SILENCE: Duration = Duration::from_secs(2);
-const CLIENT_OBJECTIVES: u64 = 4;
-const CLIENT_PAUSES: u64 = 8;
-/// The part of a client's patience after which a silent stream moves to another upstream.
-const SILENCE_PART: f64 = 0.6;
+/// Clients give up a silent stream after the longest of this time, a number of latency targets and a number of event gaps.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+const CLIENT_LATENCY_TARGETS: u64 = 4;
+const CLIENT_EVENT_GAPS: u64 = 8;
+/// Fraction of that time after which a silent stream is resumed at another upstream.
+const SILENCE_FRACTION: f64 = 0.6;
 
-/// For how long a stream may be silent before it moves to another upstream.
+/// How long a stream may be silent before it is resumed at another upstream.
 pub fn silence_limit(route: &Route) -> Duration {
-    let objectives = Duration::from_millis(route.target_ms.saturating_mul(CLIENT_OBJECTIVES));
-    let pauses = Duration::from_millis(route.gap_aim_ms.unwrap_or(0).saturating_mul(CLIENT_PAUSES));
-    CLIENT_SILENCE.max(objectives).max(pauses).mul_f64(SILENCE_PART)
+    let objectives = Duration::from_millis(route.target_ms.saturating_mul(CLIENT_LATENCY_TARGETS));
+    let pauses = Duration::from_millis(route.gap_aim_ms.unwrap_or(0).saturating_mul(CLIENT_EVENT_GAPS));
+    CLIENT_TIMEOUT.max(objectives).max(pauses).mul_f64(SILENCE_FRACTION)
 }
 
 type Resumed = (Exchange, Result<Opened, GivenUp>);
@@ -40,48 +40,48 @@
 enum State {
     Flowing(Box<Flow>),
     Resuming(Pin<Box<dyn Future<Output = Resumed>>>),
-    /// No upstream has taken up a stream that moved for silence alone: silence is no reason to end it before its time.
+    /// The resumption of a silent stream failed: it stays open until its deadline, since silence alone does not end it.
     Abandoned,
-    /// What has been handed on is to be written, and then the client's connection is to be cut.
+    /// Hyper writes what it has been given, then the client's connection is closed without the last chunk.
     Flushing,
-    Cut,
+    Truncated,
     Ended,
 }
 
-/// A run under way, and the request it answers.
+/// A run in progress, and the exchange of its request.
 struct Flow {
     exchange: Exchange,
-    run: Run,
+    run: StreamRun,
 }
 
-/// A streaming answer under way.
+/// A streaming answer in progress.
 pub struct StreamAnswer {
     node: Rc<Node>,
     state: State,
-    /// Whole events that have not gone on yet.
+    /// Complete events that have not been passed on yet.
     ready: Bytes,
-    /// Events have been passed on up to here.
+    /// The position after the events that have been passed on.
     position: Position,
-    due: Pin<Box<Sleep>>,
-    /// Ends when the stream has been silent for too long; only where it may move.
-    silence: Option<Silence>,
-    /// The resumption under way follows a silence, not a break.
-    moved_for_silence: bool,
+    deadline: Pin<Box<Sleep>>,
+    /// Fires when the stream exceeds the silence limit; only where it may be resumed.
+    silence: Option<SilenceTimer>,
+    /// The resumption in progress follows a silence, not a break.
+    moved_after_silence: bool,
 }
 
-struct Silence {
+struct SilenceTimer {
     limit: Duration,
     last_event: Instant,
     timer: Pin<Box<Sleep>>,
 }
 
-impl Silence {
+impl SilenceTimer {
     fn new(limit: Duration) -> Self {
         let now = Instant::now();
-        Silence { limit, last_event: now, timer: Box::pin(sleep_until(now + limit)) }
+        SilenceTimer { limit, last_event: now, timer: Box::pin(sleep_until(now + limit)) }
     }
 
-    /// Ready once nothing has come for the whole limit. The timer is not moved with each event.
+    /// Ready once nothing has been received for the limit. The timer is not reset at each event.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             ready!(self.timer.as_mut().poll(cx));
@@ -106,8 +106,8 @@
         let node = Rc::clone(&exchange.node);
         let route = exchange.matched().route();
         let moves = exchange.may_resume() && node.settings.mechanisms.has(Mechanism::SilenceMove);
-        let silence = moves.then(|| Silence::new(silence_limit(route)));
-        let due = Box::pin(sleep_until(exchange.due()));
+        let silence = moves.then(|| SilenceTimer::new(silence_limit(route)));
+        let deadline = Box::pin(sleep_until(exchange.deadline()));
         let position = open.run.as_ref().map(|run| run.splitter.position()).unwrap_or_default();
         let state = match open.run {
             Some(run) => State::Flowing(Box::new(Flow { exchange, run })),
@@ -115,34 +115,42 @@
         };
         (
             open.head,
-            StreamAnswer { node, state, ready: open.first, position, due, silence, moved_for_silence: false },
+            StreamAnswer {
+                node,
+                state,
+                ready: open.first,
+                position,
+                deadline,
+                silence,
+                moved_after_silence: false,
+            },
         )
     }
 
-    /// Nothing more follows.
+    /// Whether the stream has ended.
     pub fn is_ended(&self) -> bool {
         self.ready.is_empty() && matches!(self.state, State::Ended)
     }
 
-    /// The next whole events; none once the stream is complete.
-    pub fn poll_events(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamCut>>> {
+    /// The next complete events; none once the stream is complete.
+    pub fn poll_events(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamTruncated>>> {
         if !self.ready.is_empty() {
             return Poll::Ready(Some(Ok(std::mem::take(&mut self.ready))));
         }
-        if !matches!(self.state, State::Ended) && self.due.as_mut().poll(cx).is_ready() {
+        if !matches!(self.state, State::Ended) && self.deadline.as_mut().poll(cx).is_ready() {
             self.state = State::Ended;
-            self.node.tally.note(Event::StreamCut);
-            return Poll::Ready(Some(Err(StreamCut::TimeOver)));
+            self.node.request_counts.record(RequestEvent::StreamTruncated);
+            return Poll::Ready(Some(Err(StreamTruncated::TimeOver)));
         }
         loop {
             let events = match std::mem::replace(&mut self.state, State::Ended) {
                 State::Ended => return Poll::Ready(None),
                 State::Flushing => {
-                    self.state = State::Cut;
+                    self.state = State::Truncated;
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
-                State::Cut => return Poll::Ready(Some(Err(StreamCut::Broken))),
+                State::Truncated => return Poll::Ready(Some(Err(StreamTruncated::Broken))),
                 State::Flowing(flow) => ready!(self.poll_flow(flow, cx)),
                 State::Resuming(resuming) => ready!(self.poll_resuming(resuming, cx)),
                 State::Abandoned => {
@@ -156,7 +164,7 @@
         }
     }
 
-    /// Moves a run on. Ready with whole events, or with none if the state has changed.
+    /// Drives a run. Ready with complete events, or with none if the state has changed.
     fn poll_flow(&mut self, mut flow: Box<Flow>, cx: &mut Context<'_>) -> Poll<Bytes> {
         let mut events = Events::default();
         let broke = loop {
@@ -164,12 +172,12 @@
                 break false;
             }
             let run = &mut flow.run;
-            let data = match run.leased.lane.poll_body(&mut run.body, cx) {
+            let data = match run.leased.connection.poll_body(&mut run.body, cx) {
                 Poll::Pending => break false,
                 Poll::Ready(None) => {
                     events.add(run.splitter.finish());
                     let Flow { exchange, run } = *flow;
-                    self.node.tally.note(Event::StreamComplete);
+                    self.node.request_counts.record(RequestEvent::StreamComplete);
                     run.complete(&exchange.node, cx);
                     return Poll::Ready(events.take());
                 }
@@ -177,9 +185,9 @@
                 Poll::Ready(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
             match run.splitter.push(data) {
-                Ok(whole) => {
-                    events.add(whole);
-                    // Of a piece that can't be passed on, none of the events count.
+                Ok(complete) => {
+                    events.add(complete);
+                    // Of a chunk with an error, no event is passed on.
                     self.position = run.splitter.position();
                 }
                 Err(_) => break true,
@@ -187,10 +195,10 @@
         };
         if events.length > 0 {
             self.node.router.borrow_mut().record_received(flow.run.leased.instance());
-            self.note_events();
+            self.record_events();
         }
         if broke {
-            self.resume_or_cut(flow);
+            self.resume_or_truncate(flow);
         } else if events.length > 0 {
             self.state = State::Flowing(flow);
         } else {
@@ -199,7 +207,7 @@
         Poll::Ready(events.take())
     }
 
-    /// Nothing is here for now. A stream that has been silent for too long moves on, if another upstream takes it.
+    /// Nothing has been received. Resumes a stream beyond the silence limit, if the router grants another upstream.
     fn wait(&mut self, mut flow: Box<Flow>, cx: &mut Context<'_>) -> Poll<Bytes> {
         if let Some(silence) = &mut self.silence
             && silence.poll(cx).is_ready()
@@ -208,7 +216,7 @@
                 && flow.exchange.may_resume()
                 && let Ok(chosen) = flow.exchange.choose()
             {
-                self.move_on(flow, Some(chosen));
+                self.resume_elsewhere(flow, Some(chosen));
                 return Poll::Ready(Bytes::new());
             }
             silence.restart();
@@ -238,9 +246,9 @@
                 return Poll::Ready(Bytes::new());
             }
         };
-        self.moved_for_silence = false;
-        self.node.tally.note(Event::StreamResumed);
-        self.note_events();
+        self.moved_after_silence = false;
+        self.node.request_counts.record(RequestEvent::StreamResumed);
+        self.record_events();
         if let Some(run) = open.run {
             self.position = run.splitter.position();
             self.state = State::Flowing(Box::new(Flow { exchange, run }));
@@ -248,31 +256,31 @@
         Poll::Ready(open.first)
     }
 
-    /// What comes after a resumption that no upstream took.
+    /// The state after a failed resumption.
     fn give_up_resuming(&mut self) {
-        if self.moved_for_silence {
+        if self.moved_after_silence {
             self.state = State::Abandoned;
             return;
         }
-        self.node.tally.note(Event::StreamCut);
+        self.node.request_counts.record(RequestEvent::StreamTruncated);
         self.state = State::Flushing;
     }
 
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         if let Some(silence) = &mut self.silence {
             silence.last_event = Instant::now();
         }
     }
 
-    /// What comes after a run that broke.
-    fn resume_or_cut(&mut self, mut flow: Box<Flow>) {
+    /// Resumes the stream after a run that broke off, or truncates it.
+    fn resume_or_truncate(&mut self, mut flow: Box<Flow>) {
         self.log_break(&flow);
         if self.position.last_id.is_some() && flow.exchange.may_resume() {
-            self.move_on(flow, None);
+            self.resume_elsewhere(flow, None);
             return;
         }
-        flow.run.sent.finish(Outcome::Broken);
-        self.node.tally.note(Event::StreamCut);
+        flow.run.attempt.finish(Outcome::Broken);
+        self.node.request_counts.record(RequestEvent::StreamTruncated);
         self.state = State::Flushing;
     }
 
@@ -283,12 +291,12 @@
         }
     }
 
-    /// Ends a run and asks another upstream for what follows.
-    fn move_on(&mut self, flow: Box<Flow>, chosen: Option<Chosen>) {
+    /// Ends a run and resumes the stream at another upstream.
+    fn resume_elsewhere(&mut self, flow: Box<Flow>, chosen: Option<ChosenInstance>) {
         let Flow { mut exchange, mut run } = *flow;
-        self.moved_for_silence = chosen.is_some();
-        run.sent.finish(Outcome::Broken);
-        // The old run must not go on beside the new one.
+        self.moved_after_silence = chosen.is_some();
+        run.attempt.finish(Outcome::Broken);
+        // The old run must not continue beside the new one.
         drop(run);
         exchange.resume_after(self.position);
         self.state = State::Resuming(Box::pin(async move {
@@ -298,7 +306,7 @@
     }
 }
 
-/// Whole events that go on together.
+/// Complete events that are passed on together.
 #[derive(Default)]
 struct Events {
     first: Bytes,
@@ -322,9 +330,9 @@
         if self.more.is_empty() {
             return first;
         }
-        let mut whole = BytesMut::with_capacity(first.len() + self.more.len());
-        whole.extend_from_slice(&first);
-        whole.extend_from_slice(&std::mem::take(&mut self.more));
-        whole.freeze()
+        let mut events = BytesMut::with_capacity(first.len() + self.more.len());
+        events.extend_from_slice(&first);
+        events.extend_from_slice(&std::mem::take(&mut self.more));
+        events.freeze()
     }
 }
