--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -2,8 +2,6 @@
 //!
 //! It is called once for each event and asks through [`Effects`] for all that must be sent, answered or timed.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 mod request_table;
 mod servers;
 
@@ -29,6 +27,7 @@
     fn execute(&mut self, execution: Execution);
     /// Stops waiting for an execution, whose connection is closed; its end is still told.
     fn cancel(&mut self, query_index: usize, execution_index: usize);
+    /// Gives the final answer to who waits for it.
     fn answer(&mut self, caller: Self::Caller, answer: Answer);
     /// Calls `BalancerCore::timer` after so many microseconds.
     fn wake(&mut self, wait: u64, label: u32);
@@ -39,35 +38,53 @@
 /// Where a server listens, and which of its processes: each that the list has named has a number of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerProcess {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Number of the process, never used twice.
     pub process: u64,
 }
 
+/// An execution that is to be sent.
 pub struct Execution {
+    /// Index of its query.
     pub query_index: usize,
+    /// Its number among the query's executions, from 0.
     pub execution_index: usize,
+    /// Index of the server.
     pub server: usize,
+    /// Where to send it.
     pub process: ServerProcess,
+    /// Index of the query's product.
     pub product: usize,
+    /// What is sent.
     pub query: Rc<Forwarded>,
+    /// How long it may take, in microseconds.
     pub time_out: u64,
 }
 
 /// How an execution ended.
 pub struct EndedExecution {
+    /// Index of its query.
     pub query_index: usize,
+    /// Its number among the query's executions, from 0.
     pub execution_index: usize,
+    /// How it ended.
     pub outcome: Outcome,
+    /// Time since it was sent, in microseconds.
     pub spent: u64,
+    /// What the server reported of its load.
     pub report: LoadReport,
+    /// The server's answer, if there is one for the client.
     pub served: Option<Served>,
 }
 
+/// One balancer: its decisions and its open queries. Times are microseconds of the host's clock.
 pub struct BalancerCore<E: Effects> {
     balancer: Balancer<RequestTable<E>>,
 }
 
 impl<E: Effects> BalancerCore<E> {
+    /// A balancer without an endpoint list. The seed decides all random draws.
     pub fn new(effects: E, deployment: &Deployment, seed: u64, now: u64) -> Self {
         let request_table = RequestTable::new(effects, deployment);
         BalancerCore { balancer: Balancer::new(request_table, deployment.terms.clone(), seed, now) }
@@ -78,6 +95,7 @@
         self.balancer.routes(routes);
     }
 
+    /// The endpoint list has changed.
     pub fn list(&mut self, now: u64, update: &EndpointUpdate) {
         let entries = self.balancer.host.servers.apply(update);
         if update.complete {
@@ -142,6 +160,7 @@
         self.forget_gone();
     }
 
+    /// An execution has ended.
     pub fn execution_ended(&mut self, now: u64, ended: EndedExecution) {
         let EndedExecution { query_index, execution_index, outcome, spent, report, served } = ended;
         let over = self.balancer.host.execution_ended(query_index, outcome, served);
@@ -159,12 +178,14 @@
         self.balancer.stopping(now, until);
     }
 
+    /// A probe has ended; `answered` says whether the server gave a sign of life.
     pub fn probed(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
         self.balancer.probed(now, server, answered, report);
         self.balancer.host.servers.release(server);
         self.forget_gone();
     }
 
+    /// A timer set by [`Effects::wake`] is due.
     pub fn timer(&mut self, now: u64, label: u32) {
         self.balancer.timer(now, label);
     }
@@ -183,10 +204,12 @@
         self.balancer.host.servers.is_ready(server)
     }
 
+    /// Whether a complete endpoint list has come.
     pub fn has_list(&self) -> bool {
         self.balancer.host.servers.has_list()
     }
 
+    /// The counts of queries since the start.
     pub fn tally(&self) -> Tally {
         self.balancer.host.tally
     }
@@ -195,10 +218,16 @@
 /// What has become of the queries since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
+    /// Queries that were taken.
     pub taken: u64,
+    /// Those with an answer of a server.
     pub completed: u64,
+    /// Those that were rejected.
     pub rejected: u64,
+    /// Those that were aborted.
     pub aborted: u64,
+    /// Those whose client went before an answer.
     pub left: u64,
+    /// Executions of all of them.
     pub executions: u64,
 }
--- a/balancer/deployment-settings/src/lib.rs
+++ b/balancer/deployment-settings/src/lib.rs
@@ -1,7 +1,6 @@
 //! The settings in JSON, turned into the terms that the decisions are handed and the names and times that the
 //! programs round them need.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
 #![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
 
 use serde::Deserialize;
@@ -117,17 +116,23 @@
 /// What the settings tell of a deployment.
 #[derive(Clone)]
 pub struct Deployment {
+    /// What the decisions are given of it.
     pub terms: BalancerSettings,
+    /// Names of the products, by index.
     pub products: Vec<String>,
     /// How long clients of a product wait at most, a row a product.
     pub statement_timeouts: Vec<u64>,
+    /// Names of the tenants, by index.
     pub tenants: Vec<String>,
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
+    /// Kinds of machines, by index.
     pub kinds: Vec<String>,
     /// The columns of a load report, in their order.
     pub columns: Vec<String>,
     /// Servers close a connection that has stood idle for so long.
     pub idle_time: u64,
+    /// How long a connection to a server may take to come up, in microseconds.
     pub connect_time_out: u64,
 }
 
@@ -193,6 +198,7 @@
     faults
 }
 
+/// Reads the settings in JSON. The error names each field at fault.
 pub fn parse(json: &[u8]) -> Result<Deployment, String> {
     let options: Options = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let limits = &options.limits;
--- a/balancer/discovery/src/lib.rs
+++ b/balancer/discovery/src/lib.rs
@@ -2,8 +2,6 @@
 //! opened again when it ends, and also when it has been silent for longer than discovery ever is. Discovery
 //! may move to another address.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -48,6 +46,7 @@
 }
 
 impl EndpointWatch {
+    /// A watch of this discovery, from the generation that is known already.
     pub fn new(discovery: SocketAddr, generation: Option<u64>) -> Self {
         EndpointWatch {
             discovery: Cell::new(discovery),
--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -3,8 +3,6 @@
 //! with an older one every server counts as cold until its answers and discovery say otherwise; what was
 //! draining when it was saved gets nothing from either.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 mod neighbours;
 mod recovery;
 mod startup_limit;
@@ -37,6 +35,7 @@
 /// What is believed further comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trust {
+    /// It is taken as it was listed.
     Full,
     /// All of it counts as cold.
     Doubted,
--- a/balancer/endpoint-cache/src/neighbours.rs
+++ b/balancer/endpoint-cache/src/neighbours.rs
@@ -32,29 +32,40 @@
 /// The first half of a list's BLAKE3 hash.
 type Name = [u8; 16];
 
+/// What balancers say to each other of the list; its encoding is part of the protocol between them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NeighbourMessage {
     /// What list do you have by discovery's word?
     Ask,
     /// This one, told so many microseconds ago.
     Has {
+        /// The list's name.
         name: Name,
+        /// Its length in bytes.
         length: u32,
+        /// Time since discovery confirmed it, in microseconds.
         age: u64,
     },
     /// Pieces of it, from this one on.
     Fetch {
+        /// The list's name.
         name: Name,
+        /// Number of the first chunk.
         from: u16,
     },
+    /// One chunk of a list.
     Chunk {
+        /// The list's name.
         name: Name,
+        /// Number of the chunk, from 0.
         chunk: u16,
+        /// Its bytes.
         bytes: Vec<u8>,
     },
 }
 
 impl NeighbourMessage {
+    /// The message as it is sent.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -76,6 +87,7 @@
     asked: u64,
 }
 
+/// The exchange of endpoint lists with the other balancers.
 pub struct Neighbours {
     me: u16,
     members: u16,
--- a/balancer/endpoint-cache/src/recovery.rs
+++ b/balancer/endpoint-cache/src/recovery.rs
@@ -17,9 +17,11 @@
     pub takes_all: bool,
     /// Since the start.
     pub completed: u64,
+    /// Queries answered in any way since the start.
     pub answered: u64,
 }
 
+/// Tells once when the process serves fully again.
 #[derive(Debug)]
 pub struct RecoveryTracker {
     began: u64,
@@ -30,6 +32,7 @@
 }
 
 impl RecoveryTracker {
+    /// A process that began at this time, in microseconds.
     pub fn new(began: u64) -> RecoveryTracker {
         RecoveryTracker { began, before: (0, 0), full: 0, waits: [0; 4], is_recovered: false }
     }
--- a/balancer/endpoint-cache/src/startup_limit.rs
+++ b/balancer/endpoint-cache/src/startup_limit.rs
@@ -15,6 +15,7 @@
 const CALM: u32 = 8;
 const MOST: u32 = 80;
 
+/// A limit on queries in flight that grows while answers stay fast.
 pub struct StartupLimit {
     /// Between two steps, in microseconds.
     step: u64,
--- a/balancer/peer-transport/src/lib.rs
+++ b/balancer/peer-transport/src/lib.rs
@@ -2,8 +2,6 @@
 //! what is longer than a datagram goes in parts. Datagrams come late, twice or never, and nothing here sends one
 //! again: that is for those who know what it is worth. No sockets and no clock: bytes in, messages out.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::Serialize;
@@ -73,6 +71,7 @@
     part_bytes: usize,
     most_a_second: u32,
     senders: Vec<Sender>,
+    /// Datagrams that were dropped since the start, by cause.
     pub dropped: DroppedDatagrams,
 }
 
--- a/balancer/protocol/src/answer.rs
+++ b/balancer/protocol/src/answer.rs
@@ -7,8 +7,10 @@
 
 use crate::query::Malformed;
 
+/// The final answer to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
+    /// A server has answered.
     Completed(Served),
     /// Nothing has happened; best tried again after so many microseconds (0: no advice).
     Rejected(u64),
@@ -30,11 +32,14 @@
 /// What a server made of a query.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Served {
+    /// Its headers, less those of the connection.
     pub headers: HeaderMap,
+    /// Its complete body.
     pub body: Bytes,
 }
 
 impl Answer {
+    /// The answer as an HTTP response.
     pub fn encode(self) -> Response<Full<Bytes>> {
         match self {
             Answer::Completed(served) => {
@@ -64,11 +69,13 @@
 }
 
 impl Malformed {
+    /// The refusal as an HTTP response that names the field.
     pub fn encode(&self) -> Response<Full<Bytes>> {
         plain(self.status, self.to_string())
     }
 }
 
+/// A response with one line of text.
 pub fn plain(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text + "\n")));
     *response.status_mut() = status;
--- a/balancer/protocol/src/endpoints.rs
+++ b/balancer/protocol/src/endpoints.rs
@@ -5,25 +5,35 @@
 use serde::Deserialize;
 use whinspindle::host::EndpointState;
 
+/// One update of the endpoint list: all of it, or what has changed.
 #[derive(Debug)]
 pub struct EndpointUpdate {
+    /// Discovery's count of changes, up to this one.
     pub generation: u64,
     /// The complete list: whatever it lacks is gone.
     pub complete: bool,
+    /// The servers that it names.
     pub servers: Vec<ListedServer>,
     /// Why entries were passed over.
     pub faults: Vec<String>,
 }
 
+/// A server as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
+    /// Its id.
     pub name: String,
+    /// Its zone.
     pub zone: String,
+    /// Its kind of machine.
     pub kind: String,
+    /// Its cell.
     pub cell: usize,
+    /// Its capacity against others.
     pub size: f64,
     /// Unix time of the last start in microseconds; 0: long ago.
     pub started_at: u64,
+    /// Whether it may be sent to.
     pub state: EndpointState,
     /// Where it listens; one that is gone need not tell.
     pub address: Option<SocketAddr>,
--- a/balancer/protocol/src/execution.rs
+++ b/balancer/protocol/src/execution.rs
@@ -46,13 +46,16 @@
 /// What a server sent back.
 #[derive(Debug)]
 pub struct Reply {
+    /// What the reply means for the query.
     pub outcome: Outcome,
+    /// The load that the server reported with it.
     pub report: LoadReport,
     /// Only with `Outcome::Completed`.
     pub served: Option<Served>,
 }
 
 impl Reply {
+    /// Reads a server's response; `columns` names the load figures of the deployment.
     pub fn decode(response: Response<Bytes>, columns: &[String]) -> Reply {
         let (parts, body) = response.into_parts();
         let reports = parts.headers.get_all(headers::LOAD).iter().filter_map(|value| value.to_str().ok());
--- a/balancer/protocol/src/lib.rs
+++ b/balancer/protocol/src/lib.rs
@@ -1,8 +1,6 @@
 //! The messages of the protocol: each is decoded into a small typed value once, and encoded once. The names
 //! on the wire end here.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 pub mod answer;
 pub mod endpoints;
 pub mod execution;
--- a/balancer/protocol/src/query.rs
+++ b/balancer/protocol/src/query.rs
@@ -17,6 +17,7 @@
 /// A query without its body.
 #[derive(Debug)]
 pub struct Head {
+    /// Index of its product.
     pub product: usize,
     /// A tenant that the settings don't name has the index after the last.
     pub tenant: usize,
@@ -33,17 +34,24 @@
 pub struct Forwarded {
     /// Which query this is; no other one has the same while it is open.
     pub trace: HeaderValue,
+    /// Its method.
     pub method: Method,
+    /// Its target, path and query.
     pub target: Uri,
+    /// Its headers, less those of the connection.
     pub headers: HeaderMap,
+    /// Its complete body.
     pub body: Bytes,
 }
 
 /// Why a query can't be taken.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed {
+    /// The status of the refusal.
     pub status: StatusCode,
+    /// The header or part at fault.
     pub field: &'static str,
+    /// What is wrong with it.
     pub fault: &'static str,
 }
 
@@ -66,6 +74,7 @@
     Malformed { status: StatusCode::CONFLICT, field: headers::TRACE, fault: "is that of an open query" };
 
 impl Head {
+    /// Reads and checks the head of a query.
     pub fn decode(parts: &Parts, deployment: &Deployment) -> Result<Head, Malformed> {
         if parts.method != Method::GET && parts.method != Method::POST {
             let status = StatusCode::METHOD_NOT_ALLOWED;
@@ -122,6 +131,7 @@
         })
     }
 
+    /// The query with its complete body.
     pub fn with(self, body: Bytes) -> Forwarded {
         let Head { trace, method, target, headers, .. } = self;
         Forwarded { trace, method, target, headers, body }
--- a/balancer/rate-limited-log/src/lib.rs
+++ b/balancer/rate-limited-log/src/lib.rs
@@ -1,7 +1,5 @@
 //! Log lines go to standard error through one macro, so many a second from each place in the code.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 use std::fmt::Arguments;
 use std::io::{self, Write};
 use std::sync::LazyLock;
@@ -22,6 +20,7 @@
 }
 
 impl RateLimiter {
+    /// A limiter that has written nothing yet.
     pub const fn new() -> Self {
         RateLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0), suppressed: AtomicU64::new(0) }
     }
--- a/balancer/record-store/src/lib.rs
+++ b/balancer/record-store/src/lib.rs
@@ -2,8 +2,6 @@
 //! Knows nothing of what is in them. A record has two files that are written in turn, each by way of a temporary file
 //! beside it, a sync and a rename: the other one stays whole meanwhile.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 use std::fmt;
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -15,10 +13,12 @@
 /// A record may be so long.
 pub const MAX_RECORD_BYTES: usize = 1024 * 1024;
 
+/// Why a folder can't be opened or a record not written.
 #[derive(Debug)]
 pub enum StoreError {
     /// Another process has the folder.
     Locked(PathBuf),
+    /// The system refused an operation on this path.
     Io(PathBuf, io::Error),
 }
 
--- a/balancer/upstream-pool/src/exchange.rs
+++ b/balancer/upstream-pool/src/exchange.rs
@@ -34,6 +34,7 @@
 }
 
 impl ProgressHandle {
+    /// How far the exchange has come.
     pub fn progress(&self) -> Progress {
         match &*self.0.borrow() {
             Some(written) if written.meter.written.get() >= written.end => Progress::Complete,
--- a/balancer/upstream-pool/src/failure.rs
+++ b/balancer/upstream-pool/src/failure.rs
@@ -13,9 +13,12 @@
     Complete,
 }
 
+/// An exchange that brought no response.
 #[derive(Debug)]
 pub struct Failure {
+    /// How far it had come.
     pub progress: Progress,
+    /// Why it failed.
     pub cause: Cause,
     /// The connection had stood idle and broke before any answer: it may have been gone already.
     pub stale: bool,
--- a/balancer/upstream-pool/src/lib.rs
+++ b/balancer/upstream-pool/src/lib.rs
@@ -1,8 +1,6 @@
 //! The connections to upstreams: a small pool, and one exchange of a request for a response. Nothing here
 //! sends anything twice by itself.
 
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-
 mod exchange;
 mod failure;
 mod memory_budget;
--- a/balancer/upstream-pool/src/memory_budget.rs
+++ b/balancer/upstream-pool/src/memory_budget.rs
@@ -5,6 +5,7 @@
 
 use bytes::Bytes;
 
+/// The budget of all long answers of one process.
 pub struct MemoryBudget {
     /// An answer of so many bytes needs none of it.
     usual: usize,
--- a/balancer/upstream-pool/src/pool.rs
+++ b/balancer/upstream-pool/src/pool.rs
@@ -16,28 +16,35 @@
 use crate::failure::{Cause, Failure};
 use crate::memory_budget::MemoryBudget;
 
+/// Limits and times of a pool.
 pub struct PoolSettings {
+    /// Connections that may be open at once.
     pub max_open: usize,
     /// Servers close a connection that has stood idle for so long.
     pub idle_time: Duration,
+    /// How long a connection may take to come up.
     pub connect_time_out: Duration,
     /// An answer that has begun and is silent for so long does not end any more.
     pub stall_time_out: Duration,
     /// After an answer a connection carries nothing for so long.
     pub quiet_time: Duration,
+    /// Memory for long answers.
     pub memory: MemoryBudget,
 }
 
 /// One process of a server: another one at the same address gets connections of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Upstream {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Number of the process, so that a new one at the same address is told from the one before.
     pub process: u64,
 }
 
 /// Idle connections are dropped at this part of the time after which servers close them.
 const IDLE_PART: f64 = 0.7;
 
+/// A pool of connections to all servers.
 pub struct ConnectionPool {
     settings: PoolSettings,
     open: Rc<Cell<usize>>,
@@ -64,6 +71,7 @@
 }
 
 impl ConnectionPool {
+    /// A pool without connections.
     pub fn new(settings: PoolSettings) -> Self {
         ConnectionPool { settings, open: Rc::default(), idle: RefCell::default() }
     }
@@ -148,6 +156,7 @@
         });
     }
 
+    /// Connections that are open now, idle ones included.
     pub fn open(&self) -> usize {
         self.open.get()
     }
