--- a/balancer/fleet-policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -1,6 +1,6 @@
 //! One process of the fleet: as a follower it holds a lease that runs out, as a voter it grants leases and
-//! agrees on each step. `Member` takes what happens (`tick`, `heard`, `proved` and what operators ask for)
-//! and acts through `Outside`; each module below has one part of what it does.
+//! agrees on each step. `Member` takes what happens (`tick`, `received`, `proved` and what operators ask for)
+//! and acts through `Environment`; each module below has one part of what it does.
 
 mod acceptor;
 mod environment;
@@ -21,14 +21,14 @@
 use whinspindle_consensus::{AcceptorState, StandardConsensusRules, Voter};
 use whinspindle_rollout::Way;
 
-pub use acceptor::Heard;
-pub use environment::{Memory, Outside};
+pub use acceptor::PeerReport;
+pub use environment::{DurableState, Environment};
 use lease::Lease;
 use proposer::OngoingRound;
 use releases::Case;
 use requests::PendingRequest;
 pub use rules::MemberRules;
-pub use timing::Terms;
+pub use timing::MemberSettings;
 
 use crate::message::{Message, Objection, Right};
 use crate::record::{Hash, Record};
@@ -36,13 +36,13 @@
 
 /// A member of the fleet: its record of what is agreed, its lease, and its part as a voter.
 #[derive(Clone)]
-pub struct Member<O: Outside, L: MemberRules = StandardConsensusRules> {
+pub struct Member<O: Environment, L: MemberRules = StandardConsensusRules> {
     /// What the member acts through; the shell looks after it between calls.
-    pub outside: O,
-    terms: Terms,
+    pub environment: O,
+    settings: MemberSettings,
     start: u64,
     began: u64,
-    memory: Memory,
+    memory: DurableState,
     /// Whether the memory is durable as it stands.
     kept: bool,
     record: Record,
@@ -57,7 +57,7 @@
     verdicts: BTreeMap<u64, Result<(), Objection>>,
     proving: BTreeSet<u64>,
     texts: Texts,
-    heard: Vec<Option<Heard>>,
+    received: Vec<Option<PeerReport>>,
     requests: Vec<PendingRequest>,
     found: Option<u64>,
     case: Option<Case>,
@@ -75,22 +75,28 @@
     /// What was asked for last.
     fetching: Option<(Hash, u16, u64)>,
     fetches: usize,
-    /// Who has given pieces since the last question for some.
+    /// Who has given chunks since the last question for some.
     source: Option<u16>,
     rules: PhantomData<L>,
 }
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
+impl<O: Environment, L: MemberRules> Member<O, L> {
     /// `start` is drawn anew at each start of the process.
-    pub fn new(outside: O, terms: Terms, memory: Option<Memory>, start: u64, now: u64) -> Self {
-        let memory = memory.unwrap_or_else(|| Memory {
+    pub fn new(
+        environment: O,
+        settings: MemberSettings,
+        memory: Option<DurableState>,
+        start: u64,
+        now: u64,
+    ) -> Self {
+        let memory = memory.unwrap_or_else(|| DurableState {
             incarnation: start,
             votes: AcceptorState::default(),
             record: Record::default(),
         });
         let record = memory.record.clone();
         let mut member = Member {
-            outside,
+            environment,
             start,
             began: now,
             kept: false,
@@ -103,7 +109,7 @@
             verdicts: BTreeMap::new(),
             proving: BTreeSet::new(),
             texts: Texts::default(),
-            heard: vec![None; terms.members as usize],
+            received: vec![None; settings.members as usize],
             requests: Vec::new(),
             found: None,
             case: None,
@@ -117,12 +123,12 @@
             again: 0,
             next_fetch: now,
             fetching: None,
-            fetches: terms.me as usize,
+            fetches: settings.me as usize,
             source: None,
             rules: PhantomData,
             memory,
             record,
-            terms,
+            settings,
         };
         member.persist();
         member
@@ -130,17 +136,17 @@
 
     /// Makes the memory durable; false where the disk fails.
     fn persist(&mut self) -> bool {
-        self.kept = self.outside.keep(&self.memory);
+        self.kept = self.environment.keep(&self.memory);
         if !self.kept {
-            self.outside
+            self.environment
                 .tell("what it has voted for can't be kept: it votes no more until it can".to_string());
         }
         self.kept
     }
 
     /// The times and the membership that it was made with.
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn settings(&self) -> &MemberSettings {
+        &self.settings
     }
 
     /// What it knows to be agreed.
@@ -149,18 +155,18 @@
     }
 
     /// What it must not forget over a restart.
-    pub fn memory(&self) -> &Memory {
+    pub fn memory(&self) -> &DurableState {
         &self.memory
     }
 
     /// How it counts as a voter: its number, and the incarnation of its memory.
     pub fn voter(&self) -> Voter {
-        Voter { member: self.terms.me, incarnation: self.memory.incarnation }
+        Voter { member: self.settings.me, incarnation: self.memory.incarnation }
     }
 
-    /// What this member last heard of each; only voters are told.
-    pub fn heard_of(&self) -> &[Option<Heard>] {
-        &self.heard
+    /// What this member last received of each; only voters are told.
+    pub fn peer_reports(&self) -> &[Option<PeerReport>] {
+        &self.received
     }
 
     /// Whether it votes, as far as it knows.
@@ -176,42 +182,43 @@
         if now >= self.next_ask {
             self.ask(now);
             self.forward_requests(now);
-            self.tell_figures(now);
+            self.send_observations(now);
         }
-        self.note_wave(now);
+        self.record_wave(now);
         self.retry_ask(now);
         self.come_back(now);
         self.fetch(now);
         self.lead(now);
-        self.note_lease(now);
+        self.record_lease(now);
     }
 
     /// A message of another member has come.
-    pub fn heard(&mut self, now: u64, from: u16, message: Message) {
-        if from >= self.terms.members {
+    pub fn received(&mut self, now: u64, from: u16, message: Message) {
+        if from >= self.settings.members {
             return;
         }
         match message {
-            Message::Ask { at, incarnation, start, founding, version, right, readiness } => {
-                let heard = Heard { at: now, incarnation, start, founding, version, right, readiness };
-                self.answer(now, from, at, heard);
+            Message::Ask { at, incarnation, start, bootstrap_id, version, right, readiness } => {
+                let received =
+                    PeerReport { at: now, incarnation, start, bootstrap_id, version, right, readiness };
+                self.answer(now, from, at, received);
             }
-            Message::Grant { at, start, voter, board, number } => {
+            Message::Grant { at, start, voter, voter_set_version, number } => {
                 // Guards against an answer to a question of an earlier start, which was long under way: that
                 // start's clock began at another moment, and the right would count from a time after its
                 // grant.
                 if start == self.start {
-                    self.granted(now, at, voter, (board, number));
+                    self.granted(now, at, voter, (voter_set_version, number));
                 }
             }
-            Message::News { record } => self.learn(now, record),
-            Message::Fetch { hash, piece, wanting } => self.give(from, hash, piece, wanting),
-            Message::Piece { hash, piece, bytes, .. } => self.take_piece(now, from, hash, piece, bytes),
-            Message::Wanted { want, wish } => self.take_request(now, want, wish),
-            Message::Figures { release, start, serial, rows } => {
-                self.take_figures(now, from, release, start, serial, rows);
+            Message::Update { record } => self.learn(now, record),
+            Message::Fetch { hash, chunk, missing } => self.give(from, hash, chunk, missing),
+            Message::Chunk { hash, chunk, bytes, .. } => self.take_chunk(now, from, hash, chunk, bytes),
+            Message::OperatorRequest { request, request_id } => self.take_request(now, request, request_id),
+            Message::Observations { release, start, serial, rows } => {
+                self.receive_observations(now, from, release, start, serial, rows);
             }
-            Message::Aside { bytes } => self.outside.aside(from, bytes),
+            Message::Aside { bytes } => self.environment.aside(from, bytes),
             Message::Prepare { ballot } => self.prepare(from, ballot),
             Message::Accept { ballot, record } => self.accept(from, ballot, record),
             Message::Promise { ballot, voter, accepted } => self.promised(now, ballot, voter, accepted),
@@ -221,7 +228,7 @@
     }
 }
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
+impl<O: Environment, L: MemberRules> Member<O, L> {
     /// What two members must have in common to be alike for a search: all that decides what they do next.
     pub fn state(&self) -> impl std::hash::Hash + '_ {
         let held = (&self.lease, &self.previous_lease, self.had_lease);
@@ -229,7 +236,7 @@
         let times =
             (self.quiet_until, self.highest_round, self.next_ask, self.next_fetch, self.began, self.again);
         let round = (&self.round, &self.requests, self.found, self.start);
-        let texts = (&self.verdicts, &self.proving, &self.texts, &self.heard, &self.complete);
+        let texts = (&self.verdicts, &self.proving, &self.texts, &self.received, &self.complete);
         (held, known, times, round, texts)
     }
 }
--- a/balancer/fleet-policy/src/member/acceptor.rs
+++ b/balancer/fleet-policy/src/member/acceptor.rs
@@ -2,34 +2,34 @@
 
 use whinspindle_consensus::Ballot;
 
-use super::{Member, MemberRules, Outside};
+use super::{Environment, Member, MemberRules};
 use crate::message::{Message, Readiness, Right};
 use crate::record::Record;
 
-/// What a voter last heard of a member.
+/// What a voter last received of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Heard {
+pub struct PeerReport {
     pub at: u64,
     pub incarnation: u64,
     pub start: u64,
-    pub founding: u64,
+    pub bootstrap_id: u64,
     pub version: u64,
     pub right: Right,
     pub readiness: Readiness,
 }
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
-    pub(super) fn answer(&mut self, now: u64, from: u16, at: u64, heard: Heard) {
-        let (order, start) = ((heard.founding, heard.version), heard.start);
-        self.heard[from as usize] = Some(heard);
+impl<O: Environment, L: MemberRules> Member<O, L> {
+    pub(super) fn answer(&mut self, now: u64, from: u16, at: u64, received: PeerReport) {
+        let (order, start) = ((received.bootstrap_id, received.version), received.start);
+        self.received[from as usize] = Some(received);
         // One that knows more tells it when it is asked; it may be that no voter does.
-        if order > self.record.order() && from != self.terms.me {
+        if order > self.record.order() && from != self.settings.me {
             let ask = self.question(now);
-            self.outside.send(from, ask);
+            self.environment.send(from, ask);
         }
         if order < self.record.order() {
-            if from != self.terms.me {
-                self.outside.send(from, Message::News { record: self.record.clone() });
+            if from != self.settings.me {
+                self.environment.send(from, Message::Update { record: self.record.clone() });
             }
             return;
         }
@@ -38,11 +38,12 @@
         {
             return;
         }
-        let (voter, board, number) = (self.voter(), self.record.board, self.record.policy.number);
-        if from == self.terms.me {
-            self.granted(now, at, voter, (board, number));
+        let (voter, voter_set_version, number) =
+            (self.voter(), self.record.voter_set_version, self.record.policy.number);
+        if from == self.settings.me {
+            self.granted(now, at, voter, (voter_set_version, number));
         } else {
-            self.outside.send(from, Message::Grant { at, start, voter, board, number });
+            self.environment.send(from, Message::Grant { at, start, voter, voter_set_version, number });
         }
     }
 
@@ -57,7 +58,7 @@
             }
             Err(promised) => Message::Refuse { ballot, promised },
         };
-        self.outside.send(from, answer);
+        self.environment.send(from, answer);
     }
 
     pub(super) fn accept(&mut self, from: u16, ballot: Ballot, record: Record) {
@@ -66,6 +67,6 @@
             Ok(()) => Message::Accepted { ballot, voter: self.voter() },
             Err(promised) => Message::Refuse { ballot, promised },
         };
-        self.outside.send(from, answer);
+        self.environment.send(from, answer);
     }
 }
--- a/balancer/fleet-policy/src/member/environment.rs
+++ b/balancer/fleet-policy/src/member/environment.rs
@@ -13,7 +13,7 @@
 
 /// What a member must not forget over a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Memory {
+pub struct DurableState {
     /// Drawn when the memory began; a voter that lost its memory comes back with another.
     pub incarnation: u64,
     /// What it has promised and accepted as a voter.
@@ -23,19 +23,19 @@
 }
 
 /// What a member does to the world.
-pub trait Outside {
+pub trait Environment {
     /// Sends a message to another member; it may be lost, late, repeated or out of order.
     fn send(&mut self, to: u16, message: Message);
     /// Makes it durable. What follows from it is sent only after this returns; where it fails, the member
     /// votes and grants nothing until it succeeds.
-    fn keep(&mut self, memory: &Memory) -> bool;
+    fn keep(&mut self, memory: &DurableState) -> bool;
     /// Proves a policy against the process's own settings; `Member::proved` tells what came of it.
     fn prove(&mut self, policy: Policy, text: Rc<[u8]>);
     /// The plan with this hash, once it has been read.
     fn plan(&self, _: Hash) -> Option<Rc<Plan>> {
         None
     }
-    /// The text of a plan is whole.
+    /// The text of a plan is complete.
     fn plan_came(&mut self, _: Hash, _: Rc<[u8]>) {}
     /// What this process has seen of the units of the release under way since it was asked last.
     fn figures(&mut self, _: &Record) -> Vec<Row> {
--- a/balancer/fleet-policy/src/member/learn.rs
+++ b/balancer/fleet-policy/src/member/learn.rs
@@ -3,10 +3,10 @@
 use whinspindle_rollout::Way;
 
 use super::lease::Lease;
-use super::{Member, MemberRules, Outside};
-use crate::record::{Change, Fate, Record};
+use super::{Environment, Member, MemberRules};
+use crate::record::{Change, ChangeOutcome, Record};
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
+impl<O: Environment, L: MemberRules> Member<O, L> {
     /// What is agreed on, as another tells it or as this member's own round has brought it about.
     pub(super) fn learn(&mut self, now: u64, record: Record) {
         if record.order() <= self.record.order() {
@@ -16,13 +16,13 @@
             self.next_since = now;
         }
         for words in describe_changes(&self.record, &record) {
-            self.outside.tell(words);
+            self.environment.tell(words);
         }
         let (old, new) = (&self.record, &record);
-        if old.policy.number != new.policy.number || old.founding != new.founding {
+        if old.policy.number != new.policy.number || old.bootstrap_id != new.bootstrap_id {
             self.learned = now;
         }
-        let of = |record: &Record| (record.founding, record.policy.number, record.board);
+        let of = |record: &Record| (record.bootstrap_id, record.policy.number, record.voter_set_version);
         if of(old) != of(new) {
             let held = std::mem::replace(&mut self.lease, Lease::of(&record));
             // Of two that were both outrun only one with a right is of use.
@@ -42,7 +42,7 @@
         {
             self.case = None;
         }
-        self.texts.let_go(&used.into_iter().flatten().collect::<Vec<_>>());
+        self.texts.evict(&used.into_iter().flatten().collect::<Vec<_>>());
         self.prove();
         self.next_fetch = now;
         self.ask(now);
@@ -52,31 +52,34 @@
 /// What a newer record changes, a line each.
 fn describe_changes(old: &Record, new: &Record) -> Vec<String> {
     let mut words = Vec::new();
-    if old.founding != new.founding {
+    if old.bootstrap_id != new.bootstrap_id {
         words.push(format!("the fleet is founded, {} voters", new.voter_sets.iter().flatten().count()));
     }
     for past in new.past.iter().filter(|past| !old.past.contains(past)) {
         let number = past.change.policy.number;
-        words.push(match past.fate {
-            Fate::InForce => format!("policy {number} is in force"),
-            Fate::Withdrawn => format!("policy {number} is withdrawn"),
-            Fate::Refused(by) => format!("policy {number} is refused by member {by}"),
-            Fate::GivenUp => format!("policy {number} is given up: not proved everywhere in time"),
+        words.push(match past.outcome {
+            ChangeOutcome::InForce => format!("policy {number} is in force"),
+            ChangeOutcome::Withdrawn => format!("policy {number} is withdrawn"),
+            ChangeOutcome::Refused(by) => format!("policy {number} is refused by member {by}"),
+            ChangeOutcome::GivenUp => format!("policy {number} is given up: not proved everywhere in time"),
         });
     }
     if let Some(change) = new.next.filter(|change| old.next != Some(*change)) {
-        let Change { policy, wish } = change;
-        words.push(format!("policy {} ({}) is proposed by member {}", policy.number, policy.hash, wish.by));
+        let Change { policy, request_id } = change;
+        words.push(format!(
+            "policy {} ({}) is proposed by member {}",
+            policy.number, policy.hash, request_id.by
+        ));
     }
     for out in new.out.iter().filter(|out| !old.out.contains(out)) {
-        words.push(format!("{:?} is let out, asked for at member {}", out.unit, out.wish.by));
+        words.push(format!("{:?} is let out, asked for at member {}", out.unit, out.request_id.by));
     }
     for out in old.out.iter().filter(|out| !new.out.contains(out)) {
         words.push(format!("{:?} is back", out.unit));
     }
     match (&old.release, &new.release) {
         (None, Some(release)) => {
-            let by = release.wish.by;
+            let by = release.request_id.by;
             words.push(format!("release {} begins, by member {by}", release.number));
         }
         (Some(old), Some(new)) if (old.wave, old.way) != (new.wave, new.way) => {
@@ -93,13 +96,14 @@
     }
     match (&old.halted, &new.halted) {
         (None, Some(halt)) => {
-            words.push(format!("nothing is let out any more, by member {}: {}", halt.wish.by, halt.why));
+            words
+                .push(format!("nothing is let out any more, by member {}: {}", halt.request_id.by, halt.why));
         }
         (Some(_), None) => words.push("units may be let out again".to_string()),
         _ => {}
     }
-    if old.founding == new.founding && old.board != new.board {
-        words.push(format!("the voters change, board {}", new.board));
+    if old.bootstrap_id == new.bootstrap_id && old.voter_set_version != new.voter_set_version {
+        words.push(format!("the voters change, board {}", new.voter_set_version));
     }
     words
 }
--- a/balancer/fleet-policy/src/member/lease.rs
+++ b/balancer/fleet-policy/src/member/lease.rs
@@ -5,20 +5,20 @@
 
 use whinspindle_consensus::Voter;
 
-use super::{Member, MemberRules, Outside};
+use super::{Environment, Member, MemberRules};
 use crate::message::{Message, Right};
 use crate::record::Record;
 
 /// How often in a pace voters that have not answered are asked again.
 const RETRIES: u64 = 2;
 
-/// The grants of the voters for one policy by one board: a lease once a majority of each board has granted it.
+/// The grants of the voters for one policy by one voter set: a lease once a majority of each voter set has granted it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Lease {
     pub(super) number: u64,
-    pub(super) board: u64,
+    pub(super) voter_set_version: u64,
     pub(super) voter_sets: Vec<Vec<Voter>>,
-    /// Until when, and for which board and number.
+    /// Until when, and for which voter set and number.
     pub(super) grants: BTreeMap<Voter, (u64, (u64, u64))>,
 }
 
@@ -26,17 +26,17 @@
     pub(super) fn of(record: &Record) -> Lease {
         Lease {
             number: record.policy.number,
-            board: record.board,
+            voter_set_version: record.voter_set_version,
             voter_sets: record.voter_sets.clone(),
             grants: BTreeMap::new(),
         }
     }
 
-    /// Until when there is a right: as long as a majority of each board grants it.
+    /// Until when there is a right: as long as a majority of each voter set grants it.
     pub(super) fn until<L: MemberRules>(&self) -> u64 {
         let grant = |voter: &Voter| {
             let (until, granted) = self.grants.get(voter)?;
-            L::is_for(*granted, self.board, self.number).then_some(*until)
+            L::is_for(*granted, self.voter_set_version, self.number).then_some(*until)
         };
         let of_voter_set = |voter_set: &Vec<Voter>| {
             let mut ends: Vec<u64> = voter_set.iter().filter_map(grant).collect();
@@ -48,19 +48,19 @@
     }
 }
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
+impl<O: Environment, L: MemberRules> Member<O, L> {
     /// By what a query that is taken now is decided. Asked for each query: a process that was stopped finds
     /// its right over before it does anything by it.
     pub fn right(&self, now: u64) -> Right {
         self.right_until(now).0
     }
 
-    /// The same, and until when it holds if nothing more is heard.
+    /// The same, and until when it holds if nothing more is received.
     pub fn right_until(&self, now: u64) -> (Right, u64) {
         let proved = |number: u64| number == 0 || matches!(self.verdicts.get(&number), Some(Ok(())));
         let held = [Some(&self.lease), self.previous_lease.as_ref()];
         let usable = held.into_iter().flatten().find(|h| proved(h.number) && now < h.until::<L>());
-        let learned = self.began + self.terms.learn;
+        let learned = self.began + self.settings.learn;
         match usable {
             Some(holding) => (Right::Policy(holding.number), holding.until::<L>()),
             None if !self.had_lease && now < learned => (Right::Learning, learned),
@@ -70,11 +70,15 @@
 
     pub(super) fn voters(&self) -> BTreeSet<u16> {
         let agreed = self.record.voter_sets.iter().flatten().map(|voter| voter.member);
-        if self.record.founding == 0 { self.terms.voters.iter().copied().collect() } else { agreed.collect() }
+        if self.record.bootstrap_id == 0 {
+            self.settings.voters.iter().copied().collect()
+        } else {
+            agreed.collect()
+        }
     }
 
     pub(super) fn ask(&mut self, now: u64) {
-        self.next_ask = now + self.terms.pace;
+        self.next_ask = now + self.settings.pace;
         (self.asked, self.again) = (now, 0);
         self.ask_those(now, self.voters());
     }
@@ -82,14 +86,14 @@
     /// Guards against lost datagrams in large fleets, where the pace is long against the right: a voter that
     /// has not answered is asked again, so often at most, if those that have are no majority.
     pub(super) fn retry_ask(&mut self, now: u64) {
-        let due = self.asked + self.terms.pace / 4 * (self.again + 1);
-        if self.again == RETRIES || now < due || self.lease.until::<L>() >= self.asked + self.terms.right {
+        let due = self.asked + self.settings.pace / 4 * (self.again + 1);
+        if self.again == RETRIES || now < due || self.lease.until::<L>() >= self.asked + self.settings.right {
             return;
         }
         self.again += 1;
         let answered = |voter: &u16| {
             let grants = self.lease.grants.iter().filter(|(of, _)| of.member == *voter);
-            grants.into_iter().any(|(_, (until, _))| *until >= self.asked + self.terms.right)
+            grants.into_iter().any(|(_, (until, _))| *until >= self.asked + self.settings.right)
         };
         let silent = self.voters().into_iter().filter(|voter| !answered(voter)).collect();
         self.ask_those(now, silent);
@@ -98,10 +102,10 @@
     pub(super) fn ask_those(&mut self, now: u64, voters: BTreeSet<u16>) {
         for voter in voters {
             let question = self.question(now);
-            if voter == self.terms.me {
-                self.heard(now, voter, question);
+            if voter == self.settings.me {
+                self.received(now, voter, question);
             } else {
-                self.outside.send(voter, question);
+                self.environment.send(voter, question);
             }
         }
     }
@@ -111,7 +115,7 @@
             at: now,
             incarnation: self.memory.incarnation,
             start: self.start,
-            founding: self.record.founding,
+            bootstrap_id: self.record.bootstrap_id,
             version: self.record.version,
             right: self.right(now),
             readiness: self.readiness(),
@@ -119,18 +123,18 @@
     }
 
     pub(super) fn granted(&mut self, now: u64, at: u64, voter: Voter, granted: (u64, u64)) {
-        let until = L::right_until(at, now, &self.terms);
+        let until = L::right_until(at, now, &self.settings);
         for held in [Some(&mut self.lease), self.previous_lease.as_mut()].into_iter().flatten() {
             let known = held.grants.entry(voter).or_insert((until, granted));
             if until > known.0 {
                 *known = (until, granted);
             }
         }
-        self.note_lease(now);
+        self.record_lease(now);
     }
 
     /// Once there is a right for what is known, what was before is never gone back to.
-    pub(super) fn note_lease(&mut self, now: u64) {
+    pub(super) fn record_lease(&mut self, now: u64) {
         let right = self.right(now);
         if right == Right::Policy(self.lease.number) {
             self.previous_lease = None;
@@ -140,17 +144,17 @@
             let words = match right {
                 Right::Learning => "learns what holds".to_string(),
                 Right::Policy(number) => format!("decides by policy {number}"),
-                Right::CutOff => format!("is cut off: {}", self.why_cut_off(now)),
+                Right::CutOff => format!("is cut off: {}", self.cut_off_reason(now)),
             };
-            self.outside.tell(words);
+            self.environment.tell(words);
             self.told = right;
         }
     }
 
     /// Why it holds no lease, in words for the log and for operators.
-    pub fn why_cut_off(&self, now: u64) -> String {
+    pub fn cut_off_reason(&self, now: u64) -> String {
         let number = self.lease.number;
-        if self.record.founding == 0 {
+        if self.record.bootstrap_id == 0 {
             return "the fleet is not founded, or no voter answers".to_string();
         }
         if now >= self.lease.until::<L>() {
--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -1,11 +1,11 @@
-//! The rounds that this member begins: a step is prepared, written and counted until a majority of each board
+//! The rounds that this member begins: a step is prepared, written and counted until a majority of each voter set
 //! has voted for it.
 
 use std::collections::BTreeSet;
 
 use whinspindle_consensus::{Ballot, Round, Voter};
 
-use super::{Member, MemberRules, Outside};
+use super::{Environment, Member, MemberRules};
 use crate::message::Message;
 use crate::record::{Record, Step};
 
@@ -19,39 +19,42 @@
     pub(super) thought_of: (u64, u64),
 }
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
+impl<O: Environment, L: MemberRules> Member<O, L> {
     pub(super) fn begin(&mut self, now: u64, step: Step) {
-        let founds = matches!(step, Step::Found { .. });
+        let founds = matches!(step, Step::Bootstrap { .. });
         let known = if founds {
             let incarnation = |member: &u16| {
-                let heard = self.heard.get(*member as usize)?.as_ref();
-                let own = (*member == self.terms.me).then_some(self.memory.incarnation);
-                Some(Voter { member: *member, incarnation: own.or(heard.map(|heard| heard.incarnation))? })
+                let received = self.received.get(*member as usize)?.as_ref();
+                let own = (*member == self.settings.me).then_some(self.memory.incarnation);
+                Some(Voter {
+                    member: *member,
+                    incarnation: own.or(received.map(|received| received.incarnation))?,
+                })
             };
             // Founding needs every voter of the file.
-            let voters: Option<Vec<Voter>> = self.terms.voters.iter().map(incarnation).collect();
+            let voters: Option<Vec<Voter>> = self.settings.voters.iter().map(incarnation).collect();
             let Some(voters) = voters else { return };
-            Record::unfounded(voters)
+            Record::before_bootstrap(voters)
         } else {
             self.record.clone()
         };
         self.highest_round = self.highest_round.max(self.memory.votes.promised.round) + 1;
         let epoch = self.record.epoch() + u64::from(founds);
-        let ballot = Ballot { epoch, round: self.highest_round, member: self.terms.me, start: self.start };
+        let ballot = Ballot { epoch, round: self.highest_round, member: self.settings.me, start: self.start };
         let mut round = Round::new(ballot, known);
         if self.memory.votes.prepare(ballot).is_err() || !self.persist() {
             return;
         }
         round.record_promise(self.voter(), self.memory.votes.accepted.clone());
         for voter in round.awaiting_promise::<L>() {
-            self.outside.send(voter.member, Message::Prepare { ballot });
+            self.environment.send(voter.member, Message::Prepare { ballot });
         }
         self.round = Some(OngoingRound { round, step, began: now, thought_of: self.record.order() });
         self.write(now);
     }
 
-    /// Prepared or written again for those that may not have heard.
-    pub(super) fn repeat_round(&mut self) {
+    /// Prepared or written again for those that may not have received.
+    pub(super) fn retry_round(&mut self) {
         let Some(OngoingRound { round, .. }) = &self.round else { return };
         let ballot = round.ballot;
         let again: Vec<(u16, Message)> = match round.awaiting_vote() {
@@ -65,9 +68,9 @@
                 round.awaiting_promise::<L>().into_iter().map(prepare).collect()
             }
         };
-        let me = self.terms.me;
+        let me = self.settings.me;
         for (to, message) in again.into_iter().filter(|(to, _)| *to != me) {
-            self.outside.send(to, message);
+            self.environment.send(to, message);
         }
     }
 
@@ -84,7 +87,7 @@
         let Some(found) = round.prepared_value::<L>().cloned() else { return };
         // Guards against a step that was thought of for another record: limits and times were looked at in
         // that one. What has been agreed on or begun since is only brought to its end.
-        let is_known = found.order() == *thought_of || found.founding == 0;
+        let is_known = found.order() == *thought_of || found.bootstrap_id == 0;
         let next = found.after(step).filter(|_| is_known && due.as_ref() == Some(step));
         let Some(record) = next.or((found.order() > self.record.order()).then_some(found)) else {
             self.round = None;
@@ -98,7 +101,7 @@
             return;
         }
         for voter in voters.into_iter().filter(|voter| *voter != me) {
-            self.outside.send(voter.member, Message::Accept { ballot, record: record.clone() });
+            self.environment.send(voter.member, Message::Accept { ballot, record: record.clone() });
         }
         self.voted(now, me);
     }
@@ -109,11 +112,11 @@
         self.round = None;
         self.learn(now, record);
         // The others would learn it by their next question.
-        let members = self.heard.iter().enumerate().filter(|(_, heard)| heard.is_some());
+        let members = self.received.iter().enumerate().filter(|(_, received)| received.is_some());
         let members: BTreeSet<u16> = members.map(|(member, _)| member as u16).collect();
         for member in members.into_iter().chain(self.voters()).collect::<BTreeSet<u16>>() {
-            if member != self.terms.me {
-                self.outside.send(member, Message::News { record: self.record.clone() });
+            if member != self.settings.me {
+                self.environment.send(member, Message::Update { record: self.record.clone() });
             }
         }
         self.lead(now);
@@ -143,7 +146,7 @@
         self.highest_round = self.highest_round.max(promised.round);
         if self.round.take_if(|on| on.round.ballot == ballot).is_some() {
             // Members that push one another out wait for different times.
-            self.quiet_until = now + self.terms.pace * (1 + u64::from(self.terms.me)) / 4;
+            self.quiet_until = now + self.settings.pace * (1 + u64::from(self.settings.me)) / 4;
         }
     }
 }
--- a/balancer/fleet-policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -4,9 +4,9 @@
 
 use whinspindle_rollout::{Evidence, Next, No, Progress, Row, Unit, Way};
 
-use super::{Member, MemberRules, Outside};
-use crate::message::{Message, Want};
-use crate::record::{Close, Halt, Part, Step, Wish};
+use super::{Environment, Member, MemberRules};
+use crate::message::{Message, RequestKind};
+use crate::record::{Close, Halt, Part, RequestId, Step};
 
 /// What a voter knows against the build of a release.
 #[derive(Clone, Debug)]
@@ -18,11 +18,11 @@
     pub(super) window: u64,
     /// Of each member's start, the last figures that were taken: those that come twice count once.
     pub(super) taken: BTreeMap<u16, (u64, u32)>,
-    /// Why the release has to be halted, and the serial number of that wish.
+    /// Why the release has to be halted, and the serial number of that request.
     pub(super) against: Option<(String, u64)>,
 }
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
+impl<O: Environment, L: MemberRules> Member<O, L> {
     /// The release whose units are watched now.
     pub fn watched(&self) -> Option<u64> {
         let forth = self.record.release.as_ref().filter(|release| release.way == Way::Forth);
@@ -32,7 +32,7 @@
     /// How far the release is, with all of its units that are not in full service.
     pub fn progress<T>(&self, now: u64, see: impl FnOnce(&Progress) -> T) -> Option<T> {
         let release = self.record.release.as_ref()?;
-        let plan = self.outside.plan(release.hash)?;
+        let plan = self.environment.plan(release.hash)?;
         // On the way back only what this release has let out has to return: a unit that it never touched, and that
         // is down for a cause of its own, must not hold up the end of a bad build.
         let forth = release.way == Way::Forth;
@@ -43,14 +43,14 @@
         out.extend(plan.units.iter().filter(|unit| match unit {
             _ if !forth => false,
             Unit::Balancer(number) => away.contains(number),
-            Unit::Server(key) => !self.outside.is_full(*key),
+            Unit::Server(key) => !self.environment.is_full(*key),
         }));
         let (wave, changed) = (release.wave as usize, &release.changed);
         Some(see(&Progress { plan: &plan, way: release.way, wave, changed, out: &out }))
     }
 
     /// As what part of the release with this number a unit would go; why not, if it may not. Guards against a
-    /// wish for a release that is over: it must not be granted as one for another cause.
+    /// request for a release that is over: it must not be granted as one for another cause.
     pub fn part_of(&self, now: u64, unit: Unit, of: Option<u64>) -> Result<Option<Part>, No> {
         let Some(number) = of else { return Ok(None) };
         let release = self.record.release.as_ref().filter(|on| on.number == number).ok_or(No::NoRelease)?;
@@ -62,7 +62,7 @@
         self.progress(now, of).unwrap_or(Err(No::NoPlan))
     }
 
-    pub(super) fn note_wave(&mut self, now: u64) {
+    pub(super) fn record_wave(&mut self, now: u64) {
         let complete = self.progress(now, |progress| L::next_of(progress, u64::MAX).is_some());
         let known = self.record.release.as_ref().filter(|_| complete == Some(true));
         let known = known.map(|release| (release.number, release.wave, release.way));
@@ -72,18 +72,18 @@
         }
     }
 
-    pub(super) fn tell_figures(&mut self, now: u64) {
+    pub(super) fn send_observations(&mut self, now: u64) {
         let Some(release) = self.watched() else { return };
-        let rows = self.outside.figures(&self.record);
+        let rows = self.environment.figures(&self.record);
         if !rows.is_empty() {
             self.serial += 1;
             let (start, serial) = (self.start, self.serial);
             for voter in self.voters() {
-                let figures = Message::Figures { release, start, serial, rows: rows.clone() };
-                if voter == self.terms.me {
-                    self.heard(now, voter, figures);
+                let figures = Message::Observations { release, start, serial, rows: rows.clone() };
+                if voter == self.settings.me {
+                    self.received(now, voter, figures);
                 } else {
-                    self.outside.send(voter, figures);
+                    self.environment.send(voter, figures);
                 }
             }
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    pub(super) fn take_figures(
+    pub(super) fn receive_observations(
         &mut self,
         now: u64,
         from: u16,
@@ -111,7 +111,8 @@
             return;
         }
         if self.case.is_none() {
-            let Some(plan) = self.record.release.as_ref().and_then(|on| self.outside.plan(on.hash)) else {
+            let Some(plan) = self.record.release.as_ref().and_then(|on| self.environment.plan(on.hash))
+            else {
                 return;
             };
             let (evidence, window) = (Evidence::new(plan.error), plan.window());
@@ -140,34 +141,36 @@
     /// A release whose changed units do worse is halted.
     pub(super) fn halt_for_cause(&self) -> Option<Step> {
         let (why, serial) = self.case.as_ref()?.against.as_ref()?;
-        let wish = Wish { by: self.terms.me, serial: *serial };
-        let new = self.record.halted.is_none() && !self.record.knows(wish);
-        new.then(|| Step::Halt { halt: Halt { wish, why: why.clone() } })
+        let request_id = RequestId { by: self.settings.me, serial: *serial };
+        let new = self.record.halted.is_none() && !self.record.knows(request_id);
+        new.then(|| Step::Halt { halt: Halt { request_id, why: why.clone() } })
     }
 
     /// What has to be done about a release: an operator's word goes before its next wave.
     pub(super) fn release(&self, now: u64) -> Option<Step> {
-        let new = || self.requests.iter().filter(|wanted| !self.record.knows(wanted.wish));
+        let new = || self.requests.iter().filter(|wanted| !self.record.knows(wanted.request_id));
         let Some(release) = &self.record.release else {
-            return new().find_map(|wanted| match wanted.want {
-                Want::Release { hash, length } => Some(Step::Release { hash, length, wish: wanted.wish }),
+            return new().find_map(|wanted| match wanted.request {
+                RequestKind::Release { hash, length } => {
+                    Some(Step::Release { hash, length, request_id: wanted.request_id })
+                }
                 _ => None,
             });
         };
         let number = release.number;
-        let word = new().find_map(|wanted| match wanted.want {
-            Want::Leave { number: of } if of == number => {
-                Some(Step::Close { number, close: Close::Left, wish: Some(wanted.wish) })
+        let word = new().find_map(|wanted| match wanted.request {
+            RequestKind::Leave { number: of } if of == number => {
+                Some(Step::Close { number, close: Close::Left, request_id: Some(wanted.request_id) })
             }
-            Want::Turn { number: of } if of == number && release.way == Way::Forth => {
-                Some(Step::Turn { number, wish: wanted.wish })
+            RequestKind::Turn { number: of } if of == number && release.way == Way::Forth => {
+                Some(Step::Turn { number, request_id: wanted.request_id })
             }
             _ => None,
         });
         // A halt stands: the next wave begins after it is resumed. The way back has no halt of its own.
         let stands = self.record.halted.is_some();
         // Whoever is away has been unheard for `absent`; a leader that has just started can't know it.
-        let knows = now >= self.began + self.terms.absent;
+        let knows = now >= self.began + self.settings.absent;
         word.or_else(|| {
             let (_, _, _, since) = self.complete.filter(|known| {
                 !stands && knows && (known.0, known.1, known.2) == (number, release.wave, release.way)
@@ -176,7 +179,7 @@
                 Next::Wave(to) => Step::Wave { number, from: release.wave, to: to as u16 },
                 Next::Over => {
                     let close = if release.way == Way::Forth { Close::Done } else { Close::TakenBack };
-                    Step::Close { number, close, wish: None }
+                    Step::Close { number, close, request_id: None }
                 }
             })
         })
--- a/balancer/fleet-policy/src/member/restarts.rs
+++ b/balancer/fleet-policy/src/member/restarts.rs
@@ -6,69 +6,70 @@
 use whinspindle_rollout::{Unit, Way};
 
 use super::requests::PendingRequest;
-use super::{Member, MemberRules, Outside};
-use crate::message::{Right, Want};
+use super::{Environment, Member, MemberRules};
+use crate::message::{RequestKind, Right};
 use crate::record::{Halt, Out, Part, Step};
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
+impl<O: Environment, L: MemberRules> Member<O, L> {
     /// Balancers that are not in full service, as this leader hears them.
     pub(super) fn away(&self, now: u64) -> BTreeSet<u16> {
-        let serves = |member: &u16| match &self.heard[*member as usize] {
-            _ if *member == self.terms.me => matches!(self.right(now), Right::Policy(_)),
-            Some(heard) => self.is_here(now, *member) && matches!(heard.right, Right::Policy(_)),
+        let serves = |member: &u16| match &self.received[*member as usize] {
+            _ if *member == self.settings.me => matches!(self.right(now), Right::Policy(_)),
+            Some(received) => self.is_here(now, *member) && matches!(received.right, Right::Policy(_)),
             None => false,
         };
-        (0..self.terms.members).filter(|member| !serves(member)).collect()
+        (0..self.settings.members).filter(|member| !serves(member)).collect()
     }
 
     /// What has to be done about units: a halt goes before all, what is back before what goes.
     pub(super) fn units(&self, now: u64) -> Option<Step> {
         let record = &self.record;
-        let new = || self.requests.iter().filter(|wanted| !record.knows(wanted.wish));
-        let halt = new().find_map(|wanted| match &wanted.want {
-            Want::Halt { why } if record.halted.is_none() => {
-                Some(Step::Halt { halt: Halt { wish: wanted.wish, why: why.clone() } })
+        let new = || self.requests.iter().filter(|wanted| !record.knows(wanted.request_id));
+        let halt = new().find_map(|wanted| match &wanted.request {
+            RequestKind::Halt { why } if record.halted.is_none() => {
+                Some(Step::Halt { halt: Halt { request_id: wanted.request_id, why: why.clone() } })
             }
-            Want::Back { unit, done } if record.out_as(*unit).is_some() => {
-                Some(Step::Back { unit: *unit, wish: wanted.wish, done: *done })
+            RequestKind::Back { unit, done } if record.out_as(*unit).is_some() => {
+                Some(Step::Back { unit: *unit, request_id: wanted.request_id, done: *done })
+            }
+            RequestKind::Resume if record.halted.is_some() => {
+                Some(Step::Resume { request_id: wanted.request_id })
             }
-            Want::Resume if record.halted.is_some() => Some(Step::Resume { wish: wanted.wish }),
             _ => None,
         });
-        let knows = now >= self.began + self.terms.absent;
+        let knows = now >= self.began + self.settings.absent;
         halt.or_else(|| {
             let away = L::out_without(self.away(now));
             new().filter(|_| knows).find_map(|wanted| {
-                let Want::Out { unit, release } = wanted.want else { return None };
+                let RequestKind::Out { unit, release } = wanted.request else { return None };
                 let start = match unit {
-                    Unit::Balancer(number) if number == self.terms.me => self.start,
-                    Unit::Balancer(number) => self.heard.get(number as usize)?.as_ref()?.start,
+                    Unit::Balancer(number) if number == self.settings.me => self.start,
+                    Unit::Balancer(number) => self.received.get(number as usize)?.as_ref()?.start,
                     Unit::Server(_) => 0,
                 };
-                let may = record.may_let_out(unit) && self.outside.may_go(record, unit, &away).is_ok();
+                let may = record.may_take_out(unit) && self.environment.may_go(record, unit, &away).is_ok();
                 let part = self.part_of(now, unit, release).ok().filter(|_| may)?;
-                let wish = L::wish_of(wanted.wish, record);
-                Some(Step::Grant { out: Out { unit, wish, start, part } })
+                let request_id = L::wish_of(wanted.request_id, record);
+                Some(Step::Grant { out: Out { unit, request_id, start, part } })
             })
         })
     }
 
     /// Whether this balancer has to go out: it was let out in this start of its process.
-    pub fn is_let_out(&self) -> bool {
-        self.record.out_as(Unit::Balancer(self.terms.me)).is_some_and(|out| out.start == self.start)
+    pub fn is_taken_out(&self) -> bool {
+        self.record.out_as(Unit::Balancer(self.settings.me)).is_some_and(|out| out.start == self.start)
     }
 
     /// A balancer that was let out and has started since says that it is back, once it serves.
     pub(super) fn come_back(&mut self, now: u64) {
-        let unit = Unit::Balancer(self.terms.me);
+        let unit = Unit::Balancer(self.settings.me);
         let Some(out) = self.record.out_as(unit).filter(|out| out.start != self.start) else { return };
-        let wants =
-            |wanted: &PendingRequest| matches!(wanted.want, Want::Back { unit: back, .. } if back == unit);
+        let wants = |wanted: &PendingRequest| matches!(wanted.request, RequestKind::Back { unit: back, .. } if back == unit);
         if !matches!(self.right(now), Right::Policy(_)) || self.requests.iter().any(wants) {
             return;
         }
         let Some(done) = self.carries(out.part) else { return };
-        self.want(now, Want::Back { unit, done }, self.start);
+        self.submit(now, RequestKind::Back { unit, done }, self.start);
     }
 
     /// Whether this process carries the build that it went out for; none while the plan that names it is not
@@ -80,8 +81,8 @@
         else {
             return Some(true);
         };
-        let plan = self.outside.plan(release.hash)?;
-        let is_new = plan.build.as_ref().map(|build| *build == self.outside.build());
+        let plan = self.environment.plan(release.hash)?;
+        let is_new = plan.build.as_ref().map(|build| *build == self.environment.build());
         Some(is_new.is_none_or(|is_new| is_new == (part.way == Way::Forth)))
     }
 }
--- a/balancer/fleet-policy/src/member/rules.rs
+++ b/balancer/fleet-policy/src/member/rules.rs
@@ -6,14 +6,14 @@
 use whinspindle_consensus::StandardConsensusRules;
 use whinspindle_rollout::{Next, No, Progress};
 
-use super::Terms;
-use crate::record::{Record, Wish};
+use super::MemberSettings;
+use crate::record::{Record, RequestId};
 
 /// The rules of a member, beside those of counting; the lab plants faults in their place.
 pub trait MemberRules: whinspindle_consensus::ConsensusRules {
     /// When a right that was asked for at `asked`, and granted by an answer that came at `now`, runs out.
-    fn right_until(asked: u64, _now: u64, terms: &Terms) -> u64 {
-        asked + terms.right
+    fn right_until(asked: u64, _now: u64, settings: &MemberSettings) -> u64 {
+        asked + settings.right
     }
 
     /// Whether a voter may grant rights by what it knows to be agreed, when it has voted for `voted`. Guards
@@ -21,22 +21,23 @@
     fn may_grant(agreed: &Record, voted: Option<&Record>) -> bool {
         voted.is_none_or(|voted| {
             voted.version <= agreed.version
-                || (voted.policy.number == agreed.policy.number && voted.board == agreed.board)
+                || (voted.policy.number == agreed.policy.number
+                    && voted.voter_set_version == agreed.voter_set_version)
         })
     }
 
     /// Whether a right that was granted before may be used beside the record known now.
-    fn is_for(granted: (u64, u64), board: u64, number: u64) -> bool {
-        granted == (board, number)
+    fn is_for(granted: (u64, u64), voter_set_version: u64, number: u64) -> bool {
+        granted == (voter_set_version, number)
     }
 
     /// When the next policy may come into force, if this one was learned then.
-    fn next_after(learned: u64, terms: &Terms) -> u64 {
-        learned + terms.window()
+    fn next_after(learned: u64, settings: &MemberSettings) -> u64 {
+        learned + settings.window()
     }
 
-    /// Under which wish a unit is let out: the one that was asked for, so that it is done once.
-    fn wish_of(wanted: Wish, _agreed: &Record) -> Wish {
+    /// Under which request a unit is let out: the one that was asked for, so that it is done once.
+    fn wish_of(wanted: RequestId, _agreed: &Record) -> RequestId {
         wanted
     }
 
--- a/balancer/fleet-policy/src/member/texts.rs
+++ b/balancer/fleet-policy/src/member/texts.rs
@@ -1,18 +1,18 @@
-//! The texts of policies and plans: fetched in pieces from other members, given to them, and handed to the
+//! The texts of policies and plans: fetched in chunks from other members, given to them, and handed to the
 //! process to be proved.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use super::{Member, MemberRules, Outside};
+use super::{Environment, Member, MemberRules};
 use crate::message::{Message, Objection, Readiness};
 use crate::record::{Hash, Policy};
 
 /// Verdicts that are remembered, those of the newest policies.
 const MOST_VERDICTS: usize = 8;
 
-impl<O: Outside, L: MemberRules> Member<O, L> {
-    /// The text of a policy or plan, once it is whole here.
+impl<O: Environment, L: MemberRules> Member<O, L> {
+    /// The text of a policy or plan, once it is complete here.
     pub fn text(&self, hash: Hash) -> Option<Rc<[u8]>> {
         self.texts.get(hash)
     }
@@ -43,9 +43,10 @@
     pub fn proved(&mut self, now: u64, number: u64, verdict: Result<(), Objection>) {
         self.proving.remove(&number);
         match &verdict {
-            Ok(()) => self.outside.tell(format!("policy {number} is proved")),
+            Ok(()) => self.environment.tell(format!("policy {number} is proved")),
             Err(no) => {
-                self.outside.tell(format!("policy {number} can't be proved: line {}: {}", no.line, no.words));
+                self.environment
+                    .tell(format!("policy {number} can't be proved: line {}: {}", no.line, no.words));
             }
         }
         self.verdicts.insert(number, verdict);
@@ -67,16 +68,16 @@
         for policy in self.policies_to_prove() {
             let Some(text) = self.texts.get(policy.hash) else { continue };
             if !self.verdicts.contains_key(&policy.number) && self.proving.insert(policy.number) {
-                self.outside.prove(policy, text);
+                self.environment.prove(policy, text);
             }
         }
         let Some(hash) = self.record.release.as_ref().map(|release| release.hash) else { return };
-        if let Some(text) = self.texts.get(hash).filter(|_| self.outside.plan(hash).is_none()) {
-            self.outside.plan_came(hash, text);
+        if let Some(text) = self.texts.get(hash).filter(|_| self.environment.plan(hash).is_none()) {
+            self.environment.plan_came(hash, text);
         }
     }
 
-    /// Asks for the pieces that are wanting: whoever gave some, else in turn whoever proposed it and the
+    /// Asks for the chunks that are missing: whoever gave some, else in turn whoever proposed it and the
     /// voters.
     pub(super) fn fetch(&mut self, now: u64) {
         if now < self.next_fetch {
@@ -84,48 +85,52 @@
         }
         let next = self.record.next;
         let release = self.record.release.as_ref();
-        let by = next.map(|change| change.wish.by).into_iter().chain(release.map(|release| release.wish.by));
+        let by = next
+            .map(|change| change.request_id.by)
+            .into_iter()
+            .chain(release.map(|release| release.request_id.by));
         let sources: BTreeSet<u16> = self.voters().into_iter().chain(by).collect();
-        let mut sources: Vec<u16> = sources.into_iter().filter(|source| *source != self.terms.me).collect();
+        let mut sources: Vec<u16> =
+            sources.into_iter().filter(|source| *source != self.settings.me).collect();
         // Guards against a text that no voter has any more: now and then another member is asked for it.
         if self.fetches % 4 == 3 && self.source.is_none() {
-            let all = usize::from(self.terms.members);
+            let all = usize::from(self.settings.members);
             sources = vec![(self.fetches / 4 % all) as u16];
-            sources.retain(|source| *source != self.terms.me);
+            sources.retain(|source| *source != self.settings.me);
         }
         let plan = release.map(|release| (release.hash, release.length));
         let texts: Vec<(Hash, u32)> =
             self.policies_to_prove().map(|policy| (policy.hash, policy.length)).chain(plan).collect();
         for (hash, length) in texts {
-            let Some((piece, wanting)) = self.texts.wanting(hash, length) else { continue };
+            let Some((chunk, missing)) = self.texts.missing(hash, length) else { continue };
             self.fetches += 1;
             if sources.is_empty() {
                 return;
             }
             let source = self.source.take().unwrap_or(sources[self.fetches % sources.len()]);
-            self.next_fetch = now + self.terms.pace / 4;
-            self.fetching = Some((hash, piece, wanting));
-            self.outside.send(source, Message::Fetch { hash, piece, wanting });
+            self.next_fetch = now + self.settings.pace / 4;
+            self.fetching = Some((hash, chunk, missing));
+            self.environment.send(source, Message::Fetch { hash, chunk, missing });
             return;
         }
         self.fetching = None;
     }
 
-    pub(super) fn give(&mut self, to: u16, hash: Hash, piece: u16, wanting: u64) {
-        for at in (0..64).filter(|at| wanting >> at & 1 == 1) {
-            let piece = piece.saturating_add(at);
-            let Some((length, bytes)) = self.texts.piece(hash, piece) else { return };
-            self.outside.send(to, Message::Piece { hash, piece, length, bytes });
+    pub(super) fn give(&mut self, to: u16, hash: Hash, chunk: u16, missing: u64) {
+        for at in (0..64).filter(|at| missing >> at & 1 == 1) {
+            let chunk = chunk.saturating_add(at);
+            let Some((length, bytes)) = self.texts.chunk(hash, chunk) else { return };
+            self.environment.send(to, Message::Chunk { hash, chunk, length, bytes });
         }
     }
 
-    /// A piece of a text has come; the next ones are asked for once all of the last question are here.
-    pub(super) fn take_piece(&mut self, now: u64, from: u16, hash: Hash, piece: u16, bytes: Vec<u8>) {
+    /// A chunk of a text has come; the next ones are asked for once all of the last question are here.
+    pub(super) fn take_chunk(&mut self, now: u64, from: u16, hash: Hash, chunk: u16, bytes: Vec<u8>) {
         self.source = Some(from);
-        if self.texts.take(hash, piece, bytes) {
+        if self.texts.take(hash, chunk, bytes) {
             self.prove();
-        } else if let Some((asked, piece, wanting)) = self.fetching
-            && !self.texts.is_wanting(asked, piece, wanting)
+        } else if let Some((asked, chunk, missing)) = self.fetching
+            && !self.texts.is_missing(asked, chunk, missing)
         {
             // All that was asked for is here: the next ones are asked for without a pause.
             self.next_fetch = now;
--- a/balancer/fleet-policy/src/member/timing.rs
+++ b/balancer/fleet-policy/src/member/timing.rs
@@ -2,11 +2,11 @@
 
 /// What an installation sets. Times are microseconds of a monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct MemberSettings {
     /// The number of this member, from 0, and how many there are.
     pub me: u16,
     pub members: u16,
-    /// Who votes from the founding on.
+    /// Who votes from the bootstrap on.
     pub voters: Vec<u16>,
     /// How long a granted right lasts, from when it was asked for.
     pub right: u64,
@@ -22,7 +22,7 @@
     pub learn: u64,
 }
 
-impl Terms {
+impl MemberSettings {
     /// After this time of any member's clock no right is left of those granted before it began: the longest
     /// that a right lasts by the slowest clock, counted by the fastest.
     pub fn window(&self) -> u64 {
--- a/balancer/fleet-policy/src/message.rs
+++ b/balancer/fleet-policy/src/message.rs
@@ -4,12 +4,12 @@
 use whinspindle_consensus::{Ballot, Voter};
 use whinspindle_rollout::{Row, Unit};
 
-use crate::record::{Hash, Record, Wish};
+use crate::record::{Hash, Record, RequestId};
 
 /// Why a member can't prove a policy against its own settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Objection {
-    /// Line of the policy's text, from 1; 0 for the whole of it.
+    /// Line of the policy's text, from 1; 0 for the complete of it.
     pub line: u32,
     pub words: String,
 }
@@ -19,7 +19,7 @@
 pub enum Readiness {
     #[default]
     Nothing,
-    /// Pieces of its text are wanting.
+    /// Pieces of its text are missing.
     Lacks(u64),
     Ready(u64),
     Objects(u64, Objection),
@@ -32,7 +32,7 @@
     #[default]
     Learning,
     Policy(u64),
-    /// It may not know what holds: by the terms for being cut off.
+    /// It may not know what holds: by the settings for being cut off.
     CutOff,
 }
 
@@ -43,7 +43,7 @@
         at: u64,
         incarnation: u64,
         start: u64,
-        founding: u64,
+        bootstrap_id: u64,
         version: u64,
         right: Right,
         readiness: Readiness,
@@ -54,29 +54,29 @@
         at: u64,
         start: u64,
         voter: Voter,
-        board: u64,
+        voter_set_version: u64,
         number: u64,
     },
     /// What is agreed on, to one that knows less.
-    News {
+    Update {
         record: Record,
     },
     /// Pieces of a text: those of the 64 from this one on whose bits are set.
     Fetch {
         hash: Hash,
-        piece: u16,
-        wanting: u64,
+        chunk: u16,
+        missing: u64,
     },
-    Piece {
+    Chunk {
         hash: Hash,
-        piece: u16,
+        chunk: u16,
         length: u32,
         bytes: Vec<u8>,
     },
-    /// An operator's wish, to the voters.
-    Wanted {
-        want: Want,
-        wish: Wish,
+    /// An operator's request, to the voters.
+    OperatorRequest {
+        request: RequestKind,
+        request_id: RequestId,
     },
     Prepare {
         ballot: Ballot,
@@ -95,7 +95,7 @@
         voter: Voter,
     },
     /// What a member has seen of a release's units since it told last; serial numbers of a start grow.
-    Figures {
+    Observations {
         release: u64,
         start: u64,
         serial: u32,
@@ -114,7 +114,7 @@
 
 /// What an operator wants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Want {
+pub enum RequestKind {
     Propose {
         hash: Hash,
         length: u32,
--- a/balancer/fleet-policy/src/texts.rs
+++ b/balancer/fleet-policy/src/texts.rs
@@ -1,104 +1,108 @@
-//! The texts of policies: whole ones by their hash, and one that is put together from pieces.
+//! The texts of policies: complete ones by their hash, and one that is put together from chunks.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use crate::record::{Hash, LONGEST_TEXT};
+use crate::record::{Hash, MAX_TEXT_BYTES};
 
 /// Bytes of a text in one message, so that it fits a datagram of 256 bytes with its frame.
-pub const PIECE: usize = 176;
+pub const CHUNK_BYTES: usize = 176;
 /// Whole texts kept: the one in force, the next, and the one before for those that are behind.
-const KEPT: usize = 4;
+const MAX_TEXTS: usize = 4;
 /// Pieces asked for at once: the bits of a word.
-pub const AT_ONCE: usize = 64;
+pub const CHUNKS_PER_REQUEST: usize = 64;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Partly {
+struct PartialText {
     hash: Hash,
     length: usize,
-    pieces: Vec<Option<Vec<u8>>>,
+    chunks: Vec<Option<Vec<u8>>>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Texts {
-    whole: BTreeMap<Hash, Rc<[u8]>>,
+    complete: BTreeMap<Hash, Rc<[u8]>>,
     /// In the order in which they came.
     order: Vec<Hash>,
-    partly: Option<Partly>,
+    partial: Option<PartialText>,
 }
 
 impl Texts {
     pub fn get(&self, hash: Hash) -> Option<Rc<[u8]>> {
-        self.whole.get(&hash).cloned()
+        self.complete.get(&hash).cloned()
     }
 
     pub fn put(&mut self, text: &[u8]) -> Hash {
         let hash = Hash::of(text);
-        if self.whole.insert(hash, text.into()).is_none() {
+        if self.complete.insert(hash, text.into()).is_none() {
             self.order.push(hash);
         }
         hash
     }
 
     /// Lets go of the oldest beyond the limit, but not of those in use.
-    pub fn let_go(&mut self, used: &[Hash]) {
-        while self.order.len() > KEPT {
+    pub fn evict(&mut self, used: &[Hash]) {
+        while self.order.len() > MAX_TEXTS {
             let Some(place) = self.order.iter().position(|hash| !used.contains(hash)) else { return };
-            self.whole.remove(&self.order.remove(place));
+            self.complete.remove(&self.order.remove(place));
         }
     }
 
-    /// The first piece wanting of a text, and which of those from there on are wanting too.
-    pub fn wanting(&mut self, hash: Hash, length: u32) -> Option<(u16, u64)> {
+    /// The first chunk missing of a text, and which of those from there on are missing too.
+    pub fn missing(&mut self, hash: Hash, length: u32) -> Option<(u16, u64)> {
         let length = length as usize;
-        if self.whole.contains_key(&hash) || length == 0 || length > LONGEST_TEXT {
+        if self.complete.contains_key(&hash) || length == 0 || length > MAX_TEXT_BYTES {
             return None;
         }
-        if self.partly.as_ref().is_none_or(|partly| partly.hash != hash || partly.length != length) {
-            let pieces = vec![None; length.div_ceil(PIECE)];
-            self.partly = Some(Partly { hash, length, pieces });
+        if self.partial.as_ref().is_none_or(|partial| partial.hash != hash || partial.length != length) {
+            let chunks = vec![None; length.div_ceil(CHUNK_BYTES)];
+            self.partial = Some(PartialText { hash, length, chunks });
         }
-        let pieces = &self.partly.as_ref()?.pieces;
-        let first = pieces.iter().position(Option::is_none)?;
-        let window = pieces[first..].iter().take(AT_ONCE).enumerate();
-        let wanting = window.filter(|(_, piece)| piece.is_none()).fold(0, |bits, (at, _)| bits | 1 << at);
-        Some((first as u16, wanting))
+        let chunks = &self.partial.as_ref()?.chunks;
+        let first = chunks.iter().position(Option::is_none)?;
+        let window = chunks[first..].iter().take(CHUNKS_PER_REQUEST).enumerate();
+        let missing = window.filter(|(_, chunk)| chunk.is_none()).fold(0, |bits, (at, _)| bits | 1 << at);
+        Some((first as u16, missing))
     }
 
-    /// Whether a piece of those asked for is still on its way.
-    pub fn is_wanting(&self, hash: Hash, piece: u16, wanting: u64) -> bool {
-        let Some(partly) = self.partly.as_ref().filter(|partly| partly.hash == hash) else { return false };
-        let asked = (0..AT_ONCE).filter(|at| wanting >> at & 1 == 1).map(|at| piece as usize + at);
-        asked.filter_map(|at| partly.pieces.get(at)).any(Option::is_none)
+    /// Whether a chunk of those asked for is still on its way.
+    pub fn is_missing(&self, hash: Hash, chunk: u16, missing: u64) -> bool {
+        let Some(partial) = self.partial.as_ref().filter(|partial| partial.hash == hash) else {
+            return false;
+        };
+        let asked = (0..CHUNKS_PER_REQUEST).filter(|at| missing >> at & 1 == 1).map(|at| chunk as usize + at);
+        asked.filter_map(|at| partial.chunks.get(at)).any(Option::is_none)
     }
 
     pub fn lacks(&self, hash: Hash) -> u64 {
-        let of = self.partly.as_ref().filter(|partly| partly.hash == hash);
-        of.map_or(0, |partly| partly.pieces.iter().filter(|piece| piece.is_none()).count() as u64)
+        let of = self.partial.as_ref().filter(|partial| partial.hash == hash);
+        of.map_or(0, |partial| partial.chunks.iter().filter(|chunk| chunk.is_none()).count() as u64)
     }
 
-    pub fn piece(&self, hash: Hash, piece: u16) -> Option<(u32, Vec<u8>)> {
-        let text = self.whole.get(&hash)?;
-        let bytes = text.chunks(PIECE).nth(piece as usize)?;
+    pub fn chunk(&self, hash: Hash, chunk: u16) -> Option<(u32, Vec<u8>)> {
+        let text = self.complete.get(&hash)?;
+        let bytes = text.chunks(CHUNK_BYTES).nth(chunk as usize)?;
         Some((text.len() as u32, bytes.to_vec()))
     }
 
-    /// Takes a piece; whether the text is whole now. Guards against pieces that are not of it: a text whose hash
+    /// Takes a chunk; whether the text is complete now. Guards against chunks that are not of it: a text whose hash
     /// is another is thrown away.
-    pub fn take(&mut self, hash: Hash, piece: u16, bytes: Vec<u8>) -> bool {
-        let Some(partly) = self.partly.as_mut().filter(|partly| partly.hash == hash) else { return false };
-        let count = partly.pieces.len();
-        let last = partly.length - (count - 1) * PIECE;
-        let Some(place) = partly.pieces.get_mut(piece as usize) else { return false };
-        if bytes.len() != (if piece as usize + 1 == count { last } else { PIECE }) {
+    pub fn take(&mut self, hash: Hash, chunk: u16, bytes: Vec<u8>) -> bool {
+        let Some(partial) = self.partial.as_mut().filter(|partial| partial.hash == hash) else {
+            return false;
+        };
+        let count = partial.chunks.len();
+        let last = partial.length - (count - 1) * CHUNK_BYTES;
+        let Some(place) = partial.chunks.get_mut(chunk as usize) else { return false };
+        if bytes.len() != (if chunk as usize + 1 == count { last } else { CHUNK_BYTES }) {
             return false;
         }
         *place = Some(bytes);
-        if partly.pieces.iter().any(Option::is_none) {
+        if partial.chunks.iter().any(Option::is_none) {
             return false;
         }
-        let text: Vec<u8> = partly.pieces.iter().flatten().flatten().copied().collect();
-        self.partly = None;
+        let text: Vec<u8> = partial.chunks.iter().flatten().flatten().copied().collect();
+        self.partial = None;
         if Hash::of(&text) != hash {
             return false;
         }
--- a/balancer/fleet-policy/tests/common/records.rs
+++ b/balancer/fleet-policy/tests/common/records.rs
@@ -1,8 +1,8 @@
 //! A record with something in each field and every kind of what a field may be, for fixtures.
 
 use whinspindle_fleet_policy::{
-    Change, Close, Fate, Halt, Hash, Out, Part, Past, PastRelease, Policy, Record, Release, Unit, Voter, Way,
-    Wish,
+    Change, ChangeOutcome, Close, Halt, Hash, Out, Part, Past, PastRelease, Policy, Record, Release,
+    RequestId, Unit, Voter, Way,
 };
 use whinspindle_rollout::Places;
 
@@ -19,23 +19,23 @@
 /// Wishes, numbers and hashes differ in every field, so that none can pass for another.
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
 pub fn record() -> Record {
-    let past = |number, by, fate| {
+    let past = |number, by, outcome| {
         let policy = Policy { number, hash: hash(number as u8), length: 1000 + number as u32 };
-        Past { change: Change { policy, wish: Wish { by, serial: 70_000 + number } }, fate }
+        Past { change: Change { policy, request_id: RequestId { by, serial: 70_000 + number } }, outcome }
     };
     let closed = |number, by, close, changed| PastRelease {
         number,
         hash: hash(0x40 + number as u8),
-        wish: Wish { by, serial: 90_000 + number },
+        request_id: RequestId { by, serial: 90_000 + number },
         close,
         changed,
     };
     let mut changed = Places::default();
     [0, 3, 63, 64, 130].into_iter().for_each(|place| changed.set(place, true));
     Record {
-        founding: 2 << 48 | 0x1234_5678_9abc,
+        bootstrap_id: 2 << 48 | 0x1234_5678_9abc,
         version: 301,
-        board: 9,
+        voter_set_version: 9,
         voter_sets: vec![
             vec![
                 Voter { member: 0, incarnation: 0xfeed_0000_0000_0001 },
@@ -51,35 +51,43 @@
         policy: Policy { number: 1007, hash: hash(0x10), length: 65_536 },
         next: Some(Change {
             policy: Policy { number: 1008, hash: hash(0x20), length: 177 },
-            wish: Wish { by: 3, serial: 0xdead_beef_0000_0001 },
+            request_id: RequestId { by: 3, serial: 0xdead_beef_0000_0001 },
         }),
         past: vec![
-            past(4, 1, Fate::InForce),
-            past(5, 2, Fate::Withdrawn),
-            past(6, 3, Fate::Refused(513)),
-            past(7, 4, Fate::GivenUp),
+            past(4, 1, ChangeOutcome::InForce),
+            past(5, 2, ChangeOutcome::Withdrawn),
+            past(6, 3, ChangeOutcome::Refused(513)),
+            past(7, 4, ChangeOutcome::GivenUp),
         ],
         out: vec![
             Out {
                 unit: Unit::Balancer(5),
-                wish: Wish { by: 6, serial: 600 },
+                request_id: RequestId { by: 6, serial: 600 },
                 start: 0x7000_0000_0000_0007,
                 part: Some(Part { release: 12, place: 300, way: Way::Back }),
             },
             Out {
                 unit: Unit::Server(0xabcd_ef01_2345_6789),
-                wish: Wish { by: 8, serial: 800 },
+                request_id: RequestId { by: 8, serial: 800 },
                 start: 0,
                 part: Some(Part { release: 11, place: 2, way: Way::Forth }),
             },
-            Out { unit: Unit::Server(9), wish: Wish { by: 10, serial: 1000 }, start: 1, part: None },
+            Out {
+                unit: Unit::Server(9),
+                request_id: RequestId { by: 10, serial: 1000 },
+                start: 1,
+                part: None,
+            },
         ],
-        halted: Some(Halt { wish: Wish { by: 11, serial: 1100 }, why: "more fail: größer".to_string() }),
+        halted: Some(Halt {
+            request_id: RequestId { by: 11, serial: 1100 },
+            why: "more fail: größer".to_string(),
+        }),
         release: Some(Release {
             number: 12,
             hash: hash(0x30),
             length: 412,
-            wish: Wish { by: 12, serial: 1200 },
+            request_id: RequestId { by: 12, serial: 1200 },
             way: Way::Back,
             wave: 258,
             changed,
@@ -90,12 +98,12 @@
             closed(2, 14, Close::TakenBack, 0),
             closed(3, 15, Close::Left, 128),
         ],
-        done: vec![Wish { by: 16, serial: 1600 }, Wish { by: 65_535, serial: u64::MAX }],
+        done: vec![RequestId { by: 16, serial: 1600 }, RequestId { by: 65_535, serial: u64::MAX }],
         highest: 1009,
     }
 }
 
-/// One with nothing in it but its board: before the first agreement.
-pub fn unfounded() -> Record {
-    Record::unfounded(vec![Voter { member: 1, incarnation: 21 }, Voter { member: 0, incarnation: 22 }])
+/// One with nothing in it but its voter set: before the first agreement.
+pub fn before_bootstrap() -> Record {
+    Record::before_bootstrap(vec![Voter { member: 1, incarnation: 21 }, Voter { member: 0, incarnation: 22 }])
 }
--- a/balancer/fleet-policy/tests/member.rs
+++ b/balancer/fleet-policy/tests/member.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use whinspindle_fleet_policy::{
-    Ballot, Member, Memory, Message, No, Out, Outside, Policy, Readiness, Record, Right, Terms, Unit, Voter,
-    Want, Wish,
+    Ballot, DurableState, Environment, Member, MemberSettings, Message, No, Out, Policy, Readiness, Record,
+    RequestId, RequestKind, Right, Unit, Voter,
 };
 
 const SECOND: u64 = 1_000_000;
@@ -17,11 +17,11 @@
     disk_fails: Rc<RefCell<bool>>,
 }
 
-impl Outside for Notes {
+impl Environment for Notes {
     fn send(&mut self, to: u16, message: Message) {
         self.sent.borrow_mut().push((to, message));
     }
-    fn keep(&mut self, _: &Memory) -> bool {
+    fn keep(&mut self, _: &DurableState) -> bool {
         !*self.disk_fails.borrow()
     }
     fn prove(&mut self, _: Policy, _: Rc<[u8]>) {}
@@ -31,8 +31,8 @@
     fn tell(&mut self, _: String) {}
 }
 
-fn terms() -> Terms {
-    Terms {
+fn settings() -> MemberSettings {
+    MemberSettings {
         me: 0,
         members: 3,
         voters: vec![0, 1, 2],
@@ -47,14 +47,14 @@
 
 fn founded() -> Record {
     let voters = (0..3).map(|member| Voter { member, incarnation: 100 + u64::from(member) }).collect();
-    Record { founding: 1 << 48 | 7, version: 5, voter_sets: vec![voters], ..Record::default() }
+    Record { bootstrap_id: 1 << 48 | 7, version: 5, voter_sets: vec![voters], ..Record::default() }
 }
 
 /// The first voter of a founded fleet that has run for long, and hears the two others.
 fn steward() -> (Member<Notes>, Notes) {
     let notes = Notes::default();
-    let memory = Memory { incarnation: 100, votes: Default::default(), record: founded() };
-    let mut member = Member::new(notes.clone(), terms(), Some(memory), 9, 0);
+    let memory = DurableState { incarnation: 100, votes: Default::default(), record: founded() };
+    let mut member = Member::new(notes.clone(), settings(), Some(memory), 9, 0);
     for now in [0, 20 * SECOND] {
         member.tick(now);
         for other in [1, 2] {
@@ -63,14 +63,18 @@
                 at: 1,
                 incarnation: 100 + u64::from(other),
                 start: 1,
-                founding: record.founding,
+                bootstrap_id: record.bootstrap_id,
                 version: record.version,
                 right: Right::Policy(0),
                 readiness: Readiness::Nothing,
             };
-            member.heard(now, other, ask);
+            member.received(now, other, ask);
             let voter = Voter { member: other, incarnation: 100 + u64::from(other) };
-            member.heard(now, other, Message::Grant { at: now, start: 9, voter, board: 0, number: 0 });
+            member.received(
+                now,
+                other,
+                Message::Grant { at: now, start: 9, voter, voter_set_version: 0, number: 0 },
+            );
         }
     }
     notes.sent.take();
@@ -93,22 +97,22 @@
         let (mut member, notes) = steward();
         let now = 20 * SECOND + 1;
         assert_eq!(member.right(now), Right::Policy(0));
-        member.want(now, Want::Out { unit: Unit::Balancer(1), release: None }, 3);
+        member.submit(now, RequestKind::Out { unit: Unit::Balancer(1), release: None }, 3);
         let prepared = notes.sent.take().into_iter().find_map(|(_, message)| match message {
             Message::Prepare { ballot } => Some(ballot),
             _ => None,
         });
         let ballot = prepared.expect("a round");
-        let wish = Wish { by: 2, serial: 4 };
-        let out = vec![Out { unit: Unit::Balancer(2), wish, start: 1, part: None }];
-        let theirs = Record { version: 6, out, done: vec![wish], ..founded() };
+        let request_id = RequestId { by: 2, serial: 4 };
+        let out = vec![Out { unit: Unit::Balancer(2), request_id, start: 1, part: None }];
+        let theirs = Record { version: 6, out, done: vec![request_id], ..founded() };
         let earlier = Ballot { round: 0, ..ballot };
         let accepted = other_went_first.then(|| (earlier, theirs.clone()));
         if other_went_first {
-            member.heard(now, 1, Message::News { record: theirs });
+            member.received(now, 1, Message::Update { record: theirs });
         }
         let voter = Voter { member: 1, incarnation: 101 };
-        member.heard(now, 1, Message::Promise { ballot, voter, accepted });
+        member.received(now, 1, Message::Promise { ballot, voter, accepted });
         let written = accepts(notes.sent.take());
         assert!(written.iter().all(|record| record.out.len() <= 1), "{written:?}");
         assert_eq!(written.is_empty(), other_went_first);
@@ -125,7 +129,11 @@
         assert_eq!(member.right(now), Right::CutOff);
         for other in [1, 2] {
             let voter = Voter { member: other, incarnation: 100 + u64::from(other) };
-            member.heard(now, other, Message::Grant { at: 30 * SECOND, start, voter, board: 0, number: 0 });
+            member.received(
+                now,
+                other,
+                Message::Grant { at: 30 * SECOND, start, voter, voter_set_version: 0, number: 0 },
+            );
         }
         assert_eq!(member.right(now), right, "{start}");
     }
@@ -140,15 +148,15 @@
         at: 7,
         incarnation: 101,
         start: 1,
-        founding: founded().founding,
+        bootstrap_id: founded().bootstrap_id,
         version: 5,
         right: Right::Policy(0),
         readiness: Readiness::Nothing,
     };
     let answers = |member: &mut Member<Notes>| {
-        member.heard(now, 1, Message::Prepare { ballot });
-        member.heard(now, 1, Message::Accept { ballot, record: Record { version: 6, ..founded() } });
-        member.heard(now, 1, ask.clone());
+        member.received(now, 1, Message::Prepare { ballot });
+        member.received(now, 1, Message::Accept { ballot, record: Record { version: 6, ..founded() } });
+        member.received(now, 1, ask.clone());
         let told = notes.sent.take().into_iter().filter(|(to, _)| *to == 1);
         let kinds = told.map(|(_, message)| match message {
             Message::Promise { .. } => "promise",
@@ -169,7 +177,7 @@
     for (right, drift, window) in
         [(10 * SECOND, 0, 10 * SECOND), (10 * SECOND, 10_000, 10_202_021), (SECOND, 200_000, 1_500_000)]
     {
-        let terms = Terms { right, drift, ..terms() };
-        assert_eq!(terms.window(), window);
+        let settings = MemberSettings { right, drift, ..settings() };
+        assert_eq!(settings.window(), window);
     }
 }
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -9,10 +9,11 @@
 
 use std::collections::BTreeSet;
 
-use common::records::{hash, record, unfounded};
+use common::records::{before_bootstrap, hash, record};
 use fixtures::fixture;
 use whinspindle_fleet_policy::{
-    Ballot, Close, Fate, Message, Objection, Readiness, Right, Row, Unit, Voter, Want, Way, Wish,
+    Ballot, ChangeOutcome, Close, Message, Objection, Readiness, RequestId, RequestKind, Right, Row, Unit,
+    Voter, Way,
 };
 use whinspindle_peer_transport::{DroppedDatagrams, MAX_DATAGRAM_BYTES, PeerTransport};
 use whinspindle_rollout::{Count, OF_BALANCERS};
@@ -37,26 +38,26 @@
     match message {
         Message::Ask { .. } => "ask",
         Message::Grant { .. } => "grant",
-        Message::News { .. } => "news",
+        Message::Update { .. } => "news",
         Message::Fetch { .. } => "fetch",
-        Message::Piece { .. } => "piece",
-        Message::Wanted { want, .. } => match want {
-            Want::Propose { .. } => "wanted-propose",
-            Want::Withdraw { .. } => "wanted-withdraw",
-            Want::Out { .. } => "wanted-out",
-            Want::Back { .. } => "wanted-back",
-            Want::Release { .. } => "wanted-release",
-            Want::Turn { .. } => "wanted-turn",
-            Want::Leave { .. } => "wanted-leave",
-            Want::Halt { .. } => "wanted-halt",
-            Want::Resume => "wanted-resume",
-            Want::Voters { .. } => "wanted-voters",
+        Message::Chunk { .. } => "piece",
+        Message::OperatorRequest { request, .. } => match request {
+            RequestKind::Propose { .. } => "wanted-propose",
+            RequestKind::Withdraw { .. } => "wanted-withdraw",
+            RequestKind::Out { .. } => "wanted-out",
+            RequestKind::Back { .. } => "wanted-back",
+            RequestKind::Release { .. } => "wanted-release",
+            RequestKind::Turn { .. } => "wanted-turn",
+            RequestKind::Leave { .. } => "wanted-leave",
+            RequestKind::Halt { .. } => "wanted-halt",
+            RequestKind::Resume => "wanted-resume",
+            RequestKind::Voters { .. } => "wanted-voters",
         },
         Message::Prepare { .. } => "prepare",
         Message::Promise { .. } => "promise",
         Message::Accept { .. } => "accept",
         Message::Accepted { .. } => "accepted",
-        Message::Figures { .. } => "figures",
+        Message::Observations { .. } => "figures",
         Message::Aside { .. } => "aside",
         Message::Refuse { .. } => "refuse",
     }
@@ -75,15 +76,18 @@
         at: 1_800_000_000_000_001,
         incarnation: 0xb1b2_b3b4_b5b6_b7b8,
         start: 0xc1c2_c3c4_c5c6_c7c9,
-        founding: 1 << 48 | 77,
+        bootstrap_id: 1 << 48 | 77,
         version: 300,
         right,
         readiness,
     }
 }
 
-fn wanted(by: u16, want: Want) -> Message {
-    Message::Wanted { want, wish: Wish { by, serial: 0x5000_0000_0000_0000 + u64::from(by) } }
+fn wanted(by: u16, request: RequestKind) -> Message {
+    Message::OperatorRequest {
+        request,
+        request_id: RequestId { by, serial: 0x5000_0000_0000_0000 + u64::from(by) },
+    }
 }
 
 /// By what follows the kind in the fixture's name.
@@ -112,33 +116,39 @@
         ("-cut-off", ask(Right::CutOff, Readiness::Objects(1010, objection))),
         (
             "",
-            Message::Grant { at: 5_000_000_001, start: 0xa1a2_a3a4_a5a6_a7a9, voter, board: 9, number: 1007 },
+            Message::Grant {
+                at: 5_000_000_001,
+                start: 0xa1a2_a3a4_a5a6_a7a9,
+                voter,
+                voter_set_version: 9,
+                number: 1007,
+            },
         ),
-        ("", Message::News { record: record() }),
-        ("-unfounded", Message::News { record: unfounded() }),
-        ("", Message::Fetch { hash: hash(0x50), piece: 300, wanting: 0x8000_0000_0000_0005 }),
+        ("", Message::Update { record: record() }),
+        ("-unfounded", Message::Update { record: before_bootstrap() }),
+        ("", Message::Fetch { hash: hash(0x50), chunk: 300, missing: 0x8000_0000_0000_0005 }),
         (
             "",
-            Message::Piece { hash: hash(0x60), piece: 301, length: 65_535, bytes: (0..176).rev().collect() },
+            Message::Chunk { hash: hash(0x60), chunk: 301, length: 65_535, bytes: (0..176).rev().collect() },
         ),
-        ("", wanted(1, Want::Propose { hash: hash(0x70), length: 40_001 })),
-        ("", wanted(2, Want::Withdraw { number: 1011 })),
-        ("", wanted(3, Want::Out { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) })),
-        ("-for-a-cause", wanted(4, Want::Out { unit: Unit::Balancer(258), release: None })),
-        ("", wanted(5, Want::Back { unit: Unit::Balancer(259), done: true })),
-        ("-undone", wanted(6, Want::Back { unit: Unit::Server(260), done: false })),
-        ("", wanted(7, Want::Release { hash: hash(0x80), length: 40_002 })),
-        ("", wanted(8, Want::Turn { number: 1012 })),
-        ("", wanted(9, Want::Leave { number: 1013 })),
-        ("", wanted(10, Want::Halt { why: "by hand: größer".to_string() })),
-        ("", wanted(11, Want::Resume)),
-        ("", wanted(12, Want::Voters { old: 261, new: 262 })),
+        ("", wanted(1, RequestKind::Propose { hash: hash(0x70), length: 40_001 })),
+        ("", wanted(2, RequestKind::Withdraw { number: 1011 })),
+        ("", wanted(3, RequestKind::Out { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) })),
+        ("-for-a-cause", wanted(4, RequestKind::Out { unit: Unit::Balancer(258), release: None })),
+        ("", wanted(5, RequestKind::Back { unit: Unit::Balancer(259), done: true })),
+        ("-undone", wanted(6, RequestKind::Back { unit: Unit::Server(260), done: false })),
+        ("", wanted(7, RequestKind::Release { hash: hash(0x80), length: 40_002 })),
+        ("", wanted(8, RequestKind::Turn { number: 1012 })),
+        ("", wanted(9, RequestKind::Leave { number: 1013 })),
+        ("", wanted(10, RequestKind::Halt { why: "by hand: größer".to_string() })),
+        ("", wanted(11, RequestKind::Resume)),
+        ("", wanted(12, RequestKind::Voters { old: 261, new: 262 })),
         ("", Message::Prepare { ballot: ballot(1) }),
         ("", Message::Promise { ballot: ballot(2), voter, accepted: Some((ballot(3), record())) }),
         ("-of-nothing", Message::Promise { ballot: ballot(4), voter: other, accepted: None }),
         ("", Message::Accept { ballot: ballot(5), record: record() }),
         ("", Message::Accepted { ballot: ballot(6), voter: other }),
-        ("", Message::Figures { release: 15, start: 0xf1f2_f3f4_f5f6_f7f9, serial: 0x0a0b_0c0d, rows }),
+        ("", Message::Observations { release: 15, start: 0xf1f2_f3f4_f5f6_f7f9, serial: 0x0a0b_0c0d, rows }),
         ("", Message::Aside { bytes: vec![0, 255, 128, 127, 1] }),
         ("", Message::Refuse { ballot: ballot(7), promised: ballot(8) }),
     ]
@@ -159,11 +169,11 @@
         );
         let bytes = fixture(&name, &datagrams.concat());
         let mut to = peers(TO);
-        let heard: Vec<(u16, Message)> = bytes
+        let received: Vec<(u16, Message)> = bytes
             .chunks(MAX_DATAGRAM_BYTES)
             .filter_map(|datagram| to.take(0, Some(FROM), datagram))
             .collect();
-        assert_eq!(heard, [(FROM, message)], "{name}");
+        assert_eq!(received, [(FROM, message)], "{name}");
         assert_eq!(to.dropped, DroppedDatagrams::default(), "{name}");
         assert!(names.insert(name.clone()), "{name}: two messages have this name");
     }
@@ -181,11 +191,12 @@
 
 #[test]
 fn there_is_a_fixture_of_each_number_by_which_kinds_are_told_apart() {
-    // The first byte of a message is the number of its kind; that of a want follows it.
+    // The first byte of a message is the number of its kind; that of a request follows it.
     let payload = |message: &Message| peers(FROM).datagrams(TO, message)[0][17..19].to_vec();
     let known: BTreeSet<u8> = messages().iter().map(|(_, message)| payload(message)[0]).collect();
     assert_eq!(known, (0..KINDS).collect());
-    let wanted = messages().into_iter().filter(|(_, message)| matches!(message, Message::Wanted { .. }));
+    let wanted =
+        messages().into_iter().filter(|(_, message)| matches!(message, Message::OperatorRequest { .. }));
     let wants: BTreeSet<u8> = wanted.map(|(_, message)| payload(&message)[1]).collect();
     assert_eq!(wants, (0..WANTS).collect());
     // Beyond them there is none, and each of them is one.
@@ -205,11 +216,11 @@
         Way::Forth => 0,
         Way::Back => 1,
     };
-    let fate = |fate: Fate| match fate {
-        Fate::InForce => 0,
-        Fate::Withdrawn => 1,
-        Fate::Refused(_) => 2,
-        Fate::GivenUp => 3,
+    let outcome = |outcome: ChangeOutcome| match outcome {
+        ChangeOutcome::InForce => 0,
+        ChangeOutcome::Withdrawn => 1,
+        ChangeOutcome::Refused(_) => 2,
+        ChangeOutcome::GivenUp => 3,
     };
     let close = |close: Close| match close {
         Close::Done => 0,
@@ -232,7 +243,7 @@
     assert_eq!(known.out.iter().map(|out| unit(out.unit)).collect::<BTreeSet<_>>(), all(2));
     let ways = known.out.iter().filter_map(|out| out.part).map(|part| way(part.way));
     assert_eq!(ways.collect::<BTreeSet<_>>(), all(2));
-    assert_eq!(known.past.iter().map(|past| fate(past.fate)).collect::<BTreeSet<_>>(), all(4));
+    assert_eq!(known.past.iter().map(|past| outcome(past.outcome)).collect::<BTreeSet<_>>(), all(4));
     assert_eq!(known.past_releases.iter().map(|past| close(past.close)).collect::<BTreeSet<_>>(), all(3));
     let asks = messages().into_iter().filter_map(|(_, message)| match message {
         Message::Ask { right, readiness, .. } => Some((right, readiness)),
--- a/lab/model-checker/src/members/judge.rs
+++ b/lab/model-checker/src/members/judge.rs
@@ -41,11 +41,11 @@
         step: u64,
         absent: u64,
     ) -> Result<(), String> {
-        let (founding, version) = record.order();
-        if self.records.contains_key(&(founding, version)) || version == 0 {
+        let (bootstrap_id, version) = record.order();
+        if self.records.contains_key(&(bootstrap_id, version)) || version == 0 {
             return Ok(());
         }
-        let Some(before) = self.records.get(&(founding, version - 1)) else { return Ok(()) };
+        let Some(before) = self.records.get(&(bootstrap_id, version - 1)) else { return Ok(()) };
         let halted = before.halted.is_some();
         let has_changed = record.release.as_ref().is_some_and(|release| release.changed.has(0));
         let step = self.written.get(&hash_of(record)).copied().unwrap_or(step);
--- a/lab/model-checker/src/members/schedule.rs
+++ b/lab/model-checker/src/members/schedule.rs
@@ -1,6 +1,6 @@
 //! What operators do and which faults there are: the parts of a schedule.
 
-use whinspindle_fleet_policy::{Plan as Release, Terms, Unit};
+use whinspindle_fleet_policy::{MemberSettings, Plan as Release, Unit};
 
 /// Steps of true time; in each every member ticks once and all that is due is delivered.
 pub const STEPS: u64 = 30;
@@ -99,8 +99,8 @@
     }
 }
 
-pub(super) fn terms(me: u16, absent: u64) -> Terms {
-    Terms {
+pub(super) fn terms(me: u16, absent: u64) -> MemberSettings {
+    MemberSettings {
         me,
         members: MEMBERS,
         voters: (0..VOTERS).collect(),
--- a/lab/model-checker/src/members/world.rs
+++ b/lab/model-checker/src/members/world.rs
@@ -4,7 +4,7 @@
 use std::hash::{Hash, Hasher};
 
 use whinspindle_fleet_policy::{
-    Hash as Name, Member, MemberRules, Memory, Message, Objection, Record, Unit, Want, Way,
+    DurableState, Hash as Name, Member, MemberRules, Message, Objection, Record, RequestKind, Unit, Way,
 };
 
 use super::judge::{Judge, hash_of};
@@ -15,7 +15,7 @@
 #[derive(Clone)]
 pub(super) struct Place<L: MemberRules> {
     pub(super) member: Option<Member<Net, L>>,
-    pub(super) disk: Option<Memory>,
+    pub(super) disk: Option<DurableState>,
     /// Back from a crash at this step; standing still, cut off or deaf until then.
     pub(super) back: u64,
     pub(super) stopped: u64,
@@ -99,7 +99,7 @@
         loop {
             let place = &mut self.places[me as usize];
             let Some(member) = &mut place.member else { return };
-            let out = member.outside.take();
+            let out = member.environment.take();
             if let Some(memory) = out.kept {
                 if let Some((_, record)) = &memory.votes.accepted {
                     self.judge.written.entry(hash_of(record)).or_insert(self.step);
@@ -132,7 +132,7 @@
         let place = &mut self.places[me as usize];
         let Some(member) = place.member.as_mut().filter(|_| step >= place.stopped) else { return };
         let now = clock(me, step - place.began);
-        if me == 0 && member.record().founding == 0 && step >= 1 {
+        if me == 0 && member.record().bootstrap_id == 0 && step >= 1 {
             member.found(now, 77);
         }
         if me >= VOTERS && step == plan.proposed[(me - VOTERS) as usize] {
@@ -142,27 +142,28 @@
         if let Some(halts) = plan.halts.filter(|halts| me >= VOTERS && halts[(me - VOTERS) as usize] == step)
         {
             let first = step == halts[0] && me == VOTERS;
-            let want = if first { Want::Halt { why: "no".to_string() } } else { Want::Resume };
-            member.want(now, want, 2000 + u64::from(me));
+            let request =
+                if first { RequestKind::Halt { why: "no".to_string() } } else { RequestKind::Resume };
+            member.submit(now, request, 2000 + u64::from(me));
         }
         if me == VOTERS && plan.moves == Some(step) {
-            member.want(now, Want::Voters { old: 2, new: 4 }, 4000);
+            member.submit(now, RequestKind::Voters { old: 2, new: 4 }, 4000);
         }
         if let Some([begins, turns]) = plan.release {
             if me == VOTERS && step == begins {
                 let text = b"plan";
                 member.hold(text);
-                let want = Want::Release { hash: Name::of(text), length: text.len() as u32 };
-                member.want(now, want, 5000);
+                let request = RequestKind::Release { hash: Name::of(text), length: text.len() as u32 };
+                member.submit(now, request, 5000);
             }
             if me == VOTERS + 1 && step == turns {
-                member.want(now, Want::Turn { number: 1 }, 6000);
+                member.submit(now, RequestKind::Turn { number: 1 }, 6000);
             }
         }
         let is_back = member.record().release.as_ref().is_some_and(|release| release.way == Way::Back);
         let due = plan.outs.is_some_and(|outs| me >= VOTERS && step >= outs[(me - VOTERS) as usize]);
         if due && (place.released == 0 || is_back) {
-            if member.is_let_out() {
+            if member.is_taken_out() {
                 // The supervisor ends the process; it starts again two steps later and says itself that it is
                 // back.
                 (place.member, place.back, place.released) = (None, step + 2, place.released + 1);
@@ -170,7 +171,7 @@
             }
             let serial = 3000 + 100 * u64::from(is_back) + u64::from(me);
             let release = plan.release.map(|_| 1);
-            member.want(now, Want::Out { unit: Unit::Balancer(me), release }, serial);
+            member.submit(now, RequestKind::Out { unit: Unit::Balancer(me), release }, serial);
         }
         member.tick(now);
         self.settle(me);
@@ -192,7 +193,7 @@
         }
         let now = self.clock(mail.to);
         if let Some(member) = &mut self.places[mail.to as usize].member {
-            member.heard(now, mail.from, mail.message);
+            member.received(now, mail.from, mail.message);
             self.settle(mail.to);
         }
     }
@@ -211,7 +212,7 @@
                 (place.member, place.back, place.down_since) = (None, step + by, step);
                 if matches!(fault, Fault::LostDisk(_)) {
                     let incarnation = place.disk.take().map(|disk| disk.incarnation);
-                    let memory = |incarnation| Memory {
+                    let memory = |incarnation| DurableState {
                         incarnation,
                         votes: Default::default(),
                         record: Record::default(),
@@ -310,7 +311,7 @@
     pub(super) fn clone_apart(&self) -> Self {
         let mut copy = self.clone();
         for member in copy.places.iter_mut().filter_map(|place| place.member.as_mut()) {
-            member.outside = member.outside.apart();
+            member.environment = member.environment.apart();
         }
         copy
     }
--- a/lab/model-checker/src/net.rs
+++ b/lab/model-checker/src/net.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use whinspindle_fleet_policy::{Hash, Memory, Message, No, Outside, Plan, Policy, Record, Unit};
+use whinspindle_fleet_policy::{DurableState, Environment, Hash, Message, No, Plan, Policy, Record, Unit};
 use whinspindle_rollout::{Limits, Scene};
 
 #[derive(Default)]
 pub struct Out {
     pub sent: Vec<(u16, Message)>,
-    pub kept: Option<Memory>,
+    pub kept: Option<DurableState>,
     pub to_prove: Vec<(Policy, Rc<[u8]>)>,
     plan: Option<(Hash, Rc<Plan>)>,
 }
@@ -32,11 +32,11 @@
     }
 }
 
-impl Outside for Net {
+impl Environment for Net {
     fn send(&mut self, to: u16, message: Message) {
         self.0.borrow_mut().sent.push((to, message));
     }
-    fn keep(&mut self, memory: &Memory) -> bool {
+    fn keep(&mut self, memory: &DurableState) -> bool {
         self.0.borrow_mut().kept = Some(memory.clone());
         true
     }
--- a/lab/model-checker/src/plants.rs
+++ b/lab/model-checker/src/plants.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use whinspindle_consensus::{Ballot, ConsensusRules as Counting, RegisterValue, Voter};
-use whinspindle_fleet_policy::{MemberRules, No, Record, Terms, Wish};
+use whinspindle_fleet_policy::{MemberRules, MemberSettings, No, Record, RequestId};
 use whinspindle_rollout::{Next, Progress};
 
 macro_rules! plant {
@@ -49,7 +49,7 @@
     }, member {}
 }
 plant! {
-    /// Voters are replaced by a majority of the new board alone.
+    /// Voters are replaced by a majority of the new voter set alone.
     NewBoardAlone, counting {
         fn voter_sets_to_write<V: RegisterValue>(_: &V, written: &V) -> Vec<Vec<Voter>> {
             written.voter_sets().last().cloned().into_iter().collect()
@@ -59,7 +59,7 @@
 plant! {
     /// A right counts from when its grant came, not from when it was asked for.
     RightFromItsComing, counting {}, member {
-        fn right_until(_: u64, now: u64, terms: &Terms) -> u64 {
+        fn right_until(_: u64, now: u64, terms: &MemberSettings) -> u64 {
             now + terms.right
         }
     }
@@ -67,7 +67,7 @@
 plant! {
     /// A right is held for twice its time.
     RightHeldTooLong, counting {}, member {
-        fn right_until(asked: u64, _: u64, terms: &Terms) -> u64 {
+        fn right_until(asked: u64, _: u64, terms: &MemberSettings) -> u64 {
             asked + 2 * terms.right
         }
     }
@@ -83,16 +83,16 @@
 plant! {
     /// The next policy comes into force while rights to the one before the last may still be held.
     NoWindow, counting {}, member {
-        fn next_after(learned: u64, _: &Terms) -> u64 {
+        fn next_after(learned: u64, _: &MemberSettings) -> u64 {
             learned
         }
     }
 }
 plant! {
-    /// A wish that was done is not known again.
+    /// A request that was done is not known again.
     WishesForgotten, counting {}, member {
-        fn wish_of(wanted: Wish, agreed: &Record) -> Wish {
-            Wish { serial: wanted.serial + 100_000 * agreed.version, ..wanted }
+        fn wish_of(wanted: RequestId, agreed: &Record) -> RequestId {
+            RequestId { serial: wanted.serial + 100_000 * agreed.version, ..wanted }
         }
     }
 }
--- a/lab/model-checker/src/sizes.rs
+++ b/lab/model-checker/src/sizes.rs
@@ -8,7 +8,7 @@
 use std::time::Instant;
 
 use whinspindle_fleet_policy::{
-    Fate, Member, Memory, Message, Objection, Right, StandardConsensusRules, Terms,
+    ChangeOutcome, DurableState, Member, MemberSettings, Message, Objection, Right, StandardConsensusRules,
 };
 use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_peer_transport::{MAX_DATAGRAM_BYTES, PeerTransport};
@@ -54,9 +54,9 @@
         }
     }
 
-    fn terms(&self, me: u16) -> Terms {
+    fn terms(&self, me: u16) -> MemberSettings {
         let pace = (RIGHT / 5).max(u64::from(self.members) * SECOND / 200);
-        Terms {
+        MemberSettings {
             me,
             members: self.members,
             voters: (0..self.voters).collect(),
@@ -90,7 +90,7 @@
 
 struct Place {
     member: Option<Member<Net, StandardConsensusRules>>,
-    disk: Option<Memory>,
+    disk: Option<DurableState>,
     texts: Vec<Rc<[u8]>>,
     peers: PeerTransport,
     /// Parts in a million by which the clock is fast, and where it began.
@@ -196,7 +196,7 @@
             let now = self.clock(me);
             let place = &mut self.places[me as usize];
             let Some(member) = &mut place.member else { return };
-            let out = member.outside.take();
+            let out = member.environment.take();
             if out.kept.is_some() {
                 place.disk = out.kept;
             }
@@ -258,7 +258,7 @@
             if let Some(member) = &mut self.places[to as usize].member {
                 match what {
                     What::Tick => member.tick(now),
-                    What::Mail(from, message) => member.heard(now, from, *message),
+                    What::Mail(from, message) => member.received(now, from, *message),
                 }
             }
             self.core += began.elapsed();
@@ -335,7 +335,7 @@
         })
     }
 
-    /// Whether a majority of each board that the first member knows still has the incarnations that it counts.
+    /// Whether a majority of each voter set that the first member knows still has the incarnations that it counts.
     fn can_decide(&self) -> bool {
         let members = || self.places.iter().filter_map(|place| place.member.as_ref());
         let incarnations: Vec<_> = members().map(Member::voter).collect();
@@ -365,7 +365,7 @@
 
 /// What became of a policy that one member can't prove, as the first voter knows it; an error if anybody ever
 /// decides by it.
-pub fn refused(fleet: &Fleet) -> Result<Option<Fate>, String> {
+pub fn refused(fleet: &Fleet) -> Result<Option<ChangeOutcome>, String> {
     let mut world = World::new(fleet);
     world.found();
     world.run(20 * SECOND);
@@ -378,14 +378,14 @@
         return Err("somebody decides by what was refused".to_string());
     }
     let record = world.places[0].member.as_ref().map(|member| member.record().clone());
-    Ok(record.and_then(|record| record.past.last().map(|past| past.fate)))
+    Ok(record.and_then(|record| record.past.last().map(|past| past.outcome)))
 }
 
 /// A fleet is founded, rests, and one policy is proposed by its last member that is there.
 pub fn measure(fleet: &Fleet) -> Result<Measured, String> {
     let mut world = World::new(fleet);
     world.run(SECOND);
-    // The voters know of one another's incarnations by then, and the founding goes on until it is done.
+    // The voters know of one another's incarnations by then, and the bootstrap goes on until it is done.
     world.found();
     // A steward must have been up for as long as one that is away is unheard.
     world.run(40 * SECOND);
@@ -454,7 +454,7 @@
     if world
         .places
         .iter()
-        .all(|place| place.member.as_ref().is_none_or(|member| member.record().founding == 0))
+        .all(|place| place.member.as_ref().is_none_or(|member| member.record().bootstrap_id == 0))
     {
         world.found();
         world.run(world.now + 60 * SECOND);
--- a/lab/model-checker/tests/members.rs
+++ b/lab/model-checker/tests/members.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_halt_that_was_ended_stays_ended() {
-    // The halt was done again and again: voters kept the wish for it, and the one for its end.
+    // The halt was done again and again: voters kept the request for it, and the one for its end.
     for halts in [[3, 4], [3, 5], [3, 3], [4, 8]] {
         let plan = Plan { proposed: [99, 99], halts: Some(halts), ..Plan::default() };
         let end = World::<StandardConsensusRules>::new(plan, false).play(&[]).expect("nothing is broken");
@@ -70,7 +70,7 @@
             let end = World::<StandardConsensusRules>::new(plan, false)
                 .play(&[(at, fault)])
                 .expect("nothing is broken");
-            // A proposer that dies before its wish is heard takes it with it.
+            // A proposer that dies before its request is heard takes it with it.
             let rights = end.rights();
             let same =
                 rights.iter().all(|right| *right == rights[0] && matches!(right, Some(Right::Policy(_))));
@@ -98,7 +98,7 @@
 /// A voter makes way for a follower between the two changes.
 const MOVES: Plan = Plan { proposed: [3, 13], absent: 2, moves: Some(9), ..PLAIN };
 
-/// Two supervisors want their balancers out at the same time, where one may be.
+/// Two supervisors request their balancers out at the same time, where one may be.
 const OUTS: Plan = Plan { outs: Some([6, 6]), ..PLAIN };
 
 /// A release of both followers in two waves, their supervisors waiting from the beginning; and one that turns
--- a/lab/model-checker/tests/sizes.rs
+++ b/lab/model-checker/tests/sizes.rs
@@ -1,6 +1,6 @@
 //! Whole fleets in virtual time.
 
-use whinspindle_fleet_policy::Fate;
+use whinspindle_fleet_policy::ChangeOutcome;
 use whinspindle_lab_model_checker::sizes::{Fleet, measure, refused, schedule};
 
 #[test]
@@ -29,6 +29,6 @@
 fn what_one_of_forty_cannot_prove_takes_hold_nowhere() {
     for (objects, loss) in [(0, 0.0), (17, 0.0), (39, 0.1)] {
         let fleet = Fleet { objects: Some(objects), loss, ..Fleet::plain(40, 5) };
-        assert_eq!(refused(&fleet), Ok(Some(Fate::Refused(objects))));
+        assert_eq!(refused(&fleet), Ok(Some(ChangeOutcome::Refused(objects))));
     }
 }
--- a/programs/balancer/src/fleet.rs
+++ b/programs/balancer/src/fleet.rs
@@ -79,8 +79,8 @@
     }
 
     /// Whether this balancer is let out, and has to take itself out.
-    pub fn is_let_out(&self) -> bool {
-        held(&self.published).is_let_out
+    pub fn is_taken_out(&self) -> bool {
+        held(&self.published).is_taken_out
     }
 
     /// The servers as they are listed here, for the decision on who may be let out; what was counted of each
@@ -133,7 +133,7 @@
             policy: None,
             cut_off: Arc::clone(&cut_off),
             let_out: (0, BTreeSet::new()),
-            is_let_out: false,
+            is_taken_out: false,
             told_list: None,
             given_list: None,
             places: Vec::new(),
--- a/programs/balancer/src/fleet/environment.rs
+++ b/programs/balancer/src/fleet/environment.rs
@@ -5,14 +5,14 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-use whinspindle_fleet_policy::{Hash, Memory, Message, No, Outside, Policy, Record, Unit};
+use whinspindle_fleet_policy::{DurableState, Environment, Hash, Message, No, Policy, Record, Unit};
 use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::{Count, Limits, OF_BALANCERS, Place, Plan, Row, Scene};
 
-/// The outside of the member's core.
-pub(super) struct Environment {
+/// The environment of the member's core.
+pub(super) struct ProcessEnvironment {
     pub(super) me: u16,
     pub(super) socket: UdpSocket,
     pub(super) peers: PeerTransport,
@@ -38,7 +38,7 @@
     program.map_or(String::new(), |bytes| blake3::hash(&bytes).to_hex()[..12].to_string())
 }
 
-impl Outside for Environment {
+impl Environment for ProcessEnvironment {
     fn send(&mut self, to: u16, message: Message) {
         let Some(address) = self.addresses.get(to as usize) else { return };
         for datagram in self.peers.datagrams(to, &message) {
@@ -48,7 +48,7 @@
         }
     }
 
-    fn keep(&mut self, memory: &Memory) -> bool {
+    fn keep(&mut self, memory: &DurableState) -> bool {
         let written = postcard::to_stdvec(memory).map_err(|fault| fault.to_string());
         let written = written.and_then(|bytes| self.store.write("votes", &bytes).map_err(|f| f.to_string()));
         if let Err(fault) = &written {
--- a/programs/balancer/src/fleet/published.rs
+++ b/programs/balancer/src/fleet/published.rs
@@ -18,7 +18,7 @@
     pub(super) cut_off: Arc<Operator>,
     /// The servers that are let out, and a number that grows when they change; whether this balancer is.
     pub(super) let_out: (u64, BTreeSet<u64>),
-    pub(super) is_let_out: bool,
+    pub(super) is_taken_out: bool,
     /// The list as discovery has told it, to be given to neighbours, and for how many microseconds that has been
     /// silent; what neighbours have given.
     pub(super) told_list: Option<(Vec<ListedServer>, u64)>,
--- a/programs/balancer/src/fleet/requests.rs
+++ b/programs/balancer/src/fleet/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use serde_json::json;
-use whinspindle_fleet_policy::{Hash, LONGEST_TEXT, No, Outside, Right, Unit, Want};
+use whinspindle_fleet_policy::{Environment, Hash, MAX_TEXT_BYTES, No, RequestKind, Right, Unit};
 use whinspindle_rollout::Way;
 
 use super::worker::{Worker, shortened};
@@ -17,10 +17,10 @@
         let record = self.member.record();
         match request {
             Request::Status => Ok(self.status(now)),
-            Request::Found { anew: false, .. } if record.founding != 0 => {
+            Request::Found { anew: false, .. } if record.bootstrap_id != 0 => {
                 Err("the fleet is founded already".to_string())
             }
-            Request::Found { anew: true, .. } if record.founding == 0 => {
+            Request::Found { anew: true, .. } if record.bootstrap_id == 0 => {
                 Err("nothing is known here of a founding before; ask at a member that remembers".to_string())
             }
             Request::Found { anew: true, .. } if matches!(self.member.right(now), Right::Policy(_)) => {
@@ -34,15 +34,15 @@
                 self.member.found(now, serial());
                 Ok(json!({"begun": true, "epoch": epoch}))
             }
-            Request::Propose { .. } | Request::Withdraw { .. } if record.founding == 0 => {
+            Request::Propose { .. } | Request::Withdraw { .. } if record.bootstrap_id == 0 => {
                 Err("the fleet is not founded: whinspindle fleet found".to_string())
             }
             Request::Propose { text, length, hash } => {
                 if !is_whole(&text, length, &hash) {
                     return Err("the text did not come whole".to_string());
                 }
-                if text.len() > LONGEST_TEXT {
-                    return Err(format!("{} bytes; a policy has {LONGEST_TEXT} at most", text.len()));
+                if text.len() > MAX_TEXT_BYTES {
+                    return Err(format!("{} bytes; a policy has {MAX_TEXT_BYTES} at most", text.len()));
                 }
                 // What can't be proved here is not proposed to others.
                 if let Err(faults) = whinspindle_operator_file::read_policy(&text, &self.deployment) {
@@ -52,15 +52,15 @@
                 if let Some(change) = record.next {
                     return Err(format!("policy {} is under way; withdraw it or wait", change.policy.number));
                 }
-                let wish = self.member.propose(now, text.as_bytes(), serial());
-                Ok(json!({"by": wish.by, "serial": wish.serial}))
+                let request_id = self.member.propose(now, text.as_bytes(), serial());
+                Ok(json!({"by": request_id.by, "serial": request_id.serial}))
             }
             Request::Out { unit, serial, release } => self.ask_out(now, unit, serial, release),
             Request::Back { unit, .. } if record.out_as(unit).is_none() => {
                 Err("it is not let out".to_string())
             }
             Request::Back { unit, done } => {
-                self.member.want(now, Want::Back { unit, done }, serial());
+                self.member.submit(now, RequestKind::Back { unit, done }, serial());
                 Ok(json!({"begun": true}))
             }
             Request::Release { text, length, hash } => self.begin_release(now, &text, length, &hash),
@@ -73,16 +73,16 @@
                 if turn && release.way == Way::Back {
                     return Err(format!("release {number} is on its way back already"));
                 }
-                let want = if turn { Want::Turn { number } } else { Want::Leave { number } };
-                self.member.want(now, want, serial());
+                let request = if turn { RequestKind::Turn { number } } else { RequestKind::Leave { number } };
+                self.member.submit(now, request, serial());
                 Ok(json!({"number": number}))
             }
             Request::Halt { why } => {
-                self.member.want(now, Want::Halt { why: shortened(why) }, serial());
+                self.member.submit(now, RequestKind::Halt { why: shortened(why) }, serial());
                 Ok(json!({"begun": true}))
             }
             Request::Resume => {
-                self.member.want(now, Want::Resume, serial());
+                self.member.submit(now, RequestKind::Resume, serial());
                 Ok(json!({"begun": true}))
             }
             Request::Voters { old, new } => {
@@ -91,18 +91,18 @@
                 if !votes(old) {
                     return Err(format!("member {old} does not vote"));
                 }
-                if votes(new) || new >= self.member.terms().members {
+                if votes(new) || new >= self.member.settings().members {
                     return Err(format!("member {new} votes already, or there is no such member"));
                 }
-                self.member.want(now, Want::Voters { old, new }, serial());
+                self.member.submit(now, RequestKind::Voters { old, new }, serial());
                 Ok(json!({"begun": true}))
             }
             Request::Withdraw { number } => {
                 if record.next.is_none_or(|change| change.policy.number != number) {
                     return Err(format!("policy {number} is not under way"));
                 }
-                let wish = self.member.withdraw(now, number, serial());
-                Ok(json!({"by": wish.by, "serial": wish.serial}))
+                let request_id = self.member.withdraw(now, number, serial());
+                Ok(json!({"by": request_id.by, "serial": request_id.serial}))
             }
         }
     }
@@ -112,13 +112,13 @@
         let record = self.member.record();
         if let Some(out) = record.out_as(unit) {
             let way = out.part.map(|part| if part.way == Way::Forth { "forth" } else { "back" });
-            return match out.wish.serial == serial {
+            return match out.request_id.serial == serial {
                 true => Ok(json!({"granted": true, "way": way})),
                 false => Err("it is let out already, by another's wish".to_string()),
             };
         }
         // By whichever member it was asked.
-        if record.done.iter().any(|wish| wish.serial == serial) {
+        if record.done.iter().any(|request_id| request_id.serial == serial) {
             return Err("this wish was granted, and its unit is back: ask with another word".to_string());
         }
         if let Some(halt) = &record.halted {
@@ -127,50 +127,50 @@
         if let Err(no) = self.member.part_of(now, unit, release) {
             return match no {
                 No::Later { .. } | No::NoPlan => {
-                    self.member.want(now, Want::Out { unit, release }, serial);
+                    self.member.submit(now, RequestKind::Out { unit, release }, serial);
                     Ok(json!({"granted": false, "waits": no.to_string()}))
                 }
                 _ => Err(no.to_string()),
             };
         }
         // The leader decides; what this balancer sees is told as the likely reason.
-        let waits = match self.member.outside.may_go(record, unit, &BTreeSet::new()) {
+        let waits = match self.member.environment.may_go(record, unit, &BTreeSet::new()) {
             Err(no @ (No::NoLimit | No::Unknown)) => return Err(no.to_string()),
             Err(no) => no.to_string(),
             Ok(()) => "the voters have not said so yet".to_string(),
         };
-        self.member.want(now, Want::Out { unit, release }, serial);
+        self.member.submit(now, RequestKind::Out { unit, release }, serial);
         Ok(json!({"granted": false, "waits": waits}))
     }
 
     fn begin_release(&mut self, now: u64, text: &str, length: usize, hash: &str) -> Answer {
         let record = self.member.record();
-        if record.founding == 0 {
+        if record.bootstrap_id == 0 {
             return Err("the fleet is not founded: whinspindle fleet found".to_string());
         }
-        if !is_whole(text, length, hash) || length > LONGEST_TEXT {
-            return Err(format!("the text did not come whole, or is longer than {LONGEST_TEXT} bytes"));
+        if !is_whole(text, length, hash) || length > MAX_TEXT_BYTES {
+            return Err(format!("the text did not come whole, or is longer than {MAX_TEXT_BYTES} bytes"));
         }
         if let Some(release) = &record.release {
             return Err(format!("release {} is under way; leave it, or wait", release.number));
         }
-        let members = self.member.terms().members as usize;
+        let members = self.member.settings().members as usize;
         let plan = whinspindle_operator_file::read_plan(text, Some(members)).map_err(|faults| {
             format!("{} faults\n{}", faults.len(), whinspindle_operator_file::draw("the plan", text, &faults))
         })?;
         // A release that could never begin is refused now, not found out later.
         for unit in &plan.units {
             if let Err(no @ (No::NoLimit | No::Unknown)) =
-                self.member.outside.may_go(record, *unit, &BTreeSet::new())
+                self.member.environment.may_go(record, *unit, &BTreeSet::new())
             {
                 let name = plan.place_of(*unit).map_or("", |place| plan.names[place].as_str());
                 return Err(format!("{name}: {no}"));
             }
         }
         self.member.hold(text.as_bytes());
-        let want = Want::Release { hash: Hash::of(text.as_bytes()), length: length as u32 };
-        let wish = self.member.want(now, want, rand::random());
-        Ok(json!({"serial": wish.serial}))
+        let request = RequestKind::Release { hash: Hash::of(text.as_bytes()), length: length as u32 };
+        let request_id = self.member.submit(now, request, rand::random());
+        Ok(json!({"serial": request_id.serial}))
     }
 }
 
--- a/programs/balancer/src/fleet/status.rs
+++ b/programs/balancer/src/fleet/status.rs
@@ -1,7 +1,7 @@
 //! What `whinspindle fleet status` and its like are told.
 
 use serde_json::{Value, json};
-use whinspindle_fleet_policy::{Fate, Outside, Policy, Readiness, Right, Unit};
+use whinspindle_fleet_policy::{ChangeOutcome, Environment, Policy, Readiness, Right, Unit};
 use whinspindle_rollout::{Count, Way};
 
 use super::worker::Worker;
@@ -11,7 +11,7 @@
         let record = self.member.record();
         let side = |count: Count| json!({"executions": count.executions, "bad": count.bad});
         let release = record.release.as_ref().map(|release| {
-            let plan = self.member.outside.plan(release.hash);
+            let plan = self.member.environment.plan(release.hash);
             let places = plan.iter().flat_map(|plan| plan.names.iter().enumerate());
             let units: Vec<Value> = places
                 .map(|(place, name)| {
@@ -20,7 +20,7 @@
                     json!({"unit": name, "changed": release.changed.has(place), "out": out})
                 })
                 .collect();
-            json!({"number": release.number, "by": release.wish.by, "serial": release.wish.serial,
+            json!({"number": release.number, "by": release.request_id.by, "serial": release.request_id.serial,
                 "way": if release.way == Way::Forth { "forth" } else { "back" }, "wave": release.wave + 1,
                 "name": plan.as_ref().map(|plan| plan.name.clone()),
                 "waves": plan.map(|plan| plan.waves.clone()),
@@ -31,7 +31,7 @@
             .past_releases
             .iter()
             .map(|past| {
-                json!({"number": past.number, "serial": past.wish.serial, "changed": past.changed,
+                json!({"number": past.number, "serial": past.request_id.serial, "changed": past.changed,
                     "end": format!("{:?}", past.close)})
             })
             .collect();
@@ -50,18 +50,19 @@
             .past
             .iter()
             .map(|past| {
-                let mut told = change(past.change.policy, past.change.wish.by, past.change.wish.serial);
-                told["fate"] = match past.fate {
-                    Fate::InForce => json!("in force"),
-                    Fate::Withdrawn => json!("withdrawn"),
-                    Fate::Refused(member) => json!(format!("refused by member {member}")),
-                    Fate::GivenUp => json!("given up"),
+                let mut told =
+                    change(past.change.policy, past.change.request_id.by, past.change.request_id.serial);
+                told["fate"] = match past.outcome {
+                    ChangeOutcome::InForce => json!("in force"),
+                    ChangeOutcome::Withdrawn => json!("withdrawn"),
+                    ChangeOutcome::Refused(member) => json!(format!("refused by member {member}")),
+                    ChangeOutcome::GivenUp => json!("given up"),
                 };
                 told
             })
             .collect();
         let members: Vec<Value> = member
-            .heard_of()
+            .peer_reports()
             .iter()
             .enumerate()
             .map(|(number, heard)| {
@@ -75,8 +76,8 @@
                     Readiness::Ready(number) => json!(number),
                     _ => Value::Null,
                 };
-                if let Readiness::Lacks(pieces) = heard.readiness {
-                    told["lacks"] = json!(pieces);
+                if let Readiness::Lacks(chunks) = heard.readiness {
+                    told["lacks"] = json!(chunks);
                 }
                 told
             })
@@ -85,21 +86,21 @@
             .out
             .iter()
             .map(|out| match out.unit {
-                Unit::Balancer(number) => json!({"balancer": number, "by": out.wish.by}),
-                Unit::Server(key) => json!({"server": format!("{key:016x}"), "by": out.wish.by}),
+                Unit::Balancer(number) => json!({"balancer": number, "by": out.request_id.by}),
+                Unit::Server(key) => json!({"server": format!("{key:016x}"), "by": out.request_id.by}),
             })
             .collect();
         let voters: Vec<u16> = record.voter_sets.iter().flatten().map(|voter| voter.member).collect();
-        json!({"me": member.terms().me, "founded": record.founding != 0, "epoch": record.epoch(), "version": record.version,
+        json!({"me": member.settings().me, "founded": record.bootstrap_id != 0, "epoch": record.epoch(), "version": record.version,
             "voters": voters, "isVoter": member.is_voter(), "right": right_words(member.right(now)),
-            "why": if member.right(now) == Right::CutOff { member.why_cut_off(now) } else { String::new() },
+            "why": if member.right(now) == Right::CutOff { member.cut_off_reason(now) } else { String::new() },
             "policy": {"number": record.policy.number, "hash": record.policy.hash.to_string()},
-            "next": record.next.map(|next| change(next.policy, next.wish.by, next.wish.serial)),
+            "next": record.next.map(|next| change(next.policy, next.request_id.by, next.request_id.serial)),
             "past": past, "members": members, "out": out, "release": self.release_status(now),
-            "build": member.outside.build,
-            "halted": record.halted.as_ref().map(|halt| json!({"by": halt.wish.by, "why": halt.why})),
-            "datagrams": {"sent": member.outside.sent, "received": self.received,
-                "passedOver": member.outside.peers.dropped}})
+            "build": member.environment.build,
+            "halted": record.halted.as_ref().map(|halt| json!({"by": halt.request_id.by, "why": halt.why})),
+            "datagrams": {"sent": member.environment.sent, "received": self.received,
+                "passedOver": member.environment.peers.dropped}})
     }
 }
 
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -10,19 +10,21 @@
 
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_endpoint_cache::{Ages, Neighbours};
-use whinspindle_fleet_policy::{Member, Memory, Message, Objection, Outside, Right, Terms, Unit};
+use whinspindle_fleet_policy::{
+    DurableState, Environment, Member, MemberSettings, Message, Objection, Right, Unit,
+};
 use whinspindle_operator_file::{FleetTerms, Operator};
 use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::Count;
 
-use super::environment::Environment;
+use super::environment::ProcessEnvironment;
 use super::published::{FleetClock, Published, held};
 use crate::control::{Answer, Request};
 
 /// Datagrams taken before the clock is looked at again.
-const AT_ONCE: usize = 256;
+const CHUNKS_PER_REQUEST: usize = 256;
 /// Texts kept on disk, by their number.
 const TEXTS: u64 = 4;
 /// Longest words of an objection that are told to others, in bytes.
@@ -33,7 +35,7 @@
 
 /// The state of the thread: the member and what is kept beside it.
 pub(super) struct Worker {
-    pub(super) member: Member<Environment>,
+    pub(super) member: Member<ProcessEnvironment>,
     pub(super) deployment: Deployment,
     pub(super) clock: FleetClock,
     published: Arc<Mutex<Published>>,
@@ -63,7 +65,7 @@
         let FleetTerms { me, members, ref name, ref secret, datagram, .. } = terms;
         let peers = PeerTransport::new(me, members, name, secret, rand::random(), datagram);
         let store = Rc::new(store);
-        let memory = store.read("votes").and_then(|bytes| postcard::from_bytes::<Memory>(&bytes).ok());
+        let memory = store.read("votes").and_then(|bytes| postcard::from_bytes::<DurableState>(&bytes).ok());
         let texts = (0..TEXTS).filter_map(|number| store.read(&format!("text-{number}")));
         let texts = texts.chain(store.read("plan"));
         let texts: Vec<Vec<u8>> = texts.collect();
@@ -73,7 +75,7 @@
             }
             None => log_line!("fleet", "member {me}: remembers nothing"),
         }
-        let environment = Environment {
+        let environment = ProcessEnvironment {
             me,
             socket,
             peers,
@@ -91,7 +93,7 @@
         };
         let asks = terms.neighbours;
         let ages = own.keep.as_ref().map_or(AGES, |keep| Ages { fresh: keep.fresh, old: keep.old });
-        let terms = Terms {
+        let terms = MemberSettings {
             me,
             members,
             voters: terms.voters,
@@ -118,8 +120,8 @@
         // remembered, not as if it set no limits.
         self.prove();
         loop {
-            for _ in 0..AT_ONCE {
-                match self.member.outside.socket.recv_from(&mut buffer) {
+            for _ in 0..CHUNKS_PER_REQUEST {
+                match self.member.environment.socket.recv_from(&mut buffer) {
                     Ok((length, from)) => self.take(&buffer[..length], from),
                     // A peer that is down is told of here; there is nothing to read.
                     Err(fault) if fault.kind() == ErrorKind::ConnectionRefused => {}
@@ -136,7 +138,7 @@
             if now >= next_tick {
                 self.member.tick(now);
                 self.ask_neighbours(now);
-                next_tick = now + (self.member.terms().pace / 8).min(100_000);
+                next_tick = now + (self.member.settings().pace / 8).min(100_000);
             }
             self.prove();
             self.hear_neighbours();
@@ -156,17 +158,17 @@
             held(&self.published).given_list = Some((update, trust));
         }
         for (to, word) in neighbours.tick(now) {
-            self.member.outside.send(to, Message::Aside { bytes: word.to_bytes() });
+            self.member.environment.send(to, Message::Aside { bytes: word.to_bytes() });
         }
     }
 
     fn hear_neighbours(&mut self) {
-        let asides = std::mem::take(&mut self.member.outside.asides);
+        let asides = std::mem::take(&mut self.member.environment.asides);
         let Some(neighbours) = &mut self.neighbours else { return };
         let now = self.clock.now();
         for (from, bytes) in asides {
             for word in neighbours.receive(now, from, &bytes) {
-                self.member.outside.send(from, Message::Aside { bytes: word.to_bytes() });
+                self.member.environment.send(from, Message::Aside { bytes: word.to_bytes() });
             }
         }
     }
@@ -174,12 +176,12 @@
     fn take(&mut self, datagram: &[u8], from: SocketAddr) {
         let now = self.clock.now();
         self.received += 1;
-        let environment = &mut self.member.outside;
+        let environment = &mut self.member.environment;
         let said = PeerTransport::sender(datagram);
         let known = said.filter(|said| environment.addresses.get(*said as usize) == Some(&from));
         let before = environment.peers.dropped;
         match environment.peers.take::<Message>(now / 1_000_000, known, datagram) {
-            Some((from, message)) => self.member.heard(now, from, message),
+            Some((from, message)) => self.member.received(now, from, message),
             None if environment.peers.dropped != before => {
                 log_line!("peers", "a datagram from {from} is passed over: {:?}", environment.peers.dropped);
             }
@@ -188,17 +190,17 @@
     }
 
     fn prove(&mut self) {
-        for (policy, text) in std::mem::take(&mut self.member.outside.to_prove) {
+        for (policy, text) in std::mem::take(&mut self.member.environment.to_prove) {
             let verdict = self.verdict_on(&text);
             if let Err(fault) =
-                self.member.outside.store.write(&format!("text-{}", policy.number % TEXTS), &text)
+                self.member.environment.store.write(&format!("text-{}", policy.number % TEXTS), &text)
             {
                 log_line!("store", "{fault}");
             }
             let verdict = verdict.map(|operator| {
-                self.member.outside.limits.push((policy.number, operator.limits));
-                let over = self.member.outside.limits.len().saturating_sub(TEXTS as usize);
-                self.member.outside.limits.drain(..over);
+                self.member.environment.limits.push((policy.number, operator.limits));
+                let over = self.member.environment.limits.len().saturating_sub(TEXTS as usize);
+                self.member.environment.limits.drain(..over);
                 self.operators.push((policy.number, Arc::new(operator)));
                 let over = self.operators.len().saturating_sub(TEXTS as usize);
                 self.operators.drain(..over);
@@ -248,9 +250,9 @@
         if servers != published.let_out.1 {
             published.let_out = (published.let_out.0 + 1, servers);
         }
-        published.is_let_out = self.member.is_let_out();
+        published.is_taken_out = self.member.is_taken_out();
         let watches = self.member.watched().is_some();
-        let environment = &mut self.member.outside;
+        let environment = &mut self.member.environment;
         environment.places.clone_from(&published.places);
         let (counts, own) = (std::mem::take(&mut published.counts), std::mem::take(&mut published.own));
         if watches {
--- a/programs/balancer/src/front.rs
+++ b/programs/balancer/src/front.rs
@@ -89,7 +89,7 @@
 
 fn health(node: &Node) -> Response<Full<Bytes>> {
     let settled = node.fleet.as_ref().is_none_or(Fleet::is_settled);
-    if node.fleet.as_ref().is_some_and(Fleet::is_let_out) {
+    if node.fleet.as_ref().is_some_and(Fleet::is_taken_out) {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "let out by the fleet".to_string());
     }
     if settled && node.core.borrow().has_list() && !node.stop.is_ordered() {
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -231,7 +231,7 @@
         loop {
             sleep(FOLLOW).await;
             self.keep_up_with_servers(fleet);
-            if fleet.is_let_out() {
+            if fleet.is_taken_out() {
                 accepted.close_idle();
             }
             let now = self.clock.now();
--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -10,11 +10,11 @@
 use std::path::{Path, PathBuf};
 
 use fixtures::fixture;
-use records::{record, unfounded};
+use records::{before_bootstrap, record};
 use serde_json::json;
 use whinspindle::host::EndpointState;
 use whinspindle_endpoint_cache::{Ages, Trust};
-use whinspindle_fleet_policy::{Ballot, Memory, Plan, Unit};
+use whinspindle_fleet_policy::{Ballot, DurableState, Plan, Unit};
 use whinspindle_lab_fault_proxies::Stand;
 use whinspindle_protocol::endpoints::ListedServer;
 use whinspindle_record_store::RecordStore;
@@ -49,11 +49,11 @@
     fs::write(folder.join(file), bytes).expect("laid there");
 }
 
-fn memories() -> [Memory; 2] {
+fn memories() -> [DurableState; 2] {
     // As a member begins, and with something in each field.
-    let first = Memory { incarnation: 23, votes: Default::default(), record: unfounded() };
+    let first = DurableState { incarnation: 23, votes: Default::default(), record: before_bootstrap() };
     let mut second =
-        Memory { incarnation: 0xfeed_0000_0000_0001, votes: Default::default(), record: record() };
+        DurableState { incarnation: 0xfeed_0000_0000_0001, votes: Default::default(), record: record() };
     second.votes.promised = Ballot { epoch: 2, round: 303, member: 300, start: 0xa1a2_a3a4_a5a6_a7a9 };
     let mut accepted = record();
     (accepted.version, accepted.halted, accepted.next) = (302, None, None);
@@ -64,15 +64,15 @@
 
 #[test]
 fn what_a_voter_has_promised_is_read_and_written_as_the_same_files() {
-    let encoded = |memory: &Memory| postcard::to_stdvec(memory).expect("encoded");
+    let encoded = |memory: &DurableState| postcard::to_stdvec(memory).expect("encoded");
     let read = stored("votes", &[("votes", memories().iter().map(encoded).collect())]);
-    let (memory, rest) = postcard::take_from_bytes::<Memory>(&read[0]).expect("a memory");
+    let (memory, rest) = postcard::take_from_bytes::<DurableState>(&read[0]).expect("a memory");
     let [first, second] = memories();
     assert_eq!((&memory, rest.len()), (&second, 0));
     assert_eq!(encoded(&memory), read[0]);
     // The version before stands in the other file.
     let before = fixture_record("votes.a.bin");
-    assert_eq!(postcard::take_from_bytes::<Memory>(&before).expect("a memory"), (first, [].as_slice()));
+    assert_eq!(postcard::take_from_bytes::<DurableState>(&before).expect("a memory"), (first, [].as_slice()));
 }
 
 /// What is in a fixture of a store's file: it follows magic, generation, length and hash.
