--- a/crates/metered-sockets/src/lib.rs
+++ b/crates/metered-sockets/src/lib.rs
@@ -1,7 +1,8 @@
-//! A socket that notes what has really passed on it, both ways, and when its other side has ended it; and the
-//! end of a listener.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! Sockets that measure what passes in both directions and notice when the peer has closed the connection; and the
+//! closing of a listener.
+//!
+//! Wrap a socket with [`Metered::new`] and keep the [`Meter`] beside it: it tells how many bytes were written and when
+//! bytes have arrived. [`Metered::ending`] returns a handle that completes when the peer closes.
 
 mod listener;
 
@@ -18,49 +19,54 @@
 
 pub use listener::drain;
 
-/// What has passed; shared by the socket and by who watches it.
+/// What has passed; shared by the socket and its observer.
 #[derive(Default)]
 pub struct Meter {
     /// Bytes written.
     pub written: Cell<u64>,
-    /// When the first bytes came since this was last cleared.
+    /// When the first bytes arrived since this was last cleared.
     pub heard: Cell<Option<Instant>>,
-    /// When the last bytes came.
+    /// When the last bytes arrived.
     pub heard_last: Cell<Option<Instant>>,
 }
 
+/// A socket that counts in a [`Meter`].
 pub struct Metered<S = TcpStream> {
-    wire: Rc<RefCell<Wire<S>>>,
+    /// The socket, shared with its [`Ending`].
+    shared: Rc<RefCell<Shared<S>>>,
+    /// What has passed.
     meter: Rc<Meter>,
 }
 
-struct Wire<S> {
+/// The socket and what was read ahead of its reader.
+struct Shared<S> {
+    /// The socket.
     socket: S,
-    /// What was read to see whether the other side has ended the connection, and nobody has taken yet.
+    /// Bytes that were read to see whether the peer has closed the connection, and not taken yet.
     ahead: Vec<u8>,
+    /// The peer has closed the connection.
     ended: bool,
 }
 
-/// So much is read ahead at most.
-const MOST_AHEAD: usize = 32 * 1024;
+/// This many bytes are read ahead at most.
+const MAX_AHEAD: usize = 32 * 1024;
 
-/// Sees the end that the other side makes, also behind bytes that nobody reads yet.
-pub struct Ending<S = TcpStream>(Rc<RefCell<Wire<S>>>);
+/// Notices that the peer closes the connection, also behind bytes that are not read yet.
+pub struct Ending<S = TcpStream>(Rc<RefCell<Shared<S>>>);
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Ending<S> {
-    /// Ready once the other side has ended the connection. The task that polls the socket polls this, after
-    /// it.
+    /// Ready once the peer has closed the connection. Must be polled by the task that polls the socket, after it.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let mut wire = self.0.borrow_mut();
-        let Wire { socket, ahead, ended } = &mut *wire;
-        while !*ended && ahead.len() < MOST_AHEAD {
-            let mut piece = [0; 1024];
-            let mut buf = ReadBuf::new(&mut piece);
+        let mut shared = self.0.borrow_mut();
+        let Shared { socket, ahead, ended } = &mut *shared;
+        while !*ended && ahead.len() < MAX_AHEAD {
+            let mut chunk = [0; 1024];
+            let mut buf = ReadBuf::new(&mut chunk);
             match Pin::new(&mut *socket).poll_read(cx, &mut buf) {
                 Poll::Pending => break,
                 Poll::Ready(Ok(())) if !buf.filled().is_empty() => {
                     ahead.extend_from_slice(buf.filled());
-                    // Who reads may have found nothing a moment ago; and the room for more is soon used up.
+                    // The reader may have found nothing just before, and the space to read ahead is limited.
                     cx.waker().wake_by_ref();
                 }
                 Poll::Ready(_) => *ended = true,
@@ -69,9 +75,9 @@
         if *ended { Poll::Ready(()) } else { Poll::Pending }
     }
 
-    /// Says that nothing more comes from here, and reads on until the other side has ended the connection
-    /// too. Guards against a close over unread bytes, which resets the connection and takes with it what the
-    /// other side has not read yet.
+    /// A lingering close: shuts down the sending side, and reads on until the peer has closed the connection too.
+    ///
+    /// A close with unread bytes would reset the connection, and the peer would lose what it has not read yet.
     pub async fn part(self) {
         if poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().socket).poll_shutdown(cx)).await.is_err() {
             return;
@@ -85,15 +91,18 @@
 }
 
 impl<S> Metered<S> {
+    /// Wraps a socket; what passes is counted in `meter`.
     pub fn new(socket: S, meter: Rc<Meter>) -> Self {
-        let wire = Wire { socket, ahead: Vec::new(), ended: false };
-        Metered { wire: Rc::new(RefCell::new(wire)), meter }
+        let shared = Shared { socket, ahead: Vec::new(), ended: false };
+        Metered { shared: Rc::new(RefCell::new(shared)), meter }
     }
 
+    /// A handle that notices when the peer closes the connection.
     pub fn ending(&self) -> Ending<S> {
-        Ending(Rc::clone(&self.wire))
+        Ending(Rc::clone(&self.shared))
     }
 
+    /// Counts written bytes.
     fn count(&self, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = wrote {
             self.meter.written.set(self.meter.written.get() + bytes as u64);
@@ -105,8 +114,8 @@
 impl<S: AsyncRead + Unpin> AsyncRead for Metered<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let mut wire = self.wire.borrow_mut();
-        let Wire { socket, ahead, ended } = &mut *wire;
+        let mut shared = self.shared.borrow_mut();
+        let Shared { socket, ahead, ended } = &mut *shared;
         let read = if !ahead.is_empty() {
             let taken = ahead.len().min(buf.remaining());
             buf.put_slice(&ahead[..taken]);
@@ -128,7 +137,7 @@
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for Metered<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.wire.borrow_mut().socket).poll_write(cx, buf);
+        let wrote = Pin::new(&mut self.shared.borrow_mut().socket).poll_write(cx, buf);
         self.count(wrote)
     }
 
@@ -137,19 +146,19 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.wire.borrow_mut().socket).poll_write_vectored(cx, bufs);
+        let wrote = Pin::new(&mut self.shared.borrow_mut().socket).poll_write_vectored(cx, bufs);
         self.count(wrote)
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.wire.borrow().socket.is_write_vectored()
+        self.shared.borrow().socket.is_write_vectored()
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.wire.borrow_mut().socket).poll_flush(cx)
+        Pin::new(&mut self.shared.borrow_mut().socket).poll_flush(cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.wire.borrow_mut().socket).poll_shutdown(cx)
+        Pin::new(&mut self.shared.borrow_mut().socket).poll_shutdown(cx)
     }
 }
--- a/crates/metered-sockets/src/listener.rs
+++ b/crates/metered-sockets/src/listener.rs
@@ -1,12 +1,14 @@
-//! The end of a listener.
+//! Closing a listener without losing connections.
 
 use std::io;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Ends the listener; returns whom the machine has connected already, since what they send counts as taken.
-/// Guards against one that came after the runtime looked last: the socket itself is asked, until it has no
-/// more.
+/// Closes a listener, and returns the connections that the kernel has accepted already: what their clients send counts as
+/// received.
+///
+/// A connection may have arrived after the runtime last polled the listener, so the socket itself is asked until it has
+/// no more.
 pub fn drain(listener: TcpListener) -> Vec<TcpStream> {
     let accept = |listener: &std::net::TcpListener| -> io::Result<TcpStream> {
         let (socket, _) = listener.accept()?;
--- a/crates/metrics/src/endpoint.rs
+++ b/crates/metrics/src/endpoint.rs
@@ -1,21 +1,23 @@
-//! Where figures are served: a port and a path, as a deploy file names them.
+//! Where metrics are served: a port and a path, as the command line names them.
 
 use std::str::FromStr;
 
 use snafu::{OptionExt, Snafu, ensure};
 
-/// A port of the machine's own address, and the path below it.
+/// The port and path of the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
+    /// The port, on the address that the process is given.
     pub port: u16,
-    /// With its leading slash.
+    /// The path, with its leading slash.
     pub path: String,
 }
 
-/// A text that names no port and path.
+/// A text that is not of the form `PORT/PATH`.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{text}` is no PORT/PATH, such as `9464/metrics`"))]
 pub struct MetricsEndpointError {
+    /// The text.
     pub text: String,
 }
 
--- a/crates/metrics/src/server.rs
+++ b/crates/metrics/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side: `GET PATH` answers the figures of that moment.
+//! The HTTP server of the metrics: `GET PATH` answers a snapshot.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -11,31 +11,33 @@
 
 use crate::MetricsEndpoint;
 
+/// The media type of OpenMetrics text.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Serves what `text` answers for as long as the process lives. The process does its work without figures where the port
-/// can't be had. To be called inside a `LocalSet`.
+/// Serves what `text` returns, for as long as the process runs. If the port cannot be bound, the process runs without
+/// metrics. Must be called inside a `LocalSet`.
 pub async fn serve(ip: IpAddr, endpoint: MetricsEndpoint, text: Rc<dyn Fn() -> String>) {
     let listener = match TcpListener::bind((ip, endpoint.port)).await {
         Ok(listener) => listener,
-        Err(fault) => {
-            spdlog::warn!("no figures on {ip}:{}: {fault}", endpoint.port);
+        Err(error) => {
+            spdlog::warn!("cannot serve metrics on {ip}:{}: {error}", endpoint.port);
             return;
         }
     };
-    let respond = Rc::new(move |request: &Request<_>| answer(request, &endpoint.path, text.as_ref()));
+    let respond = Rc::new(move |request: &Request<_>| respond(request, &endpoint.path, text.as_ref()));
     whinspindle_status_server::serve(listener, respond).await;
 }
 
-fn answer<B>(request: &Request<B>, path: &str, text: &dyn Fn() -> String) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::default());
+/// The response to a request.
+fn respond<B>(request: &Request<B>, path: &str, text: &dyn Fn() -> String) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
     if request.uri().path() != path {
-        *answer.status_mut() = StatusCode::NOT_FOUND;
+        *response.status_mut() = StatusCode::NOT_FOUND;
     } else if request.method() != Method::GET {
-        *answer.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
+        *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
     } else {
-        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS));
-        *answer.body_mut() = Full::from(text());
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS));
+        *response.body_mut() = Full::from(text());
     }
-    answer
+    response
 }
--- a/crates/metrics/src/gauges.rs
+++ b/crates/metrics/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Figures of one moment, encoded as text.
+//! A snapshot of the metrics of a process, encoded as OpenMetrics text.
 
 use std::sync::atomic::AtomicU64;
 
@@ -8,12 +8,15 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Names and values of the labels of one figure.
+/// Names and values of the labels of one metric.
 type Labels = Vec<(String, String)>;
 
-/// Collects the figures of one moment. They are read from the state of the process when somebody asks, so that nothing
-/// is counted twice and nothing is spent while nobody does.
+/// A snapshot of metrics.
+///
+/// The values are read from the state of the process when a scrape asks for them, so that nothing is counted twice and
+/// nothing is spent between scrapes.
 pub struct Figures {
+    /// Encodes them.
     registry: Registry,
 }
 
@@ -24,7 +27,7 @@
 }
 
 impl Figures {
-    /// Adds a count that only rises, one value for each set of labels. The name is told with `_total` behind it.
+    /// Adds a counter, one value for each set of labels. Its name is encoded with the suffix `_total`.
     pub fn count<'a>(
         &mut self,
         name: &str,
@@ -38,7 +41,7 @@
         self.registry.register(name, help, family);
     }
 
-    /// Adds a value that rises and falls, one for each set of labels.
+    /// Adds a gauge, one value for each set of labels.
     pub fn gauge<'a>(
         &mut self,
         name: &str,
@@ -52,10 +55,10 @@
         self.registry.register(name, help, family);
     }
 
-    /// The text of all figures.
+    /// The text of all metrics.
     pub fn into_text(self) -> String {
         let mut text = String::new();
-        // Writing into a string does not fail.
+        // Writing to a string never fails.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/metrics/tests/metrics.rs
+++ b/crates/metrics/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Endpoints, the text of figures, and what a scrape gets.
+//! Endpoints, the text of the metrics, and what a scrape gets.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::rc::Rc;
@@ -15,18 +15,18 @@
     let endpoint: MetricsEndpoint = "9464/metrics".parse().unwrap();
     assert_eq!(endpoint, MetricsEndpoint { port: 9464, path: "/metrics".to_owned() });
     for wrong in ["", "9464", "9464/", "/metrics", "0/metrics", "70000/metrics", "94x/metrics", "9464/a b"] {
-        let refused = wrong.parse::<MetricsEndpoint>().unwrap_err();
-        assert!(refused.to_string().contains("PORT/PATH"), "{wrong}: {refused}");
+        let error = wrong.parse::<MetricsEndpoint>().unwrap_err();
+        assert!(error.to_string().contains("PORT/PATH"), "{wrong}: {error}");
     }
 }
 
 #[test]
-fn figures_are_told_with_names_labels_and_help() {
-    let mut figures = Figures::default();
+fn metrics_are_encoded_with_names_labels_and_help() {
+    let mut metrics = Figures::default();
     let refused = [("event", "refused")];
-    figures.count("requests", "Requests by their end", [(refused.as_slice(), 3)]);
-    figures.gauge("connections", "Open connections", [([].as_slice(), 2.5)]);
-    let text = figures.into_text();
+    metrics.count("requests", "Requests by their end", [(refused.as_slice(), 3)]);
+    metrics.gauge("connections", "Open connections", [([].as_slice(), 2.5)]);
+    let text = metrics.into_text();
     assert!(text.contains("# HELP whinspindle_requests Requests by their end"), "{text}");
     assert!(text.contains("whinspindle_requests_total{event=\"refused\"} 3"), "{text}");
     assert!(text.contains("whinspindle_connections{} 2.5"), "{text}");
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_scrape_gets_the_figures_of_the_moment_at_the_path_alone() {
+async fn a_scrape_gets_a_snapshot_at_its_path_only() {
     // A port that was free a moment ago.
     let free = std::net::TcpListener::bind((LOCAL, 0)).unwrap().local_addr().unwrap().port();
     LocalSet::new()
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_port_that_is_taken_ends_the_figures_and_nothing_else() {
+async fn a_port_in_use_leaves_the_process_without_metrics() {
     let taken = std::net::TcpListener::bind((LOCAL, 0)).unwrap();
     let endpoint = MetricsEndpoint { port: taken.local_addr().unwrap().port(), path: "/figures".to_owned() };
     LocalSet::new().run_until(serve(LOCAL, endpoint, Rc::new(String::new))).await;
--- a/crates/status-server/tests/server.rs
+++ b/crates/status-server/tests/server.rs
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_sends_no_request_holds_nobody_up() {
+async fn an_idle_connection_delays_no_other() {
     LocalSet::new()
         .run_until(async {
             let address = serve_paths().await;
