--- a/coordination/replica/tests/catch_up.rs
+++ b/coordination/replica/tests/catch_up.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_member_that_was_cut_off_catches_up() {
+fn a_partitioned_member_catches_up() {
     (0..3).for_each(|victim| catches_up(victim, Absence::CutOff, load(50)));
 }
 
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_member_that_was_cut_off_catches_up_over_narrow_links() {
+fn a_partitioned_member_catches_up_over_narrow_links() {
     (0..3).for_each(|victim| catches_up(victim, Absence::CutOff, narrow()));
 }
 
--- a/coordination/replica/tests/common/changes.rs
+++ b/coordination/replica/tests/common/changes.rs
@@ -7,8 +7,8 @@
 use whinspindle_replica::{StandardRules, View};
 
 use super::node::{
-    CONFIGURATION, Command, KEPT_CHANGES, KEPT_DRAINED, Node, Sent, Told, cluster_with_disks, endpoint,
-    newest_change, remembers_change,
+    CONFIGURATION, ClientAnswer, Command, KEPT_CHANGES, KEPT_DRAINED, Node, Sent, cluster_with_disks,
+    endpoint, newest_change, remembers_change,
 };
 
 /// Between two looks at all replicas, in milliseconds.
@@ -159,7 +159,7 @@
         word.repeat(self.load.body_bytes / word.len() + 1)
     }
 
-    fn look(&mut self, told: Vec<Occurrence<Told>>) {
+    fn look(&mut self, told: Vec<Occurrence<ClientAnswer>>) {
         for occurrence in told {
             self.note(occurrence);
         }
@@ -175,8 +175,8 @@
         self.check_head();
     }
 
-    fn note(&mut self, occurrence: Occurrence<Told>) {
-        let Told { ticket, result } = occurrence.answer;
+    fn note(&mut self, occurrence: Occurrence<ClientAnswer>) {
+        let ClientAnswer { ticket, result } = occurrence.answer;
         let Ok(reply) = result else { return };
         self.answered_sequence = self.answered_sequence.max(reply.sequence);
         let Some(number) = self.waiting.remove(&ticket) else { return };
--- a/coordination/replica/tests/common/clients.rs
+++ b/coordination/replica/tests/common/clients.rs
@@ -7,7 +7,7 @@
 use whinspindle_replica::{ProtocolRules, SubmitError};
 
 use super::history::{Answered, Asked, Operation};
-use super::node::{Command, Node, Told};
+use super::node::{ClientAnswer, Command, Node};
 
 /// A command that a replica was asked for.
 struct Attempt {
@@ -97,14 +97,14 @@
     pub fn begin_any<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
-        chance: &mut Pcg,
+        random: &mut Pcg,
         at: SocketAddr,
         registers: usize,
     ) {
-        let register = format!("register-{}", chance.below(registers));
+        let register = format!("register-{}", random.below(registers));
         let new = format!("v{}", self.operations.len() + 1);
         let old = self.guesses.get(&register).cloned().unwrap_or("-".to_string());
-        let asked = match chance.below(4) {
+        let asked = match random.below(4) {
             0 => Asked::Put(new),
             1 | 2 => Asked::Swap { old, new },
             _ => Asked::Get,
@@ -119,8 +119,8 @@
         }
     }
 
-    fn note(&mut self, occurrence: Occurrence<Told>) {
-        let Occurrence { at, endpoint, answer: Told { ticket, result } } = occurrence;
+    fn note(&mut self, occurrence: Occurrence<ClientAnswer>) {
+        let Occurrence { at, endpoint, answer: ClientAnswer { ticket, result } } = occurrence;
         let Some(attempt) = self.waiting.remove(&(endpoint, ticket)) else { return };
         match result {
             Ok(reply) => self.note_answer(at, &attempt, &reply.answer),
--- a/coordination/replica/tests/common/history.rs
+++ b/coordination/replica/tests/common/history.rs
@@ -65,7 +65,7 @@
     }
 
     /// The value that it found; none if it did not look, or nobody knows.
-    fn found(&self) -> Option<&str> {
+    fn observed(&self) -> Option<&str> {
         match (&self.asked, &self.ended) {
             (_, Some((_, Answered::Value(value) | Answered::Refused(value)))) => Some(value),
             (Asked::Swap { old, .. }, _) => Some(old),
@@ -89,7 +89,7 @@
         by_register.entry(&operation.register).or_default().push(operation);
     }
     for (register, mut operations) in by_register {
-        leave_out_unseen(&mut operations);
+        remove_unobserved(&mut operations);
         operations.sort_by_key(|operation| operation.begun);
         check_register(&operations).map_err(|fault| {
             let lines: Vec<String> = operations.iter().map(|operation| format!("{operation:?}")).collect();
@@ -100,14 +100,15 @@
 }
 
 /// Leaves out operations with an unknown outcome whose value nobody has found: they may as well have had no effect.
-fn leave_out_unseen(operations: &mut Vec<&Operation>) {
+fn remove_unobserved(operations: &mut Vec<&Operation>) {
     loop {
-        let found: Vec<String> =
-            operations.iter().filter_map(|operation| operation.found().map(str::to_string)).collect();
+        let observed: Vec<String> =
+            operations.iter().filter_map(|operation| operation.observed().map(str::to_string)).collect();
         let count = operations.len();
         operations.retain(|operation| {
-            let is_found = operation.wrote().is_some_and(|value| found.iter().any(|found| found == value));
-            operation.ended.is_some() || is_found
+            let is_observed =
+                operation.wrote().is_some_and(|value| observed.iter().any(|observed| observed == value));
+            operation.ended.is_some() || is_observed
         });
         if operations.len() == count {
             return;
@@ -131,13 +132,13 @@
     }
     let mut next: BTreeMap<&str, &str> = BTreeMap::new();
     for operation in operations {
-        let Some(found) = operation.found() else { continue };
-        let Some(stage) = stages.get_mut(found) else { return Err(format!("nobody wrote {found}")) };
+        let Some(observed) = operation.observed() else { continue };
+        let Some(stage) = stages.get_mut(observed) else { return Err(format!("nobody wrote {observed}")) };
         match operation.wrote() {
             None => stage.readers.push(operation),
             Some(new) => {
-                if next.insert(found, new).is_some() {
-                    return Err(format!("{found} was swapped twice"));
+                if next.insert(observed, new).is_some() {
+                    return Err(format!("{observed} was swapped twice"));
                 }
             }
         }
--- a/coordination/replica/tests/common/node.rs
+++ b/coordination/replica/tests/common/node.rs
@@ -105,9 +105,9 @@
     Checkpoint,
 }
 
-/// A moment at a replica that faults may wait for.
+/// An event of the protocol at a replica that faults may wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Moment {
+pub enum ProtocolEvent {
     /// It was asked for a promise.
     Prepare,
     /// It was asked for its vote for a view.
@@ -126,34 +126,34 @@
     Synchronize,
 }
 
-impl Moment {
-    pub const ALL: [Moment; 8] = [
-        Moment::Prepare,
-        Moment::Accept,
-        Moment::Accepted,
-        Moment::Decided,
-        Moment::Append,
-        Moment::Acknowledge,
-        Moment::Reply,
-        Moment::Synchronize,
+impl ProtocolEvent {
+    pub const ALL: [ProtocolEvent; 8] = [
+        ProtocolEvent::Prepare,
+        ProtocolEvent::Accept,
+        ProtocolEvent::Accepted,
+        ProtocolEvent::Decided,
+        ProtocolEvent::Append,
+        ProtocolEvent::Acknowledge,
+        ProtocolEvent::Reply,
+        ProtocolEvent::Synchronize,
     ];
 
-    fn of_received(message: &Message) -> Option<Moment> {
+    fn of_received(message: &Message) -> Option<ProtocolEvent> {
         match message {
-            Message::Prepare { .. } => Some(Moment::Prepare),
-            Message::Accept { .. } => Some(Moment::Accept),
-            Message::Decided(_) => Some(Moment::Decided),
-            Message::Append { entries, .. } if !entries.is_empty() => Some(Moment::Append),
-            Message::Synchronize { .. } => Some(Moment::Synchronize),
+            Message::Prepare { .. } => Some(ProtocolEvent::Prepare),
+            Message::Accept { .. } => Some(ProtocolEvent::Accept),
+            Message::Decided(_) => Some(ProtocolEvent::Decided),
+            Message::Append { entries, .. } if !entries.is_empty() => Some(ProtocolEvent::Append),
+            Message::Synchronize { .. } => Some(ProtocolEvent::Synchronize),
             _ => None,
         }
     }
 
-    fn of_sent(message: &Message) -> Option<Moment> {
+    fn of_sent(message: &Message) -> Option<ProtocolEvent> {
         match message {
-            Message::Accepted { .. } => Some(Moment::Accepted),
-            Message::Acknowledge { .. } => Some(Moment::Acknowledge),
-            Message::Replied { .. } => Some(Moment::Reply),
+            Message::Accepted { .. } => Some(ProtocolEvent::Accepted),
+            Message::Acknowledge { .. } => Some(ProtocolEvent::Acknowledge),
+            Message::Replied { .. } => Some(ProtocolEvent::Reply),
             _ => None,
         }
     }
@@ -161,7 +161,7 @@
 
 /// What a client is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct ClientAnswer {
     pub ticket: u64,
     pub result: Result<Reply, SubmitError>,
 }
@@ -177,8 +177,8 @@
     /// None after a replacement.
     committed: Option<u64>,
     pub sent: Sent,
-    /// How often each moment has come.
-    moments: BTreeMap<Moment, u64>,
+    /// How often each event has occurred.
+    event_counts: BTreeMap<ProtocolEvent, u64>,
 }
 
 /// What a replica has sent since its start, in bytes on the wire.
@@ -213,20 +213,20 @@
             replica,
             start: number,
             sent: Sent::default(),
-            moments: BTreeMap::new(),
+            event_counts: BTreeMap::new(),
         };
         let effects = node.effects(outputs);
         (node, effects)
     }
 
-    /// How often the moment has come since the start.
-    pub fn count(&self, moment: Moment) -> u64 {
-        self.moments.get(&moment).copied().unwrap_or(0)
+    /// How often the event has occurred since the start.
+    pub fn count(&self, event: ProtocolEvent) -> u64 {
+        self.event_counts.get(&event).copied().unwrap_or(0)
     }
 
-    fn note(&mut self, moment: Option<Moment>) {
-        if let Some(moment) = moment {
-            *self.moments.entry(moment).or_default() += 1;
+    fn count_event(&mut self, event: Option<ProtocolEvent>) {
+        if let Some(event) = event {
+            *self.event_counts.entry(event).or_default() += 1;
         }
     }
 
@@ -235,7 +235,7 @@
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
-                    self.note(Moment::of_sent(&message));
+                    self.count_event(ProtocolEvent::of_sent(&message));
                     let bytes = message.encode();
                     self.sent.count(&message, bytes.len());
                     let message = Message::decode(&bytes).expect("what was encoded can be decoded");
@@ -247,7 +247,9 @@
                 Output::Persist { token, write: DurableWrite::Checkpoint(state) } => {
                     effects.push(Effect::Checkpoint { token, state });
                 }
-                Output::Reply { ticket, result } => effects.push(Effect::Answer(Told { ticket, result })),
+                Output::Reply { ticket, result } => {
+                    effects.push(Effect::Answer(ClientAnswer { ticket, result }))
+                }
                 Output::Committed { sequence, .. } => {
                     let follows = self.committed.is_none_or(|committed| sequence == committed + 1);
                     assert!(follows, "commits are told one by one");
@@ -264,13 +266,13 @@
 impl<L: ProtocolRules> Process for Node<L> {
     type Message = Message;
     type Command = Command;
-    type Answer = Told;
+    type Answer = ClientAnswer;
 
     fn handle(&mut self, now: u64, event: Event<Self>) -> Vec<Effect<Self>> {
         let input = match event {
             Event::Tick => Input::Tick,
             Event::Message { from, message } => {
-                self.note(Moment::of_received(&message));
+                self.count_event(ProtocolEvent::of_received(&message));
                 Input::Message { from, message }
             }
             Event::Command(Command::Submit { ticket, command }) => {
--- a/coordination/replica/tests/common/schedule.rs
+++ b/coordination/replica/tests/common/schedule.rs
@@ -10,37 +10,37 @@
 
 use super::clients::Clients;
 use super::history::check;
-use super::node::{Command, Moment, Node, cluster, endpoint};
+use super::node::{Command, Node, ProtocolEvent, cluster, endpoint};
 
 /// Once all faults have ended, a write is acknowledged within this, in milliseconds; within twice this where disks were
 /// lost at any time.
-const ACKNOWLEDGED: u64 = 3_000;
+const ACKNOWLEDGED_WITHIN: u64 = 3_000;
 /// And all replicas are alike after this.
-const CONVERGED: u64 = 8_000;
+const CONVERGED_WITHIN: u64 = 8_000;
 /// The longest that a disk or a process stands still.
-const STANDSTILL: u64 = 4_000;
+const MAX_STALL: u64 = 4_000;
 /// All bootstrap members have their identities on their disks by then.
-const FOUNDED: u64 = 400;
+const BOOTSTRAPPED: u64 = 400;
 /// All replicas that are to vote beside the bootstrap members do so by then.
 const GROWN: u64 = 4_000;
 /// How long it takes until all that is well again counts.
-const CALM: u64 = 4_000;
+const RECOVERY_SPAN: u64 = 4_000;
 /// A swap or a read that has no answer after this is asked for again at another replica.
-const ASKED_AGAIN: u64 = 700;
+const RETRY_AFTER: u64 = 700;
 /// A moment that a fault waits for comes within this, else the fault comes without it.
-const MOMENT: u64 = 2_000;
+const EVENT_TIMEOUT: u64 = 2_000;
 
 /// What clients ask for in one play. The judge's work grows fast with the operations on one register.
 #[derive(Clone, Copy, Debug)]
-struct Demand {
+struct Workload {
     registers: usize,
     operations: usize,
     /// The longest pause between two operations.
     pause: usize,
 }
 
-const ORDINARY: Demand = Demand { registers: 3, operations: 160, pause: 60 };
-const BUSY: Demand = Demand { registers: 12, operations: 600, pause: 8 };
+const ORDINARY: Workload = Workload { registers: 3, operations: 160, pause: 60 };
+const BUSY: Workload = Workload { registers: 12, operations: 600, pause: 8 };
 
 /// Something that happens to the cluster. Nodes are counted among those that there are at that time.
 #[derive(Clone, Debug)]
@@ -84,9 +84,9 @@
 /// A fault that comes right when something happens at a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Trigger {
-    pub moment: Moment,
+    pub event: ProtocolEvent,
     /// It strikes the replica at which that happens, in the place of the one that it names.
-    pub strikes_there: bool,
+    pub hits_that_replica: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -119,7 +119,7 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let one = below(g, 6) as usize;
         let other = below(g, 6) as usize;
-        let span = below(g, STANDSTILL);
+        let span = below(g, MAX_STALL);
         match below(g, 30) {
             0..3 => Fault::Stop(one),
             3..6 => Fault::Start(one),
@@ -148,8 +148,8 @@
 
 impl Arbitrary for Trigger {
     fn arbitrary(g: &mut Gen) -> Self {
-        let moment = Moment::ALL[below(g, Moment::ALL.len() as u64) as usize];
-        Trigger { moment, strikes_there: bool::arbitrary(g) }
+        let event = ProtocolEvent::ALL[below(g, ProtocolEvent::ALL.len() as u64) as usize];
+        Trigger { event, hits_that_replica: bool::arbitrary(g) }
     }
 }
 
@@ -195,8 +195,8 @@
 struct Play<L: ProtocolRules> {
     cluster: Cluster<Node<L>>,
     clients: Clients,
-    chance: Pcg,
-    demand: Demand,
+    random: Pcg,
+    workload: Workload,
     /// When a client asks next.
     asks_at: u64,
     /// Disks that may still be lost at any time; none: they are lost only after a calm.
@@ -221,14 +221,14 @@
     let mut play = Play::<L> {
         cluster: cluster(schedule.seed, count, tolerated_losses, network),
         clients: Clients::default(),
-        chance: Pcg::new(schedule.seed ^ 1),
-        demand: if schedule.is_busy { BUSY } else { ORDINARY },
+        random: Pcg::new(schedule.seed ^ 1),
+        workload: if schedule.is_busy { BUSY } else { ORDINARY },
         asks_at: 0,
         losses_left: (!schedule.has_calm_losses).then_some(tolerated_losses),
         next_address: count,
         standstill_until: 0,
     };
-    play.pass(if 2 * tolerated_losses < 3 { FOUNDED } else { GROWN });
+    play.pass(if 2 * tolerated_losses < 3 { BOOTSTRAPPED } else { GROWN });
     for step in &schedule.steps {
         play.pass(step.wait);
         play.take(step);
@@ -245,7 +245,7 @@
             let next = self.asks_at.clamp(self.cluster.now(), until);
             self.clients.run_until(&mut self.cluster, next);
             if next == self.asks_at || self.asks_at < self.cluster.now() {
-                self.asks_at = self.cluster.now() + 5 + self.chance.below(self.demand.pause) as u64;
+                self.asks_at = self.cluster.now() + 5 + self.random.below(self.workload.pause) as u64;
                 self.ask();
             }
         }
@@ -253,10 +253,10 @@
 
     fn ask(&mut self) {
         let endpoints = self.cluster.endpoints();
-        let at = endpoints[self.chance.below(endpoints.len())];
-        self.clients.ask_again(&mut self.cluster, at, ASKED_AGAIN);
-        if self.clients.operations.len() < self.demand.operations {
-            self.clients.begin_any(&mut self.cluster, &mut self.chance, at, self.demand.registers);
+        let at = endpoints[self.random.below(endpoints.len())];
+        self.clients.ask_again(&mut self.cluster, at, RETRY_AFTER);
+        if self.clients.operations.len() < self.workload.operations {
+            self.clients.begin_any(&mut self.cluster, &mut self.random, at, self.workload.registers);
         }
     }
 
@@ -265,24 +265,24 @@
             return;
         }
         let place = step.trigger.and_then(|trigger| {
-            let place = self.await_moment(trigger.moment)?;
-            trigger.strikes_there.then_some(place)
+            let place = self.await_event(trigger.event)?;
+            trigger.hits_that_replica.then_some(place)
         });
         self.suffer(&step.fault, place);
     }
 
     /// Lets time pass until this happens at some replica: nothing that it sent then has arrived.
-    fn await_moment(&mut self, moment: Moment) -> Option<SocketAddr> {
+    fn await_event(&mut self, event: ProtocolEvent) -> Option<SocketAddr> {
         let counts = |play: &Self| -> BTreeMap<(SocketAddr, u64), u64> {
             let nodes = play.cluster.endpoints().into_iter();
             let count = |at: SocketAddr| {
                 let node = play.cluster.process(at)?;
-                Some(((at, node.start), node.count(moment)))
+                Some(((at, node.start), node.count(event)))
             };
             nodes.filter_map(count).collect()
         };
         let before = counts(self);
-        let until = self.cluster.now() + MOMENT;
+        let until = self.cluster.now() + EVENT_TIMEOUT;
         while self.cluster.now() < until {
             self.pass(1);
             let has_come =
@@ -332,7 +332,7 @@
             }
             Fault::Calm => {
                 self.mend();
-                self.pass(CALM);
+                self.pass(RECOVERY_SPAN);
             }
         }
     }
@@ -412,7 +412,7 @@
         match &mut self.losses_left {
             None => {
                 self.mend();
-                self.pass(CALM);
+                self.pass(RECOVERY_SPAN);
                 true
             }
             Some(0) => false,
@@ -458,7 +458,7 @@
     fn end(mut self) -> Result<Played, String> {
         self.mend();
         let at = self.node(self.next_address);
-        let recovered = self.clients.write_within(&mut self.cluster, at, 2 * ACKNOWLEDGED);
+        let recovered = self.clients.write_within(&mut self.cluster, at, 2 * ACKNOWLEDGED_WITHIN);
         if self.clients.is_done_twice() {
             return Err("a swap was done twice: not linearizable".to_string());
         }
@@ -469,14 +469,14 @@
             return Err(format!("no write is acknowledged at {at} any more\n{}", self.describe()));
         };
         for at in self.cluster.endpoints() {
-            if self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED).is_none() {
+            if self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED_WITHIN).is_none() {
                 return Err(format!("no write is acknowledged at {at}\n{}", self.describe()));
             }
         }
-        let until = self.cluster.now() + CONVERGED;
+        let until = self.cluster.now() + CONVERGED_WITHIN;
         self.clients.run_until(&mut self.cluster, until);
         check(&self.clients.history())?;
-        if self.losses_left.is_none() && recovered_after > ACKNOWLEDGED {
+        if self.losses_left.is_none() && recovered_after > ACKNOWLEDGED_WITHIN {
             return Err(format!("the first write took {recovered_after} ms\n{}", self.describe()));
         }
         self.is_converged()?;
--- a/coordination/replica/tests/exhaustive/beginnings.rs
+++ b/coordination/replica/tests/exhaustive/initial_states.rs
@@ -3,15 +3,15 @@
 use whinspindle_replica::{Message, ProtocolRules};
 
 use crate::common::history::Asked;
+use crate::model::{Action, Budget, Model, Order};
 use crate::search::play;
-use crate::world::{Action, Budget, Order, World};
 
 /// Faults without end, but for losses of what is durable.
 pub const AMPLE: Budget =
-    Budget { losses: 9, repeats: 9, crashes: 9, cuts: 9, lost_disks: 1, replacements: 1, passes: u8::MAX };
+    Budget { losses: 9, duplicates: 9, crashes: 9, cuts: 9, lost_disks: 1, replacements: 1, passes: u8::MAX };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beginning {
+pub enum InitialState {
     /// Empty disks.
     Empty,
     /// Three voters in the chain, and nothing was asked for yet.
@@ -33,59 +33,59 @@
     Alone,
 }
 
-impl Beginning {
-    pub fn world<L: ProtocolRules>(self) -> World<L> {
-        let empty = World::<L>::new(orders(), AMPLE);
+impl InitialState {
+    pub fn model<L: ProtocolRules>(self) -> Model<L> {
+        let empty = Model::<L>::new(orders(), AMPLE);
         let crash = |machine| Action::Crash { machine, writes: true };
         match self {
-            Beginning::Empty => empty,
-            Beginning::Steady => pass(empty, 2),
-            Beginning::OneDown => pass(suffer(pass(empty, 2), &[crash(2)]), 4),
-            Beginning::Apart => {
+            InitialState::Empty => empty,
+            InitialState::Steady => pass(empty, 2),
+            InitialState::OneDown => pass(suffer(pass(empty, 2), &[crash(2)]), 4),
+            InitialState::Apart => {
                 let cut = [Action::Cut((0, 1)), Action::Cut((1, 0))];
                 pass(suffer(pass(empty, 2), &cut), 1)
             }
-            Beginning::HeadLost => {
-                let world = suffer(pass(empty, 3), &[crash(0)]);
-                go_on(world, |world| world.carries(|message| matches!(message, Message::Accept { .. })))
+            InitialState::HeadLost => {
+                let model = suffer(pass(empty, 3), &[crash(0)]);
+                go_on(model, |model| model.carries(|message| matches!(message, Message::Accept { .. })))
             }
-            Beginning::Replaced => pass(suffer(pass(empty, 2), &[Action::Replace(2)]), 3),
-            Beginning::Joint => {
-                let world = suffer(pass(empty, 4), &[Action::Replace(0)]);
-                go_on(world, |world| world.carries(is_joint))
+            InitialState::Replaced => pass(suffer(pass(empty, 2), &[Action::Replace(2)]), 3),
+            InitialState::Joint => {
+                let model = suffer(pass(empty, 4), &[Action::Replace(0)]);
+                go_on(model, |model| model.carries(is_joint))
             }
-            Beginning::CutOff => {
-                let mut world = empty;
-                world.add().expect("a start breaks nothing");
-                pass(suffer(pass(world, 4), &[Action::Isolate(2)]), 3)
+            InitialState::CutOff => {
+                let mut model = empty;
+                model.add().expect("a start breaks nothing");
+                pass(suffer(pass(model, 4), &[Action::Isolate(2)]), 3)
             }
-            Beginning::Alone => {
-                let world = pass(suffer(pass(empty, 2), &[Action::Isolate(0)]), 5);
-                go_on_untaught(suffer(world, &[Action::Heal, Action::Isolate(2)]))
+            InitialState::Alone => {
+                let model = pass(suffer(pass(empty, 2), &[Action::Isolate(0)]), 5);
+                go_on_untaught(suffer(model, &[Action::Heal, Action::Isolate(2)]))
             }
         }
     }
 }
 
 /// Goes on until a view of two is voted for; nobody is told of what was committed.
-fn go_on_untaught<L: ProtocolRules>(mut world: World<L>) -> World<L> {
+fn go_on_untaught<L: ProtocolRules>(mut model: Model<L>) -> Model<L> {
     let is_voted_for = |message: &Message| matches!(message, Message::Accept { view, .. } if view.chain.iter().any(|link| link.since == view.number));
-    while !world.carries(is_voted_for) {
-        let next = match world.ordinary() {
+    while !model.carries(is_voted_for) {
+        let next = match model.ordinary() {
             Action::Deliver(link)
-                if world.brings(link, |message| matches!(message, Message::Learn { .. })) =>
+                if model.brings(link, |message| matches!(message, Message::Learn { .. })) =>
             {
                 Action::Lose(link)
             }
             next => next,
         };
-        world = suffer(world, &[next]);
+        model = suffer(model, &[next]);
         if next == Action::Pass {
-            world.mend().expect("a start breaks nothing");
+            model.mend().expect("a start breaks nothing");
         }
     }
-    world.budget = AMPLE;
-    world
+    model.budget = AMPLE;
+    model
 }
 
 fn is_joint(message: &Message) -> bool {
@@ -102,18 +102,18 @@
     vec![swap(3, 0, "one"), swap(6, 1, "two"), get(9, 2), get(16, 1), get(16, 2), get(16, 0)]
 }
 
-fn suffer<L: ProtocolRules>(mut world: World<L>, actions: &[Action]) -> World<L> {
+fn suffer<L: ProtocolRules>(mut model: Model<L>, actions: &[Action]) -> Model<L> {
     for action in actions {
-        world.act(*action).expect("one fault breaks nothing");
+        model.act(*action).expect("one fault breaks nothing");
     }
-    world
+    model
 }
 
-fn pass<L: ProtocolRules>(world: World<L>, passes: u64) -> World<L> {
-    let until = world.passed + passes;
-    go_on(world, |world| world.passed >= until)
+fn pass<L: ProtocolRules>(model: Model<L>, passes: u64) -> Model<L> {
+    let until = model.passed + passes;
+    go_on(model, |model| model.passed >= until)
 }
 
-fn go_on<L: ProtocolRules>(world: World<L>, is_wanted: impl Fn(&World<L>) -> bool) -> World<L> {
-    play(world, &[], is_wanted).expect("the ordinary schedule breaks nothing")
+fn go_on<L: ProtocolRules>(model: Model<L>, is_wanted: impl Fn(&Model<L>) -> bool) -> Model<L> {
+    play(model, &[], is_wanted).expect("the ordinary schedule breaks nothing")
 }
--- a/coordination/replica/tests/exhaustive/main.rs
+++ b/coordination/replica/tests/exhaustive/main.rs
@@ -1,23 +1,23 @@
 //! Exhaustive searches over the shipped replica: three voters, two orders on one base, reads, and whatever may go
 //! wrong between any two steps. `WHINSPINDLE_DEPTH` and `WHINSPINDLE_DEPARTURES` lead further than an ordinary run.
 
-mod beginnings;
 #[path = "../common/mod.rs"]
 mod common;
+mod initial_states;
+mod model;
 mod observer;
 mod search;
-mod world;
 
 use std::time::Instant;
 
-use beginnings::Beginning;
 use common::faulty::{
     AnswersForOldIncarnation, AppliesDuplicates, CompletesTooEarly, ForgetsPromises, HeadAnswersReads,
     KeepsIdentityWithoutDisk, TailAnswersReads, TakesIncompleteLeaders,
 };
+use initial_states::InitialState;
+use model::{Action, Budget};
 use search::{Searched, departures, interleavings, play};
 use whinspindle_replica::{ProtocolRules, StandardRules};
-use world::{Action, Budget};
 
 /// Added to the depth of the searches over all interleavings.
 const MORE_DEPTH: &str = "WHINSPINDLE_DEPTH";
@@ -39,97 +39,98 @@
     assert!(broken.is_none(), "{name}: {broken:?}");
 }
 
-fn all_interleavings(beginning: Beginning, budget: Budget, depth: usize) {
+fn all_interleavings(initial_state: InitialState, budget: Budget, depth: usize) {
     let begun = Instant::now();
-    let mut world = beginning.world::<StandardRules>();
-    world.budget = budget;
-    let searched = interleavings(world, depth + number(MORE_DEPTH).unwrap_or(0));
-    report(&format!("{beginning:?}, {budget:?}"), begun, &searched);
+    let mut model = initial_state.model::<StandardRules>();
+    model.budget = budget;
+    let searched = interleavings(model, depth + number(MORE_DEPTH).unwrap_or(0));
+    report(&format!("{initial_state:?}, {budget:?}"), begun, &searched);
 }
 
-fn all_departures(beginning: Beginning) {
+fn all_departures(initial_state: InitialState) {
     let begun = Instant::now();
-    let searched = departures(&beginning.world::<StandardRules>(), number(DEPARTURES).unwrap_or(1), PASSES);
-    report(&format!("{beginning:?}"), begun, &searched);
+    let searched =
+        departures(&initial_state.model::<StandardRules>(), number(DEPARTURES).unwrap_or(1), PASSES);
+    report(&format!("{initial_state:?}"), begun, &searched);
 }
 
 /// Nothing goes wrong, but messages of different links come in any order, disks are slow and time passes at any moment.
 const ORDERLY: Budget =
-    Budget { losses: 0, repeats: 0, crashes: 0, cuts: 0, lost_disks: 0, replacements: 0, passes: 3 };
+    Budget { losses: 0, duplicates: 0, crashes: 0, cuts: 0, lost_disks: 0, replacements: 0, passes: 3 };
 const ONE_CRASH: Budget = Budget { crashes: 1, ..ORDERLY };
 const ONE_CUT: Budget = Budget { cuts: 1, ..ORDERLY };
 const ONE_LOST_DISK: Budget = Budget { lost_disks: 1, ..ORDERLY };
 const ONE_REPLACEMENT: Budget = Budget { replacements: 1, ..ORDERLY };
-const ONE_MESSAGE: Budget = Budget { losses: 1, repeats: 1, ..ORDERLY };
+const ONE_MESSAGE: Budget = Budget { losses: 1, duplicates: 1, ..ORDERLY };
 const ONE_OF_EACH: Budget =
-    Budget { losses: 1, repeats: 1, crashes: 1, cuts: 1, lost_disks: 1, replacements: 1, passes: 3 };
+    Budget { losses: 1, duplicates: 1, crashes: 1, cuts: 1, lost_disks: 1, replacements: 1, passes: 3 };
 
-fn one_of_each_between_any_two_steps(beginning: Beginning) {
-    all_interleavings(beginning, ORDERLY, 5);
+fn one_of_each_between_any_two_steps(initial_state: InitialState) {
+    all_interleavings(initial_state, ORDERLY, 5);
     for budget in [ONE_CRASH, ONE_CUT, ONE_LOST_DISK, ONE_REPLACEMENT, ONE_MESSAGE] {
-        all_interleavings(beginning, budget, 4);
+        all_interleavings(initial_state, budget, 4);
     }
-    all_interleavings(beginning, ONE_OF_EACH, 3);
+    all_interleavings(initial_state, ONE_OF_EACH, 3);
 }
 
 #[test]
 fn all_interleavings_from_empty_disks() {
-    one_of_each_between_any_two_steps(Beginning::Empty);
+    one_of_each_between_any_two_steps(InitialState::Empty);
 }
 
 #[test]
 fn all_interleavings_of_two_orders() {
-    one_of_each_between_any_two_steps(Beginning::Steady);
+    one_of_each_between_any_two_steps(InitialState::Steady);
 }
 
 #[test]
 fn all_interleavings_while_one_is_down() {
-    one_of_each_between_any_two_steps(Beginning::OneDown);
+    one_of_each_between_any_two_steps(InitialState::OneDown);
 }
 
 #[test]
-fn all_interleavings_of_rounds_of_two_that_are_apart() {
-    one_of_each_between_any_two_steps(Beginning::Apart);
+fn all_interleavings_of_proposals_of_two_disconnected_members() {
+    one_of_each_between_any_two_steps(InitialState::Apart);
 }
 
 #[test]
 fn all_interleavings_of_the_votes_for_a_view_without_the_head() {
-    one_of_each_between_any_two_steps(Beginning::HeadLost);
+    one_of_each_between_any_two_steps(InitialState::HeadLost);
 }
 
 #[test]
 fn all_interleavings_after_a_replacement() {
-    one_of_each_between_any_two_steps(Beginning::Replaced);
+    one_of_each_between_any_two_steps(InitialState::Replaced);
 }
 
 #[test]
 fn all_interleavings_of_the_votes_for_joint_voters() {
-    one_of_each_between_any_two_steps(Beginning::Joint);
+    one_of_each_between_any_two_steps(InitialState::Joint);
 }
 
 #[test]
-fn all_interleavings_while_one_is_cut_off() {
-    one_of_each_between_any_two_steps(Beginning::CutOff);
+fn all_interleavings_while_one_is_partitioned() {
+    one_of_each_between_any_two_steps(InitialState::CutOff);
 }
 
 #[test]
 fn all_interleavings_while_one_alone_is_complete() {
-    one_of_each_between_any_two_steps(Beginning::Alone);
+    one_of_each_between_any_two_steps(InitialState::Alone);
 }
 
 #[test]
 fn departures_while_one_alone_is_complete() {
-    all_departures(Beginning::Alone);
+    all_departures(InitialState::Alone);
 }
 
 /// At each step the only complete member loses its disk: callers of the others are answered in the end.
 #[test]
 fn commands_are_answered_whenever_the_only_complete_member_loses_its_disk() {
-    let world = Beginning::Alone.world::<StandardRules>();
-    let ordinary = play(world.clone(), &[], |world| world.passed >= PASSES).expect("nothing goes wrong");
-    for step in world.steps..ordinary.steps {
+    let model = InitialState::Alone.model::<StandardRules>();
+    let ordinary = play(model.clone(), &[], |model| model.passed >= PASSES).expect("nothing goes wrong");
+    for step in model.steps..ordinary.steps {
         let path = [(step, Action::LoseDisk(1))];
-        let end = play(world.clone(), &path, |world| world.passed >= PASSES + ANSWERED).expect("one loss");
+        let end = play(model.clone(), &path, |model| model.passed >= PASSES + ANSWERED).expect("one loss");
         assert!(
             end.awaited().iter().all(|machine| *machine == 1),
             "lost at step {step}: {:?}",
@@ -140,90 +141,90 @@
 
 #[test]
 fn departures_from_the_ordinary_schedule() {
-    all_departures(Beginning::Empty);
+    all_departures(InitialState::Empty);
 }
 
 #[test]
 fn departures_while_one_is_down() {
-    all_departures(Beginning::OneDown);
+    all_departures(InitialState::OneDown);
 }
 
 #[test]
-fn departures_while_two_are_apart() {
-    all_departures(Beginning::Apart);
+fn departures_while_two_are_disconnected() {
+    all_departures(InitialState::Apart);
 }
 
 #[test]
 fn departures_after_a_replacement() {
-    all_departures(Beginning::Replaced);
+    all_departures(InitialState::Replaced);
 }
 
 #[test]
 fn departures_while_voters_are_replaced() {
-    all_departures(Beginning::Joint);
+    all_departures(InitialState::Joint);
 }
 
 #[test]
-fn departures_while_one_is_cut_off() {
-    all_departures(Beginning::CutOff);
+fn departures_while_one_is_partitioned() {
+    all_departures(InitialState::CutOff);
 }
 
 /// One departure is enough to show the fault, and the search over all of them finds it.
-fn is_found<L: ProtocolRules>(beginning: Beginning) {
-    let searched = departures(&beginning.world::<L>(), 1, PASSES);
+fn is_found<L: ProtocolRules>(initial_state: InitialState) {
+    let searched = departures(&initial_state.model::<L>(), 1, PASSES);
     let Some((fault, path)) = searched.broken else { panic!("{searched:?}") };
     println!("{path:?}: {}", fault.lines().next().unwrap_or_default());
-    is_shown::<L>(beginning, &path);
+    is_shown::<L>(initial_state, &path);
 }
 
 /// These departures show the fault, and the standard rules bear them.
-fn is_shown<L: ProtocolRules>(beginning: Beginning, path: &[(u64, Action)]) {
-    let designed = play(beginning.world::<StandardRules>(), path, |world| world.passed >= PASSES);
+fn is_shown<L: ProtocolRules>(initial_state: InitialState, path: &[(u64, Action)]) {
+    let designed = play(initial_state.model::<StandardRules>(), path, |model| model.passed >= PASSES);
     assert!(designed.is_ok(), "{:?}", designed.err());
-    let planted = play(beginning.world::<L>(), path, |world| world.passed >= PASSES);
+    let planted = play(initial_state.model::<L>(), path, |model| model.passed >= PASSES);
     assert!(planted.is_err(), "the fault does not show");
 }
 
 #[test]
-fn a_stale_tail_is_found() {
-    is_found::<TailAnswersReads>(Beginning::OneDown);
+fn a_stale_tail_is_detected() {
+    is_found::<TailAnswersReads>(InitialState::OneDown);
 }
 
 #[test]
-fn a_head_that_answers_reads_is_found() {
-    is_found::<HeadAnswersReads>(Beginning::Apart);
+fn a_head_that_answers_reads_is_detected() {
+    is_found::<HeadAnswersReads>(InitialState::Apart);
 }
 
 #[test]
-fn a_repeat_taken_for_a_new_order_is_found() {
-    is_found::<AppliesDuplicates>(Beginning::Replaced);
+fn a_duplicate_taken_for_a_new_command_is_detected() {
+    is_found::<AppliesDuplicates>(InitialState::Replaced);
 }
 
 #[test]
-fn a_joiner_that_counts_too_early_is_found() {
-    is_found::<CompletesTooEarly>(Beginning::Apart);
+fn a_joiner_that_counts_too_early_is_detected() {
+    is_found::<CompletesTooEarly>(InitialState::Apart);
 }
 
 #[test]
-fn a_promise_kept_only_in_memory_is_found() {
-    is_found::<ForgetsPromises>(Beginning::Apart);
+fn a_promise_kept_only_in_memory_is_detected() {
+    is_found::<ForgetsPromises>(InitialState::Apart);
 }
 
 #[test]
-fn a_leader_that_has_not_everything_is_found() {
-    is_found::<TakesIncompleteLeaders>(Beginning::Alone);
+fn an_incomplete_leader_is_detected() {
+    is_found::<TakesIncompleteLeaders>(InitialState::Alone);
 }
 
 /// Found by the search with two departures.
 #[test]
 fn a_disk_lost_and_an_identity_kept_is_shown() {
     let path = [(46, Action::LoseDisk(0)), (48, Action::Replace(1))];
-    is_shown::<KeepsIdentityWithoutDisk>(Beginning::OneDown, &path);
+    is_shown::<KeepsIdentityWithoutDisk>(InitialState::OneDown, &path);
 }
 
 /// Found by the search with two departures.
 #[test]
-fn an_answer_for_the_old_birth_is_shown() {
+fn an_answer_for_the_old_incarnation_is_shown() {
     let path = [(46, Action::LoseDisk(0)), (48, Action::Replace(1))];
-    is_shown::<AnswersForOldIncarnation>(Beginning::OneDown, &path);
+    is_shown::<AnswersForOldIncarnation>(InitialState::OneDown, &path);
 }
--- a/coordination/replica/tests/exhaustive/world.rs
+++ b/coordination/replica/tests/exhaustive/model.rs
@@ -18,7 +18,7 @@
 use crate::observer::{Observer, hash_of};
 
 /// Founding members, all of them voters and in the chain.
-pub const FOUNDING: usize = 3;
+pub const BOOTSTRAP_MEMBERS: usize = 3;
 /// How far the clock goes in one step, in milliseconds. It is coarse so that searches get to view changes.
 const CLOCK_STEP: u64 = 300;
 /// How many steps of the clock a crash, a cut or a delay lasts in a schedule with departures.
@@ -43,7 +43,7 @@
 
 /// A message on its way.
 #[derive(Clone, Debug)]
-struct Mail {
+struct InFlightMessage {
     order: u64,
     digest: u64,
     message: Rc<Message>,
@@ -60,13 +60,13 @@
 
 /// Machines in the middle of a schedule.
 #[derive(Clone)]
-pub struct World<L> {
+pub struct Model<L> {
     pub steps: u64,
     pub passed: u64,
     pub machines: Vec<Rc<Machine<L>>>,
-    links: BTreeMap<Link, VecDeque<Mail>>,
+    links: BTreeMap<Link, VecDeque<InFlightMessage>>,
     /// Messages that arrive later, and when.
-    late: Vec<(u64, Link, Mail)>,
+    late: Vec<(u64, Link, InFlightMessage)>,
     /// Links that are cut, and until when.
     cuts: BTreeMap<Link, u64>,
     down_until: BTreeMap<usize, u64>,
@@ -79,13 +79,13 @@
     posted: u64,
 }
 
-impl<L: ProtocolRules> World<L> {
+impl<L: ProtocolRules> Model<L> {
     /// Founding members with empty disks.
-    pub fn new(orders: Vec<Order>, budget: Budget) -> World<L> {
-        let mut world = World {
+    pub fn new(orders: Vec<Order>, budget: Budget) -> Model<L> {
+        let mut model = Model {
             steps: 0,
             passed: 0,
-            machines: (0..FOUNDING).map(|_| Rc::new(Machine::empty())).collect(),
+            machines: (0..BOOTSTRAP_MEMBERS).map(|_| Rc::new(Machine::empty())).collect(),
             links: BTreeMap::new(),
             late: Vec::new(),
             cuts: BTreeMap::new(),
@@ -97,10 +97,10 @@
             budget,
             posted: 0,
         };
-        for machine in 0..FOUNDING {
-            world.start(machine).expect("a start breaks nothing");
+        for machine in 0..BOOTSTRAP_MEMBERS {
+            model.start(machine).expect("a start breaks nothing");
         }
-        world
+        model
     }
 
     /// Adds a machine with an empty disk.
@@ -123,20 +123,20 @@
         self.pay_for(action);
         match action {
             Action::Deliver(link) => {
-                let mail = self.take(link);
-                self.deliver(link, mail)?;
+                let in_flight = self.take(link);
+                self.deliver(link, in_flight)?;
             }
             Action::Lose(link) => {
                 self.take(link);
             }
-            Action::Repeat(link) => {
-                let mail = self.take(link);
-                self.links.entry(link).or_default().extend(mail.clone());
-                self.deliver(link, mail)?;
+            Action::Duplicate(link) => {
+                let in_flight = self.take(link);
+                self.links.entry(link).or_default().extend(in_flight.clone());
+                self.deliver(link, in_flight)?;
             }
             Action::Delay(link) => {
-                let mail = self.take(link);
-                self.late.extend(mail.map(|mail| (self.passed + LATE, link, mail)));
+                let in_flight = self.take(link);
+                self.late.extend(in_flight.map(|in_flight| (self.passed + LATE, link, in_flight)));
             }
             Action::Written(machine) => self.written(machine)?,
             Action::Crash { machine, writes } => self.stop(machine, writes),
@@ -164,7 +164,7 @@
         let budget = &mut self.budget;
         match action {
             Action::Lose(_) | Action::Delay(_) => budget.losses -= 1,
-            Action::Repeat(_) => budget.repeats -= 1,
+            Action::Duplicate(_) => budget.duplicates -= 1,
             Action::Crash { .. } | Action::Restart { .. } => budget.crashes -= 1,
             Action::LoseDisk(_) => budget.lost_disks -= 1,
             Action::Replace(_) => budget.replacements -= 1,
@@ -185,14 +185,14 @@
         }
     }
 
-    fn take(&mut self, link: Link) -> Option<Mail> {
+    fn take(&mut self, link: Link) -> Option<InFlightMessage> {
         self.links.get_mut(&link)?.pop_front()
     }
 
-    fn deliver(&mut self, link: Link, mail: Option<Mail>) -> Result<(), String> {
-        let Some(mail) = mail else { return Ok(()) };
+    fn deliver(&mut self, link: Link, in_flight: Option<InFlightMessage>) -> Result<(), String> {
+        let Some(in_flight) = in_flight else { return Ok(()) };
         let (from, to) = link;
-        let message = (*mail.message).clone();
+        let message = (*in_flight.message).clone();
         self.handle(to, Input::Message { from: endpoint(from), message })
     }
 
@@ -229,8 +229,8 @@
             endpoint: endpoint(number),
             zone: format!("zone-{number}"),
             region: String::new(),
-            seeds: (0..FOUNDING).map(endpoint).collect(),
-            bootstrap: number < FOUNDING && machine.starts == 1,
+            seeds: (0..BOOTSTRAP_MEMBERS).map(endpoint).collect(),
+            bootstrap: number < BOOTSTRAP_MEMBERS && machine.starts == 1,
             incarnation: drawn,
             start: drawn,
             tolerance: Tolerance::of_machines(1),
@@ -262,9 +262,9 @@
         self.passed += 1;
         let (due, late) = std::mem::take(&mut self.late).into_iter().partition(|(at, ..)| *at <= self.passed);
         self.late = late;
-        let due: Vec<(u64, Link, Mail)> = due;
-        for (_, link, mail) in due {
-            self.links.entry(link).or_default().push_front(mail);
+        let due: Vec<(u64, Link, InFlightMessage)> = due;
+        for (_, link, in_flight) in due {
+            self.links.entry(link).or_default().push_front(in_flight);
         }
         for machine in 0..self.machines.len() {
             if self.is_running(machine) {
@@ -335,8 +335,12 @@
             return;
         }
         self.posted += 1;
-        let mail = Mail { order: self.posted, digest: hash_of(message.encode()), message: Rc::new(message) };
-        self.links.entry((from, to)).or_default().push_back(mail);
+        let in_flight = InFlightMessage {
+            order: self.posted,
+            digest: hash_of(message.encode()),
+            message: Rc::new(message),
+        };
+        self.links.entry((from, to)).or_default().push_back(in_flight);
     }
 
     /// Heartbeats arrive at once.
@@ -356,7 +360,7 @@
 
     /// Whether such a message is on its way.
     pub fn carries(&self, is_meant: impl Fn(&Message) -> bool) -> bool {
-        self.links.values().flatten().any(|mail| is_meant(&mail.message))
+        self.links.values().flatten().any(|in_flight| is_meant(&in_flight.message))
     }
 
     /// Machines of which a caller waits for an answer.
@@ -367,26 +371,29 @@
     /// Whether the oldest message of the link is such a message.
     pub fn brings(&self, link: Link, is_meant: impl Fn(&Message) -> bool) -> bool {
         let oldest = self.links.get(&link).and_then(VecDeque::front);
-        oldest.is_some_and(|mail| is_meant(&mail.message))
+        oldest.is_some_and(|in_flight| is_meant(&in_flight.message))
     }
 
     /// The links in the order in which their messages were sent, which the ordinary action depends on.
     pub fn order_of_links(&self) -> Vec<Link> {
-        let mails = self.links.iter().flat_map(|(link, mails)| mails.iter().map(|mail| (mail.order, *link)));
-        let in_order: BTreeMap<u64, Link> = mails.collect();
+        let in_flight = self
+            .links
+            .iter()
+            .flat_map(|(link, in_flight)| in_flight.iter().map(|in_flight| (in_flight.order, *link)));
+        let in_order: BTreeMap<u64, Link> = in_flight.collect();
         in_order.into_values().collect()
     }
 
     /// A number by which two states are told apart.
     pub fn fingerprint(&self) -> u64 {
         let machines: Vec<u64> = self.machines.iter().map(|machine| machine.fingerprint()).collect();
-        let digests = |(link, mails): (&Link, &VecDeque<Mail>)| {
-            let digests: Vec<u64> = mails.iter().map(|mail| mail.digest).collect();
+        let digests = |(link, in_flight): (&Link, &VecDeque<InFlightMessage>)| {
+            let digests: Vec<u64> = in_flight.iter().map(|in_flight| in_flight.digest).collect();
             (!digests.is_empty()).then_some((*link, digests))
         };
         let links: Vec<(Link, Vec<u64>)> = self.links.iter().filter_map(digests).collect();
         let late: Vec<(u64, Link, u64)> =
-            self.late.iter().map(|(at, link, mail)| (*at, *link, mail.digest)).collect();
+            self.late.iter().map(|(at, link, in_flight)| (*at, *link, in_flight.digest)).collect();
         let faults = (&self.cuts, &self.down_until, &self.asked, self.budget, self.passed);
         hash_of((machines, links, late, faults, self.observer.fingerprint()))
     }
--- a/coordination/replica/tests/exhaustive/world/choices.rs
+++ b/coordination/replica/tests/exhaustive/model/choices.rs
@@ -4,7 +4,7 @@
 
 use whinspindle_replica::ProtocolRules;
 
-use super::{Link, Mail, Order, World};
+use super::{InFlightMessage, Link, Model, Order};
 
 /// Something that happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,7 +13,7 @@
     Deliver(Link),
     Lose(Link),
     /// It arrives, and will do so again.
-    Repeat(Link),
+    Duplicate(Link),
     /// It will arrive after a while, later ones before it.
     Delay(Link),
     /// The write under way is done.
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub losses: u8,
-    pub repeats: u8,
+    pub duplicates: u8,
     pub crashes: u8,
     pub cuts: u8,
     pub lost_disks: u8,
@@ -57,7 +57,7 @@
     pub passes: u8,
 }
 
-impl<L: ProtocolRules> World<L> {
+impl<L: ProtocolRules> Model<L> {
     /// What may happen now.
     pub fn actions(&self) -> Vec<Action> {
         let mut actions = self.actions_on_messages();
@@ -77,14 +77,14 @@
 
     fn actions_on_messages(&self) -> Vec<Action> {
         let mut actions = Vec::new();
-        let carrying = self.links.iter().filter(|(_, mails)| !mails.is_empty());
+        let carrying = self.links.iter().filter(|(_, in_flight)| !in_flight.is_empty());
         for (link, _) in carrying {
             actions.push(Action::Deliver(*link));
             if self.budget.losses > 0 {
                 actions.push(Action::Lose(*link));
             }
-            if self.budget.repeats > 0 {
-                actions.push(Action::Repeat(*link));
+            if self.budget.duplicates > 0 {
+                actions.push(Action::Duplicate(*link));
             }
         }
         actions
@@ -98,7 +98,7 @@
             actions.push(Action::Written(number));
         }
         if machine.replica.is_some() {
-            actions.extend(self.troubles_of(number, is_writing));
+            actions.extend(self.faults_of(number, is_writing));
         } else if !machine.is_gone {
             actions.push(Action::Start(number));
         }
@@ -106,7 +106,7 @@
     }
 
     /// What may happen to a running machine beside its work.
-    fn troubles_of(&self, number: usize, is_writing: bool) -> Vec<Action> {
+    fn faults_of(&self, number: usize, is_writing: bool) -> Vec<Action> {
         let budget = self.budget;
         let mut actions = Vec::new();
         if budget.crashes > 0 {
@@ -149,7 +149,8 @@
     }
 
     fn oldest(&self) -> Option<Link> {
-        let first = |(link, mails): (&Link, &VecDeque<Mail>)| Some((mails.front()?.order, *link));
+        let first =
+            |(link, in_flight): (&Link, &VecDeque<InFlightMessage>)| Some((in_flight.front()?.order, *link));
         self.links.iter().filter_map(first).min().map(|(_, link)| link)
     }
 
@@ -160,7 +161,7 @@
                 let (sender, receiver) = link;
                 vec![
                     Action::Lose(link),
-                    Action::Repeat(link),
+                    Action::Duplicate(link),
                     Action::Delay(link),
                     Action::Restart { machine: receiver, writes: false },
                     Action::Crash { machine: sender, writes: false },
@@ -192,7 +193,7 @@
             Action::Replace(machine) => budget.replacements > 0 && self.is_running(machine),
             Action::Cut(_) | Action::Isolate(_) => budget.cuts > 0,
             Action::Lose(_) | Action::Delay(_) => budget.losses > 0,
-            Action::Repeat(_) => budget.repeats > 0,
+            Action::Duplicate(_) => budget.duplicates > 0,
             _ => true,
         }
     }
--- a/coordination/replica/tests/exhaustive/search.rs
+++ b/coordination/replica/tests/exhaustive/search.rs
@@ -5,8 +5,8 @@
 
 use whinspindle_replica::ProtocolRules;
 
+use crate::model::{Action, Model};
 use crate::observer::hash_of;
-use crate::world::{Action, World};
 
 /// What a search has come to.
 #[derive(Debug, Default)]
@@ -23,32 +23,32 @@
 
 /// A state that was reached, and how: the index of the state before it, and the action that led from there.
 struct Reached<L> {
-    world: World<L>,
+    model: Model<L>,
     path: usize,
 }
 
 /// All interleavings of everything that may happen, level by level, to this depth.
-pub fn interleavings<L: ProtocolRules>(from: World<L>, depth: usize) -> Searched {
+pub fn interleavings<L: ProtocolRules>(from: Model<L>, depth: usize) -> Searched {
     let mut searched = Searched { states: 1, ..Searched::default() };
     let mut met = HashSet::from([from.fingerprint()]);
     let mut paths: Vec<(usize, Option<Action>)> = vec![(0, None)];
-    let mut level = vec![Reached { world: from, path: 0 }];
+    let mut level = vec![Reached { model: from, path: 0 }];
     while searched.depth < depth && !level.is_empty() {
         let mut next = Vec::new();
-        for Reached { world, path } in level {
-            for action in world.actions() {
-                let mut after = world.clone();
+        for Reached { model, path } in level {
+            for action in model.actions() {
+                let mut after = model.clone();
                 searched.steps += 1;
                 if let Err(fault) = after.act(action) {
                     let mut actions = actions_to(&paths, path);
-                    actions.push((world.steps, action));
+                    actions.push((model.steps, action));
                     searched.states = met.len();
                     searched.broken = Some((fault, actions));
                     return searched;
                 }
                 if met.insert(after.fingerprint()) {
                     paths.push((path, Some(action)));
-                    next.push(Reached { world: after, path: paths.len() - 1 });
+                    next.push(Reached { model: after, path: paths.len() - 1 });
                 }
             }
         }
@@ -70,7 +70,7 @@
 }
 
 /// All schedules with up to `most` departures from the ordinary one, until the clock has gone `passes` steps.
-pub fn departures<L: ProtocolRules>(from: &World<L>, most: usize, passes: u64) -> Searched {
+pub fn departures<L: ProtocolRules>(from: &Model<L>, most: usize, passes: u64) -> Searched {
     let mut walk = Walk { met: HashMap::new(), path: Vec::new(), passes, searched: Searched::default() };
     // Few departures first, so that what is found is the shortest.
     for left in 0..=most {
@@ -94,33 +94,33 @@
 }
 
 impl Walk {
-    fn go<L: ProtocolRules>(&mut self, mut world: World<L>, left: usize) {
-        while world.passed < self.passes {
-            let ordinary = world.ordinary();
-            let fingerprint = hash_of((world.fingerprint(), world.order_of_links()));
+    fn go<L: ProtocolRules>(&mut self, mut model: Model<L>, left: usize) {
+        while model.passed < self.passes {
+            let ordinary = model.ordinary();
+            let fingerprint = hash_of((model.fingerprint(), model.order_of_links()));
             if self.met.get(&fingerprint).is_some_and(|before| *before >= left) {
                 return;
             }
             self.met.insert(fingerprint, left);
             if left > 0 {
-                for departure in world.departures(ordinary) {
-                    self.depart(world.clone(), departure, left - 1);
+                for departure in model.departures(ordinary) {
+                    self.depart(model.clone(), departure, left - 1);
                     if self.searched.broken.is_some() {
                         return;
                     }
                 }
             }
-            if let Err(fault) = self.step(&mut world, ordinary) {
+            if let Err(fault) = self.step(&mut model, ordinary) {
                 self.searched.broken = Some((fault, self.path.clone()));
                 return;
             }
         }
     }
 
-    fn depart<L: ProtocolRules>(&mut self, mut world: World<L>, departure: Action, left: usize) {
-        self.path.push((world.steps, departure));
-        match self.step(&mut world, departure) {
-            Ok(()) => self.go(world, left),
+    fn depart<L: ProtocolRules>(&mut self, mut model: Model<L>, departure: Action, left: usize) {
+        self.path.push((model.steps, departure));
+        match self.step(&mut model, departure) {
+            Ok(()) => self.go(model, left),
             Err(fault) => self.searched.broken = Some((fault, self.path.clone())),
         }
         if self.searched.broken.is_none() {
@@ -128,26 +128,26 @@
         }
     }
 
-    fn step<L: ProtocolRules>(&mut self, world: &mut World<L>, action: Action) -> Result<(), String> {
+    fn step<L: ProtocolRules>(&mut self, model: &mut Model<L>, action: Action) -> Result<(), String> {
         self.searched.steps += 1;
-        world.act(action)?;
-        if action == Action::Pass { world.mend() } else { Ok(()) }
+        model.act(action)?;
+        if action == Action::Pass { model.mend() } else { Ok(()) }
     }
 }
 
 /// Plays the ordinary schedule with these departures until the world is as wanted.
 pub fn play<L: ProtocolRules>(
-    mut world: World<L>,
+    mut model: Model<L>,
     departures: &[(u64, Action)],
-    is_wanted: impl Fn(&World<L>) -> bool,
-) -> Result<World<L>, String> {
-    while !is_wanted(&world) {
-        let departure = departures.iter().find(|(step, _)| *step == world.steps);
-        let action = departure.map_or_else(|| world.ordinary(), |(_, action)| *action);
-        world.act(action)?;
+    is_wanted: impl Fn(&Model<L>) -> bool,
+) -> Result<Model<L>, String> {
+    while !is_wanted(&model) {
+        let departure = departures.iter().find(|(step, _)| *step == model.steps);
+        let action = departure.map_or_else(|| model.ordinary(), |(_, action)| *action);
+        model.act(action)?;
         if action == Action::Pass {
-            world.mend()?;
+            model.mend()?;
         }
     }
-    Ok(world)
+    Ok(model)
 }
--- a/coordination/replica/tests/faults.rs
+++ b/coordination/replica/tests/faults.rs
@@ -12,7 +12,7 @@
 /// Operations drawn at random go to so many registers.
 const REGISTERS: usize = 2;
 /// A write must be acknowledged within this, in milliseconds.
-const ACKNOWLEDGED: u64 = 2_500;
+const ACKNOWLEDGED_WITHIN: u64 = 2_500;
 
 /// The links of a deployment over three regions.
 fn wide() -> NetworkTiming {
@@ -45,7 +45,7 @@
     let until = cluster.now() + 1_000;
     clients.run_until(cluster, until);
     check(&clients.history()).unwrap_or_else(|fault| panic!("{name}: {fault}"));
-    assert!(longest < ACKNOWLEDGED, "{name}: {longest} ms\n{}", describe(cluster));
+    assert!(longest < ACKNOWLEDGED_WITHIN, "{name}: {longest} ms\n{}", describe(cluster));
     longest
 }
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_killed_member_is_left_out_and_taken_in_again() {
+fn a_killed_member_is_excluded_and_admitted_again() {
     for victim in 0..3 {
         let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         cluster.stop(endpoint(victim));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_stalled_disk_is_left_out() {
+fn a_member_with_a_stalled_disk_is_excluded() {
     for victim in 0..3 {
         let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         let until = cluster.now() + 8_000;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_disk_that_refuses_writes_is_left_out() {
+fn a_member_whose_disk_rejects_writes_is_excluded() {
     for victim in 0..3 {
         let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         let until = cluster.now() + 8_000;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_frozen_member_is_left_out() {
+fn a_frozen_member_is_excluded() {
     for victim in 0..3 {
         let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         let until = cluster.now() + 10_000;
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_member_cut_off_is_left_out() {
+fn a_partitioned_member_is_excluded() {
     for victim in 0..3 {
         let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         for other in (0..3).filter(|other| *other != victim) {
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn one_link_cut_in_one_direction_or_both_stops_no_writes() {
+fn a_partition_of_one_link_stops_no_writes() {
     for (one, other) in [(0, 1), (0, 2), (1, 2), (1, 0), (2, 0), (2, 1)] {
         for both in [false, true] {
             let (mut cluster, mut clients) = stable_cluster(5, 3, 1);
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_member_that_leaves_by_plan_is_hardly_noticed() {
+fn a_graceful_shutdown_hardly_delays_writes() {
     for victim in 0..3 {
         let (mut cluster, mut clients) = stable_cluster(victim as u64, 3, 1);
         cluster.command(endpoint(victim), Command::Leave);
@@ -240,8 +240,8 @@
         let took = clients.write_within(&mut cluster, endpoint(other), 1_000);
         assert!(took.is_some(), "acknowledged before the loss");
         clients.begin(&mut cluster, endpoint(one), "register-0", Asked::Get);
-        let moment = cluster.now() + (one + 3 * other) as u64 % 20;
-        clients.run_until(&mut cluster, moment);
+        let instant = cluster.now() + (one + 3 * other) as u64 % 20;
+        clients.run_until(&mut cluster, instant);
         (0..REPLICAS).for_each(|number| cluster.stop(endpoint(number)));
         cluster.wipe(endpoint(one));
         cluster.wipe(endpoint(other));
@@ -260,26 +260,26 @@
 fn any_disks_lost_while_all_others_lose_power_amid_operations_lose_nothing() {
     const PLAYS: u64 = 60;
     for seed in 0..PLAYS {
-        let mut chance = Pcg::new(seed);
-        let losses = 1 + chance.below(2);
-        let replicas = 2 * losses + 1 + chance.below(3);
+        let mut random = Pcg::new(seed);
+        let losses = 1 + random.below(2);
+        let replicas = 2 * losses + 1 + random.below(3);
         let (mut cluster, mut clients) = stable_cluster(seed, replicas, losses);
         for _ in 0..2 {
-            let away = endpoint(chance.below(replicas));
-            let was_away = chance.below(2) == 0;
+            let away = endpoint(random.below(replicas));
+            let was_away = random.below(2) == 0;
             if was_away {
                 cluster.stop(away);
             }
-            operate(&mut cluster, &mut clients, &mut chance, replicas, 1_500);
+            operate(&mut cluster, &mut clients, &mut random, replicas, 1_500);
             if was_away {
                 cluster.start(away);
                 // It counts as lost until it has had this time.
                 let until = cluster.now() + 4_000;
                 clients.run_until(&mut cluster, until);
             }
-            operate(&mut cluster, &mut clients, &mut chance, replicas, 200);
+            operate(&mut cluster, &mut clients, &mut random, replicas, 200);
             (0..replicas).for_each(|number| cluster.stop(endpoint(number)));
-            let first = chance.below(replicas);
+            let first = random.below(replicas);
             (0..losses).for_each(|more| cluster.wipe(endpoint((first + more) % replicas)));
             let until = cluster.now() + 500;
             clients.run_until(&mut cluster, until);
@@ -296,17 +296,17 @@
 fn operate(
     cluster: &mut Cluster<Node>,
     clients: &mut Clients,
-    chance: &mut Pcg,
+    random: &mut Pcg,
     replicas: usize,
     milliseconds: u64,
 ) {
     let end = cluster.now() + milliseconds;
     while cluster.now() < end {
-        let at = endpoint(chance.below(replicas));
+        let at = endpoint(random.below(replicas));
         if cluster.is_running(at) {
-            clients.begin_any(cluster, chance, at, REGISTERS);
+            clients.begin_any(cluster, random, at, REGISTERS);
         }
-        let until = (cluster.now() + 1 + chance.below(40) as u64).min(end);
+        let until = (cluster.now() + 1 + random.below(40) as u64).min(end);
         clients.run_until(cluster, until);
     }
 }
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn replicas_beyond_the_wanted_voters_follow_and_forward() {
+fn replicas_beyond_the_target_voters_learn_and_forward() {
     let (mut cluster, mut clients) = stable_cluster(4, 5, 1);
     converges(&mut cluster, &mut clients, 3, "learners");
     cluster.stop(endpoint(1));
--- a/coordination/replica/tests/heartbeats.rs
+++ b/coordination/replica/tests/heartbeats.rs
@@ -8,7 +8,7 @@
 use whinspindle_replica::{Message, StandardRules};
 
 /// A write is acknowledged within this, in milliseconds.
-const ACKNOWLEDGED: u64 = 3_000;
+const ACKNOWLEDGED_WITHIN: u64 = 3_000;
 /// Several heartbeats are sent within so many ticks.
 const TICKS: u64 = 20;
 const TICK: u64 = 50;
@@ -39,15 +39,15 @@
 fn an_overtaken_heartbeat_does_not_take_back_what_is_known_to_be_committed() {
     let mut cluster = cluster::<StandardRules>(5, 3, 1, NetworkTiming::default());
     let mut clients = Clients::default();
-    clients.write_within(&mut cluster, endpoint(0), ACKNOWLEDGED).expect("a write");
-    let until = cluster.now() + ACKNOWLEDGED;
+    clients.write_within(&mut cluster, endpoint(0), ACKNOWLEDGED_WITHIN).expect("a write");
+    let until = cluster.now() + ACKNOWLEDGED_WITHIN;
     clients.run_until(&mut cluster, until);
     let held_up = heartbeat(&mut cluster, 0, 2);
     for other in [0, 1] {
         cluster.cut(endpoint(other), endpoint(2));
         cluster.cut(endpoint(2), endpoint(other));
     }
-    clients.write_within(&mut cluster, endpoint(0), ACKNOWLEDGED).expect("a write without the third");
+    clients.write_within(&mut cluster, endpoint(0), ACKNOWLEDGED_WITHIN).expect("a write without the third");
     let newer = heartbeat(&mut cluster, 0, 2);
     let is_behind = |cluster: &Cluster<Node>| cluster.process(endpoint(2)).unwrap().replica.is_behind();
     deliver(&mut cluster, 0, 2, newer);
--- a/coordination/replica/tests/judge.rs
+++ b/coordination/replica/tests/linearizability_checker.rs
@@ -1,4 +1,4 @@
-//! The judge of histories itself: it accepts what one order explains, and nothing else.
+//! The linearizability checker itself: it accepts the histories that have a linearization, and no others.
 
 mod common;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn histories_with_an_order_are_accepted() {
+fn histories_with_a_linearization_are_accepted() {
     let refused = |value: &str| Answered::Refused(value.to_string());
     let histories = [
         vec![put("a", 0, Some(1)), get("a", 2, 3), put("b", 4, Some(5)), get("b", 6, 7)],
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn histories_without_an_order_are_refused() {
+fn histories_without_a_linearization_are_rejected() {
     let histories = [
         // A stale read.
         vec![put("a", 0, Some(1)), put("b", 2, Some(3)), get("a", 4, 5)],
--- a/coordination/replica/tests/messages.rs
+++ b/coordination/replica/tests/messages.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_message_that_ends_early_is_refused() {
+fn a_truncated_message_is_rejected() {
     let bytes = messages()[0].encode();
     for length in 0..bytes.len() {
         assert!(Message::decode(&bytes[..length]).is_err(), "{length} of {}", bytes.len());
@@ -39,12 +39,12 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_refused_or_read(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_rejected_or_decoded(bytes: Vec<u8>) -> bool {
         let _ = Message::decode(&bytes);
         true
     }
 
-    fn a_damaged_message_is_refused_or_read(at: usize, value: u8) -> bool {
+    fn a_damaged_message_is_rejected_or_decoded(at: usize, value: u8) -> bool {
         let mut bytes = messages()[0].encode();
         let at = at % bytes.len();
         bytes[at] = value;
--- a/coordination/replica/tests/overlap.rs
+++ b/coordination/replica/tests/overlapping_losses.rs
@@ -15,13 +15,13 @@
 /// Each order of roles is played with so many seeds.
 const SEEDS: u64 = 12;
 /// All bootstrap members are in the chain by then, in milliseconds.
-const SETTLED: u64 = 2_000;
+const STABLE_AFTER: u64 = 2_000;
 /// A chain without a member that is cut off, and a chain with one that is back, are agreed on within this.
 const AGREED: u64 = 6_000;
 /// The lost disk is replaced by an empty one after this.
 const WIPED_FOR: u64 = 500;
 /// Once all machines are there again, a write is acknowledged within this.
-const ACKNOWLEDGED: u64 = 3_000;
+const ACKNOWLEDGED_WITHIN: u64 = 3_000;
 /// Between two commands.
 const PAUSE: u64 = 7;
 /// The judge's work grows fast with the operations on one register.
@@ -107,7 +107,7 @@
     /// it has brought the joiner up to date.
     fn lose(&mut self) -> Result<(), String> {
         let Roles { joiner, wiped, apart, is_told } = self.roles;
-        self.pass(SETTLED);
+        self.pass(STABLE_AFTER);
         self.isolate(joiner);
         self.pass_until(|play| play.is_in_chain_with(wiped, apart) && play.is_in_chain_with(apart, wiped))?;
         let tells =
@@ -136,7 +136,7 @@
     fn serves(&mut self) -> Result<(), String> {
         let Roles { joiner, wiped, apart, .. } = self.roles;
         for at in [joiner, wiped, apart] {
-            if self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED).is_none() {
+            if self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED_WITHIN).is_none() {
                 check(&self.clients.history())?;
                 return Err(format!("no write is acknowledged at {at}\n{}", self.describe()));
             }
@@ -184,11 +184,11 @@
 }
 
 #[test]
-fn a_leader_that_has_not_everything_is_found() {
+fn an_incomplete_leader_is_detected() {
     assert!(loses_something::<TakesIncompleteLeaders>());
 }
 
 #[test]
-fn entries_that_one_left_out_of_the_chain_drops_are_found() {
+fn entries_dropped_by_a_member_outside_of_the_chain_are_detected() {
     assert!(loses_something::<DropsEntriesWhenLeftOut>());
 }
--- a/coordination/replica/tests/placement.rs
+++ b/coordination/replica/tests/placement.rs
@@ -11,9 +11,9 @@
 use whinspindle_replica::{FailureDomain, LossKind, Tolerance};
 
 /// All voters are where they should be by then, in milliseconds.
-const SETTLED: u64 = 8_000;
+const STABLE_AFTER: u64 = 8_000;
 /// A write must be acknowledged within this.
-const ACKNOWLEDGED: u64 = 2_500;
+const ACKNOWLEDGED_WITHIN: u64 = 2_500;
 
 const ONE_OF_EACH: Tolerance = Tolerance { machines: 1, zones: 1, regions: 1 };
 const TWO_MACHINES: Tolerance = Tolerance { machines: 2, zones: 1, regions: 1 };
@@ -33,7 +33,7 @@
         let at = |number: usize| failure_domain(layout[number].0, layout[number].1);
         let cluster = cluster_at(seed, layout.len(), tolerance, network, at);
         let mut deployment = Deployment { cluster, clients: Clients::default(), layout };
-        deployment.pass(SETTLED);
+        deployment.pass(STABLE_AFTER);
         deployment
     }
 
@@ -69,13 +69,13 @@
             self.cluster.stop(endpoint(*number));
         }
         for number in (0..self.layout.len()).filter(|number| !lost.contains(number)) {
-            let took = self.clients.write_within(&mut self.cluster, endpoint(number), ACKNOWLEDGED);
+            let took = self.clients.write_within(&mut self.cluster, endpoint(number), ACKNOWLEDGED_WITHIN);
             assert!(took.is_some(), "{lost:?} lost: no write at {number}");
         }
         for number in lost {
             self.cluster.start(endpoint(*number));
         }
-        self.pass(SETTLED);
+        self.pass(STABLE_AFTER);
         check(&self.clients.history()).unwrap_or_else(|fault| panic!("{lost:?} lost: {fault}"));
     }
 }
@@ -133,15 +133,15 @@
 }
 
 #[test]
-fn a_successor_from_elsewhere_hands_its_vote_back() {
+fn a_replacement_in_another_zone_hands_its_vote_back() {
     let mut deployment = Deployment::start(2, SEEDS_TOGETHER, ONE_OF_EACH);
     deployment.cluster.stop(endpoint(4));
-    deployment.pass(SETTLED);
+    deployment.pass(STABLE_AFTER);
     let zones = deployment.voters_by(0, zone);
     assert_eq!(zones.values().copied().collect::<Vec<usize>>(), [2, 1], "{zones:?}");
     assert_eq!(deployment.node(0).replica.fatal_losses(), [LossKind::Zones, LossKind::Regions]);
     deployment.cluster.start(endpoint(4));
-    deployment.pass(SETTLED);
+    deployment.pass(STABLE_AFTER);
     assert_eq!(deployment.voters_by(0, zone).len(), 3);
     assert_eq!(deployment.node(0).replica.fatal_losses(), []);
 }
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_cannot_be_tolerated_is_told() {
+fn losses_that_cannot_be_tolerated_are_reported() {
     use LossKind::{Machines, Regions, Zones};
     let all = [Machines, Zones, Regions];
     assert_eq!(fatal_losses(&[("a", "x")], ONE_OF_EACH), all);
--- a/coordination/replica/tests/planted.rs
+++ b/coordination/replica/tests/planted_faults.rs
@@ -8,7 +8,7 @@
     CountsContactFromArrival, HeadAnswersReads, KeepsIdentityWithoutDisk, ReplacesVotersAtOnce,
     ReusesTickets, TailAnswersReads, TransfersNoOutcomes,
 };
-use common::node::{Moment, Node, cluster, endpoint};
+use common::node::{Node, ProtocolEvent, cluster, endpoint};
 use common::schedule::{Fault, Schedule, Step, Trigger, play};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::{ProtocolRules, StandardRules, View};
@@ -33,8 +33,8 @@
 }
 
 /// A step that waits for this moment at some replica.
-fn at(wait: u64, moment: Moment, fault: Fault) -> Step {
-    Step { wait, trigger: Some(Trigger { moment, strikes_there: false }), fault }
+fn at(wait: u64, event: ProtocolEvent, fault: Fault) -> Step {
+    Step { wait, trigger: Some(Trigger { event, hits_that_replica: false }), fault }
 }
 
 /// Whether the standard rules bear the schedule with each seed, and others show a history that is not linearizable
@@ -61,7 +61,7 @@
 
 /// All lose power while their disks are slow.
 #[test]
-fn members_that_acknowledge_before_the_disk_has_it_are_found() {
+fn members_that_acknowledge_before_the_entry_is_durable_are_detected() {
     shows::<AcknowledgesTooEarly>(
         THREE,
         &[
@@ -77,14 +77,14 @@
 
 /// The head is cut off, and those that go on without it write.
 #[test]
-fn a_head_that_answers_reads_itself_is_found() {
+fn a_head_that_answers_reads_itself_is_detected() {
     shows::<HeadAnswersReads>(THREE, &[step(500, Fault::Isolate(0)), step(3_000, Fault::Heal)]);
 }
 
 /// Two go on without the third. One of them loses its disk, and comes back together with the third only: as
 /// another voter it makes no majority with it.
 #[test]
-fn a_member_that_votes_as_if_it_remembered_is_found() {
+fn a_member_that_votes_without_its_durable_state_is_detected() {
     shows::<KeepsIdentityWithoutDisk>(
         THREE,
         &[
@@ -99,19 +99,22 @@
 
 /// The tail is cut off, and those that go on without it write.
 #[test]
-fn a_tail_that_answers_reads_itself_is_found() {
+fn a_tail_that_answers_reads_itself_is_detected() {
     shows::<TailAnswersReads>(THREE, &[step(500, Fault::Isolate(2)), step(3_000, Fault::Heal)]);
 }
 
 /// The tail is cut off when it answers, so that commands are sent again.
 #[test]
-fn a_repeat_that_is_taken_for_a_new_order_is_found() {
-    shows::<AppliesDuplicates>(THREE, &[at(500, Moment::Reply, Fault::Mute(2)), step(1_000, Fault::Heal)]);
+fn a_duplicate_that_is_taken_for_a_new_command_is_detected() {
+    shows::<AppliesDuplicates>(
+        THREE,
+        &[at(500, ProtocolEvent::Reply, Fault::Mute(2)), step(1_000, Fault::Heal)],
+    );
 }
 
 /// Replicas start again: their tickets begin with 1 again.
 #[test]
-fn a_ticket_that_is_used_again_after_a_restart_is_found() {
+fn a_ticket_that_is_used_again_after_a_restart_is_detected() {
     shows::<ReusesTickets>(
         THREE,
         &[step(500, Fault::Stop(1)), step(100, Fault::Start(1)), step(1_000, Fault::Heal)],
@@ -121,12 +124,12 @@
 /// The head is cut off, and the next one stops right when it is voted for a view without it: the cut ends, and the old
 /// head joins the third.
 #[test]
-fn a_joiner_that_counts_before_it_has_all_is_found() {
+fn a_joiner_that_counts_before_it_is_complete_is_detected() {
     shows::<CompletesTooEarly>(
         THREE,
         &[
             step(500, Fault::Isolate(0)),
-            at(89, Moment::Accepted, Fault::Stop(1)),
+            at(89, ProtocolEvent::Accepted, Fault::Stop(1)),
             step(300, Fault::Heal),
             step(3_000, Fault::Heal),
         ],
@@ -135,7 +138,7 @@
 
 /// One of two that go on without the third loses its disk, and is asked for a promise as if it had it still.
 #[test]
-fn a_voter_that_answers_for_its_old_birth_is_found() {
+fn a_voter_that_answers_for_its_old_incarnation_is_detected() {
     shows::<AnswersForOldIncarnation>(
         THREE,
         &[
@@ -151,7 +154,7 @@
 /// The answers to one replica are lost. Another one joins by a transfer of records, as its predecessor has started anew
 /// and has kept no entries, and becomes the head; then the first replica sends its commands again.
 #[test]
-fn a_transfer_without_outcomes_is_found() {
+fn a_transfer_without_outcomes_is_detected() {
     shows::<TransfersNoOutcomes>(
         WITH_LEARNERS,
         &[
@@ -160,7 +163,7 @@
             step(50, Fault::Start(2)),
             step(200, Fault::Deafen(3)),
             step(100, Fault::Start(0)),
-            at(0, Moment::Synchronize, Fault::Checkpoint(0)),
+            at(0, ProtocolEvent::Synchronize, Fault::Checkpoint(0)),
             step(100, Fault::Leave(1)),
             step(0, Fault::Start(1)),
             step(0, Fault::Stop(2)),
@@ -194,7 +197,7 @@
 }
 
 #[test]
-fn contact_that_counts_from_the_arrival_of_an_answer_is_found() {
+fn contact_that_counts_from_the_arrival_of_an_answer_is_detected() {
     assert!(!(0..SEEDS).any(claims_old_contact::<StandardRules>));
     assert!((0..SEEDS).any(claims_old_contact::<CountsContactFromArrival>));
 }
@@ -211,7 +214,8 @@
     // The head does not know of the learner, so that the other one begins the round.
     cluster.cut(learner, head);
     cluster.run_until(cluster.now() + 1_300);
-    let promises = |cluster: &Cluster<Node<L>>| cluster.process(head).map(|node| node.count(Moment::Prepare));
+    let promises =
+        |cluster: &Cluster<Node<L>>| cluster.process(head).map(|node| node.count(ProtocolEvent::Prepare));
     let before = promises(&cluster);
     let is_asked = (0..3_000).any(|_| {
         cluster.run_until(cluster.now() + 1);
@@ -231,7 +235,7 @@
 }
 
 #[test]
-fn voters_that_are_replaced_without_joint_majorities_are_found() {
+fn voters_replaced_without_joint_majorities_are_detected() {
     assert!(!(0..SEEDS).any(agrees_on_two_views::<StandardRules>));
     assert!((0..SEEDS).any(agrees_on_two_views::<ReplacesVotersAtOnce>));
 }
--- a/coordination/replica/tests/repair.rs
+++ b/coordination/replica/tests/repair.rs
@@ -15,7 +15,7 @@
 use whinspindle_replica::Tolerance;
 
 /// All bootstrap members and those that join them vote by then, in milliseconds.
-const SETTLED: u64 = 4_000;
+const STABLE_AFTER: u64 = 4_000;
 /// The second loss comes up to so long after the first.
 const WINDOW: u64 = 5_000;
 /// Between two moments of the second loss.
@@ -33,7 +33,7 @@
 /// Between the announcement and the end of a process that leaves by plan.
 const LEAVING_FOR: u64 = 300;
 /// A write is acknowledged this long after the losses, if a majority is left.
-const ACKNOWLEDGED: u64 = 3_000;
+const ACKNOWLEDGED_WITHIN: u64 = 3_000;
 /// Between two operations of the clients.
 const PAUSE: u64 = 40;
 /// The judge's work grows fast with the operations on one register.
@@ -149,7 +149,7 @@
             next_number: case.count,
             asked: 0,
         };
-        play.clients.run_until(&mut play.cluster, SETTLED);
+        play.clients.run_until(&mut play.cluster, STABLE_AFTER);
         play
     }
 
@@ -322,7 +322,7 @@
     play.lose_second(case.second, endpoint(case.other));
     play.pass(BACK_AFTER + LEAVING_FOR + SUCCESSOR_AFTER);
     let at = play.cluster.endpoints()[0];
-    let took = play.clients.write_within(&mut play.cluster, at, ACKNOWLEDGED);
+    let took = play.clients.write_within(&mut play.cluster, at, ACKNOWLEDGED_WITHIN);
     let fail = |play: &Play, fault: &str| Err(format!("{fault}\n{case:?}\n{}", play.describe()));
     if took.is_none() && must_serve {
         return fail(&play, "no write is acknowledged any more");
@@ -419,7 +419,7 @@
     fn serves(&mut self, name: &str) {
         for at in self.cluster.endpoints() {
             if self.cluster.is_running(at) {
-                let took = self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED);
+                let took = self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED_WITHIN);
                 assert!(took.is_some(), "{name}: no write at {at}\n{}", self.describe());
             }
         }
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn all_members_leave_by_plan_in_turn_and_come_back() {
+fn all_members_shut_down_gracefully_in_turn_and_come_back() {
     for (count, tolerated_losses) in [(3, 1), (5, 1), (5, 2)] {
         for pause in [1_000, 1_500, 2_500, 4_000] {
             let mut play = Play::start(&Case { seed: pause, count, tolerated_losses, ..Case::FIRST });
--- a/coordination/replica/tests/search.rs
+++ b/coordination/replica/tests/search.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::node::Moment;
+use common::node::ProtocolEvent;
 use common::schedule::{Fault, Schedule, Step, Trigger, play};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use whinspindle_replica::StandardRules;
@@ -21,8 +21,8 @@
     let number = |name| std::env::var(name).ok().and_then(|text| text.parse().ok());
     let count = number(COUNT_VARIABLE).unwrap_or(ORDINARY);
     let seed = number(SEED_VARIABLE).unwrap_or(ORDINARY_SEED);
-    let chance = Gen::from_size_and_seed(SIZE, seed);
-    QuickCheck::new().tests(count).max_tests(2 * count).rng(chance).quickcheck(property);
+    let random = Gen::from_size_and_seed(SIZE, seed);
+    QuickCheck::new().tests(count).max_tests(2 * count).rng(random).quickcheck(property);
 }
 
 fn holds(schedule: Schedule, count: usize, tolerated_losses: usize) -> TestResult {
@@ -50,7 +50,7 @@
 /// Found by the drawn schedules: a voter that had promised and was replaced before the round came to its end took the
 /// chain for sealed for ever, and forwarded no commands.
 #[test]
-fn one_that_votes_no_more_forwards_commands_in_spite_of_an_old_promise() {
+fn a_former_voter_forwards_commands_despite_an_old_promise() {
     let schedule = Schedule {
         seed: 937_244_104_666,
         has_calm_losses: false,
@@ -60,9 +60,9 @@
         steps: vec![
             step(873, Fault::Stop(1)),
             step(1_183, Fault::Split(4)),
-            at(207, Moment::Accept, false, Fault::Start(1)),
+            at(207, ProtocolEvent::Accept, false, Fault::Start(1)),
             step(15, Fault::Deafen(1)),
-            at(168, Moment::Prepare, true, Fault::Deafen(3)),
+            at(168, ProtocolEvent::Prepare, true, Fault::Deafen(3)),
         ],
     };
     play::<StandardRules>(&schedule, 5, 1).unwrap();
@@ -74,8 +74,8 @@
 }
 
 /// A step that waits for this moment, and strikes there or where the fault says.
-fn at(wait: u64, moment: Moment, strikes_there: bool, fault: Fault) -> Step {
-    Step { wait, trigger: Some(Trigger { moment, strikes_there }), fault }
+fn at(wait: u64, event: ProtocolEvent, hits_that_replica: bool, fault: Fault) -> Step {
+    Step { wait, trigger: Some(Trigger { event, hits_that_replica }), fault }
 }
 
 /// A schedule that loses no more disks than are tolerated, but at any time.
@@ -88,7 +88,7 @@
 #[test]
 fn three_replicas_take_commands_again_after_losses_that_overlap() {
     let steps = vec![
-        at(103, Moment::Accepted, false, Fault::Stall(3, 3_018)),
+        at(103, ProtocolEvent::Accepted, false, Fault::Stall(3, 3_018)),
         step(72, Fault::Leave(1)),
         step(335, Fault::Split(3)),
         step(9, Fault::Wipe(2)),
@@ -100,11 +100,11 @@
 #[test]
 fn three_voters_with_two_learners_take_commands_again_after_losses_that_overlap() {
     let steps = vec![
-        at(615, Moment::Append, true, Fault::CutBoth(5, 2)),
-        at(992, Moment::Decided, false, Fault::Checkpoint(1)),
-        at(105, Moment::Accepted, false, Fault::Start(2)),
+        at(615, ProtocolEvent::Append, true, Fault::CutBoth(5, 2)),
+        at(992, ProtocolEvent::Decided, false, Fault::Checkpoint(1)),
+        at(105, ProtocolEvent::Accepted, false, Fault::Start(2)),
         step(0, Fault::Stop(0)),
-        at(198, Moment::Accepted, true, Fault::StopAllAndWipe(0)),
+        at(198, ProtocolEvent::Accepted, true, Fault::StopAllAndWipe(0)),
     ];
     play::<StandardRules>(&overlapping(476_458_378_024, 40, steps), 5, 1).unwrap();
 }
@@ -113,13 +113,13 @@
 #[test]
 fn five_replicas_take_commands_again_after_losses_that_overlap() {
     let steps = vec![
-        at(615, Moment::Synchronize, true, Fault::StartAll),
+        at(615, ProtocolEvent::Synchronize, true, Fault::StartAll),
         step(0, Fault::Stop(5)),
         step(127, Fault::CutBoth(2, 5)),
-        at(1, Moment::Acknowledge, false, Fault::StartAll),
+        at(1, ProtocolEvent::Acknowledge, false, Fault::StartAll),
         step(9, Fault::CutBoth(1, 5)),
-        at(841, Moment::Accept, false, Fault::Stop(3)),
-        at(9, Moment::Accept, false, Fault::Replace(4)),
+        at(841, ProtocolEvent::Accept, false, Fault::Stop(3)),
+        at(9, ProtocolEvent::Accept, false, Fault::Replace(4)),
     ];
     play::<StandardRules>(&overlapping(617_889_459_766, 40, steps), 5, 2).unwrap();
 }
@@ -129,12 +129,12 @@
 #[test]
 fn an_old_voter_leads_where_no_new_one_has_everything() {
     let steps = vec![
-        at(6, Moment::Synchronize, false, Fault::Cut(3, 0)),
-        at(57, Moment::Append, false, Fault::Refuse(1, 2_031)),
+        at(6, ProtocolEvent::Synchronize, false, Fault::Cut(3, 0)),
+        at(57, ProtocolEvent::Append, false, Fault::Refuse(1, 2_031)),
         step(188, Fault::Checkpoint(5)),
         step(28, Fault::Stop(5)),
-        at(158, Moment::Prepare, false, Fault::Stop(3)),
-        at(7, Moment::Accept, false, Fault::Deafen(2)),
+        at(158, ProtocolEvent::Prepare, false, Fault::Stop(3)),
+        at(7, ProtocolEvent::Accept, false, Fault::Deafen(2)),
         step(3, Fault::StopAllAndWipe(2)),
     ];
     play::<StandardRules>(&overlapping(0, 40, steps), 5, 1).unwrap();
--- a/coordination/replica/tests/wire_fixtures.rs
+++ b/coordination/replica/tests/wire_fixtures.rs
@@ -382,15 +382,15 @@
     for (name, record, after) in durable_records() {
         let stored = fixtures::read(&format!("durable-record-{name}.bin"), &record);
         assert_eq!(stored, record, "{name}");
-        let found = rewritten(&checkpoint, vec![stored]);
-        assert_eq!(postcard::from_bytes::<StateFields>(&found).unwrap(), after, "{name}");
-        assert_eq!(found, bytes(after), "{name}");
+        let observed = rewritten(&checkpoint, vec![stored]);
+        assert_eq!(postcard::from_bytes::<StateFields>(&observed).unwrap(), after, "{name}");
+        assert_eq!(observed, bytes(after), "{name}");
     }
 }
 
 #[test]
-fn a_durable_record_of_a_kind_without_a_fixture_is_refused() {
+fn a_durable_record_of_a_kind_without_a_fixture_is_rejected() {
     let record = bytes((durable_records().len() as u32, [0_u64; 16]));
-    let found = Replica::new(settings(), Registers, (None, vec![record]), 1_000);
-    assert!(matches!(found, Err(RecoverError::Log { index: 0, .. })));
+    let observed = Replica::new(settings(), Registers, (None, vec![record]), 1_000);
+    assert!(matches!(observed, Err(RecoverError::Log { index: 0, .. })));
 }
