--- a/coordination/replica/tests/exhaustive/initial_states.rs
+++ b/coordination/replica/tests/exhaustive/initial_states.rs
@@ -81,7 +81,7 @@
         };
         model = suffer(model, &[next]);
         if next == Action::Pass {
-            model.mend().expect("a start breaks nothing");
+            model.heal().expect("a start breaks nothing");
         }
     }
     model.budget = AMPLE;
--- a/coordination/replica/tests/exhaustive/model.rs
+++ b/coordination/replica/tests/exhaustive/model.rs
@@ -275,7 +275,7 @@
     }
 
     /// In a schedule with departures: what was down or cut for long is well again.
-    pub fn mend(&mut self) -> Result<(), String> {
+    pub fn heal(&mut self) -> Result<(), String> {
         let passed = self.passed;
         self.cuts.retain(|_, until| *until > passed);
         let due: Vec<usize> = self
--- a/coordination/replica/tests/exhaustive/search.rs
+++ b/coordination/replica/tests/exhaustive/search.rs
@@ -131,7 +131,7 @@
     fn step<L: ProtocolRules>(&mut self, model: &mut Model<L>, action: Action) -> Result<(), String> {
         self.searched.steps += 1;
         model.act(action)?;
-        if action == Action::Pass { model.mend() } else { Ok(()) }
+        if action == Action::Pass { model.heal() } else { Ok(()) }
     }
 }
 
@@ -146,7 +146,7 @@
         let action = departure.map_or_else(|| model.ordinary(), |(_, action)| *action);
         model.act(action)?;
         if action == Action::Pass {
-            model.mend()?;
+            model.heal()?;
         }
     }
     Ok(model)
--- a/coordination/replica/tests/overlapping_losses.rs
+++ b/coordination/replica/tests/overlapping_losses.rs
@@ -27,24 +27,27 @@
 /// The judge's work grows fast with the operations on one register.
 const REGISTERS: usize = 12;
 
-/// Who suffers what.
+/// Which replica has which fault.
 #[derive(Clone, Copy, Debug)]
 struct Roles {
-    /// Cut off first; then it joins.
+    /// Partitioned first; then it joins.
     joiner: SocketAddr,
     /// In all chains; then its disk is lost.
     wiped: SocketAddr,
-    /// Cut off once the joiner is back.
-    apart: SocketAddr,
-    /// Whether that one is told what the others have committed, before it is cut off.
-    is_told: bool,
+    /// Partitioned once the joiner is back.
+    partitioned: SocketAddr,
+    /// Whether that one is notified of what the others have committed before it is partitioned.
+    is_notified: bool,
 }
 
 fn all_roles() -> Vec<Roles> {
     let orders = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
-    let roles =
-        orders.into_iter().flat_map(|order| [true, false].map(|is_told| (order.map(endpoint), is_told)));
-    roles.map(|([joiner, wiped, apart], is_told)| Roles { joiner, wiped, apart, is_told }).collect()
+    let roles = orders
+        .into_iter()
+        .flat_map(|order| [true, false].map(|is_notified| (order.map(endpoint), is_notified)));
+    roles
+        .map(|([joiner, wiped, partitioned], is_notified)| Roles { joiner, wiped, partitioned, is_notified })
+        .collect()
 }
 
 struct Play<L: ProtocolRules> {
@@ -106,18 +109,22 @@
     /// Two go on without the joiner; then the joiner and one of them are to go on, and that one loses its disk before
     /// it has brought the joiner up to date.
     fn lose(&mut self) -> Result<(), String> {
-        let Roles { joiner, wiped, apart, is_told } = self.roles;
+        let Roles { joiner, wiped, partitioned, is_notified } = self.roles;
         self.pass(STABLE_AFTER);
         self.isolate(joiner);
-        self.pass_until(|play| play.is_in_chain_with(wiped, apart) && play.is_in_chain_with(apart, wiped))?;
+        self.pass_until(|play| {
+            play.is_in_chain_with(wiped, partitioned) && play.is_in_chain_with(partitioned, wiped)
+        })?;
         let tells =
             |message: &Message| matches!(message, Message::Acknowledge { .. } | Message::Heartbeat(_));
-        self.cluster.network().withhold(move |_, to, message| !is_told && to == apart && tells(message));
+        self.cluster
+            .network()
+            .withhold(move |_, to, message| !is_notified && to == partitioned && tells(message));
         let answered = self.clients.answered();
         self.pass_until(|play| play.clients.answered() >= answered + 8)?;
 
         self.cluster.heal_all();
-        self.isolate(apart);
+        self.isolate(partitioned);
         self.cluster.network().withhold(move |_, to, message| {
             let is_transfer = matches!(message, Message::Synchronize { .. } | Message::Learn { .. });
             to == joiner && is_transfer
@@ -134,8 +141,8 @@
 
     /// Writes are acknowledged by all, and all that was acknowledged is there.
     fn serves(&mut self) -> Result<(), String> {
-        let Roles { joiner, wiped, apart, .. } = self.roles;
-        for at in [joiner, wiped, apart] {
+        let Roles { joiner, wiped, partitioned, .. } = self.roles;
+        for at in [joiner, wiped, partitioned] {
             if self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED_WITHIN).is_none() {
                 check(&self.clients.history())?;
                 return Err(format!("no write is acknowledged at {at}\n{}", self.describe()));
--- a/coordination/replica/tests/repair.rs
+++ b/coordination/replica/tests/repair.rs
@@ -112,7 +112,7 @@
 
 /// What is to happen, and when.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum ClusterEvent {
     Stop(SocketAddr),
     Start(SocketAddr),
     Wipe(SocketAddr),
@@ -128,7 +128,7 @@
 struct Play {
     cluster: Cluster<Node>,
     clients: Clients,
-    plan: Vec<(u64, Happening)>,
+    plan: Vec<(u64, ClusterEvent)>,
     next_number: usize,
     asked: usize,
 }
@@ -153,9 +153,9 @@
         play
     }
 
-    fn plan(&mut self, after: u64, happening: Happening) {
+    fn plan(&mut self, after: u64, event: ClusterEvent) {
         let at = self.cluster.now() + after;
-        self.plan.push((at, happening));
+        self.plan.push((at, event));
         self.plan.sort_by_key(|(at, _)| *at);
     }
 
@@ -170,14 +170,14 @@
             Repair::Replaced => self.replace(at),
             Repair::ReplacedByPlan => {
                 let new = self.new_address();
-                self.plan(0, Happening::Add(new));
-                self.plan(SUCCESSOR_AFTER, Happening::Leave(at));
-                self.plan(SUCCESSOR_AFTER + LEAVING_FOR, Happening::Remove(at));
+                self.plan(0, ClusterEvent::Add(new));
+                self.plan(SUCCESSOR_AFTER, ClusterEvent::Leave(at));
+                self.plan(SUCCESSOR_AFTER + LEAVING_FOR, ClusterEvent::Remove(at));
             }
             Repair::Wiped => self.wipe(at),
             Repair::Displaced => {
-                self.plan(0, Happening::Stop(at));
-                self.plan(BACK_AFTER, Happening::Start(at));
+                self.plan(0, ClusterEvent::Stop(at));
+                self.plan(BACK_AFTER, ClusterEvent::Start(at));
             }
         }
     }
@@ -185,14 +185,14 @@
     fn lose_second(&mut self, second: Second, at: SocketAddr) {
         match second {
             Second::Stops => {
-                self.plan(0, Happening::Stop(at));
-                self.plan(BACK_AFTER, Happening::Start(at));
+                self.plan(0, ClusterEvent::Stop(at));
+                self.plan(BACK_AFTER, ClusterEvent::Start(at));
             }
             Second::Wiped => self.wipe(at),
             Second::Leaves => {
-                self.plan(0, Happening::Leave(at));
-                self.plan(LEAVING_FOR, Happening::Stop(at));
-                self.plan(LEAVING_FOR + BACK_AFTER, Happening::Start(at));
+                self.plan(0, ClusterEvent::Leave(at));
+                self.plan(LEAVING_FOR, ClusterEvent::Stop(at));
+                self.plan(LEAVING_FOR + BACK_AFTER, ClusterEvent::Start(at));
             }
             Second::SuccessorLost => {
                 let endpoints = self.cluster.endpoints();
@@ -204,14 +204,14 @@
 
     fn replace(&mut self, at: SocketAddr) {
         let new = self.new_address();
-        self.plan(0, Happening::Remove(at));
-        self.plan(SUCCESSOR_AFTER, Happening::Add(new));
+        self.plan(0, ClusterEvent::Remove(at));
+        self.plan(SUCCESSOR_AFTER, ClusterEvent::Add(new));
     }
 
     fn wipe(&mut self, at: SocketAddr) {
-        self.plan(0, Happening::Stop(at));
-        self.plan(0, Happening::Wipe(at));
-        self.plan(WIPED_FOR, Happening::Start(at));
+        self.plan(0, ClusterEvent::Stop(at));
+        self.plan(0, ClusterEvent::Wipe(at));
+        self.plan(WIPED_FOR, ClusterEvent::Start(at));
     }
 
     /// Lets time pass; the clients ask, and what is planned happens.
@@ -220,8 +220,8 @@
         loop {
             let now = self.cluster.now();
             while self.plan.first().is_some_and(|(at, _)| *at <= now) {
-                let (_, happening) = self.plan.remove(0);
-                self.happen(happening);
+                let (_, event) = self.plan.remove(0);
+                self.apply(event);
             }
             if now >= end {
                 return;
@@ -236,16 +236,16 @@
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Stop(at) => self.cluster.stop(at),
-            Happening::Start(at) => self.cluster.start(at),
-            Happening::Wipe(at) => self.cluster.wipe(at),
-            Happening::Remove(at) => self.cluster.remove(at),
-            Happening::Leave(at) => {
+    fn apply(&mut self, event: ClusterEvent) {
+        match event {
+            ClusterEvent::Stop(at) => self.cluster.stop(at),
+            ClusterEvent::Start(at) => self.cluster.start(at),
+            ClusterEvent::Wipe(at) => self.cluster.wipe(at),
+            ClusterEvent::Remove(at) => self.cluster.remove(at),
+            ClusterEvent::Leave(at) => {
                 self.cluster.command(at, Command::Leave);
             }
-            Happening::Add(at) => {
+            ClusterEvent::Add(at) => {
                 self.cluster.add(at, false);
                 self.cluster.start(at);
             }
@@ -438,11 +438,11 @@
             let mut play = Play::start(&Case { seed, count: 3, tolerated_losses: 1, ..Case::FIRST });
             let [leaver, stopped, wiped] = [0, 1, 2].map(endpoint);
             play.wipe(wiped);
-            play.plan(stops, Happening::Stop(stopped));
-            play.plan(leaves, Happening::Leave(leaver));
-            play.plan(leaves + LEAVING_FOR, Happening::Stop(leaver));
-            play.plan(leaves + BACK_AFTER, Happening::Start(stopped));
-            play.plan(leaves + LEAVING_FOR + BACK_AFTER, Happening::Start(leaver));
+            play.plan(stops, ClusterEvent::Stop(stopped));
+            play.plan(leaves, ClusterEvent::Leave(leaver));
+            play.plan(leaves + LEAVING_FOR, ClusterEvent::Stop(leaver));
+            play.plan(leaves + BACK_AFTER, ClusterEvent::Start(stopped));
+            play.plan(leaves + LEAVING_FOR + BACK_AFTER, ClusterEvent::Start(leaver));
             play.pass(leaves + LEAVING_FOR + BACK_AFTER + 1_000);
             play.serves(&format!("seed {seed}, stops at {stops}, leaves at {leaves}"));
         }
@@ -456,9 +456,9 @@
             let mut play = Play::start(&Case { seed: pause, count, tolerated_losses, ..Case::FIRST });
             for number in 0..count {
                 let at = endpoint(number);
-                play.plan(0, Happening::Leave(at));
-                play.plan(LEAVING_FOR, Happening::Stop(at));
-                play.plan(LEAVING_FOR + 200, Happening::Start(at));
+                play.plan(0, ClusterEvent::Leave(at));
+                play.plan(LEAVING_FOR, ClusterEvent::Stop(at));
+                play.plan(LEAVING_FOR + 200, ClusterEvent::Start(at));
                 play.pass(LEAVING_FOR + 100);
                 play.serves(&format!("{number} of {count} is down, pause {pause}"));
                 play.pass(pause);
