--- a/coordination/replica/tests/repair.rs
+++ b/coordination/replica/tests/repair.rs
@@ -15,7 +15,7 @@
 use whinspindle_replica::Tolerance;
 
 /// All bootstrap members and those that join them vote by then, in milliseconds.
-const SETTLED: u64 = 4_000;
+const STABLE_AFTER: u64 = 4_000;
 /// The second loss comes up to so long after the first.
 const WINDOW: u64 = 5_000;
 /// Between two moments of the second loss.
@@ -33,7 +33,7 @@
 /// Between the announcement and the end of a process that leaves by plan.
 const LEAVING_FOR: u64 = 300;
 /// A write is acknowledged this long after the losses, if a majority is left.
-const ACKNOWLEDGED: u64 = 3_000;
+const ACKNOWLEDGED_WITHIN: u64 = 3_000;
 /// Between two operations of the clients.
 const PAUSE: u64 = 40;
 /// The judge's work grows fast with the operations on one register.
@@ -112,7 +112,7 @@
 
 /// What is to happen, and when.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum ClusterEvent {
     Stop(SocketAddr),
     Start(SocketAddr),
     Wipe(SocketAddr),
@@ -128,7 +128,7 @@
 struct Play {
     cluster: Cluster<Node>,
     clients: Clients,
-    plan: Vec<(u64, Happening)>,
+    plan: Vec<(u64, ClusterEvent)>,
     next_number: usize,
     asked: usize,
 }
@@ -149,13 +149,13 @@
             next_number: case.count,
             asked: 0,
         };
-        play.clients.run_until(&mut play.cluster, SETTLED);
+        play.clients.run_until(&mut play.cluster, STABLE_AFTER);
         play
     }
 
-    fn plan(&mut self, after: u64, happening: Happening) {
+    fn plan(&mut self, after: u64, event: ClusterEvent) {
         let at = self.cluster.now() + after;
-        self.plan.push((at, happening));
+        self.plan.push((at, event));
         self.plan.sort_by_key(|(at, _)| *at);
     }
 
@@ -170,14 +170,14 @@
             Repair::Replaced => self.replace(at),
             Repair::ReplacedByPlan => {
                 let new = self.new_address();
-                self.plan(0, Happening::Add(new));
-                self.plan(SUCCESSOR_AFTER, Happening::Leave(at));
-                self.plan(SUCCESSOR_AFTER + LEAVING_FOR, Happening::Remove(at));
+                self.plan(0, ClusterEvent::Add(new));
+                self.plan(SUCCESSOR_AFTER, ClusterEvent::Leave(at));
+                self.plan(SUCCESSOR_AFTER + LEAVING_FOR, ClusterEvent::Remove(at));
             }
             Repair::Wiped => self.wipe(at),
             Repair::Displaced => {
-                self.plan(0, Happening::Stop(at));
-                self.plan(BACK_AFTER, Happening::Start(at));
+                self.plan(0, ClusterEvent::Stop(at));
+                self.plan(BACK_AFTER, ClusterEvent::Start(at));
             }
         }
     }
@@ -185,14 +185,14 @@
     fn lose_second(&mut self, second: Second, at: SocketAddr) {
         match second {
             Second::Stops => {
-                self.plan(0, Happening::Stop(at));
-                self.plan(BACK_AFTER, Happening::Start(at));
+                self.plan(0, ClusterEvent::Stop(at));
+                self.plan(BACK_AFTER, ClusterEvent::Start(at));
             }
             Second::Wiped => self.wipe(at),
             Second::Leaves => {
-                self.plan(0, Happening::Leave(at));
-                self.plan(LEAVING_FOR, Happening::Stop(at));
-                self.plan(LEAVING_FOR + BACK_AFTER, Happening::Start(at));
+                self.plan(0, ClusterEvent::Leave(at));
+                self.plan(LEAVING_FOR, ClusterEvent::Stop(at));
+                self.plan(LEAVING_FOR + BACK_AFTER, ClusterEvent::Start(at));
             }
             Second::SuccessorLost => {
                 let endpoints = self.cluster.endpoints();
@@ -204,14 +204,14 @@
 
     fn replace(&mut self, at: SocketAddr) {
         let new = self.new_address();
-        self.plan(0, Happening::Remove(at));
-        self.plan(SUCCESSOR_AFTER, Happening::Add(new));
+        self.plan(0, ClusterEvent::Remove(at));
+        self.plan(SUCCESSOR_AFTER, ClusterEvent::Add(new));
     }
 
     fn wipe(&mut self, at: SocketAddr) {
-        self.plan(0, Happening::Stop(at));
-        self.plan(0, Happening::Wipe(at));
-        self.plan(WIPED_FOR, Happening::Start(at));
+        self.plan(0, ClusterEvent::Stop(at));
+        self.plan(0, ClusterEvent::Wipe(at));
+        self.plan(WIPED_FOR, ClusterEvent::Start(at));
     }
 
     /// Lets time pass; the clients ask, and what is planned happens.
@@ -220,8 +220,8 @@
         loop {
             let now = self.cluster.now();
             while self.plan.first().is_some_and(|(at, _)| *at <= now) {
-                let (_, happening) = self.plan.remove(0);
-                self.happen(happening);
+                let (_, event) = self.plan.remove(0);
+                self.apply(event);
             }
             if now >= end {
                 return;
@@ -236,16 +236,16 @@
         }
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Stop(at) => self.cluster.stop(at),
-            Happening::Start(at) => self.cluster.start(at),
-            Happening::Wipe(at) => self.cluster.wipe(at),
-            Happening::Remove(at) => self.cluster.remove(at),
-            Happening::Leave(at) => {
+    fn apply(&mut self, event: ClusterEvent) {
+        match event {
+            ClusterEvent::Stop(at) => self.cluster.stop(at),
+            ClusterEvent::Start(at) => self.cluster.start(at),
+            ClusterEvent::Wipe(at) => self.cluster.wipe(at),
+            ClusterEvent::Remove(at) => self.cluster.remove(at),
+            ClusterEvent::Leave(at) => {
                 self.cluster.command(at, Command::Leave);
             }
-            Happening::Add(at) => {
+            ClusterEvent::Add(at) => {
                 self.cluster.add(at, false);
                 self.cluster.start(at);
             }
@@ -322,7 +322,7 @@
     play.lose_second(case.second, endpoint(case.other));
     play.pass(BACK_AFTER + LEAVING_FOR + SUCCESSOR_AFTER);
     let at = play.cluster.endpoints()[0];
-    let took = play.clients.write_within(&mut play.cluster, at, ACKNOWLEDGED);
+    let took = play.clients.write_within(&mut play.cluster, at, ACKNOWLEDGED_WITHIN);
     let fail = |play: &Play, fault: &str| Err(format!("{fault}\n{case:?}\n{}", play.describe()));
     if took.is_none() && must_serve {
         return fail(&play, "no write is acknowledged any more");
@@ -419,7 +419,7 @@
     fn serves(&mut self, name: &str) {
         for at in self.cluster.endpoints() {
             if self.cluster.is_running(at) {
-                let took = self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED);
+                let took = self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED_WITHIN);
                 assert!(took.is_some(), "{name}: no write at {at}\n{}", self.describe());
             }
         }
@@ -438,11 +438,11 @@
             let mut play = Play::start(&Case { seed, count: 3, tolerated_losses: 1, ..Case::FIRST });
             let [leaver, stopped, wiped] = [0, 1, 2].map(endpoint);
             play.wipe(wiped);
-            play.plan(stops, Happening::Stop(stopped));
-            play.plan(leaves, Happening::Leave(leaver));
-            play.plan(leaves + LEAVING_FOR, Happening::Stop(leaver));
-            play.plan(leaves + BACK_AFTER, Happening::Start(stopped));
-            play.plan(leaves + LEAVING_FOR + BACK_AFTER, Happening::Start(leaver));
+            play.plan(stops, ClusterEvent::Stop(stopped));
+            play.plan(leaves, ClusterEvent::Leave(leaver));
+            play.plan(leaves + LEAVING_FOR, ClusterEvent::Stop(leaver));
+            play.plan(leaves + BACK_AFTER, ClusterEvent::Start(stopped));
+            play.plan(leaves + LEAVING_FOR + BACK_AFTER, ClusterEvent::Start(leaver));
             play.pass(leaves + LEAVING_FOR + BACK_AFTER + 1_000);
             play.serves(&format!("seed {seed}, stops at {stops}, leaves at {leaves}"));
         }
@@ -450,15 +450,15 @@
 }
 
 #[test]
-fn all_members_leave_by_plan_in_turn_and_come_back() {
+fn all_members_shut_down_gracefully_in_turn_and_come_back() {
     for (count, tolerated_losses) in [(3, 1), (5, 1), (5, 2)] {
         for pause in [1_000, 1_500, 2_500, 4_000] {
             let mut play = Play::start(&Case { seed: pause, count, tolerated_losses, ..Case::FIRST });
             for number in 0..count {
                 let at = endpoint(number);
-                play.plan(0, Happening::Leave(at));
-                play.plan(LEAVING_FOR, Happening::Stop(at));
-                play.plan(LEAVING_FOR + 200, Happening::Start(at));
+                play.plan(0, ClusterEvent::Leave(at));
+                play.plan(LEAVING_FOR, ClusterEvent::Stop(at));
+                play.plan(LEAVING_FOR + 200, ClusterEvent::Start(at));
                 play.pass(LEAVING_FOR + 100);
                 play.serves(&format!("{number} of {count} is down, pause {pause}"));
                 play.pass(pause);
