--- a/controlplane/client/src/lib.rs
+++ b/controlplane/client/src/lib.rs
@@ -1,7 +1,18 @@
-//! One HTTP call to a controller, as operators, upstreams and clients make it: a connection of its own, one request,
-//! the whole answer.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! A client for the HTTP interface of a controller, as operators, upstreams and clients use it: each call has a connection
+//! of its own, one request and the complete answer.
+//!
+//! ```no_run
+//! # async fn read() -> Result<(), whinspindle_client::CallError> {
+//! use std::time::Duration;
+//!
+//! use whinspindle_client::{Call, call};
+//!
+//! let controller = "10.0.0.1:7700".parse().expect("a valid address");
+//! let answer = call(controller, &Call::get("/status"), Duration::from_secs(1)).await?;
+//! println!("{}", answer.status);
+//! # Ok(())
+//! # }
+//! ```
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,54 +28,81 @@
 use tokio::task::spawn_local;
 use tokio::time::{error::Elapsed, timeout};
 
-/// Names the generation on which a configuration builds.
+/// The header with the generation that a configuration builds on.
 pub const BASE_VERSION: HeaderName = HeaderName::from_static("whinspindle-base-version");
 
-/// What a controller is asked.
+/// A call to a controller.
 #[derive(Clone, Debug)]
 pub struct Call {
+    /// The method.
     pub method: Method,
+    /// The path and the query.
     pub path: String,
-    /// The generation on which a configuration builds.
+    /// The generation that a configuration builds on.
     pub base_version: Option<u64>,
+    /// The body, JSON or empty.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A question without a body.
+    /// A read without a body.
     pub fn get(path: impl Into<String>) -> Call {
         Call { method: Method::GET, path: path.into(), base_version: None, body: Bytes::new() }
     }
 
-    /// An order; its body may be empty.
+    /// A command; its body may be empty.
     pub fn post(path: impl Into<String>, body: impl Into<Bytes>) -> Call {
         Call { method: Method::POST, path: path.into(), base_version: None, body: body.into() }
     }
 }
 
-/// What a controller answered.
+/// The answer of a controller.
 #[derive(Clone, Debug)]
 pub struct Answer {
+    /// The status of the HTTP response.
     pub status: StatusCode,
+    /// Its complete body.
     pub body: Bytes,
-    /// Where the controller sends the caller with a 307.
+    /// The controller that a response with status 307 redirects to.
     pub redirection: Option<SocketAddr>,
 }
 
 /// Why there is no answer.
 #[derive(Debug, Snafu)]
 pub enum CallError {
+    /// The connection could not be opened.
     #[snafu(display("{controller}: no connection: {source}"))]
-    Connect { controller: SocketAddr, source: std::io::Error },
+    Connect {
+        /// The address of the controller.
+        controller: SocketAddr,
+        /// What the system reports.
+        source: std::io::Error,
+    },
+    /// The request could not be sent, or the response not received.
     #[snafu(display("{controller}: the exchange failed: {source}"))]
-    Exchange { controller: SocketAddr, source: hyper::Error },
+    Exchange {
+        /// The address of the controller.
+        controller: SocketAddr,
+        /// What the HTTP library reports.
+        source: hyper::Error,
+    },
+    /// The call is no valid HTTP request.
     #[snafu(display("the call can't be written: {source}"))]
-    Build { source: http::Error },
+    Build {
+        /// What the HTTP library reports.
+        source: http::Error,
+    },
+    /// The time limit passed before the complete answer was received.
     #[snafu(display("{controller}: no answer in time"))]
-    Silent { controller: SocketAddr, source: Elapsed },
+    Silent {
+        /// The address of the controller.
+        controller: SocketAddr,
+        /// The expired timer.
+        source: Elapsed,
+    },
 }
 
-/// Makes one call and waits for the whole answer. Wants a `LocalSet` around it.
+/// Makes a call and waits for the complete answer, within a time limit. To be called inside a `LocalSet`.
 pub async fn call(controller: SocketAddr, call: &Call, within: Duration) -> Result<Answer, CallError> {
     timeout(within, exchange(controller, call)).await.context(SilentSnafu { controller })?
 }
--- a/controlplane/configuration/src/heartbeat.rs
+++ b/controlplane/configuration/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The body of an upstream's heartbeat.
+//! The heartbeat of an upstream, as the body of its call.
 
 // `DeJson`'s derive writes `return Err(..)` where `?` would do.
 #![allow(clippy::question_mark, reason = "the parsers that nanoserde derives return early in their own way")]
@@ -9,43 +9,65 @@
 use snafu::{ResultExt, Snafu};
 
 use crate::json::JsonError;
-use crate::number::{RoundedUp, Whole};
+use crate::number::{RoundedUp, WholeNumber};
 
 /// Whether an upstream takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
+    /// It takes new requests.
     Ready,
+    /// It finishes the requests that it has.
     Draining,
 }
 
-/// What an upstream says of itself.
+/// What an upstream reports of itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
+    /// The name of its service.
     pub backend: String,
+    /// Where it takes requests.
     pub address: SocketAddr,
+    /// The zone that it runs in.
     pub zone: String,
+    /// The generation of its software; empty if it names none.
     pub generation: String,
+    /// Requests that it handles at once.
     pub slots: u32,
+    /// Whether it takes new requests.
     pub state: InstanceState,
-    /// How much longer the upstream is slow from its start, in milliseconds.
+    /// The remaining time of its slow start, in milliseconds.
     pub slow_start_ms: u64,
-    /// Time left before a short-notice end, in milliseconds.
+    /// The time left before it is stopped at short notice, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// Rises with each call.
+    /// Rises with each heartbeat.
     pub sequence: u64,
 }
 
 /// Why the body of a heartbeat was refused.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum HeartbeatError {
+    /// The body is no JSON object of a heartbeat.
     #[snafu(display("the heartbeat can't be read: {source}"))]
-    Unreadable { source: JsonError },
+    Unreadable {
+        /// What is wrong, and where.
+        source: JsonError,
+    },
 
+    /// The address can't be parsed.
     #[snafu(display("`address` is `{address}`: {source}"))]
-    InvalidAddress { address: String, source: std::net::AddrParseError },
+    InvalidAddress {
+        /// The value.
+        address: String,
+        /// What is wrong with it.
+        source: std::net::AddrParseError,
+    },
 
+    /// The state is none of [`InstanceState`].
     #[snafu(display("`state` is `{state}`, neither `ready` nor `draining`"))]
-    UnknownState { state: String },
+    UnknownState {
+        /// The value.
+        state: String,
+    },
 }
 
 #[derive(DeJson)]
@@ -54,15 +76,15 @@
     address: String,
     zone: String,
     generation: Option<String>,
-    slots: Option<Whole>,
+    slots: Option<WholeNumber>,
     state: String,
     cold_ms: Option<RoundedUp>,
     remaining_ms: Option<RoundedUp>,
-    seq: Whole,
+    seq: WholeNumber,
 }
 
 impl Heartbeat {
-    /// Reads the body of a heartbeat.
+    /// Parses the body of a heartbeat.
     pub fn parse(bytes: &[u8]) -> Result<Heartbeat, HeartbeatError> {
         let raw: RawHeartbeat = crate::json::parse(bytes).context(UnreadableSnafu)?;
         let address = raw.address.parse().context(InvalidAddressSnafu { address: &raw.address })?;
@@ -71,7 +93,7 @@
             address,
             zone: raw.zone,
             generation: raw.generation.unwrap_or_default(),
-            slots: raw.slots.unwrap_or(Whole(1)).saturated(),
+            slots: raw.slots.unwrap_or(WholeNumber(1)).saturated(),
             state: parse_state(&raw.state)?,
             slow_start_ms: raw.cold_ms.unwrap_or_default().0,
             remaining_ms: raw.remaining_ms.map(|remaining| remaining.0),
--- a/controlplane/configuration/src/host_regions.rs
+++ b/controlplane/configuration/src/host_regions.rs
@@ -1,4 +1,4 @@
-//! Where the requests of each host may be served.
+//! The regions in which the requests of each host may be served.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,9 +7,9 @@
 /// The regions in which a host's requests may be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServingRegions {
-    /// None of the host's routes has home regions.
+    /// All regions: none of the host's routes has home regions.
     Any,
-    /// The regions that are homes of each of the host's routes with home regions; maybe none.
+    /// The regions that are home regions of every route of the host that has any; may be empty.
     Only(BTreeSet<String>),
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl HostRegions {
-    /// The hosts of a configuration's routes.
+    /// The serving regions of all hosts of a configuration.
     pub fn new(configuration: &Configuration) -> HostRegions {
         let mut by_host: HashMap<String, ServingRegions> = HashMap::new();
         for route in &configuration.routes {
@@ -53,8 +53,8 @@
         HostRegions { by_host }
     }
 
-    /// Where requests of a host may be served, whichever of its routes they take; none for a host without routes. The
-    /// host may carry a port.
+    /// The regions in which requests of a host may be served, whichever route they take; none for a host without routes. The
+    /// host may have a port.
     pub fn of(&self, host: &str) -> Option<&ServingRegions> {
         self.by_host.get(normalize_host(host).as_ref())
     }
--- a/controlplane/configuration/src/lib.rs
+++ b/controlplane/configuration/src/lib.rs
@@ -1,6 +1,16 @@
-//! The operator's configuration and the settings of a process: read from JSON, checked, and looked up.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! The operator's configuration, the settings of a process and the heartbeats of upstreams: parsed from JSON and validated.
+//!
+//! ```
+//! use whinspindle_configuration::Configuration;
+//!
+//! let json = br#"{
+//!     "generation": 7,
+//!     "services": [{"name": "search"}],
+//!     "routes": [{"host": "example.com", "path_prefix": "/", "kind": "safe", "timeout_ms": 500, "backend": "search"}]
+//! }"#;
+//! let configuration = Configuration::parse(json).expect("it is valid");
+//! assert_eq!(configuration.find_route("example.com:8080", "/query"), Some(0));
+//! ```
 
 mod configuration;
 mod heartbeat;
--- a/controlplane/configuration/src/mechanism.rs
+++ b/controlplane/configuration/src/mechanism.rs
@@ -1,34 +1,59 @@
-//! Mechanisms of decision that can be switched off one by one, to measure what each of them is worth.
+//! Mechanisms of a decision that can be switched off one by one (`--without`), to measure the effect of each.
 
 use snafu::{OptionExt, Snafu};
 
-/// One mechanism beside, or inside, the ordinary path of a decision.
+/// One mechanism of a decision. The variants have the names of the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
+    /// Upstreams of the own region are preferred.
     OwnRegionFirst,
+    /// Upstreams of the own zone are preferred.
     OwnZoneFirst,
+    /// The weights of regions are computed from their loads.
     SolvedWeights,
+    /// The weight of a region never falls to zero.
     FloorShare,
+    /// The choice inside a region avoids upstreams with many requests in flight.
     PassOver,
+    /// Prompts go to the upstream whose prefix cache has their start.
     Holders,
+    /// Large prefixes have one cache owner for all regions.
     HoldersAcrossRegions,
+    /// The requests in flight at a cache owner are bounded.
     HolderBound,
+    /// The prompts that wait for prefill at a cache owner are bounded.
     UnreadBound,
+    /// Failing upstreams are ejected for a while.
     Rests,
+    /// Unreachable zones and regions are passed over.
     Reachability,
+    /// An upstream that answers nothing counts as failing.
     Silence,
+    /// Failures seen by other balancers count.
     SharedFailures,
+    /// Own requests in flight can make an upstream full.
     FullByOwnSends,
+    /// Requests are rejected where all upstreams are full.
     RefusalWhenFull,
+    /// Requests are rejected where all upstreams are down.
     RefusalWhenDown,
+    /// The time to come back after a rejection depends on its reason.
     RefusalPauses,
+    /// Requests may be retried at an upstream that might run them a second time.
     Repeats,
+    /// Upstreams in slow start get less traffic.
     ColdShares,
+    /// Upstreams are assumed to be in slow start after a failure of their zone.
     SuspectedZones,
+    /// Upstreams are sent the priority of requests.
     Priority,
+    /// A process that has just started queues requests that it can't place yet.
     StartWait,
+    /// Broken streams are resumed on another upstream.
     Resumption,
+    /// Silent streams are moved to another upstream.
     SilenceMove,
+    /// A restarted controller restores its saved state.
     Recall,
 }
 
@@ -74,12 +99,12 @@
 ];
 
 impl Mechanism {
-    /// All mechanisms, in the order in which they are listed.
+    /// All mechanisms, in the order of the help text.
     pub fn all() -> impl Iterator<Item = Mechanism> {
         TABLE.iter().map(|row| row.0)
     }
 
-    /// Whether the controller decides it; all others are the proxy's.
+    /// Whether it belongs to the controller; all others belong to the proxy.
     pub fn is_of_controller(self) -> bool {
         self == Mechanism::Recall
     }
@@ -89,16 +114,17 @@
         TABLE[self as usize].1
     }
 
-    /// What happens without it.
+    /// What happens without it, for the help text.
     pub fn absence(self) -> &'static str {
         TABLE[self as usize].2
     }
 }
 
-/// A list names something that is no mechanism.
+/// A name on the command line that is no mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("unknown mechanism `{name}`; known: {}", known_names()))]
 pub struct UnknownMechanism {
+    /// The unknown name.
     pub name: String,
 }
 
@@ -115,7 +141,7 @@
 }
 
 impl Mechanisms {
-    /// Reads names with commas between them: all mechanisms but these are on.
+    /// Parses names separated by commas: all mechanisms but these are on.
     pub fn without(names: &str) -> Result<Mechanisms, UnknownMechanism> {
         names.split(',').map(str::trim).filter(|name| !name.is_empty()).try_fold(
             Mechanisms::default(),
--- a/controlplane/configuration/src/number.rs
+++ b/controlplane/configuration/src/number.rs
@@ -4,26 +4,27 @@
 
 use nanoserde::{DeJson, DeJsonErr, DeJsonState, DeJsonTok};
 
-/// The least number that is too high for a `Whole`.
-const TOO_HIGH: f64 = 18_446_744_073_709_551_616.0;
+/// The least number above the range of a `WholeNumber`: 2^64.
+const OUT_OF_RANGE: f64 = 18_446_744_073_709_551_616.0;
 
-/// A whole number that is not negative. `5.0` is read as 5.
+/// A non-negative integer. `5.0` is read as 5.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Whole(pub u64);
+pub(crate) struct WholeNumber(pub u64);
 
-/// A duration or another amount of which fractions count as a whole unit more.
+/// A duration or another amount, rounded up to whole units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RoundedUp(pub u64);
 
-impl Whole {
-    /// The number, or the highest that fits.
+impl WholeNumber {
+    /// The number, or the highest one that the type can hold.
     pub fn saturated<T: TryFrom<u64> + Bounded>(self) -> T {
         T::try_from(self.0).unwrap_or(T::HIGHEST)
     }
 }
 
-/// A type with a highest value.
+/// An integer type with its highest value.
 pub(crate) trait Bounded {
+    /// The highest value.
     const HIGHEST: Self;
 }
 
@@ -39,16 +40,18 @@
     const HIGHEST: usize = usize::MAX;
 }
 
-impl DeJson for Whole {
+impl DeJson for WholeNumber {
     fn de_json(state: &mut DeJsonState, input: &mut Chars) -> Result<Self, DeJsonErr> {
         let value = match state.tok {
             DeJsonTok::U64(value) => value,
             DeJsonTok::I64(0) => 0,
-            DeJsonTok::F64(value) if value.fract() == 0.0 && (0.0..TOO_HIGH).contains(&value) => value as u64,
+            DeJsonTok::F64(value) if value.fract() == 0.0 && (0.0..OUT_OF_RANGE).contains(&value) => {
+                value as u64
+            }
             _ => return Err(state.err_token("a whole number that is not negative and below 2^64")),
         };
         state.next_tok(input)?;
-        Ok(Whole(value))
+        Ok(WholeNumber(value))
     }
 }
 
--- a/controlplane/configuration/src/raw_configuration.rs
+++ b/controlplane/configuration/src/raw_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration as its JSON spells it, and its conversion.
+//! The configuration as it stands in JSON, and its conversion.
 
 // `DeJson`'s derive writes `return Err(..)` where `?` would do.
 #![allow(clippy::question_mark, reason = "the parsers that nanoserde derives return early in their own way")]
@@ -12,14 +12,14 @@
     Backend, BackendAndSplitSnafu, Configuration, ConfigurationError, Engine, Limits, NoBackendSnafu, Route,
     RouteKind, Service, SharedServiceNameSnafu, UnknownKindSnafu, UnknownServiceSnafu,
 };
-use crate::number::{RoundedUp, Whole};
+use crate::number::{RoundedUp, WholeNumber};
 
-/// Where the operator names no path.
+/// The path of a health check where the operator names none.
 const DEFAULT_HEALTH_PATH: &str = "/healthz";
 
 #[derive(DeJson)]
 pub struct RawConfiguration {
-    generation: Whole,
+    generation: WholeNumber,
     routes: Vec<RawRoute>,
     services: Vec<RawService>,
     limits: Option<RawLimits>,
@@ -33,10 +33,10 @@
     kind: String,
     timeout_ms: RoundedUp,
     target_ms: Option<RoundedUp>,
-    priority: Option<Whole>,
+    priority: Option<WholeNumber>,
     backend: Option<String>,
     split: Option<Vec<RawBackend>>,
-    retries: Option<Whole>,
+    retries: Option<WholeNumber>,
     sticky: Option<bool>,
     resumable: Option<bool>,
     gap_aim_ms: Option<RoundedUp>,
@@ -53,7 +53,7 @@
 struct RawService {
     name: String,
     health_path: Option<String>,
-    max_conns: Option<Whole>,
+    max_conns: Option<WholeNumber>,
     cold_s: Option<f64>,
     cold_per_s: Option<f64>,
     engine: Option<RawEngine>,
@@ -61,21 +61,21 @@
 
 #[derive(DeJson)]
 struct RawEngine {
-    slots: Option<Whole>,
-    kv_capacity: Option<Whole>,
-    stride: Option<Whole>,
+    slots: Option<WholeNumber>,
+    kv_capacity: Option<WholeNumber>,
+    stride: Option<WholeNumber>,
 }
 
 #[derive(DeJson)]
 struct RawLimits {
-    max_header_bytes: Option<Whole>,
-    max_body_bytes: Option<Whole>,
+    max_header_bytes: Option<WholeNumber>,
+    max_body_bytes: Option<WholeNumber>,
     header_timeout_ms: Option<RoundedUp>,
     idle_timeout_ms: Option<RoundedUp>,
 }
 
 impl RawConfiguration {
-    /// Resolves the names of services and checks every route.
+    /// Resolves the names of services and validates every route.
     pub fn check(self) -> Result<Configuration, ConfigurationError> {
         let services: Vec<Service> = self.services.into_iter().map(RawService::convert).collect();
         let indices = index_services(&services)?;
@@ -112,7 +112,7 @@
             target_ms: self.target_ms.unwrap_or(self.timeout_ms).0,
             priority: self.priority.unwrap_or_default().saturated(),
             backends,
-            retries: self.retries.unwrap_or(Whole(1)).saturated(),
+            retries: self.retries.unwrap_or(WholeNumber(1)).saturated(),
             sticky: self.sticky.unwrap_or(false),
             resumable: self.resumable.unwrap_or(false),
             gap_aim_ms: self.gap_aim_ms.map(|aim| aim.0),
@@ -160,7 +160,7 @@
         Service {
             name: self.name,
             health_path: self.health_path.unwrap_or_else(|| DEFAULT_HEALTH_PATH.to_owned()),
-            max_conns: self.max_conns.unwrap_or(Whole(u64::MAX)).saturated(),
+            max_conns: self.max_conns.unwrap_or(WholeNumber(u64::MAX)).saturated(),
             cold_s: self.cold_s.unwrap_or(0.0),
             cold_per_s: self.cold_per_s.unwrap_or(0.0),
             engine: self.engine.map(RawEngine::convert),
@@ -182,8 +182,8 @@
     fn convert(self) -> Limits {
         let default = Limits::default();
         Limits {
-            max_header_bytes: self.max_header_bytes.map_or(default.max_header_bytes, Whole::saturated),
-            max_body_bytes: self.max_body_bytes.map_or(default.max_body_bytes, Whole::saturated),
+            max_header_bytes: self.max_header_bytes.map_or(default.max_header_bytes, WholeNumber::saturated),
+            max_body_bytes: self.max_body_bytes.map_or(default.max_body_bytes, WholeNumber::saturated),
             header_timeout_ms: self.header_timeout_ms.map_or(default.header_timeout_ms, |timeout| timeout.0),
             idle_timeout_ms: self.idle_timeout_ms.map_or(default.idle_timeout_ms, |timeout| timeout.0),
         }
--- a/controlplane/configuration/src/raw_settings.rs
+++ b/controlplane/configuration/src/raw_settings.rs
@@ -1,4 +1,4 @@
-//! The settings as their JSON spells them, and their conversion.
+//! The settings as they stand in JSON, and their conversion.
 
 // `DeJson`'s derive writes `return Err(..)` where `?` would do.
 #![allow(clippy::question_mark, reason = "the parsers that nanoserde derives return early in their own way")]
@@ -12,17 +12,18 @@
 use snafu::{OptionExt, ResultExt, ensure};
 
 use crate::mechanism::Mechanisms;
-use crate::number::{RoundedUp, Whole};
+use crate::number::{RoundedUp, WholeNumber};
 use crate::settings::{
     Bounds, InvalidAddressSnafu, InvalidValueSnafu, Listen, MachineLimits, MissingSnafu, Settings,
     SettingsFault, Tolerance,
 };
 
+/// The time between two heartbeats of an upstream where the file names none.
 const DEFAULT_HEARTBEAT_MS: u64 = 1_000;
-/// A day. Times are added up; longer ones than this are no times of this system.
-const LONGEST_MS: u64 = 86_400_000;
+/// The longest time that a setting may name: a day. Times are added up without a check for overflow.
+const MAX_MS: u64 = 86_400_000;
 
-/// Stands where the address is at fault; settings with it are not handed out.
+/// The placeholder for an invalid address; settings with it are never returned.
 const NO_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
 
 #[derive(DeJson)]
@@ -34,7 +35,7 @@
     region: Option<String>,
     zones: Option<BTreeMap<String, String>>,
     listen: Option<RawListen>,
-    port_range: Option<Vec<Whole>>,
+    port_range: Option<Vec<WholeNumber>>,
     seeds: Option<Vec<String>>,
     bootstrap: Option<bool>,
     limits: Option<RawLimits>,
@@ -55,18 +56,18 @@
 #[derive(DeJson)]
 struct RawLimits {
     memory_mb: Option<RoundedUp>,
-    max_fds: Option<Whole>,
+    max_fds: Option<WholeNumber>,
     disk_mb: Option<RoundedUp>,
 }
 
 #[derive(DeJson)]
 struct RawTolerance {
-    machines: Option<Whole>,
-    zones: Option<Whole>,
-    regions: Option<Whole>,
+    machines: Option<WholeNumber>,
+    zones: Option<WholeNumber>,
+    regions: Option<WholeNumber>,
 }
 
-/// A figure of the rules. Other kinds of values belong to keys that are not known.
+/// The value of a bound. Other types of values are accepted under unknown keys.
 enum RawBound {
     Number(f64),
     Other,
@@ -83,12 +84,12 @@
     }
 }
 
-/// What is wrong with the values so far.
+/// The faults found so far.
 #[derive(Default)]
 struct Faults(Vec<SettingsFault>);
 
 impl Faults {
-    /// The value, or an empty one in its place and a fault more.
+    /// The value; or the default in its place, and its fault is recorded.
     fn take<T: Default>(&mut self, value: Result<T, SettingsFault>) -> T {
         self.take_or(T::default(), value)
     }
@@ -105,7 +106,7 @@
 }
 
 impl RawSettings {
-    /// Converts the values and checks them; answers all that is wrong.
+    /// Converts and validates the values; returns all faults.
     pub fn check(self) -> Result<Settings, Vec<SettingsFault>> {
         let mut faults = Faults::default();
         let zone = faults.take(required("zone", self.zone));
@@ -149,7 +150,7 @@
     value.parse().context(InvalidAddressSnafu { key, value })
 }
 
-fn convert_port_range(range: Option<Vec<Whole>>) -> Result<(u16, u16), SettingsFault> {
+fn convert_port_range(range: Option<Vec<WholeNumber>>) -> Result<(u16, u16), SettingsFault> {
     let range = required("port_range", range)?;
     let ports: Vec<u16> = range.iter().filter_map(|port| u16::try_from(port.0).ok()).collect();
     if let (&[first, last], 2) = (ports.as_slice(), range.len())
@@ -171,7 +172,7 @@
     let interval = interval.map_or(DEFAULT_HEARTBEAT_MS, |interval| interval.0);
     let value = interval.to_string();
     let expected = "more than 0 and no more than a day";
-    ensure!((1..=LONGEST_MS).contains(&interval), InvalidValueSnafu { key: "heartbeat_ms", value, expected });
+    ensure!((1..=MAX_MS).contains(&interval), InvalidValueSnafu { key: "heartbeat_ms", value, expected });
     Ok(interval)
 }
 
@@ -204,14 +205,14 @@
     fn convert(self) -> Tolerance {
         let default = Tolerance::default();
         Tolerance {
-            machines: self.machines.map_or(default.machines, Whole::saturated),
-            zones: self.zones.map_or(default.zones, Whole::saturated),
-            regions: self.regions.map_or(default.regions, Whole::saturated),
+            machines: self.machines.map_or(default.machines, WholeNumber::saturated),
+            zones: self.zones.map_or(default.zones, WholeNumber::saturated),
+            regions: self.regions.map_or(default.regions, WholeNumber::saturated),
         }
     }
 }
 
-/// The figures by their keys.
+/// The bounds by their keys.
 struct RawBounds(BTreeMap<String, RawBound>);
 
 impl RawBounds {
@@ -275,6 +276,6 @@
     let value = format!("{milliseconds} ms");
     let expected = "no more than a day";
     let key = format!("bounds.{key}");
-    ensure!(milliseconds <= LONGEST_MS as f64, InvalidValueSnafu { key, value, expected });
+    ensure!(milliseconds <= MAX_MS as f64, InvalidValueSnafu { key, value, expected });
     Ok(milliseconds.ceil() as u64)
 }
