--- a/controlplane/configuration/src/configuration.rs
+++ b/controlplane/configuration/src/configuration.rs
@@ -72,7 +72,7 @@
     pub backends: Vec<Backend>,
     /// The largest number of upstreams on which one attempt of a client may run.
     pub retries: u32,
-    /// Whether requests of one client go to one upstream.
+    /// Whether requests have affinity to the upstream whose prefix cache they can use.
     pub sticky: bool,
     /// Whether a broken stream may be resumed on another upstream.
     pub resumable: bool,
@@ -89,7 +89,7 @@
     pub name: String,
     /// The path of its health check.
     pub health_path: String,
-    /// The largest number of connections to one upstream.
+    /// The largest number of connections of all balancers together to one upstream.
     pub max_conns: u32,
     /// The length of the slow start, in seconds.
     pub cold_s: f64,
--- a/controlplane/configuration/tests/configuration.rs
+++ b/controlplane/configuration/tests/configuration.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn weights_have_to_add_up_to_more_than_nothing() {
+fn weights_have_a_positive_sum() {
     let zero = parse(
         &EXAMPLE.replace(r#""weight": 90"#, r#""weight": 0"#).replace(r#""weight": 10"#, r#""weight": 0.0"#),
     );
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn timeouts_of_nothing_are_refused() {
+fn zero_timeouts_are_refused() {
     let error = error_of_change(r#""timeout_ms": 6000"#, r#""timeout_ms": 0"#);
     assert_eq!(error, ConfigurationError::NoTimeout { route: "draft".to_owned() });
     assert_eq!(
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn errors_tell_the_place() {
+fn errors_name_line_and_column() {
     let error = parse("{\"generation\": 1,\n \"routes\": [}").expect_err("cut short");
     let source = JsonError::Syntax { expected: "a value", line: 2, column: 13 };
     assert_eq!(error, ConfigurationError::Unreadable { source });
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn what_is_no_json_is_refused() {
+fn malformed_json_is_refused() {
     for text in [
         "",
         " ",
--- a/controlplane/configuration/tests/extremes.rs
+++ b/controlplane/configuration/tests/extremes.rs
@@ -1,4 +1,4 @@
-//! Bodies as nobody sends them in earnest: numbers of any size, keys that stand twice, bodies as long as they may be.
+//! Extreme documents: numbers of any size, duplicate keys, bodies of the largest size.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use whinspindle_configuration::{Configuration, ConfigurationError, Heartbeat, Settings};
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn numbers_of_any_size_are_taken_or_refused() {
+fn numbers_of_any_size_are_accepted_or_refused() {
     fn property(number: Number, place: usize) -> bool {
         if let Ok(configuration) = parse(&with_number(CONFIGURATION, place, &number)) {
             assert!(configuration.generation < u64::MAX);
@@ -69,7 +69,7 @@
 
 /// Whoever writes the document may spell numbers as JSON allows, also those that nobody reads.
 #[test]
-fn every_spelling_of_a_number_is_read() {
+fn every_notation_of_a_number_is_read() {
     for (spelling, expected) in [
         ("6000", 6000),
         ("6e3", 6000),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn numbers_that_make_no_sense_are_refused() {
+fn invalid_numbers_are_refused() {
     for (from, to, key) in [
         ("\"cold_s\": 3.5", "\"cold_s\": -3.5", "cold_s"),
         ("\"cold_s\": 3.5", "\"cold_s\": 1e999", "cold_s"),
@@ -117,7 +117,7 @@
 
 /// JSON leaves open which one counts; it has to be the same one everywhere.
 #[test]
-fn of_keys_that_stand_twice_the_last_counts() {
+fn last_of_duplicate_keys_counts() {
     let twice = CONFIGURATION.replace("\"generation\": 7,", "\"generation\": 5, \"generation\": 7,");
     assert_eq!(parse(&twice), parse(CONFIGURATION));
 }
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn the_longest_broken_bodies_are_refused() {
+fn longest_malformed_bodies_are_refused() {
     let long = "[".repeat(LONGEST_BODY);
     for text in [
         long.clone(),
--- a/controlplane/configuration/tests/heartbeat.rs
+++ b/controlplane/configuration/tests/heartbeat.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn keys_at_fault_are_named() {
+fn invalid_keys_are_named() {
     for (key, from, to) in [
         ("seq", r#","seq":4"#, ""),
         ("seq", r#""seq":4"#, r#""seq":-4"#),
--- a/controlplane/configuration/tests/host_regions.rs
+++ b/controlplane/configuration/tests/host_regions.rs
@@ -1,4 +1,4 @@
-//! The regions in which hosts may be served, beside what the whole configuration says.
+//! The serving regions of hosts, compared with their routes.
 
 use quickcheck::quickcheck;
 use whinspindle_configuration::{Configuration, HostRegions, ServingRegions};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_host_without_homes_is_served_everywhere() {
+fn host_without_home_regions_is_served_everywhere() {
     let regions = parse(&configuration(&[("shop.example", &[]), ("shop.example", &[])]));
     assert_eq!(regions.of("shop.example"), Some(&ServingRegions::Any));
     assert!(regions.of("shop.example").is_some_and(|regions| regions.contains("anywhere")));
@@ -74,7 +74,7 @@
 
 quickcheck! {
     /// No region is allowed that any route with homes forbids, and none is missing that all allow.
-    fn both_homes_of_two_routes_bind(first: Vec<u8>, second: Vec<u8>) -> bool {
+    fn home_regions_of_two_routes_are_intersected(first: Vec<u8>, second: Vec<u8>) -> bool {
         let names = |homes: &[u8]| -> Vec<String> { homes.iter().map(|home| format!("r{}", home % 5)).collect() };
         let (first, second) = (names(&first), names(&second));
         let borrowed = |homes: &[String]| -> Vec<&'static str> {
--- a/controlplane/configuration/tests/mechanism.rs
+++ b/controlplane/configuration/tests/mechanism.rs
@@ -5,14 +5,14 @@
 use whinspindle_configuration::{Mechanism, Mechanisms};
 
 #[test]
-fn the_table_stands_in_the_order_of_the_mechanisms() {
+fn table_has_the_order_of_the_mechanisms() {
     for (index, mechanism) in Mechanism::all().enumerate() {
         assert_eq!(mechanism as usize, index, "{}", mechanism.name());
     }
 }
 
 #[test]
-fn names_differ_and_hold_no_commas() {
+fn names_are_unique_and_without_commas() {
     let names: BTreeSet<_> = Mechanism::all().map(Mechanism::name).collect();
     assert_eq!(names.len(), Mechanism::all().count());
     assert!(names.iter().all(|name| !name.contains(',') && !name.is_empty()));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_name_that_is_not_known_is_told() {
+fn unknown_name_is_reported() {
     let refused = Mechanisms::without("rests, rest").unwrap_err();
     assert_eq!(refused.name, "rest");
 }
--- a/controlplane/configuration/tests/settings.rs
+++ b/controlplane/configuration/tests/settings.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn durations_are_taken_in_either_unit() {
+fn durations_are_read_in_either_unit() {
     let seconds = parse_changed(r#""drain_ms": 2501"#, r#""drain_s": 2.5005"#).expect("seconds");
     assert_eq!(seconds.bounds.drain_ms, 2_501);
     let milliseconds = parse_changed(r#""sync_s": 4.1"#, r#""sync_ms": 4100"#).expect("milliseconds");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn keys_at_fault_are_named() {
+fn invalid_keys_are_named() {
     for (key, from, to) in [
         ("node", r#""node": "core-hall1-1","#, ""),
         ("ip", r#""ip": "10.1.0.12""#, r#""ip": "10.1.0""#),
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let mut text = EXAMPLE.to_owned();
     for (from, to) in [
         (r#""node": "core-hall1-1","#, ""),
--- a/controlplane/controller/src/runtime/directory_relay.rs
+++ b/controlplane/controller/src/runtime/directory_relay.rs
@@ -24,7 +24,7 @@
 /// A connection is closed after this time; a request takes a few milliseconds.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs the directory until the process is told to stop. To be called inside a `LocalSet`.
+/// Runs the directory until SIGTERM. To be called inside a `LocalSet`.
 pub async fn run_directory(settings: Settings) -> Result<(), ControllerError> {
     let mut stop = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut reload = signal(SignalKind::hangup()).context(SignalsSnafu)?;
--- a/controlplane/controller/src/runtime/disk.rs
+++ b/controlplane/controller/src/runtime/disk.rs
@@ -100,7 +100,7 @@
         self.send(Job::Persist { token, write });
     }
 
-    /// Writes a checkpoint that stands for the log so far.
+    /// Writes a checkpoint that takes the place of the log so far.
     pub fn compact(&self, state: Vec<u8>) {
         self.send(Job::Compact { state });
     }
--- a/controlplane/controller/src/runtime/http_server.rs
+++ b/controlplane/controller/src/runtime/http_server.rs
@@ -127,7 +127,7 @@
     Ok(outcome(receiver).await)
 }
 
-/// The value of a header that stands in the request once.
+/// The value of a header, unless it is missing or repeated.
 fn only_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?.to_str().ok()?;
--- a/controlplane/controller/tests/api.rs
+++ b/controlplane/controller/tests/api.rs
@@ -1,4 +1,4 @@
-//! How calls are read from HTTP requests, and what improper ones are told.
+//! Parsing of calls from HTTP requests, and the responses to invalid ones.
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
--- a/controlplane/controller/tests/common/deployment.rs
+++ b/controlplane/controller/tests/common/deployment.rs
@@ -1,5 +1,5 @@
-//! Controllers with all that speaks to them: edge machines, upstreams and operators, on a network that can be cut
-//! anywhere, watched by the checker.
+//! A simulated deployment: controllers with edge machines, upstreams and operators on a network that can be partitioned
+//! anywhere, observed by the invariant checker.
 
 mod checks;
 mod controller_faults;
@@ -41,14 +41,14 @@
     pub acknowledgements: usize,
     /// The controller that gave the last one.
     pub acknowledged_by: Option<SocketAddr>,
-    /// Operators give no new commands.
+    /// Operators submit no new commands.
     pub are_operators_resting: bool,
     race: Option<Race>,
     zone_command: Option<ZoneCommand>,
     /// Reads of the configuration that have not been answered.
     reads: BTreeMap<CallId, Read>,
     read_at: u64,
-    /// Heartbeats that are held up, with the time at which they arrive.
+    /// Delayed heartbeats, with the time at which they arrive.
     late_heartbeats: Vec<(u64, SocketAddr, Call)>,
     /// What is drawn for reads and late heartbeats.
     random: Pcg,
--- a/controlplane/controller/tests/common/deployment/checks.rs
+++ b/controlplane/controller/tests/common/deployment/checks.rs
@@ -1,4 +1,4 @@
-//! What has to hold at any moment, and once all is well.
+//! The invariants that hold at any time, and those that hold after all faults have healed.
 
 use std::net::SocketAddr;
 
@@ -122,7 +122,7 @@
             .map(|upstream| upstream.id.as_str())
     }
 
-    /// All is well for a while: everything is told everywhere.
+    /// After a while without faults every machine has the newest state.
     pub fn check_convergence(&mut self) {
         let newest = self.checker.newest_generation();
         for at in self.fleet.cluster.endpoints() {
--- a/controlplane/controller/tests/common/deployment/controller_faults.rs
+++ b/controlplane/controller/tests/common/deployment/controller_faults.rs
@@ -1,4 +1,4 @@
-//! Troubles of the controllers: starts, ends, pauses, lost disks and cuts.
+//! Faults of the controllers: starts, ends, pauses, lost disks and partitions.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use crate::common::fleet::{SEEDS, endpoint};
 use crate::common::rules::Rules;
 
-/// Which of its partners a machine is cut off from.
+/// Which other machines a controller is partitioned from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
     /// The other controllers.
@@ -41,7 +41,7 @@
         self.fleet.cluster.stop(at);
     }
 
-    /// One that stands still already does so no shorter than before.
+    /// Pauses a controller; one that is paused already stays so for at least as long as before.
     pub fn freeze_controller(&mut self, at: SocketAddr, span_ms: u64) {
         self.disturb_core();
         let before = self.frozen.get(&at).copied().unwrap_or(0);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// An edge machine is cut off from a controller.
+    /// Partitions an edge machine from a controller.
     pub fn partition_edge(&mut self, index: usize, at: SocketAddr, direction: Direction) {
         self.cuts.extend(directed(at, self.edges[index].address, direction));
     }
--- a/controlplane/controller/tests/common/deployment/reads.rs
+++ b/controlplane/controller/tests/common/deployment/reads.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The newest generation that an operator has been told is in force.
+    /// The newest generation that was confirmed to an operator.
     fn newest_acknowledged(&self) -> u64 {
         let is_taken = |attempt: usize| {
             self.answer_of(attempt).is_some_and(|(_, answer)| answer.status == StatusCode::OK)
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -196,7 +196,7 @@
     /// Share of the answers that don't reach their callers.
     pub lost_answers: f64,
     pub attempts: Vec<Attempt>,
-    /// What balancers were sent, with the instances whole.
+    /// The updates that balancers were sent, with complete lists of instances.
     pub updates: Vec<(SubscriberId, Update)>,
     lists: InstanceLists,
     pub links: Vec<(SubscriberId, Link)>,
@@ -307,7 +307,7 @@
         clear
     }
 
-    /// The chain as a controller tells it, the head first.
+    /// The chain that a controller reports, the head first.
     pub fn chain(&mut self, at: SocketAddr) -> Vec<SocketAddr> {
         let status = self.ask(at, Call::Status).expect("the status is told at once").body;
         let text = String::from_utf8(status.to_vec()).expect("text");
--- a/controlplane/controller/tests/common/instance_lists.rs
+++ b/controlplane/controller/tests/common/instance_lists.rs
@@ -12,7 +12,7 @@
 }
 
 impl InstanceLists {
-    /// The update with the whole list in place of the changes. Changes have to build on the list that was sent before.
+    /// The update with the complete list in place of the changes, which have to build on the list sent before.
     pub fn expand(&mut self, to: SubscriberId, mut update: Update) -> Update {
         if let Some(changes) = update.changes.take() {
             let sent = self.sent.get_mut(&to).expect("changes follow a list");
--- a/controlplane/controller/tests/common/mod.rs
+++ b/controlplane/controller/tests/common/mod.rs
@@ -29,7 +29,7 @@
 pub const START: u64 = 1_000_000;
 pub const TICK_MS: u64 = 50;
 pub const HEARTBEAT_MS: u64 = 1_000;
-/// An evacuation command waits for so long before it is given.
+/// How long an evacuation command waits before it is submitted.
 pub const EVACUATION_WAIT_MS: u64 = 100;
 
 pub struct Single {
@@ -39,7 +39,7 @@
     pub disk_works: bool,
     queued_writes: VecDeque<u64>,
     pub answers: HashMap<CallId, Response>,
-    /// What balancers were sent, with the instances whole.
+    /// The updates that balancers were sent, with complete lists of instances.
     pub updates: Vec<(SubscriberId, Update)>,
     /// Changes of instances as they were sent.
     pub changes_sent: Vec<InstanceChanges>,
@@ -47,7 +47,7 @@
     pub peer_bytes: usize,
     lists: instance_lists::InstanceLists,
     pub links: Vec<(SubscriberId, Link)>,
-    /// What the controller has written to recall after a restart, oldest first.
+    /// The states that the controller has saved, oldest first.
     pub saved_states: Vec<Vec<u8>>,
     last_call: u64,
 }
@@ -96,7 +96,7 @@
         single
     }
 
-    /// A controller that is in a quorum and has learned what there is.
+    /// A controller that is in a quorum and has completed its discovery.
     pub fn in_quorum() -> Single {
         let mut single = Single::start();
         single.pass(5_000);
--- a/controlplane/controller/tests/common/operators.rs
+++ b/controlplane/controller/tests/common/operators.rs
@@ -17,9 +17,9 @@
 pub enum Fault {
     /// Killed, and started again later.
     Kill,
-    /// Cut off both ways; what was sent comes through later, or not.
+    /// Partitioned both ways; what was sent comes through later, or not.
     Partition,
-    /// Hears the others, and isn't heard.
+    /// It receives messages of the others, and its own are lost.
     OneWayPartition,
     Freeze,
     /// Killed, and its disk is lost.
@@ -30,7 +30,7 @@
     LossOfPower,
     /// All controllers are cut into two halves: one has an even number of them, the other an odd one.
     Halves,
-    /// Each is cut off from all others, so that none has a majority.
+    /// Each is partitioned from all others, so that none has a majority.
     Apart,
     /// The first answers don't reach the callers.
     LostAnswers,
@@ -127,16 +127,16 @@
         assert_eq!(bases.len(), self.confirmed.len(), "two confirmed on one base: {:?}", self.confirmed);
     }
 
-    /// What balancers were told was asked for and not refused, and is a chain with what was confirmed.
-    pub fn told(&self, fleet: &Fleet) {
-        let told = fleet.updates.iter().filter_map(|(_, update)| update.configured.as_ref());
-        for configured in told {
+    /// No configuration that was sent to a balancer was refused to its operator.
+    pub fn check_published(&self, fleet: &Fleet) {
+        let published = fleet.updates.iter().filter_map(|(_, update)| update.configured.as_ref());
+        for configured in published {
             let refused = self.refused.iter().find(|change| change.body == configured.body);
             assert_eq!(refused, None, "refused and in force");
         }
     }
 
-    /// The same order at every controller, until each has given a clear answer.
+    /// Sends the same command to every controller; each has to give the expected answer.
     pub fn sent_everywhere(&mut self, fleet: &mut Fleet, change: &Change, expected: StatusCode) {
         for at in fleet.cluster.endpoints() {
             let answer = fleet.ask(at, change.call()).expect("an answer in time");
--- a/controlplane/controller/tests/common/rules.rs
+++ b/controlplane/controller/tests/common/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that controllers and agents are played under: as the programs keep them, or with a planted fault.
+//! The protocol rules that controllers and agents run under: the standard ones, or one replaced by a fault.
 
 use whinspindle_agent as agent;
 use whinspindle_controller as controller;
@@ -18,7 +18,7 @@
     type Agent = agent::StandardRules;
 }
 
-/// A controller tells balancers its records whatever its contact with the others.
+/// A controller serves its records to balancers whatever its contact with the others.
 #[derive(Clone, Debug)]
 pub struct ServesRecordsWithoutQuorum;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// An agent without records takes the first ones that it is told, also those of a controller that is cut off.
+/// An agent without records accepts the first ones that it is sent, also those of a partitioned controller.
 #[derive(Clone, Debug)]
 pub struct AcceptsAnyFirstRecords;
 
@@ -43,7 +43,7 @@
     type Agent = AcceptsAnyFirstRecords;
 }
 
-/// A controller that is cut off still tells its balancers, and they take it.
+/// A partitioned controller serves its records to balancers, and they accept them.
 #[derive(Clone, Debug)]
 pub struct PartitionedControllerServesRecords;
 
@@ -82,7 +82,7 @@
     type Agent = agent::StandardRules;
 }
 
-/// A heartbeat is confirmed by a controller that no other one hears.
+/// A heartbeat is confirmed by a controller without a quorum.
 #[derive(Clone, Debug)]
 pub struct ConfirmsHeartbeatWithoutQuorum;
 
--- a/controlplane/controller/tests/common/schedule.rs
+++ b/controlplane/controller/tests/common/schedule.rs
@@ -12,9 +12,9 @@
 const CALM_MS: u64 = 6_000;
 /// Once all faults have ended, every command has its outcome within this time.
 const OUTCOME_MS: u64 = 10_000;
-/// And everything is told everywhere after this.
+/// After this long every machine has the newest state.
 const CONVERGED_MS: u64 = 8_000;
-/// The longest that a process stands still.
+/// The longest pause of a process.
 const FREEZE_MS: u64 = 20_000;
 /// How long a fault waits for an acknowledgement.
 const ACKNOWLEDGEMENT_MS: u64 = 3_000;
@@ -47,7 +47,7 @@
     StopAllAndWipe(usize),
     /// One is taken out for good; another one comes at a new address.
     Replace(usize),
-    /// One is told to stop.
+    /// One shuts down gracefully.
     Leave(usize),
     Freeze(usize, u64),
     Cut(usize, Reach, Direction),
@@ -63,7 +63,7 @@
     LeaveUpstream(usize, bool),
     /// The controllers are cut into two halves, which all clients reach.
     Halves(u64),
-    /// Each controller is cut off from all others; all clients reach all of them.
+    /// Each controller is partitioned from all others; all clients reach all of them.
     Scatter,
     /// A disk is lost whatever else is lost already, but for other disks.
     WipeAmid(usize),
@@ -204,7 +204,7 @@
     })
 }
 
-/// A schedule of machines that start while controllers are cut off from each other, and have no configuration then.
+/// A schedule of machines that start without a configuration while controllers are partitioned from each other.
 #[derive(Clone, Debug)]
 pub struct Starting(pub Schedule);
 
@@ -236,14 +236,14 @@
 struct Play<R: Rules> {
     deployment: Deployment<R>,
     next_address: u8,
-    /// When the last standstill will be over.
-    standstill_until: u64,
+    /// When the last pause will have ended.
+    paused_until: u64,
 }
 
 /// Plays a schedule; how many confirmations there were, or what went wrong.
 pub fn play<R: Rules>(schedule: &Schedule) -> Result<usize, String> {
     let deployment: Deployment<R> = Deployment::under(schedule.seed, schedule.controllers, EDGES, UPSTREAMS);
-    let mut play = Play { deployment, next_address: 1 + schedule.controllers, standstill_until: 0 };
+    let mut play = Play { deployment, next_address: 1 + schedule.controllers, paused_until: 0 };
     play.deployment.pass(CALM_MS);
     for step in &schedule.steps {
         play.deployment.pass(step.wait_ms);
@@ -267,7 +267,7 @@
 
     fn inject(&mut self, fault: Fault) {
         if let Fault::Freeze(_, span) | Fault::FreezeEdge(_, span) = fault {
-            self.standstill_until = self.standstill_until.max(self.deployment.now() + span);
+            self.paused_until = self.paused_until.max(self.deployment.now() + span);
         }
         match fault {
             Fault::Stop(number) => self.deployment.stop_controller(self.controller(number)),
@@ -366,7 +366,7 @@
 
     /// All is well, and stays so for a while.
     fn calm(&mut self) {
-        let rest = self.standstill_until.saturating_sub(self.deployment.now());
+        let rest = self.paused_until.saturating_sub(self.deployment.now());
         self.deployment.pass(rest);
         self.deployment.heal_all();
         self.start_all();
--- a/controlplane/controller/tests/common/upstream.rs
+++ b/controlplane/controller/tests/common/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream: calls one controller after the other until it is acknowledged, and leaves when it is told to.
+//! An upstream: calls one controller after the other until its call is acknowledged; departs when the test says so.
 
 use std::net::SocketAddr;
 
--- a/controlplane/controller/tests/controller.rs
+++ b/controlplane/controller/tests/controller.rs
@@ -1,4 +1,4 @@
-//! One controller alone in its chain: when it acknowledges what, and what balancers and clients are told.
+//! A single controller in its chain: when it acknowledges commands, and what it publishes to balancers and clients.
 
 mod common;
 
@@ -30,7 +30,7 @@
     list.split(',').map(|address| address.trim_matches('"').to_owned()).collect()
 }
 
-/// Balancers say that they live for as long as a test needs.
+/// A controller with balancers that keep reporting for as long as a test needs.
 fn started_with_balancers(balancers: &[(u8, &str)]) -> Single {
     let mut single = Single::in_quorum();
     for (number, zone) in balancers {
@@ -118,7 +118,7 @@
     assert!(String::from_utf8_lossy(&status).contains(expected), "{status:?}");
 }
 
-/// A request that was held up on its way arrives together with the end of its connection, after newer commands.
+/// A delayed request arrives together with the end of its connection, after newer commands.
 #[test]
 fn evacuation_command_of_a_closed_connection_is_not_submitted() {
     let mut single = started_with_balancers(&[(1, "zone-a")]);
@@ -230,7 +230,7 @@
     single.call(heartbeat("i-1", 1, Ready));
     single.call(heartbeat("i-2", 1, Ready));
     assert_eq!(single.status(deregister("i-1")), StatusCode::OK);
-    // Its end is told for a while: a balancer that was out of contact may hold it as ready.
+    // Its end is published for a while: a balancer that was partitioned may have it as ready.
     let told = [("i-2".to_owned(), false), ("i-1".to_owned(), true)];
     assert_eq!(instances_sent(&single), told);
     assert_eq!(single.status(heartbeat("i-1", 2, Ready)), StatusCode::OK, "a late heartbeat");
--- a/controlplane/controller/tests/delayed_commands.rs
+++ b/controlplane/controller/tests/delayed_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that are held up on their way and come through after later commands were acknowledged.
+//! Delayed commands, which arrive after later commands were acknowledged.
 
 mod common;
 
@@ -39,7 +39,7 @@
     fleet.ask(at, call).expect("an answer in time").status
 }
 
-/// The zones that the balancers of all controllers are told in the end.
+/// The evacuated zones that the balancers of all controllers have in the end.
 fn evacuated_zones(fleet: &mut Fleet) -> Vec<String> {
     let mut told = Vec::new();
     for number in 1..=3 {
@@ -54,7 +54,7 @@
     told.remove(0)
 }
 
-/// A command gets no clear answer at a controller that is cut off; elsewhere its opposite is acknowledged, which is what
+/// A command gets no clear answer at a partitioned controller; elsewhere its opposite is acknowledged, which is what
 /// is in place already; then the links are healed.
 #[test]
 fn duplicate_evacuation_command_does_not_undo_a_later_one() {
@@ -98,7 +98,7 @@
     }
 }
 
-/// A command on a base that is not in place yet is held up at one controller and answered at another; its base comes, and
+/// A command on a base that is not in place yet is delayed at one controller and answered at another; its base comes, and
 /// then the copy. Had the answer been a refusal, a refused configuration would be in force.
 #[test]
 fn configuration_that_a_duplicate_may_still_apply_is_not_refused() {
@@ -124,7 +124,7 @@
     assert!(brought > 0, "no copy came through");
 }
 
-/// A configuration was clearly refused at one controller while a copy of it was held up at another.
+/// A configuration was clearly refused at one controller while a copy of it was delayed at another.
 #[test]
 fn duplicate_of_a_refused_configuration_is_not_applied() {
     for seed in 0..12 {
@@ -146,7 +146,7 @@
     }
 }
 
-/// A command that was acknowledged and superseded is held up once more at a controller that was cut off.
+/// A command that was acknowledged and superseded is delayed once more at a controller that was partitioned.
 #[test]
 fn duplicate_of_a_superseded_configuration_is_not_applied() {
     for seed in 0..12 {
--- a/controlplane/controller/tests/directory.rs
+++ b/controlplane/controller/tests/directory.rs
@@ -1,6 +1,6 @@
-//! Which balancers clients are told of, in each state of their region and of the configuration.
+//! The balancers that clients are directed to, in each state of their region and of the configuration.
 //!
-//! Two balancers stand in the region `north` (zones a and b), one in `south` (zone c) and one in `west`, whose zone is
+//! Two balancers run in the region `north` (zones a and b), one in `south` (zone c) and one in `west`, whose zone is
 //! missing in the settings of the controllers.
 
 mod common;
@@ -117,12 +117,12 @@
 #[test]
 fn clients_are_directed_to_their_own_region_and_the_regions_of_their_host_only() {
     let cases: [(&[u8], From, &str, &[u8]); 28] = [
-        // All stand: two of the region are enough; a region of one has another in reserve, where the host allows it.
+        // All run: two of the region are enough; a region of one has another in reserve, where the host allows it.
         (&ALL, FROM_NORTH, FREE, &[NORTH_A, NORTH_B]),
         (&ALL, FROM_NORTH, NORTH_AND_SOUTH, &[NORTH_A, NORTH_B]),
         (&ALL, FROM_NORTH, SOUTH_ALONE, &[NORTH_A, NORTH_B]),
         (&ALL, FROM_SOUTH, SOUTH_ALONE, &[SOUTH]),
-        // A host of another region is reached there; with one balancer there, those of the own region stand by.
+        // A host of another region is reached there; with one balancer there, those of the own region are in reserve.
         (&ALL, FROM_WEST, NORTH_AND_SOUTH, &[NORTH_A, NORTH_B, SOUTH]),
         (&[NORTH_A, SOUTH, WEST], FROM_WEST, NORTH_AND_SOUTH, &[NORTH_A, SOUTH]),
         (&ALL, FROM_WEST, SOUTH_ALONE, &[WEST, SOUTH]),
--- a/controlplane/controller/tests/failing_instances.rs
+++ b/controlplane/controller/tests/failing_instances.rs
@@ -1,4 +1,4 @@
-//! Which instances are told to all balancers as failing.
+//! The instances that are reported to all balancers as failing.
 
 use std::net::SocketAddr;
 
--- a/controlplane/controller/tests/fleet.rs
+++ b/controlplane/controller/tests/fleet.rs
@@ -15,9 +15,9 @@
 
 /// While the core is calm a command is acknowledged within this time, wherever it goes.
 const CALM_ORDER_MS: u64 = 400;
-/// After a start of all controllers balancers are told of a quorum within this time.
+/// After a start of all controllers balancers are notified of a quorum within this time.
 const QUORUM_MS: u64 = 250;
-/// After a start of all controllers balancers are told what was known within this time.
+/// After a start of all controllers balancers are sent the restored state within this time.
 const RESTORE_MS: u64 = 1_000;
 /// A command is acknowledged within this time after a fault.
 const TROUBLED_ORDER_MS: u64 = 15_000;
@@ -296,7 +296,7 @@
         }
     }
 
-    /// A controller is killed, cut off, or has lost its disk.
+    /// A controller is killed, partitioned, or has lost its disk.
     fn fault(&mut self) -> (u8, usize) {
         let number = 1 + self.fleet.random.below(5) as u8;
         let kind = self.fleet.random.below(5);
--- a/controlplane/controller/tests/folder_fixture.rs
+++ b/controlplane/controller/tests/folder_fixture.rs
@@ -301,7 +301,7 @@
     assert_eq!(view.next_member, 1);
 }
 
-/// The older slot and its log still stand where the newer slot is torn.
+/// The older slot and its log are used where the newer slot is torn.
 #[test]
 fn the_state_is_recovered_by_way_of_the_older_slot() {
     let folder = TemporaryFolder::of_fixture("older");
--- a/controlplane/controller/tests/heartbeats.rs
+++ b/controlplane/controller/tests/heartbeats.rs
@@ -17,13 +17,13 @@
     sent.map(|instances| instances.list.as_slice()).unwrap_or_default()
 }
 
-/// What balancers were told last: ids, and whether they drain.
+/// The instances that balancers were sent last: ids, and whether they are draining.
 fn instances_sent(single: &Single) -> Vec<(String, bool)> {
     let listed = list_sent(single).iter().filter(|instance| !instance.is_ended());
     listed.map(|instance| (instance.id.clone(), instance.draining)).collect()
 }
 
-/// Of which instances balancers were told last that they have ended.
+/// The ended instances in the list that balancers were sent last.
 fn ends_sent(single: &Single) -> Vec<String> {
     let ended = list_sent(single).iter().filter(|instance| instance.is_ended());
     ended.map(|instance| instance.id.clone()).collect()
--- a/controlplane/controller/tests/partitioned_controller.rs
+++ b/controlplane/controller/tests/partitioned_controller.rs
@@ -1,4 +1,4 @@
-//! Controllers that are cut off, frozen, or started alone on an old disk: what they tell, take and confirm.
+//! Controllers that are partitioned, paused, or started alone with an old disk: what they publish, accept and confirm.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 /// A loss of contact is noticed within this time.
 const NOTICED_MS: u64 = 2_000;
-/// A controller alone tells new balancers nothing for this long.
+/// An isolated controller publishes nothing to new balancers for this long.
 const ISOLATED_SERVE_DELAY_MS: u64 = 8_000;
 const PARTITION_MS: u64 = 20_000;
 const COMMAND_TIMEOUT_MS: u64 = 15_000;
@@ -35,7 +35,7 @@
     fleet.links.iter().any(|(to, link)| *to == SubscriberId(subscriber) && link.in_quorum)
 }
 
-/// The newest position that a controller's balancers were told.
+/// The newest position that a controller's balancers were sent.
 fn newest_position(fleet: &Fleet) -> u64 {
     let positions = fleet.updates.iter().filter_map(|(_, update)| Some(update.configured.as_ref()?.sequence));
     positions.max().unwrap_or(0)
--- a/controlplane/controller/tests/random_operators.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -283,7 +283,7 @@
         }
         self.verify_chain(in_force);
         self.verify_zones();
-        self.checker.told(&self.fleet);
+        self.checker.check_published(&self.fleet);
     }
 
     fn answer_in_calm(&mut self, change: &Change) -> StatusCode {
--- a/controlplane/controller/tests/reads.rs
+++ b/controlplane/controller/tests/reads.rs
@@ -31,7 +31,7 @@
     (answer.status == StatusCode::OK).then_some(answer.body)
 }
 
-/// From the first moment of the cut on; each of the controllers may be the head or the tail of the chain.
+/// From the start of the partition on; each of the controllers may be the head or the tail of the chain.
 #[test]
 fn partitioned_controller_reads_nothing_older_than_was_acknowledged() {
     for seed in 1..=5 {
--- a/controlplane/controller/tests/schedules.rs
+++ b/controlplane/controller/tests/schedules.rs
@@ -73,7 +73,7 @@
     are_tolerated(ordinary);
 }
 
-/// Machines start without a configuration while controllers are cut off.
+/// Machines start without a configuration while controllers are partitioned.
 #[test]
 fn any_schedule_of_starting_machines_is_tolerated() {
     are_tolerated(starting);
--- a/controlplane/controller/tests/two_operators.rs
+++ b/controlplane/controller/tests/two_operators.rs
@@ -1,4 +1,4 @@
-//! Two operators on one base, whose commands meet every kind of fault at every moment: one is confirmed, stays so
+//! Two operators on one base, with every kind of fault at every time offset: one is confirmed, stays so
 //! however often and wherever it is sent again, and the other is never in force.
 
 mod common;
@@ -81,7 +81,7 @@
     checker.sent_everywhere(&mut fleet, &Change::new(current, current + 1, "next"), StatusCode::OK);
     checker.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
     checker.sent_everywhere(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
-    checker.told(&fleet);
+    checker.check_published(&fleet);
 }
 
 fn race_at_every_offset(fault: Fault) {
--- a/controlplane/distribution/tests/changes.rs
+++ b/controlplane/distribution/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Lists of instances told by their changes: what they lead to, and when the whole list is sent instead.
+//! Lists of instances sent as changes: the lists they produce, and when the complete list is sent instead.
 
 mod common;
 
@@ -33,7 +33,7 @@
     section
 }
 
-/// Ids are told once in a list.
+/// Ids are unique in a list.
 fn deduplicated(mut section: Instances, version: u64) -> Instances {
     section.version = version;
     let mut section = by_id(section);
--- a/controlplane/registry/tests/instances.rs
+++ b/controlplane/registry/tests/instances.rs
@@ -379,7 +379,7 @@
     }
 }
 
-/// A record as of a moment before the start.
+/// A record from before the start.
 fn record(last: u8, id: &str, sequence: u64) -> InstanceRecord {
     InstanceRecord {
         id: id.into(),
