--- a/controlplane/controller/examples/load.rs
+++ b/controlplane/controller/examples/load.rs
@@ -26,7 +26,7 @@
 /// Instances come in over this time.
 const ARRIVAL_MS: u64 = 6_000;
 /// One instance in so many is another one at each of its heartbeats.
-const REPLACED_SHARE: u64 = 500;
+const REPLACEMENT_INTERVAL: u64 = 500;
 
 #[derive(Default)]
 struct Cost {
@@ -128,7 +128,8 @@
 /// The present holder of a place: now and then it is another one.
 fn name(number: u64, now: u64) -> String {
     let beat = now / HEARTBEAT_MS;
-    let replaced = (0..=beat).rev().take(40).find(|beat| (beat * 7 + number).is_multiple_of(REPLACED_SHARE));
+    let replaced =
+        (0..=beat).rev().take(40).find(|beat| (beat * 7 + number).is_multiple_of(REPLACEMENT_INTERVAL));
     format!("i-{number:05}-{}", replaced.unwrap_or_default())
 }
 
--- a/controlplane/controller/tests/common/deployment/checks.rs
+++ b/controlplane/controller/tests/common/deployment/checks.rs
@@ -72,7 +72,7 @@
 
     /// Clients of an unknown host are sent to balancers of their own region alone.
     fn is_near_one_in_touch(&self, now: u64) -> bool {
-        let mut near = self.edges.iter().filter(|edge| edge.place().1 == CLIENT_REGION);
+        let mut near = self.edges.iter().filter(|edge| edge.location().1 == CLIENT_REGION);
         near.any(|edge| self.is_in_touch(now, edge))
     }
 
@@ -137,7 +137,7 @@
             if !text.contains(&format!("\"generation\":{newest},")) {
                 self.problem(format!("read back at {at}: {text}, {newest} was acknowledged"));
             }
-            let left: Vec<String> = self.checker.left_upstreams().cloned().collect();
+            let left: Vec<String> = self.checker.departed_upstreams().cloned().collect();
             let process = self.fleet.cluster.process(at).expect("all run");
             if let Some(lost) = left.iter().find(|id| !process.controller.has_departed(id)) {
                 let problem = format!("{at} has forgotten that {lost} left");
--- a/controlplane/controller/tests/common/edge.rs
+++ b/controlplane/controller/tests/common/edge.rs
@@ -79,7 +79,7 @@
         }
         self.incarnations += 1;
         self.reported = 0;
-        let (zone, region) = self.place();
+        let (zone, region) = self.location();
         let settings = AgentSettings {
             node: self.node(),
             machine: self.address.ip(),
@@ -164,7 +164,7 @@
     }
 
     fn report(&mut self, now: u64) -> Vec<EdgeAction> {
-        let (zone, region) = self.place();
+        let (zone, region) = self.location();
         let Some(proxy) = &mut self.proxy else { return Vec::new() };
         proxy.report_at = now + REPORT_MS;
         let applied = proxy.applied.versions();
@@ -191,7 +191,7 @@
     }
 
     /// Its zone and region.
-    pub fn place(&self) -> (String, String) {
+    pub fn location(&self) -> (String, String) {
         let zones = zones();
         let (zone, region) = zones.iter().nth(usize::from(self.number) % zones.len()).unwrap();
         (zone.clone(), region.clone())
--- a/controlplane/controller/tests/common/invariant_checker.rs
+++ b/controlplane/controller/tests/common/invariant_checker.rs
@@ -49,7 +49,7 @@
         self.left.entry(upstream.to_owned()).or_insert(at);
     }
 
-    pub fn left_upstreams(&self) -> impl Iterator<Item = &String> {
+    pub fn departed_upstreams(&self) -> impl Iterator<Item = &String> {
         self.left.keys()
     }
 
--- a/controlplane/controller/tests/common/upstream.rs
+++ b/controlplane/controller/tests/common/upstream.rs
@@ -30,7 +30,7 @@
     pub address: SocketAddr,
     pub phase: Phase,
     /// When a controller acknowledged that it leaves.
-    pub leave_acknowledged_at: Option<u64>,
+    pub departure_acknowledged_at: Option<u64>,
     sequence: u64,
     /// Which controller it calls, counted among those there are.
     pub target: usize,
@@ -44,7 +44,7 @@
             id: format!("u-{number}"),
             address: SocketAddr::from(([10, 2, 0, number], 8080)),
             phase: Phase::Serving,
-            leave_acknowledged_at: None,
+            departure_acknowledged_at: None,
             sequence: 0,
             target: usize::from(number),
             waiting: None,
@@ -86,7 +86,7 @@
         self.waiting = None;
         self.due_at = now + HEARTBEAT_MS;
         if self.phase != Phase::Serving {
-            self.leave_acknowledged_at.get_or_insert(now);
+            self.departure_acknowledged_at.get_or_insert(now);
         }
         if self.phase == Phase::Deregistering {
             self.phase = Phase::Ended;
@@ -100,7 +100,7 @@
     }
 
     fn has_lingered(&self, now: u64) -> bool {
-        self.leave_acknowledged_at.is_some_and(|at| now >= at + LINGER_MS)
+        self.departure_acknowledged_at.is_some_and(|at| now >= at + LINGER_MS)
     }
 
     fn heartbeat(&self, state: InstanceState) -> Call {
--- a/controlplane/controller/tests/fleet.rs
+++ b/controlplane/controller/tests/fleet.rs
@@ -14,13 +14,13 @@
 use whinspindle_distribution::{Instance, SubscriberId};
 
 /// While the core is calm a command is acknowledged within this time, wherever it goes.
-const CALM_ORDER_MS: u64 = 400;
+const CALM_COMMAND_MS: u64 = 400;
 /// After a start of all controllers balancers are notified of a quorum within this time.
 const QUORUM_MS: u64 = 250;
 /// After a start of all controllers balancers are sent the restored state within this time.
 const RESTORE_MS: u64 = 1_000;
 /// A command is acknowledged within this time after a fault.
-const TROUBLED_ORDER_MS: u64 = 15_000;
+const COMMAND_WITH_FAULTS_MS: u64 = 15_000;
 
 fn newest_instance(fleet: &Fleet, subscriber: SubscriberId, id: &str) -> Option<Instance> {
     let mut sent = fleet.updates.iter().rev().filter(|(to, _)| *to == subscriber);
@@ -50,7 +50,7 @@
             let began = fleet.cluster.now();
             let answer = fleet.ask(at, command.clone()).unwrap_or_else(|| panic!("{command:?} at {at}"));
             assert_eq!(answer.status, StatusCode::OK, "{command:?} at {at}: {answer:?}");
-            assert!(fleet.cluster.now() < began + CALM_ORDER_MS, "{command:?} at {at} took long");
+            assert!(fleet.cluster.now() < began + CALM_COMMAND_MS, "{command:?} at {at} took long");
         }
         generation += 2;
     }
@@ -128,7 +128,7 @@
 /// Instances and fronts are known everywhere; then all controllers lose power at once, and some their disks.
 fn after_loss_of_power(seed: u64, wiped: &[u8]) -> Fleet {
     let mut fleet = Fleet::start(seed, 3);
-    fleet.complete(replace(0, 1), CALM_ORDER_MS);
+    fleet.complete(replace(0, 1), CALM_COMMAND_MS);
     fleet.ask(endpoint(1), heartbeat("i-1", 1, Ready));
     fleet.ask(endpoint(2), heartbeat("i-2", 1, Ready));
     fleet.ask(endpoint(2), heartbeat("i-3", 1, Draining));
@@ -238,7 +238,7 @@
     let answer = fleet.ask(endpoint(3), heartbeat("i-2", 1, Ready)).expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "the others would take it for lost");
     fleet.pass(2_000);
-    assert_eq!(fleet.complete(replace(0, 1), TROUBLED_ORDER_MS).status, StatusCode::OK);
+    assert_eq!(fleet.complete(replace(0, 1), COMMAND_WITH_FAULTS_MS).status, StatusCode::OK);
     fleet.set_partitioned(endpoint(3), false);
     fleet.pass(4_000);
     let answer = fleet.ask(endpoint(3), Call::Fetch).expect("an answer");
@@ -249,7 +249,7 @@
 fn controller_shutdown_loses_no_command() {
     for shutting_down in 1..=3 {
         let mut fleet = Fleet::start(6, 3);
-        fleet.complete(replace(0, 1), CALM_ORDER_MS);
+        fleet.complete(replace(0, 1), CALM_COMMAND_MS);
         fleet.cluster.command(endpoint(shutting_down), common::fleet::Command::Shutdown);
         let attempt = fleet.begin(replace(1, 2));
         fleet.pass(400);
@@ -292,7 +292,7 @@
             self.depart(round);
             let span = self.fleet.random.below(1_500) as u64;
             self.fleet.pass(span);
-            self.mend(fault);
+            self.repair_all(fault);
         }
     }
 
@@ -314,7 +314,7 @@
     }
 
     /// A lost disk counts as a loss until its machine has been back for some seconds.
-    fn mend(&mut self, (number, kind): (u8, usize)) {
+    fn repair_all(&mut self, (number, kind): (u8, usize)) {
         match kind {
             0 => self.fleet.cluster.start(endpoint(number)),
             1 => self.fleet.set_partitioned(endpoint(number), false),
@@ -356,19 +356,22 @@
     fn evacuate(&mut self, round: usize) {
         let zone = ["zone-a", "zone-b", "zone-c"][round % 3];
         let evacuated = !self.evacuated.get(zone).copied().unwrap_or(false);
-        assert_eq!(self.fleet.complete(evacuate(zone, evacuated), TROUBLED_ORDER_MS).status, StatusCode::OK);
+        assert_eq!(
+            self.fleet.complete(evacuate(zone, evacuated), COMMAND_WITH_FAULTS_MS).status,
+            StatusCode::OK
+        );
         self.evacuated.insert(zone.to_owned(), evacuated);
     }
 
     fn depart(&mut self, round: usize) {
         let instance = format!("i-{round}");
-        let answer = self.fleet.complete(heartbeat(&instance, 1, Draining), TROUBLED_ORDER_MS);
+        let answer = self.fleet.complete(heartbeat(&instance, 1, Draining), COMMAND_WITH_FAULTS_MS);
         assert_eq!(answer.status, StatusCode::OK);
         self.departed.push(instance);
     }
 
     fn wait_for(&mut self, attempts: Vec<usize>) {
-        let end = self.fleet.cluster.now() + TROUBLED_ORDER_MS;
+        let end = self.fleet.cluster.now() + COMMAND_WITH_FAULTS_MS;
         while attempts.iter().any(|attempt| self.fleet.attempts[*attempt].answered.is_none()) {
             assert!(self.fleet.cluster.now() < end, "an operator gets no answer");
             self.fleet.pass(50);
--- a/controlplane/controller/tests/heartbeats.rs
+++ b/controlplane/controller/tests/heartbeats.rs
@@ -68,7 +68,7 @@
 
 /// A call of one of two instances.
 #[derive(Clone, Debug)]
-struct Word {
+struct Announcement {
     instance: &'static str,
     sequence: u64,
     kind: Kind,
@@ -81,16 +81,16 @@
     Deregister,
 }
 
-impl Arbitrary for Word {
+impl Arbitrary for Announcement {
     fn arbitrary(generator: &mut Gen) -> Self {
         let instance = *generator.choose(&["i-1", "i-2"]).expect("one of two");
         let kind =
             *generator.choose(&[Kind::Ready, Kind::Ready, Kind::Draining, Kind::Deregister]).expect("a kind");
-        Word { instance, sequence: u64::arbitrary(generator) % 20, kind }
+        Announcement { instance, sequence: u64::arbitrary(generator) % 20, kind }
     }
 }
 
-impl Word {
+impl Announcement {
     fn call(&self) -> Call {
         match self.kind {
             Kind::Ready => heartbeat(self.instance, self.sequence, Ready),
@@ -102,10 +102,10 @@
 
 #[test]
 fn acknowledged_departure_is_permanent_in_any_order_of_heartbeats() {
-    fn property(words: Vec<Word>) -> bool {
+    fn property(announcements: Vec<Announcement>) -> bool {
         let mut single = started_with_a_balancer();
         let mut left: Vec<(&str, Kind)> = Vec::new();
-        words.iter().all(|word| {
+        announcements.iter().all(|word| {
             let acknowledged = single.status(word.call()) == StatusCode::OK;
             if word.kind != Kind::Ready {
                 left.push((word.instance, word.kind));
@@ -118,5 +118,5 @@
             acknowledged && left.iter().all(told_to_leave)
         })
     }
-    QuickCheck::new().tests(60).quickcheck(property as fn(Vec<Word>) -> bool);
+    QuickCheck::new().tests(60).quickcheck(property as fn(Vec<Announcement>) -> bool);
 }
--- a/controlplane/controller/tests/partitioned_deployment.rs
+++ b/controlplane/controller/tests/partitioned_deployment.rs
@@ -7,7 +7,7 @@
 
 const PARTITION_MS: u64 = 20_000;
 const CALM_MS: u64 = 8_000;
-const LAST_ORDER_MS: u64 = 10_000;
+const FINAL_COMMANDS_MS: u64 = 10_000;
 
 /// Before, during and right at the end of the cut commands are given and an upstream leaves.
 fn play(seed: u64, controllers: u8, reach: Reach, direction: Direction) -> Vec<String> {
@@ -23,7 +23,7 @@
     deployment.leave(2, true);
     deployment.leave(3, false);
     deployment.pass(CALM_MS);
-    deployment.finish_commands(LAST_ORDER_MS);
+    deployment.finish_commands(FINAL_COMMANDS_MS);
     deployment.pass(CALM_MS);
     deployment.check_convergence();
     deployment.problems
--- a/controlplane/controller/tests/random_operators.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -19,11 +19,11 @@
 const ORDINARY: u64 = 40;
 /// Plays that have found a fault: 196 found a controller without a vote that gave no command to the chain any more, since
 /// a promise of an earlier view was left over.
-const FOUND: [u64; 1] = [196];
+const REGRESSION_SEEDS: [u64; 1] = [196];
 const COUNT_VARIABLE: &str = "WHINSPINDLE_PLAYS";
 const ROUNDS: usize = 8;
 /// An operator gives up a command without a clear answer after this time.
-const LONGEST_ORDER_MS: u64 = 12_000;
+const MAX_ANSWER_MS: u64 = 12_000;
 /// One loss at a time is borne. A machine that was out of touch counts as a loss until it has been back for so long, and
 /// so does a disk.
 const RECOVERY_MS: u64 = 6_000;
@@ -64,7 +64,7 @@
     checker: OutcomeChecker,
     changes: Vec<Change>,
     /// Changes whose answers are waited for.
-    under_way: Vec<(Change, usize)>,
+    in_flight: Vec<(Change, usize)>,
     evacuations: BTreeMap<&'static str, Vec<Evacuation>>,
     sent: usize,
     /// Reads of the configuration, with the newest generation that had been confirmed before.
@@ -83,7 +83,7 @@
             fleet,
             checker: OutcomeChecker::default(),
             changes: Vec::new(),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
             evacuations,
             sent: 0,
             reads: Vec::new(),
@@ -110,7 +110,7 @@
                 self.pass(RECOVERY_MS);
             }
         }
-        self.pass(LONGEST_ORDER_MS);
+        self.pass(MAX_ANSWER_MS);
         self.verify();
     }
 
@@ -129,7 +129,7 @@
             let span = self.below(3_000) as u64;
             self.read_for(span);
         }
-        self.pass(LONGEST_ORDER_MS);
+        self.pass(MAX_ANSWER_MS);
         self.verify();
     }
 
@@ -154,7 +154,7 @@
                     let generation = generation_of(answer);
                     assert!(generation >= confirmed, "{generation} was read, {confirmed} confirmed");
                 }
-                None if self.fleet.since(attempt) > LONGEST_ORDER_MS => self.fleet.abandon(attempt),
+                None if self.fleet.since(attempt) > MAX_ANSWER_MS => self.fleet.abandon(attempt),
                 None => self.reads.push((confirmed, attempt)),
             }
         }
@@ -179,7 +179,7 @@
             let at = self.anywhere();
             let attempt = self.fleet.begin_at(at, change.call());
             self.changes.push(change.clone());
-            self.under_way.push((change, attempt));
+            self.in_flight.push((change, attempt));
         }
     }
 
@@ -247,16 +247,16 @@
     fn pass(&mut self, span_ms: u64) {
         self.fleet.pass(span_ms);
         let (now, mut waiting) = (self.fleet.cluster.now(), Vec::new());
-        for (change, attempt) in std::mem::take(&mut self.under_way) {
+        for (change, attempt) in std::mem::take(&mut self.in_flight) {
             if let Some((_, answer)) = &self.fleet.attempts[attempt].answered {
                 self.checker.answered(&change, answer.status);
-            } else if now > self.fleet.attempts[attempt].first_sent_at + LONGEST_ORDER_MS {
+            } else if now > self.fleet.attempts[attempt].first_sent_at + MAX_ANSWER_MS {
                 self.fleet.abandon(attempt);
             } else {
                 waiting.push((change, attempt));
             }
         }
-        self.under_way = waiting;
+        self.in_flight = waiting;
     }
 
     /// Calm again, and after a loss of power of all, everything is sent once more everywhere.
@@ -264,7 +264,7 @@
         for zone in ZONES {
             self.conclude_evacuation(zone);
         }
-        self.under_way.drain(..).for_each(|(_, attempt)| self.fleet.abandon(attempt));
+        self.in_flight.drain(..).for_each(|(_, attempt)| self.fleet.abandon(attempt));
         (1..=CONTROLLERS).for_each(|number| self.fleet.cluster.stop(endpoint(number)));
         (1..=CONTROLLERS).for_each(|number| self.fleet.cluster.start(endpoint(number)));
         self.fleet.cluster.network().timing.loss = 0.0;
@@ -304,7 +304,7 @@
         }
         assert!(in_force.len() > 1, "nothing was confirmed");
         let newest = in_force.last().expect("one is in force").body.clone();
-        assert_eq!(self.fleet.complete(Call::Fetch, LONGEST_ORDER_MS).body, newest);
+        assert_eq!(self.fleet.complete(Call::Fetch, MAX_ANSWER_MS).body, newest);
     }
 
     /// The state of a zone is that of a command after which no other was acknowledged from begin to end.
@@ -352,7 +352,7 @@
 
 #[test]
 fn answers_stay_consistent_through_random_faults() {
-    for seed in (0..count()).chain(FOUND) {
+    for seed in (0..count()).chain(REGRESSION_SEEDS) {
         Play::new(4_800 + seed).run();
     }
 }
--- a/controlplane/controller/tests/two_operators.rs
+++ b/controlplane/controller/tests/two_operators.rs
@@ -12,10 +12,10 @@
 
 const CONTROLLERS: u8 = 3;
 /// A command passes a calm chain of three within this time: the faults come at each of these moments.
-const COMMAND_TIMEOUT_MS: u64 = 60;
+const MAX_COMMAND_MS: u64 = 60;
 const OFFSET_STEP_MS: usize = 2;
 /// A command is answered within this time after a fault.
-const TROUBLED_ORDER_MS: u64 = 15_000;
+const COMMAND_WITH_FAULTS_MS: u64 = 15_000;
 /// After a start of all controllers there is a quorum within this time.
 const START_MS: u64 = 4_000;
 
@@ -28,12 +28,12 @@
     for number in 1..=CONTROLLERS {
         fleet.report(endpoint(number), u64::from(number), report(number, "zone-a"));
     }
-    assert_eq!(fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS).status, StatusCode::OK);
+    assert_eq!(fleet.complete(replace(0, 1), MAX_COMMAND_MS).status, StatusCode::OK);
     fleet
 }
 
 fn wait_for(fleet: &mut Fleet, attempts: &[usize]) -> Vec<StatusCode> {
-    let end = fleet.cluster.now() + TROUBLED_ORDER_MS;
+    let end = fleet.cluster.now() + COMMAND_WITH_FAULTS_MS;
     while attempts.iter().any(|attempt| fleet.attempts[*attempt].answered.is_none()) {
         assert!(fleet.cluster.now() < end, "an operator gets no answer");
         fleet.pass(20);
@@ -85,7 +85,7 @@
 }
 
 fn race_at_every_offset(fault: Fault) {
-    for moment in (0..COMMAND_TIMEOUT_MS).step_by(OFFSET_STEP_MS) {
+    for moment in (0..MAX_COMMAND_MS).step_by(OFFSET_STEP_MS) {
         for place in 0..usize::from(CONTROLLERS) {
             let seed = 100 + moment + place as u64;
             race(seed, fault, place, moment);
