--- /dev/null
+++ b/programs/serving/src/command_line/parser.rs
@@ -0,0 +1,128 @@
+//! Parses the arguments into a command.
+
+use std::ffi::OsString;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use pico_args::Arguments;
+use snafu::ResultExt;
+use whinspindle_configuration::Mechanisms;
+
+use super::{
+    ArgumentSnafu, Command, CommandLineError, DEFAULT_SETTINGS, DaemonCommand, ForeignMechanismSnafu,
+    LogLevel, MechanismSnafu, OperatorCommand, Program, SETTINGS_VARIABLE,
+};
+
+/// Parses the arguments that follow the program's name.
+pub fn parse(arguments: Vec<OsString>) -> Result<Command, CommandLineError> {
+    let mut arguments = Arguments::from_vec(arguments);
+    if arguments.contains(["-h", "--help"]) {
+        return Ok(Command::Help);
+    }
+    let name = arguments.subcommand().context(ArgumentSnafu)?;
+    let command = match name.as_deref() {
+        None => return Err(CommandLineError::Missing),
+        Some("serving-help") => Command::Help,
+        Some("proxy") => daemon(Program::Proxy, &mut arguments)?,
+        Some("agent") => daemon(Program::Agent, &mut arguments)?,
+        Some("controller") => daemon(Program::Controller, &mut arguments)?,
+        Some("directory") => daemon(Program::Directory, &mut arguments)?,
+        Some("status") => Command::Operator(OperatorCommand::Status { control: control(&mut arguments)? }),
+        Some("members") => Command::Operator(OperatorCommand::Members { control: control(&mut arguments)? }),
+        Some("config") => config(&mut arguments)?,
+        Some("evacuate") => evacuate(&mut arguments)?,
+        Some(other) => return Err(CommandLineError::Unknown { name: other.to_owned() }),
+    };
+    match arguments.finish().into_iter().next() {
+        Some(argument) => Err(CommandLineError::Surplus { argument }),
+        None => Ok(command),
+    }
+}
+
+fn daemon(program: Program, arguments: &mut Arguments) -> Result<Command, CommandLineError> {
+    let settings = arguments.opt_value_from_os_str("--settings", path).context(ArgumentSnafu)?;
+    let settings = settings.unwrap_or_else(default_settings);
+    let log_level = arguments.opt_value_from_str::<_, String>("--log-level").context(ArgumentSnafu)?;
+    let log_level = log_level.map_or(Ok(LogLevel::Info), level)?;
+    let mut daemon =
+        DaemonCommand { program, settings, log_level, mechanisms: Mechanisms::default(), metrics: None };
+    if matches!(program, Program::Proxy | Program::Controller) {
+        daemon.mechanisms = mechanisms(program, arguments)?;
+    }
+    if program != Program::Directory {
+        daemon.metrics = arguments.opt_value_from_str("--metrics").context(ArgumentSnafu)?;
+    }
+    Ok(Command::Daemon(daemon))
+}
+
+/// The mechanisms that are switched on. Each program accepts only the names of its own mechanisms.
+fn mechanisms(program: Program, arguments: &mut Arguments) -> Result<Mechanisms, CommandLineError> {
+    let without = arguments.opt_value_from_str::<_, String>("--without").context(ArgumentSnafu)?;
+    let mechanisms = Mechanisms::without(&without.unwrap_or_default()).context(MechanismSnafu)?;
+    let is_controller = program == Program::Controller;
+    match mechanisms.switched_off().find(|mechanism| mechanism.is_of_controller() != is_controller) {
+        Some(mechanism) => ForeignMechanismSnafu { mechanism }.fail(),
+        None => Ok(mechanisms),
+    }
+}
+
+fn config(arguments: &mut Arguments) -> Result<Command, CommandLineError> {
+    let verb = arguments.subcommand().context(ArgumentSnafu)?;
+    let command = match verb.as_deref() {
+        Some("check") => OperatorCommand::ConfigCheck { file: file(arguments)? },
+        Some("fetch") => OperatorCommand::ConfigFetch { control: control(arguments)? },
+        Some("replace") => {
+            let control = control(arguments)?;
+            let base = arguments.value_from_str("--base").context(ArgumentSnafu)?;
+            OperatorCommand::ConfigReplace { control, file: file(arguments)?, base }
+        }
+        Some("diff") => {
+            let control = control(arguments)?;
+            OperatorCommand::ConfigDiff { control, file: file(arguments)? }
+        }
+        other => return Err(unknown("config", other)),
+    };
+    Ok(Command::Operator(command))
+}
+
+fn evacuate(arguments: &mut Arguments) -> Result<Command, CommandLineError> {
+    let verb = arguments.subcommand().context(ArgumentSnafu)?;
+    let control = control(arguments)?;
+    let mut zone = || arguments.free_from_str::<String>().context(ArgumentSnafu);
+    let command = match verb.as_deref() {
+        Some("begin") => OperatorCommand::EvacuateBegin { control, zone: zone()? },
+        Some("finish") => OperatorCommand::EvacuateFinish { control, zone: zone()? },
+        other => return Err(unknown("evacuate", other)),
+    };
+    Ok(Command::Operator(command))
+}
+
+fn control(arguments: &mut Arguments) -> Result<SocketAddr, CommandLineError> {
+    arguments.value_from_str("--control").context(ArgumentSnafu)
+}
+
+fn file(arguments: &mut Arguments) -> Result<PathBuf, CommandLineError> {
+    arguments.free_from_os_str(path).context(ArgumentSnafu)
+}
+
+fn path(argument: &std::ffi::OsStr) -> Result<PathBuf, std::convert::Infallible> {
+    Ok(PathBuf::from(argument))
+}
+
+fn default_settings() -> PathBuf {
+    std::env::var_os(SETTINGS_VARIABLE).map_or_else(|| PathBuf::from(DEFAULT_SETTINGS), PathBuf::from)
+}
+
+fn level(name: String) -> Result<LogLevel, CommandLineError> {
+    match name.as_str() {
+        "error" => Ok(LogLevel::Error),
+        "warn" => Ok(LogLevel::Warn),
+        "info" => Ok(LogLevel::Info),
+        "debug" => Ok(LogLevel::Debug),
+        _ => Err(CommandLineError::Level { name }),
+    }
+}
+
+fn unknown(command: &str, verb: Option<&str>) -> CommandLineError {
+    CommandLineError::Unknown { name: format!("{command} {}", verb.unwrap_or_default()).trim().to_owned() }
+}
--- a/programs/serving/src/daemon.rs
+++ b/programs/serving/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon: settings, log, runtime, program.
+//! Starts a daemon: reads its settings, sets up logging and the runtime, and runs it.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -12,7 +12,7 @@
 use crate::requirements::missing_keys;
 use crate::{FAILURE_STATUS, USAGE_STATUS, logging};
 
-/// What keeps a daemon from running, or ended it.
+/// Why a daemon could not start, or failed.
 #[derive(Debug, Snafu)]
 enum DaemonError {
     #[snafu(display("{}: {source}", path.display()))]
@@ -44,7 +44,7 @@
     }
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until it is told to shut down.
 pub fn run(command: &DaemonCommand) -> ExitCode {
     match start(command) {
         Ok(()) => ExitCode::SUCCESS,
--- a/programs/serving/src/lib.rs
+++ b/programs/serving/src/lib.rs
@@ -1,7 +1,8 @@
-//! The programs of the serving system: `proxy`, `agent` and `controller`, and the operator's commands that speak to
-//! a running controller. Command line, settings, logs and wiring only; each program lives in its own crate.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! Entry point of the serving system: the daemons `proxy`, `agent`, `controller` and `directory`, and the operator's
+//! commands, which call a running controller.
+//!
+//! Only command line, settings, logging and wiring; each daemon has a crate of its own. The binary asks [`handles`] for its
+//! first argument, and passes the arguments to [`main`] if it does.
 
 pub mod command_line;
 mod daemon;
@@ -17,7 +18,7 @@
 
 /// Exit status for wrong arguments and for settings that cannot be used.
 const USAGE_STATUS: u8 = 2;
-/// Exit status for a program that ended by a failure, and for an order that was refused.
+/// Exit status for a daemon that failed, and for a command that was rejected.
 const FAILURE_STATUS: u8 = 1;
 
 /// Whether the first argument names a command of the serving system.
@@ -25,7 +26,7 @@
     argument.to_str().is_some_and(|name| command_line::COMMANDS.contains(&name))
 }
 
-/// Runs the command that the arguments name; the program's own name is not among them.
+/// Runs the command in the arguments, which exclude the program's name.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
     let command = match command_line::parse(arguments) {
         Ok(command) => command,
@@ -40,6 +41,6 @@
             ExitCode::SUCCESS
         }
         Command::Daemon(daemon) => daemon::run(&daemon),
-        Command::Operator(order) => operator::run(&order),
+        Command::Operator(command) => operator::run(&command),
     }
 }
--- a/programs/serving/src/logging.rs
+++ b/programs/serving/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log of a daemon: lines on standard error, flushed as they are written.
+//! Logging of a daemon: lines on standard error, each flushed at once.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::command_line::LogLevel;
 
-/// Makes the process's default logger write lines of this severity and above.
+/// Sets the default logger of the process, which writes lines of at least this severity.
 pub fn start(level: LogLevel) -> Result<(), spdlog::Error> {
     let line = PatternFormatter::new(pattern!("{level} {payload}{eol}"));
     let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).formatter(line).build()?;
--- a/programs/serving/src/operator.rs
+++ b/programs/serving/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's commands: each is one call to a controller, or a check of a file.
+//! The operator's commands: calls to a controller, and checks of files.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -16,10 +16,10 @@
 use crate::command_line::OperatorCommand;
 use crate::status::{Status, StatusError};
 
-/// How long one call may take.
+/// Time-out of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a command was not carried out.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 enum OperatorError {
     #[snafu(display("{}: {source}", path.display()))]
@@ -38,7 +38,7 @@
     Refused { answer: Answer },
 }
 
-/// Carries out a command and prints what came of it.
+/// Carries out a command and prints its result.
 pub fn run(command: &OperatorCommand) -> ExitCode {
     match answer(command) {
         Ok(text) => {
--- a/programs/serving/src/requirements.rs
+++ b/programs/serving/src/requirements.rs
@@ -1,10 +1,10 @@
-//! What each program needs of its settings, beyond what all need.
+//! The settings that each daemon requires in addition to the common ones.
 
 use whinspindle_configuration::Settings;
 
 use crate::command_line::Program;
 
-/// The keys that a program cannot do without and its settings lack.
+/// The required keys that are missing in the settings of a daemon.
 pub fn missing_keys(program: Program, settings: &Settings) -> Vec<&'static str> {
     let listen = &settings.listen;
     let needed = match program {
--- a/programs/serving/tests/command_line.rs
+++ b/programs/serving/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Which command an argument list names, and what is refused.
+//! Parsing of the command line.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -55,9 +55,9 @@
             if mechanism == Mechanism::Recall { ("controller", "proxy") } else { ("proxy", "controller") };
         (format!("{own} --without {name}"), format!("{other} --without {name}"), name)
     });
-    for (accepted, refused, name) in all {
+    for (accepted, rejected, name) in all {
         assert!(parsed(&accepted).is_ok(), "{accepted}");
-        let failure = parsed(&refused).unwrap_err().to_string();
+        let failure = parsed(&rejected).unwrap_err().to_string();
         assert!(
             failure.starts_with(&format!("`--without`: `{name}` is not a mechanism of this")),
             "{failure}"
@@ -70,27 +70,27 @@
 }
 
 #[test]
-fn all_but_directories_serve_figures_where_they_are_told() {
+fn all_but_directories_take_an_endpoint_for_metrics() {
     for name in ["proxy", "agent", "controller"] {
         let line = format!("{name} --metrics 9464/metrics");
         let Command::Daemon(daemon) = parsed(&line).unwrap() else { panic!("a daemon") };
         assert_eq!(daemon.metrics, Some("9464/metrics".parse().unwrap()));
-        let refused = parsed(&format!("{name} --metrics metrics")).unwrap_err().to_string();
-        assert!(refused.contains("PORT/PATH"), "{refused}");
+        let rejected = parsed(&format!("{name} --metrics metrics")).unwrap_err().to_string();
+        assert!(rejected.contains("PORT/PATH"), "{rejected}");
     }
-    let refused = parsed("directory --metrics 9464/metrics").unwrap_err().to_string();
-    assert!(refused.contains("--metrics"), "{refused}");
+    let rejected = parsed("directory --metrics 9464/metrics").unwrap_err().to_string();
+    assert!(rejected.contains("--metrics"), "{rejected}");
 }
 
 #[test]
-fn an_unknown_mechanism_is_refused_with_the_names_of_all() {
-    let refused = parsed("proxy --without holders,magic").unwrap_err().to_string();
+fn an_unknown_mechanism_is_rejected_with_the_names_of_all() {
+    let rejected = parsed("proxy --without holders,magic").unwrap_err().to_string();
     assert!(
-        refused.starts_with("`--without`: unknown mechanism `magic`; known: own-region-first, "),
-        "{refused}"
+        rejected.starts_with("`--without`: unknown mechanism `magic`; known: own-region-first, "),
+        "{rejected}"
     );
     for mechanism in Mechanism::all() {
-        assert!(refused.contains(mechanism.name()), "{refused}");
+        assert!(rejected.contains(mechanism.name()), "{rejected}");
     }
 }
 
@@ -134,8 +134,8 @@
 }
 
 #[test]
-fn what_names_no_command_is_refused() {
-    let refused = [
+fn arguments_without_a_command_are_rejected() {
+    let rejected = [
         "",
         "nothing",
         "status",
@@ -147,13 +147,13 @@
         "proxy surplus",
         "proxy --log-level loud",
     ];
-    for line in refused {
+    for line in rejected {
         assert!(parsed(line).is_err(), "{line}");
     }
 }
 
 #[test]
-fn help_is_told_before_anything_else() {
+fn help_takes_precedence() {
     assert_eq!(parsed("proxy --help").unwrap(), Command::Help);
     assert_eq!(parsed("serving-help").unwrap(), Command::Help);
 }
--- a/programs/serving/tests/requirements.rs
+++ b/programs/serving/tests/requirements.rs
@@ -1,4 +1,4 @@
-//! Which settings each program cannot start without.
+//! Required settings of each daemon.
 
 use whinspindle_configuration::Settings;
 use whinspindle_serving::command_line::Program;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn all_keys_that_a_program_lacks_are_named() {
+fn all_missing_keys_are_listed() {
     let nothing = settings("");
     for (program, expected) in [
         (Program::Proxy, vec!["listen.front", "listen.ready"]),
