--- a/dataplane/agent/tests/changes.rs
+++ b/dataplane/agent/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Instances that a controller tells by changes, as the agent passes them on to its proxy.
+//! Incremental changes of the endpoint list, as the agent forwards them to its proxy.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use whinspindle_agent::Input;
 use whinspindle_distribution::{Instance, InstanceChanges, Update, Versions};
 
-/// Long enough for the agent to settle with its controller.
+/// Long enough for the agent to trust the controller of its link.
 const TRUSTED_MS: u64 = 8_000;
 
 fn changes(base: u64, version: u64, changed: Vec<Instance>, removed: &[&str]) -> Update {
@@ -78,7 +78,7 @@
     );
 }
 
-/// Numbers of lists are each controller's own.
+/// Each controller numbers its lists itself.
 #[test]
 fn changes_of_another_controller_are_not_applied_to_the_list_of_the_one_before() {
     let mut harness = trusted();
--- a/dataplane/agent/tests/common/mod.rs
+++ b/dataplane/agent/tests/common/mod.rs
@@ -12,7 +12,7 @@
 };
 
 const KEEP_ALIVE_MS: u64 = 300;
-/// More inputs than that within one millisecond mean that the agent is woken in vain.
+/// More inputs than this within one millisecond mean that the agent wakes without need.
 const MAXIMUM_INPUTS_AT_ONCE: u32 = 100;
 
 pub const GRACE_MS: u64 = 8_000;
@@ -50,7 +50,7 @@
     pub now: u64,
     pub agent: Agent,
     pub controllers: BTreeMap<SocketAddr, Controller>,
-    /// The controllers that every controller tells of.
+    /// The controllers that every controller lists.
     pub listed: Vec<SocketAddr>,
     pub reports: Vec<(u64, SocketAddr, Report)>,
     pub attempts: Vec<(u64, SocketAddr)>,
--- a/dataplane/agent/tests/connections.rs
+++ b/dataplane/agent/tests/connections.rs
@@ -1,4 +1,4 @@
-//! What comes late on connections that are gone, and reports of a proxy that was replaced.
+//! Late messages on closed connections, and reports of a proxy that was replaced.
 
 mod common;
 
@@ -82,7 +82,7 @@
     let applied = Versions { configured: 5, ..Versions::default() };
     let outputs = agent.handle(40, Input::FromProxy(proxy_report(applied)));
     assert_eq!(reports(&outputs).last().map(|report| report.applied.configured), Some(5));
-    // The next proxy connects before the end of the old connection is seen.
+    // The next proxy connects before the end of the old connection is detected.
     let outputs = agent.handle(50, Input::ProxyConnected);
     assert_eq!(updates(&outputs).len(), 1, "it gets all that is held");
     let outputs = agent.handle(60, update(link, configured(6)));
--- a/dataplane/agent/tests/deregistrations.rs
+++ b/dataplane/agent/tests/deregistrations.rs
@@ -1,4 +1,4 @@
-//! Ends of upstreams, as an agent passes them on to its proxy.
+//! Deregistered instances, as an agent forwards them to its proxy.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use whinspindle_agent::Input;
 use whinspindle_distribution::{Instance, Instances, Update, Versions};
 
-/// Long enough for the agent to settle with its controller.
+/// Long enough for the agent to trust the controller of its link.
 const TRUSTED_MS: u64 = 8_000;
 
 fn with_end(version: u64, lives: &str, ended: &str) -> Update {
--- a/dataplane/agent/tests/link_selection.rs
+++ b/dataplane/agent/tests/link_selection.rs
@@ -1,4 +1,4 @@
-//! Which controller the agent is linked to, in calm and in trouble.
+//! Selection of the link, without and with faults.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use quickcheck::quickcheck;
 use whinspindle_agent::Input;
 
-/// The longest time without a link after one was lost while another controller is well.
+/// The longest time without a link after one was lost while another controller is healthy.
 const RELINK_MS: u64 = 1_500;
 /// The agent moves away from a silent controller after about a second.
 const SILENCE_MS: u64 = 1_000;
--- a/dataplane/agent/tests/metrics.rs
+++ b/dataplane/agent/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What the agent tells whoever scrapes its metrics.
+//! The metrics that the agent serves.
 
 mod common;
 
--- a/dataplane/agent/tests/proxy_updates.rs
+++ b/dataplane/agent/tests/proxy_updates.rs
@@ -1,4 +1,4 @@
-//! What the proxy is fed, and what is reported of it.
+//! Updates to the proxy, and reports of it to the controller.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use whinspindle_agent::{Input, Notice};
 use whinspindle_distribution::{Link, Report, ToBalancer, Update, Versions};
 
-/// Long enough for the agent to settle with its controller.
+/// Long enough for the agent to trust the controller of its link.
 const TRUSTED_MS: u64 = 8_000;
 
 fn one() -> Vec<(u8, Controller)> {
--- a/dataplane/agent/tests/records.rs
+++ b/dataplane/agent/tests/records.rs
@@ -1,4 +1,4 @@
-//! Which configuration and evacuations an agent takes from a controller that may know old ones alone.
+//! Configurations and evacuations of controllers that may have only old ones.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use whinspindle_agent::Input;
 use whinspindle_distribution::{Update, Versions};
 
-/// An agent that has nothing waits so long for a controller in a quorum.
+/// An agent without records waits this long for a controller in a quorum.
 const RECORDS_PATIENCE_MS: u64 = 3_000;
 
 fn with_proxy(controllers: &[(u8, common::Controller)], seeds: &[u8]) -> Harness {
--- a/dataplane/agent/tests/settings_file.rs
+++ b/dataplane/agent/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file, read again while the agent runs.
+//! Reading the settings file again while the agent runs.
 
 use std::fs;
 
--- a/dataplane/proxy/tests/answers.rs
+++ b/dataplane/proxy/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Every order of what an upstream may do with a request, on fresh and on reused connections, for each kind of route:
-//! an answer goes to the request that it belongs to or to none, what may not be repeated runs once, and a status that
+//! All schedules of what an upstream may do with a request, on new and on reused connections, for each kind of route: an
+//! answer goes to the request that it belongs to or to none, a request that may not be retried runs once, and a status that
 //! promises that a request has not run is given only if it has not.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
@@ -119,13 +119,12 @@
     script: Script,
     /// Nothing of it keeps the request from a good answer.
     must_serve: bool,
-    /// How long after its answer it has an end.
+    /// How long after its answer the connection ends.
     ends_after: Duration,
 }
 
 impl Event {
-    /// Whether the next request must be served: what came behind the answer came long before it, or meets a
-    /// connection that rests.
+    /// Whether the next request must be served: surplus bytes arrived long before it, or within the reuse delay.
     fn spares_next(&self, gap: Duration) -> bool {
         self.must_serve && (self.ends_after < REUSE_DELAY / 2 || gap < REUSE_DELAY / 2)
     }
@@ -289,7 +288,7 @@
     events
 }
 
-/// Whole answers behind which more comes, also in the slot of the next answer.
+/// Complete answers with surplus bytes behind them, also in place of the next answer.
 fn surpluses(kind: Kind) -> Vec<Event> {
     let whole = kind.whole();
     let surplus = [
@@ -332,7 +331,7 @@
     with_resets([breaks(kind), good_answers(kind), refusals(), unfit_answers(kind), surpluses(kind)].concat())
 }
 
-/// One order of what happens.
+/// One schedule of events.
 #[derive(Clone, Debug)]
 struct Order {
     kind: Kind,
@@ -342,7 +341,7 @@
     is_narrow: bool,
     body_bytes: usize,
     gap: Duration,
-    /// The client leaves so long after its request.
+    /// The client disconnects this long after its request.
     leaves: Option<Duration>,
 }
 
--- a/dataplane/proxy/tests/callers.rs
+++ b/dataplane/proxy/tests/callers.rs
@@ -1,4 +1,4 @@
-//! What callers may send that no good client does: each is answered, and each answer belongs to its request.
+//! Unusual and invalid requests: each is answered, and each answer belongs to its request.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -223,7 +223,7 @@
     });
 }
 
-/// Requests at once whose client then says that it sends no more: it has left, as far as a proxy can tell.
+/// Pipelined requests of a client that then closes its side, which counts as a disconnect.
 #[test]
 fn a_client_that_closes_its_side_gets_no_answer_of_another_request() {
     play(async {
--- a/dataplane/proxy/tests/classify.rs
+++ b/dataplane/proxy/tests/classify.rs
@@ -1,4 +1,4 @@
-//! What the heads of answers mean.
+//! Classification of answers by their heads.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use whinspindle_proxy::classify::{AnswerClass, Expected, classify};
@@ -43,7 +43,7 @@
         (503, &[OTHER_ID, NOT_RUN], Unusable),
         (421, &[ID], Misdirected),
         (421, &[OTHER_ID], Unusable),
-        // Statuses that promise what the upstream has not said can't go back.
+        // Statuses that promise more than the upstream has said can't be passed back.
         (503, &[ID, STAMP], Unusable),
         (503, &[ID], Unusable),
         (429, &[ID, STAMP], Unusable),
--- a/dataplane/proxy/tests/closes.rs
+++ b/dataplane/proxy/tests/closes.rs
@@ -1,4 +1,4 @@
-//! Requests that cross a close of the proxy's own: one that is passed on is answered, any other gets nothing at all.
+//! Requests that cross a close by the proxy: one that is forwarded is answered, any other gets nothing at all.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -24,9 +24,9 @@
 enum Close {
     /// It was idle for too long.
     Idle,
-    /// Its request was not whole in time; the first part of it comes that long before.
+    /// The head of its request was not complete in time; the first part of it is sent this long before.
     LateHead,
-    /// The process stops.
+    /// The process shuts down.
     Stop,
 }
 
--- a/dataplane/proxy/tests/common/mod.rs
+++ b/dataplane/proxy/tests/common/mod.rs
@@ -21,9 +21,9 @@
 use whinspindle_proxy::node::Node;
 
 const PIPE_BYTES: usize = 256 * 1024;
-/// Enough for all that is due at this moment to happen.
+/// Long enough for all tasks that are ready to run.
 pub const SETTLE_TIME: Duration = Duration::from_millis(1);
-/// Longer than a connection to an upstream rests.
+/// Longer than the delay after which a connection to an upstream is reused.
 pub const REUSE_DELAY: Duration = Duration::from_millis(50);
 pub const ID: &str = "9c41d07be2a35f68";
 pub const STAMP: &str = "3e1b.07.5a2";
@@ -62,13 +62,13 @@
 pub enum Step {
     /// Writes bytes; `{id}` stands for the request's id.
     Write(String),
-    /// Says nothing for a while.
+    /// Sends nothing for a time.
     Wait(Duration),
     /// Closes the connection.
     Close,
     /// Resets the connection; what was written before still arrives.
     Reset,
-    /// Says nothing until the other side closes.
+    /// Sends nothing until the peer closes.
     Hang,
     /// First of a script: it is played as soon as the head of a request is there, before its body is read.
     BeforeBody,
@@ -84,7 +84,7 @@
     Step::Write(text.into())
 }
 
-/// A whole answer that keeps the connection.
+/// A complete answer that keeps the connection open.
 pub fn answer(status: &str, headers: &str, body: &str) -> Step {
     let length = body.len();
     write(format!(
@@ -136,18 +136,18 @@
     pub refusals: Cell<usize>,
     /// How long a connect takes.
     pub connect_time: Cell<Duration>,
-    /// What a connection holds that nobody reads; nothing for plenty.
+    /// Capacity of a connection's buffer, if it is limited.
     pub pipe_bytes: Cell<Option<usize>>,
     /// What is played for requests that no script is left for.
     otherwise: RefCell<Option<Script>>,
     /// The ids of requests that ran, once for each run.
     runs: RefCell<Vec<String>>,
-    /// What came where a body was due, and is not the whole body.
+    /// Incomplete bodies of requests.
     broken_bodies: RefCell<Vec<String>>,
 }
 
 impl Upstreams {
-    /// The next request, at whichever upstream, is answered so.
+    /// Sets the script of the next request at any upstream.
     pub fn script(&self, script: Script) {
         self.scripts.borrow_mut().push_back(script);
     }
@@ -165,7 +165,7 @@
         self.open.get()
     }
 
-    /// Requests that no script is left for are answered so.
+    /// Sets the script of requests without one of their own.
     pub fn otherwise(&self, script: Script) {
         *self.otherwise.borrow_mut() = Some(script);
     }
@@ -175,7 +175,7 @@
         self.runs.borrow().iter().filter(|run| *run == id).count()
     }
 
-    /// What came of bodies that were not whole when their connection ended.
+    /// What was received of bodies that were incomplete when their connection ended.
     pub fn broken_bodies(&self) -> Vec<String> {
         self.broken_bodies.borrow().clone()
     }
@@ -366,12 +366,12 @@
 }
 
 impl Harness {
-    /// A proxy that knows nothing yet.
+    /// A proxy without configuration and instances.
     pub fn empty() -> Harness {
         Harness::with_settings(SETTINGS)
     }
 
-    /// A proxy with a configuration and upstreams that may not repeat a request at all.
+    /// A proxy with a configuration and upstreams, without any retry budget.
     pub fn without_retries() -> Harness {
         let settings = SETTINGS
             .replace(r#""retry_ratio": 0.2"#, r#""retry_ratio": 0.0"#)
@@ -395,7 +395,7 @@
         harness
     }
 
-    /// Tells the proxy of a configuration, the upstreams and the number of balancers.
+    /// Applies a configuration, the upstreams and the number of balancers.
     pub fn apply_defaults(&self) {
         self.configure(1, CONFIGURATION);
         self.instances(1, &[]);
@@ -412,7 +412,7 @@
         self.apply(Update { configured: Some(configured), ..Update::default() });
     }
 
-    /// Tells the proxy of the upstreams; those named are draining.
+    /// Applies the list of upstreams, of which some are draining.
     pub fn instances(&self, version: u64, draining: &[&str]) {
         let names = ["plain", "model"];
         let list = names.iter().flat_map(|service| {
@@ -440,14 +440,14 @@
         Client { socket: near }
     }
 
-    /// Sends one request on a connection of its own and reads all that comes.
+    /// Sends one request on a connection of its own and reads everything until its end.
     pub async fn ask(&self, request: &str) -> String {
         let mut client = self.client();
         client.send(request).await;
         client.answer().await
     }
 
-    /// Passes the time for which times that are over are looked for.
+    /// Lets time pass with the regular ticks.
     pub async fn pass(&self, time: Duration) {
         const TICK: Duration = Duration::from_millis(500);
         let mut left = time;
@@ -471,18 +471,18 @@
         self.socket.write_all(text.as_bytes()).await.expect("the proxy reads");
     }
 
-    /// Says that nothing more comes from here; reads on.
+    /// Closes the sending side; reads on.
     pub async fn end(&mut self) {
         self.socket.shutdown().await.expect("the proxy is there");
     }
 
-    /// Sends what still goes out on a connection that may be closed meanwhile.
+    /// Sends on a connection that may be closed meanwhile.
     pub async fn send_ignoring_close(&mut self, text: &str) {
-        // What the proxy does not read any more is what such a test is about.
+        // The test is about bytes that the proxy does not read any more.
         let _ = self.socket.write_all(text.as_bytes()).await;
     }
 
-    /// One whole answer, or what has come when the connection ends.
+    /// One complete answer, or what was received when the connection ends.
     pub async fn answer(&mut self) -> String {
         let mut bytes = Vec::new();
         while let Ok(1..) = self.socket.read_buf(&mut bytes).await {
@@ -500,7 +500,7 @@
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// What comes within a while, without waiting for more.
+    /// What is received within a time.
     pub async fn receive_for(&mut self, time: Duration) -> String {
         let mut bytes = Vec::new();
         let mut piece = [0; 4096];
--- a/dataplane/proxy/tests/control_link.rs
+++ b/dataplane/proxy/tests/control_link.rs
@@ -1,4 +1,4 @@
-//! The link to the agent: what it brings is put in force and acknowledged.
+//! The control link to the agent: updates are applied and acknowledged.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
--- a/dataplane/proxy/tests/events.rs
+++ b/dataplane/proxy/tests/events.rs
@@ -1,4 +1,4 @@
-//! The splitter of event streams: whole events whatever the pieces, and ids that rise.
+//! The splitter of event streams: complete events for any chunks, and rising ids.
 
 use bytes::Bytes;
 use quickcheck::{TestResult, quickcheck};
@@ -49,7 +49,7 @@
     let changed = "versions: 4\n".to_owned() + &event(2, "b");
     assert_eq!(push(&mut splitter, &changed), Ok(changed));
     assert_eq!(splitter.position().versions, Some(4));
-    // A version counts once its event is whole.
+    // A version counts once its event is complete.
     assert_eq!(push(&mut splitter, "versions: 5\nid: 3\n"), Ok(String::new()));
     assert_eq!(splitter.position().versions, Some(4));
 }
--- a/dataplane/proxy/tests/exchange.rs
+++ b/dataplane/proxy/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and whole answers: what goes to an upstream, what comes back, and what is repeated.
+//! Exchanges with complete answers: what is forwarded, what is passed back, and what is retried.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -555,7 +555,7 @@
             sleep(REUSE_DELAY).await;
         }
         assert_eq!(harness.upstreams.connections(), 1);
-        // Seven tenths of the five seconds that the upstream tells.
+        // Seven tenths of the five seconds that the upstream gives.
         sleep(Duration::from_millis(3600)).await;
         harness.upstreams.script(served("ok"));
         assert_eq!(status(&harness.ask(&post("/unsafe/x")).await), 200);
--- a/dataplane/proxy/tests/headers.rs
+++ b/dataplane/proxy/tests/headers.rs
@@ -1,4 +1,4 @@
-//! Headers: what concerns one connection goes, all else stays, and values are read.
+//! Headers: hop-by-hop headers are dropped, all others stay, and values are parsed.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use whinspindle_proxy::headers::{
--- a/dataplane/proxy/tests/limits.rs
+++ b/dataplane/proxy/tests/limits.rs
@@ -1,4 +1,4 @@
-//! How much is held, and what clients may count on.
+//! Limits of the process and of requests, and the times of a shutdown.
 
 use std::time::Duration;
 
--- a/dataplane/proxy/tests/metrics.rs
+++ b/dataplane/proxy/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What the proxy tells whoever scrapes its figures.
+//! The metrics that the proxy serves.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -43,7 +43,7 @@
     });
 }
 
-/// The log tells what came since its last line, the figures what came since the start.
+/// The log line counts since the last line, the metrics since the start.
 #[test]
 fn counts_never_fall() {
     play(async {
--- a/dataplane/proxy/tests/reachability.rs
+++ b/dataplane/proxy/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! What is sent to a zone of which connections have fallen silent.
+//! Attempts at a zone to which connecting has timed out.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
--- a/dataplane/proxy/tests/request_framing.rs
+++ b/dataplane/proxy/tests/request_framing.rs
@@ -1,4 +1,4 @@
-//! Heads that name two kinds of length are found, however their bytes come.
+//! Heads with two kinds of length are detected, in any chunks.
 
 use quickcheck::quickcheck;
 use whinspindle_proxy::request_framing::RequestFraming;
--- a/dataplane/proxy/tests/retry.rs
+++ b/dataplane/proxy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What follows a send: the whole table, and what must hold whatever happens to a request.
+//! Retry decisions: a table of cases, and properties that hold for any sequence of attempts.
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use whinspindle_proxy::retry::{
@@ -27,7 +27,7 @@
         (ONCE, &[Misdirected], Decision::Retry),
         (ONCE, &[Rejected], Decision::Retry),
         (TWICE, &[NotSent, NotSent, NotSent], Decision::Retry),
-        // Only so often.
+        // Up to the limit of each kind.
         (ONCE, &[NotSent, NotSent, NotSent, NotSent], REJECTED),
         (ONCE, &[Misdirected, Misdirected, Misdirected], REJECTED),
         (ONCE, &[Rejected, Rejected], REJECTED),
@@ -42,7 +42,7 @@
         (TWICE, &[Broken, Failed], Decision::PassBack),
         (IDEMPOTENT_ONCE, &[Broken], BAD_GATEWAY),
         (IDEMPOTENT_ONCE, &[Failed], Decision::PassBack),
-        // A run before rules out the promise that it has not run.
+        // After a run the proxy can't promise that the request has not run.
         (TWICE, &[Broken, Rejected], Decision::Retry),
         (TWICE, &[Broken, Rejected, Rejected], BAD_GATEWAY),
     ];
@@ -72,7 +72,7 @@
 }
 
 quickcheck! {
-    /// Plays sends until the table ends them.
+    /// Plays attempts until a decision ends them.
     fn runs_stay_within_what_the_route_allows(ends: Vec<AnyEnd>, idempotent: bool, most_runs: u8) -> bool {
         let policy = RetryPolicy { idempotent, most_runs: u32::from(most_runs).max(1) };
         let allowed = if idempotent { policy.most_runs } else { 1 };
--- a/dataplane/proxy/tests/rules.rs
+++ b/dataplane/proxy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! What clients, upstreams and the platform count on, held under the order of events that tries it.
+//! Guarantees to clients, upstreams and the platform, each under the sequence of events that challenges it.
 //! `docs/control-plane-safety.md` (section 8) names the test for each rule.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
@@ -354,7 +354,7 @@
         sleep(SETTLE_TIME).await;
         harness.instances(2, &["model-1", "model-2", "model-3"]);
         harness.pass(Duration::from_secs(1)).await;
-        // It has told that it is gone.
+        // It has been deregistered.
         harness.apply(whinspindle_distribution::Update {
             instances: Some(whinspindle_distribution::Instances { version: 3, list: Vec::new() }),
             ..Default::default()
--- a/dataplane/proxy/tests/streams.rs
+++ b/dataplane/proxy/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: events go on as they come, and a broken stream is cut or resumed.
+//! Streams: events are passed on as they arrive, and a broken stream is truncated or resumed.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -195,7 +195,7 @@
         let start = Instant::now();
         let got = harness.ask(&post("/resumable/x").replace("3000", "15000")).await;
         assert_eq!(chunks(&got), (events([1, 2]), true));
-        // The client waits four objectives.
+        // The client waits for four latency targets.
         assert!(start.elapsed() < Duration::from_millis(4 * 600), "{:?}", start.elapsed());
         sleep(SETTLE_TIME).await;
         assert_eq!(harness.upstreams.open(), 1);
@@ -253,8 +253,7 @@
 }
 
 quickcheck! {
-    /// However the bytes of a stream are cut into pieces, whole events come out, in order, and only a stream that
-    /// has ended looks complete.
+    /// For any chunks of a stream, complete events are passed on in order, and only a stream that has ended is complete.
     fn chunk_boundaries_of_a_stream_do_not_matter(lengths: Vec<u8>, cuts: Vec<usize>, ended: bool) -> bool {
         let mut text = String::new();
         for (id, length) in lengths.iter().enumerate() {
