--- a/dataplane/agent/src/runtime.rs
+++ b/dataplane/agent/src/runtime.rs
@@ -26,8 +26,9 @@
 };
 use whinspindle_metrics::MetricsEndpoint;
 
-use crate::agent::{Agent, AgentSettings, Input, Output};
+use crate::agent::Agent;
 use crate::connection::ConnectionId;
+use crate::messages::{AgentSettings, Input, Output};
 use crate::{metrics, settings_file};
 use channel::{Channel, ChannelEvent, Event, Source};
 
--- a/dataplane/agent/src/runtime/log_lines.rs
+++ b/dataplane/agent/src/runtime/log_lines.rs
@@ -2,7 +2,7 @@
 
 use spdlog::{info, warn};
 
-use crate::agent::Notice;
+use crate::messages::Notice;
 use crate::selector::LossReason;
 
 /// Logs a notice.
