--- a/balancer/bench-adapter/src/main.rs
+++ b/balancer/bench-adapter/src/main.rs
@@ -14,7 +14,7 @@
     match play(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("whinspindle-bench-adapter: {fault}");
+            eprintln!("whinspindle-benchlink: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/controlplane/controller/src/controller/submission.rs
+++ b/controlplane/controller/src/controller/submission.rs
@@ -59,7 +59,7 @@
         }
         let call = pending.call;
         let Ok(command) = pending.command().encode() else {
-            self.finish(call, Response::unavailable("the command could not be written"));
+            self.finish(call, Response::unavailable("the order could not be written"));
             return;
         };
         let ticket = self.pending.add_submitted(pending);
@@ -125,9 +125,9 @@
             "it is not known any more whether this configuration was taken; in place is {current}"
         )),
         Outcome::Superseded { .. } => {
-            Response::unavailable("another command for this zone came first; this one has no effect")
+            Response::unavailable("another order for this zone came first; this one has no effect")
         }
-        Outcome::Unreadable => Response::unavailable("the command could not be read; it has no effect"),
+        Outcome::Unreadable => Response::unavailable("the order could not be read; it has no effect"),
     }
 }
 
