--- a/dataplane/routing/src/region.rs
+++ b/dataplane/routing/src/region.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use whinspindle::pcg::Pcg;
-use whinspindle::samples::{decayed, push, rising, shares};
+use whinspindle::samples::{LatencyFit, decayed, fit_rising, push, shares};
 use whinspindle::weights::{FLOOR_SHARE, Target, solve};
 
 use crate::rate::RateCounter;
@@ -59,37 +59,15 @@
     pub(crate) fn fit_error(&self, now: u64) -> f64 {
         let fit = self.fit(now);
         let square = |(weight, load, latency): (f64, f64, f64)| {
-            weight * (latency - fit.base_latency_ms - fit.slope * load).powi(2)
+            weight * (latency - fit.base - fit.slope * load).powi(2)
         };
         let squares: f64 = decayed(&self.samples, now, 2 * CHECK_MS).map(square).sum();
         if fit.weight > 0.0 { (squares / fit.weight).sqrt() } else { 0.0 }
     }
 
     /// The present fit of latency against the load for each ready instance.
-    pub(crate) fn fit(&self, now: u64) -> Fit {
-        let (base_latency_ms, slope, mean_latency_ms, weight) =
-            rising(decayed(&self.samples, now, 2 * CHECK_MS), LEAST_SLOPE);
-        Fit { base_latency_ms, slope, mean_latency_ms, weight }
-    }
-}
-
-/// Latency as a rising line over the load for each ready instance, fitted to decayed samples.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Fit {
-    /// Latency without load, in milliseconds.
-    base_latency_ms: f64,
-    /// Milliseconds for each request a second and instance.
-    slope: f64,
-    /// Mean latency of the samples, in milliseconds.
-    mean_latency_ms: f64,
-    /// Sum of the decayed weights of the samples; 0 without samples.
-    weight: f64,
-}
-
-impl Fit {
-    /// The form that `whinspindle::decide` takes.
-    fn as_line(self) -> (f64, f64, f64, f64) {
-        (self.base_latency_ms, self.slope, self.mean_latency_ms, self.weight)
+    pub(crate) fn fit(&self, now: u64) -> LatencyFit {
+        fit_rising(decayed(&self.samples, now, 2 * CHECK_MS), LEAST_SLOPE)
     }
 }
 
@@ -123,8 +101,8 @@
     random: &mut Pcg,
 ) {
     let fits: Vec<_> = regions.iter().map(|region| region.fit(conditions.now)).collect();
-    let moved = |(region, fit): (&RegionModel, &Fit)| {
-        changed(region.solved.0, region.ready) || changed(region.solved.1, fit.mean_latency_ms)
+    let moved = |(region, fit): (&RegionModel, &LatencyFit)| {
+        changed(region.solved.0, region.ready) || changed(region.solved.1, fit.mean)
     };
     solved.checks_since += 1;
     let due = solved.checks_since >= SOLVE_EVERY || changed(solved.rate, conditions.rate);
@@ -136,14 +114,14 @@
     let place = |(index, region): (usize, &RegionModel)| Target {
         ready: region.ready,
         load: load(region) / region.ready.max(1.0),
-        line: fits[index].as_line(),
+        fit: fits[index],
         crossing: 0.0,
     };
     let places: Vec<Target> = regions.iter().enumerate().map(place).collect();
     let weights: Vec<f64> = regions.iter().map(|region| region.weight).collect();
     let better = solve(random, &places, &weights, conditions.rate);
     for (region, fit) in regions.iter_mut().zip(&fits) {
-        region.solved = (region.ready, fit.mean_latency_ms);
+        region.solved = (region.ready, fit.mean);
     }
     regions
         .iter_mut()
--- a/src/balancer/zone_weights.rs
+++ b/src/balancer/zone_weights.rs
@@ -3,7 +3,7 @@
 
 use super::{Balancer, CHECK_PERIOD, LABEL_WEIGHTS};
 use crate::host::Host;
-use crate::samples::{decayed, mean, rising, shares};
+use crate::samples::{LatencyFit, decayed, fit_rising, mean, shares};
 use crate::weights::{FLOOR_SHARE, LEAST_SLOPE, Target, solve};
 
 /// Each tier's checks come so long after those of the tier above, so that parents settle first.
@@ -28,7 +28,7 @@
         let has_changed = |old: f64, new: f64| (new - old).abs() > RELEVANT_CHANGE * old;
         let rate = self.rate(&self.arrivals, CHECK_PERIOD);
         let zones = 0..self.zones.len();
-        let seen: Vec<_> = zones.map(|zone| (self.ready_count(zone), self.latency_fit(zone).2)).collect();
+        let seen: Vec<_> = zones.map(|zone| (self.ready_count(zone), self.latency_fit(zone).mean)).collect();
         let mut solved_for = self.zones.iter().map(|zone| zone.solved_for).zip(&seen);
         let zone_changed =
             solved_for.any(|(old, new)| has_changed(old.0, new.0) || has_changed(old.1, new.1));
@@ -45,7 +45,7 @@
         let target = |zone: usize| Target {
             ready: self.ready_count(zone),
             load: self.load_per_ready(zone),
-            line: self.latency_fit(zone),
+            fit: self.latency_fit(zone),
             crossing: if zone == self.settings.home { 0.0 } else { self.settings.cross_zone * slo_time },
         };
         let targets: Vec<Target> = (0..self.zones.len()).map(target).collect();
@@ -81,9 +81,9 @@
         self.listed.iter().filter(is_ready).count() as f64
     }
 
-    /// Zone latency as a + b * load per ready server by decayed least squares; its mean, the weight of the samples.
-    fn latency_fit(&self, zone: usize) -> (f64, f64, f64, f64) {
+    /// Zone latency as a + b * load per ready server, by decayed least squares.
+    fn latency_fit(&self, zone: usize) -> LatencyFit {
         let samples = decayed(&self.zones[zone].samples, self.now, HALF_LIFE_PERIODS * CHECK_PERIOD);
-        rising(samples, LEAST_SLOPE)
+        fit_rising(samples, LEAST_SLOPE)
     }
 }
--- a/src/samples.rs
+++ b/src/samples.rs
@@ -69,13 +69,26 @@
     (if spread > 1e-9 * w * x * x { both / spread } else { 0.0 }, x, y, w)
 }
 
-/// The line through samples as `fit` finds it, as its height at 0, its slope, the mean y and the sum of the
-/// weights; the slope is at least this part of that of a line through the origin, and at most that.
-pub fn rising(samples: impl Iterator<Item = (f64, f64, f64)> + Clone, least: f64) -> (f64, f64, f64, f64) {
+/// A rising line fitted to weighted samples of load and latency.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct LatencyFit {
+    /// Latency without load.
+    pub base: f64,
+    /// Latency that each unit of load adds.
+    pub slope: f64,
+    /// Mean latency of the samples.
+    pub mean: f64,
+    /// Sum of the weights of the samples; 0 without samples.
+    pub weight: f64,
+}
+
+/// The line through samples as [`fit`] finds it; its slope is at least this part of that of a line through the
+/// origin, and at most that.
+pub fn fit_rising(samples: impl Iterator<Item = (f64, f64, f64)> + Clone, least: f64) -> LatencyFit {
     let (slope, x, y, w) = fit(samples);
     let through_origin = y / x.max(0.01);
     let slope = slope.clamp(least * through_origin, through_origin);
-    (y - slope * x, slope, y, w)
+    LatencyFit { base: y - slope * x, slope, mean: y, weight: w }
 }
 
 /// The weights as parts of 1; what is above 0 has at least about the floor.
--- a/src/samples/tests.rs
+++ b/src/samples/tests.rs
@@ -73,7 +73,8 @@
         (&[(1.0, 1.0, 4.0), (1.0, 3.0, 6.0)], 3.0, 1.0),
         (&[(1.0, 1.0, 1.0), (1.0, 3.0, 9.0)], 0.0, 2.5),
     ] {
-        assert_eq!(rising(samples.iter().copied(), 0.1), (height, slope, 5.0, 2.0), "{samples:?}");
+        let line = LatencyFit { base: height, slope, mean: 5.0, weight: 2.0 };
+        assert_eq!(fit_rising(samples.iter().copied(), 0.1), line, "{samples:?}");
     }
 }
 
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -4,6 +4,7 @@
 //! with load, as a + b times the load of each ready server (`docs/design.md`).
 
 use crate::pcg::Pcg;
+use crate::samples::LatencyFit;
 use crate::search::{Moves, least_cost};
 
 /// The least part of the traffic that a target with ready servers keeps, so that its latency stays known.
@@ -18,8 +19,8 @@
     pub ready: f64,
     /// The load on each, in requests a second.
     pub load: f64,
-    /// Its latency fit: height at no load, slope, mean latency, weight of the samples.
-    pub line: (f64, f64, f64, f64),
+    /// Its latency against the load for each ready server.
+    pub fit: LatencyFit,
     /// What going there costs, in the unit of the latencies.
     pub crossing: f64,
 }
@@ -29,21 +30,21 @@
 /// choose, or nothing known.
 pub fn solve(random: &mut Pcg, targets: &[Target], weights: &[f64], rate: f64) -> Option<Vec<f64>> {
     let open: Vec<usize> = (0..targets.len()).filter(|&target| targets[target].ready > 0.0).collect();
-    let known: f64 = targets.iter().map(|target| target.line.3).sum();
+    let known: f64 = targets.iter().map(|target| target.fit.weight).sum();
     if open.len() < 2 || known <= 0.0 {
         return None;
     }
     // A fit whose samples have aged away leans on the others' mean.
-    let mean_height = targets.iter().map(|target| target.line.3 * target.line.0).sum::<f64>() / known;
-    let mean_slope = targets.iter().map(|target| target.line.3 * target.line.1).sum::<f64>() / known;
+    let mean_base = targets.iter().map(|target| target.fit.weight * target.fit.base).sum::<f64>() / known;
+    let mean_slope = targets.iter().map(|target| target.fit.weight * target.fit.slope).sum::<f64>() / known;
     let predict = |shares: &[f64]| -> f64 {
         let latency = |&index: &usize| {
-            let Target { ready, load, line, crossing } = &targets[index];
+            let Target { ready, load, fit, crossing } = &targets[index];
             let load = load + (shares[index] - weights[index]) * rate / ready;
-            let trust = line.3.min(1.0);
-            let height = trust * line.0 + (1.0 - trust) * mean_height;
-            let slope = trust * line.1 + (1.0 - trust) * mean_slope;
-            shares[index] * (height + slope * load.max(0.0) + crossing)
+            let trust = fit.weight.min(1.0);
+            let base = trust * fit.base + (1.0 - trust) * mean_base;
+            let slope = trust * fit.slope + (1.0 - trust) * mean_slope;
+            shares[index] * (base + slope * load.max(0.0) + crossing)
         };
         open.iter().map(latency).sum()
     };
