--- a/src/search.rs
+++ b/src/search.rs
@@ -5,7 +5,7 @@
 /// How often and how far a search moves, and the share that it leaves everywhere.
 pub struct Moves {
     /// Shifts that are tried.
-    pub tries: usize,
+    pub attempts: usize,
     /// The largest shift, as a part of 1.
     pub step: f64,
     /// The share that is left everywhere.
@@ -14,18 +14,18 @@
 
 /// Tries shifts of a part between two of the open places, two at the least; the shares of the least cost.
 pub fn least_cost(
-    chance: &mut Pcg,
+    random: &mut Pcg,
     shares: &[f64],
     open: &[usize],
     moves: &Moves,
     cost: impl Fn(&[f64]) -> f64,
 ) -> Vec<f64> {
     let (mut best, mut least) = (shares.to_vec(), cost(shares));
-    for _ in 0..moves.tries {
-        let first = chance.below(open.len());
-        let second = (first + 1 + chance.below(open.len() - 1)) % open.len();
+    for _ in 0..moves.attempts {
+        let first = random.below(open.len());
+        let second = (first + 1 + random.below(open.len() - 1)) % open.len();
         let (from, to) = (open[first], open[second]);
-        let step = (moves.step * (1.0 - chance.unit())).min(shares[from] - moves.floor).max(0.0);
+        let step = (moves.step * (1.0 - random.unit())).min(shares[from] - moves.floor).max(0.0);
         let mut shifted = shares.to_vec();
         shifted[from] -= step;
         shifted[to] += step;
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -11,7 +11,7 @@
 pub const FLOOR_SHARE: f64 = 0.02;
 /// The least slope of a latency fit, as a part of the slope of a line through the origin.
 pub(crate) const LEAST_SLOPE: f64 = 0.1;
-const MOVES: Moves = Moves { tries: 10, step: 0.1, floor: FLOOR_SHARE };
+const MOVES: Moves = Moves { attempts: 10, step: 0.1, floor: FLOOR_SHARE };
 
 /// A zone or a region that weight is given to.
 pub struct Target {
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -7,7 +7,7 @@
 use whinspindle::samples::decayed;
 use whinspindle::search::{Moves, least_cost};
 
-const MOVES: Moves = Moves { tries: 10, step: 0.1, floor: 0.02 };
+const MOVES: Moves = Moves { attempts: 10, step: 0.1, floor: 0.02 };
 
 #[test]
 fn a_search_costs_the_start_and_each_try_once() {
