--- a/balancer/fleet-policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -1,4 +1,7 @@
-//! What the fleet agrees on, and the steps by which it changes.
+//! The replicated record of a fleet: policies, units out of service, releases and voters. `step` has the
+//! transitions by which it changes.
+
+mod step;
 
 use std::fmt;
 
@@ -6,18 +9,12 @@
 use whinspindle_consensus::{RegisterValue, Voter};
 use whinspindle_rollout::{Places, Unit, Way};
 
-/// Wishes about units and voters that are remembered as done.
-const MAX_DONE_REQUESTS: usize = 32;
-/// Units that may be out by grants at most, whatever the limits say, so that the record stays small.
+pub use step::Step;
+
+/// Units that grants may take out of service at once, whatever the limits say, so that the record stays small.
 const MAX_UNITS_OUT: usize = 256;
-/// How many ended changes the record keeps.
-const MAX_PAST_CHANGES: usize = 8;
-/// How many ended releases it keeps.
-const MAX_PAST_RELEASES: usize = 4;
-/// After a bootstrap anew numbers go on at the next multiple of this.
-const NUMBERS: u64 = 1000;
-/// Bits of a bootstrap that are drawn; those above count the foundings.
-const DRAWN: u32 = 48;
+/// The lower bits of a bootstrap id, which are random; those above count the bootstraps.
+const RANDOM_BITS: u32 = 48;
 /// Longest text of a policy, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
 
@@ -26,6 +23,7 @@
 pub struct Hash(pub [u8; 16]);
 
 impl Hash {
+    /// Hashes a text.
     pub fn of(text: &[u8]) -> Hash {
         let mut half = [0; 16];
         half.copy_from_slice(&blake3::hash(text).as_bytes()[..16]);
@@ -45,33 +43,41 @@
     }
 }
 
-/// A policy by its number and the hash and length of its text. Number 0 is none: no routes.
+/// A policy by its number and the hash and length of its text; number 0 stands for no policy: no routes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
+    /// Grows with each proposed policy, from 1.
     pub number: u64,
+    /// Of its text.
     pub hash: Hash,
+    /// Of its text, in bytes.
     pub length: u32,
 }
 
-/// Who asked for a change; the serial number is drawn, so that one asked for again is known.
+/// Identifies an operator's request, so that one that is repeated is carried out once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestId {
+    /// The member that the operator asked.
     pub by: u16,
+    /// A random number.
     pub serial: u64,
 }
 
-/// A change under way: every process that is heard has to prove it.
+/// A change of policy under way: every process that is not absent has to prove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
+    /// The proposed policy.
     pub policy: Policy,
+    /// The request that proposed it.
     pub request_id: RequestId,
 }
 
-/// What became of a change.
+/// How a change ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeOutcome {
+    /// Its policy came into force.
     InForce,
-    /// By an operator.
+    /// An operator withdrew it.
     Withdrawn,
     /// This member could not prove it.
     Refused(u16),
@@ -79,158 +85,122 @@
     GivenUp,
 }
 
+/// A change that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Past {
+    /// The change.
     pub change: Change,
+    /// How it ended.
     pub outcome: ChangeOutcome,
 }
 
-/// A unit that was let out and is not back.
+/// A unit that was granted leave to restart and has not returned to service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Out {
+    /// The balancer or server.
     pub unit: Unit,
-    /// By whose request; the serial number is the supervisor's own word, so that asking again is harmless.
+    /// The request; its serial number is chosen by the supervisor, so that asking again is harmless.
     pub request_id: RequestId,
-    /// Of a balancer: the start of its process then. Another start is one that is back.
+    /// Of a balancer: the start number of its process at the grant. A process with another one has restarted.
     pub start: u64,
-    /// By which release, its place in the plan, and which way it goes.
+    /// The part of a release that it restarts for; none if it restarts for another cause.
     pub part: Option<Part>,
 }
 
+/// One unit's part in a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Part {
+    /// The number of the release.
     pub release: u64,
+    /// The unit's index in the plan.
     pub place: u16,
+    /// Whether the unit gets the new build or the old one back.
     pub way: Way,
 }
 
-/// A release under way; its plan is a text that goes round like a policy's.
+/// A release under way; its plan is a text that members fetch in chunks as they do a policy's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Release {
+    /// Grows with each release, from 1.
     pub number: u64,
+    /// Of the plan's text.
     pub hash: Hash,
+    /// Of the plan's text, in bytes.
     pub length: u32,
+    /// The request that began it.
     pub request_id: RequestId,
+    /// Whether units get the new build or the old one back.
     pub way: Way,
+    /// The wave whose units may restart now, from 0.
     pub wave: u16,
-    /// Units that have come back changed, by their places in the plan.
+    /// Units that run the new build, by their indices in the plan.
     pub changed: Places,
 }
 
-/// What became of a release.
+/// How a release ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Close {
-    /// All its units are changed.
+    /// All its units run the new build.
     Done,
-    /// All that were changed are what they were.
+    /// Units that had changed run the old build again.
     TakenBack,
-    /// By an operator's word, as it stood.
+    /// An operator ended it as it stood.
     Left,
 }
 
+/// A release that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PastRelease {
+    /// Its number.
     pub number: u64,
+    /// Of the plan's text.
     pub hash: Hash,
+    /// The request that began it.
     pub request_id: RequestId,
+    /// How it ended.
     pub close: Close,
+    /// How many units ran the new build at its end.
     pub changed: u16,
 }
 
-/// Nothing is let out any more.
+/// A stop of all grants until an operator resumes them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Halt {
+    /// The request: an operator's, or of a member whose release test found the new build worse.
     pub request_id: RequestId,
+    /// The cause, for operators.
     pub why: String,
 }
 
-/// One step of the record.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Step {
-    /// Nothing but to bring to its end what another began.
-    Finish,
-    /// The first agreement of its voters; `base` has what is known from a bootstrap before, if there was one.
-    Bootstrap {
-        bootstrap_id: u64,
-        base: Box<Record>,
-    },
-    Propose {
-        hash: Hash,
-        length: u32,
-        request_id: RequestId,
-    },
-    End {
-        number: u64,
-        outcome: ChangeOutcome,
-    },
-    /// A unit is let out, and one is back.
-    Grant {
-        out: Out,
-    },
-    Back {
-        unit: Unit,
-        request_id: RequestId,
-        /// It carries what it went out for.
-        done: bool,
-    },
-    /// A release begins, goes on to another wave, turns back, and is over.
-    Release {
-        hash: Hash,
-        length: u32,
-        request_id: RequestId,
-    },
-    Wave {
-        number: u64,
-        from: u16,
-        to: u16,
-    },
-    Turn {
-        number: u64,
-        request_id: RequestId,
-    },
-    Close {
-        number: u64,
-        close: Close,
-        request_id: Option<RequestId>,
-    },
-    /// Grants end, and go on.
-    Halt {
-        halt: Halt,
-    },
-    Resume {
-        request_id: RequestId,
-    },
-    /// One voter makes way for another; both voter sets vote until `Settle`. By an operator's request, or of itself
-    /// where one starts without its memory.
-    Replace {
-        old: Voter,
-        new: Voter,
-        request_id: Option<RequestId>,
-    },
-    Settle,
-}
-
+/// What the fleet agrees on: the value of its consensus register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Which bootstrap it is, in the upper bits, and what was drawn for it; 0 before the first.
+    /// The count of bootstraps in the upper bits, and a random number; 0 before the first.
     pub bootstrap_id: u64,
     /// Grows by one with each step.
     pub version: u64,
     /// Grows with each change of the voters.
     pub voter_set_version: u64,
+    /// One set of voters, or two while a voter is replaced: then a majority of each is needed.
     pub voter_sets: Vec<Vec<Voter>>,
+    /// The policy in force.
     pub policy: Policy,
+    /// The change under way.
     pub next: Option<Change>,
     /// The last changes that ended, the newest at the end.
     pub past: Vec<Past>,
+    /// Units that are out of service by grants.
     pub out: Vec<Out>,
+    /// The halt of grants that stands.
     pub halted: Option<Halt>,
+    /// The release under way.
     pub release: Option<Release>,
-    /// The number of the last release, and the last that ended.
+    /// The number of the last release.
     pub releases: u64,
+    /// The last releases that ended, the newest at the end.
     pub past_releases: Vec<PastRelease>,
-    /// The last wishes about units and voters that were done. Guards against one that is still on its way, or
-    /// kept by a voter, when another has undone it: it must not be done again.
+    /// The last requests about units, releases and voters that were carried out. Guards against one that is
+    /// still on its way, or kept by a voter, when another has undone it: it must not be carried out again.
     pub done: Vec<RequestId>,
     /// The highest number that a change ever had.
     pub highest: u64,
@@ -247,27 +217,28 @@
 }
 
 impl Record {
-    /// What is known later is larger.
+    /// The order in which records were agreed: the larger is the later.
     pub fn order(&self) -> (u64, u64) {
         (self.bootstrap_id, self.version)
     }
 
-    /// What stands before the first agreement of these voters.
+    /// The record before the bootstrap of these voters.
     pub fn before_bootstrap(mut voters: Vec<Voter>) -> Record {
         voters.sort_unstable();
         Record { voter_sets: vec![voters], ..Record::default() }
     }
 
-    /// How often the fleet was founded.
+    /// How often the fleet was bootstrapped.
     pub fn epoch(&self) -> u64 {
-        self.bootstrap_id >> DRAWN
+        self.bootstrap_id >> RANDOM_BITS
     }
 
-    /// The bootstrap after this one.
+    /// The id of the next bootstrap; `nonce` has its random bits.
     pub fn next_bootstrap_id(&self, nonce: u64) -> u64 {
-        (self.epoch() + 1) << DRAWN | nonce & ((1 << DRAWN) - 1)
+        (self.epoch() + 1) << RANDOM_BITS | nonce & ((1 << RANDOM_BITS) - 1)
     }
 
+    /// Whether it is in one of the voter sets.
     pub fn is_voter(&self, voter: Voter) -> bool {
         self.voter_sets.iter().flatten().any(|known| *known == voter)
     }
@@ -277,6 +248,7 @@
         self.halted.is_none() && self.out_as(unit).is_none() && self.out.len() < MAX_UNITS_OUT
     }
 
+    /// The grant by which a unit is out of service.
     pub fn out_as(&self, unit: Unit) -> Option<&Out> {
         self.out.iter().find(|out| out.unit == unit)
     }
@@ -286,121 +258,4 @@
         let past = self.past.iter().map(|past| past.change);
         self.done.contains(&request_id) || past.chain(self.next).any(|change| change.request_id == request_id)
     }
-
-    /// Whether this request is new; it is not from now on.
-    fn do_once(&mut self, request_id: RequestId) -> bool {
-        if self.done.contains(&request_id) {
-            return false;
-        }
-        self.done.push(request_id);
-        let over = self.done.len().saturating_sub(MAX_DONE_REQUESTS);
-        self.done.drain(..over);
-        true
-    }
-
-    /// The record after a step; none where the step has no place in it any more.
-    pub fn after(&self, step: &Step) -> Option<Record> {
-        let mut next = Record { version: self.version + 1, ..self.clone() };
-        match *step {
-            Step::Bootstrap { bootstrap_id, ref base } if self.bootstrap_id == 0 => {
-                let voter_sets = std::mem::take(&mut next.voter_sets);
-                next = Record {
-                    version: base.version + 1,
-                    voter_set_version: base.voter_set_version + 1,
-                    ..(**base).clone()
-                };
-                (next.bootstrap_id, next.voter_sets, next.next) = (bootstrap_id, voter_sets, None);
-                if base.bootstrap_id != 0 {
-                    // Numbers that only the lost have given out are not given out again.
-                    next.highest = (base.highest / NUMBERS + 1) * NUMBERS;
-                }
-            }
-            Step::Propose { hash, length, request_id } if self.next.is_none() && !self.knows(request_id) => {
-                next.highest += 1;
-                next.next =
-                    Some(Change { policy: Policy { number: next.highest, hash, length }, request_id });
-            }
-            Step::End { number, outcome } => {
-                let change = next.next.take_if(|change| change.policy.number == number)?;
-                if outcome == ChangeOutcome::InForce {
-                    next.policy = change.policy;
-                }
-                next.past.push(Past { change, outcome });
-                let over = next.past.len().saturating_sub(MAX_PAST_CHANGES);
-                next.past.drain(..over);
-            }
-            Step::Grant { out } if self.may_take_out(out.unit) && next.do_once(out.request_id) => {
-                next.out.push(out)
-            }
-            Step::Back { unit, request_id, done } if next.do_once(request_id) => {
-                let place = next.out.iter().position(|out| out.unit == unit)?;
-                let out = next.out.remove(place);
-                if let (Some(release), Some(part)) = (&mut next.release, out.part)
-                    && done
-                    && part.release == release.number
-                {
-                    release.changed.set(part.place as usize, part.way == Way::Forth);
-                }
-            }
-            Step::Release { hash, length, request_id }
-                if self.release.is_none() && next.do_once(request_id) =>
-            {
-                next.releases += 1;
-                next.release = Some(Release {
-                    number: next.releases,
-                    hash,
-                    length,
-                    request_id,
-                    way: Way::Forth,
-                    wave: 0,
-                    changed: Places::default(),
-                });
-            }
-            Step::Wave { number, from, to } => {
-                let release = next.release.as_mut().filter(|on| on.number == number && on.wave == from)?;
-                release.wave = to;
-            }
-            Step::Turn { number, request_id } if next.do_once(request_id) => {
-                let release =
-                    next.release.as_mut().filter(|on| on.number == number && on.way == Way::Forth)?;
-                release.way = Way::Back;
-                // The way back is what an operator wants after a halt.
-                next.halted = None;
-            }
-            Step::Close { number, close, request_id } => {
-                if request_id.is_some_and(|request_id| !next.do_once(request_id)) {
-                    return None;
-                }
-                let Release { hash, request_id, changed, .. } =
-                    next.release.take_if(|release| release.number == number)?;
-                let changed = changed.count() as u16;
-                next.past_releases.push(PastRelease { number, hash, request_id, close, changed });
-                let over = next.past_releases.len().saturating_sub(MAX_PAST_RELEASES);
-                next.past_releases.drain(..over);
-            }
-            Step::Halt { ref halt } if self.halted.is_none() && next.do_once(halt.request_id) => {
-                next.halted = Some(halt.clone());
-            }
-            Step::Resume { request_id } if self.halted.is_some() && next.do_once(request_id) => {
-                next.halted = None
-            }
-            Step::Replace { old, new, request_id } if self.voter_sets.len() == 1 && !self.is_voter(new) => {
-                if request_id.is_some_and(|request_id| !next.do_once(request_id)) {
-                    return None;
-                }
-                let mut voter_set_version = self.voter_sets[0].clone();
-                let place = voter_set_version.iter().position(|voter| *voter == old)?;
-                voter_set_version[place] = new;
-                voter_set_version.sort_unstable();
-                next.voter_sets.push(voter_set_version);
-                next.voter_set_version += 1;
-            }
-            Step::Settle if self.voter_sets.len() == 2 => {
-                next.voter_sets.remove(0);
-                next.voter_set_version += 1;
-            }
-            _ => return None,
-        }
-        (next.bootstrap_id != 0).then_some(next)
-    }
 }
