--- a/balancer/fleet-policy/src/lib.rs
+++ b/balancer/fleet-policy/src/lib.rs
@@ -1,11 +1,19 @@
-//! A policy that takes hold everywhere or nowhere. Each process of the fleet has a `Member`: it asks the
-//! voters for the right to decide by the policy in force, proves the one that is to come, and, if it votes,
-//! agrees with the others on each step. No I/O, no clock: one method for each thing that can happen, with the
-//! time as the process's own monotonic clock tells it; it acts through `Environment`. `docs/fleet-design.md` has
-//! the promises.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-#![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
+//! The agreement of a fleet of balancers on its policy: a new policy comes into force at all members or at none.
+//!
+//! Each process of the fleet has a `Member`. It renews a lease for the policy in force with the voters, proves the
+//! next policy against its own settings, and, if it votes, agrees with the other voters on each `Step` of the
+//! `Record` by CASPaxos (`whinspindle_consensus`). A member does no I/O and reads no clock: it has a method for
+//! each event, takes the time of the process's monotonic clock, and acts through an `Environment`.
+//! `docs/fleet-design.md` has the guarantees.
+//!
+//! ```text
+//! let mut member: Member<_> = Member::new(environment, settings, stored_state, start_number, clock.now());
+//! member.tick(clock.now());
+//! member.received(clock.now(), sender, message);
+//! if let Right::Policy(number) = member.right(clock.now()) {
+//!     // decide by the policy with this number
+//! }
+//! ```
 
 mod member;
 mod message;
--- a/balancer/fleet-policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -1,13 +1,13 @@
-//! One process of the fleet: as a follower it holds a lease that runs out, as a voter it grants leases and
-//! agrees on each step. `Member` takes what happens (`tick`, `received`, `proved` and what operators ask for)
-//! and acts through `Environment`; each module below has one part of what it does.
+//! One process of the fleet: as a follower it holds a lease that expires, as a voter it grants leases and agrees
+//! on each step. `Member` is a state machine: it takes events (`tick`, `received`, `proved`, operators' requests)
+//! and acts through `Environment`; each module below has one part of it.
 
 mod acceptor;
 mod environment;
 mod leader;
-mod learn;
 mod lease;
 mod proposer;
+mod record_update;
 mod releases;
 mod requests;
 mod restarts;
@@ -46,42 +46,48 @@
     /// Whether the memory is durable as it stands.
     kept: bool,
     record: Record,
-    /// When the policy in force, and the change under way, were learned of.
+    /// When the policy in force was learned of.
     learned: u64,
+    /// When the change under way was learned of.
     next_since: u64,
-    /// The rights for what is known, and those for what was before, until the new ones are there.
+    /// The lease for the present record.
     lease: Lease,
+    /// The lease for the record before, used until there is one for the present record.
     previous_lease: Option<Lease>,
     had_lease: bool,
-    told: Right,
+    /// What the log was told last.
+    logged_right: Right,
     verdicts: BTreeMap<u64, Result<(), Objection>>,
     proving: BTreeSet<u64>,
     texts: Texts,
     received: Vec<Option<PeerReport>>,
     requests: Vec<PendingRequest>,
-    found: Option<u64>,
+    /// The bootstrap that an operator has asked for, until it is agreed.
+    pending_bootstrap: Option<u64>,
     case: Option<Case>,
-    /// Since when the wave of now is complete, as this member knows it: release, wave and way.
+    /// Since when the present wave is complete, as this member knows: release, wave, way and time.
     complete: Option<(u64, u16, Way, u64)>,
     serial: u32,
     round: Option<OngoingRound>,
     quiet_until: u64,
     highest_round: u64,
     next_ask: u64,
-    /// When it asked last, and how often those that had not answered since.
+    /// When it last asked all voters for the lease.
     asked: u64,
+    /// How often it has asked again those that didn't answer.
     again: u64,
     next_fetch: u64,
     /// What was asked for last.
     fetching: Option<(Hash, u16, u64)>,
     fetches: usize,
-    /// Who has given chunks since the last question for some.
+    /// Who has sent chunks since they were last asked for.
     source: Option<u16>,
     rules: PhantomData<L>,
 }
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// `start` is drawn anew at each start of the process.
+    /// A member at the start of its process. `start` is a random number, another at each start; `memory` is
+    /// what the member has made durable before, `now` the monotonic clock in microseconds.
     pub fn new(
         environment: O,
         settings: MemberSettings,
@@ -103,7 +109,7 @@
             lease: Lease::of(&record),
             previous_lease: None,
             had_lease: false,
-            told: Right::Learning,
+            logged_right: Right::Learning,
             learned: now,
             next_since: now,
             verdicts: BTreeMap::new(),
@@ -111,7 +117,7 @@
             texts: Texts::default(),
             received: vec![None; settings.members as usize],
             requests: Vec::new(),
-            found: None,
+            pending_bootstrap: None,
             case: None,
             complete: None,
             serial: 0,
@@ -144,7 +150,7 @@
         self.kept
     }
 
-    /// The times and the membership that it was made with.
+    /// The settings that it was made with.
     pub fn settings(&self) -> &MemberSettings {
         &self.settings
     }
@@ -164,7 +170,7 @@
         Voter { member: self.settings.me, incarnation: self.memory.incarnation }
     }
 
-    /// What this member last received of each; only voters are told.
+    /// What this member last received of each member; only voters receive reports.
     pub fn peer_reports(&self) -> &[Option<PeerReport>] {
         &self.received
     }
@@ -174,7 +180,7 @@
         self.record.is_voter(self.voter())
     }
 
-    /// Called a few times in each pace.
+    /// Does what is due; to be called several times within `MemberSettings::pace`.
     pub fn tick(&mut self, now: u64) {
         if !self.kept {
             self.persist();
@@ -186,13 +192,13 @@
         }
         self.record_wave(now);
         self.retry_ask(now);
-        self.come_back(now);
+        self.report_return(now);
         self.fetch(now);
         self.lead(now);
         self.record_lease(now);
     }
 
-    /// A message of another member has come.
+    /// Handles a message of another member.
     pub fn received(&mut self, now: u64, from: u16, message: Message) {
         if from >= self.settings.members {
             return;
@@ -204,15 +210,14 @@
                 self.answer(now, from, at, received);
             }
             Message::Grant { at, start, voter, voter_set_version, number } => {
-                // Guards against an answer to a question of an earlier start, which was long under way: that
-                // start's clock began at another moment, and the right would count from a time after its
-                // grant.
+                // Guards against a late answer to a request of an earlier start: that start's clock began at
+                // another moment, and the lease would count from a time after its grant.
                 if start == self.start {
                     self.granted(now, at, voter, (voter_set_version, number));
                 }
             }
-            Message::Update { record } => self.learn(now, record),
-            Message::Fetch { hash, chunk, missing } => self.give(from, hash, chunk, missing),
+            Message::Update { record } => self.update_record(now, record),
+            Message::Fetch { hash, chunk, missing } => self.send_chunks(from, hash, chunk, missing),
             Message::Chunk { hash, chunk, bytes, .. } => self.take_chunk(now, from, hash, chunk, bytes),
             Message::OperatorRequest { request, request_id } => self.take_request(now, request, request_id),
             Message::Observations { release, start, serial, rows } => {
@@ -229,13 +234,13 @@
 }
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// What two members must have in common to be alike for a search: all that decides what they do next.
+    /// All that decides what the member does next, for the model checker to tell states apart.
     pub fn state(&self) -> impl std::hash::Hash + '_ {
         let held = (&self.lease, &self.previous_lease, self.had_lease);
         let known = (&self.memory, self.kept, &self.record, self.learned, self.next_since);
         let times =
             (self.quiet_until, self.highest_round, self.next_ask, self.next_fetch, self.began, self.again);
-        let round = (&self.round, &self.requests, self.found, self.start);
+        let round = (&self.round, &self.requests, self.pending_bootstrap, self.start);
         let texts = (&self.verdicts, &self.proving, &self.texts, &self.received, &self.complete);
         (held, known, times, round, texts)
     }
--- a/balancer/fleet-policy/src/member/acceptor.rs
+++ b/balancer/fleet-policy/src/member/acceptor.rs
@@ -6,15 +6,22 @@
 use crate::message::{Message, Readiness, Right};
 use crate::record::Record;
 
-/// What a voter last received of a member.
+/// What a voter last received of a member, by its `Message::Ask`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerReport {
+    /// When it arrived, by the voter's clock in microseconds.
     pub at: u64,
+    /// Of the member's durable state.
     pub incarnation: u64,
+    /// The start number of the member's process.
     pub start: u64,
+    /// Of the record that the member knows.
     pub bootstrap_id: u64,
+    /// Of the record that the member knows.
     pub version: u64,
+    /// What the member decides by.
     pub right: Right,
+    /// How far it is with the change under way.
     pub readiness: Readiness,
 }
 
@@ -22,7 +29,7 @@
     pub(super) fn answer(&mut self, now: u64, from: u16, at: u64, received: PeerReport) {
         let (order, start) = ((received.bootstrap_id, received.version), received.start);
         self.received[from as usize] = Some(received);
-        // One that knows more tells it when it is asked; it may be that no voter does.
+        // A member with a newer record sends it when it is asked; it may be that no voter has it.
         if order > self.record.order() && from != self.settings.me {
             let ask = self.question(now);
             self.environment.send(from, ask);
--- a/balancer/fleet-policy/src/member/environment.rs
+++ b/balancer/fleet-policy/src/member/environment.rs
@@ -1,5 +1,5 @@
-//! What a member needs from the process around it: network, disk, proofs, and what the process sees of its
-//! units.
+//! What a member needs from the process around it: network, disk, proofs of policies, and observations of
+//! servers and balancers.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 /// What a member must not forget over a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
-    /// Drawn when the memory began; a voter that lost its memory comes back with another.
+    /// Drawn when this state was first written; a voter that lost its disk returns with another.
     pub incarnation: u64,
     /// What it has promised and accepted as a voter.
     pub votes: AcceptorState<Record>,
@@ -22,28 +22,28 @@
     pub record: Record,
 }
 
-/// What a member does to the world.
+/// The process around a member: what it acts through. Tests and the model checker implement it in memory.
 pub trait Environment {
-    /// Sends a message to another member; it may be lost, late, repeated or out of order.
+    /// Sends a message to another member; it may be lost, late, duplicated or reordered.
     fn send(&mut self, to: u16, message: Message);
-    /// Makes it durable. What follows from it is sent only after this returns; where it fails, the member
-    /// votes and grants nothing until it succeeds.
+    /// Makes the state durable before it returns; true on success. Where it fails, the member votes and grants
+    /// nothing until it succeeds.
     fn keep(&mut self, memory: &DurableState) -> bool;
-    /// Proves a policy against the process's own settings; `Member::proved` tells what came of it.
+    /// Proves a policy against the process's own settings; the process calls `Member::proved` with the result.
     fn prove(&mut self, policy: Policy, text: Rc<[u8]>);
     /// The plan with this hash, once it has been read.
     fn plan(&self, _: Hash) -> Option<Rc<Plan>> {
         None
     }
-    /// The text of a plan is complete.
+    /// Called when the text of a plan is complete.
     fn plan_came(&mut self, _: Hash, _: Rc<[u8]>) {}
-    /// What this process has seen of the units of the release under way since it was asked last.
+    /// What this process has observed of the units of the release under way since the last call.
     fn figures(&mut self, _: &Record) -> Vec<Row> {
         Vec::new()
     }
-    /// A word for another part of the process.
+    /// Passes a message on to another part of the process: `Message::Aside`.
     fn aside(&mut self, _: u16, _: Vec<u8>) {}
-    /// Whether a server is listed as ready, and warm.
+    /// Whether the server with this key is listed as ready, and warm.
     fn is_full(&self, _: u64) -> bool {
         true
     }
@@ -51,8 +51,8 @@
     fn build(&self) -> String {
         String::new()
     }
-    /// Whether the policy in force lets one more unit out, with these balancers away.
+    /// Whether the limits of the policy in force allow one more unit out of service, with these balancers away.
     fn may_go(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), No>;
-    /// One line for the log.
-    fn tell(&mut self, words: String);
+    /// Writes one line to the log.
+    fn tell(&mut self, line: String);
 }
--- a/balancer/fleet-policy/src/member/leader.rs
+++ b/balancer/fleet-policy/src/member/leader.rs
@@ -14,9 +14,9 @@
         received.is_some_and(|received| now < received.at + self.settings.absent)
     }
 
-    /// The first of the voters that are heard carries changes on. Two that both take themselves for it do no
-    /// harm: their rounds are told apart. Guards against a voter that lost its memory: it is heard and does
-    /// not count until the others have taken it in, which one of them has to do.
+    /// The leader is the voter with the lowest number among those that are not absent. Two that both take
+    /// themselves for it do no harm, as their ballots differ. Guards against a voter that lost its disk: it doesn't
+    /// count until the others have replaced its earlier incarnation, which one of them has to do.
     pub(super) fn is_leader(&self, now: u64) -> bool {
         let me = self.voter();
         let counts = |voter: &&Voter| {
@@ -29,10 +29,11 @@
         voter_sets.filter(counts).min_by_key(|voter| voter.member) == Some(&me)
     }
 
-    /// Goes on with the round of this member, or begins one if something has to be done.
+    /// Continues this member's ballot, or begins one if a step is due.
     pub(super) fn lead(&mut self, now: u64) {
         let bootstrap_id = self.record.bootstrap_id;
-        self.found.take_if(|wanted| bootstrap_id >= *wanted || self.record.epoch() + 1 != *wanted >> 48);
+        self.pending_bootstrap
+            .take_if(|wanted| bootstrap_id >= *wanted || self.record.epoch() + 1 != *wanted >> 48);
         if let Some(OngoingRound { began, .. }) = self.round {
             if now < began + 4 * self.settings.pace {
                 if now > began {
@@ -49,9 +50,9 @@
         }
     }
 
-    /// What has to be done for the fleet.
+    /// The step that is due.
     pub(super) fn next_step(&self, now: u64) -> Option<Step> {
-        if let Some(bootstrap_id) = self.found {
+        if let Some(bootstrap_id) = self.pending_bootstrap {
             return Some(Step::Bootstrap { bootstrap_id, base: Box::new(self.record.clone()) });
         }
         if !self.is_voter() || !self.is_leader(now) {
@@ -85,8 +86,7 @@
         self.change_step(now)
     }
 
-    /// What has to be done about the change of policy: one begins if none is under way; that one comes to its
-    /// end.
+    /// The next step of the change of policy: one begins if none is under way, or the one under way ends.
     fn change_step(&self, now: u64) -> Option<Step> {
         let Some(change) = self.record.next else {
             return self.requests.iter().find_map(|wanted| match wanted.request {
@@ -116,7 +116,7 @@
                 _ => all_ready = false,
             }
         }
-        // Whoever is away has been unheard for that long; a leader that has just started can't know it.
+        // A leader that has just started can't know who is absent.
         let knows = now >= self.began + self.settings.absent;
         if all_ready && knows && now >= L::next_after(self.learned, &self.settings) {
             return end(ChangeOutcome::InForce);
@@ -125,8 +125,8 @@
             .then_some(Step::End { number, outcome: ChangeOutcome::GivenUp })
     }
 
-    /// One voter makes way for another, if an operator wants it and the new one is heard. It votes from then
-    /// on with the incarnation that it has now.
+    /// Replaces a voter by another member, if an operator asks for it and the new one is not absent. It votes
+    /// from then on with its present incarnation.
     pub(super) fn replace_voter(&self, now: u64) -> Option<Step> {
         let voter_of = |member: u16| self.record.voter_sets[0].iter().find(|voter| voter.member == member);
         self.requests.iter().filter(|wanted| !self.record.knows(wanted.request_id)).find_map(|wanted| {
--- a/balancer/fleet-policy/src/member/lease.rs
+++ b/balancer/fleet-policy/src/member/lease.rs
@@ -1,5 +1,5 @@
-//! The lease by which a follower decides: asked for at the voters again and again, granted by majorities, and
-//! over by the follower's own clock when it is not renewed.
+//! The lease by which a follower decides: renewed with the voters, granted by a majority of each voter set, and
+//! expired by the follower's own clock when it isn't renewed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Until when there is a right: as long as a majority of each voter set grants it.
+    /// When the lease expires: it lasts as long as a majority of each voter set grants it.
     pub(super) fn until<L: MemberRules>(&self) -> u64 {
         let grant = |voter: &Voter| {
             let (until, granted) = self.grants.get(voter)?;
@@ -42,20 +42,20 @@
             let mut ends: Vec<u64> = voter_set.iter().filter_map(grant).collect();
             ends.sort_unstable();
             let needed = (0..=voter_set.len()).find(|votes| L::is_majority(*votes, voter_set.len()));
-            needed.and_then(|needed| ends.len().checked_sub(needed)).map_or(0, |place| ends[place])
+            needed.and_then(|needed| ends.len().checked_sub(needed)).map_or(0, |index| ends[index])
         };
         self.voter_sets.iter().map(of_voter_set).min().unwrap_or(0)
     }
 }
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// By what a query that is taken now is decided. Asked for each query: a process that was stopped finds
-    /// its right over before it does anything by it.
+    /// What a request that is taken now is decided by. To be called for each request: a process that was
+    /// suspended finds its lease expired before it acts by it.
     pub fn right(&self, now: u64) -> Right {
         self.right_until(now).0
     }
 
-    /// The same, and until when it holds if nothing more is received.
+    /// The same, and when it ends if nothing more is received.
     pub fn right_until(&self, now: u64) -> (Right, u64) {
         let proved = |number: u64| number == 0 || matches!(self.verdicts.get(&number), Some(Ok(())));
         let held = [Some(&self.lease), self.previous_lease.as_ref()];
@@ -83,8 +83,8 @@
         self.ask_those(now, self.voters());
     }
 
-    /// Guards against lost datagrams in large fleets, where the pace is long against the right: a voter that
-    /// has not answered is asked again, so often at most, if those that have are no majority.
+    /// Guards against lost datagrams in large fleets, where the pace is long against the lease: while the voters
+    /// that answered are no majority, the others are asked again, `RETRIES` times at most.
     pub(super) fn retry_ask(&mut self, now: u64) {
         let due = self.asked + self.settings.pace / 4 * (self.again + 1);
         if self.again == RETRIES || now < due || self.lease.until::<L>() >= self.asked + self.settings.right {
@@ -133,25 +133,25 @@
         self.record_lease(now);
     }
 
-    /// Once there is a right for what is known, what was before is never gone back to.
+    /// Notes a change of the lease. Once there is a lease for the present record, the previous one is dropped.
     pub(super) fn record_lease(&mut self, now: u64) {
         let right = self.right(now);
         if right == Right::Policy(self.lease.number) {
             self.previous_lease = None;
         }
         self.had_lease |= matches!(right, Right::Policy(_));
-        if right != self.told {
-            let words = match right {
+        if right != self.logged_right {
+            let line = match right {
                 Right::Learning => "learns what holds".to_string(),
                 Right::Policy(number) => format!("decides by policy {number}"),
                 Right::CutOff => format!("is cut off: {}", self.cut_off_reason(now)),
             };
-            self.environment.tell(words);
-            self.told = right;
+            self.environment.tell(line);
+            self.logged_right = right;
         }
     }
 
-    /// Why it holds no lease, in words for the log and for operators.
+    /// Why it holds no lease, for the log and for operators.
     pub fn cut_off_reason(&self, now: u64) -> String {
         let number = self.lease.number;
         if self.record.bootstrap_id == 0 {
--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -15,8 +15,8 @@
     pub(super) round: Round<Record>,
     pub(super) step: Step,
     pub(super) began: u64,
-    /// The record for which the step was thought of.
-    pub(super) thought_of: (u64, u64),
+    /// The order of the record that the step was decided on for.
+    pub(super) based_on: (u64, u64),
 }
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
@@ -31,7 +31,7 @@
                     incarnation: own.or(received.map(|received| received.incarnation))?,
                 })
             };
-            // Founding needs every voter of the file.
+            // A bootstrap needs every voter of the settings.
             let voters: Option<Vec<Voter>> = self.settings.voters.iter().map(incarnation).collect();
             let Some(voters) = voters else { return };
             Record::before_bootstrap(voters)
@@ -49,11 +49,11 @@
         for voter in round.awaiting_promise::<L>() {
             self.environment.send(voter.member, Message::Prepare { ballot });
         }
-        self.round = Some(OngoingRound { round, step, began: now, thought_of: self.record.order() });
+        self.round = Some(OngoingRound { round, step, began: now, based_on: self.record.order() });
         self.write(now);
     }
 
-    /// Prepared or written again for those that may not have received.
+    /// Sends the messages of the present phase again to those that haven't answered.
     pub(super) fn retry_round(&mut self) {
         let Some(OngoingRound { round, .. }) = &self.round else { return };
         let ballot = round.ballot;
@@ -74,20 +74,20 @@
         }
     }
 
-    /// Once enough have promised, the step is done to what was found, or what was found is brought to its
-    /// end.
+    /// Once a quorum has promised, applies the step to the prepared value and proposes the result, or completes
+    /// the prepared value.
     pub(super) fn write(&mut self, now: u64) {
-        // Guards against a step whose time is over: between the beginning and the promises the process may
-        // have stood still, and balancers may have gone or objected.
+        // Guards against a step that is no longer due: since the ballot began the process may have been
+        // suspended, and balancers may have failed or objected.
         let due = self.next_step(now);
-        let Some(OngoingRound { round, step, thought_of, .. }) = &mut self.round else { return };
+        let Some(OngoingRound { round, step, based_on, .. }) = &mut self.round else { return };
         if round.is_proposing() {
             return;
         }
         let Some(found) = round.prepared_value::<L>().cloned() else { return };
-        // Guards against a step that was thought of for another record: limits and times were looked at in
-        // that one. What has been agreed on or begun since is only brought to its end.
-        let is_known = found.order() == *thought_of || found.bootstrap_id == 0;
+        // Guards against a step that was decided on for another record, by whose limits and times it was
+        // checked. What has been agreed or begun since is only completed.
+        let is_known = found.order() == *based_on || found.bootstrap_id == 0;
         let next = found.after(step).filter(|_| is_known && due.as_ref() == Some(step));
         let Some(record) = next.or((found.order() > self.record.order()).then_some(found)) else {
             self.round = None;
@@ -110,8 +110,8 @@
         let Some(OngoingRound { round, .. }) = &mut self.round else { return };
         let Some(record) = round.record_vote::<L>(voter).cloned() else { return };
         self.round = None;
-        self.learn(now, record);
-        // The others would learn it by their next question.
+        self.update_record(now, record);
+        // Without this the others would learn of it only by their next request for the lease.
         let members = self.received.iter().enumerate().filter(|(_, received)| received.is_some());
         let members: BTreeSet<u16> = members.map(|(member, _)| member as u16).collect();
         for member in members.into_iter().chain(self.voters()).collect::<BTreeSet<u16>>() {
@@ -145,7 +145,7 @@
     pub(super) fn refused(&mut self, now: u64, ballot: Ballot, promised: Ballot) {
         self.highest_round = self.highest_round.max(promised.round);
         if self.round.take_if(|on| on.round.ballot == ballot).is_some() {
-            // Members that push one another out wait for different times.
+            // Proposers that outbid one another wait for different times.
             self.quiet_until = now + self.settings.pace * (1 + u64::from(self.settings.me)) / 4;
         }
     }
--- a/balancer/fleet-policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -1,4 +1,4 @@
-//! A member's part in a release: its waves, what is seen of changed units, and the halt for cause.
+//! A member's part in a release: its waves, the observations of changed units, and the halt of a bad build.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,16 @@
 use crate::message::{Message, RequestKind};
 use crate::record::{Close, Halt, Part, RequestId, Step};
 
-/// What a voter knows against the build of a release.
+/// The running test of a release's build at a voter.
 #[derive(Clone, Debug)]
 pub(super) struct Case {
     pub(super) release: u64,
     pub(super) evidence: Evidence,
-    /// When the window of now began, and how long it lasts at least.
+    /// When the present window began.
     pub(super) opened: u64,
+    /// How long a window lasts at least.
     pub(super) window: u64,
-    /// Of each member's start, the last figures that were taken: those that come twice count once.
+    /// The start and serial number of each member's last observations, so that duplicates count once.
     pub(super) taken: BTreeMap<u16, (u64, u32)>,
     /// Why the release has to be halted, and the serial number of that request.
     pub(super) against: Option<(String, u64)>,
@@ -29,12 +30,12 @@
         forth.map(|release| release.number)
     }
 
-    /// How far the release is, with all of its units that are not in full service.
+    /// Calls `see` with the progress of the release under way, with all its units that are not in full service.
     pub fn progress<T>(&self, now: u64, see: impl FnOnce(&Progress) -> T) -> Option<T> {
         let release = self.record.release.as_ref()?;
         let plan = self.environment.plan(release.hash)?;
-        // On the way back only what this release has let out has to return: a unit that it never touched, and that
-        // is down for a cause of its own, must not hold up the end of a bad build.
+        // A rollback waits only for units that this release has taken out of service: one that it never
+        // touched, and that is down for another cause, must not delay it.
         let forth = release.way == Way::Forth;
         let mine = |part: Option<Part>| part.is_some_and(|part| part.release == release.number);
         let out = self.record.out.iter().filter(|out| forth || mine(out.part));
@@ -49,8 +50,8 @@
         Some(see(&Progress { plan: &plan, way: release.way, wave, changed, out: &out }))
     }
 
-    /// As what part of the release with this number a unit would go; why not, if it may not. Guards against a
-    /// request for a release that is over: it must not be granted as one for another cause.
+    /// The part of the release `of` that a unit would restart for, or why it may not. Guards against a request
+    /// for a release that is over: it must not be granted as one for another cause.
     pub fn part_of(&self, now: u64, unit: Unit, of: Option<u64>) -> Result<Option<Part>, No> {
         let Some(number) = of else { return Ok(None) };
         let release = self.record.release.as_ref().filter(|on| on.number == number).ok_or(No::NoRelease)?;
@@ -128,12 +129,12 @@
         rows.into_iter().for_each(|row| case.evidence.take(from, row));
     }
 
-    /// For how many milliseconds the wave of now has been complete; none if it is not.
+    /// For how many milliseconds the present wave has been complete; none if it is not.
     pub fn watched_for(&self, now: u64) -> Option<u64> {
         self.complete.map(|(_, _, _, since)| now.saturating_sub(since) / 1000)
     }
 
-    /// What this voter holds against the build of the release under way: the test's own figures.
+    /// The state of this voter's test of the build of the release under way.
     pub fn evidence(&self) -> Option<&Evidence> {
         self.case.as_ref().map(|case| &case.evidence)
     }
@@ -146,7 +147,7 @@
         new.then(|| Step::Halt { halt: Halt { request_id, why: why.clone() } })
     }
 
-    /// What has to be done about a release: an operator's word goes before its next wave.
+    /// The next step of the release: an operator's request goes before its next wave.
     pub(super) fn release(&self, now: u64) -> Option<Step> {
         let new = || self.requests.iter().filter(|wanted| !self.record.knows(wanted.request_id));
         let Some(release) = &self.record.release else {
@@ -167,13 +168,13 @@
             }
             _ => None,
         });
-        // A halt stands: the next wave begins after it is resumed. The way back has no halt of its own.
-        let stands = self.record.halted.is_some();
-        // Whoever is away has been unheard for `absent`; a leader that has just started can't know it.
+        // During a halt no wave begins. A rollback has no halt of its own.
+        let halted = self.record.halted.is_some();
+        // A leader that has just started can't know who is absent.
         let knows = now >= self.began + self.settings.absent;
         word.or_else(|| {
             let (_, _, _, since) = self.complete.filter(|known| {
-                !stands && knows && (known.0, known.1, known.2) == (number, release.wave, release.way)
+                !halted && knows && (known.0, known.1, known.2) == (number, release.wave, release.way)
             })?;
             Some(match self.progress(now, |progress| L::next_of(progress, now - since))?? {
                 Next::Wave(to) => Step::Wave { number, from: release.wave, to: to as u16 },
--- a/balancer/fleet-policy/src/member/requests.rs
+++ b/balancer/fleet-policy/src/member/requests.rs
@@ -1,5 +1,5 @@
-//! What operators and supervisors ask for at this member, and what other members pass on, until the record
-//! knows it.
+//! The requests of operators and supervisors, made here or passed on by other members, kept until the record
+//! has them.
 
 use super::{Environment, Member, MemberRules};
 use crate::message::{Message, RequestKind};
@@ -28,7 +28,7 @@
         self.submit(now, RequestKind::Withdraw { number }, serial)
     }
 
-    /// What an operator or a supervisor wants. Asking again with the same serial number is harmless.
+    /// Takes a request of an operator or a supervisor. Asking again with the same serial number is harmless.
     pub fn submit(&mut self, now: u64, request: RequestKind, serial: u64) -> RequestId {
         let request_id = RequestId { by: self.settings.me, serial };
         match self.requests.iter_mut().find(|wanted| wanted.request_id == request_id) {
@@ -40,16 +40,16 @@
         request_id
     }
 
-    /// An operator founds the fleet: the voters of the file begin to agree, each of them, with whatever incarnation
-    /// it has now. Goes on until it is done. Anew it is for a fleet whose voters have lost their memories: as
-    /// each voter of the file has to promise, those with the incarnations of before can't be a majority of their
-    /// own any more. What is known here of the bootstrap before is taken over.
+    /// An operator bootstraps the fleet with the voters of the settings, each with its present incarnation; it is
+    /// retried until it is agreed. A second bootstrap is for a fleet whose voters have lost their disks: since
+    /// every voter of the settings has to promise, the earlier incarnations can't form a majority of their own
+    /// any more. What this member knows of the earlier bootstrap is taken over.
     pub fn found(&mut self, now: u64, nonce: u64) {
-        self.found = Some(self.record.next_bootstrap_id(nonce));
+        self.pending_bootstrap = Some(self.record.next_bootstrap_id(nonce));
         self.lead(now);
     }
 
-    /// The wishes made here go to all voters until the record knows them.
+    /// Sends the requests made here to all voters until the record has them.
     pub(super) fn forward_requests(&mut self, now: u64) {
         let (record, give_up, pace) = (&self.record, self.settings.give_up, self.settings.pace);
         self.requests.retain(|wanted| {
@@ -70,12 +70,12 @@
                     record.voter_sets.iter().flatten().any(|voter| voter.member == *old)
                 }
             };
-            // Guards against a unit let out when its supervisor has long given up: it has to go on asking.
+            // Guards against a grant after the supervisor has given up: it has to go on asking.
             let lasts = if matches!(wanted.request, RequestKind::Out { .. }) { 3 * pace } else { give_up };
             open && !record.knows(wanted.request_id) && now < wanted.since + lasts
         });
-        // Of those that have to be asked for again and again only the ones that just were: what is passed on
-        // lasts anew.
+        // Requests for leave are passed on only while the supervisor repeats them, since a voter that receives
+        // one keeps it for a while.
         let fresh = |wanted: &&PendingRequest| {
             !matches!(wanted.request, RequestKind::Out { .. }) || now < wanted.since + 2 * pace
         };
--- a/balancer/fleet-policy/src/member/restarts.rs
+++ b/balancer/fleet-policy/src/member/restarts.rs
@@ -1,5 +1,4 @@
-//! Units that are let out of service to be restarted: which may go now, and how a balancer says that it is
-//! back.
+//! Units that leave service to be restarted: which may do so now, and how a balancer reports its return.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +10,7 @@
 use crate::record::{Halt, Out, Part, Step};
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// Balancers that are not in full service, as this leader hears them.
+    /// Balancers that are not in full service, by what this leader has received of them.
     pub(super) fn away(&self, now: u64) -> BTreeSet<u16> {
         let serves = |member: &u16| match &self.received[*member as usize] {
             _ if *member == self.settings.me => matches!(self.right(now), Right::Policy(_)),
@@ -21,7 +20,7 @@
         (0..self.settings.members).filter(|member| !serves(member)).collect()
     }
 
-    /// What has to be done about units: a halt goes before all, what is back before what goes.
+    /// The next step about units: a halt, a return or the end of a halt goes before a grant.
     pub(super) fn units(&self, now: u64) -> Option<Step> {
         let record = &self.record;
         let new = || self.requests.iter().filter(|wanted| !record.knows(wanted.request_id));
@@ -55,13 +54,13 @@
         })
     }
 
-    /// Whether this balancer has to go out: it was let out in this start of its process.
+    /// Whether this balancer has to leave service: it was granted leave in this start of its process.
     pub fn is_taken_out(&self) -> bool {
         self.record.out_as(Unit::Balancer(self.settings.me)).is_some_and(|out| out.start == self.start)
     }
 
-    /// A balancer that was let out and has started since says that it is back, once it serves.
-    pub(super) fn come_back(&mut self, now: u64) {
+    /// A balancer that was granted leave and has restarted since reports its return, once it serves.
+    pub(super) fn report_return(&mut self, now: u64) {
         let unit = Unit::Balancer(self.settings.me);
         let Some(out) = self.record.out_as(unit).filter(|out| out.start != self.start) else { return };
         let wants = |wanted: &PendingRequest| matches!(wanted.request, RequestKind::Back { unit: back, .. } if back == unit);
@@ -72,8 +71,8 @@
         self.submit(now, RequestKind::Back { unit, done }, self.start);
     }
 
-    /// Whether this process carries the build that it went out for; none while the plan that names it is not
-    /// here. Guards against one that comes back as what it was before: it has to go out again.
+    /// Whether this process has the build that it was restarted for; none while the plan that names it is not
+    /// here. Guards against a restart with the old build: the unit has to restart again.
     pub(super) fn carries(&self, part: Option<Part>) -> Option<bool> {
         let release = self.record.release.as_ref();
         let Some((part, release)) =
--- a/balancer/fleet-policy/src/member/rules.rs
+++ b/balancer/fleet-policy/src/member/rules.rs
@@ -1,5 +1,5 @@
-//! The rules by which a member decides, one function each, so that a search can leave one out and see whether
-//! its judge finds the fault.
+//! The protocol rules of a member, one function each, so that the model checker can replace one by a fault and
+//! see whether its invariants find it.
 
 use std::collections::BTreeSet;
 
@@ -9,15 +9,15 @@
 use super::MemberSettings;
 use crate::record::{Record, RequestId};
 
-/// The rules of a member, beside those of counting; the lab plants faults in their place.
+/// The protocol rules of a member, beside those of counting votes; tests replace one by a fault.
 pub trait MemberRules: whinspindle_consensus::ConsensusRules {
-    /// When a right that was asked for at `asked`, and granted by an answer that came at `now`, runs out.
+    /// When a lease expires that was asked for at `asked` and whose grant arrived at `now`.
     fn right_until(asked: u64, _now: u64, settings: &MemberSettings) -> u64 {
         asked + settings.right
     }
 
-    /// Whether a voter may grant rights by what it knows to be agreed, when it has voted for `voted`. Guards
-    /// against a voter that makes way for another and lives on: it may never learn of it.
+    /// Whether a voter may grant leases by the record it knows as agreed, when it has accepted `voted`. Guards
+    /// against a voter that was replaced and still runs: it may never learn of its replacement.
     fn may_grant(agreed: &Record, voted: Option<&Record>) -> bool {
         voted.is_none_or(|voted| {
             voted.version <= agreed.version
@@ -26,32 +26,32 @@
         })
     }
 
-    /// Whether a right that was granted before may be used beside the record known now.
+    /// Whether a grant, by its voter set version and policy number, counts for the record known now.
     fn is_for(granted: (u64, u64), voter_set_version: u64, number: u64) -> bool {
         granted == (voter_set_version, number)
     }
 
-    /// When the next policy may come into force, if this one was learned then.
+    /// When the next policy may come into force, if the present one was learned of at `learned`.
     fn next_after(learned: u64, settings: &MemberSettings) -> u64 {
         learned + settings.window()
     }
 
-    /// Under which request a unit is let out: the one that was asked for, so that it is done once.
+    /// The request id that a grant is recorded under: that of the request, so that it is carried out once.
     fn wish_of(wanted: RequestId, _agreed: &Record) -> RequestId {
         wanted
     }
 
-    /// Which balancers count as out without a grant: those that are away.
+    /// The balancers that count as out of service without a grant: those that are away.
     fn out_without(away: BTreeSet<u16>) -> BTreeSet<u16> {
         away
     }
 
-    /// Whether a unit may go by the release under way.
+    /// Whether the unit at this index of the plan may restart by the release under way.
     fn may_go_by(progress: &Progress, place: usize) -> Result<(), No> {
         progress.may_go(place)
     }
 
-    /// What the wave of now leads to, watched for so long since it was complete.
+    /// What follows the present wave, which has been complete and watched for `watched` microseconds.
     fn next_of(progress: &Progress, watched: u64) -> Option<Next> {
         progress.next(watched)
     }
--- a/balancer/fleet-policy/src/member/texts.rs
+++ b/balancer/fleet-policy/src/member/texts.rs
@@ -1,4 +1,4 @@
-//! The texts of policies and plans: fetched in chunks from other members, given to them, and handed to the
+//! The texts of policies and plans: fetched in chunks from other members, sent to them, and handed to the
 //! process to be proved.
 
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 use crate::message::{Message, Objection, Readiness};
 use crate::record::{Hash, Policy};
 
-/// Verdicts that are remembered, those of the newest policies.
+/// Verdicts that are kept, those of the newest policies.
 const MOST_VERDICTS: usize = 8;
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
@@ -17,7 +17,7 @@
         self.texts.get(hash)
     }
 
-    /// What came of proving a policy here; none while it is not proved.
+    /// The result of proving a policy here; none while there is none.
     pub fn verdict(&self, number: u64) -> Option<&Result<(), Objection>> {
         self.verdicts.get(&number)
     }
@@ -33,20 +33,20 @@
         }
     }
 
-    /// A text that the process has from its own disk.
+    /// Takes a text that the process has on its own disk.
     pub fn hold(&mut self, text: &[u8]) {
         self.texts.put(text);
         self.prove();
     }
 
-    /// The process has proved a policy, or found why it can't be.
+    /// Takes the result of a proof: see `Environment::prove`.
     pub fn proved(&mut self, now: u64, number: u64, verdict: Result<(), Objection>) {
         self.proving.remove(&number);
         match &verdict {
             Ok(()) => self.environment.tell(format!("policy {number} is proved")),
-            Err(no) => {
-                self.environment
-                    .tell(format!("policy {number} can't be proved: line {}: {}", no.line, no.words));
+            Err(objection) => {
+                let Objection { line, words } = objection;
+                self.environment.tell(format!("policy {number} can't be proved: line {line}: {words}"));
             }
         }
         self.verdicts.insert(number, verdict);
@@ -57,7 +57,7 @@
         self.lead(now);
     }
 
-    /// The policies of which a verdict is wanted.
+    /// The policies that have to be proved.
     pub(super) fn policies_to_prove(&self) -> impl Iterator<Item = Policy> + use<O, L> {
         let next = self.record.next.map(|change| change.policy);
         let wanted = [Some(self.record.policy), next].into_iter().flatten();
@@ -77,8 +77,7 @@
         }
     }
 
-    /// Asks for the chunks that are missing: whoever gave some, else in turn whoever proposed it and the
-    /// voters.
+    /// Asks for the missing chunks: the member that sent some last, else in turn the proposer and the voters.
     pub(super) fn fetch(&mut self, now: u64) {
         if now < self.next_fetch {
             return;
@@ -116,7 +115,7 @@
         self.fetching = None;
     }
 
-    pub(super) fn give(&mut self, to: u16, hash: Hash, chunk: u16, missing: u64) {
+    pub(super) fn send_chunks(&mut self, to: u16, hash: Hash, chunk: u16, missing: u64) {
         for at in (0..64).filter(|at| missing >> at & 1 == 1) {
             let chunk = chunk.saturating_add(at);
             let Some((length, bytes)) = self.texts.chunk(hash, chunk) else { return };
@@ -124,7 +123,7 @@
         }
     }
 
-    /// A chunk of a text has come; the next ones are asked for once all of the last question are here.
+    /// Takes a chunk of a text; once all that were asked for are here, asks for the next ones.
     pub(super) fn take_chunk(&mut self, now: u64, from: u16, hash: Hash, chunk: u16, bytes: Vec<u8>) {
         self.source = Some(from);
         if self.texts.take(hash, chunk, bytes) {
@@ -132,7 +131,6 @@
         } else if let Some((asked, chunk, missing)) = self.fetching
             && !self.texts.is_missing(asked, chunk, missing)
         {
-            // All that was asked for is here: the next ones are asked for without a pause.
             self.next_fetch = now;
             self.fetch(now);
         }
--- a/balancer/fleet-policy/src/member/timing.rs
+++ b/balancer/fleet-policy/src/member/timing.rs
@@ -1,30 +1,31 @@
-//! The membership and the times that an installation sets for its members.
+//! The settings of a member: the membership and the times of the lease protocol.
 
-/// What an installation sets. Times are microseconds of a monotonic clock.
+/// The settings of a member. Times are microseconds of a monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MemberSettings {
-    /// The number of this member, from 0, and how many there are.
+    /// The number of this member, from 0.
     pub me: u16,
+    /// How many members there are.
     pub members: u16,
-    /// Who votes from the bootstrap on.
+    /// The members that vote from the bootstrap on.
     pub voters: Vec<u16>,
-    /// How long a granted right lasts, from when it was asked for.
+    /// How long a lease lasts, from when it was asked for.
     pub right: u64,
     /// By how many millionths the rate of a clock may differ from true time, either way.
     pub drift: u64,
-    /// Between two questions for the right; rounds of the voters are repeated at this pace too.
+    /// Time between two requests to renew the lease; the messages of a ballot are repeated at this pace too.
     pub pace: u64,
-    /// One unheard for so long is taken to be away, and a change does not wait for it.
+    /// A member from which nothing was received for so long is taken to be away: a change doesn't wait for it.
     pub absent: u64,
-    /// A change that is not proved everywhere by then is given up.
+    /// A change that isn't proved everywhere within this time is given up.
     pub give_up: u64,
-    /// A process that starts learns for so long what holds before it does as one that is cut off.
+    /// How long a process that has just started waits for its first lease before it acts as one in a partition.
     pub learn: u64,
 }
 
 impl MemberSettings {
-    /// After this time of any member's clock no right is left of those granted before it began: the longest
-    /// that a right lasts by the slowest clock, counted by the fastest.
+    /// After this time by any member's clock all leases granted before it began have expired: the duration of a
+    /// lease by the slowest clock, measured by the fastest.
     pub fn window(&self) -> u64 {
         let drift = self.drift as u128;
         let right = self.right as u128;
--- a/balancer/fleet-policy/src/message.rs
+++ b/balancer/fleet-policy/src/message.rs
@@ -1,4 +1,4 @@
-//! What members of a fleet say to one another.
+//! The messages between the members of a fleet.
 
 use serde::{Deserialize, Serialize};
 use whinspindle_consensus::{Ballot, Voter};
@@ -9,147 +9,214 @@
 /// Why a member can't prove a policy against its own settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Objection {
-    /// Line of the policy's text, from 1; 0 for the complete of it.
+    /// Line of the policy's text, from 1; 0 for the text as a whole.
     pub line: u32,
+    /// The fault, for operators.
     pub words: String,
 }
 
 /// How far a member is with the change under way.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Readiness {
+    /// No change is under way.
     #[default]
     Nothing,
-    /// Pieces of its text are missing.
+    /// So many chunks of its text are missing.
     Lacks(u64),
+    /// It has proved the policy with this number.
     Ready(u64),
+    /// It can't prove the policy with this number.
     Objects(u64, Objection),
 }
 
-/// By what a member decides now.
+/// What a member decides by now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Right {
-    /// It has just started and learns what holds.
+    /// It has just started and doesn't know yet what is in force.
     #[default]
     Learning,
+    /// It holds a lease for the policy with this number.
     Policy(u64),
-    /// It may not know what holds: by the settings for being cut off.
+    /// Its lease has expired, and it may not know the policy in force: by the settings for a partition.
     CutOff,
 }
 
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A follower to a voter: may I go on? `at` is the asker's clock, from which a right counts.
+    /// A follower asks a voter to renew its lease.
     Ask {
+        /// The follower's clock in microseconds, from which the lease counts.
         at: u64,
+        /// Of the follower's durable state.
         incarnation: u64,
+        /// The start number of the follower's process.
         start: u64,
+        /// Of the record it knows.
         bootstrap_id: u64,
+        /// Of the record it knows.
         version: u64,
+        /// What it decides by.
         right: Right,
+        /// How far it is with the change under way.
         readiness: Readiness,
     },
-    /// A voter to a follower: as long as a right lasts from `at` of that start's clock, this number is in
-    /// force.
+    /// A voter grants a lease.
     Grant {
+        /// From the request: the follower's clock, from which the lease counts.
         at: u64,
+        /// From the request: the start number of the follower's process.
         start: u64,
+        /// Who grants it.
         voter: Voter,
+        /// The voter sets that the grant counts in.
         voter_set_version: u64,
+        /// The policy in force.
         number: u64,
     },
-    /// What is agreed on, to one that knows less.
+    /// The record, to a member that has an older one.
     Update {
+        /// What is agreed.
         record: Record,
     },
-    /// Pieces of a text: those of the 64 from this one on whose bits are set.
+    /// Asks for chunks of a text.
     Fetch {
+        /// Of the text.
         hash: Hash,
+        /// The first chunk asked for.
         chunk: u16,
+        /// A bit for each of the 64 chunks from `chunk` on, set if it is asked for.
         missing: u64,
     },
+    /// A chunk of a text.
     Chunk {
+        /// Of the text.
         hash: Hash,
+        /// The chunk's index.
         chunk: u16,
+        /// Of the whole text, in bytes.
         length: u32,
+        /// The chunk.
         bytes: Vec<u8>,
     },
-    /// An operator's request, to the voters.
+    /// An operator's request, passed on to the voters.
     OperatorRequest {
+        /// What is asked for.
         request: RequestKind,
+        /// The same each time it is sent.
         request_id: RequestId,
     },
+    /// First phase of a ballot.
     Prepare {
+        /// The proposer's ballot.
         ballot: Ballot,
     },
+    /// The answer to `Prepare`.
     Promise {
+        /// The ballot that is promised.
         ballot: Ballot,
+        /// Who promises.
         voter: Voter,
+        /// What it has accepted last.
         accepted: Option<(Ballot, Record)>,
     },
+    /// Second phase of a ballot.
     Accept {
+        /// The proposer's ballot.
         ballot: Ballot,
+        /// The proposed value.
         record: Record,
     },
+    /// The answer to `Accept`.
     Accepted {
+        /// The ballot that is accepted.
         ballot: Ballot,
+        /// Who accepts.
         voter: Voter,
     },
-    /// What a member has seen of a release's units since it told last; serial numbers of a start grow.
+    /// What a member has observed of a release's units since its last such message.
     Observations {
+        /// The number of the release.
         release: u64,
+        /// The start number of the member's process.
         start: u64,
+        /// Grows with each message of a start, so that one that arrives twice counts once.
         serial: u32,
+        /// The counts.
         rows: Vec<Row>,
     },
-    /// A word of another part of the process to the same part of another one; no concern of the member's.
+    /// A message of another part of the process, which the member passes through unread.
     Aside {
+        /// Its encoding.
         bytes: Vec<u8>,
     },
-    /// Another round has gone further.
+    /// A voter rejects a ballot, as it has promised a higher one.
     Refuse {
+        /// The rejected ballot.
         ballot: Ballot,
+        /// The ballot that it has promised.
         promised: Ballot,
     },
 }
 
-/// What an operator wants.
+/// What an operator or a supervisor asks for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RequestKind {
+    /// A new policy.
     Propose {
+        /// Of its text.
         hash: Hash,
+        /// Of its text, in bytes.
         length: u32,
     },
+    /// The end of the change under way.
     Withdraw {
+        /// The number of its policy.
         number: u64,
     },
-    /// Let a unit out, as a part of the release with this number or for a cause of its own, and take it back.
+    /// Leave for a unit to restart.
     Out {
+        /// The unit.
         unit: Unit,
+        /// The number of the release that it restarts for; none for another cause.
         release: Option<u64>,
     },
+    /// A unit has returned to service.
     Back {
+        /// The unit.
         unit: Unit,
-        /// It carries what it went out for.
+        /// Whether it has the build that it was restarted for.
         done: bool,
     },
-    /// A release begins by this plan, turns back, and is left as it stands.
+    /// A new release.
     Release {
+        /// Of its plan's text.
         hash: Hash,
+        /// Of its plan's text, in bytes.
         length: u32,
     },
+    /// The release is rolled back.
     Turn {
+        /// The number of the release.
         number: u64,
     },
+    /// The release ends as it stands.
     Leave {
+        /// The number of the release.
         number: u64,
     },
+    /// No unit gets leave to restart any more.
     Halt {
+        /// The cause, for operators.
         why: String,
     },
+    /// Units get leave again.
     Resume,
-    /// One voter makes way for another member.
+    /// A voter is replaced by another member.
     Voters {
+        /// The member that votes now.
         old: u16,
+        /// The member that votes in its place.
         new: u16,
     },
 }
--- a/balancer/fleet-policy/src/texts.rs
+++ b/balancer/fleet-policy/src/texts.rs
@@ -1,4 +1,4 @@
-//! The texts of policies: complete ones by their hash, and one that is put together from chunks.
+//! The store of policy and plan texts: complete ones by their hash, and one that is assembled from chunks.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -7,11 +7,12 @@
 
 /// Bytes of a text in one message, so that it fits a datagram of 256 bytes with its frame.
 pub const CHUNK_BYTES: usize = 176;
-/// Whole texts kept: the one in force, the next, and the one before for those that are behind.
+/// Complete texts kept: the one in force, the next, and the one before for those that are behind.
 const MAX_TEXTS: usize = 4;
-/// Pieces asked for at once: the bits of a word.
+/// Chunks asked for at once: the bits of a `u64`.
 pub const CHUNKS_PER_REQUEST: usize = 64;
 
+/// A text of which some chunks are missing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PartialText {
     hash: Hash,
@@ -19,19 +20,22 @@
     chunks: Vec<Option<Vec<u8>>>,
 }
 
+/// The texts that a member has.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Texts {
     complete: BTreeMap<Hash, Rc<[u8]>>,
-    /// In the order in which they came.
+    /// The hashes of the complete texts, oldest first.
     order: Vec<Hash>,
     partial: Option<PartialText>,
 }
 
 impl Texts {
+    /// A complete text.
     pub fn get(&self, hash: Hash) -> Option<Rc<[u8]>> {
         self.complete.get(&hash).cloned()
     }
 
+    /// Stores a complete text.
     pub fn put(&mut self, text: &[u8]) -> Hash {
         let hash = Hash::of(text);
         if self.complete.insert(hash, text.into()).is_none() {
@@ -40,15 +44,15 @@
         hash
     }
 
-    /// Lets go of the oldest beyond the limit, but not of those in use.
+    /// Drops the oldest texts beyond the limit, except those in use.
     pub fn evict(&mut self, used: &[Hash]) {
         while self.order.len() > MAX_TEXTS {
-            let Some(place) = self.order.iter().position(|hash| !used.contains(hash)) else { return };
-            self.complete.remove(&self.order.remove(place));
+            let Some(oldest) = self.order.iter().position(|hash| !used.contains(hash)) else { return };
+            self.complete.remove(&self.order.remove(oldest));
         }
     }
 
-    /// The first chunk missing of a text, and which of those from there on are missing too.
+    /// The first missing chunk of a text, and a bit for each chunk from there on that is missing.
     pub fn missing(&mut self, hash: Hash, length: u32) -> Option<(u16, u64)> {
         let length = length as usize;
         if self.complete.contains_key(&hash) || length == 0 || length > MAX_TEXT_BYTES {
@@ -74,30 +78,32 @@
         asked.filter_map(|at| partial.chunks.get(at)).any(Option::is_none)
     }
 
+    /// How many chunks of the text that is being assembled are missing.
     pub fn lacks(&self, hash: Hash) -> u64 {
         let of = self.partial.as_ref().filter(|partial| partial.hash == hash);
         of.map_or(0, |partial| partial.chunks.iter().filter(|chunk| chunk.is_none()).count() as u64)
     }
 
+    /// A chunk of a complete text, and the length of that text in bytes.
     pub fn chunk(&self, hash: Hash, chunk: u16) -> Option<(u32, Vec<u8>)> {
         let text = self.complete.get(&hash)?;
         let bytes = text.chunks(CHUNK_BYTES).nth(chunk as usize)?;
         Some((text.len() as u32, bytes.to_vec()))
     }
 
-    /// Takes a chunk; whether the text is complete now. Guards against chunks that are not of it: a text whose hash
-    /// is another is thrown away.
+    /// Takes a chunk; true if the text is complete now. Guards against chunks of another text: an assembled
+    /// text with the wrong hash is dropped.
     pub fn take(&mut self, hash: Hash, chunk: u16, bytes: Vec<u8>) -> bool {
         let Some(partial) = self.partial.as_mut().filter(|partial| partial.hash == hash) else {
             return false;
         };
         let count = partial.chunks.len();
         let last = partial.length - (count - 1) * CHUNK_BYTES;
-        let Some(place) = partial.chunks.get_mut(chunk as usize) else { return false };
+        let Some(slot) = partial.chunks.get_mut(chunk as usize) else { return false };
         if bytes.len() != (if chunk as usize + 1 == count { last } else { CHUNK_BYTES }) {
             return false;
         }
-        *place = Some(bytes);
+        *slot = Some(bytes);
         if partial.chunks.iter().any(Option::is_none) {
             return false;
         }
