--- a/balancer/fleet-policy/tests/common/records.rs
+++ b/balancer/fleet-policy/tests/common/records.rs
@@ -1,4 +1,4 @@
-//! A record with something in each field and every kind of what a field may be, for fixtures.
+//! Records for the fixtures: one with a value in each field and every variant of its enums, and an empty one.
 
 use whinspindle_fleet_policy::{
     Change, ChangeOutcome, Close, Halt, Hash, Out, Part, Past, PastRelease, Policy, Record, Release,
@@ -16,7 +16,7 @@
     Hash(bytes)
 }
 
-/// Wishes, numbers and hashes differ in every field, so that none can pass for another.
+/// Request ids, numbers and hashes differ in every field, so that none can be mistaken for another.
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
 pub fn record() -> Record {
     let past = |number, by, outcome| {
@@ -103,7 +103,7 @@
     }
 }
 
-/// One with nothing in it but its voter set: before the first agreement.
+/// A record with nothing in it but its voter set.
 pub fn before_bootstrap() -> Record {
     Record::before_bootstrap(vec![Voter { member: 1, incarnation: 21 }, Voter { member: 0, incarnation: 22 }])
 }
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -32,8 +32,8 @@
     )
 }
 
-/// The name of a kind's fixtures. With a kind that is new this does not compile: it needs a name, a message in
-/// the list below, and its file.
+/// The name of a message kind's fixtures. A new kind doesn't compile here: it needs a name, a message in the list
+/// below, and its file.
 fn kind(message: &Message) -> &'static str {
     match message {
         Message::Ask { .. } => "ask",
@@ -63,9 +63,9 @@
     }
 }
 
-/// So many kinds of messages and of wants there are.
-const KINDS: u8 = 13;
-const WANTS: u8 = 10;
+/// Variants of `Message`, and of `RequestKind` below.
+const MESSAGE_KINDS: u8 = 13;
+const REQUEST_KINDS: u8 = 10;
 
 fn ballot(first: u64) -> Ballot {
     Ballot { epoch: first, round: first + 1000, member: first as u16 + 2, start: first << 56 | 3 }
@@ -83,14 +83,14 @@
     }
 }
 
-fn wanted(by: u16, request: RequestKind) -> Message {
+fn request(by: u16, request: RequestKind) -> Message {
     Message::OperatorRequest {
         request,
         request_id: RequestId { by, serial: 0x5000_0000_0000_0000 + u64::from(by) },
     }
 }
 
-/// By what follows the kind in the fixture's name.
+/// The messages, by what follows the kind in the fixture's name.
 fn messages() -> Vec<(&'static str, Message)> {
     let objection = Objection { line: 40_000, words: "routes[2].to: no such zone: \"nörd\"".to_string() };
     let (voter, other) =
@@ -131,18 +131,18 @@
             "",
             Message::Chunk { hash: hash(0x60), chunk: 301, length: 65_535, bytes: (0..176).rev().collect() },
         ),
-        ("", wanted(1, RequestKind::Propose { hash: hash(0x70), length: 40_001 })),
-        ("", wanted(2, RequestKind::Withdraw { number: 1011 })),
-        ("", wanted(3, RequestKind::Out { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) })),
-        ("-for-a-cause", wanted(4, RequestKind::Out { unit: Unit::Balancer(258), release: None })),
-        ("", wanted(5, RequestKind::Back { unit: Unit::Balancer(259), done: true })),
-        ("-undone", wanted(6, RequestKind::Back { unit: Unit::Server(260), done: false })),
-        ("", wanted(7, RequestKind::Release { hash: hash(0x80), length: 40_002 })),
-        ("", wanted(8, RequestKind::Turn { number: 1012 })),
-        ("", wanted(9, RequestKind::Leave { number: 1013 })),
-        ("", wanted(10, RequestKind::Halt { why: "by hand: größer".to_string() })),
-        ("", wanted(11, RequestKind::Resume)),
-        ("", wanted(12, RequestKind::Voters { old: 261, new: 262 })),
+        ("", request(1, RequestKind::Propose { hash: hash(0x70), length: 40_001 })),
+        ("", request(2, RequestKind::Withdraw { number: 1011 })),
+        ("", request(3, RequestKind::Out { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) })),
+        ("-for-a-cause", request(4, RequestKind::Out { unit: Unit::Balancer(258), release: None })),
+        ("", request(5, RequestKind::Back { unit: Unit::Balancer(259), done: true })),
+        ("-undone", request(6, RequestKind::Back { unit: Unit::Server(260), done: false })),
+        ("", request(7, RequestKind::Release { hash: hash(0x80), length: 40_002 })),
+        ("", request(8, RequestKind::Turn { number: 1012 })),
+        ("", request(9, RequestKind::Leave { number: 1013 })),
+        ("", request(10, RequestKind::Halt { why: "by hand: größer".to_string() })),
+        ("", request(11, RequestKind::Resume)),
+        ("", request(12, RequestKind::Voters { old: 261, new: 262 })),
         ("", Message::Prepare { ballot: ballot(1) }),
         ("", Message::Promise { ballot: ballot(2), voter, accepted: Some((ballot(3), record())) }),
         ("-of-nothing", Message::Promise { ballot: ballot(4), voter: other, accepted: None }),
@@ -161,7 +161,7 @@
         let name = format!("message-{}{of}.bin", kind(&message));
         let datagrams = peers(FROM).datagrams(TO, &message);
         assert!(datagrams.iter().all(|datagram| datagram.len() <= MAX_DATAGRAM_BYTES), "{name}");
-        // Each datagram but the last is as long as one may be, so that they can be told apart again.
+        // Each datagram but the last has the largest size, so that they can be split again.
         let (last, full) = datagrams.split_last().expect("a datagram");
         assert!(
             full.iter().all(|datagram| datagram.len() == MAX_DATAGRAM_BYTES) && !last.is_empty(),
@@ -183,31 +183,34 @@
     assert_eq!(files, names, "a file for each message, and none else");
 }
 
-/// Whether bytes are the start of some message, whatever it is, with zeros for all that follows.
-fn is_heard(first: [u8; 2]) -> bool {
+/// Whether these are the first bytes of some message whose other bytes are zeros.
+fn is_received(first: [u8; 2]) -> bool {
     let datagrams = peers(FROM).datagrams(TO, &(first, [0u8; 32], [0u8; 32]));
     peers(TO).take::<Message>(0, Some(FROM), &datagrams[0]).is_some()
 }
 
 #[test]
-fn there_is_a_fixture_of_each_number_by_which_kinds_are_told_apart() {
+fn every_message_and_request_number_has_a_fixture() {
     // The first byte of a message is the number of its kind; that of a request follows it.
     let payload = |message: &Message| peers(FROM).datagrams(TO, message)[0][17..19].to_vec();
     let known: BTreeSet<u8> = messages().iter().map(|(_, message)| payload(message)[0]).collect();
-    assert_eq!(known, (0..KINDS).collect());
-    let wanted =
+    assert_eq!(known, (0..MESSAGE_KINDS).collect());
+    let requests =
         messages().into_iter().filter(|(_, message)| matches!(message, Message::OperatorRequest { .. }));
-    let wants: BTreeSet<u8> = wanted.map(|(_, message)| payload(&message)[1]).collect();
-    assert_eq!(wants, (0..WANTS).collect());
-    // Beyond them there is none, and each of them is one.
-    let wanted = payload(&messages()[9].1)[0];
-    assert!((0..KINDS).all(|kind| is_heard([kind, 0])) && !is_heard([KINDS, 0]));
-    assert!((0..WANTS).all(|want| is_heard([wanted, want])) && !is_heard([wanted, WANTS]));
+    let request_kinds: BTreeSet<u8> = requests.map(|(_, message)| payload(&message)[1]).collect();
+    assert_eq!(request_kinds, (0..REQUEST_KINDS).collect());
+    // Each of these numbers is one of a kind, and the next is not.
+    let operator_request = payload(&messages()[9].1)[0];
+    assert!((0..MESSAGE_KINDS).all(|kind| is_received([kind, 0])) && !is_received([MESSAGE_KINDS, 0]));
+    assert!(
+        (0..REQUEST_KINDS).all(|request| is_received([operator_request, request]))
+            && !is_received([operator_request, REQUEST_KINDS])
+    );
 }
 
 #[test]
-fn the_fixtures_have_each_kind_of_what_a_field_may_be() {
-    // A kind that is new does not compile here: it needs a place in what the fixtures are made of.
+fn the_fixtures_have_every_variant_of_every_field() {
+    // A new variant doesn't compile here: it needs a record or message among the fixtures.
     let unit = |unit: Unit| match unit {
         Unit::Balancer(_) => 0,
         Unit::Server(_) => 1,
