--- a/balancer/rollout/src/lib.rs
+++ b/balancer/rollout/src/lib.rs
@@ -1,7 +1,20 @@
-//! How many units may be out at once, and whether one more may go. Out is whatever is not in full service:
-//! let out by a grant, draining, gone, cold, unheard of. No I/O; `docs/fleet-design.md` has the promises.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! Rollouts of a new build in waves: how many units (balancers and servers) may be out of service at once, in what
+//! order they restart, and whether the new build does worse than the old one.
+//!
+//! A unit is out while it is not in full service: granted leave, draining, deregistered, warming up, or not
+//! received from. `Scene::may_go` holds the limits of the policy, `Progress` the waves of a `Plan`, and `Evidence`
+//! the sequential test by which a release is halted. No I/O; `docs/fleet-design.md` has the guarantees.
+//!
+//! ```
+//! use std::collections::BTreeSet;
+//! use whinspindle_rollout::{Limits, Scene, Unit};
+//!
+//! let limits = Limits { balancers: Some(1), ..Limits::default() };
+//! let absent = BTreeSet::from([2]);
+//! let scene = Scene { limits: &limits, granted: &[], away: &absent, balancers: 3, servers: &[] };
+//! assert!(scene.may_go(Unit::Balancer(2)).is_ok());
+//! assert!(scene.may_go(Unit::Balancer(0)).is_err());
+//! ```
 
 mod plan;
 mod seen;
@@ -18,7 +31,7 @@
 pub use slow::Lines;
 pub use verdict::{Count, Evidence, OF_BALANCERS, Row, SIGNS, rows};
 
-/// What may be let out.
+/// A process that a rollout restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Unit {
     /// By its number.
@@ -27,60 +40,78 @@
     Server(u64),
 }
 
-/// Where a server stands, as the steward of the moment sees it.
+/// A server in the endpoint list of the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
+    /// The key of its id: see `Unit::Server`.
     pub key: u64,
+    /// The name of its zone.
     pub zone: String,
+    /// The number of its pod.
     pub cell: usize,
-    /// Listed as ready, and warm.
+    /// Whether it is listed as ready, and warm.
     pub full: bool,
 }
 
-/// What the policy allows; nothing where it sets none.
+/// How many units the policy allows out of service at once; none where it sets no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
+    /// Balancers.
     pub balancers: Option<usize>,
+    /// Servers in all.
     pub servers: Option<usize>,
+    /// Servers of one zone.
     pub servers_by_zone: Option<usize>,
+    /// Servers of one pod.
     pub servers_by_cell: Option<usize>,
-    /// Of all servers listed.
+    /// Servers as a part (0 to 1) of all that are listed.
     pub servers_part: Option<f64>,
 }
 
-/// What is known when one more is asked for.
+/// What is known when a unit asks for leave.
 #[derive(Clone, Copy, Debug)]
 pub struct Scene<'a> {
+    /// The limits of the policy in force.
     pub limits: &'a Limits,
-    /// Those let out and not back.
+    /// Units that were granted leave and have not returned.
     pub granted: &'a [Unit],
-    /// Balancers that are not in full service, and how many there are.
+    /// The numbers of balancers that are not in full service.
     pub away: &'a BTreeSet<u16>,
+    /// How many balancers there are.
     pub balancers: usize,
+    /// The servers listed.
     pub servers: &'a [Place],
 }
 
-/// Why a unit may not go now.
+/// Why a unit may not leave service now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum No {
-    /// The policy sets no limit for its kind, so that nobody has said how many may go.
+    /// The policy sets no limit for this kind of unit: without one none may leave.
     NoLimit,
+    /// No such unit is known.
     Unknown,
-    /// By a release: its wave has not come, or the unit is changed already, or there is nothing to take back.
+    /// The unit belongs to a wave of the release that has not begun.
     Later {
+        /// The present wave, from 0.
         wave: usize,
     },
+    /// The unit has the release's build already.
     Changed,
+    /// In a rollback: the unit has the old build.
     Unchanged,
     /// The plan of the release under way is not known here yet.
     NoPlan,
-    /// That release is not under way, or does not name the unit.
+    /// That release is not under way.
     NoRelease,
+    /// The plan of the release does not name the unit.
     NotInPlan,
-    /// So many are out of so many, where no more may.
+    /// A limit is reached.
     Full {
+        /// The units that the limit counts, for operators.
         what: &'static str,
+        /// How many are out.
         out: usize,
+        /// The limit.
         most: usize,
     },
 }
@@ -104,7 +135,7 @@
 }
 
 impl Scene<'_> {
-    /// Whether the unit may go; one that is out of itself already adds nothing by it.
+    /// Whether the unit may leave service. It doesn't count itself, in case it is out already.
     pub fn may_go(&self, unit: Unit) -> Result<(), No> {
         match unit {
             Unit::Balancer(number) => self.balancer(number),
@@ -123,7 +154,7 @@
             Unit::Server(_) => None,
         }));
         out.remove(&number);
-        within("balancers", out.len(), Some(most))
+        check_limit("balancers", out.len(), Some(most))
     }
 
     fn server(&self, key: u64) -> Result<(), No> {
@@ -131,30 +162,34 @@
         if servers.is_none() && servers_part.is_none() {
             return Err(No::NoLimit);
         }
-        let place = self.servers.iter().find(|place| place.key == key).ok_or(No::Unknown)?;
+        let server = self.servers.iter().find(|server| server.key == key).ok_or(No::Unknown)?;
         let is_out = |other: &&Place| !other.full || self.granted.contains(&Unit::Server(other.key));
         let out = || self.servers.iter().filter(|other| other.key != key).filter(is_out);
-        // One that was let out and is no longer listed is out all the same.
-        let gone = self.granted.iter().filter(|unit| match unit {
+        // A server that was granted leave and is no longer listed is out all the same.
+        let unlisted = self.granted.iter().filter(|unit| match unit {
             Unit::Server(granted) => {
                 *granted != key && !self.servers.iter().any(|known| known.key == *granted)
             }
             Unit::Balancer(_) => false,
         });
-        let all = out().count() + gone.count();
+        let all = out().count() + unlisted.count();
         let part = servers_part.map(|part| (part * self.servers.len() as f64) as usize);
-        within("servers", all, servers)?;
-        within("servers, by their part,", all, part)?;
-        within(
+        check_limit("servers", all, servers)?;
+        check_limit("servers, by their part,", all, part)?;
+        check_limit(
             "servers of its zone",
-            out().filter(|other| other.zone == place.zone).count(),
+            out().filter(|other| other.zone == server.zone).count(),
             servers_by_zone,
         )?;
-        within("servers of its pod", out().filter(|other| other.cell == place.cell).count(), servers_by_cell)
+        check_limit(
+            "servers of its pod",
+            out().filter(|other| other.cell == server.cell).count(),
+            servers_by_cell,
+        )
     }
 }
 
-fn within(what: &'static str, out: usize, most: Option<usize>) -> Result<(), No> {
+fn check_limit(what: &'static str, out: usize, most: Option<usize>) -> Result<(), No> {
     match most {
         Some(most) if out >= most => Err(No::Full { what, out, most }),
         _ => Ok(()),
--- a/balancer/rollout/src/plan.rs
+++ b/balancer/rollout/src/plan.rs
@@ -1,50 +1,53 @@
-//! A release: its units go out and come back in waves, each watched before the next; the way back goes wave
-//! by wave too, the last first.
+//! The plan of a release and its progress: units restart with the new build in waves, each watched before the
+//! next; a rollback goes wave by wave too, the last first.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{No, Unit};
 
-/// Units that a plan has at most, so that which of them are changed fits the fleet's record.
+/// The most units of a plan, so that the set of changed ones fits the fleet's record.
 pub const MOST_UNITS: usize = 2048;
 
-/// What an operator wants done, the same at every member: read from one text.
+/// An operator's plan of a release, read from a text that is the same at every member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// The name that the operator gave it.
     pub name: String,
-    /// In the order in which they go, with the names that the operator gave them.
+    /// In the order in which they restart.
     pub units: Vec<Unit>,
+    /// The operator's names of `units`, in the same order.
     pub names: Vec<String>,
-    /// How many have gone when each wave is over; the last is all.
+    /// How many units have restarted when each wave is complete; the last is all.
     pub waves: Vec<usize>,
-    /// How long each wave is watched after its last unit is back, in microseconds.
+    /// How long each wave is watched after its last unit has returned, in microseconds.
     pub watch: u64,
-    /// A build that is as good as the one before is halted with this chance at most, over the whole release.
+    /// The chance, over the whole release, that a build as good as the old one is halted, at most.
     pub error: f64,
-    /// The build of balancers that have been changed; one that comes back with another is not. None asks
-    /// nobody.
+    /// The build of changed balancers: one that returns with another counts as unchanged. None: not checked.
     pub build: Option<String>,
 }
 
-/// Which way a release goes.
+/// The direction of a release.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Way {
+    /// Units get the new build.
     #[default]
     Forth,
-    /// The changed ones return to what they were.
+    /// Rollback: changed units get the old build again.
     Back,
 }
 
-/// A set of units by their places in the plan.
+/// A set of units by their indices in the plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Places(Vec<u64>);
 
 impl Places {
+    /// Whether a unit is in the set.
     pub fn has(&self, place: usize) -> bool {
         self.0.get(place / 64).is_some_and(|word| word >> (place % 64) & 1 == 1)
     }
 
-    /// Beyond the longest plan nothing is taken in.
+    /// Puts a unit into the set, or takes it out. Indices from `MOST_UNITS` on are ignored.
     pub fn set(&mut self, place: usize, on: bool) {
         if place >= MOST_UNITS {
             return;
@@ -56,6 +59,7 @@
         if on { self.0[place / 64] |= bit } else { self.0[place / 64] &= !bit }
     }
 
+    /// The size of the set.
     pub fn count(&self) -> usize {
         self.0.iter().map(|word| word.count_ones() as usize).sum()
     }
@@ -64,30 +68,37 @@
 /// How far a release is.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress<'a> {
+    /// Its plan.
     pub plan: &'a Plan,
+    /// Its direction.
     pub way: Way,
+    /// The present wave, from 0.
     pub wave: usize,
+    /// Units that have the new build.
     pub changed: &'a Places,
-    /// Those let out and not back.
+    /// Units that are not in full service.
     pub out: &'a [Unit],
 }
 
-/// What a wave that is over leads to.
+/// What follows a wave that is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
+    /// Another wave.
     Wave(usize),
+    /// The end of the release.
     Over,
 }
 
 impl Progress<'_> {
-    fn members(&self) -> std::ops::Range<usize> {
+    /// The indices of the present wave's units.
+    fn units_of_wave(&self) -> std::ops::Range<usize> {
         let from = if self.wave == 0 { 0 } else { self.plan.waves.get(self.wave - 1).copied().unwrap_or(0) };
         from..self.plan.waves.get(self.wave).copied().unwrap_or(self.plan.units.len())
     }
 
-    /// Whether a unit of the plan may go by the plan; the limits are another matter.
+    /// Whether the unit at this index of the plan may restart now, the limits of the policy aside.
     pub fn may_go(&self, place: usize) -> Result<(), No> {
-        let range = self.members();
+        let range = self.units_of_wave();
         match (self.way, self.changed.has(place)) {
             (Way::Forth, true) => Err(No::Changed),
             (Way::Back, false) => Err(No::Unchanged),
@@ -97,10 +108,10 @@
         }
     }
 
-    /// Whether the wave of now is over, `watched` for so long since its last unit came back.
+    /// What follows the present wave, `watched` microseconds after its last unit returned; none if it goes on.
     pub fn next(&self, watched: u64) -> Option<Next> {
         let is_out = |place: usize| self.out.contains(&self.plan.units[place]);
-        let range = self.members();
+        let range = self.units_of_wave();
         match self.way {
             Way::Forth => {
                 let done = (0..range.end).all(|place| self.changed.has(place) && !is_out(place));
@@ -108,7 +119,7 @@
                 let next = if last { Next::Over } else { Next::Wave(self.wave + 1) };
                 (done && watched >= self.plan.watch).then_some(next)
             }
-            // Nothing is watched on the way back: what is left of the bad build is the greater evil.
+            // A rollback doesn't wait to be watched: the bad build in service does more harm.
             Way::Back => {
                 let left = (range.start..self.plan.units.len())
                     .any(|place| self.changed.has(place) || is_out(place));
@@ -119,16 +130,17 @@
     }
 }
 
-/// Windows of the verdict in the time that a wave is watched: a bad build is known after ten or so, and what
-/// comes in one moment must not fall into many.
+/// Windows of the test (see `Evidence`) in the time that a wave is watched: ten or so are enough to find a bad
+/// build, and the effects of one moment must not fall into many.
 const WINDOWS: u64 = 16;
 
 impl Plan {
-    /// How long a window of the verdict lasts.
+    /// How long a window of the test lasts, in microseconds.
     pub fn window(&self) -> u64 {
         self.watch / WINDOWS
     }
 
+    /// The index of a unit in the plan.
     pub fn place_of(&self, unit: Unit) -> Option<usize> {
         self.units.iter().position(|known| *known == unit)
     }
--- a/balancer/rollout/src/seen.rs
+++ b/balancer/rollout/src/seen.rs
@@ -1,18 +1,20 @@
-//! What this process sees of servers, and of itself, while a release is watched: counts that the fleet's
-//! thread takes away a few times a second, so that they never grow with time.
+//! What this process observes of servers, and of itself, while a release is watched: counts that the fleet's
+//! thread collects several times a second, so that they never grow with time.
 
 use std::collections::BTreeMap;
 
 use crate::{Count, Lines, SIGNS};
 use whinspindle::host::Outcome;
 
-const FAILS: usize = 0;
+/// Indices into `SIGNS`.
+const FAILED: usize = 0;
 const SLOW: usize = 1;
-const TURNED_AWAY: usize = 2;
+const REJECTED: usize = 2;
 
+/// The observations since they were last collected.
 #[derive(Default)]
 pub struct Seen {
-    lines: Lines,
+    thresholds: Lines,
     servers: BTreeMap<usize, Count>,
     own: Count,
 }
@@ -22,27 +24,27 @@
 }
 
 impl Seen {
-    /// An execution has ended at a server after so many microseconds.
+    /// Counts an execution that ended at a server after `spent` microseconds.
     pub fn execution(&mut self, server: usize, product: usize, outcome: Outcome, spent: u64) {
         let mut bad = [false; SIGNS.len()];
         match outcome {
-            Outcome::Completed => bad[SLOW] = self.lines.is_slow(product, spent),
-            Outcome::Rejected => bad[TURNED_AWAY] = true,
-            // The fault is the query's or this process's own, or nobody's.
+            Outcome::Completed => bad[SLOW] = self.thresholds.is_slow(product, spent),
+            Outcome::Rejected => bad[REJECTED] = true,
+            // The server is not at fault.
             Outcome::Unfit | Outcome::Stale | Outcome::Cancelled | Outcome::NeverSent => return,
-            _ => bad[FAILS] = true,
+            _ => bad[FAILED] = true,
         }
         self.servers.entry(server).or_default().add(count(bad));
     }
 
-    /// A query of a client has its final answer here.
+    /// Counts a client's request that has its final answer, for this process itself.
     pub fn query(&mut self, aborted: bool, tardy: bool, rejected: bool) {
         let mut bad = [false; SIGNS.len()];
-        (bad[FAILS], bad[SLOW], bad[TURNED_AWAY]) = (aborted, tardy, rejected);
+        (bad[FAILED], bad[SLOW], bad[REJECTED]) = (aborted, tardy, rejected);
         self.own.add(count(bad));
     }
 
-    /// What was counted since the last call: by server, and of the process itself.
+    /// The counts since the last call: by server, and of the process itself.
     pub fn take(&mut self) -> (BTreeMap<usize, Count>, Count) {
         (std::mem::take(&mut self.servers), std::mem::take(&mut self.own))
     }
--- a/balancer/rollout/src/verdict.rs
+++ b/balancer/rollout/src/verdict.rs
@@ -1,5 +1,5 @@
-//! Whether the changed units do worse than those not yet changed in the same moments: a sequential test that
-//! may be looked at after every window, as often as one likes, with a stated chance of a false halt.
+//! Whether the changed units do worse than those not yet changed at the same time: a sequential test that may be
+//! evaluated after every window, as often as one likes, with a stated chance of a false halt.
 //!
 //! In each window and stratum (zone and kind) the bad outcomes are counted on both sides. Were the builds
 //! alike, each of them would fall on a changed unit with the chance that this side has in the executions;
@@ -18,39 +18,47 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How many times worse odds are looked for. What is worse by less than the first of them is not found, by
-/// design.
+/// The odds ratios that are tested for. A build that is worse by less than the first is not found, by design.
 const FACTORS: [f64; 3] = [1.5, 3.0, 9.0];
-/// What can be bad about an execution, each tested with a third of the error.
+/// What can be bad about an execution, each tested with its part of the error.
 pub const SIGNS: [&str; 3] = ["fail", "are slow", "are turned away"];
+/// The largest value of a sum or factor, so that their product stays finite.
+const MAX_RATIO: f64 = 1e100;
+
 /// Executions, and the bad ones of each sign.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Count {
+    /// All executions.
     pub executions: u32,
+    /// Those that were bad, by sign.
     pub bad: [u32; 3],
 }
 
 impl Count {
+    /// Adds another count.
     pub fn add(&mut self, other: Count) {
         self.executions = self.executions.saturating_add(other.executions);
         self.bad.iter_mut().zip(other.bad).for_each(|(bad, more)| *bad = bad.saturating_add(more));
     }
 }
 
-/// The stratum of balancers: each tells of itself.
+/// The stratum of balancers: each reports on itself.
 pub const OF_BALANCERS: u16 = u16::MAX;
 
-/// What one member has seen of one side of one stratum since it told last.
+/// What one member has observed of one side of one stratum since its last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
+    /// The zone and kind of the units, as a number; or `OF_BALANCERS`.
     pub stratum: u16,
+    /// Whether they have the new build.
     pub changed: bool,
+    /// Their counts together.
     pub count: Count,
     /// The most bad outcomes of each sign that one unit has.
     pub most: [u32; 3],
 }
 
-/// The rows of one member's counts: by unit, its stratum, whether it is changed, and what was seen of it.
+/// The rows of one member's report. Takes for each unit its stratum, whether it is changed, and its counts.
 pub fn rows(units: impl Iterator<Item = (u16, bool, Count)>) -> Vec<Row> {
     let mut rows: BTreeMap<(u16, bool), Row> = BTreeMap::new();
     for (stratum, changed, count) in units.filter(|(_, _, count)| count.executions > 0) {
@@ -62,24 +70,25 @@
     rows.into_values().collect()
 }
 
-/// The evidence against a build.
+/// The test of a build, run by a voter on the reports of all members.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     error: f64,
     window: u64,
-    /// Of this window, by member and stratum: not changed, and changed.
+    /// The counts of this window by member and stratum: of unchanged and of changed units.
     strata: BTreeMap<(u16, u16), [Count; 2]>,
-    /// By stratum, and changed or not: the most bad outcomes of one unit, as all members together have seen
-    /// it at most.
+    /// By stratum and side: an upper bound of one unit's bad outcomes over all members.
     most: BTreeMap<(u16, bool), [u32; 3]>,
-    /// For each sign and factor.
+    /// The sums of likelihood ratios, by sign and factor.
     sums: [[f64; 3]; 3],
-    /// Executions of changed units that were looked at, and the bad ones.
+    /// What was counted at changed units.
     pub changed: Count,
+    /// What was counted at unchanged units.
     pub unchanged: Count,
 }
 
 impl Evidence {
+    /// A test with this chance of a false halt over the whole release.
     pub fn new(error: f64) -> Evidence {
         Evidence {
             error,
@@ -92,15 +101,15 @@
         }
     }
 
-    /// What a member tells. Servers are compared within what one member saw of them in one stretch of time,
-    /// so that members with other clients, zones or moments don't pass for other builds; balancers are
-    /// compared with one another.
+    /// Takes a row of a member's report. Servers are compared only within one member's observations of one
+    /// window, so that differences of members' clients, zones or time don't look like those of builds; balancers
+    /// are compared with one another.
     pub fn take(&mut self, from: u16, row: Row) {
         let member = if row.stratum == OF_BALANCERS { u16::MAX } else { from };
         let count = Count { bad: row.count.bad.map(|bad| bad.min(row.count.executions)), ..row.count };
         let most = self.most.entry((row.stratum, row.changed)).or_default();
         for ((known, more), bad) in most.iter_mut().zip(row.most).zip(row.count.bad) {
-            // Members see the same servers, but each balancer is a unit of its own.
+            // All members observe the same servers, but each balancer is a unit of its own.
             let more = more.min(bad);
             *known =
                 if row.stratum == OF_BALANCERS { (*known).max(more) } else { known.saturating_add(more) };
@@ -108,14 +117,13 @@
         self.strata.entry((member, row.stratum)).or_default()[usize::from(row.changed)].add(count);
     }
 
-    /// The window is over: what was taken since the last one counts. Tells which sign is against the build,
-    /// and by how much, if one is.
+    /// Closes the window and evaluates the test: the finding against the build for operators, if there is one.
     pub fn close(&mut self) -> Option<String> {
         self.window += 1;
         let mut logs = [[0.0; 3]; 3];
-        // Each window is for itself, however few it has. Guards against sides of different moments: held over
-        // until there were enough, the one had the failures of a burst and the other those of the calm
-        // before.
+        // Each window counts for itself, however few executions it has. Guards against comparing different times:
+        // when small counts were carried over, one side had the failures of a burst and the other those of
+        // the calm before.
         let most = std::mem::take(&mut self.most);
         for ((_, stratum), [unchanged, changed]) in std::mem::take(&mut self.strata) {
             if unchanged.executions == 0 || changed.executions == 0 {
@@ -135,13 +143,13 @@
                 }
             }
         }
-        // The weights of all beginnings together are one.
+        // The weights of all windows as a possible start of the fault add up to one.
         let weight = 1.0 / (self.window as f64 * (self.window + 1) as f64);
         let mut against = None;
         for (sign, sums) in self.sums.iter_mut().enumerate() {
             for (sum, log) in sums.iter_mut().zip(logs[sign]) {
-                *sum = (*sum + weight) * f64::exp(log).min(1e100);
-                *sum = sum.min(1e100);
+                *sum = (*sum + weight) * f64::exp(log).min(MAX_RATIO);
+                *sum = sum.min(MAX_RATIO);
             }
             let mean = sums.iter().sum::<f64>() / FACTORS.len() as f64;
             if mean >= SIGNS.len() as f64 / self.error && against.is_none() {
--- a/balancer/rollout/tests/release.rs
+++ b/balancer/rollout/tests/release.rs
@@ -1,4 +1,4 @@
-//! Whether one more may go.
+//! Tables of cases: which units may leave service, and how waves follow one another.
 
 use whinspindle_rollout::{Limits, Next, No, Place, Places, Plan, Progress, Scene, Unit, Way};
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn waves_follow_one_another_and_the_way_back_undoes_the_last_first() {
+fn waves_follow_one_another_and_a_rollback_undoes_the_last_first() {
     let plan = Plan {
         name: "p".to_string(),
         units: (0..4).map(Server).collect(),
