--- a/balancer/operator-file/src/draw.rs
+++ b/balancer/operator-file/src/draw.rs
@@ -1,11 +1,12 @@
-//! Faults drawn into the lines of the file, as a compiler would.
+//! Faults shown at their lines of the file, as a compiler shows errors.
 
 use annotate_snippets::{AnnotationKind, Group, Level, Renderer, Snippet};
 use whinspindle_toml_config::Fault;
 
-/// Longer lines are not drawn, only named.
-const MOST_DRAWN: usize = 500;
+/// Of longer lines (in bytes) only the position is shown.
+const MAX_DRAWN_LINE: usize = 500;
 
+/// The faults of a text as messages for a terminal; `file` is the name that they show.
 pub fn draw(file: &str, text: &str, faults: &[Fault]) -> String {
     let renderer = Renderer::plain();
     let mut drawn = String::new();
@@ -15,14 +16,14 @@
             "" => fault.fault.clone(),
             field => format!("{field}: {}", fault.fault),
         };
-        if line.len() > MOST_DRAWN || fault.span.end > text.len() {
+        if line.len() > MAX_DRAWN_LINE || fault.span.end > text.len() {
             drawn.push_str(&format!("error: {title}\n --> {file}:{}:{}\n", fault.line, fault.column));
             if !fault.way_out.is_empty() {
                 drawn.push_str(&format!("  = help: {}\n", fault.way_out));
             }
             continue;
         }
-        // A fault of a whole table is drawn at its first line.
+        // A fault of a whole table is shown at its first line.
         let end = text[fault.span.start..].find('\n').map_or(text.len(), |at| fault.span.start + at);
         let span = fault.span.start..fault.span.end.min(end).max(fault.span.start);
         let snippet = Snippet::source(text).path(file).annotation(AnnotationKind::Primary.span(span));
--- a/balancer/operator-file/src/fleet.rs
+++ b/balancer/operator-file/src/fleet.rs
@@ -1,45 +1,61 @@
-//! What the file says of the fleet: who votes, how long a right lasts, where state is kept, and how the
-//! process is spoken to. Without the table there is no fleet.
+//! The table `[fleet]` of the operator's file: who votes, how long a lease lasts, where state is kept, and how the
+//! process is addressed. Without the table there is no fleet.
 
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_toml_config::Table;
 
-/// Fewer and more voters than this don't pay: three outlive one, seven outlive three.
-const VOTERS: (usize, usize) = (1, 7);
+/// Three voters outlive the failure of one, seven that of three; more don't pay.
+const VOTERS: RangeInclusive<usize> = 1..=7;
 /// In microseconds.
 const SECOND: u64 = 1_000_000;
-/// Datagrams of the platform's protocol, and the largest that other installations may allow, in bytes.
-const DATAGRAMS: (u64, u64) = (256, 1400);
-/// A voter answers so many questions a second at most, so that the pace grows with the fleet.
-const ANSWERS: u64 = 200;
+/// The datagrams of the platform's protocol, in bytes.
+const DEFAULT_DATAGRAM: u64 = 256;
+/// The largest datagrams that an installation may allow, in bytes.
+const MAX_DATAGRAM: u64 = 1400;
+/// The most requests a second that a voter answers: the pace grows with the fleet.
+const ANSWERS_PER_SECOND: u64 = 200;
 
-/// Times are microseconds.
+/// The table `[fleet]`. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetTerms {
+    /// The fleet's name: members of other fleets are ignored.
     pub name: String,
+    /// The members' shared secret.
     pub secret: String,
+    /// The socket for operators' commands.
     pub socket: PathBuf,
+    /// The folder of the durable state.
     pub store: PathBuf,
+    /// The members that vote from the bootstrap on.
     pub voters: Vec<u16>,
+    /// How many members the fleet has.
     pub members: u16,
+    /// The number of this member, from 0.
     pub me: u16,
+    /// How long a lease lasts.
     pub right: u64,
-    /// In millionths.
+    /// The largest deviation of a clock's rate, in millionths.
     pub drift: u64,
+    /// Time between two requests for the lease.
     pub pace: u64,
+    /// A member from which nothing was received for so long is taken to be away.
     pub absent: u64,
+    /// A change that isn't proved everywhere within this time is given up.
     pub give_up: u64,
+    /// How long a process that has just started waits for its first lease.
     pub learn: u64,
-    /// In bytes.
+    /// The largest datagram, in bytes.
     pub datagram: usize,
-    /// Whether the list of servers is asked for at neighbours while discovery has not spoken.
+    /// Whether neighbours are asked for their endpoint list until discovery has sent one.
     pub neighbours: bool,
-    /// Whether few queries are taken at a time when the process starts.
+    /// Whether few requests are taken at a time when the process starts.
     pub begin_slowly: bool,
 }
 
+/// Reads the table; none if there is none.
 pub fn fleet(table: &Table, deployment: &Deployment) -> Option<FleetTerms> {
     let t = table.table("fleet")?;
     let members = deployment.terms.balancers.min(u16::MAX as usize) as u16;
@@ -48,8 +64,33 @@
         let way_out = "settings whose rank is below their number of balancers";
         t.fault(&t.place(), format!("this balancer is number {me} of {members}"), way_out);
     }
-    let voters = t.numbers("voters", (0, u64::from(members.saturating_sub(1))));
-    let mut voters: Vec<u16> = voters.into_iter().map(|voter| voter as u16).collect();
+    let voters = voters(&t, members);
+    let Times { right, pace, absent } = times(&t, members);
+    let datagram = datagram(&t);
+    Some(FleetTerms {
+        name: t.text("name", None),
+        secret: t.text("secret", Some("")),
+        socket: PathBuf::from(t.text("socket", None)),
+        store: PathBuf::from(t.text("store", None)),
+        voters,
+        members,
+        me,
+        right,
+        drift: (t.number("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
+        pace: pace.max(1),
+        absent,
+        give_up: t.time("give-up", Some(60 * SECOND)),
+        learn: t.time("learn", Some(2 * SECOND)),
+        datagram,
+        neighbours: t.flag("neighbours", true),
+        begin_slowly: t.flag("begin-slowly", true),
+    })
+}
+
+/// The numbers of the voters, in order.
+fn voters(t: &Table, members: u16) -> Vec<u16> {
+    let numbers = t.numbers("voters", (0, u64::from(members.saturating_sub(1))));
+    let mut voters: Vec<u16> = numbers.into_iter().map(|voter| voter as u16).collect();
     voters.sort_unstable();
     let given = voters.len();
     voters.dedup();
@@ -57,22 +98,34 @@
     if given != voters.len() {
         t.fault(&place, "names a balancer twice", "each once");
     }
-    if !(VOTERS.0..=VOTERS.1).contains(&given) {
+    if !VOTERS.contains(&given) {
         let way_out = "three, or five: of three one may be away, of five two";
         t.fault(&place, format!("{given} voters"), way_out);
     } else if given.is_multiple_of(2) {
         let fault = format!("{given} voters outlive no more than {} do", given - 1);
         t.fault(&place, fault, "an odd number");
     }
+    voters
+}
+
+/// The times of the lease protocol: see `FleetTerms`.
+struct Times {
+    right: u64,
+    pace: u64,
+    absent: u64,
+}
+
+fn times(t: &Table, members: u16) -> Times {
     let right = t.time("right", Some(10 * SECOND));
-    let least = (right / 5).max(u64::from(members) * SECOND / ANSWERS);
-    let pace = t.time("pace", Some(least));
+    let shortest_pace = u64::from(members) * SECOND / ANSWERS_PER_SECOND;
+    let pace = t.time("pace", Some((right / 5).max(shortest_pace)));
     if pace == 0 || pace > right / 3 {
         let fault = format!("a right of {} ms is asked for every {} ms", right / 1000, pace / 1000);
         t.fault(&t.place_of("right"), fault, "three questions in the time of a right at the least");
     }
-    if pace < u64::from(members) * SECOND / ANSWERS / 2 {
-        let fault = format!("{members} balancers would ask a voter over {} times a second", 2 * ANSWERS);
+    if pace < shortest_pace / 2 {
+        let most = 2 * ANSWERS_PER_SECOND;
+        let fault = format!("{members} balancers would ask a voter over {most} times a second");
         t.fault(&t.place_of("pace"), fault, "leave it out, or a longer one");
     }
     let absent = t.time("absent", Some(right));
@@ -80,27 +133,15 @@
         let way_out = "twice the pace at the least";
         t.fault(&t.place_of("absent"), "one question lost would make a balancer pass for away", way_out);
     }
-    let datagram = t.size("datagram", Some(DATAGRAMS.0));
-    if !(DATAGRAMS.0..=DATAGRAMS.1).contains(&datagram) {
-        let way_out = format!("from {} to {} bytes", DATAGRAMS.0, DATAGRAMS.1);
+    Times { right, pace, absent }
+}
+
+/// The largest datagram, in bytes.
+fn datagram(t: &Table) -> usize {
+    let datagram = t.size("datagram", Some(DEFAULT_DATAGRAM));
+    if !(DEFAULT_DATAGRAM..=MAX_DATAGRAM).contains(&datagram) {
+        let way_out = format!("from {DEFAULT_DATAGRAM} to {MAX_DATAGRAM} bytes");
         t.fault(&t.place_of("datagram"), format!("{datagram} bytes"), way_out);
     }
-    Some(FleetTerms {
-        name: t.text("name", None),
-        secret: t.text("secret", Some("")),
-        socket: PathBuf::from(t.text("socket", None)),
-        store: PathBuf::from(t.text("store", None)),
-        voters,
-        members,
-        me,
-        right,
-        drift: (t.number("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
-        pace: pace.max(1),
-        absent,
-        give_up: t.time("give-up", Some(60 * SECOND)),
-        learn: t.time("learn", Some(2 * SECOND)),
-        datagram: datagram as usize,
-        neighbours: t.flag("neighbours", true),
-        begin_slowly: t.flag("begin-slowly", true),
-    })
+    datagram as usize
 }
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -1,9 +1,16 @@
-//! The operator's file: one place for what an installation sets beside the platform's configuration, each
-//! part in a table of its own that is absent by default. It is checked against the deployment's settings when
-//! it is read, and its routes are proved against the rules; all faults are told at once.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-#![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
+//! The operator's file: what an installation sets beside the platform's configuration, in TOML, each part in a
+//! table of its own that is absent by default.
+//!
+//! `read` takes a balancer's own file, `read_policy` the policy of a fleet and `read_plan` the plan of a release.
+//! Each is checked against the deployment's settings, and its routes are proved against the rules; all faults are
+//! reported at once, and `draw` shows them at their lines.
+//!
+//! ```text
+//! match whinspindle_operator_file::read(&text, &deployment) {
+//!     Ok(operator) => serve(operator),
+//!     Err(faults) => eprintln!("{}", whinspindle_operator_file::draw(path, &text, &faults)),
+//! }
+//! ```
 
 mod draw;
 mod fleet;
@@ -22,41 +29,46 @@
 pub use fleet::FleetTerms;
 pub use plan::{read_plan, unit};
 
-/// What the way to a server may take beside the connect time-out.
+/// What the network may take from here to a server beside the connect time-out, in microseconds.
 const NETWORK_MARGIN: u64 = 50_000;
-/// Longest body of a query that the program takes.
+/// Longest request body that the program takes, in bytes.
 pub const LARGEST_BODY: u64 = 64 * 1024;
 
-/// What the file says.
+/// The contents of the file.
 pub struct Operator {
+    /// The routes.
     pub routes: RouteTable,
-    /// By what a balancer decides that is cut off from the others of its fleet.
+    /// What a balancer decides by in a partition, without a lease of its fleet.
     pub cut_off: CutOff,
-    /// How many units of the fleet may be out at once.
+    /// How many units of the fleet may be out of service at once.
     pub limits: Limits,
+    /// The membership of a fleet.
     pub fleet: Option<FleetTerms>,
+    /// The endpoint cache.
     pub keep: Option<Keep>,
 }
 
-/// Where the list of servers is kept over a restart, and how far one of which age is believed, in
-/// microseconds.
+/// The endpoint cache: where the list of servers is persisted, and how far it is trusted by its age.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Keep {
+    /// The folder of the file.
     pub folder: PathBuf,
+    /// Up to this age a list is fresh, in microseconds.
     pub fresh: u64,
+    /// From this age on a list is old, in microseconds.
     pub old: u64,
 }
 
-/// For a balancer that may not know which policy is in force.
+/// What a balancer does that may not know which policy is in force.
 pub enum CutOff {
-    /// Queries are rejected, with a time to come back.
+    /// Requests are rejected, with a time to come back.
     Rejects,
-    /// These routes hold; none of them is as without a file.
+    /// Requests take these routes; without any, the defaults hold as without a file.
     Routes(RouteTable),
 }
 
 impl Operator {
-    /// The routes as the decisions take them: a row of conditions for each product.
+    /// The routes as the balancer's core takes them: for each route a row of conditions for each product.
     pub fn rows(&self, deployment: &Deployment) -> Vec<Vec<host::RoutePolicy>> {
         let named = |names: &[String], known: &[String]| -> Vec<usize> {
             names.iter().filter_map(|name| index(known, name)).collect()
@@ -81,12 +93,12 @@
         self.routes.routes().iter().map(|route| route.conditions.iter().map(row).collect()).collect()
     }
 
-    /// Whether the process takes few queries at a time when it starts.
+    /// Whether the process takes few requests at a time when it starts.
     pub fn begins_slowly(&self) -> bool {
         self.fleet.as_ref().is_some_and(|fleet| fleet.begin_slowly)
     }
 
-    /// No routes: as without a file.
+    /// The contents of an absent file: no routes.
     pub fn none() -> Operator {
         Operator {
             routes: RouteTable::new(Vec::new()),
@@ -103,8 +115,8 @@
     whinspindle_toml_config::read(text, |table| read::operator(table, deployment, true))
 }
 
-/// Reads and proves the text of a policy, which the whole fleet goes by: routes, and what holds for those
-/// that are cut off, but nothing that is a balancer's own.
+/// Reads and proves the text of a fleet's policy: routes, limits, and what holds in a partition, but no setting of
+/// a single balancer.
 pub fn read_policy(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
     whinspindle_toml_config::read(text, |table| read::operator(table, deployment, false))
 }
@@ -123,7 +135,7 @@
     }
 }
 
-/// The rules by their numbers, as an operator would want them told.
+/// The rules as operators read them: number, title and explanation.
 pub const RULES: [(u8, &str, &str); 4] = [
     (
         1,
--- a/balancer/operator-file/src/plan.rs
+++ b/balancer/operator-file/src/plan.rs
@@ -1,10 +1,11 @@
-//! The plan of a release, as an operator writes it.
+//! The reader of a release's plan.
 
 use whinspindle_rollout::{MOST_UNITS, Plan, Unit};
 use whinspindle_toml_config::{Fault, Place, Table};
 
-/// A wave that is watched for less tells nothing; for more is forgotten.
-const WATCHED: (u64, u64) = (1_000_000, 86_400_000_000);
+/// How long a wave may be watched, in microseconds: in less nothing is seen, and more than a day is forgotten.
+const WATCH: std::ops::RangeInclusive<u64> = 1_000_000..=86_400_000_000;
+const DEFAULT_WATCH: u64 = 60_000_000;
 
 /// Reads and checks a plan; `balancers` is how many the fleet has, if that is known.
 pub fn read_plan(text: &str, balancers: Option<usize>) -> Result<Plan, Vec<Fault>> {
@@ -12,6 +13,29 @@
 }
 
 fn plan(t: &Table, balancers: Option<usize>) -> Plan {
+    let names = unit_names(t);
+    let units = units(t, &names, balancers);
+    if units.is_empty() || units.len() > MOST_UNITS {
+        let way_out = format!("1 to {MOST_UNITS}; more in several releases");
+        t.fault(&t.place_of("units"), format!("{} units", units.len()), way_out);
+    }
+    let watch = t.time("watch", Some(DEFAULT_WATCH));
+    if !WATCH.contains(&watch) {
+        t.fault(&t.place_of("watch"), "is too short to see anything, or forgotten", "1 s to 24 h");
+    }
+    Plan {
+        name: t.text("name", None),
+        names: names.into_iter().map(|(name, _)| name).collect(),
+        waves: waves(t, units.len()),
+        units,
+        watch,
+        error: t.number("error", (1e-6, 0.2), Some(0.01)),
+        build: t.holds("build").then(|| t.text("build", None)),
+    }
+}
+
+/// The names of the units and their places in the file, with ranges of balancers expanded.
+fn unit_names(t: &Table) -> Vec<(String, Place)> {
     let mut names: Vec<(String, Place)> = Vec::new();
     for (text, place) in t.texts("units") {
         match text.strip_prefix("balancer:").and_then(|numbers| numbers.split_once('-')) {
@@ -24,8 +48,13 @@
             None => names.push((text, place)),
         }
     }
+    names
+}
+
+/// The units by their names, each checked.
+fn units(t: &Table, names: &[(String, Place)], balancers: Option<usize>) -> Vec<Unit> {
     let mut units: Vec<Unit> = Vec::new();
-    for (name, place) in &names {
+    for (name, place) in names {
         let Some(unit) = unit(name) else {
             t.fault(place, format!("{name:?} is no unit"), "balancer:NUMBER, balancer:FROM-TO or server:ID");
             continue;
@@ -44,26 +73,10 @@
         }
         units.push(unit);
     }
-    if units.is_empty() || units.len() > MOST_UNITS {
-        let way_out = format!("1 to {MOST_UNITS}; more in several releases");
-        t.fault(&t.place_of("units"), format!("{} units", units.len()), way_out);
-    }
-    let watch = t.time("watch", Some(60_000_000));
-    if !(WATCHED.0..=WATCHED.1).contains(&watch) {
-        t.fault(&t.place_of("watch"), "is too short to see anything, or forgotten", "1 s to 24 h");
-    }
-    Plan {
-        name: t.text("name", None),
-        names: names.into_iter().map(|(name, _)| name).collect(),
-        waves: waves(t, units.len()),
-        units,
-        watch,
-        error: t.number("error", (1e-6, 0.2), Some(0.01)),
-        build: t.holds("build").then(|| t.text("build", None)),
-    }
+    units
 }
 
-/// How many have gone when each wave is over, each more than the one before; the last is all.
+/// How many units have restarted when each wave is complete, each more than the one before; the last is all.
 fn waves(t: &Table, all: usize) -> Vec<usize> {
     if !t.holds("waves") {
         // A first one alone, then a tenth, a half, and the rest.
@@ -76,14 +89,14 @@
     for (text, place) in t.texts("waves") {
         let count = match text.strip_suffix('%') {
             Some(part) => part.parse::<f64>().ok().filter(|part| *part > 0.0 && *part <= 100.0).map(|part| {
-                // Rounded up, so that a small part of few is one.
+                // Rounded up, so that a small part of few units is one.
                 ((part / 100.0 * all as f64).ceil() as usize).min(all)
             }),
             None => text.parse::<usize>().ok().filter(|count| (1..=all).contains(count)),
         };
         match count {
             None => t.fault(&place, format!("{text:?} is no wave of {all}"), "as in \"1\" or \"25%\""),
-            // Parts of few units may come to the same count: that is one wave.
+            // Percentages of few units may round to the same count: that is one wave.
             Some(count) if waves.last() == Some(&count) && text.ends_with('%') => {}
             Some(count) if waves.last().is_some_and(|last| *last >= count) => {
                 t.fault(&place, format!("{count} have gone already"), "each wave more than the one before");
--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -1,5 +1,4 @@
-//! Deliberately wrong files, each refused for the line and the rule expected; good ones, and what they come
-//! to.
+//! Tables of invalid files, each refused at the expected line for the expected rule; valid ones and their values.
 
 mod common;
 
@@ -136,7 +135,7 @@
 }
 
 #[test]
-fn whole_files_are_refused_for_what_their_routes_are_to_each_other() {
+fn files_with_conflicting_routes_are_refused() {
     let cases = [
         ("[[route]]\nname = \"a\"\n[[route]]\nname = \"b\"\n", 3, "matches the same queries as \"a\""),
         ("[[route]]\nname = \"a\"\n[[route]]\nname = \"a\"\npath = \"/x\"\n", 4, "is there twice"),
@@ -152,12 +151,12 @@
     }
 }
 
-/// A fleet's own file, and a policy, that are good; the cases change lines of them.
+/// A valid file of a fleet's member and a valid policy; the cases change lines of them.
 const FLEET: &str = "[fleet]\nname = \"f\"\nvoters = [0]\nsocket = \"s\"\nstore = \"d\"\n";
 const LIMITS: &str = "[limits.out]\nbalancers = 1\nservers = 3\nservers-by-zone = 2\n";
 
 #[test]
-fn what_a_fleet_must_not_set_is_refused_at_its_line() {
+fn invalid_fleet_settings_are_refused_at_their_lines() {
     let deployment = deployment();
     let own = |text: &str| read(text, &deployment);
     let policy = |text: &str| read_policy(text, &deployment);
@@ -216,19 +215,19 @@
 }
 
 #[test]
-fn all_faults_come_at_once() {
+fn all_faults_are_reported_at_once() {
     let text = "[[route]]\nname = \"a\"\ntime = 3\n[[route]]\nname = \"b\"\npath = \"/x\"\nexecutions = 0\n";
     let lines: Vec<usize> = faults(text).iter().map(|fault| fault.line).collect();
     assert_eq!(lines, [3, 7]);
 }
 
-fn good(text: &str) -> Operator {
+fn valid(text: &str) -> Operator {
     read(text, &deployment()).unwrap_or_else(|faults| panic!("{}", draw("operator.toml", text, &faults)))
 }
 
 #[test]
-fn what_is_not_set_is_as_without_a_route() {
-    let operator = good("[[route]]\nname = \"all\"\n");
+fn unset_values_default_to_those_without_a_route() {
+    let operator = valid("[[route]]\nname = \"all\"\n");
     let rows = &operator.routes.routes()[0].conditions;
     let all = RetryOn { never_ran: true, error: true, broken: true, timed_out: true };
     let never_ran = RetryOn { never_ran: true, ..RetryOn::NOTHING };
@@ -244,7 +243,7 @@
         );
     }
     // With a time for executions there is room for more of them.
-    let operator = good("[[route]]\nname = \"all\"\nexecution-time = \"500ms\"\n");
+    let operator = valid("[[route]]\nname = \"all\"\nexecution-time = \"500ms\"\n");
     let rows = &operator.routes.routes()[0].conditions;
     let wanted = [(0, 4, all, false), (1, 4, all, true), (2, 4, never_ran, false), (3, 2, all, false)];
     for (product, executions, after, in_pod) in wanted {
@@ -255,7 +254,7 @@
 }
 
 #[test]
-fn the_example_is_good_for_the_example_of_a_configuration() {
+fn the_example_file_is_valid_for_the_example_settings() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let config = std::fs::read_to_string(root.join("examples/balancer.json")).expect("an example");
     // The settings are the last field of the example.
@@ -278,14 +277,14 @@
             format!("[[route]]\nname = \"r{n}\"\npath = \"/s{}/{{id}}/p{n}/*\"\ntime = \"1s\"\n", n % 50)
         })
         .collect();
-    let operator = good(&text);
+    let operator = valid(&text);
     let lookup = whinspindle_routes::Lookup { method: "GET", target: "/s7/x/p1007/y", product: 0, tenant: 9 };
     let found = operator.routes.find(&lookup).map(|number| operator.routes.routes()[number].name.as_str());
     assert_eq!(found, Some("r1007"));
 }
 
 #[test]
-fn no_text_ends_the_reader() {
+fn no_text_makes_the_reader_panic() {
     let words = [
         "[[route]]",
         "[log]",
--- a/balancer/operator-file/tests/random.rs
+++ b/balancer/operator-file/tests/random.rs
@@ -1,5 +1,5 @@
-//! Files drawn at random: the reader ends with rows that keep to the deployment, or with faults that can be
-//! drawn; never with a panic.
+//! Random files: the reader returns rows within the deployment's bounds, or faults that can be shown; it never
+//! panics.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -7,7 +7,7 @@
 
 mod common;
 
-/// Keys and values as operators write them, right and wrong, and text that is neither.
+/// Keys and values as operators write them, valid and invalid, and arbitrary text.
 fn line() -> impl Strategy<Value = String> {
     let key = prop::sample::select(vec![
         "name",
@@ -67,7 +67,7 @@
     ]
 }
 
-/// A route that is good but for what is drawn: else hardly a file would come as far as the proof.
+/// A route that is valid but for the random values: otherwise hardly any file would reach the proof.
 fn route() -> impl Strategy<Value = String> {
     let product = prop::sample::select(vec!["read", "order", "pay", "brief"]);
     let some = |name: &'static str, most: u64| {
@@ -98,14 +98,14 @@
         })
 }
 
-/// The same files every time.
+/// A runner with a fixed seed: the same files in each run.
 fn runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
 #[test]
-fn any_text_is_read_or_refused_with_faults_that_can_be_drawn() {
+fn any_text_is_read_or_refused_with_faults_that_can_be_shown() {
     let deployment = common::deployment();
     let refused = std::cell::Cell::new(0);
     let text = prop::collection::vec(line(), 0..14).prop_map(|lines| lines.join("\n"));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn rows_of_an_accepted_file_keep_to_the_deployment() {
+fn rows_of_an_accepted_file_stay_within_the_deployments_bounds() {
     let deployment = common::deployment();
     let (accepted, refused) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
     let text = prop::collection::vec(route(), 1..4).prop_map(|routes| routes.concat());
