--- a/balancer/routes/src/lib.rs
+++ b/balancer/routes/src/lib.rs
@@ -1,8 +1,13 @@
-//! Routes: what an operator sets for some of the queries, which route a query takes, and the proof that no
-//! schedule that a route allows can break a rule. Free of I/O and clock; times are microseconds.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
-#![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
+//! Routes: the conditions that an operator sets for some of the requests, the table that finds a request's route,
+//! and the proof that no schedule that a route allows can break a rule. No I/O and no clock; times are microseconds.
+//!
+//! ```
+//! use whinspindle_routes::pattern::Pattern;
+//!
+//! let pattern = Pattern::read("/orders/{id}/*").expect("a pattern");
+//! assert!(pattern.holds("/orders/7/items"));
+//! assert!(!pattern.holds("/orders"));
+//! ```
 
 pub mod pattern;
 pub mod proof;
@@ -14,80 +19,101 @@
 use pattern::Pattern;
 pub use table::{Lookup, RouteTable, Tie};
 
-/// The servers that may take a route's queries.
+/// The servers that may take a route's requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Servers {
-    /// Names of zones and kinds; none means any.
+    /// The names of their zones; empty for any.
     pub zones: Vec<String>,
+    /// The names of their kinds; empty for any.
     pub kinds: Vec<String>,
-    /// Repeats stay in the zone, or in the pod, of the first execution.
+    /// Retries stay in the zone of the first execution.
     pub repeats_in_zone: bool,
+    /// Retries stay in the pod of the first execution.
     pub repeats_in_pod: bool,
 }
 
-/// What a route sets for its queries.
+/// What a route sets for its requests. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conditions {
-    /// For the whole query, from when it was taken to its final answer.
+    /// The time-out of a request, from when it was taken to its final answer.
     pub time: u64,
-    /// For one execution, from its send to its end.
+    /// The time-out of one execution, from its send to its end.
     pub execution_time: u64,
+    /// The most executions of a request, the first among them.
     pub executions: usize,
+    /// The outcomes after which a request is retried.
     pub retry_on: RetryOn,
-    /// Before a repeat; the spread is the part of it that may come on top.
+    /// The wait before a retry.
     pub wait: u64,
+    /// The random part of the wait, as a part of `wait` that is added at most.
     pub spread: f64,
+    /// When a hedged request is sent.
     pub hedge: HedgePolicy,
-    /// Repeats as a part of the route's queries.
+    /// The retry budget, as a part of the route's requests.
     pub budget: f64,
+    /// The largest body of a request, in bytes.
     pub largest_body: u64,
+    /// The servers that may take it.
     pub servers: Servers,
 }
 
-/// Whom a route is for.
+/// The requests that a route is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Matches {
-    /// None: any method.
+    /// The method; none for any.
     pub method: Option<String>,
+    /// The paths.
     pub path: Pattern,
-    /// Indices in the settings; none: any.
+    /// The index of the product in the settings; none for any.
     pub product: Option<usize>,
+    /// The index of the tenant in the settings; none for any.
     pub tenant: Option<usize>,
 }
 
+/// A route of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
+    /// Its name, unique in its file.
     pub name: String,
+    /// The requests that it is for.
     pub matches: Matches,
-    /// A row for each product of the settings; they differ only in what the product decides by itself.
+    /// By product of the settings; they differ only in the defaults that depend on the product.
     pub conditions: Vec<Conditions>,
 }
 
 impl Route {
-    /// Whether queries of a product can take this route.
+    /// Whether requests of a product can take this route.
     pub fn is_for(&self, product: usize) -> bool {
         self.matches.product.is_none_or(|only| only == product)
     }
 }
 
-/// What the settings say of a product, as far as the proof needs it.
+/// The settings of a product that the proof needs. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProductRow {
+    /// Whether its requests may run more than once.
     pub effect: Effect,
+    /// How long servers remember a request for deduplication.
     pub memory_span: u64,
+    /// How long its clients wait for the final answer.
     pub statement_timeout: u64,
 }
 
-/// What the deployment allows and demands, as far as the proof needs it.
+/// The limits of the deployment that the proof needs. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
+    /// The most executions of a request.
     pub executions: usize,
+    /// Whether two executions of a request may be in flight together.
     pub allow_hedging: bool,
+    /// Whether servers can cancel an execution.
     pub cancel: bool,
+    /// The time-out for a connection to a server.
     pub connect_time_out: u64,
-    /// Timers fire up to so much late.
+    /// How late timers fire at most.
     pub tick: u64,
-    /// What the way to a server may take beside the connect time-out.
+    /// What the network may take to a server beside the connect time-out.
     pub network: u64,
+    /// The largest body of a request, in bytes.
     pub largest_body: u64,
 }
--- a/balancer/routes/src/pattern.rs
+++ b/balancer/routes/src/pattern.rs
@@ -1,36 +1,45 @@
-//! Paths of routes: `/orders` (that path alone), `/orders/{id}/items` (any one segment in the place of
-//! `{id}`),
+//! Path patterns of routes: `/orders` (that path alone), `/orders/{id}/items` (any one segment for `{id}`),
 //! `/orders/*` (that path and all below it).
 
 use std::fmt;
 
-/// Longest path of a route, in segments.
+/// The most segments of a pattern.
 pub const MOST_SEGMENTS: usize = 32;
 
+/// A segment of a pattern. The variants are ordered from the most specific on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Segment {
-    // The order is that of the more particular first.
+    /// This very segment.
     Literal(String),
+    /// Any segment; with the parameter's name.
     Any(String),
 }
 
+/// The paths that a route is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern {
+    /// Its segments, without a star at the end.
     pub segments: Vec<Segment>,
-    /// Everything below it too.
+    /// Whether all paths below match too: the star at the end.
     pub below: bool,
 }
 
-/// Why a path can't be a route's.
+/// Why a text is no pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
+    /// It doesn't begin with a slash.
     NoSlash,
+    /// It has an empty segment.
     EmptySegment,
+    /// It has a segment `.` or `..`.
     DotSegment,
-    /// A query, a fragment, an escape, a blank, or anything that is no plain character of a path.
+    /// It has a query, a fragment, an escape, a blank, or another character that is not plain in a path.
     Character(char),
+    /// It has braces that don't enclose a whole segment's name.
     Braces,
+    /// It has a star before its end.
     StarWithin,
+    /// It has more than `MOST_SEGMENTS` segments.
     TooLong,
 }
 
@@ -53,6 +62,7 @@
 }
 
 impl Pattern {
+    /// Parses a pattern.
     pub fn read(text: &str) -> Result<Pattern, Fault> {
         let rest = text.strip_prefix('/').ok_or(Fault::NoSlash)?;
         let mut pattern = Pattern { segments: Vec::new(), below: false };
@@ -76,8 +86,8 @@
         Ok(pattern)
     }
 
-    /// Whether a path of a query is one of these. Segments that hold an escape are never taken for a literal:
-    /// servers and balancers may read them differently.
+    /// Whether the path of a request target matches. Segments with an escape never match a literal: servers and
+    /// balancers may decode them differently.
     pub fn holds(&self, path: &str) -> bool {
         let Some(parts) = split(path) else { return false };
         let enough =
@@ -89,7 +99,7 @@
             })
     }
 
-    /// The same places for literals, names aside: two such match the same paths.
+    /// Whether both match the same paths: they are equal but for the names of parameters.
     pub fn same_paths(&self, other: &Pattern) -> bool {
         let alike = |a: &Segment, b: &Segment| match (a, b) {
             (Segment::Literal(a), Segment::Literal(b)) => a == b,
@@ -126,8 +136,8 @@
     }
 }
 
-/// The segments of a query's path; none for one that could mean another path elsewhere: with segments of
-/// dots, plain or escaped. What follows a question mark is no part of it.
+/// The segments of a request target's path, without its query; none for a path that others may resolve to another
+/// one: with segments of dots, plain or escaped.
 pub fn split(target: &str) -> Option<Vec<&str>> {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let rest = path.strip_prefix('/')?;
