--- a/balancer/routes/tests/common/mod.rs
+++ b/balancer/routes/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Routes and bounds to start from.
+//! A valid route and the bounds of a deployment, for the cases to change.
 
 use whinspindle::host::{Effect, Group};
 use whinspindle_routes::pattern::Pattern;
--- a/balancer/routes/tests/proof.rs
+++ b/balancer/routes/tests/proof.rs
@@ -1,4 +1,4 @@
-//! What the proof refuses, and for which rule; sums that pass by a microsecond and fail by one.
+//! A table of the routes that the proof refuses, and for which check; bounds are met to the microsecond.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 type Change = fn(&mut Conditions, &mut ProductRow, &mut Bounds);
 
-/// Each with the one check that refuses it, or none.
+/// The name of a case, the one check that refuses it (or none), and its change of the valid route.
 const CASES: &[(&str, Option<Check>, Change)] = &[
     ("as it is", None, |_, _, _| {}),
     ("time up to the last tick", None, |c, _, _| c.time = 3 * S - 5 * MS),
@@ -90,11 +90,11 @@
 
 #[test]
 fn each_wrong_route_is_refused_for_its_rule_alone() {
-    for (name, wanted, change) in CASES {
+    for (name, expected, change) in CASES {
         let (c, p, b) = case(*change);
         let refusals = prove(&c, &p, &b);
         let checks: Vec<Check> = refusals.iter().map(|refusal| refusal.check).collect();
-        assert_eq!(checks, wanted.iter().copied().collect::<Vec<_>>(), "{name}: {refusals:?}");
+        assert_eq!(checks, expected.iter().copied().collect::<Vec<_>>(), "{name}: {refusals:?}");
         assert!(refusals.iter().all(|refusal| !refusal.way_out.is_empty()), "{name}");
     }
 }
@@ -102,10 +102,10 @@
 #[test]
 fn without_any_one_check_a_wrong_route_passes() {
     for left_out in CHECKS {
-        let passes = CASES.iter().any(|(_, wanted, change)| {
+        let passes = CASES.iter().any(|(_, expected, change)| {
             let (c, p, b) = case(*change);
             let others = CHECKS.iter().filter(|check| **check != left_out);
-            wanted.is_some() && others.flat_map(|&check| prove_by(check, &c, &p, &b)).next().is_none()
+            expected.is_some() && others.flat_map(|&check| prove_by(check, &c, &p, &b)).next().is_none()
         });
         assert!(passes, "{left_out:?} refuses nothing that the others let pass");
     }
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_nearest_value_that_is_told_passes_and_a_microsecond_more_does_not() {
+fn the_suggested_value_passes_and_a_microsecond_more_does_not() {
     let (c, p) = (conditions(), ProductRow { memory_span: 1_200 * MS, ..order() });
     let refusal = prove(&c, &p, &bounds()).remove(0);
     assert_eq!(refusal.way_out, "at most 409.999 ms with 3 executions");
--- a/balancer/routes/tests/table.rs
+++ b/balancer/routes/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which route a query takes, and which files of routes can't be meant.
+//! Tables of cases: which route a request takes, which routes tie, and which patterns are refused.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_most_particular_route_wins() {
+fn the_most_specific_route_wins() {
     let table = RouteTable::new(routes());
     let cases: &[(&str, &str, usize, usize, Option<&str>)] = &[
         ("GET", "/", 0, 0, Some("all")),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn routes_that_tie_are_told() {
+fn routes_that_tie_are_reported() {
     let cases: &[(Vec<Route>, &[Tie])] = &[
         (routes(), &[]),
         (
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn paths_are_read_or_refused_for_a_reason() {
+fn patterns_are_read_or_refused_with_a_reason() {
     let cases = [
         ("/", Ok("/")),
         ("/*", Ok("/*")),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_tree_finds_what_a_walk_over_all_routes_finds() {
+fn the_tree_finds_what_a_linear_search_finds() {
     let mut bits = 7u64;
     let mut below = |n: usize| {
         bits = bits.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
