--- a/balancer/fleet-policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -19,13 +19,12 @@
 use std::marker::PhantomData;
 
 use whinspindle_consensus::{AcceptorState, StandardConsensusRules, Voter};
-use whinspindle_rollout::Way;
 
 pub use acceptor::PeerReport;
 pub use environment::{DurableState, Environment};
 use lease::Lease;
 use proposer::OngoingRound;
-use releases::Case;
+use releases::{CompleteWave, ReleaseTest};
 use requests::PendingRequest;
 pub use rules::MemberRules;
 pub use timing::MemberSettings;
@@ -44,7 +43,7 @@
     began: u64,
     memory: DurableState,
     /// Whether the memory is durable as it stands.
-    kept: bool,
+    is_durable: bool,
     record: Record,
     /// When the policy in force was learned of.
     learned: u64,
@@ -64,9 +63,9 @@
     requests: Vec<PendingRequest>,
     /// The bootstrap that an operator has asked for, until it is agreed.
     pending_bootstrap: Option<u64>,
-    case: Option<Case>,
-    /// Since when the present wave is complete, as this member knows: release, wave, way and time.
-    complete: Option<(u64, u16, Way, u64)>,
+    release_test: Option<ReleaseTest>,
+    /// The present wave, once it is complete.
+    complete: Option<CompleteWave>,
     serial: u32,
     round: Option<OngoingRound>,
     quiet_until: u64,
@@ -105,7 +104,7 @@
             environment,
             start,
             began: now,
-            kept: false,
+            is_durable: false,
             lease: Lease::of(&record),
             previous_lease: None,
             had_lease: false,
@@ -118,7 +117,7 @@
             received: vec![None; settings.members as usize],
             requests: Vec::new(),
             pending_bootstrap: None,
-            case: None,
+            release_test: None,
             complete: None,
             serial: 0,
             round: None,
@@ -142,12 +141,12 @@
 
     /// Makes the memory durable; false where the disk fails.
     fn persist(&mut self) -> bool {
-        self.kept = self.environment.keep(&self.memory);
-        if !self.kept {
+        self.is_durable = self.environment.keep(&self.memory);
+        if !self.is_durable {
             self.environment
                 .tell("what it has voted for can't be kept: it votes no more until it can".to_string());
         }
-        self.kept
+        self.is_durable
     }
 
     /// The settings that it was made with.
@@ -182,7 +181,7 @@
 
     /// Does what is due; to be called several times within `MemberSettings::pace`.
     pub fn tick(&mut self, now: u64) {
-        if !self.kept {
+        if !self.is_durable {
             self.persist();
         }
         if now >= self.next_ask {
@@ -237,7 +236,7 @@
     /// All that decides what the member does next, for the model checker to tell states apart.
     pub fn state(&self) -> impl std::hash::Hash + '_ {
         let held = (&self.lease, &self.previous_lease, self.had_lease);
-        let known = (&self.memory, self.kept, &self.record, self.learned, self.next_since);
+        let known = (&self.memory, self.is_durable, &self.record, self.learned, self.next_since);
         let times =
             (self.quiet_until, self.highest_round, self.next_ask, self.next_fetch, self.began, self.again);
         let round = (&self.round, &self.requests, self.pending_bootstrap, self.start);
--- a/balancer/fleet-policy/src/member/acceptor.rs
+++ b/balancer/fleet-policy/src/member/acceptor.rs
@@ -41,7 +41,10 @@
             return;
         }
         let voted = self.memory.votes.accepted.as_ref().map(|(_, record)| record);
-        if order > self.record.order() || !self.kept || !self.is_voter() || !L::may_grant(&self.record, voted)
+        if order > self.record.order()
+            || !self.is_durable
+            || !self.is_voter()
+            || !L::may_grant(&self.record, voted)
         {
             return;
         }
@@ -58,7 +61,7 @@
         let before = self.memory.votes.promised;
         let answer = match self.memory.votes.prepare(ballot) {
             Ok(()) => {
-                if (before != ballot || !self.kept) && !self.persist() {
+                if (before != ballot || !self.is_durable) && !self.persist() {
                     return;
                 }
                 Message::Promise { ballot, voter: self.voter(), accepted: self.memory.votes.accepted.clone() }
--- a/balancer/fleet-policy/src/member/leader.rs
+++ b/balancer/fleet-policy/src/member/leader.rs
@@ -65,12 +65,12 @@
         if self.record.voter_sets.len() > 1 {
             return Some(Step::Settle);
         }
-        let reborn = |voter: &&Voter| {
+        let has_new_incarnation = |voter: &&Voter| {
             let received =
                 self.received[voter.member as usize].as_ref().filter(|_| self.is_here(now, voter.member));
             received.is_some_and(|received| received.incarnation != voter.incarnation)
         };
-        if let Some(old) = self.record.voter_sets.iter().flatten().find(reborn) {
+        if let Some(old) = self.record.voter_sets.iter().flatten().find(has_new_incarnation) {
             let incarnation =
                 self.received[old.member as usize].as_ref().map_or(0, |received| received.incarnation);
             return Some(Step::Replace {
--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -21,8 +21,8 @@
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
     pub(super) fn begin(&mut self, now: u64, step: Step) {
-        let founds = matches!(step, Step::Bootstrap { .. });
-        let known = if founds {
+        let is_bootstrap = matches!(step, Step::Bootstrap { .. });
+        let known = if is_bootstrap {
             let incarnation = |member: &u16| {
                 let received = self.received.get(*member as usize)?.as_ref();
                 let own = (*member == self.settings.me).then_some(self.memory.incarnation);
@@ -39,7 +39,7 @@
             self.record.clone()
         };
         self.highest_round = self.highest_round.max(self.memory.votes.promised.round) + 1;
-        let epoch = self.record.epoch() + u64::from(founds);
+        let epoch = self.record.epoch() + u64::from(is_bootstrap);
         let ballot = Ballot { epoch, round: self.highest_round, member: self.settings.me, start: self.start };
         let mut round = Round::new(ballot, known);
         if self.memory.votes.prepare(ballot).is_err() || !self.persist() {
--- a/balancer/fleet-policy/src/member/record_update.rs
+++ b/balancer/fleet-policy/src/member/record_update.rs
@@ -36,12 +36,10 @@
         self.persist();
         let plan = self.record.release.as_ref().map(|release| release.hash);
         let used = [Some(self.record.policy.hash), self.record.next.map(|change| change.policy.hash), plan];
-        if self
-            .case
-            .as_ref()
-            .is_some_and(|case| Some(case.release) != self.watched() || self.record.halted.is_some())
-        {
-            self.case = None;
+        if self.release_test.as_ref().is_some_and(|release_test| {
+            Some(release_test.release) != self.watched() || self.record.halted.is_some()
+        }) {
+            self.release_test = None;
         }
         self.texts.evict(&used.into_iter().flatten().collect::<Vec<_>>());
         self.prove();
--- a/balancer/fleet-policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -8,9 +8,20 @@
 use crate::message::{Message, RequestKind};
 use crate::record::{Close, Halt, Part, RequestId, Step};
 
+/// A wave whose units all have the release's build and are in service.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct CompleteWave {
+    /// The number of the release.
+    pub(super) release: u64,
+    pub(super) wave: u16,
+    pub(super) way: Way,
+    /// When this member learned that it is complete.
+    pub(super) since: u64,
+}
+
 /// The running test of a release's build at a voter.
 #[derive(Clone, Debug)]
-pub(super) struct Case {
+pub(super) struct ReleaseTest {
     pub(super) release: u64,
     pub(super) evidence: Evidence,
     /// When the present window began.
@@ -67,9 +78,9 @@
         let complete = self.progress(now, |progress| L::next_of(progress, u64::MAX).is_some());
         let known = self.record.release.as_ref().filter(|_| complete == Some(true));
         let known = known.map(|release| (release.number, release.wave, release.way));
-        let same = |before: &(u64, u16, Way, u64)| known == Some((before.0, before.1, before.2));
+        let same = |before: &CompleteWave| known == Some((before.release, before.wave, before.way));
         if !self.complete.as_ref().is_some_and(same) {
-            self.complete = known.map(|(number, wave, way)| (number, wave, way, now));
+            self.complete = known.map(|(release, wave, way)| CompleteWave { release, wave, way, since: now });
         }
     }
 
@@ -88,13 +99,16 @@
                 }
             }
         }
-        let due = self.case.as_mut().filter(|case| now >= case.opened + case.window);
-        let Some(case) = due else { return };
-        case.opened = now;
-        if let Some(why) = case.evidence.close()
-            && case.against.is_none()
+        let due = self
+            .release_test
+            .as_mut()
+            .filter(|release_test| now >= release_test.opened + release_test.window);
+        let Some(release_test) = due else { return };
+        release_test.opened = now;
+        if let Some(why) = release_test.evidence.close()
+            && release_test.against.is_none()
         {
-            case.against = Some((why, self.start ^ now));
+            release_test.against = Some((why, self.start ^ now));
         }
     }
 
@@ -111,37 +125,38 @@
         if Some(release) != self.watched() || !self.is_voter() || halted {
             return;
         }
-        if self.case.is_none() {
+        if self.release_test.is_none() {
             let Some(plan) = self.record.release.as_ref().and_then(|on| self.environment.plan(on.hash))
             else {
                 return;
             };
             let (evidence, window) = (Evidence::new(plan.error), plan.window());
             let taken = BTreeMap::new();
-            self.case = Some(Case { release, evidence, opened: now, window, taken, against: None });
+            self.release_test =
+                Some(ReleaseTest { release, evidence, opened: now, window, taken, against: None });
         }
-        let Some(case) = &mut self.case else { return };
-        let before = case.taken.insert(from, (start, serial));
+        let Some(release_test) = &mut self.release_test else { return };
+        let before = release_test.taken.insert(from, (start, serial));
         if before.is_some_and(|(known, last)| known == start && serial <= last) {
-            case.taken.extend(before.map(|before| (from, before)));
+            release_test.taken.extend(before.map(|before| (from, before)));
             return;
         }
-        rows.into_iter().for_each(|row| case.evidence.take(from, row));
+        rows.into_iter().for_each(|row| release_test.evidence.take(from, row));
     }
 
     /// For how many milliseconds the present wave has been complete; none if it is not.
     pub fn watched_for(&self, now: u64) -> Option<u64> {
-        self.complete.map(|(_, _, _, since)| now.saturating_sub(since) / 1000)
+        self.complete.map(|complete| now.saturating_sub(complete.since) / 1000)
     }
 
     /// The state of this voter's test of the build of the release under way.
     pub fn evidence(&self) -> Option<&Evidence> {
-        self.case.as_ref().map(|case| &case.evidence)
+        self.release_test.as_ref().map(|release_test| &release_test.evidence)
     }
 
     /// A release whose changed units do worse is halted.
     pub(super) fn halt_for_cause(&self) -> Option<Step> {
-        let (why, serial) = self.case.as_ref()?.against.as_ref()?;
+        let (why, serial) = self.release_test.as_ref()?.against.as_ref()?;
         let request_id = RequestId { by: self.settings.me, serial: *serial };
         let new = self.record.halted.is_none() && !self.record.knows(request_id);
         new.then(|| Step::Halt { halt: Halt { request_id, why: why.clone() } })
@@ -159,7 +174,7 @@
             });
         };
         let number = release.number;
-        let word = new().find_map(|wanted| match wanted.request {
+        let requested = new().find_map(|wanted| match wanted.request {
             RequestKind::Leave { number: of } if of == number => {
                 Some(Step::Close { number, close: Close::Left, request_id: Some(wanted.request_id) })
             }
@@ -172,9 +187,11 @@
         let halted = self.record.halted.is_some();
         // A leader that has just started can't know who is absent.
         let knows = now >= self.began + self.settings.absent;
-        word.or_else(|| {
-            let (_, _, _, since) = self.complete.filter(|known| {
-                !halted && knows && (known.0, known.1, known.2) == (number, release.wave, release.way)
+        requested.or_else(|| {
+            let CompleteWave { since, .. } = self.complete.filter(|known| {
+                !halted
+                    && knows
+                    && (known.release, known.wave, known.way) == (number, release.wave, release.way)
             })?;
             Some(match self.progress(now, |progress| L::next_of(progress, now - since))?? {
                 Next::Wave(to) => Step::Wave { number, from: release.wave, to: to as u16 },
--- a/balancer/fleet-policy/src/member/restarts.rs
+++ b/balancer/fleet-policy/src/member/restarts.rs
@@ -63,8 +63,8 @@
     pub(super) fn report_return(&mut self, now: u64) {
         let unit = Unit::Balancer(self.settings.me);
         let Some(out) = self.record.out_as(unit).filter(|out| out.start != self.start) else { return };
-        let wants = |wanted: &PendingRequest| matches!(wanted.request, RequestKind::Back { unit: back, .. } if back == unit);
-        if !matches!(self.right(now), Right::Policy(_)) || self.requests.iter().any(wants) {
+        let is_return = |wanted: &PendingRequest| matches!(wanted.request, RequestKind::Back { unit: back, .. } if back == unit);
+        if !matches!(self.right(now), Right::Policy(_)) || self.requests.iter().any(is_return) {
             return;
         }
         let Some(done) = self.carries(out.part) else { return };
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -218,8 +218,8 @@
         retry_scope: None,
     };
     let servers = t.table_or_defaults("servers");
-    let words = [("anywhere", RetryScope::Anywhere), ("zone", RetryScope::Zone), ("pod", RetryScope::Pod)];
-    let retry_scope = servers.holds("repeats").then(|| servers.one_of("repeats", &words, None));
+    let scopes = [("anywhere", RetryScope::Anywhere), ("zone", RetryScope::Zone), ("pod", RetryScope::Pod)];
+    let retry_scope = servers.holds("repeats").then(|| servers.one_of("repeats", &scopes, None));
     let shared = Conditions {
         time: 0,
         execution_time: 0,
@@ -259,15 +259,15 @@
 
 fn retry_on(t: &Table) -> RetryOn {
     let mut after = RetryOn::NOTHING;
-    for (word, place) in t.texts("repeat-after") {
-        match word.as_str() {
+    for (outcome, place) in t.texts("repeat-after") {
+        match outcome.as_str() {
             "never-ran" => after.never_ran = true,
             "error" => after.error = true,
             "broken" => after.broken = true,
             "timed-out" => after.timed_out = true,
             _ => {
                 let way_out = "one of \"never-ran\", \"error\", \"broken\", \"timed-out\"";
-                t.fault(&place, format!("is no outcome: {word:?}"), way_out);
+                t.fault(&place, format!("is no outcome: {outcome:?}"), way_out);
             }
         }
     }
