--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -1,5 +1,5 @@
-//! What the program does when it is given arguments: an operator's file is checked, a query's route is told,
-//! a rule is explained. Without arguments it balances.
+//! The command line: checks an operator file, shows the route of a request, explains a rule. Without arguments the
+//! program balances.
 
 use std::fmt::Write;
 use std::io::Write as _;
@@ -13,10 +13,10 @@
 use whinspindle_operator_file::{Operator, RULES};
 use whinspindle_routes::{HedgePolicy, Lookup, Route, proof};
 
-use crate::fleet_command::FleetLine;
-use crate::placement::{self, Fault};
+use crate::configuration::{self, ConfigurationError};
+use crate::fleet_command::FleetArguments;
 
-const LONG: &str = "A load balancer for services that call services. Without arguments it balances, as the file \
+const LONG_ABOUT: &str = "A load balancer for services that call services. Without arguments it balances, as the file \
 says that the variable ROUTER_CONFIG names, and with the operator's file that WHINSPINDLE_OPERATOR names, \
 if it does.
 
@@ -25,8 +25,8 @@
 
 #[derive(Parser)]
 #[command(name = "whinspindle", version, about = "A load balancer for services that call services")]
-#[command(long_about = LONG, arg_required_else_help = true)]
-struct Line {
+#[command(long_about = LONG_ABOUT, arg_required_else_help = true)]
+struct Arguments {
     #[command(subcommand)]
     command: Command,
 }
@@ -34,15 +34,15 @@
 #[derive(Subcommand)]
 enum Command {
     /// Balance, as without arguments, with the routes of an operator's file
-    Run(RunLine),
+    Run(RunArguments),
     /// Read an operator's file, prove its routes against the rules, and tell every fault
-    Check(CheckLine),
+    Check(CheckArguments),
     /// Tell which route a query takes, why that one, and its worst schedule
-    Route(RouteLine),
+    Route(RouteArguments),
     /// Speak to a running balancer of a fleet: what is agreed, and changes of it
-    Fleet(FleetLine),
+    Fleet(FleetArguments),
     /// Explain a rule by its number
-    Explain(ExplainLine),
+    Explain(ExplainArguments),
     /// Write what makes a shell complete these commands, for its start-up file
     Completions {
         #[arg(value_enum)]
@@ -51,7 +51,7 @@
 }
 
 #[derive(Args)]
-struct RunLine {
+struct RunArguments {
     /// The operator's file; read again at SIGHUP
     #[arg(long, value_hint = ValueHint::FilePath)]
     operator: Option<PathBuf>,
@@ -69,7 +69,7 @@
 }
 
 #[derive(Args)]
-struct CheckLine {
+struct CheckArguments {
     #[command(flatten)]
     files: Files,
     /// Faults as JSON
@@ -78,7 +78,7 @@
 }
 
 #[derive(Args)]
-struct RouteLine {
+struct RouteArguments {
     #[command(flatten)]
     files: Files,
     #[arg(long, default_value = "GET")]
@@ -94,18 +94,19 @@
 }
 
 #[derive(Args)]
-struct ExplainLine {
+struct ExplainArguments {
     /// 1 to 4
     rule: u8,
 }
 
 /// The command line with one help for the whole program: the commands of the serving system follow those of this crate.
 fn described() -> clap::Command {
-    Line::command().after_long_help(whinspindle_serving::command_line::help())
+    Arguments::command().after_long_help(whinspindle_serving::command_line::help())
 }
 
+/// Runs the command that the arguments name.
 pub fn run() -> ExitCode {
-    let line = Line::from_arg_matches(&described().get_matches()).unwrap_or_else(|fault| fault.exit());
+    let line = Arguments::from_arg_matches(&described().get_matches()).unwrap_or_else(|fault| fault.exit());
     let done = match line.command {
         Command::Run(line) => return crate::balance(line.operator),
         Command::Check(line) => check(&line),
@@ -120,24 +121,26 @@
     })
 }
 
-/// Guards against a reader that has gone, such as `head`: the generator would panic on a closed pipe.
+/// Writes shell completions through a buffer, since the generator panics on a closed pipe.
 fn completions(shell: Shell) -> Result<ExitCode, String> {
     let mut script = Vec::new();
-    clap_complete::generate(shell, &mut Line::command(), "whinspindle", &mut script);
+    clap_complete::generate(shell, &mut Arguments::command(), "whinspindle", &mut script);
     std::io::stdout().write_all(&script).map_err(|fault| format!("standard output: {fault}"))?;
     Ok(ExitCode::SUCCESS)
 }
 
 fn deployment(config: Option<&Path>) -> Result<Deployment, String> {
-    let Some(config) = config else { return placement::read().map(|placement| placement.deployment) };
-    let read = placement::read_file(config).map_err(|fault| match fault {
-        Fault::Unread(fault) => format!("{}: {fault}", config.display()),
-        Fault::Wrong(fault) => format!("{}: {fault}", config.display()),
+    let Some(config) = config else {
+        return configuration::read().map(|configuration| configuration.deployment);
+    };
+    let read = configuration::read_file(config).map_err(|fault| match fault {
+        ConfigurationError::Unread(fault) => format!("{}: {fault}", config.display()),
+        ConfigurationError::Wrong(fault) => format!("{}: {fault}", config.display()),
     });
-    read.map(|placement| placement.deployment)
+    read.map(|configuration| configuration.deployment)
 }
 
-/// The file's text; what is no UTF-8 is a fault of the file like any other.
+/// Reads a file as UTF-8 text; the error names the line.
 pub fn text(file: &Path) -> Result<String, String> {
     let bytes = std::fs::read(file).map_err(|fault| format!("{}: {fault}", file.display()))?;
     String::from_utf8(bytes).map_err(|fault| {
@@ -147,7 +150,7 @@
     })
 }
 
-fn check(line: &CheckLine) -> Result<ExitCode, String> {
+fn check(line: &CheckArguments) -> Result<ExitCode, String> {
     let deployment = deployment(line.files.config.as_deref())?;
     let text = text(&line.files.file)?;
     let name = line.files.file.display().to_string();
@@ -173,7 +176,7 @@
     Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-fn route(line: &RouteLine) -> Result<ExitCode, String> {
+fn route(line: &RouteArguments) -> Result<ExitCode, String> {
     let deployment = deployment(line.files.config.as_deref())?;
     let text = text(&line.files.file)?;
     let operator = whinspindle_operator_file::read(&text, &deployment).map_err(|faults| {
@@ -202,7 +205,7 @@
     }
 }
 
-/// Which route and why, and what happens to a query at worst.
+/// Describes which route matches and why, and its worst-case schedule.
 fn why(operator: &Operator, route: &Route, lookup: &Lookup, deployment: &Deployment) -> String {
     let mut text = format!("route {:?}: {}", route.name, route.matches.path);
     let m = &route.matches;
@@ -257,7 +260,7 @@
         && route.matches.tenant.is_none_or(|tenant| tenant == lookup.tenant)
 }
 
-fn explain(line: &ExplainLine) -> Result<ExitCode, String> {
+fn explain(line: &ExplainArguments) -> Result<ExitCode, String> {
     let found = RULES.iter().find(|(number, ..)| *number == line.rule);
     let (number, title, text) = found.ok_or_else(|| format!("there is no rule {}; 1 to 4", line.rule))?;
     println!("rule {number}: {title}\n\n{text}");
--- a/programs/balancer/src/placement.rs
+++ b/programs/balancer/src/configuration.rs
@@ -1,5 +1,5 @@
-//! Where this balancer stands, as its configuration tells: addresses, limits, the list as it had it last, and
-//! the deployment's settings. What is wrong there is named by its field.
+//! Reads the configuration of the process from the JSON file that `ROUTER_CONFIG` names: addresses, limits, a known
+//! endpoint list and the settings of the deployment. Errors name the field.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,57 +8,72 @@
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_protocol::endpoints::EndpointUpdate;
 
-pub struct Placement {
+/// The configuration of a balancer process.
+pub struct Configuration {
+    /// Name of this balancer in the log.
     pub name: String,
+    /// Address on which clients are accepted.
     pub listen: SocketAddr,
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
+    /// Seed of the random generator of the decisions.
     pub seed: u64,
+    /// Limits on memory and sockets.
     pub limits: Limits,
-    pub known: Option<EndpointUpdate>,
+    /// Endpoint list that the platform gives at the start.
+    pub known_endpoints: Option<EndpointUpdate>,
+    /// Settings of the deployment.
     pub deployment: Deployment,
-    /// Where datagrams of other balancers arrive, and where each of them is; only a fleet needs them.
+    /// Address for datagrams from other balancers; only a fleet needs it.
     pub peer_listen: Option<SocketAddr>,
+    /// Addresses of all balancers of the fleet, by member number.
     pub peers: Vec<SocketAddr>,
-    /// The fields that count from the start only, as they were read.
-    pub lasting: Value,
+    /// The fields that a reload does not change, as they were read.
+    pub fixed_fields: Value,
 }
 
-/// What the process may hold.
+/// Resources that the process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
+    /// Memory in megabytes.
     pub memory_mb: u64,
+    /// Number of open sockets.
     pub sockets: u64,
 }
 
-/// With less there would be nothing to share out.
-const LEAST_MEMORY_MB: u64 = 8;
-const LEAST_SOCKETS: u64 = 40;
+/// Least memory in megabytes that can be divided among the uses.
+const MIN_MEMORY_MB: u64 = 8;
+/// Least number of sockets that can be divided among the uses.
+const MIN_SOCKETS: u64 = 40;
 
 /// Reads the file that `ROUTER_CONFIG` names.
-pub fn read() -> Result<Placement, String> {
+pub fn read() -> Result<Configuration, String> {
     let path = std::env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG: not set".to_string())?;
     read_file(Path::new(&path)).map_err(|fault| match fault {
-        Fault::Unread(fault) => format!("ROUTER_CONFIG: {path}: {fault}"),
-        Fault::Wrong(fault) => fault,
+        ConfigurationError::Unread(fault) => format!("ROUTER_CONFIG: {path}: {fault}"),
+        ConfigurationError::Wrong(fault) => fault,
     })
 }
 
-/// Why a configuration can't be had.
-pub enum Fault {
+/// Why a configuration could not be read.
+pub enum ConfigurationError {
+    /// The file could not be read.
     Unread(std::io::Error),
+    /// The content is invalid; the text names the field.
     Wrong(String),
 }
 
-pub fn read_file(path: &Path) -> Result<Placement, Fault> {
-    let text = std::fs::read(path).map_err(Fault::Unread)?;
-    parse(&text).map_err(Fault::Wrong)
+/// Reads a configuration from a file.
+pub fn read_file(path: &Path) -> Result<Configuration, ConfigurationError> {
+    let text = std::fs::read(path).map_err(ConfigurationError::Unread)?;
+    parse(&text).map_err(ConfigurationError::Wrong)
 }
 
-fn parse(text: &[u8]) -> Result<Placement, String> {
+fn parse(text: &[u8]) -> Result<Configuration, String> {
     let json: Value = serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
-    let mut lasting = json.clone();
-    for passing in ["discovery", "known", "seed"] {
-        lasting.as_object_mut().map(|fields| fields.remove(passing));
+    let mut fixed_fields = json.clone();
+    for reloadable in ["discovery", "known", "seed"] {
+        fixed_fields.as_object_mut().map(|fields| fields.remove(reloadable));
     }
     let limits = &json["limits"];
     let known = match &json["known"] {
@@ -68,25 +83,25 @@
         }
     };
     let settings = json["settings"].to_string();
-    // Without a fleet nobody asks for these, so that nothing is wrong about them.
+    // Invalid peer addresses are an error only for a fleet, which checks them itself.
     let peer = |value: &Value| value.as_str().and_then(|text| text.parse().ok());
     let peers: Option<Vec<SocketAddr>> =
         json["peers"].as_array().and_then(|peers| peers.iter().map(peer).collect());
-    Ok(Placement {
+    Ok(Configuration {
         name: text_of(&json, "name")?.to_string(),
         listen: address(&json, "listen")?,
         discovery: address(&json, "discovery")?,
         seed: u64::from_str_radix(text_of(&json, "seed")?, 16).map_err(|e| format!("seed: {e}"))?,
         limits: Limits {
-            memory_mb: at_least(limits, "memory_mb", LEAST_MEMORY_MB)?,
-            sockets: at_least(limits, "sockets", LEAST_SOCKETS)?,
+            memory_mb: at_least(limits, "memory_mb", MIN_MEMORY_MB)?,
+            sockets: at_least(limits, "sockets", MIN_SOCKETS)?,
         },
-        known,
+        known_endpoints: known,
         peer_listen: peer(&json["peer_listen"]),
         peers: peers.unwrap_or_default(),
         deployment: whinspindle_deployment_settings::parse(settings.as_bytes())
             .map_err(|e| format!("settings: {e}"))?,
-        lasting,
+        fixed_fields,
     })
 }
 
--- a/programs/balancer/src/control.rs
+++ b/programs/balancer/src/control.rs
@@ -1,5 +1,5 @@
-//! The control socket: a Unix socket for the owner alone, one request in JSON a connection, one line each
-//! way.
+//! The control socket: a Unix socket that only its owner may use. Each connection carries one request and one
+//! answer, each a line of JSON.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::fs::PermissionsExt;
@@ -14,63 +14,45 @@
 use whinspindle_fleet_policy::Unit;
 use whinspindle_rate_limited_log::log_line;
 
-use crate::fleet::Asks;
+use crate::fleet::RequestSender;
 
-/// Longest line that is read: a policy's text, with room for what JSON adds.
-const LONGEST: u64 = 512 * 1024;
-/// Who is connected and says nothing is parted with.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Longest request in bytes: the text of a policy, and what JSON adds.
+const MAX_REQUEST_BYTES: u64 = 512 * 1024;
+/// Time-out for reading and writing on a connection.
+const IO_TIME_OUT: Duration = Duration::from_secs(5);
 
+/// A request on the control socket.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", tag = "do")]
 pub enum Request {
+    /// Returns the state of the fleet as this member knows it.
     Status,
-    /// Anew where most voters have lost their memories; not `sure`, it is only told what is known.
-    Found {
-        anew: bool,
-        sure: bool,
-    },
-    /// The length in bytes and the hash tell whether the text came whole.
-    Propose {
-        text: String,
-        length: usize,
-        hash: String,
-    },
-    Withdraw {
-        number: u64,
-    },
-    /// The serial number is the supervisor's own word: asked again it is the same wish.
-    Out {
-        unit: Unit,
-        serial: u64,
-        release: Option<u64>,
-    },
-    /// It came back as what it went out for, or as what it was before.
-    Back {
-        unit: Unit,
-        done: bool,
-    },
-    /// The plan's text, with its length in bytes and its hash.
-    Release {
-        text: String,
-        length: usize,
-        hash: String,
-    },
-    /// The release under way turns back, or is left as it stands.
+    /// Bootstraps the fleet, or with `anew` does so again after most voters lost their stores; unless `sure`, only
+    /// returns what is known.
+    Found { anew: bool, sure: bool },
+    /// Proposes a policy; length in bytes and hash verify that the text is complete.
+    Propose { text: String, length: usize, hash: String },
+    /// Withdraws a proposed policy by its number.
+    Withdraw { number: u64 },
+    /// Asks to take a unit out. A request repeated with the same serial number is the same intent.
+    Out { unit: Unit, serial: u64, release: Option<u64> },
+    /// A unit is back: changed as intended (`done`), or as it was before.
+    Back { unit: Unit, done: bool },
+    /// Begins a release with a plan; length in bytes and hash verify the text.
+    Release { text: String, length: usize, hash: String },
+    /// Rolls the present release back.
     Turn,
+    /// Ends the present release as it stands.
     Leave,
-    Halt {
-        why: String,
-    },
+    /// Grants nothing more until it is resumed.
+    Halt { why: String },
+    /// Lifts a halt.
     Resume,
-    /// One voter makes way for another member.
-    Voters {
-        old: u16,
-        new: u16,
-    },
+    /// Replaces one voter by another member.
+    Voters { old: u16, new: u16 },
 }
 
-/// What was done, or why not.
+/// The result of a request, or the reason for its refusal.
 pub type Answer = Result<Value, String>;
 
 #[derive(Serialize, Deserialize)]
@@ -80,9 +62,9 @@
     fault: Option<String>,
 }
 
-/// Listens in a thread of its own. Guards against what a process before it has left at the path: only a
-/// socket that nobody listens on any more is removed.
-pub fn listen(path: &Path, asks: Asks) -> Result<(), String> {
+/// Listens in a thread of its own. A socket left at the path by an earlier process is removed only if nobody
+/// listens on it.
+pub fn listen(path: &Path, requests: RequestSender) -> Result<(), String> {
     let told = |fault: std::io::Error| format!("fleet.socket: {}: {fault}", path.display());
     if UnixStream::connect(path).is_ok() {
         return Err(format!("fleet.socket: {}: another process listens on it", path.display()));
@@ -98,7 +80,7 @@
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(told)?;
     let serve = move || {
         for stream in listener.incoming().flatten() {
-            if let Err(fault) = answer(&stream, &asks) {
+            if let Err(fault) = answer(&stream, &requests) {
                 log_line!("control", "{fault}");
             }
         }
@@ -107,18 +89,19 @@
     Ok(())
 }
 
-fn answer(mut stream: &UnixStream, asks: &Asks) -> Result<(), String> {
+/// Reads one request, passes it to the fleet's thread and writes its answer.
+fn answer(mut stream: &UnixStream, requests: &RequestSender) -> Result<(), String> {
     let told = |fault: std::io::Error| fault.to_string();
-    stream.set_read_timeout(Some(PATIENCE)).map_err(told)?;
-    stream.set_write_timeout(Some(PATIENCE)).map_err(told)?;
+    stream.set_read_timeout(Some(IO_TIME_OUT)).map_err(told)?;
+    stream.set_write_timeout(Some(IO_TIME_OUT)).map_err(told)?;
     let mut line = String::new();
-    BufReader::new(stream.take(LONGEST)).read_line(&mut line).map_err(told)?;
+    BufReader::new(stream.take(MAX_REQUEST_BYTES)).read_line(&mut line).map_err(told)?;
     let answer = match serde_json::from_str::<Request>(&line) {
         Err(fault) => Err(format!("not a request: {fault}")),
         Ok(request) => {
             let (reply, replied) = sync_channel(1);
-            asks.send((request, reply)).map_err(|_| "the fleet's thread has ended".to_string())?;
-            replied.recv_timeout(PATIENCE).unwrap_or_else(|_| Err("no answer in time".to_string()))
+            requests.send((request, reply)).map_err(|_| "the fleet's thread has ended".to_string())?;
+            replied.recv_timeout(IO_TIME_OUT).unwrap_or_else(|_| Err("no answer in time".to_string()))
         }
     };
     let line = match answer {
@@ -129,11 +112,11 @@
     stream.write_all((text + "\n").as_bytes()).map_err(told)
 }
 
-/// Asks the process that listens at the path.
+/// Sends a request to the process that listens at the path.
 pub fn ask(path: &Path, request: &Request) -> Result<Answer, String> {
     let told = |fault: std::io::Error| format!("{}: {fault}", path.display());
     let mut stream = UnixStream::connect(path).map_err(told)?;
-    stream.set_read_timeout(Some(2 * PATIENCE)).map_err(told)?;
+    stream.set_read_timeout(Some(2 * IO_TIME_OUT)).map_err(told)?;
     let text = serde_json::to_string(request).map_err(|fault| fault.to_string())?;
     stream.write_all((text + "\n").as_bytes()).map_err(told)?;
     let mut line = String::new();
--- a/programs/balancer/src/fleet.rs
+++ b/programs/balancer/src/fleet.rs
@@ -1,6 +1,5 @@
-//! The process as a member of its fleet: a thread of its own with the socket for datagrams, the store and the
-//! member's core. Queries only look at what it has published last, so that none waits for the network or the
-//! disk.
+//! Membership of a fleet: one thread owns the datagram socket, the record store and the state machine of the member.
+//! Requests only read the state which that thread has published, so that no request waits for the network or a disk.
 
 mod environment;
 mod published;
@@ -22,109 +21,110 @@
 use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::{Count, Place};
 
+use crate::configuration::Configuration;
 use crate::control::{Answer, Request};
-use crate::placement::Placement;
 use environment::build_of_this_program;
-use published::{FleetClock, Published, held};
+use published::{FleetClock, Published, lock};
 use worker::Worker;
 
-/// The thread looks after its clock at least so often.
+/// Longest wait for a datagram, after which the thread runs its timers.
 const WAKE: Duration = Duration::from_millis(20);
 
-/// Numbers of terms for being cut off lie apart from those of policies.
-const CUT_OFF: u64 = 1 << 63;
-
-/// By what queries are decided now.
-pub enum By {
-    /// The operator's file to go by, and a number that is another one for each: what was taken over need not
-    /// be taken over again.
-    Terms(u64, Arc<Operator>),
-    /// The process may not know what holds, and the policy says that it rejects then.
-    Nothing,
+/// Added to a policy number while the process is isolated from its fleet, so that the rules for that case have
+/// numbers apart from those of policies.
+const ISOLATED_POLICY_BASE: u64 = 1 << 63;
+
+/// The policy that requests are decided by now.
+pub enum ActivePolicy {
+    /// The operator file to apply, with a number that differs for each file: one already applied need not be applied
+    /// again.
+    Policy(u64, Arc<Operator>),
+    /// The process may not know the policy in force, and its last policy says to reject requests then.
+    Unknown,
 }
 
-/// So that senders of requests need not know of channels.
-pub type Asks = Sender<(Request, SyncSender<Answer>)>;
+/// Sends a request to the thread of the fleet, with the channel for its answer.
+pub type RequestSender = Sender<(Request, SyncSender<Answer>)>;
 
-/// The fleet as the rest of the process sees it.
+/// Handle to the fleet member for the rest of the process.
 pub struct Fleet {
     clock: FleetClock,
     published: Arc<Mutex<Published>>,
 }
 
 impl Fleet {
-    /// Asked for each query. Guards against a process that was stopped: its right is held against the clock
-    /// of now.
-    pub fn by(&self) -> By {
-        let published = held(&self.published);
+    /// The policy in force; called for each request. The right to a policy is compared with the present time here,
+    /// since a process that was suspended may wake up after its right has expired.
+    pub fn active_policy(&self) -> ActivePolicy {
+        let published = lock(&self.published);
         if let (Some((number, operator)), Right::Policy(right)) = (&published.policy, published.right)
             && *number == right
             && self.clock.now() < published.until
         {
-            return By::Terms(*number, Arc::clone(operator));
+            return ActivePolicy::Policy(*number, Arc::clone(operator));
         }
         match published.cut_off.cut_off {
-            CutOff::Rejects => By::Nothing,
+            CutOff::Rejects => ActivePolicy::Unknown,
             CutOff::Routes(_) => {
                 let number = published.policy.as_ref().map_or(0, |(number, _)| *number);
-                By::Terms(CUT_OFF + number, Arc::clone(&published.cut_off))
+                ActivePolicy::Policy(ISOLATED_POLICY_BASE + number, Arc::clone(&published.cut_off))
             }
         }
     }
 
-    /// The servers that are let out, if they are others than at `known`, and the number of what is told.
-    pub fn let_out(&self, known: u64) -> Option<(u64, BTreeSet<u64>)> {
-        let published = held(&self.published);
-        (published.let_out.0 != known).then(|| published.let_out.clone())
+    /// The servers taken out by the fleet with the version of that set, if the version differs from `known`.
+    pub fn taken_out_servers(&self, known: u64) -> Option<(u64, BTreeSet<u64>)> {
+        let published = lock(&self.published);
+        (published.taken_out_servers.0 != known).then(|| published.taken_out_servers.clone())
     }
 
-    /// Whether this balancer is let out, and has to take itself out.
+    /// Whether the fleet has taken this balancer out, so that it must refuse new clients.
     pub fn is_taken_out(&self) -> bool {
-        held(&self.published).is_taken_out
+        lock(&self.published).is_taken_out
     }
 
-    /// The servers as they are listed here, for the decision on who may be let out; what was counted of each
-    /// since the last time, with its stratum, and of the process itself.
-    pub fn tell(&self, places: Vec<Place>, counts: Vec<(u64, u16, Count)>, own: Count) {
-        let mut published = held(&self.published);
-        published.places = places;
+    /// Reports the servers listed here, which decide whether a unit may be taken out, and what was counted since the
+    /// last report: for each server key and stratum, and for the process itself.
+    pub fn report_servers(&self, places: Vec<Place>, counts: Vec<(u64, u16, Count)>, own: Count) {
+        let mut published = lock(&self.published);
+        published.listed_servers = places;
         published.own.add(own);
         for (key, stratum, count) in counts {
             published.counts.entry((key, stratum)).or_default().add(count);
         }
     }
 
-    /// Whether the process has learned what holds, or has given up learning it.
-    pub fn is_settled(&self) -> bool {
-        let published = held(&self.published);
+    /// Whether the process has learned the policy in force, or has given up learning it.
+    pub fn has_decided(&self) -> bool {
+        let published = lock(&self.published);
         published.right != Right::Learning || self.clock.now() >= published.until
     }
 
-    /// Whether it holds a right to a policy now, be it to none.
-    pub fn decides_by_a_policy(&self) -> bool {
-        let published = held(&self.published);
+    /// Whether the process holds an unexpired right to decide by a policy.
+    pub fn has_policy_right(&self) -> bool {
+        let published = lock(&self.published);
         matches!(published.right, Right::Policy(_)) && self.clock.now() < published.until
     }
 
-    /// The list as discovery has told it here, and for how many microseconds it has been silent since.
-    pub fn tell_list(&self, servers: Vec<ListedServer>, silent: u64) {
-        held(&self.published).told_list = Some((servers, silent));
+    /// Reports the endpoint list from discovery, and for how many microseconds discovery has been silent since.
+    pub fn report_endpoints(&self, servers: Vec<ListedServer>, silent: u64) {
+        lock(&self.published).discovered_list = Some((servers, silent));
     }
 
-    /// A list that neighbours have given, each once.
-    pub fn given_list(&self) -> Option<(EndpointUpdate, Trust)> {
-        held(&self.published).given_list.take()
+    /// Takes the endpoint list that other balancers have sent, if there is a new one.
+    pub fn neighbour_list(&self) -> Option<(EndpointUpdate, Trust)> {
+        lock(&self.published).neighbour_list.take()
     }
 
-    /// Starts the thread, and the one that listens on the control socket.
-    pub fn start(placement: &Placement, operator: Operator) -> Result<Fleet, String> {
+    /// Starts the thread of the fleet member, and the one that listens on the control socket.
+    pub fn start(configuration: &Configuration, operator: Operator) -> Result<Fleet, String> {
         let Some(terms) = operator.fleet.clone() else { return Err("fleet: no table".to_string()) };
-        let (listen, peers) = addresses(placement, &terms)?;
+        let (listen, peers) = addresses(configuration, &terms)?;
         let store = RecordStore::open(&terms.store).map_err(|fault| format!("fleet.store: {fault}"))?;
         let socket = UdpSocket::bind(listen).map_err(|fault| format!("peer_listen: {listen}: {fault}"))?;
         socket.set_read_timeout(Some(WAKE)).map_err(|fault| format!("peer_listen: {listen}: {fault}"))?;
-        let (asks, asked) = channel();
-        crate::control::listen(&terms.socket, asks)?;
+        let (requests, received_requests) = channel();
+        crate::control::listen(&terms.socket, requests)?;
         let clock = FleetClock(Instant::now());
         let cut_off = Arc::new(operator);
         let published = Arc::new(Mutex::new(Published {
@@ -132,22 +132,22 @@
             until: terms.learn,
             policy: None,
             cut_off: Arc::clone(&cut_off),
-            let_out: (0, BTreeSet::new()),
+            taken_out_servers: (0, BTreeSet::new()),
             is_taken_out: false,
-            told_list: None,
-            given_list: None,
-            places: Vec::new(),
+            discovered_list: None,
+            neighbour_list: None,
+            listed_servers: Vec::new(),
             counts: BTreeMap::new(),
             own: Count::default(),
         }));
-        let deployment = placement.deployment.clone();
+        let deployment = configuration.deployment.clone();
         let build = build_of_this_program();
         let told = Arc::clone(&published);
         let run = move || {
             // Made in the thread: what the core holds never leaves it.
             let mut worker =
                 Worker::new(terms, socket, peers, store, deployment, clock, told, cut_off, build);
-            worker.run(&asked);
+            worker.run(&received_requests);
         };
         let spawned = thread::Builder::new().name("fleet".to_string()).spawn(run);
         spawned.map_err(|fault| format!("fleet: {fault}"))?;
@@ -155,9 +155,12 @@
     }
 }
 
-fn addresses(placement: &Placement, terms: &FleetTerms) -> Result<(SocketAddr, Vec<SocketAddr>), String> {
-    let peers = placement.peers.clone();
-    let Some(listen) = placement.peer_listen else {
+fn addresses(
+    configuration: &Configuration,
+    terms: &FleetTerms,
+) -> Result<(SocketAddr, Vec<SocketAddr>), String> {
+    let peers = configuration.peers.clone();
+    let Some(listen) = configuration.peer_listen else {
         return Err("peer_listen: missing, or not an address and port; a fleet needs it".to_string());
     };
     if peers.len() != terms.members as usize {
--- a/programs/balancer/src/fleet/environment.rs
+++ b/programs/balancer/src/fleet/environment.rs
@@ -1,5 +1,4 @@
-//! What the member acts through: the socket for datagrams, the store, and what this process knows of its
-//! units.
+//! The I/O of the fleet member: datagrams, the record store, and this process's knowledge of servers and releases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -11,28 +10,39 @@
 use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::{Count, Limits, OF_BALANCERS, Place, Plan, Row, Scene};
 
-/// The environment of the member's core.
+/// Implements the member's [`Environment`].
 pub(super) struct ProcessEnvironment {
+    /// Member number of this process.
     pub(super) me: u16,
+    /// Socket for datagrams.
     pub(super) socket: UdpSocket,
+    /// Encoding and authentication of datagrams.
     pub(super) peers: PeerTransport,
+    /// Addresses of all members, by member number.
     pub(super) addresses: Vec<SocketAddr>,
+    /// The record store on disk.
     pub(super) store: Rc<RecordStore>,
-    pub(super) to_prove: Vec<(Policy, Rc<[u8]>)>,
+    /// Policies whose texts are to be validated.
+    pub(super) unchecked_policies: Vec<(Policy, Rc<[u8]>)>,
+    /// Number of datagrams sent.
     pub(super) sent: u64,
-    /// The limits of each policy that is known, by its number, and the servers as they were told last.
+    /// Limits of the known policies, by policy number.
     pub(super) limits: Vec<(u64, Limits)>,
-    pub(super) places: Vec<Place>,
-    /// The plan of the release under way, and what was counted since figures were told last.
+    /// The servers listed by this balancer.
+    pub(super) listed_servers: Vec<Place>,
+    /// Plan of the present release, with the hash of its text.
     pub(super) plan: Option<(Hash, Rc<Plan>)>,
+    /// Identifier of this build.
     pub(super) build: String,
+    /// Counts since the last report, by server key and stratum.
     pub(super) counts: BTreeMap<(u64, u16), Count>,
+    /// Counts of this process since the last report.
     pub(super) own: Count,
-    /// Words for the list's part of the process.
-    pub(super) asides: Vec<(u16, Vec<u8>)>,
+    /// Messages received for the exchange of endpoint lists, with their senders.
+    pub(super) neighbour_messages: Vec<(u16, Vec<u8>)>,
 }
 
-/// By what plans know a build: the first twelve digits of the BLAKE3 hash of the program's file.
+/// Identifies this build in plans: the first twelve digits of the BLAKE3 hash of the executable.
 pub(super) fn build_of_this_program() -> String {
     let program = std::env::current_exe().and_then(std::fs::read);
     program.map_or(String::new(), |bytes| blake3::hash(&bytes).to_hex()[..12].to_string())
@@ -43,7 +53,7 @@
         let Some(address) = self.addresses.get(to as usize) else { return };
         for datagram in self.peers.datagrams(to, &message) {
             self.sent += 1;
-            // What can't be sent is lost like any datagram.
+            // Datagrams may be lost anyway; the member retries.
             let _ = self.socket.send_to(&datagram, address);
         }
     }
@@ -58,14 +68,14 @@
     }
 
     fn prove(&mut self, policy: Policy, text: Rc<[u8]>) {
-        self.to_prove.push((policy, text));
+        self.unchecked_policies.push((policy, text));
     }
 
     fn may_go(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), No> {
         let of = self.limits.iter().rev().find(|(number, _)| *number == record.policy.number);
         let limits = of.map(|(_, limits)| *limits).unwrap_or_default();
         let granted: Vec<Unit> = record.out.iter().map(|out| out.unit).collect();
-        let (balancers, servers) = (self.addresses.len(), self.places.as_slice());
+        let (balancers, servers) = (self.addresses.len(), self.listed_servers.as_slice());
         Scene { limits: &limits, granted: &granted, away, balancers, servers }.may_go(unit)
     }
 
@@ -78,7 +88,7 @@
             std::str::from_utf8(&text).ok().map(|text| whinspindle_operator_file::read_plan(text, None));
         match read {
             Some(Ok(plan)) => {
-                // It has to outlive a restart of all: nothing can go on without it.
+                // Stored, since a release cannot continue without its plan after all members restart.
                 if let Err(fault) = self.store.write("plan", &text) {
                     log_line!("store", "{fault}");
                 }
@@ -90,11 +100,11 @@
     }
 
     fn aside(&mut self, from: u16, bytes: Vec<u8>) {
-        self.asides.push((from, bytes));
+        self.neighbour_messages.push((from, bytes));
     }
 
     fn is_full(&self, key: u64) -> bool {
-        self.places.iter().any(|place| place.key == key && place.full)
+        self.listed_servers.iter().any(|place| place.key == key && place.full)
     }
 
     fn build(&self) -> String {
@@ -107,7 +117,7 @@
         let Some(release) = &record.release else { return Vec::new() };
         let Some(plan) = self.plan(release.hash) else { return Vec::new() };
         let is_changed = |unit: Unit| plan.place_of(unit).is_some_and(|place| release.changed.has(place));
-        // What a server does while it is out, or cold, says nothing of its build.
+        // Counts of a server that is taken out or in its slow start say nothing about its build.
         let servers = counts
             .into_iter()
             .filter(|((key, _), _)| record.out_as(Unit::Server(*key)).is_none() && self.is_full(*key));
@@ -120,7 +130,7 @@
     }
 
     fn tell(&mut self, words: String) {
-        // Each is a step of the fleet or a change of the right, which are few: none is kept back.
+        // Not rate-limited, since steps of the fleet and changes of the right are rare.
         whinspindle_rate_limited_log::write(format_args!("whinspindle fleet: member {}: {words}", self.me));
     }
 }
--- a/programs/balancer/src/fleet/published.rs
+++ b/programs/balancer/src/fleet/published.rs
@@ -1,4 +1,4 @@
-//! What the fleet's thread and the queries tell one another, behind one lock that is never held for long.
+//! State shared between the fleet's thread and the requests, behind one lock that is only held briefly.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,33 +10,38 @@
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_rollout::{Count, Place};
 
-/// What the thread has published.
+/// The shared state.
 pub(super) struct Published {
+    /// The right of this process to decide by a policy.
     pub(super) right: Right,
+    /// When the right expires, by the [`FleetClock`].
     pub(super) until: u64,
+    /// The policy last in force, with its number.
     pub(super) policy: Option<(u64, Arc<Operator>)>,
+    /// The file whose rules apply while the process is isolated.
     pub(super) cut_off: Arc<Operator>,
-    /// The servers that are let out, and a number that grows when they change; whether this balancer is.
-    pub(super) let_out: (u64, BTreeSet<u64>),
+    /// Version and keys of the servers taken out.
+    pub(super) taken_out_servers: (u64, BTreeSet<u64>),
+    /// Whether this balancer is taken out.
     pub(super) is_taken_out: bool,
-    /// The list as discovery has told it, to be given to neighbours, and for how many microseconds that has been
-    /// silent; what neighbours have given.
-    pub(super) told_list: Option<(Vec<ListedServer>, u64)>,
-    pub(super) given_list: Option<(EndpointUpdate, Trust)>,
-    /// The servers as this balancer has them listed, for the thread.
-    pub(super) places: Vec<Place>,
-    /// What was counted since the thread looked last: of servers, by key and stratum, and of the process
-    /// itself; nothing while no release is watched, so that it does not grow with the servers that come and go.
+    /// The list from discovery, for other balancers, and for how many microseconds discovery has been silent.
+    pub(super) discovered_list: Option<(Vec<ListedServer>, u64)>,
+    /// A list received from other balancers, and how far it is trusted.
+    pub(super) neighbour_list: Option<(EndpointUpdate, Trust)>,
+    /// The servers listed by this balancer.
+    pub(super) listed_servers: Vec<Place>,
+    /// Counts since the thread last took them, by server key and stratum.
     pub(super) counts: BTreeMap<(u64, u16), Count>,
+    /// Counts of this process since the thread last took them.
     pub(super) own: Count,
 }
 
-/// A panic in one holder of the lock must not end the other: what is published is replaced as a whole.
-pub(super) fn held(published: &Mutex<Published>) -> MutexGuard<'_, Published> {
+/// Locks the shared state. A poisoned lock is used all the same, since every field is replaced as a whole.
+pub(super) fn lock(published: &Mutex<Published>) -> MutexGuard<'_, Published> {
     published.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Microseconds since the start, by the monotonic clock; the first moment is 1, so that 0 is before all.
+/// Microseconds since the start by the monotonic clock, counted from 1 so that 0 precedes every time.
 #[derive(Clone, Copy)]
 pub(super) struct FleetClock(pub(super) Instant);
 
--- a/programs/balancer/src/fleet/requests.rs
+++ b/programs/balancer/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! What operators and supervisors ask for on the control socket.
+//! Handles the requests of operators and supervisors from the control socket.
 
 use std::collections::BTreeSet;
 
@@ -6,11 +6,11 @@
 use whinspindle_fleet_policy::{Environment, Hash, MAX_TEXT_BYTES, No, RequestKind, Right, Unit};
 use whinspindle_rollout::Way;
 
-use super::worker::{Worker, shortened};
+use super::worker::{Worker, truncated};
 use crate::control::{Answer, Request};
 
 impl Worker {
-    /// Answers one request; what it begins goes on in the member.
+    /// Answers one request; whatever it starts continues in the member.
     pub(super) fn serve(&mut self, request: Request) -> Answer {
         let now = self.clock.now();
         let serial = || rand::random::<u64>();
@@ -44,7 +44,7 @@
                 if text.len() > MAX_TEXT_BYTES {
                     return Err(format!("{} bytes; a policy has {MAX_TEXT_BYTES} at most", text.len()));
                 }
-                // What can't be proved here is not proposed to others.
+                // A policy that is invalid here is not proposed to others.
                 if let Err(faults) = whinspindle_operator_file::read_policy(&text, &self.deployment) {
                     let drawn = whinspindle_operator_file::draw("the policy", &text, &faults);
                     return Err(format!("{} faults\n{drawn}", faults.len()));
@@ -78,7 +78,7 @@
                 Ok(json!({"number": number}))
             }
             Request::Halt { why } => {
-                self.member.submit(now, RequestKind::Halt { why: shortened(why) }, serial());
+                self.member.submit(now, RequestKind::Halt { why: truncated(why) }, serial());
                 Ok(json!({"begun": true}))
             }
             Request::Resume => {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A supervisor asks whether it may take a unit out; the answer may have been lost, so it may ask again.
+    /// Answers whether a supervisor may take a unit out. Idempotent by serial number, since an answer may be lost.
     fn ask_out(&mut self, now: u64, unit: Unit, serial: u64, release: Option<u64>) -> Answer {
         let record = self.member.record();
         if let Some(out) = record.out_as(unit) {
@@ -117,7 +117,7 @@
                 false => Err("it is let out already, by another's wish".to_string()),
             };
         }
-        // By whichever member it was asked.
+        // The earlier request may have gone through any member.
         if record.done.iter().any(|request_id| request_id.serial == serial) {
             return Err("this wish was granted, and its unit is back: ask with another word".to_string());
         }
@@ -133,7 +133,7 @@
                 _ => Err(no.to_string()),
             };
         }
-        // The leader decides; what this balancer sees is told as the likely reason.
+        // The leader decides; the local view gives the likely reason for the wait.
         let waits = match self.member.environment.may_go(record, unit, &BTreeSet::new()) {
             Err(no @ (No::NoLimit | No::Unknown)) => return Err(no.to_string()),
             Err(no) => no.to_string(),
@@ -158,7 +158,7 @@
         let plan = whinspindle_operator_file::read_plan(text, Some(members)).map_err(|faults| {
             format!("{} faults\n{}", faults.len(), whinspindle_operator_file::draw("the plan", text, &faults))
         })?;
-        // A release that could never begin is refused now, not found out later.
+        // A release that could never begin is rejected at once.
         for unit in &plan.units {
             if let Err(no @ (No::NoLimit | No::Unknown)) =
                 self.member.environment.may_go(record, *unit, &BTreeSet::new())
@@ -174,7 +174,7 @@
     }
 }
 
-/// Whether a text has come as it was sent.
+/// Whether a text was received completely.
 fn is_whole(text: &str, length: usize, hash: &str) -> bool {
     text.len() == length && Hash::of(text.as_bytes()).to_string() == hash
 }
--- a/programs/balancer/src/fleet/status.rs
+++ b/programs/balancer/src/fleet/status.rs
@@ -1,4 +1,4 @@
-//! What `whinspindle fleet status` and its like are told.
+//! The JSON status of the fleet for `whinspindle fleet status` and other commands.
 
 use serde_json::{Value, json};
 use whinspindle_fleet_policy::{ChangeOutcome, Environment, Policy, Readiness, Right, Unit};
@@ -7,6 +7,7 @@
 use super::worker::Worker;
 
 impl Worker {
+    /// The present and the past releases.
     fn release_status(&self, now: u64) -> Value {
         let record = self.member.record();
         let side = |count: Count| json!({"executions": count.executions, "bad": count.bad});
@@ -38,7 +39,7 @@
         json!({"now": release, "past": past})
     }
 
-    /// What this member knows of its fleet, for operators.
+    /// The state of the fleet as this member knows it.
     pub(super) fn status(&self, now: u64) -> Value {
         let member = &self.member;
         let record = member.record();
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -1,5 +1,5 @@
-//! The fleet's thread: takes datagrams and requests, lets the member's core go on, and publishes what queries
-//! are decided by.
+//! The fleet's thread: receives datagrams and control requests, drives the state machine of the member, and
+//! publishes the policy that requests are decided by.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::ErrorKind;
@@ -20,36 +20,41 @@
 use whinspindle_rollout::Count;
 
 use super::environment::ProcessEnvironment;
-use super::published::{FleetClock, Published, held};
+use super::published::{FleetClock, Published, lock};
 use crate::control::{Answer, Request};
 
-/// Datagrams taken before the clock is looked at again.
-const CHUNKS_PER_REQUEST: usize = 256;
-/// Texts kept on disk, by their number.
-const TEXTS: u64 = 4;
-/// Longest words of an objection that are told to others, in bytes.
-const LONGEST_WORDS: usize = 120;
+/// Datagrams received in one turn of the loop at most.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
+/// Number of policy texts kept on disk.
+const STORED_POLICIES: u64 = 4;
+/// Maximum length of an objection's text in bytes.
+const MAX_OBJECTION_LENGTH: usize = 120;
 
-/// How far a list is believed by its age where `[keep]` says nothing.
-const AGES: Ages = Ages { fresh: 10_000_000, old: 3_600_000_000 };
+/// Ages in microseconds up to which a list is trusted if `[keep]` is not configured.
+const DEFAULT_AGES: Ages = Ages { fresh: 10_000_000, old: 3_600_000_000 };
 
-/// The state of the thread: the member and what is kept beside it.
+/// State of the thread.
 pub(super) struct Worker {
+    /// The state machine of the member.
     pub(super) member: Member<ProcessEnvironment>,
+    /// Settings of the deployment.
     pub(super) deployment: Deployment,
+    /// Clock of the fleet.
     pub(super) clock: FleetClock,
+    /// State shared with requests.
     published: Arc<Mutex<Published>>,
+    /// The validated policies, by number.
     operators: Vec<(u64, Arc<Operator>)>,
-    /// What holds where no policy is known: the file's own word.
+    /// The process's own file, whose rules apply while no policy is known.
     own: Arc<Operator>,
+    /// Number of datagrams received.
     pub(super) received: u64,
-    /// The list of servers, from those that stayed up and for those that come back; none where the file says
-    /// no.
+    /// Exchange of endpoint lists with other balancers for processes that restart; none if disabled.
     neighbours: Option<Neighbours>,
 }
 
 impl Worker {
-    /// Takes over what the store remembers; a new memory begins where it has none.
+    /// Restores the member from the store, or starts a new one.
     #[expect(clippy::too_many_arguments, reason = "each is a part of the process that is handed over once")]
     pub(super) fn new(
         terms: FleetTerms,
@@ -66,7 +71,7 @@
         let peers = PeerTransport::new(me, members, name, secret, rand::random(), datagram);
         let store = Rc::new(store);
         let memory = store.read("votes").and_then(|bytes| postcard::from_bytes::<DurableState>(&bytes).ok());
-        let texts = (0..TEXTS).filter_map(|number| store.read(&format!("text-{number}")));
+        let texts = (0..STORED_POLICIES).filter_map(|number| store.read(&format!("text-{number}")));
         let texts = texts.chain(store.read("plan"));
         let texts: Vec<Vec<u8>> = texts.collect();
         match &memory {
@@ -81,18 +86,18 @@
             peers,
             addresses,
             store,
-            to_prove: Vec::new(),
+            unchecked_policies: Vec::new(),
             sent: 0,
             limits: Vec::new(),
-            places: Vec::new(),
+            listed_servers: Vec::new(),
             plan: None,
             build,
             counts: BTreeMap::new(),
             own: Count::default(),
-            asides: Vec::new(),
+            neighbour_messages: Vec::new(),
         };
         let asks = terms.neighbours;
-        let ages = own.keep.as_ref().map_or(AGES, |keep| Ages { fresh: keep.fresh, old: keep.old });
+        let ages = own.keep.as_ref().map_or(DEFAULT_AGES, |keep| Ages { fresh: keep.fresh, old: keep.old });
         let terms = MemberSettings {
             me,
             members,
@@ -113,17 +118,16 @@
     }
 
     /// Runs until the process ends.
-    pub(super) fn run(&mut self, asked: &Receiver<(Request, SyncSender<Answer>)>) {
+    pub(super) fn run(&mut self, requests: &Receiver<(Request, SyncSender<Answer>)>) {
         let mut buffer = [0; 2048];
         let mut next_tick = 0;
-        // Guards against requests that come in the first moment: they are answered by the policy that is
-        // remembered, not as if it set no limits.
+        // Validates the restored policy first, so that early requests are not answered as if there were no limits.
         self.prove();
         loop {
-            for _ in 0..CHUNKS_PER_REQUEST {
+            for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 match self.member.environment.socket.recv_from(&mut buffer) {
                     Ok((length, from)) => self.take(&buffer[..length], from),
-                    // A peer that is down is told of here; there is nothing to read.
+                    // Linux reports a peer that is down on the next receive; there is no datagram to read.
                     Err(fault) if fault.kind() == ErrorKind::ConnectionRefused => {}
                     Err(_) => break,
                 }
@@ -131,7 +135,7 @@
                     break;
                 }
             }
-            while let Ok((request, answer)) = asked.try_recv() {
+            while let Ok((request, answer)) = requests.try_recv() {
                 let _ = answer.try_send(self.serve(request));
             }
             let now = self.clock.now();
@@ -141,38 +145,41 @@
                 next_tick = now + (self.member.settings().pace / 8).min(100_000);
             }
             self.prove();
-            self.hear_neighbours();
+            self.receive_from_neighbours();
             self.publish();
         }
     }
 
+    /// Exchanges endpoint lists with other balancers.
     fn ask_neighbours(&mut self, now: u64) {
         let Some(neighbours) = &mut self.neighbours else { return };
-        let told = held(&self.published).told_list.take();
-        if let Some((servers, silent)) = told {
+        let discovered = lock(&self.published).discovered_list.take();
+        if let Some((servers, silent)) = discovered {
             neighbours.told(now.saturating_sub(silent), &servers);
         }
         let unix = crate::clock::Clock::start().now();
         if let Some((update, trust)) = neighbours.take(now, unix) {
             log_line!("fleet", "neighbours tell {} servers, {trust}", update.servers.len());
-            held(&self.published).given_list = Some((update, trust));
+            lock(&self.published).neighbour_list = Some((update, trust));
         }
         for (to, word) in neighbours.tick(now) {
             self.member.environment.send(to, Message::Aside { bytes: word.to_bytes() });
         }
     }
 
-    fn hear_neighbours(&mut self) {
-        let asides = std::mem::take(&mut self.member.environment.asides);
+    /// Answers messages about endpoint lists.
+    fn receive_from_neighbours(&mut self) {
+        let neighbour_messages = std::mem::take(&mut self.member.environment.neighbour_messages);
         let Some(neighbours) = &mut self.neighbours else { return };
         let now = self.clock.now();
-        for (from, bytes) in asides {
+        for (from, bytes) in neighbour_messages {
             for word in neighbours.receive(now, from, &bytes) {
                 self.member.environment.send(from, Message::Aside { bytes: word.to_bytes() });
             }
         }
     }
 
+    /// Verifies a datagram and passes its message to the member.
     fn take(&mut self, datagram: &[u8], from: SocketAddr) {
         let now = self.clock.now();
         self.received += 1;
@@ -189,28 +196,32 @@
         }
     }
 
+    /// Validates policies that have arrived, and stores their texts.
     fn prove(&mut self) {
-        for (policy, text) in std::mem::take(&mut self.member.environment.to_prove) {
-            let verdict = self.verdict_on(&text);
-            if let Err(fault) =
-                self.member.environment.store.write(&format!("text-{}", policy.number % TEXTS), &text)
+        for (policy, text) in std::mem::take(&mut self.member.environment.unchecked_policies) {
+            let verdict = self.check_policy(&text);
+            if let Err(fault) = self
+                .member
+                .environment
+                .store
+                .write(&format!("text-{}", policy.number % STORED_POLICIES), &text)
             {
                 log_line!("store", "{fault}");
             }
             let verdict = verdict.map(|operator| {
                 self.member.environment.limits.push((policy.number, operator.limits));
-                let over = self.member.environment.limits.len().saturating_sub(TEXTS as usize);
+                let over = self.member.environment.limits.len().saturating_sub(STORED_POLICIES as usize);
                 self.member.environment.limits.drain(..over);
                 self.operators.push((policy.number, Arc::new(operator)));
-                let over = self.operators.len().saturating_sub(TEXTS as usize);
+                let over = self.operators.len().saturating_sub(STORED_POLICIES as usize);
                 self.operators.drain(..over);
             });
             self.member.proved(self.clock.now(), policy.number, verdict);
         }
     }
 
-    /// Proves the text of a policy against this process's own settings.
-    fn verdict_on(&self, text: &[u8]) -> Result<Operator, Objection> {
+    /// Validates the text of a policy against this process's settings.
+    fn check_policy(&self, text: &[u8]) -> Result<Operator, Objection> {
         let Ok(text) = std::str::from_utf8(text) else {
             return Err(Objection { line: 0, words: "is not UTF-8 text".to_string() });
         };
@@ -219,10 +230,11 @@
             let words = first.map_or(String::new(), |fault| {
                 format!("{}: {} ({} faults)", fault.field, fault.fault, faults.len())
             });
-            Objection { line: first.map_or(0, |fault| fault.line as u32), words: shortened(words) }
+            Objection { line: first.map_or(0, |fault| fault.line as u32), words: truncated(words) }
         })
     }
 
+    /// Publishes the state of the member and takes the counts of the requests.
     fn publish(&mut self) {
         let (right, until) = self.member.right_until(self.clock.now());
         let of = |number: u64| match number {
@@ -231,13 +243,12 @@
                 self.operators.iter().find(|(known, _)| *known == number).map(|(_, known)| Arc::clone(known))
             }
         };
-        let mut published = held(&self.published);
+        let mut published = lock(&self.published);
         if let Right::Policy(number) = right
             && published.policy.as_ref().is_none_or(|(known, _)| *known != number)
             && let Some(operator) = of(number)
         {
-            // Number 0 says nothing of being cut off; the file's own word holds until a policy says
-            // something.
+            // Policy 0 has no rules for isolation, so the process's own file applies.
             published.cut_off = Arc::clone(if number == 0 { &self.own } else { &operator });
             published.policy = Some((number, operator));
         }
@@ -247,13 +258,13 @@
             Unit::Balancer(_) => None,
         });
         let servers: BTreeSet<u64> = servers.collect();
-        if servers != published.let_out.1 {
-            published.let_out = (published.let_out.0 + 1, servers);
+        if servers != published.taken_out_servers.1 {
+            published.taken_out_servers = (published.taken_out_servers.0 + 1, servers);
         }
         published.is_taken_out = self.member.is_taken_out();
         let watches = self.member.watched().is_some();
         let environment = &mut self.member.environment;
-        environment.places.clone_from(&published.places);
+        environment.listed_servers.clone_from(&published.listed_servers);
         let (counts, own) = (std::mem::take(&mut published.counts), std::mem::take(&mut published.own));
         if watches {
             counts.into_iter().for_each(|(of, count)| environment.counts.entry(of).or_default().add(count));
@@ -264,9 +275,9 @@
     }
 }
 
-/// Words for others, no longer than they may be.
-pub(super) fn shortened(mut words: String) -> String {
-    while words.len() > LONGEST_WORDS {
+/// Truncates a text to the maximum length of an objection.
+pub(super) fn truncated(mut words: String) -> String {
+    while words.len() > MAX_OBJECTION_LENGTH {
         words.pop();
     }
     words
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -1,4 +1,4 @@
-//! `whinspindle fleet`: speaks to a running balancer over its control socket.
+//! The `whinspindle fleet` commands, which talk to a running balancer over its control socket.
 
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -14,23 +14,24 @@
 use crate::command;
 use crate::control::{self, Request};
 
-/// Between two looks at how far a change is.
-const LOOK: Duration = Duration::from_millis(100);
-/// A change that ended otherwise than wished, and one that has not ended in the time waited.
-const OTHERWISE: u8 = 1;
-const WAITING: u8 = 3;
+/// Interval at which the progress of a change is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Exit code of a change that ended otherwise than intended.
+const EXIT_OTHER_OUTCOME: u8 = 1;
+/// Exit code of a change that is still pending after the time waited.
+const EXIT_PENDING: u8 = 3;
 
 #[derive(Args)]
-pub struct FleetLine {
+pub struct FleetArguments {
     /// The control socket of a running balancer, as its operator's file names it
     #[arg(long, value_hint = ValueHint::FilePath)]
     socket: PathBuf,
     #[command(subcommand)]
-    what: What,
+    what: FleetAction,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum FleetAction {
     /// What is agreed, by what this balancer decides, and, from a voter, how each balancer stands
     Status {
         #[arg(long)]
@@ -85,7 +86,7 @@
     /// Units changed in waves, each watched before the next
     Release {
         #[command(subcommand)]
-        what: ReleaseWhat,
+        what: ReleaseAction,
     },
     /// Nothing is let out any more until it is resumed
     Halt {
@@ -112,7 +113,7 @@
 }
 
 #[derive(Subcommand)]
-enum ReleaseWhat {
+enum ReleaseAction {
     /// What a plan would do, told without doing it. Exit 0 well, 2 faults
     Plan {
         #[arg(value_hint = ValueHint::FilePath)]
@@ -152,10 +153,11 @@
     wait: u64,
 }
 
-pub fn run(line: &FleetLine) -> Result<ExitCode, String> {
+/// Runs one command.
+pub fn run(line: &FleetArguments) -> Result<ExitCode, String> {
     let ask = |request: &Request| control::ask(&line.socket, request)?;
     match &line.what {
-        What::Status { json } => {
+        FleetAction::Status { json } => {
             let status = ask(&Request::Status)?;
             if *json {
                 println!("{status}")
@@ -164,19 +166,19 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        What::History => {
+        FleetAction::History => {
             let status = ask(&Request::Status)?;
             status["past"].as_array().into_iter().flatten().for_each(|past| println!("{}", past_line(past)));
             Ok(ExitCode::SUCCESS)
         }
-        What::Found { anew, sure, wait } => {
+        FleetAction::Found { anew, sure, wait } => {
             let begun = ask(&Request::Found { anew: *anew, sure: *sure })?;
             if begun["begun"] != true {
                 print!("{}", table(&begun["known"]));
                 println!(
                     "nothing is done; --sure founds the fleet anew from this, and what others knew is lost"
                 );
-                return Ok(ExitCode::from(OTHERWISE));
+                return Ok(ExitCode::from(EXIT_OTHER_OUTCOME));
             }
             let before = begun["epoch"].as_u64();
             waited(wait, ask, |status| {
@@ -184,30 +186,30 @@
                 founded.then(|| ("the fleet is founded".to_string(), 0))
             })
         }
-        What::Propose { file, wait } => {
+        FleetAction::Propose { file, wait } => {
             let (text, length, hash) = with_hash(file)?;
             let wish = ask(&Request::Propose { text, length, hash })?;
             waited(wait, ask, |status| {
                 let past = status["past"].as_array()?;
                 let past = past.iter().find(|past| past["serial"] == wish["serial"])?;
-                Some((past_line(past), if past["fate"] == "in force" { 0 } else { OTHERWISE }))
+                Some((past_line(past), if past["fate"] == "in force" { 0 } else { EXIT_OTHER_OUTCOME }))
             })
         }
-        What::Out { unit, word, release, wait } => out(unit, word, *release, wait, ask),
-        What::Release { what } => release(what, ask),
-        What::Back { unit: text, unchanged } => {
+        FleetAction::Out { unit, word, release, wait } => out(unit, word, *release, wait, ask),
+        FleetAction::Release { what } => release(what, ask),
+        FleetAction::Back { unit: text, unchanged } => {
             ask(&Request::Back { unit: unit(text)?, done: !unchanged })?;
             Ok(ExitCode::SUCCESS)
         }
-        What::Halt { why, wait } => {
+        FleetAction::Halt { why, wait } => {
             ask(&Request::Halt { why: why.clone() })?;
             waited(wait, ask, |status| status["halted"].is_object().then(|| ("halted".to_string(), 0)))
         }
-        What::Resume { wait } => {
+        FleetAction::Resume { wait } => {
             ask(&Request::Resume)?;
             waited(wait, ask, |status| status["halted"].is_null().then(|| ("resumed".to_string(), 0)))
         }
-        What::Voter { old, new, wait } => {
+        FleetAction::Voter { old, new, wait } => {
             ask(&Request::Voters { old: *old, new: *new })?;
             waited(wait, ask, |status| {
                 let voters = status["voters"].as_array()?;
@@ -216,18 +218,18 @@
                 (votes(new) && !votes(old)).then(|| (format!("member {new} votes in place of {old}"), 0))
             })
         }
-        What::Withdraw { number, wait } => {
+        FleetAction::Withdraw { number, wait } => {
             ask(&Request::Withdraw { number: *number })?;
             waited(wait, ask, |status| {
                 let past = status["past"].as_array()?;
                 let past = past.iter().find(|past| past["number"] == *number)?;
-                Some((past_line(past), if past["fate"] == "withdrawn" { 0 } else { OTHERWISE }))
+                Some((past_line(past), if past["fate"] == "withdrawn" { 0 } else { EXIT_OTHER_OUTCOME }))
             })
         }
     }
 }
 
-/// A file's text, with its length and hash by which the balancer tells whether it came whole.
+/// A file's text, with the length and hash by which the balancer verifies that it is complete.
 fn with_hash(file: &Path) -> Result<(String, usize, String), String> {
     let text = command::text(file)?;
     let (length, hash) = (text.len(), Hash::of(text.as_bytes()).to_string());
@@ -239,7 +241,7 @@
         .ok_or_else(|| format!("{text:?} is no unit: balancer:NUMBER or server:ID"))
 }
 
-/// Asks until it is granted, refused or the time is over.
+/// Asks repeatedly until the request is granted, refused or timed out.
 fn out(
     text: &str,
     word: &str,
@@ -263,19 +265,22 @@
         }
         if let Some(why) = answer["halted"].as_str() {
             println!("halted: {why}");
-            return Ok(ExitCode::from(OTHERWISE));
+            return Ok(ExitCode::from(EXIT_OTHER_OUTCOME));
         }
         if Instant::now() >= until {
             println!("not yet: {}", answer["waits"].as_str().unwrap_or_default());
-            return Ok(ExitCode::from(WAITING));
+            return Ok(ExitCode::from(EXIT_PENDING));
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
 
-fn release(what: &ReleaseWhat, ask: impl Fn(&Request) -> Result<Value, String>) -> Result<ExitCode, String> {
+fn release(
+    what: &ReleaseAction,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
     match what {
-        ReleaseWhat::Plan { file } => {
+        ReleaseAction::Plan { file } => {
             let text = command::text(file)?;
             let plan = match read_plan(&text, None) {
                 Ok(plan) => plan,
@@ -293,7 +298,7 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        ReleaseWhat::Start { file, wait } => {
+        ReleaseAction::Start { file, wait } => {
             let (text, length, hash) = with_hash(file)?;
             let wish = ask(&Request::Release { text, length, hash })?;
             waited(wait, ask, |status| {
@@ -301,14 +306,14 @@
                 (now["serial"] == wish["serial"]).then(|| (format!("release {}", now["number"]), 0))
             })
         }
-        ReleaseWhat::Status { json, wait } => {
+        ReleaseAction::Status { json, wait } => {
             let until = Instant::now() + Duration::from_secs(*wait);
             loop {
                 let status = ask(&Request::Status)?;
                 let halted = status["halted"].is_object() && status["release"]["now"]["way"] == "forth";
                 let over = status["release"]["now"].is_null();
                 if !halted && !over && Instant::now() < until {
-                    sleep(LOOK);
+                    sleep(POLL_INTERVAL);
                     continue;
                 }
                 if *json {
@@ -319,14 +324,14 @@
                 let code = if over {
                     0
                 } else if halted {
-                    OTHERWISE
+                    EXIT_OTHER_OUTCOME
                 } else {
-                    WAITING
+                    EXIT_PENDING
                 };
                 return Ok(ExitCode::from(code));
             }
         }
-        ReleaseWhat::Back { wait } => {
+        ReleaseAction::Back { wait } => {
             let number = ask(&Request::Turn)?["number"].clone();
             waited(wait, ask, |status| {
                 let now = &status["release"]["now"];
@@ -334,7 +339,7 @@
                 turned.then(|| (format!("release {number} goes back"), 0))
             })
         }
-        ReleaseWhat::Leave { wait } => {
+        ReleaseAction::Leave { wait } => {
             let number = ask(&Request::Leave)?["number"].clone();
             waited(wait, ask, |status| {
                 let left = status["release"]["now"]["number"] != number;
@@ -423,13 +428,13 @@
         }
         if Instant::now() >= until {
             println!("still under way: {}", progress(&status));
-            return Ok(ExitCode::from(WAITING));
+            return Ok(ExitCode::from(EXIT_PENDING));
         }
         if shown {
             eprint!("\r{}\x1b[K", progress(&status));
             let _ = std::io::stderr().flush();
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
 
--- a/programs/balancer/src/front.rs
+++ b/programs/balancer/src/http_service.rs
@@ -1,4 +1,4 @@
-//! What clients meet: the tower services that take a query and give its one answer.
+//! The HTTP service for clients: tower layers and the handler that turns one request into one answer.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -25,36 +25,38 @@
 
 use crate::fleet::Fleet;
 use crate::node::Node;
-use crate::shares::Shares;
+use crate::resource_limits::ResourceLimits;
 
-/// In microseconds: when a query that was turned away unseen is best tried again.
+/// Microseconds after which a client should retry a request that was rejected unread.
 const SHED_RETRY_AFTER: u64 = 250_000;
 
+/// Body of an answer to a client.
 pub type ReplyBody = UnsyncBoxBody<Bytes, BoxError>;
+/// Answer to a client.
 pub type Reply = Response<ReplyBody>;
 
-/// Goes with a request: until when its body must be whole.
+/// Request extension: the time by which the body must have been read completely.
 #[derive(Clone, Copy)]
-pub struct Due(pub Instant);
+pub struct BodyDeadline(pub Instant);
 
-/// The services of the front, from the outside in: a panic ends one answer, what is more than the budget for
-/// bodies holds is turned away, and a body may be only so long.
+/// Builds the service. From the outside in: a panic ends only its own request, requests beyond the concurrency
+/// limit are shed, and the size of a body is limited.
 pub fn services(
     node: &Rc<Node>,
-    shares: Shares,
+    resource_limits: ResourceLimits,
 ) -> impl Service<Request<Incoming>, Response = Reply, Error = Infallible> + Clone + use<> {
     let (query_node, node) = (Rc::clone(node), Rc::clone(node));
     let queries = ServiceBuilder::new()
         .layer(CatchPanicLayer::custom(panicked))
         .load_shed()
-        .layer(GlobalConcurrencyLimitLayer::new(shares.queries))
+        .layer(GlobalConcurrencyLimitLayer::new(resource_limits.queries))
         .layer(RequestBodyLimitLayer::new(MAX_BODY_BYTES))
-        .service_fn(move |request| take(Rc::clone(&query_node), request));
+        .service_fn(move |request| handle_query(Rc::clone(&query_node), request));
     tower::service_fn(move |request: Request<Incoming>| {
         let (node, queries) = (Rc::clone(&node), queries.clone());
         async move {
             Ok(if request.uri().path() == "/healthz" {
-                node.settled().await;
+                node.wait_for_endpoints().await;
                 health(&node).map(boxed)
             } else {
                 queries.oneshot(request).await.map_or_else(shed, |reply| reply.map(boxed))
@@ -75,43 +77,46 @@
     Answer::Aborted(AbortReason::Failed).encode()
 }
 
-/// Nothing of the query has been looked at, so trying again is harmless.
+/// Rejects a request at the concurrency limit. Nothing of it has been processed, so a retry is always safe.
 fn shed(_: BoxError) -> Reply {
     log_line!("brim", "the budget for bodies is full: a query is rejected unseen");
     rejected_unseen()
 }
 
+/// A rejection that also closes the connection, for a request that was not read.
 pub fn rejected_unseen() -> Reply {
     let mut reply = Answer::Rejected(SHED_RETRY_AFTER).encode().map(boxed);
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
+/// Answers `/healthz`: whether this process can serve requests.
 fn health(node: &Node) -> Response<Full<Bytes>> {
-    let settled = node.fleet.as_ref().is_none_or(Fleet::is_settled);
+    let has_policy = node.fleet.as_ref().is_none_or(Fleet::has_decided);
     if node.fleet.as_ref().is_some_and(Fleet::is_taken_out) {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "let out by the fleet".to_string());
     }
-    if settled && node.core.borrow().has_list() && !node.stop.is_ordered() {
+    if has_policy && node.core.borrow().has_list() && !node.shutdown.is_requested() {
         return plain(StatusCode::OK, "ok".to_string());
     }
     plain(StatusCode::SERVICE_UNAVAILABLE, "no list or no policy yet, or stopping".to_string())
 }
 
-/// Tells the core that the client has left, unless the answer was there first.
-struct Waiting<'a> {
+/// Guard of an open request. When it is dropped, the core learns that the client is gone; this has no effect after
+/// the answer.
+struct OpenQuery<'a> {
     node: &'a Node,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
-        self.node.open.set(self.node.open.get().saturating_sub(1));
+        self.node.open_queries.set(self.node.open_queries.get().saturating_sub(1));
         self.node.core.borrow_mut().client_gone(self.node.clock.now(), self.ticket);
     }
 }
 
-/// The route of a query, and its largest body.
+/// The index of the request's route, and the maximum body size in bytes that it allows.
 fn route_of(node: &Node, parts: &Parts, head: &Head) -> (Option<usize>, u64) {
     let operator = node.operator.borrow();
     let found = operator.as_ref().and_then(|operator| {
@@ -124,12 +129,13 @@
     found.map_or((None, u64::MAX), |(number, largest)| (Some(number), largest))
 }
 
-async fn take(
+/// Decodes a request, admits it, passes it to the core and waits for its answer.
+async fn handle_query(
     node: Rc<Node>,
     request: Request<impl Body<Error = BoxError>>,
 ) -> Result<Response<Full<Bytes>>, BoxError> {
     let (parts, body) = request.into_parts();
-    let due = parts.extensions.get().map_or_else(Instant::now, |Due(due)| *due);
+    let body_deadline = parts.extensions.get().map_or_else(Instant::now, |BodyDeadline(at)| *at);
     let head = match Head::decode(&parts, &node.deployment) {
         Ok(head) => head,
         Err(fault) => {
@@ -137,11 +143,11 @@
             return Ok(fault.encode());
         }
     };
-    if !node.keep_up() {
+    if !node.apply_active_policy() {
         log_line!("query", "rejected: the process is cut off from its fleet");
         return Ok(Answer::Rejected(SHED_RETRY_AFTER).encode());
     }
-    if let Err(wait) = node.may_take() {
+    if let Err(wait) = node.admit() {
         log_line!("query", "rejected: the process has just started");
         return Ok(Answer::Rejected(wait).encode());
     }
@@ -151,8 +157,8 @@
         let text = format!("body: over the {largest} bytes of its route");
         return Ok(plain(StatusCode::PAYLOAD_TOO_LARGE, text));
     }
-    // Guards against a client that begins a query and never ends it; its own time counts from the last byte.
-    let body = match timeout_at(due, body.collect()).await {
+    // Bounds the time for reading the body; the client's own deadline counts from the last byte.
+    let body = match timeout_at(body_deadline, body.collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(fault)) if fault.is::<http_body_util::LengthLimitError>() => {
             log_line!("query", "turned down: body: over {MAX_BODY_BYTES} bytes");
@@ -162,8 +168,8 @@
         Err(_) => return Ok(plain(StatusCode::REQUEST_TIMEOUT, "body: not whole in time".to_string())),
     };
     let mut now = node.clock.now();
-    let deadline = now + node.stop.within(head.patience);
-    node.settled().await;
+    let deadline = now + node.shutdown.limit_patience(head.patience);
+    node.wait_for_endpoints().await;
     now = node.clock.now().max(now);
     let arrival = Arrival { product: head.product, tenant: head.tenant, deadline, route };
     let (caller, answer) = oneshot::channel();
@@ -171,8 +177,8 @@
         log_line!("query", "turned down: {DUPLICATE_TRACE}");
         return Ok(DUPLICATE_TRACE.encode());
     };
-    node.open.set(node.open.get() + 1);
-    let _waiting = Waiting { node: &node, ticket };
+    node.open_queries.set(node.open_queries.get() + 1);
+    let _open_query = OpenQuery { node: &node, ticket };
     let answer = answer.await.unwrap_or(Answer::Aborted(AbortReason::Failed));
     if let Some(startup_limit) =
         node.startup_limit.borrow_mut().as_mut().filter(|_| matches!(answer, Answer::Completed(_)))
@@ -181,11 +187,11 @@
     }
     if node.fleet.is_some() {
         let spent = node.clock.now() - now;
-        let tardy =
+        let late =
             node.deployment.terms.products.get(arrival.product).is_some_and(|row| spent > row.slo_time);
         let (aborted, rejected) =
             (matches!(answer, Answer::Aborted(_)), matches!(answer, Answer::Rejected(_)));
-        node.seen.borrow_mut().query(aborted, tardy, rejected);
+        node.fleet_counts.borrow_mut().query(aborted, late, rejected);
     }
     Ok(answer.encode())
 }
--- a/programs/balancer/src/accept/tests.rs
+++ b/programs/balancer/src/listener/tests.rs
@@ -9,24 +9,24 @@
 use super::*;
 
 /// A connection as a sweep sees it: what it did so many milliseconds ago.
-fn client(idle: Option<u64>, fresh: bool, heard: Option<u64>, closing: Option<u64>) -> Rc<Client> {
+fn client(idle: Option<u64>, no_request_yet: bool, heard: Option<u64>, closing: Option<u64>) -> Rc<Client> {
     let ago = |ms: Option<u64>| ms.map(|ms| Instant::now() - Duration::from_millis(ms));
     let meter = Rc::new(Meter::default());
     meter.heard.set(ago(heard));
     Rc::new(Client {
         idle_since: Cell::new(ago(idle)),
-        fresh: Cell::new(fresh),
+        no_request_yet: Cell::new(no_request_yet),
         meter,
         closing: Cell::new(ago(closing)),
         close: Notify::new(),
         drop: Notify::new(),
-        lingers: Cell::default(),
+        is_lingering: Cell::default(),
     })
 }
 
 #[test]
 fn silence_and_queries_without_an_end_have_a_limit() {
-    for (idle, fresh, heard, closing, (closed, dropped)) in [
+    for (idle, no_request_yet, heard, closing, (closed, dropped)) in [
         (Some(1_000), true, None, None, (false, false)),
         (Some(2_000), true, None, None, (false, true)),
         (Some(2_000), true, Some(10), None, (false, true)),
@@ -42,13 +42,13 @@
         // While a query is in hand its own time counts.
         (None, false, Some(30_000), Some(30_000), (false, false)),
     ] {
-        let client = client(idle, fresh, heard, closing);
-        let accepted = Accepted::default();
-        accepted.open.borrow_mut().insert(1, Rc::clone(&client));
-        accepted.sweep(Duration::from_secs(10));
+        let client = client(idle, no_request_yet, heard, closing);
+        let connections = ClientConnections::default();
+        connections.open.borrow_mut().insert(1, Rc::clone(&client));
+        connections.sweep(Duration::from_secs(10));
         let told = (client.close.notified().now_or_never(), client.drop.notified().now_or_never());
         let told = (told.0.is_some(), told.1.is_some());
-        assert_eq!(told, (closed, dropped), "{idle:?} {fresh} {heard:?} {closing:?}");
+        assert_eq!(told, (closed, dropped), "{idle:?} {no_request_yet} {heard:?} {closing:?}");
     }
 }
 
@@ -63,22 +63,22 @@
     ];
     // It has only just come, however slow this test is.
     clients[3].idle_since.set(Some(Instant::now() + Duration::from_secs(3600)));
-    let accepted = Accepted::default();
-    accepted.open.borrow_mut().extend((0..).zip(clients.iter().map(Rc::clone)));
+    let connections = ClientConnections::default();
+    connections.open.borrow_mut().extend((0..).zip(clients.iter().map(Rc::clone)));
     for next in [2, 1, 0, 3] {
-        accepted.close_longest_idle();
+        connections.close_longest_idle();
         let closing = (0..5).filter(|&i| clients[i].close.notified().now_or_never().is_some());
         assert_eq!(closing.collect::<Vec<_>>(), [next]);
     }
 }
 
 /// All the others are told to close and end slowly: with half a query, and with an answer on its way.
-fn slowly_closing(newest: &Rc<Client>) -> Accepted {
+fn slowly_closing(newest: &Rc<Client>) -> ClientConnections {
     let half = client(Some(1_000), true, Some(900), Some(500));
     let answered = client(None, false, Some(900), Some(500));
-    let accepted = Accepted::default();
-    accepted.open.borrow_mut().extend((0..).zip([half, answered, Rc::clone(newest)]));
-    accepted
+    let connections = ClientConnections::default();
+    connections.open.borrow_mut().extend((0..).zip([half, answered, Rc::clone(newest)]));
+    connections
 }
 
 #[test]
@@ -87,13 +87,13 @@
     let newest = client(Some(0), true, None, None);
     // It has only just come, however slow this test is.
     newest.idle_since.set(Some(Instant::now() + Duration::from_secs(3600)));
-    let accepted = slowly_closing(&newest);
-    let spared_until = newest.idle_since.get().map(|came| came + LOOK);
-    assert_eq!(accepted.close_longest_idle(), spared_until);
+    let connections = slowly_closing(&newest);
+    let exempt_until = newest.idle_since.get().map(|came| came + SWEEP_INTERVAL);
+    assert_eq!(connections.close_longest_idle(), exempt_until);
     assert!(!told(&newest) && newest.closing.get().is_none());
     // Its time is over.
-    newest.idle_since.set(Some(Instant::now() - LOOK));
-    assert_eq!(accepted.close_longest_idle(), None);
+    newest.idle_since.set(Some(Instant::now() - SWEEP_INTERVAL));
+    assert_eq!(connections.close_longest_idle(), None);
     assert!(told(&newest));
     // One that has asked before, and one whose query has begun and is waited for all the same.
     for newest in [client(Some(0), false, None, None), client(Some(0), true, Some(0), None)] {
@@ -102,9 +102,9 @@
     }
     // Another has come behind it.
     let newest = client(Some(0), true, None, None);
-    let accepted = slowly_closing(&newest);
-    accepted.open.borrow_mut().insert(3, client(Some(0), true, None, None));
-    assert_eq!(accepted.close_longest_idle(), None);
+    let connections = slowly_closing(&newest);
+    connections.open.borrow_mut().insert(3, client(Some(0), true, None, None));
+    assert_eq!(connections.close_longest_idle(), None);
     assert!(told(&newest));
 }
 
@@ -112,14 +112,14 @@
 async fn a_newest_that_says_nothing_is_waited_for_no_longer_than_its_time() {
     let newest = client(Some(0), true, None, None);
     newest.idle_since.set(Some(Instant::now() + Duration::from_millis(50)));
-    let accepted = slowly_closing(&newest);
+    let connections = slowly_closing(&newest);
     // Nobody ends, and nothing is told that would wake it.
-    timeout(Duration::from_secs(30), accepted.make_room())
+    timeout(Duration::from_secs(30), connections.wait_for_capacity())
         .await
         .expect("it waits for an end that never comes");
     assert!(newest.closing.get().is_none());
-    assert!(Some(Instant::now()) >= newest.first_query_until());
-    assert_eq!(accepted.close_longest_idle(), None);
+    assert!(Some(Instant::now()) >= newest.first_request_deadline());
+    assert_eq!(connections.close_longest_idle(), None);
     assert!(newest.close.notified().now_or_never().is_some());
 }
 
@@ -130,14 +130,14 @@
         let address = listener.local_addr().expect("an address");
         let mut client = std::net::TcpStream::connect(address).expect("a connection");
         client.write_all(sent.as_bytes()).expect("written");
-        let accepted = Rc::new(Accepted::default());
-        let services = tower::service_fn(|_| async { Ok(front::rejected_unseen()) });
+        let connections = Rc::new(ClientConnections::default());
+        let services = tower::service_fn(|_| async { Ok(http_service::rejected_unseen()) });
         LocalSet::new()
             .run_until(async {
                 let (socket, _) = listener.accept().await.expect("a connection");
-                serve(1, socket, services, &accepted);
-                accepted.close_idle();
-                accepted.all_ended().await;
+                serve(1, socket, services, &connections);
+                connections.close_idle();
+                connections.all_ended().await;
             })
             .await;
         let mut answer = String::new();
@@ -168,7 +168,7 @@
 }
 
 /// Serves one client in the order that the script tells.
-fn play<S, F>(services: S, script: impl FnOnce(std::net::TcpStream, Rc<Accepted>) -> F)
+fn play<S, F>(services: S, script: impl FnOnce(std::net::TcpStream, Rc<ClientConnections>) -> F)
 where
     S: Service<Request<Incoming>, Response = Reply, Error = Infallible> + Clone + 'static,
     F: Future<Output = ()>,
@@ -176,9 +176,9 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let (listener, client) = pair().await;
-        let accepted = Rc::new(Accepted::default());
-        serve(1, listener.accept().await.expect("accepted").0, services, &accepted);
-        script(client, accepted).await;
+        let connections = Rc::new(ClientConnections::default());
+        serve(1, listener.accept().await.expect("accepted").0, services, &connections);
+        script(client, connections).await;
     });
 }
 
@@ -206,12 +206,12 @@
                 std::future::pending().await
             }
         });
-        play(services, |mut client, accepted| async move {
+        play(services, |mut client, connections| async move {
             client.write_all(QUERY.as_bytes()).expect("written");
             until(|| held.get() == 1).await;
             client.write_all(behind.as_bytes()).expect("written");
             drop(client);
-            until(|| dropped.get() == 1 && accepted.count() == 0).await;
+            until(|| dropped.get() == 1 && connections.count() == 0).await;
             assert_eq!(held.get(), 1, "what came behind is begun though its client has left");
         });
     }
@@ -220,19 +220,19 @@
 #[test]
 fn a_query_that_comes_as_its_connection_is_dropped_is_answered() {
     // The order to drop it, decided before, meets a query that has just been taken.
-    let place: Rc<RefCell<Option<Rc<Accepted>>>> = Rc::default();
+    let place: Rc<RefCell<Option<Rc<ClientConnections>>>> = Rc::default();
     let orders = Rc::clone(&place);
     let services = tower::service_fn(move |_| {
-        let accepted = orders.borrow();
-        let open = accepted.as_ref().expect("set").open.borrow();
+        let connections = orders.borrow();
+        let open = connections.as_ref().expect("set").open.borrow();
         open.values().for_each(|client| client.drop.notify_one());
         async {
             sleep(Duration::from_millis(1)).await;
             Ok(reply("kept"))
         }
     });
-    play(services, |mut client, accepted| async move {
-        place.replace(Some(Rc::clone(&accepted)));
+    play(services, |mut client, connections| async move {
+        place.replace(Some(Rc::clone(&connections)));
         client.write_all(QUERY.as_bytes()).expect("written");
         client.set_nonblocking(true).expect("non-blocking");
         let mut answer = Vec::new();
@@ -252,7 +252,7 @@
 fn a_query_half_read_as_its_connection_is_to_close_is_answered() {
     for first in [false, true] {
         let services = tower::service_fn(|_| async { Ok(reply("whole")) });
-        play(services, |mut client, accepted| async move {
+        play(services, |mut client, connections| async move {
             client.set_nonblocking(true).expect("non-blocking");
             let mut answer = Vec::new();
             let mut read_to = |client: &mut std::net::TcpStream, ends: usize| {
@@ -266,15 +266,15 @@
                 until(|| read_to(&mut client, 1)).await;
             }
             client.write_all(&QUERY.as_bytes()[..20]).expect("written");
-            until(|| accepted.open.borrow().values().all(|client| client.has_begun())).await;
-            accepted.close_idle();
+            until(|| connections.open.borrow().values().all(|client| client.has_partial_request())).await;
+            connections.close_idle();
             // It has seen the order, and all that it does at once.
             for _ in 0..100 {
                 yield_now().await;
             }
             client.write_all(&QUERY.as_bytes()[20..]).expect("the connection is still there");
             until(|| read_to(&mut client, if first { 1 } else { 2 })).await;
-            until(|| accepted.count() == 0).await;
+            until(|| connections.count() == 0).await;
         });
     }
 }
@@ -287,10 +287,10 @@
         reply.headers_mut().insert("connection", http::HeaderValue::from_static("close"));
         Ok(reply)
     });
-    play(services, |mut client, accepted| async move {
+    play(services, |mut client, connections| async move {
         client.write_all((QUERY.to_string() + &"y".repeat(100_000)).as_bytes()).expect("written");
         // It reads nothing until the connection is done with.
-        until(|| accepted.count() == 0).await;
+        until(|| connections.count() == 0).await;
         let mut answer = Vec::new();
         client.read_to_end(&mut answer).expect("no reset");
         assert!(answer.len() > LONG, "{} bytes", answer.len());
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -1,20 +1,20 @@
-//! The real balancer: one program for all tiers, told its place by the file that `ROUTER_CONFIG` names.
+//! The balancer in service: one program for all tiers, configured by the file that `ROUTER_CONFIG` names.
 
 #![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
 
-mod accept;
 mod clock;
 mod command;
+mod configuration;
 mod control;
+mod endpoint_store;
 mod fleet;
 mod fleet_command;
-mod front;
-mod keeper;
+mod http_service;
+mod listener;
 mod node;
-mod placement;
 
-mod shares;
-mod stop;
+mod resource_limits;
+mod shutdown;
 mod timers;
 
 use std::io;
@@ -38,16 +38,16 @@
 use whinspindle_operator_file::Operator;
 use whinspindle_rate_limited_log::log_line;
 
-use crate::accept::Accepted;
 use crate::clock::Clock;
+use crate::configuration::Configuration;
+use crate::endpoint_store::EndpointStore;
 use crate::fleet::Fleet;
-use crate::keeper::Keeper;
+use crate::listener::ClientConnections;
 use crate::node::Node;
-use crate::placement::Placement;
-use crate::shares::Shares;
+use crate::resource_limits::ResourceLimits;
 
-/// Names the operator's file where no argument does.
-const OPERATOR: &str = "WHINSPINDLE_OPERATOR";
+/// Environment variable that names the operator file if no argument does.
+const OPERATOR_VARIABLE: &str = "WHINSPINDLE_OPERATOR";
 
 fn main() -> ExitCode {
     let arguments: Vec<_> = std::env::args_os().skip(1).collect();
@@ -58,19 +58,19 @@
     if !arguments.is_empty() {
         return command::run();
     }
-    balance(std::env::var_os(OPERATOR).map(PathBuf::from))
+    balance(std::env::var_os(OPERATOR_VARIABLE).map(PathBuf::from))
 }
 
-/// Balances until it is told to stop, with the operator's file if there is one.
+/// Runs the balancer until it is asked to stop, with an operator file if one is given.
 fn balance(file: Option<PathBuf>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let ran = runtime.map_err(|e| format!("runtime: {e}")).and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
-            // First of all. Guards against a signal that comes while the program starts: it would end it.
+            // Installed first, since a signal during the start would otherwise end the process.
             let signals = Signals::new()?;
-            let placement = placement::read()?;
-            let operator = file.as_ref().map(|file| operator(file, &placement.deployment)).transpose()?;
-            run(placement, file.zip(operator), signals).await
+            let configuration = configuration::read()?;
+            let operator = file.as_ref().map(|file| operator(file, &configuration.deployment)).transpose()?;
+            run(configuration, file.zip(operator), signals).await
         })
     });
     match ran {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Reads the operator's file; all its faults, drawn, if it has any.
+/// Reads the operator file; the error shows every fault in its text.
 fn operator(file: &Path, deployment: &Deployment) -> Result<Operator, String> {
     let text = command::text(file)?;
     whinspindle_operator_file::read(&text, deployment).map_err(|faults| {
@@ -91,7 +91,7 @@
     })
 }
 
-/// What may be asked of the program by signals.
+/// The signals that the process handles.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -100,21 +100,21 @@
 
 impl Signals {
     fn new() -> Result<Self, String> {
-        let heard = |kind, name: &str| signal(kind).map_err(|e| format!("{name}: {e}"));
+        let subscribe = |kind, name: &str| signal(kind).map_err(|e| format!("{name}: {e}"));
         Ok(Signals {
-            hangup: heard(SignalKind::hangup(), "SIGHUP")?,
-            terminate: heard(SignalKind::terminate(), "SIGTERM")?,
-            interrupt: heard(SignalKind::interrupt(), "SIGINT")?,
+            hangup: subscribe(SignalKind::hangup(), "SIGHUP")?,
+            terminate: subscribe(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: subscribe(SignalKind::interrupt(), "SIGINT")?,
         })
     }
 }
 
 async fn run(
-    mut placement: Placement,
-    operated: Option<(PathBuf, Operator)>,
+    mut configuration: Configuration,
+    operator_file: Option<(PathBuf, Operator)>,
     signals: Signals,
 ) -> Result<(), String> {
-    let shares = Shares::of(placement.limits);
+    let resource_limits = ResourceLimits::divide(configuration.limits);
     let Signals { hangup, mut terminate, mut interrupt } = signals;
     let stopped_early = async {
         tokio::select! {
@@ -123,57 +123,59 @@
         }
     };
     let listener = tokio::select! {
-        listener = listen(placement.listen) => listener,
+        listener = listen(configuration.listen) => listener,
         () = stopped_early => return Ok(()),
     };
-    let listener = listener.map_err(|e| format!("listen: {}: {e}", placement.listen))?;
-    let keep = operated.as_ref().and_then(|(_, operator)| operator.keep.clone());
-    let slowly = operated.as_ref().is_some_and(|(_, operator)| operator.begins_slowly());
-    let (keeper, recalled) = keep.map_or((None, None), |keep| keeper::open(&keep, Clock::start().now()));
-    let is_recalled = placement.known.is_none() && recalled.is_some();
-    let (recalled, trust) = recalled.unzip();
-    if is_recalled {
-        placement.known = recalled;
+    let listener = listener.map_err(|e| format!("listen: {}: {e}", configuration.listen))?;
+    let keep = operator_file.as_ref().and_then(|(_, operator)| operator.keep.clone());
+    let starts_slowly = operator_file.as_ref().is_some_and(|(_, operator)| operator.begins_slowly());
+    let (endpoint_store, restored) =
+        keep.map_or((None, None), |keep| endpoint_store::open(&keep, Clock::start().now()));
+    let is_restored = configuration.known_endpoints.is_none() && restored.is_some();
+    let (restored, trust) = restored.unzip();
+    if is_restored {
+        configuration.known_endpoints = restored;
     }
-    // What could not be read of the known list, or was only remembered, is asked for again.
-    let generation = placement.known.as_ref().filter(|known| known.faults.is_empty() && !is_recalled);
+    // Discovery is asked for the whole list if the known one has faults or was only restored.
+    let generation =
+        configuration.known_endpoints.as_ref().filter(|known| known.faults.is_empty() && !is_restored);
     let generation = generation.map(|known| known.generation);
-    log_line!("start", "{} at {}, {shares:?}", placement.name, placement.listen);
-    let source = Rc::new(EndpointWatch::new(placement.discovery, generation));
-    let lasting = placement.lasting.clone();
-    let (file, operator) = operated.unzip();
+    log_line!("start", "{} at {}, {resource_limits}", configuration.name, configuration.listen);
+    let source = Rc::new(EndpointWatch::new(configuration.discovery, generation));
+    let fixed_fields = configuration.fixed_fields.clone();
+    let (file, operator) = operator_file.unzip();
     let (fleet, operator) = match operator {
-        Some(own) if own.fleet.is_some() => (Some(Fleet::start(&placement, own)?), None),
+        Some(own) if own.fleet.is_some() => (Some(Fleet::start(&configuration, own)?), None),
         other => (None, other),
     };
-    let is_told = placement.known.is_some() && !is_recalled;
-    let node = Node::new(placement, shares, fleet);
-    node.discovered.set(is_told);
-    node.trusted.set(trust.filter(|_| is_recalled).map(|trust| (trust, false)));
-    node.begins.set(slowly);
+    let is_list_given = configuration.known_endpoints.is_some() && !is_restored;
+    let node = Node::new(configuration, resource_limits, fleet);
+    node.is_list_discovered.set(is_list_given);
+    node.list_trust.set(trust.filter(|_| is_restored).map(|trust| (trust, false)));
+    node.slow_start_pending.set(starts_slowly);
     if let Some(operator) = operator {
         let name = file.as_deref().unwrap_or(Path::new("")).display();
         log_line!("start", "{name} with {} routes", operator.routes.routes().len());
-        node.operate(Arc::new(operator));
+        node.apply_operator_file(Arc::new(operator));
     }
-    let accepted = Rc::new(Accepted::default());
+    let connections = Rc::new(ClientConnections::default());
 
     let timed = Rc::clone(&node);
-    spawn_local(unending("timers", move || Rc::clone(&timed).run_timers()));
-    let told = Rc::clone(&node);
+    spawn_local(restart_on_end("timers", move || Rc::clone(&timed).run_timers()));
+    let updated = Rc::clone(&node);
     let followed = Rc::clone(&source);
-    spawn_local(unending("list", move || {
-        let told = Rc::clone(&told);
-        whinspindle_discovery::follow(Rc::clone(&followed), move |update| told.told(&update))
+    spawn_local(restart_on_end("list", move || {
+        let updated = Rc::clone(&updated);
+        whinspindle_discovery::follow(Rc::clone(&followed), move |update| updated.endpoints_updated(&update))
     }));
     let (waiting, tried) = (Rc::clone(&node), Rc::clone(&source));
     spawn_local(async move {
         tried.first_attempted().await;
-        waiting.believe_known();
+        waiting.apply_known_endpoints();
     });
-    spawn_local(reload(hangup, Rc::clone(&source), lasting, Rc::clone(&node), file));
-    spawn_local(Rc::clone(&node).follow_fleet(Rc::clone(&accepted)));
-    spawn_local(upkeep(Rc::clone(&node), Rc::clone(&accepted), keeper, source));
+    spawn_local(reload(hangup, Rc::clone(&source), fixed_fields, Rc::clone(&node), file));
+    spawn_local(Rc::clone(&node).follow_fleet(Rc::clone(&connections)));
+    spawn_local(upkeep(Rc::clone(&node), Rc::clone(&connections), endpoint_store, source));
     let stopped = Rc::clone(&node);
     spawn_local(async move {
         tokio::select! {
@@ -181,20 +183,20 @@
             _ = interrupt.recv() => {}
         }
         log_line!("stop", "told to stop: serving those that are connected for a while");
-        stopped.end();
+        stopped.begin_shutdown();
     });
-    accept::run(listener, Rc::clone(&node), accepted, shares).await;
+    listener::run(listener, Rc::clone(&node), connections, resource_limits).await;
     log_line!("stop", "all is answered, {:?}", node.core.borrow().tally());
     Ok(())
 }
 
-/// At each SIGHUP the file of the configuration is read again, and the list followed where it says now. The
-/// listener, the open queries and all that is known of servers stay; so does the old file if the new one is
-/// bad.
+/// Reloads the operator file and the configuration at each SIGHUP; of the latter only the discovery address
+/// changes. The listener, open requests and all state of servers are kept, and so is an old file if the new one is
+/// invalid.
 async fn reload(
     mut hangup: Signal,
     source: Rc<EndpointWatch>,
-    lasting: Value,
+    fixed_fields: Value,
     node: Rc<Node>,
     file: Option<PathBuf>,
 ) {
@@ -213,40 +215,40 @@
                 }
                 Ok(operator) => {
                     log_line!("reload", "{}: {} routes", file.display(), operator.routes.routes().len());
-                    node.operate(Arc::new(operator));
+                    node.apply_operator_file(Arc::new(operator));
                 }
                 Err(faults) => log_line!("reload", "the operator's file stays as it was: {faults}"),
             }
         }
-        match placement::read() {
-            Ok(placement) => {
+        match configuration::read() {
+            Ok(configuration) => {
                 log_line!("reload", "the configuration is read again");
-                if placement.lasting != lasting {
+                if configuration.fixed_fields != fixed_fields {
                     log_line!("reload", "only discovery is taken over; the rest counts from the next start");
                 }
-                source.move_to(placement.discovery);
+                source.move_to(configuration.discovery);
             }
             Err(fault) => log_line!("reload", "{fault}; all stays as it was"),
         }
     }
 }
 
-/// Guards against a restart that finds the process before it not quite ended: tries again for as long as a
-/// stop may take, and somewhat more.
+/// Binds the listening address. Retries for somewhat longer than a graceful shutdown takes, since the previous
+/// process may still hold the address after a restart.
 async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    const PACE: Duration = Duration::from_millis(50);
+    const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
     let begun = Instant::now();
-    while begun.elapsed() < stop::LONGEST + stop::LONGEST / 4 {
+    while begun.elapsed() < shutdown::MAX_SHUTDOWN_TIME + shutdown::MAX_SHUTDOWN_TIME / 4 {
         match TcpListener::bind(address).await {
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse => sleep(PACE).await,
+            Err(e) if e.kind() == io::ErrorKind::AddrInUse => sleep(BIND_RETRY_INTERVAL).await,
             bound => return bound,
         }
     }
     TcpListener::bind(address).await
 }
 
-/// Guards against a fault in what must never end: a panic there is logged, and it begins again.
-async fn unending<F: Future<Output = ()>>(what: &str, mut begin: impl FnMut() -> F) {
+/// Runs a task that must never end; a panic or an end is logged and the task restarts.
+async fn restart_on_end<F: Future<Output = ()>>(what: &str, mut begin: impl FnMut() -> F) {
     loop {
         let ended = AssertUnwindSafe(begin()).catch_unwind().await;
         log_line!("fault", "the task {what} ended ({ended:?}) and begins again");
@@ -254,47 +256,52 @@
     }
 }
 
-fn how_it_stands(node: &Node) -> SecondSummary {
+fn second_summary(node: &Node) -> SecondSummary {
     let tally = node.core.borrow().tally();
     SecondSummary {
-        told: node.discovered.get(),
-        settled: node.fleet.as_ref().is_none_or(Fleet::decides_by_a_policy),
-        takes_all: node.takes_all(),
+        told: node.is_list_discovered.get(),
+        settled: node.fleet.as_ref().is_none_or(Fleet::has_policy_right),
+        takes_all: node.accepts_all(),
         completed: tally.completed,
         answered: tally.completed + tally.rejected + tally.aborted,
     }
 }
 
-/// Drops connections that stood idle for long, and tells now and then what has become of the queries.
+/// Housekeeping once a second: closes idle upstream connections, saves the endpoint list, and logs the state.
 async fn upkeep(
     node: Rc<Node>,
-    accepted: Rc<Accepted>,
-    mut keeper: Option<Keeper>,
+    connections: Rc<ClientConnections>,
+    mut endpoint_store: Option<EndpointStore>,
     source: Rc<EndpointWatch>,
 ) {
     let mut told = Default::default();
-    let mut whole =
-        (keeper.is_some() || node.fleet.is_some()).then(|| RecoveryTracker::new(node.clock.now()));
+    let mut recovery =
+        (endpoint_store.is_some() || node.fleet.is_some()).then(|| RecoveryTracker::new(node.clock.now()));
     for second in 1_u64.. {
         sleep(Duration::from_secs(1)).await;
-        if let Some(whole) = &mut whole
-            && let Some(words) = whole.second(node.clock.now(), how_it_stands(&node))
+        if let Some(recovery) = &mut recovery
+            && let Some(words) = recovery.second(node.clock.now(), second_summary(&node))
         {
             log_line!("start", "{words}");
         }
         node.upstreams.sweep();
-        if let Some(keeper) = &mut keeper {
-            keeper.keep(node.core.borrow().complete_list(), node.clock.now());
+        if let Some(endpoint_store) = &mut endpoint_store {
+            endpoint_store.save(node.core.borrow().complete_list(), node.clock.now());
         }
-        let has_list = node.discovered.get() && node.core.borrow().has_list();
+        let has_list = node.is_list_discovered.get() && node.core.borrow().has_list();
         if let Some(fleet) = node.fleet.as_ref().filter(|_| has_list) {
             let silent = source.silent_for().as_micros() as u64;
-            fleet.tell_list(node.core.borrow().complete_list(), silent);
+            fleet.report_endpoints(node.core.borrow().complete_list(), silent);
         }
         let tally = node.core.borrow().tally();
         if second % 10 == 0 && tally != told {
             told = tally;
-            log_line!("state", "{tally:?}, clients {}, upstream {}", accepted.count(), node.upstreams.open());
+            log_line!(
+                "state",
+                "{tally:?}, clients {}, upstream {}",
+                connections.count(),
+                node.upstreams.open()
+            );
         }
     }
 }
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -1,4 +1,4 @@
-//! One running balancer: the core, and what carries out the effects that it asks for.
+//! A running balancer: the decision core, and the I/O that carries out the effects it requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -26,87 +26,103 @@
     ConnectionPool, Failure, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
 };
 
-use crate::accept::Accepted;
 use crate::clock::Clock;
-use crate::fleet::{By, Fleet};
-use crate::placement::Placement;
-use crate::shares::Shares;
-use crate::stop::Stop;
+use crate::configuration::Configuration;
+use crate::fleet::{ActivePolicy, Fleet};
+use crate::listener::ClientConnections;
+use crate::resource_limits::ResourceLimits;
+use crate::shutdown::Shutdown;
 use crate::timers::Timers;
 
-/// How often what the fleet has agreed on is looked at between queries: well within any grace of a drain.
+/// How often the state of the fleet is read between requests; well below any drain grace period.
 const FOLLOW: Duration = Duration::from_millis(50);
 
-/// A connection rests for this part of the time that connecting may take before it carries the next query.
+/// A connection rests for this fraction of the connect time-out before it carries the next request.
 const REST_PART: u64 = 20;
 
+/// A running balancer, shared by the tasks of its thread.
 pub struct Node {
+    /// Clock of the process.
     pub clock: Clock,
+    /// Settings of the deployment.
     pub deployment: Deployment,
-    pub core: RefCell<BalancerCore<Wires>>,
+    /// The balancing decisions.
+    pub core: RefCell<BalancerCore<NodeEffects>>,
+    /// Connections to upstreams.
     pub upstreams: ConnectionPool,
+    /// Timers requested by the core.
     pub timers: Rc<Timers>,
-    pub stop: Stop,
-    /// What the operator's file says, where there is one, or what the fleet has agreed on.
+    /// State of the graceful shutdown.
+    pub shutdown: Shutdown,
+    /// The operator file in force: the process's own, or the policy of the fleet.
     pub operator: RefCell<Option<Arc<Operator>>>,
+    /// The fleet this process is a member of.
     pub fleet: Option<Fleet>,
-    /// The terms of the fleet that were taken over last, and the servers let out, by their numbers.
-    by: Cell<Option<u64>>,
-    let_out: Cell<u64>,
-    /// The list that is known from the start, until it is believed: discovery may know better.
-    known: RefCell<Option<EndpointUpdate>>,
+    /// Number of the fleet policy that was applied last.
+    applied_policy: Cell<Option<u64>>,
+    /// Version of the set of taken-out servers that was applied last.
+    taken_out_servers: Cell<u64>,
+    /// Endpoint list known at the start, until it is applied or replaced by one from discovery.
+    unconfirmed_list: RefCell<Option<EndpointUpdate>>,
+    /// Notified when the list known at the start is applied or replaced.
     first_list: Notify,
-    /// Whether the list is discovery's word, or the platform's.
-    pub discovered: Cell<bool>,
-    /// Else how far the list is believed, and whether neighbours have told it; none if there is no list.
-    pub trusted: Cell<Option<(Trust, bool)>>,
-    /// What is counted for the fleet, where there is one.
-    pub seen: RefCell<Seen>,
-    /// The first seconds after the start, where the operator's file asks for it; queries that clients have
-    /// open.
-    pub begins: Cell<bool>,
+    /// Whether the present list comes from discovery or from the platform's configuration.
+    pub is_list_discovered: Cell<bool>,
+    /// Otherwise how far the list is trusted, and whether it came from other balancers; none if there is no list.
+    pub list_trust: Cell<Option<(Trust, bool)>>,
+    /// Outcomes counted for the fleet.
+    pub fleet_counts: RefCell<Seen>,
+    /// Whether a slow start is configured and waits for the first endpoint list.
+    pub slow_start_pending: Cell<bool>,
+    /// Admission limit of the slow start, while it runs.
     pub startup_limit: RefCell<Option<StartupLimit>>,
-    pub open: Cell<usize>,
-    /// Where the order to stop waiting goes, by query and execution.
-    cancels: RefCell<BTreeMap<(usize, usize), oneshot::Sender<()>>>,
+    /// Number of requests that clients have open.
+    pub open_queries: Cell<usize>,
+    /// Channels that cancel executions, by query and execution index.
+    cancellations: RefCell<BTreeMap<(usize, usize), oneshot::Sender<()>>>,
 }
 
 impl Node {
-    pub fn new(placement: Placement, shares: Shares, fleet: Option<Fleet>) -> Rc<Node> {
-        let Placement { deployment, known, seed, .. } = placement;
+    /// Builds the node with the list that is known at the start.
+    pub fn new(
+        configuration: Configuration,
+        resource_limits: ResourceLimits,
+        fleet: Option<Fleet>,
+    ) -> Rc<Node> {
+        let Configuration { deployment, known_endpoints: known, seed, .. } = configuration;
         let clock = Clock::start();
-        let stop = Stop::new(deployment.statement_timeouts.iter().copied().max().unwrap_or(0));
+        let shutdown = Shutdown::new(deployment.statement_timeouts.iter().copied().max().unwrap_or(0));
         let node = Rc::new_cyclic(|node| {
             let timers = Rc::new(Timers::default());
-            let wires = Wires { node: Weak::clone(node), timers: Rc::clone(&timers) };
+            let effects = NodeEffects { node: Weak::clone(node), timers: Rc::clone(&timers) };
             Node {
                 clock,
-                core: RefCell::new(BalancerCore::new(wires, &deployment, seed, clock.now())),
+                core: RefCell::new(BalancerCore::new(effects, &deployment, seed, clock.now())),
                 upstreams: ConnectionPool::new(PoolSettings {
-                    max_open: shares.upstream,
+                    max_open: resource_limits.upstream,
                     idle_time: Duration::from_micros(deployment.idle_time),
                     connect_time_out: Duration::from_micros(deployment.connect_time_out),
-                    // What a server has begun to write should not pause for longer than it takes to reach it.
+                    // An answer that has begun should not pause for longer than connecting takes.
                     stall_time_out: Duration::from_micros(deployment.connect_time_out),
                     quiet_time: Duration::from_micros(deployment.connect_time_out / REST_PART),
-                    memory: MemoryBudget::new(MAX_BODY_BYTES, shares.long_answers),
+                    memory: MemoryBudget::new(MAX_BODY_BYTES, resource_limits.long_answers),
                 }),
                 deployment,
                 timers,
-                stop,
+                shutdown,
                 operator: RefCell::default(),
                 fleet,
-                by: Cell::new(None),
-                let_out: Cell::new(0),
-                known: RefCell::default(),
+                applied_policy: Cell::new(None),
+                taken_out_servers: Cell::new(0),
+                unconfirmed_list: RefCell::default(),
                 first_list: Notify::new(),
-                discovered: Cell::new(false),
-                trusted: Cell::new(None),
-                seen: RefCell::default(),
-                begins: Cell::new(false),
+                is_list_discovered: Cell::new(false),
+                list_trust: Cell::new(None),
+                fleet_counts: RefCell::default(),
+                slow_start_pending: Cell::new(false),
                 startup_limit: RefCell::default(),
-                open: Cell::new(0),
-                cancels: RefCell::default(),
+                open_queries: Cell::new(0),
+                cancellations: RefCell::default(),
             }
         });
         if let Some(mut known) = known {
@@ -114,62 +130,62 @@
                 log_line!("list", "an entry of the known list is passed over: {fault}");
             }
             known.complete = true;
-            node.known.replace(Some(known));
+            node.unconfirmed_list.replace(Some(known));
         }
         node
     }
 
-    /// Discovery has told something.
-    pub fn told(&self, update: &EndpointUpdate) {
+    /// Applies an update from discovery.
+    pub fn endpoints_updated(&self, update: &EndpointUpdate) {
         if !update.complete {
-            self.believe_known();
+            self.apply_known_endpoints();
         }
-        self.known.take();
-        self.discovered.set(true);
+        self.unconfirmed_list.take();
+        self.is_list_discovered.set(true);
         self.core.borrow_mut().list(self.clock.now(), update);
         self.first_list.notify_waiters();
     }
 
-    /// What is known from the start counts, now that discovery has nothing to say against it, or nothing at
-    /// all.
-    pub fn believe_known(&self) {
-        if let Some(known) = self.known.take() {
+    /// Applies the list known at the start, once discovery has confirmed it with a partial update or could not be
+    /// reached.
+    pub fn apply_known_endpoints(&self) {
+        if let Some(known) = self.unconfirmed_list.take() {
             self.core.borrow_mut().list(self.clock.now(), &known);
-            if let Some(fleet) = self.fleet.as_ref().filter(|_| self.discovered.get()) {
-                fleet.tell_list(self.core.borrow().complete_list(), 0);
+            if let Some(fleet) = self.fleet.as_ref().filter(|_| self.is_list_discovered.get()) {
+                fleet.report_endpoints(self.core.borrow().complete_list(), 0);
             }
         }
         self.first_list.notify_waiters();
     }
 
-    /// Waits while there is a list that may be out of date, and discovery has not been heard yet. Guards
-    /// against sending in the first moment to servers that drain since the list was written.
-    pub async fn settled(&self) {
-        while self.known.borrow().is_some() {
+    /// Waits while the known list may be out of date and discovery has not answered. Otherwise the first requests
+    /// could go to servers that have begun draining since the list was written.
+    pub async fn wait_for_endpoints(&self) {
+        while self.unconfirmed_list.borrow().is_some() {
             self.first_list.notified().await;
         }
     }
 
-    /// Few queries at a time to begin with, as a process that may have come back with all others. Guards
-    /// against a beginning that is over before there is a list: it counts from the first that there is.
-    fn begin_slowly(&self) {
-        self.begins.set(false);
+    /// Limits the first requests, since this process may have restarted together with all others. The limit starts
+    /// with the first list, so that it is not over before requests can be served.
+    fn start_slowly(&self) {
+        self.slow_start_pending.set(false);
         let terms = &self.deployment.terms;
         let slo_time = terms.products.iter().map(|row| row.slo_time).min().unwrap_or(0);
-        // Guards against products that take minutes: whether servers are jammed is seen sooner than their
-        // answers.
+        // Bounded by the connect time-out, since for products that take minutes overload shows long before answers
+        // do.
         let step = (slo_time / 2).min(self.deployment.connect_time_out);
         let servers = self.core.borrow().listed().len();
         self.startup_limit.replace(Some(StartupLimit::new(servers, terms.balancers, step, self.clock.now())));
     }
 
-    /// Whether the slow beginning is over, if there was one; it is told then, and forgotten.
-    pub fn takes_all(&self) -> bool {
-        if self.begins.get() && self.core.borrow().has_list() {
-            self.begin_slowly();
+    /// Whether all requests are admitted: there was no slow start, or it is over. Logs the end of the slow start.
+    pub fn accepts_all(&self) -> bool {
+        if self.slow_start_pending.get() && self.core.borrow().has_list() {
+            self.start_slowly();
         }
         let mut held = self.startup_limit.borrow_mut();
-        let Some(startup_limit) = held.as_mut() else { return !self.begins.get() };
+        let Some(startup_limit) = held.as_mut() else { return !self.slow_start_pending.get() };
         startup_limit.look(self.clock.now());
         if startup_limit.is_over() {
             log_line!(
@@ -182,69 +198,71 @@
         held.is_none()
     }
 
-    /// Whether one more query may be taken now; if not, when its client had best come back.
-    pub fn may_take(&self) -> Result<(), u64> {
-        // Without a list the decisions reject by themselves.
-        if self.takes_all() || self.begins.get() {
+    /// Admits one more request, or returns the microseconds after which the client should retry.
+    pub fn admit(&self) -> Result<(), u64> {
+        // Without a list the core rejects requests itself.
+        if self.accepts_all() || self.slow_start_pending.get() {
             return Ok(());
         }
         let mut held = self.startup_limit.borrow_mut();
         held.as_mut().map_or(Ok(()), |startup_limit| {
-            startup_limit.take(self.clock.now(), self.open.get(), rand::random())
+            startup_limit.take(self.clock.now(), self.open_queries.get(), rand::random())
         })
     }
 
-    /// Takes an operator's file over: it counts for queries that come from now on.
-    pub fn operate(&self, operator: Arc<Operator>) {
+    /// Applies an operator file to requests that arrive from now on.
+    pub fn apply_operator_file(&self, operator: Arc<Operator>) {
         self.core.borrow_mut().routes(operator.rows(&self.deployment));
         self.operator.replace(Some(operator));
     }
 
-    /// Before a query is taken: it is decided by what holds for the fleet now, if this is one of a fleet.
-    /// False if the query has to be rejected, since this process may not know what holds.
-    pub fn keep_up(&self) -> bool {
+    /// Applies the fleet's present policy before a request is taken. Returns false if the request must be rejected,
+    /// since this process may not know the policy in force.
+    pub fn apply_active_policy(&self) -> bool {
         let Some(fleet) = &self.fleet else { return true };
-        self.keep_up_with_servers(fleet);
-        match fleet.by() {
-            By::Nothing => false,
-            By::Terms(number, _) if self.by.get() == Some(number) => true,
-            By::Terms(number, operator) => {
-                self.by.set(Some(number));
-                self.operate(operator);
+        self.apply_taken_out_servers(fleet);
+        match fleet.active_policy() {
+            ActivePolicy::Unknown => false,
+            ActivePolicy::Policy(number, _) if self.applied_policy.get() == Some(number) => true,
+            ActivePolicy::Policy(number, operator) => {
+                self.applied_policy.set(Some(number));
+                self.apply_operator_file(operator);
                 true
             }
         }
     }
 
-    fn keep_up_with_servers(&self, fleet: &Fleet) {
-        if let Some((number, keys)) = fleet.let_out(self.let_out.get()) {
-            self.let_out.set(number);
+    /// Applies the servers taken out by the fleet, if they have changed.
+    fn apply_taken_out_servers(&self, fleet: &Fleet) {
+        if let Some((number, keys)) = fleet.taken_out_servers(self.taken_out_servers.get()) {
+            self.taken_out_servers.set(number);
             self.core.borrow_mut().taken_out(self.clock.now(), &keys);
         }
     }
 
-    /// Between queries too the servers that the fleet lets out are kept up with, since what is in hand may be
-    /// sent again; and the fleet is told how the servers stand here.
-    pub async fn follow_fleet(self: Rc<Self>, accepted: Rc<Accepted>) {
+    /// Follows the fleet between requests: applies the servers taken out, since requests in flight may be retried,
+    /// and reports the servers' state to the fleet.
+    pub async fn follow_fleet(self: Rc<Self>, connections: Rc<ClientConnections>) {
         let Some(fleet) = &self.fleet else { return };
         let (terms, zones) = (&self.deployment.terms, &self.deployment.zones);
         loop {
             sleep(FOLLOW).await;
-            self.keep_up_with_servers(fleet);
+            self.apply_taken_out_servers(fleet);
             if fleet.is_taken_out() {
-                accepted.close_idle();
+                connections.close_idle();
             }
             let now = self.clock.now();
-            // Until discovery has spoken, neighbours may know better than what was kept. Guards against one
-            // that is doubted in the place of one that was kept a moment ago: all servers would be cold, and
-            // reached anew.
-            let better = |trust| match self.trusted.get() {
+            // Until discovery has answered, other balancers may have a better list than the restored one. A less
+            // trusted list never replaces a more trusted one: every server would start slowly and be connected
+            // anew.
+            let better = |trust| match self.list_trust.get() {
                 Some((of, from_neighbours)) => trust < of || from_neighbours && trust == of,
                 None => true,
             };
-            let given = fleet.given_list().filter(|(_, trust)| !self.discovered.get() && better(*trust));
+            let given =
+                fleet.neighbour_list().filter(|(_, trust)| !self.is_list_discovered.get() && better(*trust));
             if let Some((update, trust)) = given {
-                self.trusted.set(Some((trust, true)));
+                self.list_trust.set(Some((trust, true)));
                 self.core.borrow_mut().list(now, &update);
             }
             let place = |entry: &Endpoint| Listed {
@@ -255,26 +273,26 @@
                     && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_time),
             };
             let listed = self.core.borrow().listed();
-            let (servers, own) = self.seen.borrow_mut().take();
+            let (servers, own) = self.fleet_counts.borrow_mut().take();
             let kinds = self.deployment.kinds.len().max(1);
-            // Servers that the list names no more are left out.
+            // Servers that are no longer listed are left out.
             let count = |entry: &Endpoint| {
                 let count = servers.get(&entry.server)?;
                 Some((entry.key, (entry.zone * kinds + entry.kind) as u16, *count))
             };
             let counts: Vec<(u64, u16, Count)> = listed.iter().filter_map(count).collect();
-            fleet.tell(listed.iter().map(place).collect(), counts, own);
+            fleet.report_servers(listed.iter().map(place).collect(), counts, own);
         }
     }
 
-    /// Told to stop: what is in hand may have more patience left than there is time.
-    pub fn end(&self) {
-        self.stop.order();
+    /// Begins the graceful shutdown, and shortens the deadlines of requests in flight to the time left.
+    pub fn begin_shutdown(&self) {
+        self.shutdown.request();
         let now = self.clock.now();
-        self.core.borrow_mut().stopping(now, now + self.stop.within(u64::MAX));
+        self.core.borrow_mut().stopping(now, now + self.shutdown.limit_patience(u64::MAX));
     }
 
-    /// Calls the core for each wake, for ever.
+    /// Calls the core for each timer that fires; never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let label = self.timers.next().await;
@@ -282,7 +300,7 @@
         }
     }
 
-    /// Sends an execution and waits for its end, or for the order to stop waiting.
+    /// Sends an execution and waits for its end or its cancellation.
     async fn execute(&self, order: &Execution, cancelled: oneshot::Receiver<()>) -> (Outcome, Option<Reply>) {
         let progress = ProgressHandle::default();
         let address = order.process.address;
@@ -319,6 +337,7 @@
         }
     }
 
+    /// Sends a health check; returns whether it was answered, and the load it reported.
     async fn probe(&self, server: usize, process: ServerProcess) -> (bool, LoadReport) {
         let progress = ProgressHandle::default();
         let prepare = || {
@@ -338,7 +357,7 @@
     Upstream { address: process.address, process: process.process }
 }
 
-/// What an exchange that came to nothing means for the decisions.
+/// Translates a failed exchange to the outcome that the core decides by.
 fn outcome(failure: &Failure) -> Outcome {
     match failure.progress {
         _ if failure.is_own() => Outcome::NeverSent,
@@ -349,29 +368,29 @@
     }
 }
 
-/// Carries out what the core asks for. Each effect runs in a task of its own, so that none calls the
-/// core while it is at work.
-pub struct Wires {
+/// Carries out the effects of the core. Each runs in a task of its own, so that none calls the core while it is
+/// borrowed.
+pub struct NodeEffects {
     node: Weak<Node>,
     timers: Rc<Timers>,
 }
 
-impl Effects for Wires {
+impl Effects for NodeEffects {
     type Caller = oneshot::Sender<Answer>;
 
     fn execute(&mut self, order: Execution) {
         let (cancel, cancelled) = oneshot::channel();
         let Some(node) = self.node.upgrade() else { return };
-        node.cancels.borrow_mut().insert((order.query_index, order.execution_index), cancel);
+        node.cancellations.borrow_mut().insert((order.query_index, order.execution_index), cancel);
         spawn_local(async move {
             let sent = node.clock.now();
-            // Guards against a fault in an exchange: a panic ends the execution and nothing else.
+            // A panic in an exchange ends only this execution.
             let end = AssertUnwindSafe(node.execute(&order, cancelled)).catch_unwind().await;
             let (outcome, reply) = end.unwrap_or((Outcome::Broken, None));
-            node.cancels.borrow_mut().remove(&(order.query_index, order.execution_index));
+            node.cancellations.borrow_mut().remove(&(order.query_index, order.execution_index));
             let now = node.clock.now();
             if node.fleet.is_some() {
-                node.seen.borrow_mut().execution(order.server, order.product, outcome, now - sent);
+                node.fleet_counts.borrow_mut().execution(order.server, order.product, outcome, now - sent);
             }
             let (report, served) = reply.map_or_else(Default::default, |reply| (reply.report, reply.served));
             let Execution { query_index, execution_index, .. } = order;
@@ -384,14 +403,14 @@
     fn cancel(&mut self, query_index: usize, execution_index: usize) {
         let node = self.node.upgrade();
         if let Some(cancel) =
-            node.and_then(|node| node.cancels.borrow_mut().remove(&(query_index, execution_index)))
+            node.and_then(|node| node.cancellations.borrow_mut().remove(&(query_index, execution_index)))
         {
             let _ = cancel.send(());
         }
     }
 
     fn answer(&mut self, caller: Self::Caller, answer: Answer) {
-        // A caller that has just left needs none.
+        // The receiver is gone if the client has disconnected.
         let _ = caller.send(answer);
     }
 
--- a/programs/balancer/src/stop/tests.rs
+++ b/programs/balancer/src/shutdown/tests.rs
@@ -12,9 +12,9 @@
         (5_000, 5_000, Some(0), 3_000, 3_500),
         (800, 800, Some(500), 500, 800),
     ] {
-        let stop = Stop::new(longest * 1000);
-        stop.ordered.set(ago.map(|ms| Instant::now() - Duration::from_millis(ms)));
-        let within = stop.within(patience * 1000) / 1000;
-        assert!((least..=most).contains(&within), "{longest} {patience} {ago:?}: {within}");
+        let shutdown = Shutdown::new(longest * 1000);
+        shutdown.requested.set(ago.map(|ms| Instant::now() - Duration::from_millis(ms)));
+        let remaining = shutdown.limit_patience(patience * 1000) / 1000;
+        assert!((least..=most).contains(&remaining), "{longest} {patience} {ago:?}: {remaining}");
     }
 }
--- a/programs/balancer/src/timers.rs
+++ b/programs/balancer/src/timers.rs
@@ -1,4 +1,4 @@
-//! Wakes that the decisions have asked for.
+//! Timers that the balancing decisions have requested.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -8,6 +8,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
+/// Pending timers, the earliest first.
 #[derive(Default)]
 pub struct Timers {
     due: RefCell<BinaryHeap<Reverse<(Instant, u32)>>>,
@@ -15,6 +16,7 @@
 }
 
 impl Timers {
+    /// Adds a timer that fires after `wait` microseconds and yields `label`.
     pub fn add(&self, wait: u64, label: u32) {
         let at = Instant::now() + Duration::from_micros(wait);
         let mut due = self.due.borrow_mut();
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Waits for the next wake and returns its label.
+    /// Waits until a timer fires and returns its label.
     pub async fn next(&self) -> u32 {
         loop {
             let next = self.due.borrow().peek().map(|Reverse((at, _))| *at);
