--- a/balancer/bench-adapter/src/main.rs
+++ b/balancer/bench-adapter/src/main.rs
@@ -1,17 +1,27 @@
-//! `whinspindle-bench-adapter`: plays the decisions on the bench's wire, from standard input to standard output.
+//! Runs the balancing decisions on the bench's wire: reads batches of events from standard input, and writes the
+//! decisions to standard output.
 
-#![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
-
-mod link;
+mod error;
+mod host;
+mod instances;
 mod wire;
 
 use std::io::{self, BufReader, BufWriter, Read, Write};
 use std::process::ExitCode;
 
+use crate::error::AdapterError;
+use crate::host::NANOS_PER_MICRO;
+use crate::instances::Instances;
+
+/// Bytes of the header of a batch: number, clock and length.
+const HEADER_SIZE: usize = 16;
+/// Bytes that are buffered of the input and of the output.
+const BUFFER_SIZE: usize = 1 << 16;
+
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match play(input, output) {
+    let input = BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
+    match run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("whinspindle-bench-adapter: {fault}");
@@ -21,45 +31,45 @@
 }
 
 /// Answers batch after batch until the input ends.
-fn play(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut fleet = link::Fleet::default();
+fn run(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut instances = Instances::default();
     let mut body = Vec::new();
     loop {
-        let mut head = [0u8; 16];
+        let mut head = [0u8; HEADER_SIZE];
         match read_full(&mut input, &mut head)? {
             0 => return Ok(()),
-            16 => {}
-            n => return Err(format!("batch header: {n} bytes of 16")),
+            HEADER_SIZE => {}
+            read => return Err(AdapterError::TruncatedHeader(read)),
         }
         let mut fields = wire::Reader::new("batch header", &head);
         let number = fields.u32("number")?;
-        let now = fields.u64("clock")? / 1000;
+        let now = fields.u64("clock")? / NANOS_PER_MICRO;
         let length = fields.u32("length")? as usize;
         body.clear();
-        let read =
-            input.by_ref().take(length as u64).read_to_end(&mut body).map_err(|e| format!("input: {e}"))?;
+        let read = input.by_ref().take(length as u64).read_to_end(&mut body).map_err(AdapterError::Input)?;
         if read != length {
-            return Err(format!("batch {number}: {read} bytes of {length}"));
+            return Err(AdapterError::TruncatedBatch { number, read, length });
         }
-        let reply = fleet.batch(now, &body)?;
-        let size = u32::try_from(reply.len()).map_err(|_| format!("batch {number}: reply too long"))?;
+        let reply = instances.batch(now, &body)?;
+        let size = u32::try_from(reply.len()).map_err(|_| AdapterError::ReplyTooLong(number))?;
         let sent = output
             .write_all(&number.to_le_bytes())
             .and_then(|()| output.write_all(&size.to_le_bytes()))
             .and_then(|()| output.write_all(&reply))
             .and_then(|()| output.flush());
-        sent.map_err(|e| format!("output: {e}"))?;
+        sent.map_err(AdapterError::Output)?;
     }
 }
 
-fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, String> {
+/// Fills the buffer, or returns fewer bytes at the end of the input.
+fn read_full(input: &mut impl Read, buffer: &mut [u8]) -> Result<usize, AdapterError> {
     let mut filled = 0;
     while filled < buffer.len() {
         match input.read(&mut buffer[filled..]) {
             Ok(0) => break,
             Ok(n) => filled += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(format!("input: {e}")),
+            Err(e) => return Err(AdapterError::Input(e)),
         }
     }
     Ok(filled)
--- a/balancer/bench-adapter/src/wire.rs
+++ b/balancer/bench-adapter/src/wire.rs
@@ -1,5 +1,81 @@
-//! Reading of records: little-endian fields one after the other, each fault named by record and field.
+//! The format of the bench's wire: codes of records, and a reader of little-endian fields whose errors name the record
+//! and the field.
 
+use crate::error::AdapterError;
+
+/// Codes of the records in a batch.
+pub mod event_code {
+    /// An instance starts.
+    pub const ATTACH: u8 = 16;
+    /// The endpoints of an instance change.
+    pub const ENDPOINTS: u8 = 17;
+    /// A query arrives.
+    pub const QUERY: u8 = 18;
+    /// An execution has begun.
+    pub const UNDER_WAY: u8 = 19;
+    /// An execution has ended.
+    pub const COMPLETED: u8 = 20;
+    /// A client withdraws its query.
+    pub const WITHDRAWN: u8 = 21;
+    /// A timer fires.
+    pub const FIRED: u8 = 22;
+    /// A health check has ended.
+    pub const PROBE_RESULT: u8 = 23;
+    /// A message from another balancer.
+    pub const HEARD: u8 = 24;
+    /// An instance crashes.
+    pub const CRASH_NOW: u8 = 25;
+    /// An endpoint list, for later events.
+    pub const LIST: u8 = 26;
+
+    /// The name of a code in error messages; none if the code is unknown.
+    pub fn name(code: u8) -> Option<&'static str> {
+        Some(match code {
+            ATTACH => "attach",
+            ENDPOINTS => "endpoints",
+            QUERY => "query",
+            UNDER_WAY => "under_way",
+            COMPLETED => "completed",
+            WITHDRAWN => "withdrawn",
+            FIRED => "fired",
+            PROBE_RESULT => "probe_result",
+            HEARD => "heard",
+            CRASH_NOW => "crash_now",
+            LIST => "list",
+            _ => return None,
+        })
+    }
+}
+
+/// Codes of the records in a reply.
+pub mod reply_code {
+    /// Send an execution.
+    pub const EXECUTE: u8 = 16;
+    /// Start a timer.
+    pub const WAKE: u8 = 18;
+    /// Abort a query.
+    pub const ABORT: u8 = 19;
+    /// Reject a query.
+    pub const REJECT: u8 = 22;
+    /// Watch the endpoints.
+    pub const FOLLOW_ENDPOINTS: u8 = 23;
+    /// Send a health check.
+    pub const PROBE: u8 = 24;
+    /// Cancel an execution.
+    pub const CANCEL: u8 = 25;
+}
+
+/// Forms of the event `endpoints`.
+pub mod endpoints_form {
+    /// The watch has failed; there is no list.
+    pub const WATCH_FAILED: u8 = 1;
+    /// Only the changed entries.
+    pub const CHANGED: u8 = 3;
+    /// A complete list; both forms mean the same to the decisions.
+    pub const COMPLETE: [u8; 2] = [0, 4];
+}
+
+/// Reads the fields of one record in their order.
 pub struct Reader<'a> {
     record: &'static str,
     rest: &'a [u8],
@@ -7,14 +83,16 @@
 
 macro_rules! number {
     ($name:ident) => {
-        pub fn $name(&mut self, field: &str) -> Result<$name, String> {
+        #[doc = concat!("Reads a little-endian `", stringify!($name), "`.")]
+        pub fn $name(&mut self, field: &str) -> Result<$name, AdapterError> {
             let bytes = self.bytes(field, size_of::<$name>())?;
-            Ok($name::from_le_bytes(bytes.try_into().map_err(|_| self.short(field))?))
+            Ok($name::from_le_bytes(bytes.try_into().map_err(|_| self.truncated(field))?))
         }
     };
 }
 
 impl<'a> Reader<'a> {
+    /// A reader of the bytes of a record, whose name appears in errors.
     pub fn new(record: &'static str, rest: &'a [u8]) -> Self {
         Reader { record, rest }
     }
@@ -25,25 +103,27 @@
     number!(u64);
     number!(f32);
 
-    pub fn bytes(&mut self, field: &str, size: usize) -> Result<&'a [u8], String> {
-        let (taken, rest) = self.rest.split_at_checked(size).ok_or_else(|| self.short(field))?;
+    /// Reads `size` bytes.
+    pub fn bytes(&mut self, field: &str, size: usize) -> Result<&'a [u8], AdapterError> {
+        let (taken, rest) = self.rest.split_at_checked(size).ok_or_else(|| self.truncated(field))?;
         self.rest = rest;
         Ok(taken)
     }
 
-    /// An address and a port, kept as they came.
-    pub fn upstream(&mut self) -> Result<[u8; 6], String> {
-        self.bytes("upstream", 6)?.try_into().map_err(|_| self.short("upstream"))
+    /// Reads the address and port of an upstream, in the bytes of the wire.
+    pub fn upstream(&mut self) -> Result<[u8; 6], AdapterError> {
+        self.bytes("upstream", 6)?.try_into().map_err(|_| self.truncated("upstream"))
     }
 
-    pub fn done(&self) -> Result<(), String> {
+    /// Fails if bytes are left after the last field.
+    pub fn done(&self) -> Result<(), AdapterError> {
         if self.rest.is_empty() {
             return Ok(());
         }
-        Err(format!("{}: {} bytes after the last field", self.record, self.rest.len()))
+        Err(AdapterError::TrailingBytes { record: self.record, count: self.rest.len() })
     }
 
-    fn short(&self, field: &str) -> String {
-        format!("{}: cut short in field {field}", self.record)
+    fn truncated(&self, field: &str) -> AdapterError {
+        AdapterError::Truncated { record: self.record, field: field.to_string() }
     }
 }
