--- a/programs/balancer/src/control.rs
+++ b/programs/balancer/src/control.rs
@@ -27,8 +27,8 @@
 pub enum Request {
     /// Returns the state of the fleet as this member knows it.
     Status,
-    /// Bootstraps the fleet, or with `anew` does so again after most voters lost their stores; unless `sure`, only
-    /// returns what is known.
+    /// Bootstraps the fleet. With `anew` it is done again after most voters lost their stores, and unless `sure`
+    /// only the known state is returned.
     Found { anew: bool, sure: bool },
     /// Proposes a policy; length in bytes and hash verify that the text is complete.
     Propose { text: String, length: usize, hash: String },
@@ -55,9 +55,10 @@
 /// The result of a request, or the reason for its refusal.
 pub type Answer = Result<Value, String>;
 
+/// An answer on the socket: exactly one of the fields is set.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Line {
+struct AnswerLine {
     done: Option<Value>,
     fault: Option<String>,
 }
@@ -65,7 +66,7 @@
 /// Listens in a thread of its own. A socket left at the path by an earlier process is removed only if nobody
 /// listens on it.
 pub fn listen(path: &Path, requests: RequestSender) -> Result<(), String> {
-    let told = |fault: std::io::Error| format!("fleet.socket: {}: {fault}", path.display());
+    let io_fault = |fault: std::io::Error| format!("fleet.socket: {}: {fault}", path.display());
     if UnixStream::connect(path).is_ok() {
         return Err(format!("fleet.socket: {}: another process listens on it", path.display()));
     }
@@ -74,10 +75,10 @@
         file.file_type().is_socket()
     });
     if is_socket {
-        std::fs::remove_file(path).map_err(told)?;
+        std::fs::remove_file(path).map_err(io_fault)?;
     }
-    let listener = UnixListener::bind(path).map_err(told)?;
-    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(told)?;
+    let listener = UnixListener::bind(path).map_err(io_fault)?;
+    std::fs::set_permissions(path, std::fs::Permissions::from_mode(0o600)).map_err(io_fault)?;
     let serve = move || {
         for stream in listener.incoming().flatten() {
             if let Err(fault) = answer(&stream, &requests) {
@@ -85,17 +86,17 @@
             }
         }
     };
-    thread::Builder::new().name("control".to_string()).spawn(serve).map_err(told)?;
+    thread::Builder::new().name("control".to_string()).spawn(serve).map_err(io_fault)?;
     Ok(())
 }
 
 /// Reads one request, passes it to the fleet's thread and writes its answer.
 fn answer(mut stream: &UnixStream, requests: &RequestSender) -> Result<(), String> {
-    let told = |fault: std::io::Error| fault.to_string();
-    stream.set_read_timeout(Some(IO_TIME_OUT)).map_err(told)?;
-    stream.set_write_timeout(Some(IO_TIME_OUT)).map_err(told)?;
+    let io_fault = |fault: std::io::Error| fault.to_string();
+    stream.set_read_timeout(Some(IO_TIME_OUT)).map_err(io_fault)?;
+    stream.set_write_timeout(Some(IO_TIME_OUT)).map_err(io_fault)?;
     let mut line = String::new();
-    BufReader::new(stream.take(MAX_REQUEST_BYTES)).read_line(&mut line).map_err(told)?;
+    BufReader::new(stream.take(MAX_REQUEST_BYTES)).read_line(&mut line).map_err(io_fault)?;
     let answer = match serde_json::from_str::<Request>(&line) {
         Err(fault) => Err(format!("not a request: {fault}")),
         Ok(request) => {
@@ -105,22 +106,23 @@
         }
     };
     let line = match answer {
-        Ok(done) => Line { done: Some(done), fault: None },
-        Err(fault) => Line { done: None, fault: Some(fault) },
+        Ok(done) => AnswerLine { done: Some(done), fault: None },
+        Err(fault) => AnswerLine { done: None, fault: Some(fault) },
     };
     let text = serde_json::to_string(&line).map_err(|fault| fault.to_string())?;
-    stream.write_all((text + "\n").as_bytes()).map_err(told)
+    stream.write_all((text + "\n").as_bytes()).map_err(io_fault)
 }
 
 /// Sends a request to the process that listens at the path.
 pub fn ask(path: &Path, request: &Request) -> Result<Answer, String> {
-    let told = |fault: std::io::Error| format!("{}: {fault}", path.display());
-    let mut stream = UnixStream::connect(path).map_err(told)?;
-    stream.set_read_timeout(Some(2 * IO_TIME_OUT)).map_err(told)?;
+    let io_fault = |fault: std::io::Error| format!("{}: {fault}", path.display());
+    let mut stream = UnixStream::connect(path).map_err(io_fault)?;
+    stream.set_read_timeout(Some(2 * IO_TIME_OUT)).map_err(io_fault)?;
     let text = serde_json::to_string(request).map_err(|fault| fault.to_string())?;
-    stream.write_all((text + "\n").as_bytes()).map_err(told)?;
+    stream.write_all((text + "\n").as_bytes()).map_err(io_fault)?;
     let mut line = String::new();
-    BufReader::new(stream).read_line(&mut line).map_err(told)?;
-    let line: Line = serde_json::from_str(&line).map_err(|fault| format!("{}: {fault}", path.display()))?;
+    BufReader::new(stream).read_line(&mut line).map_err(io_fault)?;
+    let line: AnswerLine =
+        serde_json::from_str(&line).map_err(|fault| format!("{}: {fault}", path.display()))?;
     Ok(line.done.ok_or(line.fault.unwrap_or_default()))
 }
--- a/programs/balancer/src/fleet/requests.rs
+++ b/programs/balancer/src/fleet/requests.rs
@@ -13,98 +13,121 @@
     /// Answers one request; whatever it starts continues in the member.
     pub(super) fn serve(&mut self, request: Request) -> Answer {
         let now = self.clock.now();
-        let serial = || rand::random::<u64>();
-        let record = self.member.record();
         match request {
             Request::Status => Ok(self.status(now)),
-            Request::Found { anew: false, .. } if record.bootstrap_id != 0 => {
-                Err("the fleet is founded already".to_string())
-            }
-            Request::Found { anew: true, .. } if record.bootstrap_id == 0 => {
-                Err("nothing is known here of a founding before; ask at a member that remembers".to_string())
-            }
-            Request::Found { anew: true, .. } if matches!(self.member.right(now), Right::Policy(_)) => {
-                Err("a majority of the voters answers: nothing is to be founded anew".to_string())
-            }
-            Request::Found { anew: true, sure: false } => {
-                Ok(json!({"begun": false, "known": self.status(now)}))
-            }
-            Request::Found { .. } => {
-                let epoch = record.epoch();
-                self.member.found(now, serial());
-                Ok(json!({"begun": true, "epoch": epoch}))
-            }
-            Request::Propose { .. } | Request::Withdraw { .. } if record.bootstrap_id == 0 => {
-                Err("the fleet is not founded: whinspindle fleet found".to_string())
-            }
-            Request::Propose { text, length, hash } => {
-                if !is_whole(&text, length, &hash) {
-                    return Err("the text did not come whole".to_string());
-                }
-                if text.len() > MAX_TEXT_BYTES {
-                    return Err(format!("{} bytes; a policy has {MAX_TEXT_BYTES} at most", text.len()));
-                }
-                // A policy that is invalid here is not proposed to others.
-                if let Err(faults) = whinspindle_operator_file::read_policy(&text, &self.deployment) {
-                    let drawn = whinspindle_operator_file::draw("the policy", &text, &faults);
-                    return Err(format!("{} faults\n{drawn}", faults.len()));
-                }
-                if let Some(change) = record.next {
-                    return Err(format!("policy {} is under way; withdraw it or wait", change.policy.number));
-                }
-                let request_id = self.member.propose(now, text.as_bytes(), serial());
-                Ok(json!({"by": request_id.by, "serial": request_id.serial}))
-            }
+            Request::Found { anew, sure } => self.bootstrap(now, anew, sure),
+            Request::Propose { text, length, hash } => self.propose(now, &text, length, &hash),
+            Request::Withdraw { number } => self.withdraw(now, number),
             Request::Out { unit, serial, release } => self.ask_out(now, unit, serial, release),
-            Request::Back { unit, .. } if record.out_as(unit).is_none() => {
+            Request::Back { unit, .. } if self.member.record().out_as(unit).is_none() => {
                 Err("it is not let out".to_string())
             }
-            Request::Back { unit, done } => {
-                self.member.submit(now, RequestKind::Back { unit, done }, serial());
-                Ok(json!({"begun": true}))
-            }
+            Request::Back { unit, done } => self.submit(now, RequestKind::Back { unit, done }),
             Request::Release { text, length, hash } => self.begin_release(now, &text, length, &hash),
-            Request::Turn | Request::Leave => {
-                let Some(release) = &record.release else {
-                    return Err("no release is under way".to_string());
-                };
-                let number = release.number;
-                let turn = matches!(request, Request::Turn);
-                if turn && release.way == Way::Back {
-                    return Err(format!("release {number} is on its way back already"));
-                }
-                let request = if turn { RequestKind::Turn { number } } else { RequestKind::Leave { number } };
-                self.member.submit(now, request, serial());
-                Ok(json!({"number": number}))
-            }
-            Request::Halt { why } => {
-                self.member.submit(now, RequestKind::Halt { why: truncated(why) }, serial());
-                Ok(json!({"begun": true}))
-            }
-            Request::Resume => {
-                self.member.submit(now, RequestKind::Resume, serial());
-                Ok(json!({"begun": true}))
-            }
-            Request::Voters { old, new } => {
-                let votes =
-                    |member: u16| record.voter_sets.iter().flatten().any(|voter| voter.member == member);
-                if !votes(old) {
-                    return Err(format!("member {old} does not vote"));
-                }
-                if votes(new) || new >= self.member.settings().members {
-                    return Err(format!("member {new} votes already, or there is no such member"));
-                }
-                self.member.submit(now, RequestKind::Voters { old, new }, serial());
-                Ok(json!({"begun": true}))
-            }
-            Request::Withdraw { number } => {
-                if record.next.is_none_or(|change| change.policy.number != number) {
-                    return Err(format!("policy {number} is not under way"));
-                }
-                let request_id = self.member.withdraw(now, number, serial());
-                Ok(json!({"by": request_id.by, "serial": request_id.serial}))
-            }
+            Request::Turn => self.turn_release(now),
+            Request::Leave => self.leave_release(now),
+            Request::Halt { why } => self.submit(now, RequestKind::Halt { why: truncated(why) }),
+            Request::Resume => self.submit(now, RequestKind::Resume),
+            Request::Voters { old, new } => self.replace_voter(now, old, new),
+        }
+    }
+
+    /// Submits a request to the voters under a new serial number.
+    fn submit(&mut self, now: u64, request: RequestKind) -> Answer {
+        self.member.submit(now, request, rand::random());
+        Ok(json!({"begun": true}))
+    }
+
+    /// Bootstraps the fleet. With `anew` it is done again after most voters lost their stores, and unless `sure`
+    /// only the known state is returned.
+    fn bootstrap(&mut self, now: u64, anew: bool, sure: bool) -> Answer {
+        let record = self.member.record();
+        let is_bootstrapped = record.bootstrap_id != 0;
+        if is_bootstrapped && !anew {
+            return Err("the fleet is founded already".to_string());
+        }
+        if anew && !is_bootstrapped {
+            return Err(
+                "nothing is known here of a founding before; ask at a member that remembers".to_string()
+            );
+        }
+        if anew && matches!(self.member.right(now), Right::Policy(_)) {
+            return Err("a majority of the voters answers: nothing is to be founded anew".to_string());
+        }
+        if anew && !sure {
+            return Ok(json!({"begun": false, "known": self.status(now)}));
+        }
+        let epoch = record.epoch();
+        self.member.found(now, rand::random());
+        Ok(json!({"begun": true, "epoch": epoch}))
+    }
+
+    fn propose(&mut self, now: u64, text: &str, length: usize, hash: &str) -> Answer {
+        let record = self.member.record();
+        if record.bootstrap_id == 0 {
+            return Err("the fleet is not founded: whinspindle fleet found".to_string());
+        }
+        if !is_complete(text, length, hash) {
+            return Err("the text did not come whole".to_string());
+        }
+        if text.len() > MAX_TEXT_BYTES {
+            return Err(format!("{} bytes; a policy has {MAX_TEXT_BYTES} at most", text.len()));
+        }
+        // A policy that is invalid here is not proposed to others.
+        if let Err(faults) = whinspindle_operator_file::read_policy(text, &self.deployment) {
+            let drawn = whinspindle_operator_file::draw("the policy", text, &faults);
+            return Err(format!("{} faults\n{drawn}", faults.len()));
+        }
+        if let Some(change) = record.next {
+            return Err(format!("policy {} is under way; withdraw it or wait", change.policy.number));
+        }
+        let request_id = self.member.propose(now, text.as_bytes(), rand::random());
+        Ok(json!({"by": request_id.by, "serial": request_id.serial}))
+    }
+
+    fn withdraw(&mut self, now: u64, number: u64) -> Answer {
+        let record = self.member.record();
+        if record.bootstrap_id == 0 {
+            return Err("the fleet is not founded: whinspindle fleet found".to_string());
+        }
+        if record.next.is_none_or(|change| change.policy.number != number) {
+            return Err(format!("policy {number} is not under way"));
+        }
+        let request_id = self.member.withdraw(now, number, rand::random());
+        Ok(json!({"by": request_id.by, "serial": request_id.serial}))
+    }
+
+    fn turn_release(&mut self, now: u64) -> Answer {
+        let Some(release) = &self.member.record().release else {
+            return Err("no release is under way".to_string());
+        };
+        let number = release.number;
+        if release.way == Way::Back {
+            return Err(format!("release {number} is on its way back already"));
+        }
+        self.member.submit(now, RequestKind::Turn { number }, rand::random());
+        Ok(json!({"number": number}))
+    }
+
+    fn leave_release(&mut self, now: u64) -> Answer {
+        let Some(release) = &self.member.record().release else {
+            return Err("no release is under way".to_string());
+        };
+        let number = release.number;
+        self.member.submit(now, RequestKind::Leave { number }, rand::random());
+        Ok(json!({"number": number}))
+    }
+
+    fn replace_voter(&mut self, now: u64, old: u16, new: u16) -> Answer {
+        let record = self.member.record();
+        let votes = |member: u16| record.voter_sets.iter().flatten().any(|voter| voter.member == member);
+        if !votes(old) {
+            return Err(format!("member {old} does not vote"));
+        }
+        if votes(new) || new >= self.member.settings().members {
+            return Err(format!("member {new} votes already, or there is no such member"));
         }
+        self.submit(now, RequestKind::Voters { old, new })
     }
 
     /// Answers whether a supervisor may take a unit out. Idempotent by serial number, since an answer may be lost.
@@ -148,7 +171,7 @@
         if record.bootstrap_id == 0 {
             return Err("the fleet is not founded: whinspindle fleet found".to_string());
         }
-        if !is_whole(text, length, hash) || length > MAX_TEXT_BYTES {
+        if !is_complete(text, length, hash) || length > MAX_TEXT_BYTES {
             return Err(format!("the text did not come whole, or is longer than {MAX_TEXT_BYTES} bytes"));
         }
         if let Some(release) = &record.release {
@@ -175,6 +198,6 @@
 }
 
 /// Whether a text was received completely.
-fn is_whole(text: &str, length: usize, hash: &str) -> bool {
+fn is_complete(text: &str, length: usize, hash: &str) -> bool {
     text.len() == length && Hash::of(text.as_bytes()).to_string() == hash
 }
--- a/programs/balancer/src/fleet/status.rs
+++ b/programs/balancer/src/fleet/status.rs
@@ -43,44 +43,40 @@
     pub(super) fn status(&self, now: u64) -> Value {
         let member = &self.member;
         let record = member.record();
-        let change = |policy: Policy, by: u16, serial: u64| {
-            json!({"number": policy.number, "hash": policy.hash.to_string(), "bytes": policy.length, "by": by,
-                "serial": serial})
-        };
         let past: Vec<Value> = record
             .past
             .iter()
             .map(|past| {
-                let mut told =
+                let mut row =
                     change(past.change.policy, past.change.request_id.by, past.change.request_id.serial);
-                told["fate"] = match past.outcome {
+                row["fate"] = match past.outcome {
                     ChangeOutcome::InForce => json!("in force"),
                     ChangeOutcome::Withdrawn => json!("withdrawn"),
                     ChangeOutcome::Refused(member) => json!(format!("refused by member {member}")),
                     ChangeOutcome::GivenUp => json!("given up"),
                 };
-                told
+                row
             })
             .collect();
         let members: Vec<Value> = member
             .peer_reports()
             .iter()
             .enumerate()
-            .map(|(number, heard)| {
-                let Some(heard) = heard else { return json!({"member": number, "heard": null}) };
-                let mut told = json!({"member": number, "heardMsAgo": now.saturating_sub(heard.at) / 1000,
-                "version": heard.version, "right": right_words(heard.right)});
-                if let Readiness::Objects(number, no) = &heard.readiness {
-                    told["objects"] = json!({"number": number, "line": no.line, "words": no.words});
+            .map(|(number, report)| {
+                let Some(report) = report else { return json!({"member": number, "heard": null}) };
+                let mut row = json!({"member": number, "heardMsAgo": now.saturating_sub(report.at) / 1000,
+                "version": report.version, "right": right_words(report.right)});
+                if let Readiness::Objects(number, no) = &report.readiness {
+                    row["objects"] = json!({"number": number, "line": no.line, "words": no.words});
                 }
-                told["ready"] = match heard.readiness {
+                row["ready"] = match report.readiness {
                     Readiness::Ready(number) => json!(number),
                     _ => Value::Null,
                 };
-                if let Readiness::Lacks(chunks) = heard.readiness {
-                    told["lacks"] = json!(chunks);
+                if let Readiness::Lacks(chunks) = report.readiness {
+                    row["lacks"] = json!(chunks);
                 }
-                told
+                row
             })
             .collect();
         let out: Vec<Value> = record
@@ -105,6 +101,12 @@
     }
 }
 
+/// A change of the policy, with the member that proposed it.
+fn change(policy: Policy, by: u16, serial: u64) -> Value {
+    json!({"number": policy.number, "hash": policy.hash.to_string(), "bytes": policy.length, "by": by,
+        "serial": serial})
+}
+
 fn right_words(right: Right) -> String {
     match right {
         Right::Learning => "learning".to_string(),
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -171,30 +171,8 @@
             status["past"].as_array().into_iter().flatten().for_each(|past| println!("{}", past_line(past)));
             Ok(ExitCode::SUCCESS)
         }
-        FleetAction::Found { anew, sure, wait } => {
-            let begun = ask(&Request::Found { anew: *anew, sure: *sure })?;
-            if begun["begun"] != true {
-                print!("{}", table(&begun["known"]));
-                println!(
-                    "nothing is done; --sure founds the fleet anew from this, and what others knew is lost"
-                );
-                return Ok(ExitCode::from(EXIT_OTHER_OUTCOME));
-            }
-            let before = begun["epoch"].as_u64();
-            waited(wait, ask, |status| {
-                let founded = status["epoch"].as_u64() > before;
-                founded.then(|| ("the fleet is founded".to_string(), 0))
-            })
-        }
-        FleetAction::Propose { file, wait } => {
-            let (text, length, hash) = with_hash(file)?;
-            let wish = ask(&Request::Propose { text, length, hash })?;
-            waited(wait, ask, |status| {
-                let past = status["past"].as_array()?;
-                let past = past.iter().find(|past| past["serial"] == wish["serial"])?;
-                Some((past_line(past), if past["fate"] == "in force" { 0 } else { EXIT_OTHER_OUTCOME }))
-            })
-        }
+        FleetAction::Found { anew, sure, wait } => bootstrap(*anew, *sure, wait, ask),
+        FleetAction::Propose { file, wait } => propose(file, wait, ask),
         FleetAction::Out { unit, word, release, wait } => out(unit, word, *release, wait, ask),
         FleetAction::Release { what } => release(what, ask),
         FleetAction::Back { unit: text, unchanged } => {
@@ -209,26 +187,72 @@
             ask(&Request::Resume)?;
             waited(wait, ask, |status| status["halted"].is_null().then(|| ("resumed".to_string(), 0)))
         }
-        FleetAction::Voter { old, new, wait } => {
-            ask(&Request::Voters { old: *old, new: *new })?;
-            waited(wait, ask, |status| {
-                let voters = status["voters"].as_array()?;
-                let votes = |member: &u16| voters.iter().any(|voter| *voter == *member);
-                // While both voter_sets vote, the old one is still named.
-                (votes(new) && !votes(old)).then(|| (format!("member {new} votes in place of {old}"), 0))
-            })
-        }
-        FleetAction::Withdraw { number, wait } => {
-            ask(&Request::Withdraw { number: *number })?;
-            waited(wait, ask, |status| {
-                let past = status["past"].as_array()?;
-                let past = past.iter().find(|past| past["number"] == *number)?;
-                Some((past_line(past), if past["fate"] == "withdrawn" { 0 } else { EXIT_OTHER_OUTCOME }))
-            })
-        }
+        FleetAction::Voter { old, new, wait } => replace_voter(*old, *new, wait, ask),
+        FleetAction::Withdraw { number, wait } => withdraw(*number, wait, ask),
     }
 }
 
+fn bootstrap(
+    anew: bool,
+    sure: bool,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    let begun = ask(&Request::Found { anew, sure })?;
+    if begun["begun"] != true {
+        print!("{}", table(&begun["known"]));
+        println!("nothing is done; --sure founds the fleet anew from this, and what others knew is lost");
+        return Ok(ExitCode::from(EXIT_OTHER_OUTCOME));
+    }
+    let before = begun["epoch"].as_u64();
+    waited(wait, ask, |status| {
+        let founded = status["epoch"].as_u64() > before;
+        founded.then(|| ("the fleet is founded".to_string(), 0))
+    })
+}
+
+fn propose(
+    file: &Path,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    let (text, length, hash) = with_hash(file)?;
+    let proposed = ask(&Request::Propose { text, length, hash })?;
+    waited(wait, ask, |status| {
+        let past = status["past"].as_array()?;
+        let past = past.iter().find(|past| past["serial"] == proposed["serial"])?;
+        Some((past_line(past), if past["fate"] == "in force" { 0 } else { EXIT_OTHER_OUTCOME }))
+    })
+}
+
+fn replace_voter(
+    old: u16,
+    new: u16,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    ask(&Request::Voters { old, new })?;
+    waited(wait, ask, |status| {
+        let voters = status["voters"].as_array()?;
+        let votes = |member: u16| voters.iter().any(|voter| *voter == member);
+        // While both voter sets vote, the old voter is still named.
+        (votes(new) && !votes(old)).then(|| (format!("member {new} votes in place of {old}"), 0))
+    })
+}
+
+fn withdraw(
+    number: u64,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    ask(&Request::Withdraw { number })?;
+    waited(wait, ask, |status| {
+        let past = status["past"].as_array()?;
+        let past = past.iter().find(|past| past["number"] == number)?;
+        Some((past_line(past), if past["fate"] == "withdrawn" { 0 } else { EXIT_OTHER_OUTCOME }))
+    })
+}
+
 /// A file's text, with the length and hash by which the balancer verifies that it is complete.
 fn with_hash(file: &Path) -> Result<(String, usize, String), String> {
     let text = command::text(file)?;
@@ -280,24 +304,7 @@
     ask: impl Fn(&Request) -> Result<Value, String>,
 ) -> Result<ExitCode, String> {
     match what {
-        ReleaseAction::Plan { file } => {
-            let text = command::text(file)?;
-            let plan = match read_plan(&text, None) {
-                Ok(plan) => plan,
-                Err(faults) => return Err(draw(&file.display().to_string(), &text, &faults)),
-            };
-            let mut from = 0;
-            for (wave, to) in plan.waves.iter().enumerate() {
-                println!(
-                    "wave {}: {}, then watched for {} s",
-                    wave + 1,
-                    plan.names[from..*to].join(" "),
-                    plan.watch / 1_000_000
-                );
-                from = *to;
-            }
-            Ok(ExitCode::SUCCESS)
-        }
+        ReleaseAction::Plan { file } => show_plan(file),
         ReleaseAction::Start { file, wait } => {
             let (text, length, hash) = with_hash(file)?;
             let wish = ask(&Request::Release { text, length, hash })?;
@@ -306,31 +313,7 @@
                 (now["serial"] == wish["serial"]).then(|| (format!("release {}", now["number"]), 0))
             })
         }
-        ReleaseAction::Status { json, wait } => {
-            let until = Instant::now() + Duration::from_secs(*wait);
-            loop {
-                let status = ask(&Request::Status)?;
-                let halted = status["halted"].is_object() && status["release"]["now"]["way"] == "forth";
-                let over = status["release"]["now"].is_null();
-                if !halted && !over && Instant::now() < until {
-                    sleep(POLL_INTERVAL);
-                    continue;
-                }
-                if *json {
-                    println!("{}", status["release"])
-                } else {
-                    print!("{}", release_table(&status))
-                }
-                let code = if over {
-                    0
-                } else if halted {
-                    EXIT_OTHER_OUTCOME
-                } else {
-                    EXIT_PENDING
-                };
-                return Ok(ExitCode::from(code));
-            }
-        }
+        ReleaseAction::Status { json, wait } => release_status(*json, *wait, ask),
         ReleaseAction::Back { wait } => {
             let number = ask(&Request::Turn)?["number"].clone();
             waited(wait, ask, |status| {
@@ -349,6 +332,57 @@
     }
 }
 
+/// Shows what a plan would do.
+fn show_plan(file: &Path) -> Result<ExitCode, String> {
+    let text = command::text(file)?;
+    let plan = match read_plan(&text, None) {
+        Ok(plan) => plan,
+        Err(faults) => return Err(draw(&file.display().to_string(), &text, &faults)),
+    };
+    let mut from = 0;
+    for (wave, to) in plan.waves.iter().enumerate() {
+        println!(
+            "wave {}: {}, then watched for {} s",
+            wave + 1,
+            plan.names[from..*to].join(" "),
+            plan.watch / 1_000_000
+        );
+        from = *to;
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Shows how far the present release is, after waiting up to `wait` seconds for its end or a halt.
+fn release_status(
+    json: bool,
+    wait: u64,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    let until = Instant::now() + Duration::from_secs(wait);
+    loop {
+        let status = ask(&Request::Status)?;
+        let halted = status["halted"].is_object() && status["release"]["now"]["way"] == "forth";
+        let over = status["release"]["now"].is_null();
+        if !halted && !over && Instant::now() < until {
+            sleep(POLL_INTERVAL);
+            continue;
+        }
+        if json {
+            println!("{}", status["release"])
+        } else {
+            print!("{}", release_table(&status))
+        }
+        let code = if over {
+            0
+        } else if halted {
+            EXIT_OTHER_OUTCOME
+        } else {
+            EXIT_PENDING
+        };
+        return Ok(ExitCode::from(code));
+    }
+}
+
 fn release_table(status: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
     let mut lines = Vec::new();
--- a/programs/balancer/src/http_service.rs
+++ b/programs/balancer/src/http_service.rs
@@ -185,13 +185,16 @@
     {
         startup_limit.completed(node.clock.now() - now);
     }
-    if node.fleet.is_some() {
-        let spent = node.clock.now() - now;
-        let late =
-            node.deployment.terms.products.get(arrival.product).is_some_and(|row| spent > row.slo_time);
-        let (aborted, rejected) =
-            (matches!(answer, Answer::Aborted(_)), matches!(answer, Answer::Rejected(_)));
-        node.fleet_counts.borrow_mut().query(aborted, late, rejected);
-    }
+    count_for_fleet(&node, arrival.product, &answer, node.clock.now() - now);
     Ok(answer.encode())
 }
+
+/// Counts an answer, which took `spent` microseconds, for the comparison of builds during a release.
+fn count_for_fleet(node: &Node, product: usize, answer: &Answer, spent: u64) {
+    if node.fleet.is_none() {
+        return;
+    }
+    let late = node.deployment.terms.products.get(product).is_some_and(|row| spent > row.slo_time);
+    let (aborted, rejected) = (matches!(answer, Answer::Aborted(_)), matches!(answer, Answer::Rejected(_)));
+    node.fleet_counts.borrow_mut().query(aborted, late, rejected);
+}
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -1,7 +1,5 @@
 //! The balancer in service: one program for all tiers, configured by the file that `ROUTER_CONFIG` names.
 
-#![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
-
 mod clock;
 mod command;
 mod configuration;
@@ -12,7 +10,6 @@
 mod http_service;
 mod listener;
 mod node;
-
 mod resource_limits;
 mod shutdown;
 mod timers;
@@ -159,24 +156,36 @@
         node.apply_operator_file(Arc::new(operator));
     }
     let connections = Rc::new(ClientConnections::default());
+    spawn_core_tasks(&node, &source);
+    spawn_local(reload(hangup, Rc::clone(&source), fixed_fields, Rc::clone(&node), file));
+    spawn_local(Rc::clone(&node).follow_fleet(Rc::clone(&connections)));
+    spawn_local(upkeep(Rc::clone(&node), Rc::clone(&connections), endpoint_store, source));
+    spawn_shutdown(&node, terminate, interrupt);
+    listener::run(listener, Rc::clone(&node), connections, resource_limits).await;
+    log_line!("stop", "all is answered, {:?}", node.core.borrow().tally());
+    Ok(())
+}
 
-    let timed = Rc::clone(&node);
+/// Spawns the tasks that drive the core: timers, and the endpoint list from discovery.
+fn spawn_core_tasks(node: &Rc<Node>, source: &Rc<EndpointWatch>) {
+    let timed = Rc::clone(node);
     spawn_local(restart_on_end("timers", move || Rc::clone(&timed).run_timers()));
-    let updated = Rc::clone(&node);
-    let followed = Rc::clone(&source);
+    let updated = Rc::clone(node);
+    let followed = Rc::clone(source);
     spawn_local(restart_on_end("list", move || {
         let updated = Rc::clone(&updated);
         whinspindle_discovery::follow(Rc::clone(&followed), move |update| updated.endpoints_updated(&update))
     }));
-    let (waiting, tried) = (Rc::clone(&node), Rc::clone(&source));
+    let (waiting, tried) = (Rc::clone(node), Rc::clone(source));
     spawn_local(async move {
         tried.first_attempted().await;
         waiting.apply_known_endpoints();
     });
-    spawn_local(reload(hangup, Rc::clone(&source), fixed_fields, Rc::clone(&node), file));
-    spawn_local(Rc::clone(&node).follow_fleet(Rc::clone(&connections)));
-    spawn_local(upkeep(Rc::clone(&node), Rc::clone(&connections), endpoint_store, source));
-    let stopped = Rc::clone(&node);
+}
+
+/// Spawns the task that begins the graceful shutdown at SIGTERM or SIGINT.
+fn spawn_shutdown(node: &Rc<Node>, mut terminate: Signal, mut interrupt: Signal) {
+    let stopped = Rc::clone(node);
     spawn_local(async move {
         tokio::select! {
             _ = terminate.recv() => {}
@@ -185,9 +194,6 @@
         log_line!("stop", "told to stop: serving those that are connected for a while");
         stopped.begin_shutdown();
     });
-    listener::run(listener, Rc::clone(&node), connections, resource_limits).await;
-    log_line!("stop", "all is answered, {:?}", node.core.borrow().tally());
-    Ok(())
 }
 
 /// Reloads the operator file and the configuration at each SIGHUP; of the latter only the discovery address
