--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -13,7 +13,7 @@
 use whinspindle_operator_file::{Operator, RULES};
 use whinspindle_routes::{HedgePolicy, Lookup, Route, proof};
 
-use crate::configuration::{self, ConfigurationError};
+use crate::configuration;
 use crate::fleet_command::FleetArguments;
 
 const LONG_ABOUT: &str = "A load balancer for services that call services. Without arguments it balances, as the file \
@@ -130,13 +130,12 @@
 }
 
 fn deployment(config: Option<&Path>) -> Result<Deployment, String> {
-    let Some(config) = config else {
-        return configuration::read().map(|configuration| configuration.deployment);
+    let read = match config {
+        None => configuration::read().map_err(|fault| fault.to_string()),
+        Some(config) => {
+            configuration::read_file(config).map_err(|fault| format!("{}: {fault}", config.display()))
+        }
     };
-    let read = configuration::read_file(config).map_err(|fault| match fault {
-        ConfigurationError::Unread(fault) => format!("{}: {fault}", config.display()),
-        ConfigurationError::Wrong(fault) => format!("{}: {fault}", config.display()),
-    });
     read.map(|configuration| configuration.deployment)
 }
 
--- a/programs/balancer/src/configuration.rs
+++ b/programs/balancer/src/configuration.rs
@@ -1,6 +1,8 @@
 //! Reads the configuration of the process from the JSON file that `ROUTER_CONFIG` names: addresses, limits, a known
 //! endpoint list and the settings of the deployment. Errors name the field.
 
+use std::fmt::{self, Display, Formatter};
+use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -46,31 +48,68 @@
 /// Least number of sockets that can be divided among the uses.
 const MIN_SOCKETS: u64 = 40;
 
-/// Reads the file that `ROUTER_CONFIG` names.
-pub fn read() -> Result<Configuration, String> {
-    let path = std::env::var("ROUTER_CONFIG").map_err(|_| "ROUTER_CONFIG: not set".to_string())?;
-    read_file(Path::new(&path)).map_err(|fault| match fault {
-        ConfigurationError::Unread(fault) => format!("ROUTER_CONFIG: {path}: {fault}"),
-        ConfigurationError::Wrong(fault) => fault,
-    })
-}
-
 /// Why a configuration could not be read.
+#[derive(Debug)]
 pub enum ConfigurationError {
+    /// `ROUTER_CONFIG` is not set.
+    VariableNotSet,
+    /// The file that `ROUTER_CONFIG` names could not be read.
+    VariableFile {
+        /// Path of the file.
+        path: String,
+        /// The fault in reading it.
+        fault: io::Error,
+    },
     /// The file could not be read.
-    Unread(std::io::Error),
-    /// The content is invalid; the text names the field.
-    Wrong(String),
+    Unread(io::Error),
+    /// The content is not JSON.
+    NotJson(serde_json::Error),
+    /// A field is invalid.
+    Invalid {
+        /// Name of the field.
+        field: String,
+        /// What is wrong about it.
+        fault: String,
+    },
+}
+
+impl ConfigurationError {
+    fn invalid(field: &str, fault: impl Display) -> Self {
+        ConfigurationError::Invalid { field: field.to_string(), fault: fault.to_string() }
+    }
+}
+
+impl Display for ConfigurationError {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        match self {
+            ConfigurationError::VariableNotSet => write!(f, "ROUTER_CONFIG: not set"),
+            ConfigurationError::VariableFile { path, fault } => write!(f, "ROUTER_CONFIG: {path}: {fault}"),
+            ConfigurationError::Unread(fault) => write!(f, "{fault}"),
+            ConfigurationError::NotJson(fault) => write!(f, "not JSON: {fault}"),
+            ConfigurationError::Invalid { field, fault } => write!(f, "{field}: {fault}"),
+        }
+    }
+}
+
+impl std::error::Error for ConfigurationError {}
+
+/// Reads the file that `ROUTER_CONFIG` names.
+pub fn read() -> Result<Configuration, ConfigurationError> {
+    let path = std::env::var("ROUTER_CONFIG").map_err(|_| ConfigurationError::VariableNotSet)?;
+    read_file(Path::new(&path)).map_err(|fault| match fault {
+        ConfigurationError::Unread(fault) => ConfigurationError::VariableFile { path, fault },
+        other => other,
+    })
 }
 
 /// Reads a configuration from a file.
 pub fn read_file(path: &Path) -> Result<Configuration, ConfigurationError> {
     let text = std::fs::read(path).map_err(ConfigurationError::Unread)?;
-    parse(&text).map_err(ConfigurationError::Wrong)
+    parse(&text)
 }
 
-fn parse(text: &[u8]) -> Result<Configuration, String> {
-    let json: Value = serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
+fn parse(text: &[u8]) -> Result<Configuration, ConfigurationError> {
+    let json: Value = serde_json::from_slice(text).map_err(ConfigurationError::NotJson)?;
     let mut fixed_fields = json.clone();
     for reloadable in ["discovery", "known", "seed"] {
         fixed_fields.as_object_mut().map(|fields| fields.remove(reloadable));
@@ -78,9 +117,10 @@
     let limits = &json["limits"];
     let known = match &json["known"] {
         Value::Null => None,
-        known => {
-            Some(EndpointUpdate::decode(known.to_string().as_bytes()).map_err(|e| format!("known: {e}"))?)
-        }
+        known => Some(
+            EndpointUpdate::decode(known.to_string().as_bytes())
+                .map_err(|e| ConfigurationError::invalid("known", e))?,
+        ),
     };
     let settings = json["settings"].to_string();
     // Invalid peer addresses are an error only for a fleet, which checks them itself.
@@ -91,7 +131,8 @@
         name: text_of(&json, "name")?.to_string(),
         listen: address(&json, "listen")?,
         discovery: address(&json, "discovery")?,
-        seed: u64::from_str_radix(text_of(&json, "seed")?, 16).map_err(|e| format!("seed: {e}"))?,
+        seed: u64::from_str_radix(text_of(&json, "seed")?, 16)
+            .map_err(|e| ConfigurationError::invalid("seed", e))?,
         limits: Limits {
             memory_mb: at_least(limits, "memory_mb", MIN_MEMORY_MB)?,
             sockets: at_least(limits, "sockets", MIN_SOCKETS)?,
@@ -100,24 +141,26 @@
         peer_listen: peer(&json["peer_listen"]),
         peers: peers.unwrap_or_default(),
         deployment: whinspindle_deployment_settings::parse(settings.as_bytes())
-            .map_err(|e| format!("settings: {e}"))?,
+            .map_err(|e| ConfigurationError::invalid("settings", e))?,
         fixed_fields,
     })
 }
 
-fn text_of<'a>(json: &'a Value, field: &str) -> Result<&'a str, String> {
-    json[field].as_str().ok_or_else(|| format!("{field}: missing, or not a string"))
+fn text_of<'a>(json: &'a Value, field: &str) -> Result<&'a str, ConfigurationError> {
+    json[field].as_str().ok_or_else(|| ConfigurationError::invalid(field, "missing, or not a string"))
 }
 
-fn address(json: &Value, field: &str) -> Result<SocketAddr, String> {
+fn address(json: &Value, field: &str) -> Result<SocketAddr, ConfigurationError> {
     let text = text_of(json, field)?;
-    text.parse().map_err(|_| format!("{field}: not an address and port: {text:?}"))
+    text.parse()
+        .map_err(|_| ConfigurationError::invalid(field, format_args!("not an address and port: {text:?}")))
 }
 
-fn at_least(limits: &Value, field: &str, least: u64) -> Result<u64, String> {
-    let value = limits[field].as_f64().ok_or_else(|| format!("limits.{field}: missing, or not a number"))?;
+fn at_least(limits: &Value, field: &str, least: u64) -> Result<u64, ConfigurationError> {
+    let invalid = |fault: &str| ConfigurationError::invalid(&format!("limits.{field}"), fault);
+    let value = limits[field].as_f64().ok_or_else(|| invalid("missing, or not a number"))?;
     if value < least as f64 {
-        return Err(format!("limits.{field}: {value} is less than {least}"));
+        return Err(invalid(&format!("{value} is less than {least}")));
     }
     Ok(value as u64)
 }
--- a/programs/balancer/src/control.rs
+++ b/programs/balancer/src/control.rs
@@ -1,10 +1,11 @@
 //! The control socket: a Unix socket that only its owner may use. Each connection carries one request and one
 //! answer, each a line of JSON.
 
-use std::io::{BufRead, BufReader, Read, Write};
+use std::fmt::{self, Display, Formatter};
+use std::io::{self, BufRead, BufReader, Read, Write};
 use std::os::unix::fs::PermissionsExt;
 use std::os::unix::net::{UnixListener, UnixStream};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::mpsc::sync_channel;
 use std::thread;
 use std::time::Duration;
@@ -55,6 +56,43 @@
 /// The result of a request, or the reason for its refusal.
 pub type Answer = Result<Value, String>;
 
+/// Why the control socket could not be used.
+#[derive(Debug)]
+pub enum ControlError {
+    /// The process cannot listen at the path.
+    Listen(PathBuf, io::Error),
+    /// Another process listens at the path.
+    InUse(PathBuf),
+    /// The connection to a client failed.
+    Client(io::Error),
+    /// A message could not be encoded.
+    Encode(serde_json::Error),
+    /// The thread of the fleet has ended.
+    FleetEnded,
+    /// The process that listens at the path could not be reached.
+    Unreachable(PathBuf, io::Error),
+    /// The process that listens at the path sent an invalid answer.
+    InvalidAnswer(PathBuf, serde_json::Error),
+}
+
+impl Display for ControlError {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        match self {
+            ControlError::Listen(path, fault) => write!(f, "fleet.socket: {}: {fault}", path.display()),
+            ControlError::InUse(path) => {
+                write!(f, "fleet.socket: {}: another process listens on it", path.display())
+            }
+            ControlError::Client(fault) => write!(f, "{fault}"),
+            ControlError::Encode(fault) => write!(f, "{fault}"),
+            ControlError::FleetEnded => write!(f, "the fleet's thread has ended"),
+            ControlError::Unreachable(path, fault) => write!(f, "{}: {fault}", path.display()),
+            ControlError::InvalidAnswer(path, fault) => write!(f, "{}: {fault}", path.display()),
+        }
+    }
+}
+
+impl std::error::Error for ControlError {}
+
 /// An answer on the socket: exactly one of the fields is set.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -65,10 +103,10 @@
 
 /// Listens in a thread of its own. A socket left at the path by an earlier process is removed only if nobody
 /// listens on it.
-pub fn listen(path: &Path, requests: RequestSender) -> Result<(), String> {
-    let io_fault = |fault: std::io::Error| format!("fleet.socket: {}: {fault}", path.display());
+pub fn listen(path: &Path, requests: RequestSender) -> Result<(), ControlError> {
+    let io_fault = |fault: io::Error| ControlError::Listen(path.to_path_buf(), fault);
     if UnixStream::connect(path).is_ok() {
-        return Err(format!("fleet.socket: {}: another process listens on it", path.display()));
+        return Err(ControlError::InUse(path.to_path_buf()));
     }
     let is_socket = std::fs::symlink_metadata(path).is_ok_and(|file| {
         use std::os::unix::fs::FileTypeExt;
@@ -91,17 +129,16 @@
 }
 
 /// Reads one request, passes it to the fleet's thread and writes its answer.
-fn answer(mut stream: &UnixStream, requests: &RequestSender) -> Result<(), String> {
-    let io_fault = |fault: std::io::Error| fault.to_string();
-    stream.set_read_timeout(Some(IO_TIME_OUT)).map_err(io_fault)?;
-    stream.set_write_timeout(Some(IO_TIME_OUT)).map_err(io_fault)?;
+fn answer(mut stream: &UnixStream, requests: &RequestSender) -> Result<(), ControlError> {
+    stream.set_read_timeout(Some(IO_TIME_OUT)).map_err(ControlError::Client)?;
+    stream.set_write_timeout(Some(IO_TIME_OUT)).map_err(ControlError::Client)?;
     let mut line = String::new();
-    BufReader::new(stream.take(MAX_REQUEST_BYTES)).read_line(&mut line).map_err(io_fault)?;
+    BufReader::new(stream.take(MAX_REQUEST_BYTES)).read_line(&mut line).map_err(ControlError::Client)?;
     let answer = match serde_json::from_str::<Request>(&line) {
         Err(fault) => Err(format!("not a request: {fault}")),
         Ok(request) => {
             let (reply, replied) = sync_channel(1);
-            requests.send((request, reply)).map_err(|_| "the fleet's thread has ended".to_string())?;
+            requests.send((request, reply)).map_err(|_| ControlError::FleetEnded)?;
             replied.recv_timeout(IO_TIME_OUT).unwrap_or_else(|_| Err("no answer in time".to_string()))
         }
     };
@@ -109,20 +146,20 @@
         Ok(done) => AnswerLine { done: Some(done), fault: None },
         Err(fault) => AnswerLine { done: None, fault: Some(fault) },
     };
-    let text = serde_json::to_string(&line).map_err(|fault| fault.to_string())?;
-    stream.write_all((text + "\n").as_bytes()).map_err(io_fault)
+    let text = serde_json::to_string(&line).map_err(ControlError::Encode)?;
+    stream.write_all((text + "\n").as_bytes()).map_err(ControlError::Client)
 }
 
 /// Sends a request to the process that listens at the path.
-pub fn ask(path: &Path, request: &Request) -> Result<Answer, String> {
-    let io_fault = |fault: std::io::Error| format!("{}: {fault}", path.display());
+pub fn ask(path: &Path, request: &Request) -> Result<Answer, ControlError> {
+    let io_fault = |fault: io::Error| ControlError::Unreachable(path.to_path_buf(), fault);
     let mut stream = UnixStream::connect(path).map_err(io_fault)?;
     stream.set_read_timeout(Some(2 * IO_TIME_OUT)).map_err(io_fault)?;
-    let text = serde_json::to_string(request).map_err(|fault| fault.to_string())?;
+    let text = serde_json::to_string(request).map_err(ControlError::Encode)?;
     stream.write_all((text + "\n").as_bytes()).map_err(io_fault)?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).map_err(io_fault)?;
-    let line: AnswerLine =
-        serde_json::from_str(&line).map_err(|fault| format!("{}: {fault}", path.display()))?;
+    let line: AnswerLine = serde_json::from_str(&line)
+        .map_err(|fault| ControlError::InvalidAnswer(path.to_path_buf(), fault))?;
     Ok(line.done.ok_or(line.fault.unwrap_or_default()))
 }
--- a/programs/balancer/src/fleet.rs
+++ b/programs/balancer/src/fleet.rs
@@ -4,6 +4,7 @@
 mod environment;
 mod published;
 mod requests;
+mod start_error;
 mod status;
 mod worker;
 
@@ -25,6 +26,7 @@
 use crate::control::{Answer, Request};
 use environment::build_of_this_program;
 use published::{FleetClock, Published, lock};
+pub use start_error::FleetStartError;
 use worker::Worker;
 
 /// Longest wait for a datagram, after which the thread runs its timers.
@@ -117,14 +119,15 @@
     }
 
     /// Starts the thread of the fleet member, and the one that listens on the control socket.
-    pub fn start(configuration: &Configuration, operator: Operator) -> Result<Fleet, String> {
-        let Some(terms) = operator.fleet.clone() else { return Err("fleet: no table".to_string()) };
+    pub fn start(configuration: &Configuration, operator: Operator) -> Result<Fleet, FleetStartError> {
+        let Some(terms) = operator.fleet.clone() else { return Err(FleetStartError::NoTable) };
         let (listen, peers) = addresses(configuration, &terms)?;
-        let store = RecordStore::open(&terms.store).map_err(|fault| format!("fleet.store: {fault}"))?;
-        let socket = UdpSocket::bind(listen).map_err(|fault| format!("peer_listen: {listen}: {fault}"))?;
-        socket.set_read_timeout(Some(WAKE)).map_err(|fault| format!("peer_listen: {listen}: {fault}"))?;
+        let store = RecordStore::open(&terms.store).map_err(FleetStartError::Store)?;
+        let socket_fault = |fault| FleetStartError::Socket { address: listen, fault };
+        let socket = UdpSocket::bind(listen).map_err(socket_fault)?;
+        socket.set_read_timeout(Some(WAKE)).map_err(socket_fault)?;
         let (requests, received_requests) = channel();
-        crate::control::listen(&terms.socket, requests)?;
+        crate::control::listen(&terms.socket, requests).map_err(FleetStartError::Control)?;
         let clock = FleetClock(Instant::now());
         let cut_off = Arc::new(operator);
         let published = Arc::new(Mutex::new(Published {
@@ -150,7 +153,7 @@
             worker.run(&received_requests);
         };
         let spawned = thread::Builder::new().name("fleet".to_string()).spawn(run);
-        spawned.map_err(|fault| format!("fleet: {fault}"))?;
+        spawned.map_err(FleetStartError::Thread)?;
         Ok(Fleet { clock, published })
     }
 }
@@ -158,13 +161,13 @@
 fn addresses(
     configuration: &Configuration,
     terms: &FleetTerms,
-) -> Result<(SocketAddr, Vec<SocketAddr>), String> {
+) -> Result<(SocketAddr, Vec<SocketAddr>), FleetStartError> {
     let peers = configuration.peers.clone();
     let Some(listen) = configuration.peer_listen else {
-        return Err("peer_listen: missing, or not an address and port; a fleet needs it".to_string());
+        return Err(FleetStartError::NoAddress);
     };
     if peers.len() != terms.members as usize {
-        return Err(format!("peers: {} addresses, settings.balancers says {}", peers.len(), terms.members));
+        return Err(FleetStartError::PeerCount { addresses: peers.len(), members: terms.members });
     }
     Ok((listen, peers))
 }
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -155,7 +155,7 @@
 
 /// Runs one command.
 pub fn run(line: &FleetArguments) -> Result<ExitCode, String> {
-    let ask = |request: &Request| control::ask(&line.socket, request)?;
+    let ask = |request: &Request| control::ask(&line.socket, request).map_err(|fault| fault.to_string())?;
     match &line.what {
         FleetAction::Status { json } => {
             let status = ask(&Request::Status)?;
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -12,6 +12,7 @@
 mod node;
 mod resource_limits;
 mod shutdown;
+mod start_error;
 mod timers;
 
 use std::io;
@@ -42,6 +43,7 @@
 use crate::listener::ClientConnections;
 use crate::node::Node;
 use crate::resource_limits::ResourceLimits;
+use crate::start_error::StartError;
 
 /// Environment variable that names the operator file if no argument does.
 const OPERATOR_VARIABLE: &str = "WHINSPINDLE_OPERATOR";
@@ -61,11 +63,11 @@
 /// Runs the balancer until it is asked to stop, with an operator file if one is given.
 fn balance(file: Option<PathBuf>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let ran = runtime.map_err(|e| format!("runtime: {e}")).and_then(|runtime| {
+    let ran = runtime.map_err(StartError::Runtime).and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
             // Installed first, since a signal during the start would otherwise end the process.
             let signals = Signals::new()?;
-            let configuration = configuration::read()?;
+            let configuration = configuration::read().map_err(StartError::Configuration)?;
             let operator = file.as_ref().map(|file| operator(file, &configuration.deployment)).transpose()?;
             run(configuration, file.zip(operator), signals).await
         })
@@ -80,11 +82,12 @@
 }
 
 /// Reads the operator file; the error shows every fault in its text.
-fn operator(file: &Path, deployment: &Deployment) -> Result<Operator, String> {
-    let text = command::text(file)?;
+fn operator(file: &Path, deployment: &Deployment) -> Result<Operator, StartError> {
+    let text = command::text(file).map_err(StartError::OperatorFile)?;
     whinspindle_operator_file::read(&text, deployment).map_err(|faults| {
         let name = file.display().to_string();
-        format!("{name}: {} faults\n{}", faults.len(), whinspindle_operator_file::draw(&name, &text, &faults))
+        let drawn = whinspindle_operator_file::draw(&name, &text, &faults);
+        StartError::OperatorFile(format!("{name}: {} faults\n{drawn}", faults.len()))
     })
 }
 
@@ -96,8 +99,8 @@
 }
 
 impl Signals {
-    fn new() -> Result<Self, String> {
-        let subscribe = |kind, name: &str| signal(kind).map_err(|e| format!("{name}: {e}"));
+    fn new() -> Result<Self, StartError> {
+        let subscribe = |kind, name| signal(kind).map_err(|fault| StartError::Signal { name, fault });
         Ok(Signals {
             hangup: subscribe(SignalKind::hangup(), "SIGHUP")?,
             terminate: subscribe(SignalKind::terminate(), "SIGTERM")?,
@@ -110,7 +113,7 @@
     mut configuration: Configuration,
     operator_file: Option<(PathBuf, Operator)>,
     signals: Signals,
-) -> Result<(), String> {
+) -> Result<(), StartError> {
     let resource_limits = ResourceLimits::divide(configuration.limits);
     let Signals { hangup, mut terminate, mut interrupt } = signals;
     let stopped_early = async {
@@ -123,7 +126,7 @@
         listener = listen(configuration.listen) => listener,
         () = stopped_early => return Ok(()),
     };
-    let listener = listener.map_err(|e| format!("listen: {}: {e}", configuration.listen))?;
+    let listener = listener.map_err(|fault| StartError::Listen { address: configuration.listen, fault })?;
     let keep = operator_file.as_ref().and_then(|(_, operator)| operator.keep.clone());
     let starts_slowly = operator_file.as_ref().is_some_and(|(_, operator)| operator.begins_slowly());
     let (endpoint_store, restored) =
@@ -142,7 +145,9 @@
     let fixed_fields = configuration.fixed_fields.clone();
     let (file, operator) = operator_file.unzip();
     let (fleet, operator) = match operator {
-        Some(own) if own.fleet.is_some() => (Some(Fleet::start(&configuration, own)?), None),
+        Some(own) if own.fleet.is_some() => {
+            (Some(Fleet::start(&configuration, own).map_err(StartError::Fleet)?), None)
+        }
         other => (None, other),
     };
     let is_list_given = configuration.known_endpoints.is_some() && !is_restored;
