--- a/programs/balancer/src/listener/tests.rs
+++ b/programs/balancer/src/listener/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn silence_and_queries_without_an_end_have_a_limit() {
+fn idle_connections_and_endless_requests_time_out() {
     for (idle, no_request_yet, heard, closing, (closed, dropped)) in [
         (Some(1_000), true, None, None, (false, false)),
         (Some(2_000), true, None, None, (false, true)),
@@ -46,14 +46,14 @@
         let connections = ClientConnections::default();
         connections.open.borrow_mut().insert(1, Rc::clone(&client));
         connections.sweep(Duration::from_secs(10));
-        let told = (client.close.notified().now_or_never(), client.drop.notified().now_or_never());
-        let told = (told.0.is_some(), told.1.is_some());
-        assert_eq!(told, (closed, dropped), "{idle:?} {no_request_yet} {heard:?} {closing:?}");
+        let notified = (client.close.notified().now_or_never(), client.drop.notified().now_or_never());
+        let notified = (notified.0.is_some(), notified.1.is_some());
+        assert_eq!(notified, (closed, dropped), "{idle:?} {no_request_yet} {heard:?} {closing:?}");
     }
 }
 
 #[test]
-fn at_the_brim_those_that_asked_nothing_make_room_first() {
+fn at_the_limit_connections_without_a_request_close_first() {
     let clients = [
         client(Some(9_000), false, None, None),
         client(Some(300), true, None, None),
@@ -82,34 +82,34 @@
 }
 
 #[test]
-fn the_newest_is_spared_for_its_first_query_where_nobody_else_can_make_room() {
-    let told = |newest: &Rc<Client>| newest.close.notified().now_or_never().is_some();
+fn the_newest_connection_is_exempt_if_no_other_can_be_closed() {
+    let is_closing = |newest: &Rc<Client>| newest.close.notified().now_or_never().is_some();
     let newest = client(Some(0), true, None, None);
     // It has only just come, however slow this test is.
     newest.idle_since.set(Some(Instant::now() + Duration::from_secs(3600)));
     let connections = slowly_closing(&newest);
     let exempt_until = newest.idle_since.get().map(|came| came + SWEEP_INTERVAL);
     assert_eq!(connections.close_longest_idle(), exempt_until);
-    assert!(!told(&newest) && newest.closing.get().is_none());
+    assert!(!is_closing(&newest) && newest.closing.get().is_none());
     // Its time is over.
     newest.idle_since.set(Some(Instant::now() - SWEEP_INTERVAL));
     assert_eq!(connections.close_longest_idle(), None);
-    assert!(told(&newest));
+    assert!(is_closing(&newest));
     // One that has asked before, and one whose query has begun and is waited for all the same.
     for newest in [client(Some(0), false, None, None), client(Some(0), true, Some(0), None)] {
         assert_eq!(slowly_closing(&newest).close_longest_idle(), None);
-        assert!(told(&newest));
+        assert!(is_closing(&newest));
     }
     // Another has come behind it.
     let newest = client(Some(0), true, None, None);
     let connections = slowly_closing(&newest);
     connections.open.borrow_mut().insert(3, client(Some(0), true, None, None));
     assert_eq!(connections.close_longest_idle(), None);
-    assert!(told(&newest));
+    assert!(is_closing(&newest));
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_newest_that_says_nothing_is_waited_for_no_longer_than_its_time() {
+async fn a_silent_newest_connection_is_exempt_for_a_limited_time() {
     let newest = client(Some(0), true, None, None);
     newest.idle_since.set(Some(Instant::now() + Duration::from_millis(50)));
     let connections = slowly_closing(&newest);
@@ -184,23 +184,23 @@
 
 const QUERY: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-/// Tells when it is dropped.
-struct Held(Rc<Cell<u32>>);
+/// Counts its drops.
+struct DropCounter(Rc<Cell<u32>>);
 
-impl Drop for Held {
+impl Drop for DropCounter {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
 }
 
 #[test]
-fn a_client_that_leaves_is_noticed_whatever_it_sent_behind_its_query() {
+fn a_disconnect_is_noticed_whatever_the_client_has_pipelined() {
     for behind in [String::new(), "\r\n".into(), "GET".into(), QUERY.repeat(3), "x".repeat(20_000)] {
-        let (held, dropped) = <(Rc<Cell<u32>>, Rc<Cell<u32>>)>::default();
-        let (holds, drops) = (Rc::clone(&held), Rc::clone(&dropped));
+        let (begun, dropped) = <(Rc<Cell<u32>>, Rc<Cell<u32>>)>::default();
+        let (begins, drops) = (Rc::clone(&begun), Rc::clone(&dropped));
         let services = tower::service_fn(move |_| {
-            holds.set(holds.get() + 1);
-            let query = Held(Rc::clone(&drops));
+            begins.set(begins.get() + 1);
+            let query = DropCounter(Rc::clone(&drops));
             async move {
                 let _query = query;
                 std::future::pending().await
@@ -208,11 +208,11 @@
         });
         play(services, |mut client, connections| async move {
             client.write_all(QUERY.as_bytes()).expect("written");
-            until(|| held.get() == 1).await;
+            until(|| begun.get() == 1).await;
             client.write_all(behind.as_bytes()).expect("written");
             drop(client);
             until(|| dropped.get() == 1 && connections.count() == 0).await;
-            assert_eq!(held.get(), 1, "what came behind is begun though its client has left");
+            assert_eq!(begun.get(), 1, "what came behind is begun though its client has left");
         });
     }
 }
@@ -237,10 +237,10 @@
         client.set_nonblocking(true).expect("non-blocking");
         let mut answer = Vec::new();
         until(|| {
-            let mut piece = [0; 1024];
-            let read = client.read(&mut piece);
+            let mut chunk = [0; 1024];
+            let read = client.read(&mut chunk);
             assert!(!matches!(read, Ok(0)), "the connection ended without an answer");
-            answer.extend_from_slice(&piece[..read.unwrap_or(0)]);
+            answer.extend_from_slice(&chunk[..read.unwrap_or(0)]);
             answer.ends_with(b"kept\n")
         })
         .await;
@@ -256,9 +256,9 @@
             client.set_nonblocking(true).expect("non-blocking");
             let mut answer = Vec::new();
             let mut read_to = |client: &mut std::net::TcpStream, ends: usize| {
-                let mut piece = [0; 1024];
-                let read = client.read(&mut piece).unwrap_or(0);
-                answer.extend_from_slice(&piece[..read]);
+                let mut chunk = [0; 1024];
+                let read = client.read(&mut chunk).unwrap_or(0);
+                answer.extend_from_slice(&chunk[..read]);
                 String::from_utf8_lossy(&answer).matches("whole\n").count() == ends
             };
             if !first {
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn the_last_answer_is_whole_though_more_has_come_behind_its_query() {
+fn the_last_answer_is_complete_despite_pipelined_bytes() {
     const LONG: usize = 600 * 1024;
     let services = tower::service_fn(|_| async {
         let mut reply = reply(&"x".repeat(LONG));
@@ -298,7 +298,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn who_has_connected_as_the_listener_ends_is_served() {
+async fn connections_pending_when_the_listener_closes_are_served() {
     let (listener, _first) = pair().await;
     let address = listener.local_addr().expect("an address");
     let _second = std::net::TcpStream::connect(address).expect("a connection");
--- a/programs/balancer/tests/common/mod.rs
+++ b/programs/balancer/tests/common/mod.rs
@@ -86,16 +86,21 @@
     Some((head, body))
 }
 
-/// A balancer in front of one server, which answers by the path of a query and tells what it sees.
-pub struct Stand {
+/// A balancer in front of one server, which answers by the path of a query and reports what it receives.
+pub struct RunningBalancer {
+    /// Address of the balancer.
     pub listen: SocketAddr,
+    /// The process.
     pub program: Child,
+    /// Its log.
     pub log: BufReader<std::process::ChildStderr>,
+    /// What the server reports, such as the paths of requests.
     pub seen: Receiver<String>,
+    /// Releases an answer that the server holds back.
     pub release: Sender<()>,
 }
 
-impl Stand {
+impl RunningBalancer {
     pub fn new() -> Self {
         Self::with(60_000)
     }
@@ -105,27 +110,29 @@
         Self::with_arguments(longest, &[])
     }
 
+    /// Starts a balancer with command-line arguments.
     pub fn with_arguments(longest: u64, arguments: &[&str]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let (listen, server) = (free_address(), listener.local_addr().expect("an address"));
-        let (tell, seen) = channel();
+        let (report, seen) = channel();
         let (release, released) = channel();
         let released = Arc::new(Mutex::new(released));
         thread::spawn(move || {
             for socket in listener.incoming() {
-                let (tell, released) = (tell.clone(), Arc::clone(&released));
-                thread::spawn(move || serve(socket.expect("a connection"), &tell, &released));
+                let (report, released) = (report.clone(), Arc::clone(&released));
+                thread::spawn(move || serve(socket.expect("a connection"), &report, &released));
             }
         });
         let mut configuration = configuration(listen, server);
         configuration["settings"]["products"][0]["statementTimeoutNs"] = json!(longest * 1_000_000);
         let mut program = start_with(&configuration.to_string(), arguments);
         let log = BufReader::new(program.stderr.take().expect("piped"));
-        let mut stand = Stand { listen, program, log, seen, release };
-        stand.log_says("whinspindle start");
-        stand
+        let mut balancer = RunningBalancer { listen, program, log, seen, release };
+        balancer.log_says("whinspindle start");
+        balancer
     }
 
+    /// Reads the log up to a line that starts with `beginning`.
     pub fn log_says(&mut self, beginning: &str) {
         let mut line = String::new();
         while !line.starts_with(beginning) {
@@ -134,28 +141,30 @@
         }
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&self, name: &str) {
         let kill = Command::new("kill").args(["-s", name, &self.program.id().to_string()]).status();
         assert!(kill.expect("kill runs").success());
     }
 
+    /// Connects a client.
     pub fn connect(&self) -> BufReader<TcpStream> {
         BufReader::new(TcpStream::connect(self.listen).expect("a connection"))
     }
 }
 
-impl Drop for Stand {
+impl Drop for RunningBalancer {
     fn drop(&mut self) {
         let _ = self.program.kill();
         let _ = self.program.wait();
     }
 }
 
-pub fn serve(socket: TcpStream, tell: &Sender<String>, released: &Mutex<Receiver<()>>) {
+pub fn serve(socket: TcpStream, report: &Sender<String>, released: &Mutex<Receiver<()>>) {
     let mut socket = BufReader::new(socket);
     while let Some((head, body)) = message(&mut socket) {
         let path = head.split(' ').nth(1).unwrap_or_default().to_string();
-        let _ = tell.send(path.clone());
+        let _ = report.send(path.clone());
         let body = String::from_utf8_lossy(&body);
         let reply = match path.as_str() {
             "/served" => format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()),
@@ -173,7 +182,7 @@
         };
         let _ = socket.get_mut().write_all(reply.as_bytes());
     }
-    let _ = tell.send("end".to_string());
+    let _ = report.send("end".to_string());
 }
 
 pub fn post(path: &str, more: &str, body: &str) -> String {
--- a/programs/balancer/tests/fleet.rs
+++ b/programs/balancer/tests/fleet.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn changes_take_hold_everywhere_over_links_that_lose_delay_repeat_and_reorder() {
+fn changes_apply_everywhere_over_links_that_lose_delay_duplicate_and_reorder() {
     let (stand, referee) = running("links", 5);
     stand.relays.all(Way {
         cut: false,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn one_that_has_not_heard_of_the_founding_refuses_a_change_until_it_has() {
+fn a_member_refuses_changes_until_it_knows_of_the_bootstrap() {
     let mut stand = stand("unheard", 4);
     (0..3).for_each(|member| stand.start(member));
     let referee = Referee::new(&stand.listens);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn those_that_were_down_come_back_with_the_old_on_disk_and_never_decide_by_it() {
+fn restarted_members_never_decide_by_an_old_policy_on_disk() {
     let (mut stand, referee) = running("down", 5);
     proposed(&stand, 0, 11, 0);
     decide_by(&stand, &referee, &[0, 1, 2, 3, 4], 11);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn cut_off_and_stopped_processes_go_by_their_terms_and_a_change_waits_for_a_majority() {
+fn isolated_and_suspended_processes_keep_their_rules_and_a_change_waits_for_a_majority() {
     let (stand, referee) = running("cut", 5);
     proposed(&stand, 0, 11, 0);
     decide_by(&stand, &referee, &[0, 1, 2, 3, 4], 11);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn one_reasoned_no_makes_it_nowhere_and_an_operator_may_withdraw() {
+fn one_objection_prevents_a_change_everywhere_and_an_operator_may_withdraw() {
     let mut stand = stand("no", 3);
     // Less time than the policy's route gives.
     stand.statement_timeout_ms[2] = 3_000;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_voter_that_lost_its_disk_votes_again_as_another() {
+fn a_voter_that_lost_its_disk_votes_again_as_a_new_incarnation() {
     let (mut stand, referee) = running("disk", 3);
     proposed(&stand, 0, 11, 0);
     stand.kill(1);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn proposers_and_stewards_that_die_at_any_moment_leave_a_change_everywhere_or_nowhere() {
+fn crashes_of_proposers_and_leaders_apply_a_change_everywhere_or_nowhere() {
     let (mut stand, referee) = running("dies", 9);
     let mut last = 10;
     for (round, pause) in [0, 40, 120, 300, 700].into_iter().enumerate() {
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn supervisors_that_all_want_to_restart_at_once_take_turns_whatever_else_is_down() {
+fn concurrent_restarts_take_turns_whatever_else_is_down() {
     let (stand, _referee) = with_limits("turns", 5);
     let stand = std::sync::Mutex::new(stand);
     // Whose answer of yes was out, from when to when; the end is before the process starts again.
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn a_release_goes_in_waves_outlives_its_engine_halts_and_goes_back() {
+fn a_release_proceeds_in_waves_survives_its_leader_halts_and_rolls_back() {
     let (mut stand, referee) = with_limits("release", 5);
     let file = plan(&stand, "first", "[\"1\", \"60%\", \"100%\"]", "watch = \"1s\"\n");
     let told = stand.ask(2, &["release", "plan", &file]);
@@ -470,7 +470,7 @@
 }
 
 #[test]
-fn a_unit_that_comes_back_as_it_was_goes_again_and_all_may_die_in_the_middle() {
+fn an_unchanged_unit_goes_out_again_and_a_release_survives_a_restart_of_all() {
     let (mut stand, _referee) = with_limits("again", 3);
     // None of these processes is of that build.
     let file = plan(&stand, "other", "[\"1\", \"100%\"]", "watch = \"1s\"\nbuild = \"0123456789ab\"\n");
@@ -503,7 +503,7 @@
 }
 
 #[test]
-fn one_that_comes_back_without_a_list_has_it_from_those_that_stayed() {
+fn a_restarted_member_gets_the_list_from_other_balancers() {
     let (mut stand, _referee) = running("neighbours", 3);
     stand.until("all serve", || (0..3).all(|member| stand.health(member) == Some(200)));
     // Discovery is down all the while, and this one's disk is lost.
--- a/programs/balancer/tests/program.rs
+++ b/programs/balancer/tests/program.rs
@@ -13,8 +13,8 @@
 
 #[test]
 fn each_query_gets_its_answer() {
-    let stand = Stand::new();
-    let mut client = stand.connect();
+    let balancer = RunningBalancer::new();
+    let mut client = balancer.connect();
     let long = "x".repeat(64 * 1024);
     for (request, status, body) in [
         ("GET /healthz HTTP/1.1\r\nhost: n0\r\n\r\n".to_string(), "200", "ok\n"),
@@ -45,7 +45,7 @@
         ),
         (post("/served", &format!("x-long: {}\r\n", "x".repeat(100_000)), ""), "431"),
     ] {
-        let mut client = stand.connect();
+        let mut client = balancer.connect();
         // It may be answered, and its connection closed, before all of it is written.
         let _ = client.get_mut().write_all(request.as_bytes());
         assert_eq!(answer(&mut client).0, status);
@@ -53,24 +53,24 @@
 }
 
 #[test]
-fn the_id_of_an_open_query_is_refused_and_leaves_that_alone() {
-    let stand = Stand::new();
-    let mut clients = [stand.connect(), stand.connect()];
+fn the_id_of_an_open_request_is_refused_and_that_request_continues() {
+    let balancer = RunningBalancer::new();
+    let mut clients = [balancer.connect(), balancer.connect()];
     clients[0].get_mut().write_all(post("/waits", "", "").as_bytes()).expect("written");
-    stand.seen.iter().find(|seen| seen == "/waits").expect("the execution");
+    balancer.seen.iter().find(|seen| seen == "/waits").expect("the execution");
     clients[1].get_mut().write_all(post("/served", "", "").as_bytes()).expect("written");
     assert_eq!(answer(&mut clients[1]).0, "409");
-    stand.release.send(()).expect("released");
+    balancer.release.send(()).expect("released");
     assert_eq!(answer(&mut clients[0]).2, "late");
 }
 
 #[test]
 fn queries_without_an_end_are_ended() {
-    let stand = Stand::new();
+    let balancer = RunningBalancer::new();
     let body = post("/served", "", "four");
     let cases = [("", None), ("POST /served HT", None), (&body[..body.len() - 2], Some("408".to_string()))];
     let clients = cases.map(|(sent, status)| {
-        let mut client = stand.connect();
+        let mut client = balancer.connect();
         client.get_mut().write_all(sent.as_bytes()).expect("written");
         (client, status)
     });
@@ -85,71 +85,71 @@
 #[test]
 fn an_upstreams_own_refusal_never_reaches_the_client() {
     for (path, status) in [("/busy", "502"), ("/broken", "502")] {
-        let stand = Stand::new();
-        let mut client = stand.connect();
+        let balancer = RunningBalancer::new();
+        let mut client = balancer.connect();
         client.get_mut().write_all(post(path, "", "").as_bytes()).expect("written");
         assert_eq!(answer(&mut client).0, status, "{path}");
     }
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_execution() {
-    let stand = Stand::new();
-    let mut client = stand.connect();
+fn a_disconnect_ends_the_execution() {
+    let balancer = RunningBalancer::new();
+    let mut client = balancer.connect();
     client.get_mut().write_all(post("/hangs", "", "").as_bytes()).expect("written");
-    stand.seen.iter().find(|seen| seen == "/hangs").expect("the execution");
+    balancer.seen.iter().find(|seen| seen == "/hangs").expect("the execution");
     drop(client);
-    assert!(stand.seen.iter().any(|seen| seen == "end"));
+    assert!(balancer.seen.iter().any(|seen| seen == "end"));
 }
 
 #[test]
-fn told_to_stop_it_answers_what_is_in_hand_and_exits() {
-    let mut stand = Stand::with(5_000);
-    let (mut client, mut kept) = (stand.connect(), stand.connect());
+fn shutdown_answers_requests_in_flight_and_exits() {
+    let mut balancer = RunningBalancer::with(5_000);
+    let (mut client, mut kept) = (balancer.connect(), balancer.connect());
     client.get_mut().write_all(post("/waits", "", "").as_bytes()).expect("written");
-    stand.seen.iter().find(|seen| seen == "/waits").expect("the execution");
+    balancer.seen.iter().find(|seen| seen == "/waits").expect("the execution");
     kept.get_mut().write_all(post("/served", "", "").replace(": 1", ": 2").as_bytes()).expect("written");
     assert_eq!(answer(&mut kept).0, "200");
-    stand.signal("TERM");
-    stand.log_says("whinspindle stop: told");
+    balancer.signal("TERM");
+    balancer.log_says("whinspindle stop: told");
     kept.get_mut().write_all(b"GET /healthz HTTP/1.1\r\nhost: n0\r\n\r\n").expect("written");
     assert_eq!(answer(&mut kept).0, "503");
     // Who is connected is served until half of the time is over, then parted with.
     kept.get_mut().write_all(post("/served", "", "kept").replace(": 1", ": 2").as_bytes()).expect("written");
     assert_eq!(answer(&mut kept), ("200".to_string(), false, "kept".to_string()));
     assert!(message(&mut kept).is_none());
-    stand.release.send(()).expect("released");
+    balancer.release.send(()).expect("released");
     assert_eq!(answer(&mut client), ("200".to_string(), true, "late".to_string()));
-    stand.log_says("whinspindle stop: all");
-    assert!(stand.program.wait().expect("it ends").success());
+    balancer.log_says("whinspindle stop: all");
+    assert!(balancer.program.wait().expect("it ends").success());
 }
 
 #[test]
-fn told_to_stop_it_answers_also_those_with_more_patience_than_it_has_time() {
-    let mut stand = Stand::new();
-    let mut client = stand.connect();
+fn shutdown_answers_also_requests_whose_deadlines_are_later() {
+    let mut balancer = RunningBalancer::new();
+    let mut client = balancer.connect();
     client.get_mut().write_all(post("/waits", "", "").as_bytes()).expect("written");
-    stand.seen.iter().find(|seen| seen == "/waits").expect("the execution");
-    stand.signal("TERM");
+    balancer.seen.iter().find(|seen| seen == "/waits").expect("the execution");
+    balancer.signal("TERM");
     assert_eq!(answer(&mut client).0, "504");
-    stand.log_says("whinspindle stop: all");
-    assert!(stand.program.wait().expect("it ends").success());
+    balancer.log_says("whinspindle stop: all");
+    assert!(balancer.program.wait().expect("it ends").success());
 }
 
 #[test]
-fn told_to_stop_it_ends_though_nobody_reads_its_log() {
-    let mut stand = Stand::with(100);
-    let unread = std::mem::replace(&mut stand.log, BufReader::new(empty_log()));
+fn shutdown_ends_though_nobody_reads_the_log() {
+    let mut balancer = RunningBalancer::with(100);
+    let unread = std::mem::replace(&mut balancer.log, BufReader::new(empty_log()));
     drop(unread);
-    let mut client = stand.connect();
+    let mut client = balancer.connect();
     client.get_mut().write_all(post("/served", "x-expires-in-ms: soon\r\n", "").as_bytes()).expect("written");
     assert_eq!(answer(&mut client).0, "400");
     drop(client);
-    stand.signal("TERM");
+    balancer.signal("TERM");
     // A stop takes under a second here; a minute is for a machine that is busy.
     let ended = (0..600).any(|_| {
         thread::sleep(std::time::Duration::from_millis(100));
-        matches!(stand.program.try_wait(), Ok(Some(status)) if status.success())
+        matches!(balancer.program.try_wait(), Ok(Some(status)) if status.success())
     });
     assert!(ended, "it goes on, though it was told to stop");
 }
@@ -163,12 +163,12 @@
 
 #[test]
 fn a_new_configuration_moves_discovery_and_keeps_all_else() {
-    let mut stand = Stand::new();
-    let mut client = stand.connect();
+    let mut balancer = RunningBalancer::new();
+    let mut client = balancer.connect();
     client.get_mut().write_all(post("/waits", "", "").as_bytes()).expect("written");
-    stand.seen.iter().find(|seen| seen == "/waits").expect("the execution");
+    balancer.seen.iter().find(|seen| seen == "/waits").expect("the execution");
     let next = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let moved = configuration(stand.listen, next.local_addr().expect("an address"));
+    let moved = configuration(balancer.listen, next.local_addr().expect("an address"));
     let mut larger = moved.clone();
     larger["limits"]["sockets"] = json!(2048);
     let next = thread::spawn(move || message(&mut BufReader::new(next.accept().expect("a watch").0)));
@@ -178,12 +178,12 @@
         (larger.to_string(), "whinspindle reload: only discovery"),
     ] {
         write(&text);
-        stand.signal("HUP");
-        stand.log_says(says);
+        balancer.signal("HUP");
+        balancer.log_says(says);
     }
     let (head, _) = next.join().expect("no panic").expect("a request");
     assert!(head.starts_with("GET /v1/servers?watch=1 "), "{head}");
-    stand.release.send(()).expect("released");
+    balancer.release.send(()).expect("released");
     assert_eq!(answer(&mut client), ("200".to_string(), false, "late".to_string()));
     client.get_mut().write_all(post("/served", "", "four").as_bytes()).expect("written");
     assert_eq!(answer(&mut client).2, "four");
@@ -259,8 +259,8 @@
 #[test]
 fn a_route_sets_the_time_and_the_largest_body() {
     let file = write_operator(BRIEF).display().to_string();
-    let stand = Stand::with_arguments(60_000, &["run", "--operator", &file]);
-    let mut client = stand.connect();
+    let balancer = RunningBalancer::with_arguments(60_000, &["run", "--operator", &file]);
+    let mut client = balancer.connect();
     for (request, status) in [
         (post("/served", "", "four"), "200"),
         // Without the route this would hang for a minute; the products' scope is the pod, so that it is an
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn a_file_with_faults_is_told_in_full_and_the_program_does_not_start() {
+fn an_invalid_operator_file_shows_every_fault_and_prevents_the_start() {
     let file =
         write_operator("[[route]]\nname = \"r\"\ntime = \"2h\"\nexecutions = 9\n").display().to_string();
     let text = configuration(free_address(), free_address()).to_string();
@@ -291,10 +291,10 @@
 #[test]
 fn reloads_under_load_lose_nothing_and_a_bad_file_changes_nothing() {
     let file = write_operator(BRIEF).display().to_string();
-    let mut stand = Stand::with_arguments(60_000, &["run", "--operator", &file]);
-    let (mut client, mut held) = (stand.connect(), stand.connect());
+    let mut balancer = RunningBalancer::with_arguments(60_000, &["run", "--operator", &file]);
+    let (mut client, mut held) = (balancer.connect(), balancer.connect());
     held.get_mut().write_all(post("/waits", "", "").as_bytes()).expect("written");
-    stand.seen.iter().find(|seen| seen == "/waits").expect("the execution");
+    balancer.seen.iter().find(|seen| seen == "/waits").expect("the execution");
     let mut served = 0;
     for round in 0..60 {
         let text = match round % 3 {
@@ -303,7 +303,7 @@
             _ => BRIEF.to_string(),
         };
         write_operator(&text);
-        stand.signal("HUP");
+        balancer.signal("HUP");
         for _ in 0..5 {
             let request = post("/served", "", "four").replace("x-trace-id: 1", "x-trace-id: 2");
             client.get_mut().write_all(request.as_bytes()).expect("written");
@@ -314,13 +314,13 @@
     // The last good one holds though a bad one follows it.
     thread::sleep(std::time::Duration::from_millis(1200));
     write_operator("[[route]]\n");
-    stand.signal("HUP");
-    stand.log_says("whinspindle reload: the operator's file stays as it was");
+    balancer.signal("HUP");
+    balancer.log_says("whinspindle reload: the operator's file stays as it was");
     let request = post("/served", "", "five5").replace("x-trace-id: 1", "x-trace-id: 3");
     client.get_mut().write_all(request.as_bytes()).expect("written");
     assert_eq!(answer(&mut client).0, "413");
     // What was in hand all the time keeps its own.
-    stand.release.send(()).expect("released");
+    balancer.release.send(()).expect("released");
     assert_eq!(answer(&mut held).2, "late");
 }
 
@@ -331,7 +331,7 @@
     let keep = format!("[keep]\nfolder = {:?}\nfresh = \"20s\"\n", folder.display().to_string());
     let file = write_operator(&keep).display().to_string();
     let arguments = ["run", "--operator", &file];
-    let mut stand = Stand::with_arguments(60_000, &arguments);
+    let mut balancer = RunningBalancer::with_arguments(60_000, &arguments);
     let kept =
         || whinspindle_record_store::RecordStore::open(&folder).ok().and_then(|store| store.read("list"));
     let is_kept = (0..600).any(|_| {
@@ -341,8 +341,8 @@
     assert!(is_kept, "nothing is kept");
     // It holds the folder for itself; killed, it leaves what it had.
     assert!(kept().is_none());
-    let _ = stand.program.kill();
-    let _ = stand.program.wait();
+    let _ = balancer.program.kill();
+    let _ = balancer.program.wait();
     let saved = kept().expect("a list");
     let later = |seconds: u64| {
         let ages = whinspindle_endpoint_cache::Ages { fresh: 0, old: 1 };
@@ -368,12 +368,12 @@
         without["known"] = Value::Null;
         let mut program = start_with(&without.to_string(), &arguments);
         let log = BufReader::new(program.stderr.take().expect("piped"));
-        let mut stand = Stand { listen, program, log, seen: channel().1, release: channel().0 };
+        let mut balancer = RunningBalancer { listen, program, log, seen: channel().1, release: channel().0 };
         if !says.is_empty() {
-            stand.log_says(&format!("whinspindle keep: {says}"));
+            balancer.log_says(&format!("whinspindle keep: {says}"));
         }
-        stand.log_says("whinspindle start");
-        let mut client = stand.connect();
+        balancer.log_says("whinspindle start");
+        let mut client = balancer.connect();
         client.get_mut().write_all(b"GET /healthz HTTP/1.1\r\nhost: n0\r\n\r\n").expect("written");
         assert_eq!(answer(&mut client).0, health, "{says}");
     }
--- a/programs/balancer/tests/races.rs
+++ b/programs/balancer/tests/races.rs
@@ -141,7 +141,7 @@
 const SERVED: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
 
 #[test]
-fn a_drain_that_comes_in_the_first_moment_of_a_process_counts_for_its_first_query() {
+fn a_drain_right_after_the_start_counts_for_the_first_request() {
     let ((old, at_old), (new, at_new), (discovery, at_discovery)) = (listener(), listener(), listener());
     let listen = free_address();
     let mut told = configuration(listen, at_old);
@@ -189,24 +189,24 @@
 
 #[test]
 fn signals_that_come_again_or_in_a_stop_change_nothing() {
-    let mut stand = Stand::with(5_000);
-    let mut client = stand.connect();
+    let mut balancer = RunningBalancer::with(5_000);
+    let mut client = balancer.connect();
     client.get_mut().write_all(post("/waits", "", "").as_bytes()).expect("written");
-    stand.seen.iter().find(|seen| seen == "/waits").expect("the execution");
-    stand.signal("TERM");
-    stand.log_says("whinspindle stop: told");
+    balancer.seen.iter().find(|seen| seen == "/waits").expect("the execution");
+    balancer.signal("TERM");
+    balancer.log_says("whinspindle stop: told");
     for name in ["TERM", "HUP", "INT", "TERM"] {
-        stand.signal(name);
+        balancer.signal(name);
     }
-    stand.log_says("whinspindle reload: the configuration is read again");
-    stand.release.send(()).expect("released");
+    balancer.log_says("whinspindle reload: the configuration is read again");
+    balancer.release.send(()).expect("released");
     assert_eq!(answer(&mut client).2, "late");
-    stand.log_says("whinspindle stop: all");
-    assert!(stand.program.wait().expect("it ends").success());
+    balancer.log_says("whinspindle stop: all");
+    assert!(balancer.program.wait().expect("it ends").success());
 }
 
 #[test]
-fn told_to_stop_before_there_is_a_list_it_answers_and_ends() {
+fn shutdown_before_the_first_list_answers_and_ends() {
     let (_silent, at_discovery) = listener();
     let listen = free_address();
     let mut told = configuration(listen, at_discovery);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_process_waits_for_the_one_before_it_also_while_it_is_told_to_reload() {
+fn a_process_waits_for_its_predecessor_also_during_a_reload() {
     let (before, listen) = listener();
     let ((_server, at_server), (_discovery, at_discovery)) = (listener(), listener());
     let mut told = configuration(listen, at_server);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_stop_is_heard_while_the_address_is_still_taken() {
+fn shutdown_works_while_the_address_is_still_taken() {
     let (_before, listen) = listener();
     let running = Running(start(&configuration(listen, listen).to_string()));
     running.catches_hangups();
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
+fn a_retry_whose_connection_opens_after_the_window_is_not_sent() {
     let ((first, at_first), (discovery, at_discovery)) = (listener(), listener());
     let (late, at_late, queued) = full();
     let listen = free_address();
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn for_a_client_that_leaves_while_a_connection_is_made_nothing_is_sent() {
+fn nothing_is_sent_if_the_client_disconnects_while_connecting() {
     let (discovery, at_discovery) = listener();
     let (late, at_late, queued) = full();
     let listen = free_address();
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_query_unsafe_to_repeat_goes_again_only_where_it_surely_never_ran() {
+fn a_non_idempotent_request_is_retried_only_if_it_surely_never_ran() {
     // What the first server does with it, and the answer.
     for (turns_away, status) in [(true, "200"), (false, "502")] {
         let ((first, at_first), (second, at_second), (discovery, at_discovery)) =
