--- a/programs/balancer/src/fleet/requests.rs
+++ b/programs/balancer/src/fleet/requests.rs
@@ -1,4 +1,4 @@
-//! What operators and supervisors ask for on the control socket.
+//! Handles the requests of operators and supervisors from the control socket.
 
 use std::collections::BTreeSet;
 
@@ -6,108 +6,131 @@
 use whinspindle_fleet_policy::{Environment, Hash, MAX_TEXT_BYTES, No, RequestKind, Right, Unit};
 use whinspindle_rollout::Way;
 
-use super::worker::{Worker, shortened};
+use super::worker::{Worker, truncated};
 use crate::control::{Answer, Request};
 
 impl Worker {
-    /// Answers one request; what it begins goes on in the member.
+    /// Answers one request; whatever it starts continues in the member.
     pub(super) fn serve(&mut self, request: Request) -> Answer {
         let now = self.clock.now();
-        let serial = || rand::random::<u64>();
-        let record = self.member.record();
         match request {
             Request::Status => Ok(self.status(now)),
-            Request::Found { anew: false, .. } if record.bootstrap_id != 0 => {
-                Err("the fleet is founded already".to_string())
-            }
-            Request::Found { anew: true, .. } if record.bootstrap_id == 0 => {
-                Err("nothing is known here of a founding before; ask at a member that remembers".to_string())
-            }
-            Request::Found { anew: true, .. } if matches!(self.member.right(now), Right::Policy(_)) => {
-                Err("a majority of the voters answers: nothing is to be founded anew".to_string())
-            }
-            Request::Found { anew: true, sure: false } => {
-                Ok(json!({"begun": false, "known": self.status(now)}))
-            }
-            Request::Found { .. } => {
-                let epoch = record.epoch();
-                self.member.found(now, serial());
-                Ok(json!({"begun": true, "epoch": epoch}))
-            }
-            Request::Propose { .. } | Request::Withdraw { .. } if record.bootstrap_id == 0 => {
-                Err("the fleet is not founded: whinspindle fleet found".to_string())
-            }
-            Request::Propose { text, length, hash } => {
-                if !is_whole(&text, length, &hash) {
-                    return Err("the text did not come whole".to_string());
-                }
-                if text.len() > MAX_TEXT_BYTES {
-                    return Err(format!("{} bytes; a policy has {MAX_TEXT_BYTES} at most", text.len()));
-                }
-                // What can't be proved here is not proposed to others.
-                if let Err(faults) = whinspindle_operator_file::read_policy(&text, &self.deployment) {
-                    let drawn = whinspindle_operator_file::draw("the policy", &text, &faults);
-                    return Err(format!("{} faults\n{drawn}", faults.len()));
-                }
-                if let Some(change) = record.next {
-                    return Err(format!("policy {} is under way; withdraw it or wait", change.policy.number));
-                }
-                let request_id = self.member.propose(now, text.as_bytes(), serial());
-                Ok(json!({"by": request_id.by, "serial": request_id.serial}))
-            }
+            Request::Found { anew, sure } => self.bootstrap(now, anew, sure),
+            Request::Propose { text, length, hash } => self.propose(now, &text, length, &hash),
+            Request::Withdraw { number } => self.withdraw(now, number),
             Request::Out { unit, serial, release } => self.ask_out(now, unit, serial, release),
-            Request::Back { unit, .. } if record.out_as(unit).is_none() => {
+            Request::Back { unit, .. } if self.member.record().out_as(unit).is_none() => {
                 Err("it is not let out".to_string())
             }
-            Request::Back { unit, done } => {
-                self.member.submit(now, RequestKind::Back { unit, done }, serial());
-                Ok(json!({"begun": true}))
-            }
+            Request::Back { unit, done } => self.submit(now, RequestKind::Back { unit, done }),
             Request::Release { text, length, hash } => self.begin_release(now, &text, length, &hash),
-            Request::Turn | Request::Leave => {
-                let Some(release) = &record.release else {
-                    return Err("no release is under way".to_string());
-                };
-                let number = release.number;
-                let turn = matches!(request, Request::Turn);
-                if turn && release.way == Way::Back {
-                    return Err(format!("release {number} is on its way back already"));
-                }
-                let request = if turn { RequestKind::Turn { number } } else { RequestKind::Leave { number } };
-                self.member.submit(now, request, serial());
-                Ok(json!({"number": number}))
-            }
-            Request::Halt { why } => {
-                self.member.submit(now, RequestKind::Halt { why: shortened(why) }, serial());
-                Ok(json!({"begun": true}))
-            }
-            Request::Resume => {
-                self.member.submit(now, RequestKind::Resume, serial());
-                Ok(json!({"begun": true}))
-            }
-            Request::Voters { old, new } => {
-                let votes =
-                    |member: u16| record.voter_sets.iter().flatten().any(|voter| voter.member == member);
-                if !votes(old) {
-                    return Err(format!("member {old} does not vote"));
-                }
-                if votes(new) || new >= self.member.settings().members {
-                    return Err(format!("member {new} votes already, or there is no such member"));
-                }
-                self.member.submit(now, RequestKind::Voters { old, new }, serial());
-                Ok(json!({"begun": true}))
-            }
-            Request::Withdraw { number } => {
-                if record.next.is_none_or(|change| change.policy.number != number) {
-                    return Err(format!("policy {number} is not under way"));
-                }
-                let request_id = self.member.withdraw(now, number, serial());
-                Ok(json!({"by": request_id.by, "serial": request_id.serial}))
-            }
+            Request::Turn => self.turn_release(now),
+            Request::Leave => self.leave_release(now),
+            Request::Halt { why } => self.submit(now, RequestKind::Halt { why: truncated(why) }),
+            Request::Resume => self.submit(now, RequestKind::Resume),
+            Request::Voters { old, new } => self.replace_voter(now, old, new),
+        }
+    }
+
+    /// Submits a request to the voters under a new serial number.
+    fn submit(&mut self, now: u64, request: RequestKind) -> Answer {
+        self.member.submit(now, request, rand::random());
+        Ok(json!({"begun": true}))
+    }
+
+    /// Bootstraps the fleet. With `anew` it is done again after most voters lost their stores, and unless `sure`
+    /// only the known state is returned.
+    fn bootstrap(&mut self, now: u64, anew: bool, sure: bool) -> Answer {
+        let record = self.member.record();
+        let is_bootstrapped = record.bootstrap_id != 0;
+        if is_bootstrapped && !anew {
+            return Err("the fleet is founded already".to_string());
+        }
+        if anew && !is_bootstrapped {
+            return Err(
+                "nothing is known here of a founding before; ask at a member that remembers".to_string()
+            );
+        }
+        if anew && matches!(self.member.right(now), Right::Policy(_)) {
+            return Err("a majority of the voters answers: nothing is to be founded anew".to_string());
+        }
+        if anew && !sure {
+            return Ok(json!({"begun": false, "known": self.status(now)}));
+        }
+        let epoch = record.epoch();
+        self.member.found(now, rand::random());
+        Ok(json!({"begun": true, "epoch": epoch}))
+    }
+
+    fn propose(&mut self, now: u64, text: &str, length: usize, hash: &str) -> Answer {
+        let record = self.member.record();
+        if record.bootstrap_id == 0 {
+            return Err("the fleet is not founded: whinspindle fleet found".to_string());
+        }
+        if !is_complete(text, length, hash) {
+            return Err("the text did not come whole".to_string());
+        }
+        if text.len() > MAX_TEXT_BYTES {
+            return Err(format!("{} bytes; a policy has {MAX_TEXT_BYTES} at most", text.len()));
+        }
+        // A policy that is invalid here is not proposed to others.
+        if let Err(faults) = whinspindle_operator_file::read_policy(text, &self.deployment) {
+            let drawn = whinspindle_operator_file::draw("the policy", text, &faults);
+            return Err(format!("{} faults\n{drawn}", faults.len()));
+        }
+        if let Some(change) = record.next {
+            return Err(format!("policy {} is under way; withdraw it or wait", change.policy.number));
+        }
+        let request_id = self.member.propose(now, text.as_bytes(), rand::random());
+        Ok(json!({"by": request_id.by, "serial": request_id.serial}))
+    }
+
+    fn withdraw(&mut self, now: u64, number: u64) -> Answer {
+        let record = self.member.record();
+        if record.bootstrap_id == 0 {
+            return Err("the fleet is not founded: whinspindle fleet found".to_string());
+        }
+        if record.next.is_none_or(|change| change.policy.number != number) {
+            return Err(format!("policy {number} is not under way"));
+        }
+        let request_id = self.member.withdraw(now, number, rand::random());
+        Ok(json!({"by": request_id.by, "serial": request_id.serial}))
+    }
+
+    fn turn_release(&mut self, now: u64) -> Answer {
+        let Some(release) = &self.member.record().release else {
+            return Err("no release is under way".to_string());
+        };
+        let number = release.number;
+        if release.way == Way::Back {
+            return Err(format!("release {number} is on its way back already"));
+        }
+        self.member.submit(now, RequestKind::Turn { number }, rand::random());
+        Ok(json!({"number": number}))
+    }
+
+    fn leave_release(&mut self, now: u64) -> Answer {
+        let Some(release) = &self.member.record().release else {
+            return Err("no release is under way".to_string());
+        };
+        let number = release.number;
+        self.member.submit(now, RequestKind::Leave { number }, rand::random());
+        Ok(json!({"number": number}))
+    }
+
+    fn replace_voter(&mut self, now: u64, old: u16, new: u16) -> Answer {
+        let record = self.member.record();
+        let votes = |member: u16| record.voter_sets.iter().flatten().any(|voter| voter.member == member);
+        if !votes(old) {
+            return Err(format!("member {old} does not vote"));
+        }
+        if votes(new) || new >= self.member.settings().members {
+            return Err(format!("member {new} votes already, or there is no such member"));
         }
+        self.submit(now, RequestKind::Voters { old, new })
     }
 
-    /// A supervisor asks whether it may take a unit out; the answer may have been lost, so it may ask again.
+    /// Answers whether a supervisor may take a unit out. Idempotent by serial number, since an answer may be lost.
     fn ask_out(&mut self, now: u64, unit: Unit, serial: u64, release: Option<u64>) -> Answer {
         let record = self.member.record();
         if let Some(out) = record.out_as(unit) {
@@ -117,7 +140,7 @@
                 false => Err("it is let out already, by another's wish".to_string()),
             };
         }
-        // By whichever member it was asked.
+        // The earlier request may have gone through any member.
         if record.done.iter().any(|request_id| request_id.serial == serial) {
             return Err("this wish was granted, and its unit is back: ask with another word".to_string());
         }
@@ -133,7 +156,7 @@
                 _ => Err(no.to_string()),
             };
         }
-        // The leader decides; what this balancer sees is told as the likely reason.
+        // The leader decides; the local view gives the likely reason for the wait.
         let waits = match self.member.environment.may_go(record, unit, &BTreeSet::new()) {
             Err(no @ (No::NoLimit | No::Unknown)) => return Err(no.to_string()),
             Err(no) => no.to_string(),
@@ -148,7 +171,7 @@
         if record.bootstrap_id == 0 {
             return Err("the fleet is not founded: whinspindle fleet found".to_string());
         }
-        if !is_whole(text, length, hash) || length > MAX_TEXT_BYTES {
+        if !is_complete(text, length, hash) || length > MAX_TEXT_BYTES {
             return Err(format!("the text did not come whole, or is longer than {MAX_TEXT_BYTES} bytes"));
         }
         if let Some(release) = &record.release {
@@ -158,7 +181,7 @@
         let plan = whinspindle_operator_file::read_plan(text, Some(members)).map_err(|faults| {
             format!("{} faults\n{}", faults.len(), whinspindle_operator_file::draw("the plan", text, &faults))
         })?;
-        // A release that could never begin is refused now, not found out later.
+        // A release that could never begin is rejected at once.
         for unit in &plan.units {
             if let Err(no @ (No::NoLimit | No::Unknown)) =
                 self.member.environment.may_go(record, *unit, &BTreeSet::new())
@@ -174,7 +197,7 @@
     }
 }
 
-/// Whether a text has come as it was sent.
-fn is_whole(text: &str, length: usize, hash: &str) -> bool {
+/// Whether a text was received completely.
+fn is_complete(text: &str, length: usize, hash: &str) -> bool {
     text.len() == length && Hash::of(text.as_bytes()).to_string() == hash
 }
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -1,4 +1,4 @@
-//! `whinspindle fleet`: speaks to a running balancer over its control socket.
+//! The `whinspindle fleet` commands, which talk to a running balancer over its control socket.
 
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -14,23 +14,24 @@
 use crate::command;
 use crate::control::{self, Request};
 
-/// Between two looks at how far a change is.
-const LOOK: Duration = Duration::from_millis(100);
-/// A change that ended otherwise than wished, and one that has not ended in the time waited.
-const OTHERWISE: u8 = 1;
-const WAITING: u8 = 3;
+/// Interval at which the progress of a change is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Exit code of a change that ended otherwise than intended.
+const EXIT_OTHER_OUTCOME: u8 = 1;
+/// Exit code of a change that is still pending after the time waited.
+const EXIT_PENDING: u8 = 3;
 
 #[derive(Args)]
-pub struct FleetLine {
+pub struct FleetArguments {
     /// The control socket of a running balancer, as its operator's file names it
     #[arg(long, value_hint = ValueHint::FilePath)]
     socket: PathBuf,
     #[command(subcommand)]
-    what: What,
+    what: FleetAction,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum FleetAction {
     /// What is agreed, by what this balancer decides, and, from a voter, how each balancer stands
     Status {
         #[arg(long)]
@@ -85,7 +86,7 @@
     /// Units changed in waves, each watched before the next
     Release {
         #[command(subcommand)]
-        what: ReleaseWhat,
+        what: ReleaseAction,
     },
     /// Nothing is let out any more until it is resumed
     Halt {
@@ -112,7 +113,7 @@
 }
 
 #[derive(Subcommand)]
-enum ReleaseWhat {
+enum ReleaseAction {
     /// What a plan would do, told without doing it. Exit 0 well, 2 faults
     Plan {
         #[arg(value_hint = ValueHint::FilePath)]
@@ -152,10 +153,11 @@
     wait: u64,
 }
 
-pub fn run(line: &FleetLine) -> Result<ExitCode, String> {
-    let ask = |request: &Request| control::ask(&line.socket, request)?;
+/// Runs one command.
+pub fn run(line: &FleetArguments) -> Result<ExitCode, String> {
+    let ask = |request: &Request| control::ask(&line.socket, request).map_err(|fault| fault.to_string())?;
     match &line.what {
-        What::Status { json } => {
+        FleetAction::Status { json } => {
             let status = ask(&Request::Status)?;
             if *json {
                 println!("{status}")
@@ -164,70 +166,94 @@
             }
             Ok(ExitCode::SUCCESS)
         }
-        What::History => {
+        FleetAction::History => {
             let status = ask(&Request::Status)?;
             status["past"].as_array().into_iter().flatten().for_each(|past| println!("{}", past_line(past)));
             Ok(ExitCode::SUCCESS)
         }
-        What::Found { anew, sure, wait } => {
-            let begun = ask(&Request::Found { anew: *anew, sure: *sure })?;
-            if begun["begun"] != true {
-                print!("{}", table(&begun["known"]));
-                println!(
-                    "nothing is done; --sure founds the fleet anew from this, and what others knew is lost"
-                );
-                return Ok(ExitCode::from(OTHERWISE));
-            }
-            let before = begun["epoch"].as_u64();
-            waited(wait, ask, |status| {
-                let founded = status["epoch"].as_u64() > before;
-                founded.then(|| ("the fleet is founded".to_string(), 0))
-            })
-        }
-        What::Propose { file, wait } => {
-            let (text, length, hash) = with_hash(file)?;
-            let wish = ask(&Request::Propose { text, length, hash })?;
-            waited(wait, ask, |status| {
-                let past = status["past"].as_array()?;
-                let past = past.iter().find(|past| past["serial"] == wish["serial"])?;
-                Some((past_line(past), if past["fate"] == "in force" { 0 } else { OTHERWISE }))
-            })
-        }
-        What::Out { unit, word, release, wait } => out(unit, word, *release, wait, ask),
-        What::Release { what } => release(what, ask),
-        What::Back { unit: text, unchanged } => {
+        FleetAction::Found { anew, sure, wait } => bootstrap(*anew, *sure, wait, ask),
+        FleetAction::Propose { file, wait } => propose(file, wait, ask),
+        FleetAction::Out { unit, word, release, wait } => out(unit, word, *release, wait, ask),
+        FleetAction::Release { what } => release(what, ask),
+        FleetAction::Back { unit: text, unchanged } => {
             ask(&Request::Back { unit: unit(text)?, done: !unchanged })?;
             Ok(ExitCode::SUCCESS)
         }
-        What::Halt { why, wait } => {
+        FleetAction::Halt { why, wait } => {
             ask(&Request::Halt { why: why.clone() })?;
             waited(wait, ask, |status| status["halted"].is_object().then(|| ("halted".to_string(), 0)))
         }
-        What::Resume { wait } => {
+        FleetAction::Resume { wait } => {
             ask(&Request::Resume)?;
             waited(wait, ask, |status| status["halted"].is_null().then(|| ("resumed".to_string(), 0)))
         }
-        What::Voter { old, new, wait } => {
-            ask(&Request::Voters { old: *old, new: *new })?;
-            waited(wait, ask, |status| {
-                let voters = status["voters"].as_array()?;
-                let votes = |member: &u16| voters.iter().any(|voter| *voter == *member);
-                // While both voter_sets vote, the old one is still named.
-                (votes(new) && !votes(old)).then(|| (format!("member {new} votes in place of {old}"), 0))
-            })
-        }
-        What::Withdraw { number, wait } => {
-            ask(&Request::Withdraw { number: *number })?;
-            waited(wait, ask, |status| {
-                let past = status["past"].as_array()?;
-                let past = past.iter().find(|past| past["number"] == *number)?;
-                Some((past_line(past), if past["fate"] == "withdrawn" { 0 } else { OTHERWISE }))
-            })
-        }
+        FleetAction::Voter { old, new, wait } => replace_voter(*old, *new, wait, ask),
+        FleetAction::Withdraw { number, wait } => withdraw(*number, wait, ask),
+    }
+}
+
+fn bootstrap(
+    anew: bool,
+    sure: bool,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    let begun = ask(&Request::Found { anew, sure })?;
+    if begun["begun"] != true {
+        print!("{}", table(&begun["known"]));
+        println!("nothing is done; --sure founds the fleet anew from this, and what others knew is lost");
+        return Ok(ExitCode::from(EXIT_OTHER_OUTCOME));
     }
+    let before = begun["epoch"].as_u64();
+    waited(wait, ask, |status| {
+        let founded = status["epoch"].as_u64() > before;
+        founded.then(|| ("the fleet is founded".to_string(), 0))
+    })
+}
+
+fn propose(
+    file: &Path,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    let (text, length, hash) = with_hash(file)?;
+    let proposed = ask(&Request::Propose { text, length, hash })?;
+    waited(wait, ask, |status| {
+        let past = status["past"].as_array()?;
+        let past = past.iter().find(|past| past["serial"] == proposed["serial"])?;
+        Some((past_line(past), if past["fate"] == "in force" { 0 } else { EXIT_OTHER_OUTCOME }))
+    })
+}
+
+fn replace_voter(
+    old: u16,
+    new: u16,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    ask(&Request::Voters { old, new })?;
+    waited(wait, ask, |status| {
+        let voters = status["voters"].as_array()?;
+        let votes = |member: u16| voters.iter().any(|voter| *voter == member);
+        // While both voter sets vote, the old voter is still named.
+        (votes(new) && !votes(old)).then(|| (format!("member {new} votes in place of {old}"), 0))
+    })
 }
 
-/// A file's text, with its length and hash by which the balancer tells whether it came whole.
+fn withdraw(
+    number: u64,
+    wait: &Wait,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    ask(&Request::Withdraw { number })?;
+    waited(wait, ask, |status| {
+        let past = status["past"].as_array()?;
+        let past = past.iter().find(|past| past["number"] == number)?;
+        Some((past_line(past), if past["fate"] == "withdrawn" { 0 } else { EXIT_OTHER_OUTCOME }))
+    })
+}
+
+/// A file's text, with the length and hash by which the balancer verifies that it is complete.
 fn with_hash(file: &Path) -> Result<(String, usize, String), String> {
     let text = command::text(file)?;
     let (length, hash) = (text.len(), Hash::of(text.as_bytes()).to_string());
@@ -239,7 +265,7 @@
         .ok_or_else(|| format!("{text:?} is no unit: balancer:NUMBER or server:ID"))
 }
 
-/// Asks until it is granted, refused or the time is over.
+/// Asks repeatedly until the request is granted, refused or timed out.
 fn out(
     text: &str,
     word: &str,
@@ -263,37 +289,23 @@
         }
         if let Some(why) = answer["halted"].as_str() {
             println!("halted: {why}");
-            return Ok(ExitCode::from(OTHERWISE));
+            return Ok(ExitCode::from(EXIT_OTHER_OUTCOME));
         }
         if Instant::now() >= until {
             println!("not yet: {}", answer["waits"].as_str().unwrap_or_default());
-            return Ok(ExitCode::from(WAITING));
+            return Ok(ExitCode::from(EXIT_PENDING));
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
 
-fn release(what: &ReleaseWhat, ask: impl Fn(&Request) -> Result<Value, String>) -> Result<ExitCode, String> {
+fn release(
+    what: &ReleaseAction,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
     match what {
-        ReleaseWhat::Plan { file } => {
-            let text = command::text(file)?;
-            let plan = match read_plan(&text, None) {
-                Ok(plan) => plan,
-                Err(faults) => return Err(draw(&file.display().to_string(), &text, &faults)),
-            };
-            let mut from = 0;
-            for (wave, to) in plan.waves.iter().enumerate() {
-                println!(
-                    "wave {}: {}, then watched for {} s",
-                    wave + 1,
-                    plan.names[from..*to].join(" "),
-                    plan.watch / 1_000_000
-                );
-                from = *to;
-            }
-            Ok(ExitCode::SUCCESS)
-        }
-        ReleaseWhat::Start { file, wait } => {
+        ReleaseAction::Plan { file } => show_plan(file),
+        ReleaseAction::Start { file, wait } => {
             let (text, length, hash) = with_hash(file)?;
             let wish = ask(&Request::Release { text, length, hash })?;
             waited(wait, ask, |status| {
@@ -301,32 +313,8 @@
                 (now["serial"] == wish["serial"]).then(|| (format!("release {}", now["number"]), 0))
             })
         }
-        ReleaseWhat::Status { json, wait } => {
-            let until = Instant::now() + Duration::from_secs(*wait);
-            loop {
-                let status = ask(&Request::Status)?;
-                let halted = status["halted"].is_object() && status["release"]["now"]["way"] == "forth";
-                let over = status["release"]["now"].is_null();
-                if !halted && !over && Instant::now() < until {
-                    sleep(LOOK);
-                    continue;
-                }
-                if *json {
-                    println!("{}", status["release"])
-                } else {
-                    print!("{}", release_table(&status))
-                }
-                let code = if over {
-                    0
-                } else if halted {
-                    OTHERWISE
-                } else {
-                    WAITING
-                };
-                return Ok(ExitCode::from(code));
-            }
-        }
-        ReleaseWhat::Back { wait } => {
+        ReleaseAction::Status { json, wait } => release_status(*json, *wait, ask),
+        ReleaseAction::Back { wait } => {
             let number = ask(&Request::Turn)?["number"].clone();
             waited(wait, ask, |status| {
                 let now = &status["release"]["now"];
@@ -334,7 +322,7 @@
                 turned.then(|| (format!("release {number} goes back"), 0))
             })
         }
-        ReleaseWhat::Leave { wait } => {
+        ReleaseAction::Leave { wait } => {
             let number = ask(&Request::Leave)?["number"].clone();
             waited(wait, ask, |status| {
                 let left = status["release"]["now"]["number"] != number;
@@ -344,6 +332,57 @@
     }
 }
 
+/// Shows what a plan would do.
+fn show_plan(file: &Path) -> Result<ExitCode, String> {
+    let text = command::text(file)?;
+    let plan = match read_plan(&text, None) {
+        Ok(plan) => plan,
+        Err(faults) => return Err(draw(&file.display().to_string(), &text, &faults)),
+    };
+    let mut from = 0;
+    for (wave, to) in plan.waves.iter().enumerate() {
+        println!(
+            "wave {}: {}, then watched for {} s",
+            wave + 1,
+            plan.names[from..*to].join(" "),
+            plan.watch / 1_000_000
+        );
+        from = *to;
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Shows how far the present release is, after waiting up to `wait` seconds for its end or a halt.
+fn release_status(
+    json: bool,
+    wait: u64,
+    ask: impl Fn(&Request) -> Result<Value, String>,
+) -> Result<ExitCode, String> {
+    let until = Instant::now() + Duration::from_secs(wait);
+    loop {
+        let status = ask(&Request::Status)?;
+        let halted = status["halted"].is_object() && status["release"]["now"]["way"] == "forth";
+        let over = status["release"]["now"].is_null();
+        if !halted && !over && Instant::now() < until {
+            sleep(POLL_INTERVAL);
+            continue;
+        }
+        if json {
+            println!("{}", status["release"])
+        } else {
+            print!("{}", release_table(&status))
+        }
+        let code = if over {
+            0
+        } else if halted {
+            EXIT_OTHER_OUTCOME
+        } else {
+            EXIT_PENDING
+        };
+        return Ok(ExitCode::from(code));
+    }
+}
+
 fn release_table(status: &Value) -> String {
     let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
     let mut lines = Vec::new();
@@ -423,13 +462,13 @@
         }
         if Instant::now() >= until {
             println!("still under way: {}", progress(&status));
-            return Ok(ExitCode::from(WAITING));
+            return Ok(ExitCode::from(EXIT_PENDING));
         }
         if shown {
             eprint!("\r{}\x1b[K", progress(&status));
             let _ = std::io::stderr().flush();
         }
-        sleep(LOOK);
+        sleep(POLL_INTERVAL);
     }
 }
 
