--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -100,7 +100,7 @@
         #[command(flatten)]
         wait: Wait,
     },
-    /// One voter makes way for another balancer. Exit 0 when both voter_sets have agreed, 3 still under way
+    /// One voter makes way for another balancer. Exit 0 when both voter sets have agreed, 3 still under way
     Voter {
         old: u16,
         /// The one that votes in its place
