--- a/balancer/deployment-settings/src/lib.rs
+++ b/balancer/deployment-settings/src/lib.rs
@@ -1,8 +1,6 @@
 //! The settings in JSON, turned into the terms that the decisions are handed and the names and times that the
 //! programs round them need.
 
-#![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
-
 use serde::Deserialize;
 use whinspindle::host::{BalancerSettings, Effect, Group, Product};
 
@@ -198,11 +196,8 @@
     faults
 }
 
-/// Reads the settings in JSON. The error names each field at fault.
-pub fn parse(json: &[u8]) -> Result<Deployment, String> {
-    let options: Options = serde_json::from_slice(json).map_err(|e| e.to_string())?;
-    let limits = &options.limits;
-    let rules = &options.obligations;
+/// The table of products, at least one row.
+fn products(options: &Options) -> Result<Vec<Product>, String> {
     let mut products = Vec::new();
     for (number, p) in options.products.iter().enumerate() {
         products.push(Product {
@@ -215,6 +210,15 @@
     if products.is_empty() {
         return Err("products: none".into());
     }
+    Ok(products)
+}
+
+/// Reads the settings in JSON. The error names each field at fault.
+pub fn parse(json: &[u8]) -> Result<Deployment, String> {
+    let options: Options = serde_json::from_slice(json).map_err(|e| e.to_string())?;
+    let limits = &options.limits;
+    let rules = &options.obligations;
+    let products = products(&options)?;
     let streams = limits.streams_per_conn.unwrap_or(1);
     let how = options.load_info.how.as_deref().unwrap_or("piggyback");
     let probes_pay = limits.probes && 2.0 * options.deductions.probe < options.deductions.late_fail;
