--- a/lab/report/tests/figures.rs
+++ b/lab/report/tests/figures.rs
@@ -1,6 +1,6 @@
 //! Figures of whole runs: what is noise, what is kept, what is drawn.
 
-use whinspindle_lab_invariants::Break;
+use whinspindle_lab_invariants::Violation;
 use whinspindle_lab_report::compare::bootstrap;
 use whinspindle_lab_report::{Run, Second, Span, page, table};
 
@@ -88,7 +88,7 @@
     let mut run = run();
     assert!(table::table(&run).contains("all four rules kept"));
     run.verdict.broken[2] = 1;
-    run.verdict.breaks.push(Break {
+    run.verdict.breaks.push(Violation {
         rule: 3,
         what: "sent 400 ms after".to_string(),
         at: 7_000_000,
--- a/lab/simulation/src/decider.rs
+++ b/lab/simulation/src/decider.rs
@@ -15,7 +15,7 @@
     TwoChoices,
     /// Sees what every server truly holds and can do; the first tier rejects once all are full.
     TrueState,
-    /// Deliberately wrong, to prove that the referee looks: resends, keeps drained servers, floods cold ones.
+    /// Deliberately wrong, to prove that the invariant checker detects it: resends, keeps drained servers, overloads cold ones.
     Reckless,
 }
 
--- a/lab/simulation/src/lib.rs
+++ b/lab/simulation/src/lib.rs
@@ -15,4 +15,4 @@
 
 pub use decider::Policy;
 pub use play::{Fleet, Progress};
-pub use rules::{demands, server_id, tell_referee, terms};
+pub use rules::{invariant_rules, report_listing, server_id, terms};
--- a/lab/simulation/src/play.rs
+++ b/lab/simulation/src/play.rs
@@ -13,7 +13,7 @@
 
 use slotmap::SlotMap;
 use whinspindle::host::EndpointState;
-use whinspindle_lab_invariants::Referee;
+use whinspindle_lab_invariants::InvariantChecker;
 use whinspindle_lab_model::arrivals::{Arrivals, Wanted};
 use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_model::links::Links;
@@ -61,7 +61,7 @@
     pub(crate) links: Links,
     pub(crate) clients: Dice,
     pub(crate) discovery: Dice,
-    pub(crate) referee: Referee,
+    pub(crate) checker: InvariantChecker,
     pub(crate) tally: Tally,
     pub(crate) supervised: Option<Supervised>,
     digest: Xxh3,
@@ -88,7 +88,7 @@
             links: Links::new(&scenario.network, seed),
             clients: Dice::new(seed, Concern::Clients),
             discovery: Dice::new(seed, Concern::Discovery),
-            referee: Referee::new(rules::demands(scenario)),
+            checker: InvariantChecker::new(rules::invariant_rules(scenario)),
             tally: Tally::new(scenario, BEGUN),
             supervised: None,
             digest: Xxh3::new(),
@@ -161,7 +161,7 @@
         run.cost.events = events;
         run.cost.wall_s = wall_s;
         run.cost.events_a_second = events as f64 / wall_s.max(1e-9);
-        run.verdict = self.referee.finish(end);
+        run.verdict = self.checker.finish(end);
         // For people the run begins at 0.
         run.verdict.breaks.iter_mut().for_each(|broken| broken.at = broken.at.saturating_sub(BEGUN));
         run
--- a/lab/simulation/src/play/balancers.rs
+++ b/lab/simulation/src/play/balancers.rs
@@ -48,7 +48,7 @@
         (query.query_index, query.came, query.incarnation) = (Some(query_index), self.now, incarnation);
         self.note(2, id, node as u64);
         self.tally.taken += u64::from(self.tally.counts(self.now));
-        self.referee.taken(self.now, node, id, product, deadline);
+        self.checker.query_accepted(self.now, node, id, product, deadline);
         let eyes = Eyes(&self.tiers[tier], self.now);
         if let Some(decider) = &mut self.nodes[node].decider {
             decider.query(
@@ -119,7 +119,7 @@
             Told::Rejected => Final::Rejected,
             Told::Failed => Final::Aborted,
         };
-        self.referee.answered(self.now, query.id, word);
+        self.checker.query_answered(self.now, query.id, word);
         query.answered = true;
         let (id, product, came) = (query.id, query.product, query.came);
         let from = match query.origin {
--- a/lab/simulation/src/play/clients.rs
+++ b/lab/simulation/src/play/clients.rs
@@ -125,7 +125,7 @@
         self.note(1, id, 0);
         let n = &mut self.nodes[node];
         if n.up && n.incarnation == incarnation {
-            self.referee.left(self.now, id);
+            self.checker.query_cancelled(self.now, id);
             if let Some(decider) = &mut n.decider {
                 decider.withdrawn(self.now, query_index);
             }
--- a/lab/simulation/src/play/discovery.rs
+++ b/lab/simulation/src/play/discovery.rs
@@ -15,7 +15,7 @@
 impl Fleet<'_> {
     pub(crate) fn tell(&mut self, node: usize, news: News) {
         let (scenario, tier) = (self.scenario, self.nodes[node].tier);
-        rules::tell_referee(&mut self.referee, self.now, node, tier, &news);
+        rules::report_listing(&mut self.checker, self.now, node, tier, &news);
         let mut entries = Vec::with_capacity(news.listings.len());
         for listing in &news.listings {
             entries.push(Endpoint {
--- a/lab/simulation/src/play/executions.rs
+++ b/lab/simulation/src/play/executions.rs
@@ -23,7 +23,7 @@
         let (from, to, alive) = (self.nodes[node].zone, host.zone, host.server == server);
         let query = &mut self.queries[key];
         let (id, work, number) = (query.id, query.work, query.execs.len());
-        self.referee.sent(self.now, id, rules::server_id(tier, server), work);
+        self.checker.execution_sent(self.now, id, rules::server_id(tier, server), work);
         let idle = self.scenario.tiers[tier].connections.idle as f64 * KEPT_FOR;
         let kept = self.nodes[node].kept.get_mut(&server);
         let kept = kept.and_then(|kept| kept.pop()).filter(|used| self.now - used < idle as u64);
@@ -209,7 +209,7 @@
         let (id, query_index, product) = (q.id, q.query_index.unwrap_or(0), q.product);
         self.watch_execution(node, tier, place, product, outcome, spent);
         self.note(6, id, outcome as u64);
-        self.referee.ended(self.now, id, number, !outcome.never_ran());
+        self.checker.execution_ended(self.now, id, number, !outcome.never_ran());
         if outcome == Outcome::Completed {
             if self.queries[query].answered {
                 self.tally.work_wasted += self.queries[query].work;
--- a/lab/simulation/src/play/lifecycle.rs
+++ b/lab/simulation/src/play/lifecycle.rs
@@ -76,7 +76,7 @@
 
     pub(crate) fn resume(&mut self, node: usize) {
         self.nodes[node].stopped = false;
-        self.referee.resumed(self.now, node);
+        self.checker.balancer_resumed(self.now, node);
         for event in std::mem::take(&mut self.nodes[node].waiting) {
             self.queue.put(self.now, event);
         }
@@ -95,7 +95,7 @@
         if !self.nodes[node].up {
             return;
         }
-        self.referee.balancer_ended(self.now, node);
+        self.checker.balancer_ended(self.now, node);
         let n = &mut self.nodes[node];
         n.up = false;
         n.stopped = false;
--- a/lab/simulation/src/play/servers.rs
+++ b/lab/simulation/src/play/servers.rs
@@ -19,7 +19,7 @@
         if !held.is_empty()
             || self.tiers[tier].registry.get(server).is_some_and(|l| l.standing == EndpointState::Ready)
         {
-            self.referee.fell(self.now, rules::server_id(tier, server));
+            self.checker.server_overloaded(self.now, rules::server_id(tier, server));
             self.tally.price.fallen += 1;
             self.queue.put(self.now + DISCOVERY_NOTICES, Event::Later(Step::Missed { tier, server }));
         }
@@ -67,7 +67,7 @@
                     let Some(e) = self.execs.get(exec) else { continue };
                     let id = self.queries[e.query].id;
                     if well {
-                        self.referee.ran(self.now, rules::server_id(tier, e.server), id);
+                        self.checker.query_executed(self.now, rules::server_id(tier, e.server), id);
                         self.tally.work_done += e.work;
                     }
                     let report = self.tiers[tier].hosts[place].machine.report(self.now);
--- a/lab/simulation/src/rules.rs
+++ b/lab/simulation/src/rules.rs
@@ -1,11 +1,11 @@
-//! What a scenario means as terms for the decisions, and as demands for the referee.
+//! A scenario as settings of the balancers and as rules of the invariant checker.
 
 use std::collections::BTreeSet;
 
 use whinspindle::host::{
     BalancerSettings, Effect, EndpointState, Group, HedgePolicy, Product, RetryOn, RoutePolicy,
 };
-use whinspindle_lab_invariants::{Demands, Listed, Referee, Repeats, Scope};
+use whinspindle_lab_invariants::{InvariantChecker, Listed, RetrySafety, Rules, Scope};
 use whinspindle_lab_model::registry::{Listing, News};
 use whinspindle_lab_scenario::Scenario;
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// What the referee knows a server by: the numbers of processes are counted by tier.
+/// The number by which the invariant checker identifies a server: processes are numbered within their tier.
 pub fn server_id(tier: usize, server: usize) -> usize {
     tier * 10_000_000 + server
 }
@@ -75,40 +75,40 @@
     Some(scenario.products.iter().map(row).collect())
 }
 
-/// What the referee holds a run against.
-pub fn demands(scenario: &Scenario) -> Demands {
-    let repeats = |product: &whinspindle_lab_scenario::Product| match product.effect {
-        Effect::Idempotent => Repeats::Harmless,
-        Effect::NonIdempotent => Repeats::Never,
+/// The rules that the invariant checker holds a run against.
+pub fn invariant_rules(scenario: &Scenario) -> Rules {
+    let retry_safety = |product: &whinspindle_lab_scenario::Product| match product.effect {
+        Effect::Idempotent => RetrySafety::Idempotent,
+        Effect::NonIdempotent => RetrySafety::NonIdempotent,
         Effect::Deduplicated(group) => {
             let scope = match group {
                 Group::All => Scope::Everywhere,
                 Group::Zone => Scope::Zone,
                 Group::Cell => Scope::Pod,
             };
-            Repeats::Dropped(scope, product.memory)
+            RetrySafety::Deduplicated { scope, memory: product.memory }
         }
     };
     let cold = |of: fn(&whinspindle_lab_scenario::Cold) -> u64| {
         scenario.tiers.iter().map(|tier| of(&tier.cold)).max().unwrap_or(0)
     };
-    Demands {
-        products: scenario.products.iter().map(repeats).collect(),
-        executions: scenario.allowed.executions,
+    Rules {
+        products: scenario.products.iter().map(retry_safety).collect(),
+        max_executions: scenario.allowed.executions,
         allow_hedging: scenario.allowed.allow_hedging,
-        slack: scenario.allowed.slack,
-        grace: scenario.allowed.grace,
-        cold_lasts: cold(|cold| cold.lasts),
-        tip_after: cold(|cold| cold.tip_after),
+        answer_slack: scenario.allowed.slack,
+        drain_grace: scenario.allowed.grace,
+        slow_start_time: cold(|cold| cold.lasts),
+        overload_window: cold(|cold| cold.tip_after),
     }
 }
 
-/// The referee hears what list a balancer is told.
-pub fn tell_referee(referee: &mut Referee, now: u64, node: usize, tier: usize, news: &News) {
+/// Reports an update of a balancer's endpoint list to the invariant checker.
+pub fn report_listing(checker: &mut InvariantChecker, now: u64, node: usize, tier: usize, news: &News) {
     let id = |listing: &Listing| server_id(tier, listing.server);
     if news.whole {
         let listed: BTreeSet<usize> = news.listings.iter().map(id).collect();
-        referee.told_whole(now, node, &listed);
+        checker.full_list_received(now, node, &listed);
     }
     for listing in &news.listings {
         let listed = match listing.standing {
@@ -116,6 +116,6 @@
             EndpointState::Draining => Listed::Draining,
             EndpointState::Gone => Listed::Gone,
         };
-        referee.told(now, node, id(listing), listed, listing.zone, listing.cell);
+        checker.endpoint_listed(now, node, id(listing), listed, listing.zone, listing.cell);
     }
 }
--- a/lab/simulation/src/troubles.rs
+++ b/lab/simulation/src/troubles.rs
@@ -88,7 +88,7 @@
                 for &node in of {
                     if self.nodes[node].up {
                         self.nodes[node].stopped = true;
-                        self.referee.halted(self.now, node);
+                        self.checker.balancer_paused(self.now, node);
                     }
                 }
             }
@@ -185,7 +185,7 @@
                 }
             }
             Step::NodeEnds(node) => {
-                self.referee.time_is_up(self.now, node);
+                self.checker.shutdown_grace_expired(self.now, node);
                 self.kill_node(node);
                 self.queue.put(self.now + NODE_STARTS_IN, Event::Later(Step::NodeStarts(node)));
             }
@@ -273,7 +273,7 @@
         if let Some(node) = host.node {
             self.start_front(node);
         }
-        self.referee.started(now, crate::rules::server_id(tier, server));
+        self.checker.server_started(now, crate::rules::server_id(tier, server));
         self.list(tier, place, EndpointState::Ready, now);
         self.schedule(tier, place);
     }
--- a/lab/simulation/tests/fleet.rs
+++ b/lab/simulation/tests/fleet.rs
@@ -90,9 +90,10 @@
             assert!(run.verdict.looked[0] > 5_000, "{name}, seed {seed}");
         }
     }
-    // The referee sees what a balancer owes that holds queries to the end of their own time.
+    // The invariant checker reports the queries that a balancer holds beyond its shutdown grace.
     let run = play(&scenario("full-roll", &[]), Policy::LeastRequests);
-    let lost = |broken: &whinspindle_lab_invariants::Break| broken.what.starts_with("told to end and killed");
+    let lost =
+        |broken: &whinspindle_lab_invariants::Violation| broken.what.starts_with("told to end and killed");
     assert!(run.verdict.breaks.iter().any(lost), "{:?}", run.verdict.breaks.first());
 }
 
--- a/lab/testbed/src/clients.rs
+++ b/lab/testbed/src/clients.rs
@@ -220,7 +220,7 @@
     let came = stage.now();
     if wrote.is_ok() {
         let mut world = stage.world.borrow_mut();
-        world.referee.taken(came, asked.node, id, asked.product, asked.deadline);
+        world.checker.query_accepted(came, asked.node, id, asked.product, asked.deadline);
         if let Some(tally) = &mut world.tally {
             tally.taken += u64::from(tally.counts(came));
         }
@@ -241,7 +241,7 @@
     let attempt = match answer {
         Ok(Ok(Some(answer))) => {
             let (told, word, advice) = read(id, &answer);
-            world.referee.answered(now, id, word);
+            world.checker.query_answered(now, id, word);
             let keeps = answer.header("connection") != Some("close");
             let same = world.nodes[asked.node].incarnation == incarnation;
             if let Some(tally) = &mut world.tally {
@@ -251,23 +251,23 @@
             Attempt::Answered(told, advice, keeps && same)
         }
         Ok(_) if !fresh && executions == 0 => {
-            world.referee.left(now, id);
+            world.checker.query_cancelled(now, id);
             Attempt::Crossed
         }
-        // Lost: the referee counts it when its time is over, unless the balancer was killed.
+        // Lost: the invariant checker counts it once its answer is overdue, unless the balancer was killed.
         Ok(_) => {
             let killed =
                 world.nodes[asked.node].incarnation != incarnation || world.nodes[asked.node].may_end;
             if killed {
-                world.referee.left(now, id);
+                world.checker.query_cancelled(now, id);
             }
             Attempt::Lost
         }
         Err(_) => {
             // Whoever gives up a balancer that stands still has hung up before it could answer: nothing is
             // owed then.
-            if leaves.is_some() || world.referee.is_halted(asked.node) {
-                world.referee.left(now, id);
+            if leaves.is_some() || world.checker.is_paused(asked.node) {
+                world.checker.query_cancelled(now, id);
             }
             Attempt::Lost
         }
@@ -282,7 +282,7 @@
     let advice = advice.map_or(0, |seconds| (seconds * 1e6) as u64);
     match answer.status {
         200 if answer.body == body(id).as_bytes() => (Told::Completed, Final::Completed, 0),
-        // Served with what no server made for it: told as completed, which the referee finds no run for.
+        // A body that no server made for this query: reported as completed, so that the invariant checker finds no run for it.
         200 => (Told::Failed, Final::Completed, 0),
         429 | 503 => (Told::Rejected, Final::Rejected, advice),
         _ => (Told::Failed, Final::Aborted, 0),
--- a/lab/testbed/src/discovery.rs
+++ b/lab/testbed/src/discovery.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout};
 use whinspindle::host::EndpointState;
 use whinspindle_lab_model::registry::News;
-use whinspindle_lab_simulation::tell_referee;
+use whinspindle_lab_simulation::report_listing;
 
 use crate::http::{self, Reader};
 use crate::state::Stage;
@@ -63,12 +63,12 @@
     json!({"generation": news.generation, "reset": news.whole, "instances": instances}).to_string()
 }
 
-/// The referee hears of it once it is written to the balancer.
+/// The invariant checker is informed once the update is written to the balancer.
 pub fn told(stage: &Stage, node: usize, news: &News) {
     let now = stage.now();
     let mut world = stage.world.borrow_mut();
     let tier = world.nodes[node].tier;
-    tell_referee(&mut world.referee, now, node, tier, news);
+    report_listing(&mut world.checker, now, node, tier, news);
 }
 
 async fn serve(stage: Rc<Stage>, node: usize, socket: TcpStream) {
--- a/lab/testbed/src/program.rs
+++ b/lab/testbed/src/program.rs
@@ -148,7 +148,7 @@
     let now = stage.now();
     let mut world = stage.world.borrow_mut();
     let world = &mut *world;
-    world.referee.balancer_ended(now, node);
+    world.checker.balancer_ended(now, node);
     let n = &mut world.nodes[node];
     n.may_end = true;
     n.incarnation += 1;
@@ -179,7 +179,7 @@
             };
             if running && has_ended(&stage, node) {
                 let mut world = stage.world.borrow_mut();
-                world.referee.crashed(now, node);
+                world.checker.balancer_crashed(now, node);
                 world.nodes[node].process = None;
                 world.nodes[node].dealt = false;
                 let log = stage.folder.join(format!("n{node}.log"));
--- a/lab/testbed/src/servers.rs
+++ b/lab/testbed/src/servers.rs
@@ -260,13 +260,13 @@
             !ended
         });
     }
-    closed.iter().for_each(|&number| world.referee.ended(now, id, number, true));
+    closed.iter().for_each(|&number| world.checker.execution_ended(now, id, number, true));
     let asked = world.asked.get_mut(&id)?;
     let number = asked.executions;
     asked.executions += 1;
     let (work, calls) = (asked.work, stage.scenario.products[asked.product].calls);
     world.out.entry(id).or_default().push(Out { socket: Rc::clone(socket), number });
-    world.referee.sent(begun, id, server_id(tier, server), work);
+    world.checker.execution_sent(begun, id, server_id(tier, server), work);
     let (from, to) = (world.nodes[node].zone, world.tiers[tier].hosts[place].zone);
     if let Some(tally) = &mut world.tally {
         tally.execution(now, tier, place, to, from != to, fresh);
@@ -280,7 +280,7 @@
 fn over(stage: &Stage, id: u64, number: usize, may_have_run: bool) {
     let now = stage.now();
     let mut world = stage.world.borrow_mut();
-    world.referee.ended(now, id, number, may_have_run);
+    world.checker.execution_ended(now, id, number, may_have_run);
     if let Some(out) = world.out.get_mut(&id) {
         out.retain(|out| out.number != number);
         if out.is_empty() {
@@ -299,7 +299,7 @@
     }
     host.machine.drop_all();
     host.up.send_replace(None);
-    world.referee.fell(now, server_id(tier, server));
+    world.checker.server_overloaded(now, server_id(tier, server));
     if let Some(tally) = &mut world.tally {
         tally.price.fallen += 1;
     }
@@ -367,7 +367,7 @@
                     Did::Answered(job, well) => {
                         if well {
                             let id = job & 0xffff_ffff;
-                            world.referee.ran(now, server_id(tier, server), id);
+                            world.checker.query_executed(now, server_id(tier, server), id);
                         }
                         if let Some(waits) = world.jobs.remove(&job) {
                             let _ = waits.send(well);
--- a/lab/testbed/src/state.rs
+++ b/lab/testbed/src/state.rs
@@ -1,4 +1,4 @@
-//! What stands on the stage: machines, lists, balancers, open executions, and the referee that is told of
+//! The state of the test bed: machines, lists, balancers, open executions, and the invariant checker that is told of
 //! all.
 
 use std::cell::{Cell, RefCell};
@@ -12,14 +12,14 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::sleep;
 use whinspindle::host::EndpointState;
-use whinspindle_lab_invariants::Referee;
+use whinspindle_lab_invariants::InvariantChecker;
 use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_model::links::Links;
 use whinspindle_lab_model::machine::Machine;
 use whinspindle_lab_model::registry::{Listing, Registry, Site};
 use whinspindle_lab_report::{Run, Tally};
 use whinspindle_lab_scenario::Scenario;
-use whinspindle_lab_simulation::demands;
+use whinspindle_lab_simulation::invariant_rules;
 
 use crate::fleet::Between;
 use crate::program::Process;
@@ -92,7 +92,7 @@
     pub nodes: Vec<Node>,
     pub links: Links,
     pub dice: Dice,
-    pub referee: Referee,
+    pub checker: InvariantChecker,
     pub tally: Option<Tally>,
     pub asked: HashMap<u64, Asked>,
     pub out: HashMap<u64, Vec<Out>>,
@@ -132,9 +132,9 @@
         let folder = std::env::temp_dir().join(format!("whinspindle-lab-{}-{unix}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|fault| format!("{}: {fault}", folder.display()))?;
         let program = program.canonicalize().map_err(|fault| format!("{}: {fault}", program.display()))?;
-        let mut demands = demands(scenario);
-        demands.slack += SOCKET_MARGIN;
-        demands.grace += SOCKET_MARGIN;
+        let mut rules = invariant_rules(scenario);
+        rules.answer_slack += SOCKET_MARGIN;
+        rules.drain_grace += SOCKET_MARGIN;
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let (mut tiers, mut nodes): (Vec<Tier>, Vec<Node>) = (Vec::new(), Vec::new());
         let node = |tier: usize, zone: usize| Node {
@@ -185,7 +185,7 @@
             nodes,
             links: Links::new(&scenario.network, scenario.seed),
             dice: Dice::new(scenario.seed, Concern::Clients),
-            referee: Referee::new(demands),
+            checker: InvariantChecker::new(rules),
             tally: None,
             asked: HashMap::new(),
             out: HashMap::new(),
@@ -275,9 +275,9 @@
         let tally = world.tally.take().ok_or("the run never began")?;
         let taken = tally.taken;
         let mut run = tally.finish(&self.scenario, |_, _| 0.0);
-        let demands = demands(&self.scenario);
-        let referee = std::mem::replace(&mut world.referee, Referee::new(demands));
-        run.verdict = referee.finish(self.now());
+        let rules = invariant_rules(&self.scenario);
+        let checker = std::mem::replace(&mut world.checker, InvariantChecker::new(rules));
+        run.verdict = checker.finish(self.now());
         let begun = self.begun();
         run.verdict.breaks.iter_mut().for_each(|broken| broken.at = broken.at.saturating_sub(begun));
         run.decided_by = "program".to_string();
--- a/lab/testbed/src/troubles.rs
+++ b/lab/testbed/src/troubles.rs
@@ -89,7 +89,7 @@
         host.server = server;
         host.machine.start(now);
         host.up.send_replace(Some(server));
-        world.referee.started(now, whinspindle_lab_simulation::server_id(tier, server));
+        world.checker.server_started(now, whinspindle_lab_simulation::server_id(tier, server));
     }
     stage.list(tier, place, EndpointState::Ready, start);
     if let Some(node) = node {
@@ -109,7 +109,7 @@
         let server = host.server;
         host.machine.start(now);
         host.up.send_replace(Some(server));
-        world.referee.started(now, whinspindle_lab_simulation::server_id(tier, server));
+        world.checker.server_started(now, whinspindle_lab_simulation::server_id(tier, server));
     }
     stage.list(tier, place, EndpointState::Ready, start);
 }
@@ -237,12 +237,12 @@
         Ill::BalancerStop(of) => {
             for &node in of {
                 program::signal(&stage, node, "STOP");
-                stage.world.borrow_mut().referee.halted(stage.now(), node);
+                stage.world.borrow_mut().checker.balancer_paused(stage.now(), node);
             }
             sleep(lasts).await;
             for &node in of {
                 program::signal(&stage, node, "CONT");
-                stage.world.borrow_mut().referee.resumed(stage.now(), node);
+                stage.world.borrow_mut().checker.balancer_resumed(stage.now(), node);
             }
         }
         Ill::BalancerRestart(of) => {
@@ -334,10 +334,10 @@
     {
         let now = stage.now();
         let mut world = stage.world.borrow_mut();
-        let open = world.referee.open(node);
+        let open = world.checker.open_queries(node);
         // What it had taken and not answered by then is lost.
         if open > 0 {
-            world.referee.crashed(now, node);
+            world.checker.balancer_crashed(now, node);
         }
     }
     program::kill(&stage, node);
