--- a/lab/cli/src/compare.rs
+++ b/lab/cli/src/compare.rs
@@ -6,7 +6,7 @@
 use clap::Args;
 use rayon::prelude::*;
 use serde::Serialize;
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_report::Run;
 use whinspindle_lab_report::compare::{Difference, bootstrap};
 
@@ -116,8 +116,8 @@
     let worths = |runs: &[Run]| runs.iter().map(|run| run.worth).collect::<Vec<f64>>();
     let mean = |worths: &[f64]| worths.iter().sum::<f64>() / worths.len().max(1) as f64;
     let (a, b) = (worths(first), worths(second));
-    let mut dice = Dice::new(1, Concern::Hunt);
-    let difference = bootstrap(&a, &b, |n| dice.below(n));
+    let mut random = RandomGenerator::new(1, Concern::Hunt);
+    let difference = bootstrap(&a, &b, |n| random.below(n));
     let broken = |runs: &[Run]| runs.iter().filter(|run| !run.verdict.is_clean()).count();
     Compared {
         scenario: first[0].scenario.clone(),
--- a/lab/cli/src/hunt.rs
+++ b/lab/cli/src/hunt.rs
@@ -10,7 +10,7 @@
 use rayon::prelude::*;
 use serde::Serialize;
 use toml::{Table, Value};
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_scenario::{Scenario, change};
 use whinspindle_lab_simulation::{Fleet, Policy};
 
@@ -80,10 +80,10 @@
 }
 
 /// Troubles that a try may add, as they would be written.
-fn draw_trouble(dice: &mut Dice, scenario: &Scenario) -> Table {
+fn draw_trouble(random: &mut RandomGenerator, scenario: &Scenario) -> Table {
     let lasts = scenario.lasts;
-    let at = (lasts as f64 * (0.1 + 0.6 * dice.unit())) as u64 / 1000;
-    let time = (lasts as f64 * (0.05 + 0.3 * dice.unit())) as u64 / 1000;
+    let at = (lasts as f64 * (0.1 + 0.6 * random.unit())) as u64 / 1000;
+    let time = (lasts as f64 * (0.05 + 0.3 * random.unit())) as u64 / 1000;
     let mut table = Table::new();
     let text = |text: String| Value::String(text);
     table.insert("at".into(), text(format!("{at}ms")));
@@ -110,13 +110,13 @@
         "join",
         "cut",
     ];
-    let mut word = words[dice.below(words.len())];
+    let mut word = words[random.below(words.len())];
     if word == "cut" && scenario.zones.len() < 2 {
         word = "slow";
     }
     table.insert("what".into(), text(word.to_string()));
-    let tier = scenario.tiers[dice.below(scenario.tiers.len())].name.clone();
-    let part = Value::Float(((0.05 + 0.45 * dice.unit()) * 100.0).round() / 100.0);
+    let tier = scenario.tiers[random.below(scenario.tiers.len())].name.clone();
+    let part = Value::Float(((0.05 + 0.45 * random.unit()) * 100.0).round() / 100.0);
     match word {
         "kill" | "vanish" | "hang" | "fail" | "slow" | "pause" | "neighbour" | "drain" | "replace" => {
             table.insert("tier".into(), text(tier));
@@ -124,11 +124,11 @@
         }
         "join" => {
             table.insert("tier".into(), text(tier));
-            table.insert("count".into(), Value::Integer(1 + dice.below(4) as i64));
+            table.insert("count".into(), Value::Integer(1 + random.below(4) as i64));
         }
         "cut" => {
-            let first = dice.below(scenario.zones.len());
-            let second = (first + 1 + dice.below(scenario.zones.len() - 1)) % scenario.zones.len();
+            let first = random.below(scenario.zones.len());
+            let second = (first + 1 + random.below(scenario.zones.len() - 1)) % scenario.zones.len();
             let names = [first, second].map(|zone| text(scenario.zones[zone].clone()));
             table.insert("zones".into(), Value::Array(names.to_vec()));
         }
@@ -136,14 +136,14 @@
             table.insert("part".into(), part);
         }
         "balancer-kill" | "balancer-stop" => {
-            let one = dice.below(scenario.tiers[0].balancers).to_string();
+            let one = random.below(scenario.tiers[0].balancers).to_string();
             table.insert("balancers".into(), Value::Array(vec![text(one)]));
         }
         "surge" => {
-            table.insert("factor".into(), Value::Float(1.2 + 1.8 * dice.unit()));
+            table.insert("factor".into(), Value::Float(1.2 + 1.8 * random.unit()));
         }
         "loss" | "resets" => {
-            table.insert("factor".into(), Value::Float(0.02 + 0.2 * dice.unit()));
+            table.insert("factor".into(), Value::Float(0.02 + 0.2 * random.unit()));
         }
         _ => {}
     }
@@ -152,24 +152,24 @@
 
 /// One try's text: the ranges drawn, troubles added, a seed of its own.
 fn draw(text: &str, number: u64, line: &HuntLine) -> Result<String, String> {
-    let mut dice = Dice::new(line.seed ^ (number << 20), Concern::Hunt);
+    let mut random = RandomGenerator::new(line.seed ^ (number << 20), Concern::Hunt);
     let scenario = file::parse(text, "the scenario")?;
     let mut table = change::parse(text)?;
     for range in &scenario.ranges {
-        let value = change::between(&range.low, &range.high, dice.unit())?;
+        let value = change::between(&range.low, &range.high, random.unit())?;
         change::set(&mut table, &range.path, value)?;
     }
     // What is added must fit what the ranges have made of the file.
     let scenario = file::parse(&change::write(&table), "a try")?;
     let added: Vec<Value> =
-        (0..line.troubles).map(|_| Value::Table(draw_trouble(&mut dice, &scenario))).collect();
+        (0..line.troubles).map(|_| Value::Table(draw_trouble(&mut random, &scenario))).collect();
     if !added.is_empty() {
         let troubles = table.entry("trouble").or_insert_with(|| Value::Array(Vec::new()));
         if let Value::Array(troubles) = troubles {
             troubles.extend(added);
         }
     }
-    table.insert("seed".into(), Value::Integer((dice.bits() >> 33) as i64));
+    table.insert("seed".into(), Value::Integer((random.bits() >> 33) as i64));
     Ok(change::write(&table))
 }
 
--- a/lab/fault-proxies/src/hunt.rs
+++ b/lab/fault-proxies/src/hunt.rs
@@ -7,7 +7,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 
 use crate::{Referee, Stand, Way};
 
@@ -58,14 +58,14 @@
 
 /// The schedule of a seed.
 pub fn draw(seed: u64, members: usize) -> Vec<Event> {
-    let mut dice = Dice::new(seed, Concern::Clients);
+    let mut random = RandomGenerator::new(seed, Concern::Clients);
     let mut events = Vec::new();
     let mut limit = 20;
     let mut lost = 0;
-    for _ in 0..4 + dice.below(9) {
-        let (at, member) = (dice.below(LASTS as usize) as u64, dice.below(members));
-        let lasts = 100 + dice.below(4_000) as u64;
-        let deed = match dice.below(14) {
+    for _ in 0..4 + random.below(9) {
+        let (at, member) = (random.below(LASTS as usize) as u64, random.below(members));
+        let lasts = 100 + random.below(4_000) as u64;
+        let deed = match random.below(14) {
             0..=2 if limit < 26 => {
                 limit += 1;
                 Deed::Propose(limit)
@@ -83,7 +83,7 @@
             10 => Deed::Mute(lasts),
             11 => Deed::Links(lasts),
             12 => Deed::Turn(lasts),
-            13 if dice.below(2) == 0 => Deed::Halt(lasts),
+            13 if random.below(2) == 0 => Deed::Halt(lasts),
             13 if lost == 0 => {
                 lost = 1;
                 Deed::Move
--- a/lab/fault-proxies/src/relay.rs
+++ b/lab/fault-proxies/src/relay.rs
@@ -10,7 +10,7 @@
 use std::thread::{JoinHandle, sleep, spawn};
 use std::time::{Duration, Instant};
 
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 
 /// What happens to datagrams one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -95,7 +95,7 @@
 
 fn carry(shared: &Shared, sockets: &[UdpSocket], listens: &[SocketAddr], seed: u64) {
     let members = listens.len();
-    let mut dice = Dice::new(seed, Concern::Network);
+    let mut random = RandomGenerator::new(seed, Concern::Network);
     let mut late: BinaryHeap<Late> = BinaryHeap::new();
     let mut serial = 0;
     let mut buffer = [0; 2048];
@@ -104,13 +104,13 @@
             while let Ok((length, _)) = socket.recv_from(&mut buffer) {
                 let (from, to) = (place / members, place % members);
                 let way = shared.ways.lock().unwrap_or_else(PoisonError::into_inner)[place];
-                if way.cut || dice.unit() < way.loss {
+                if way.cut || random.unit() < way.loss {
                     continue;
                 }
-                let times = 1 + usize::from(dice.unit() < way.repeats);
+                let times = 1 + usize::from(random.unit() < way.repeats);
                 for _ in 0..times {
                     serial += 1;
-                    let at = Instant::now() + way.late + way.delay.mul_f64(dice.unit());
+                    let at = Instant::now() + way.late + way.delay.mul_f64(random.unit());
                     // It comes from where the receiver has its sender.
                     late.push(Reverse((at, serial, to * members + from, buffer[..length].to_vec())));
                 }
--- a/lab/model-checker/src/members/search.rs
+++ b/lab/model-checker/src/members/search.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use whinspindle_fleet_policy::MemberRules;
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 
 use super::schedule::{Departure, FAULTS, Plan};
 use super::world::World;
@@ -88,10 +88,10 @@
     let mut searched = Searched::default();
     let deliveries = World::<L>::new(plan, forgets).play(&[]).map_or(0, |world| world.events);
     for seed in seeds {
-        let mut dice = Dice::new(seed, Concern::Clients);
+        let mut random = RandomGenerator::new(seed, Concern::Clients);
         let mut departures: Vec<Departure> = Vec::new();
-        for _ in 0..1 + dice.below(most) {
-            departures.push((1 + dice.below(deliveries), FAULTS[dice.below(FAULTS.len())]));
+        for _ in 0..1 + random.below(most) {
+            departures.push((1 + random.below(deliveries), FAULTS[random.below(FAULTS.len())]));
         }
         searched.schedules += 1;
         if World::<L>::new(plan, forgets).play(&departures).is_err() {
--- a/lab/model-checker/src/sizes.rs
+++ b/lab/model-checker/src/sizes.rs
@@ -10,7 +10,7 @@
 use whinspindle_fleet_policy::{
     ChangeOutcome, DurableState, Member, MemberSettings, Message, Objection, Right, StandardConsensusRules,
 };
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_peer_transport::{MAX_DATAGRAM_BYTES, PeerTransport};
 
 use crate::net::Net;
@@ -123,7 +123,7 @@
     due: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
     serial: u64,
-    dice: Dice,
+    random: RandomGenerator,
     core: std::time::Duration,
     /// When each number was first decided by.
     first: BTreeMap<u64, u64>,
@@ -133,14 +133,14 @@
 
 impl World {
     pub fn new(fleet: &Fleet) -> World {
-        let mut dice = Dice::new(fleet.seed, Concern::Network);
-        let place = |me: u16, dice: &mut Dice| Place {
+        let mut random = RandomGenerator::new(fleet.seed, Concern::Network);
+        let place = |me: u16, random: &mut RandomGenerator| Place {
             member: None,
             disk: None,
             texts: Vec::new(),
             peers: PeerTransport::new(me, fleet.members, "lab", "", 1, MAX_DATAGRAM_BYTES),
-            rate: SECOND - DRIFT + dice.below(2 * DRIFT as usize + 1) as u64,
-            offset: dice.below(1_000_000_000) as u64,
+            rate: SECOND - DRIFT + random.below(2 * DRIFT as usize + 1) as u64,
+            offset: random.below(1_000_000_000) as u64,
             starts: 0,
             down: 0,
             stopped: 0,
@@ -148,7 +148,7 @@
             sent: (0, 0),
             highest: 0,
         };
-        let places = (0..fleet.members).map(|me| place(me, &mut dice)).collect();
+        let places = (0..fleet.members).map(|me| place(me, &mut random)).collect();
         let mut world = World {
             fleet: fleet.clone(),
             now: 0,
@@ -156,14 +156,14 @@
             due: BinaryHeap::new(),
             events: BTreeMap::new(),
             serial: 0,
-            dice,
+            random,
             core: std::time::Duration::ZERO,
             first: BTreeMap::new(),
             records: BTreeMap::new(),
             broken: None,
         };
         for me in 0..fleet.members {
-            let at = world.dice.below(SECOND as usize) as u64;
+            let at = world.random.below(SECOND as usize) as u64;
             world.at(at, me, What::Tick);
         }
         world
@@ -216,10 +216,10 @@
                 place.sent.0 += datagrams.len() as u64;
                 place.sent.1 += datagrams.iter().map(|datagram| datagram.len() as u64).sum::<u64>();
                 // With one part the message is lost.
-                let lost = datagrams.iter().any(|_| self.dice.unit() < self.fleet.loss);
+                let lost = datagrams.iter().any(|_| self.random.unit() < self.fleet.loss);
                 let sides = (self.places[me as usize].side, self.places[to as usize].side);
                 if !lost && sides.0 == sides.1 {
-                    let way = self.fleet.delay / 4 + self.dice.below(self.fleet.delay as usize) as u64;
+                    let way = self.fleet.delay / 4 + self.random.below(self.fleet.delay as usize) as u64;
                     self.at(self.now + way, to, What::Mail(me, Box::new(message)));
                 }
             }
@@ -414,21 +414,21 @@
 /// A drawn schedule: changes every few seconds while members die, stand still, lose disks and are cut off.
 /// Returns how many changes came into force.
 pub fn schedule(seed: u64) -> Result<u64, String> {
-    let mut dice = Dice::new(seed, Concern::Hunt);
-    let members = 5 + dice.below(7) as u16;
-    let voters = if dice.below(2) == 0 { 3 } else { 5 };
-    let loss = [0.0, 0.05, 0.2][dice.below(3)];
-    let delay = [1_000, 20_000, 400_000][dice.below(3)];
+    let mut random = RandomGenerator::new(seed, Concern::Hunt);
+    let members = 5 + random.below(7) as u16;
+    let voters = if random.below(2) == 0 { 3 } else { 5 };
+    let loss = [0.0, 0.05, 0.2][random.below(3)];
+    let delay = [1_000, 20_000, 400_000][random.below(3)];
     let fleet = Fleet { members, voters, loss, delay, text: 300, ..Fleet::plain(members, seed) };
     let mut world = World::new(&fleet);
     world.run(SECOND);
     world.found();
     for step in 0..40 {
-        world.run(world.now + 500_000 + dice.below(4_000_000) as u64);
-        let who = dice.below(members as usize);
-        let until = world.now + dice.below(20_000_000) as u64;
+        world.run(world.now + 500_000 + random.below(4_000_000) as u64);
+        let who = random.below(members as usize);
+        let until = world.now + random.below(20_000_000) as u64;
         let place = &mut world.places[who];
-        match dice.below(7) {
+        match random.below(7) {
             0 => {
                 (place.down, place.member) = (until, None);
                 // Of the voters one disk at a time may be lost, and is made good before the next.
--- a/lab/model-checker/src/verdicts.rs
+++ b/lab/model-checker/src/verdicts.rs
@@ -2,7 +2,7 @@
 //! failures and slowness that come and go with it for all, and a build that may be bad. Only the counts are
 //! drawn; what is judged is the evidence as it ships. Simulated.
 
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_rollout::{Count, Evidence, Places, Plan, Progress, Unit, Way, rows};
 
 /// What is wrong with a build.
@@ -50,25 +50,25 @@
 const WATCH: f64 = 60.0;
 
 /// A count of events of this mean; by the normal law where there are many.
-fn poisson(dice: &mut Dice, mean: f64) -> u32 {
+fn poisson(random: &mut RandomGenerator, mean: f64) -> u32 {
     if mean > 50.0 {
-        let normal: f64 = (0..12).map(|_| dice.unit()).sum::<f64>() - 6.0;
+        let normal: f64 = (0..12).map(|_| random.unit()).sum::<f64>() - 6.0;
         return (mean + mean.sqrt() * normal).max(0.0).round() as u32;
     }
-    let (limit, mut product, mut count) = ((-mean).exp(), dice.unit(), 0);
+    let (limit, mut product, mut count) = ((-mean).exp(), random.unit(), 0);
     while product > limit {
-        product *= dice.unit();
+        product *= random.unit();
         count += 1;
     }
     count
 }
 
-fn of(dice: &mut Dice, all: u32, part: f64) -> u32 {
-    (0..all).filter(|_| dice.unit() < part).count() as u32
+fn of(random: &mut RandomGenerator, all: u32, part: f64) -> u32 {
+    (0..all).filter(|_| random.unit() < part).count() as u32
 }
 
 pub fn play(fleet: &Fleet, build: Build, seed: u64) -> End {
-    let mut dice = Dice::new(seed, Concern::Clients);
+    let mut random = RandomGenerator::new(seed, Concern::Clients);
     let all = fleet.units;
     let mut waves = vec![1, all.div_ceil(10), all.div_ceil(2), all];
     waves.dedup();
@@ -81,18 +81,18 @@
         error: fleet.error,
         build: None,
     };
-    let own: Vec<f64> = (0..all).map(|_| fleet.own.powf(2.0 * dice.unit() - 1.0)).collect();
+    let own: Vec<f64> = (0..all).map(|_| fleet.own.powf(2.0 * random.unit() - 1.0)).collect();
     let mut evidence = Evidence::new(fleet.error);
     let (mut changed, mut wave, mut watched) = (Places::default(), 0, 0.0);
     let mut since: Vec<Option<f64>> = vec![None; all];
     let mut out: Vec<(usize, f64)> = Vec::new();
     let (mut now, mut first) = (0.0, None);
-    let phase = dice.unit();
+    let phase = random.unit();
     loop {
         now += WINDOW;
         // Load swings by a half, now and then a burst; what fails and what is slow follows it, for all alike.
         let swing = 1.0 + 0.5 * (std::f64::consts::TAU * (now / 97.0 + phase)).sin();
-        let burst = if dice.unit() < 0.05 { 1.0 + 3.0 * dice.unit() } else { 1.0 };
+        let burst = if random.unit() < 0.05 { 1.0 + 3.0 * random.unit() } else { 1.0 };
         let load = swing * burst;
         let (fails, slow) = ((0.002 * load * load).min(0.3), (0.08 * load).min(0.6));
         let out_now: Vec<Unit> = out.iter().map(|(unit, _)| plan.units[*unit]).collect();
@@ -116,8 +116,8 @@
             };
             let slow = (slow * own[unit]).min(0.95);
             for member in 0..fleet.members {
-                let executions = poisson(&mut dice, fleet.rate * load * WINDOW / f64::from(fleet.members));
-                let bad = [of(&mut dice, executions, fails), of(&mut dice, executions, slow), 0];
+                let executions = poisson(&mut random, fleet.rate * load * WINDOW / f64::from(fleet.members));
+                let bad = [of(&mut random, executions, fails), of(&mut random, executions, slow), 0];
                 let stratum = (unit % fleet.zones) as u16;
                 seen[usize::from(member)].push((stratum, is_new, Count { executions, bad }));
             }
--- a/lab/model/src/lib.rs
+++ b/lab/model/src/lib.rs
@@ -1,11 +1,12 @@
-//! What the balancers stand among: servers, network, discovery, clients. A model without I/O and clock: each
-//! part is told what happens and when, and says what comes of it. Virtual time and real time drive the same
-//! parts.
-
-#![allow(missing_docs, reason = "not every public item is documented yet")]
+//! The model of everything around the balancers: servers, network, discovery and clients.
+//!
+//! It has no I/O and no clock of its own: each part is told what happens and when, and returns what follows from it. The
+//! simulation drives it in virtual time, the test bed in real time. Times are microseconds unless stated otherwise.
 
 pub mod arrivals;
-pub mod dice;
 pub mod links;
 pub mod machine;
+pub mod random;
 pub mod registry;
+
+const MICROSECONDS_PER_SECOND: f64 = 1e6;
--- a/lab/model/src/links.rs
+++ b/lab/model/src/links.rs
@@ -1,64 +1,70 @@
-//! The network between zones: delay, loss that costs a resend, cuts in which nothing passes, resets of kept
-//! connections.
+//! The network between zones: delay, loss that costs a resend, partitions, and resets of kept connections.
 
 use whinspindle_lab_scenario::Network;
 
-use crate::dice::{Concern, Dice};
+use crate::random::{Concern, RandomGenerator};
 
+/// All links of the network.
 pub struct Links {
     network: Network,
-    dice: Dice,
-    cuts: Vec<(usize, usize)>,
-    pub loss: f64,
-    pub resets: f64,
+    random: RandomGenerator,
+    partitions: Vec<(usize, usize)>,
+    /// The share of messages that are lost.
+    pub loss_rate: f64,
+    /// The share of exchanges on kept connections that end in a reset.
+    pub reset_rate: f64,
 }
 
 /// A message that is lost more often than this in a row does not arrive.
-const RESENDS: u32 = 5;
+const MAX_RESENDS: u32 = 5;
 
 impl Links {
+    /// The network of a scenario without partitions.
     pub fn new(network: &Network, seed: u64) -> Self {
         Links {
-            dice: Dice::new(seed, Concern::Network),
-            cuts: Vec::new(),
-            loss: network.loss,
-            resets: network.resets,
+            random: RandomGenerator::new(seed, Concern::Network),
+            partitions: Vec::new(),
+            loss_rate: network.loss,
+            reset_rate: network.resets,
             network: network.clone(),
         }
     }
 
-    pub fn cut(&mut self, a: usize, b: usize) {
-        self.cuts.push((a, b));
+    /// Separates two zones, in both directions.
+    pub fn partition(&mut self, a: usize, b: usize) {
+        self.partitions.push((a, b));
     }
 
-    pub fn mend(&mut self, a: usize, b: usize) {
-        if let Some(at) = self.cuts.iter().position(|cut| *cut == (a, b)) {
-            self.cuts.swap_remove(at);
+    /// Ends one partition of two zones.
+    pub fn heal(&mut self, a: usize, b: usize) {
+        if let Some(index) = self.partitions.iter().position(|pair| *pair == (a, b)) {
+            self.partitions.swap_remove(index);
         }
     }
 
-    pub fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cuts.contains(&(a, b)) || self.cuts.contains(&(b, a))
+    /// Whether no message passes between two zones.
+    pub fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        self.partitions.contains(&(a, b)) || self.partitions.contains(&(b, a))
     }
 
-    /// How long a message takes; none if it never arrives.
-    pub fn way(&mut self, a: usize, b: usize) -> Option<u64> {
+    /// How long a message takes; nothing if it never arrives.
+    pub fn transit_time(&mut self, a: usize, b: usize) -> Option<u64> {
         let delay = if a == b { self.network.near } else { self.network.far };
-        let mut time = self.dice.spread(delay, self.network.spread);
+        let mut time = self.random.spread(delay, self.network.spread);
         let mut lost = 0;
-        while self.loss > 0.0 && self.dice.chance(self.loss) {
+        while self.loss_rate > 0.0 && self.random.chance(self.loss_rate) {
             lost += 1;
-            if lost > RESENDS {
+            if lost > MAX_RESENDS {
                 return None;
             }
             time += self.network.resend << (lost - 1);
         }
-        (!self.is_cut(a, b)).then_some(time.max(1))
+        (!self.is_partitioned(a, b)).then_some(time.max(1))
     }
 
     /// Whether this exchange on a kept connection ends in a reset.
-    pub fn breaks(&mut self) -> bool {
-        let part = self.resets;
-        self.dice.chance(part)
+    pub fn resets_exchange(&mut self) -> bool {
+        let part = self.reset_rate;
+        self.random.chance(part)
     }
 }
--- a/lab/model/src/dice.rs
+++ b/lab/model/src/random.rs
@@ -1,20 +1,38 @@
-//! Chance. Each concern has a stream of its own, so that what one draws does not move another's: the same
-//! seed brings the same queries whatever the balancers do with them.
+//! Seeded random generators.
+//!
+//! Each concern draws from a stream of its own, so that the draws of one do not move those of another: the same seed
+//! brings the same queries whatever the balancers do with them.
+//!
+//! ```
+//! use whinspindle_lab_model::random::{Concern, RandomGenerator};
+//!
+//! let mut first = RandomGenerator::new(7, Concern::Network);
+//! let mut second = RandomGenerator::new(7, Concern::Network);
+//! assert_eq!(first.bits(), second.bits());
+//! ```
 
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Gamma};
 use rand_pcg::Pcg64Mcg;
 
-/// What a stream of chance is for.
+/// What a stream of random numbers is for.
 #[derive(Clone, Copy, Debug)]
 pub enum Concern {
+    /// The queries of a load, by its number.
     Arrivals(usize),
+    /// A machine, by a number made of its tier and its number there.
     Machine(usize),
+    /// Delay, loss and resets.
     Network,
+    /// Delays of endpoint lists.
     Discovery,
+    /// What clients choose.
     Clients,
+    /// A balancer, by its number.
     Balancer(usize),
+    /// The search for faulty scenarios.
     Hunt,
+    /// The choices of a baseline policy, by the number of its balancer.
     Policy(usize),
 }
 
@@ -33,9 +51,11 @@
     }
 }
 
-pub struct Dice(Pcg64Mcg);
+/// A generator of one stream: the same seed and concern draw the same numbers.
+pub struct RandomGenerator(Pcg64Mcg);
 
-impl Dice {
+impl RandomGenerator {
+    /// The generator of a concern.
     pub fn new(seed: u64, concern: Concern) -> Self {
         let (kind, number) = concern.stream();
         // A multiplicative generator needs streams far apart; mixing the three words does it.
@@ -45,40 +65,44 @@
             state = state.wrapping_mul(0xc4ce_b9fe_1a85_ec53);
             state ^= state >> 32;
         }
-        Dice(Pcg64Mcg::seed_from_u64(state))
+        RandomGenerator(Pcg64Mcg::seed_from_u64(state))
     }
 
-    /// From 0 up to but without 1.
+    /// A number from 0 up to, but without, 1.
     pub fn unit(&mut self) -> f64 {
         self.0.random()
     }
 
+    /// A number below `n`; 0 if `n` is 0.
     pub fn below(&mut self, n: usize) -> usize {
         if n == 0 { 0 } else { self.0.random_range(0..n) }
     }
 
+    /// Any 64 bits.
     pub fn bits(&mut self) -> u64 {
         self.0.random()
     }
 
-    pub fn chance(&mut self, part: f64) -> bool {
-        part > 0.0 && self.unit() < part
+    /// Whether an event of this probability happens; nothing is drawn if it is 0.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.unit() < probability
     }
 
+    /// Exponentially distributed with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -(1.0 - self.unit()).ln() * mean
     }
 
-    /// Gamma with this mean and relative deviation: constant at 0, exponential at 1.
-    pub fn varied(&mut self, mean: f64, varies: f64) -> f64 {
-        if varies <= 0.0 {
+    /// Gamma distributed with this mean and relative deviation: constant at 0, exponential at 1.
+    pub fn varied(&mut self, mean: f64, deviation: f64) -> f64 {
+        if deviation <= 0.0 {
             return mean;
         }
-        let shape = 1.0 / (varies * varies);
+        let shape = 1.0 / (deviation * deviation);
         Gamma::new(shape, mean / shape).map_or(mean, |gamma| gamma.sample(&mut self.0))
     }
 
-    /// A time with a part of it drawn anew.
+    /// A time with the same mean of which the share `part` is uniformly distributed.
     pub fn spread(&mut self, time: u64, part: f64) -> u64 {
         let fixed = time as f64 * (1.0 - part);
         (fixed + 2.0 * part * time as f64 * self.unit()) as u64
--- a/lab/model/src/registry.rs
+++ b/lab/model/src/registry.rs
@@ -1,38 +1,49 @@
-//! Discovery of one tier: the list, its generations, what has changed since one of them, and how it misleads.
+//! Discovery of one tier: the endpoint list with its generations and changes, and the faults of discovery.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use whinspindle::host::EndpointState;
 use whinspindle_lab_scenario::Scenario;
 
-/// Generations that are kept; who asks from an older one is told the whole list.
-const KEPT: usize = 256;
+/// Changes that are kept: a balancer with an older generation gets the full list.
+const MAX_CHANGES: usize = 256;
 
-/// One line of the list. `server` is the number of the process: a replacement has a new one.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listing {
+    /// The number of the process: a replacement has a new one.
     pub server: usize,
+    /// The machine's zone.
     pub zone: usize,
+    /// The number of the kind of machine.
     pub kind: usize,
+    /// The number of its cell.
     pub cell: usize,
+    /// Whether it takes queries.
     pub standing: EndpointState,
+    /// The capacity that the list states.
     pub size: f64,
-    /// 0: long ago.
+    /// When the process started; 0 means long ago.
     pub started_at: u64,
     /// The machine that it listens on.
     pub place: usize,
 }
 
-/// Where a machine stands, and what it is.
+/// Where a machine is, and of which kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
+    /// The number of the machine in its tier.
     pub place: usize,
+    /// Its zone.
     pub zone: usize,
+    /// The number of its kind.
     pub kind: usize,
+    /// The number of its cell.
     pub cell: usize,
 }
 
 impl Listing {
+    /// The entry of a process on a machine.
     pub fn new(
         scenario: &Scenario,
         site: Site,
@@ -45,39 +56,47 @@
     }
 }
 
+/// What a balancer receives: the full list, or changes since the generation that it has.
 #[derive(Clone, Debug)]
-pub struct News {
+pub struct ListUpdate {
+    /// The generation that the balancer has after it.
     pub generation: u64,
-    pub whole: bool,
+    /// Whether servers that it lacks are gone.
+    pub is_full: bool,
+    /// The entries, by the number of the server.
     pub listings: Vec<Listing>,
 }
 
+/// The registry of one tier.
 #[derive(Default)]
 pub struct Registry {
     generation: u64,
     listed: BTreeMap<usize, Listing>,
-    /// The server of each change and when it came, the last one with the present generation.
+    /// Each change and its time; the last one made the present generation.
     changes: VecDeque<(u64, Listing)>,
+    /// Whether it answers nothing.
     pub silent: bool,
-    /// Further delay of what it tells.
-    pub late: u64,
-    /// Part of the servers that it leaves out.
-    pub forgets: f64,
+    /// Additional delay of its updates.
+    pub delay: u64,
+    /// The share of the servers that it leaves out.
+    pub omitted_share: f64,
 }
 
 impl Registry {
+    /// The present generation: the number of changes.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
+    /// The entry of a server that is listed.
     pub fn get(&self, server: usize) -> Option<&Listing> {
         self.listed.get(&server)
     }
 
-    /// A server joins, changes, or is gone.
+    /// Adds, changes, or, if its state is gone, removes a server.
     pub fn set(&mut self, now: u64, listing: Listing) {
         self.generation += 1;
-        if self.changes.len() >= KEPT {
+        if self.changes.len() >= MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back((now, listing.clone()));
@@ -88,32 +107,33 @@
         }
     }
 
-    fn forgotten(&self, server: usize) -> bool {
-        let part = |n: usize| (n as f64 * self.forgets).floor();
+    fn is_omitted(&self, server: usize) -> bool {
+        let part = |n: usize| (n as f64 * self.omitted_share).floor();
         part(server + 1) > part(server)
     }
 
-    pub fn whole(&self) -> News {
-        let listings = self.listed.values().filter(|listing| !self.forgotten(listing.server)).cloned();
-        News { generation: self.generation, whole: true, listings: listings.collect() }
+    /// The full list, without the servers that are left out.
+    pub fn full_list(&self) -> ListUpdate {
+        let listings = self.listed.values().filter(|listing| !self.is_omitted(listing.server)).cloned();
+        ListUpdate { generation: self.generation, is_full: true, listings: listings.collect() }
     }
 
-    /// What has changed since a generation, or the whole list if that is no longer known or some is left out.
-    pub fn since(&self, generation: u64) -> News {
+    /// What has changed since a generation, or the full list if that is no longer known or servers are left out.
+    pub fn since(&self, generation: u64) -> ListUpdate {
         let missing = self.generation.saturating_sub(generation) as usize;
-        if missing > self.changes.len() || self.forgets > 0.0 || generation > self.generation {
-            return self.whole();
+        if missing > self.changes.len() || self.omitted_share > 0.0 || generation > self.generation {
+            return self.full_list();
         }
-        // The last word on each server counts.
+        // Only the last change of each server counts.
         let mut last = BTreeMap::new();
         for (_, listing) in self.changes.iter().skip(self.changes.len() - missing) {
             last.insert(listing.server, listing.clone());
         }
-        News { generation: self.generation, whole: false, listings: last.into_values().collect() }
+        ListUpdate { generation: self.generation, is_full: false, listings: last.into_values().collect() }
     }
 
     /// The list as it was at a time, as far as the changes kept can tell.
-    pub fn as_of(&self, at: u64) -> News {
+    pub fn as_of(&self, at: u64) -> ListUpdate {
         let mut listed = self.listed.clone();
         let mut generation = self.generation;
         let later: Vec<&(u64, Listing)> = self.changes.iter().filter(|(when, _)| *when > at).collect();
@@ -130,6 +150,6 @@
                 }
             }
         }
-        News { generation, whole: true, listings: listed.into_values().collect() }
+        ListUpdate { generation, is_full: true, listings: listed.into_values().collect() }
     }
 }
--- a/lab/simulation/src/decider.rs
+++ b/lab/simulation/src/decider.rs
@@ -2,7 +2,7 @@
 
 use whinspindle::balancer::Balancer;
 use whinspindle::host::{Arrival, BalancerSettings, Endpoint, ExecutionEnd, Host, LoadReport, RoutePolicy};
-use whinspindle_lab_model::dice::Dice;
+use whinspindle_lab_model::random::RandomGenerator;
 
 use crate::plain::Plain;
 
@@ -84,10 +84,16 @@
 }
 
 impl Decider {
-    pub fn new(policy: Policy, terms: BalancerSettings, seed: u64, dice: Dice, now: u64) -> Self {
+    pub fn new(
+        policy: Policy,
+        terms: BalancerSettings,
+        seed: u64,
+        random: RandomGenerator,
+        now: u64,
+    ) -> Self {
         match policy {
             Policy::Module => Decider::Module(Box::new(Balancer::new(Wishes::default(), terms, seed, now))),
-            plain => Decider::Plain(Box::new(Plain::new(plain, terms, dice))),
+            plain => Decider::Plain(Box::new(Plain::new(plain, terms, random))),
         }
     }
 
--- a/lab/simulation/src/plain.rs
+++ b/lab/simulation/src/plain.rs
@@ -4,7 +4,7 @@
 use whinspindle::host::{
     Arrival, BalancerSettings, Effect, Endpoint, EndpointState, ExecutionEnd, Group, Outcome,
 };
-use whinspindle_lab_model::dice::Dice;
+use whinspindle_lab_model::random::RandomGenerator;
 
 use crate::decider::{Policy, Sight, Wish};
 
@@ -31,7 +31,7 @@
 pub struct Plain {
     policy: Policy,
     terms: BalancerSettings,
-    dice: Dice,
+    random: RandomGenerator,
     servers: Vec<Option<Server>>,
     queries: Vec<Query>,
     turn: usize,
@@ -39,9 +39,9 @@
 }
 
 impl Plain {
-    pub fn new(policy: Policy, terms: BalancerSettings, dice: Dice) -> Self {
+    pub fn new(policy: Policy, terms: BalancerSettings, random: RandomGenerator) -> Self {
         let (servers, queries, wishes) = Default::default();
-        Plain { policy, terms, dice, servers, queries, turn: 0, wishes }
+        Plain { policy, terms, random, servers, queries, turn: 0, wishes }
     }
 
     pub fn list(&mut self, whole: bool, entries: &[Endpoint]) {
@@ -158,7 +158,7 @@
         let age = now.saturating_sub(server.entry.started_at) as f64;
         let part = age / self.terms.slow_start_time.max(1) as f64;
         let warmth = self.terms.slow_start_from + (1.0 - self.terms.slow_start_from) * part;
-        server.entry.started_at == 0 || warmth >= 1.0 || self.dice.unit() < warmth
+        server.entry.started_at == 0 || warmth >= 1.0 || self.random.unit() < warmth
     }
 
     fn place(&mut self, now: u64, query_index: usize, sight: &dyn Sight) -> bool {
@@ -176,7 +176,7 @@
         };
         let mut fit = Vec::new();
         for _ in 0..4 * drawn {
-            let number = self.dice.below(self.servers.len());
+            let number = self.random.below(self.servers.len());
             if fit.len() < drawn && self.fits(now, query_index, number) && self.is_warm(now, number) {
                 fit.push(number);
             }
@@ -202,7 +202,7 @@
             return None;
         }
         let own = |server: usize| self.servers[server].as_ref().map_or(0, |server| server.own);
-        let any = self.dice.below(fit.len());
+        let any = self.random.below(fit.len());
         Some(match self.policy {
             Policy::RoundRobin => {
                 self.turn += 1;
@@ -214,7 +214,7 @@
                 order.min_by_key(|&server| own(server)).unwrap_or(fit[any])
             }
             Policy::TwoChoices => {
-                let other = fit[self.dice.below(fit.len())];
+                let other = fit[self.random.below(fit.len())];
                 if own(other) < own(fit[any]) { other } else { fit[any] }
             }
             Policy::TrueState => {
--- a/lab/simulation/src/play.rs
+++ b/lab/simulation/src/play.rs
@@ -14,10 +14,10 @@
 use slotmap::SlotMap;
 use whinspindle::host::EndpointState;
 use whinspindle_lab_invariants::InvariantChecker;
-use whinspindle_lab_model::arrivals::{Arrivals, Wanted};
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::arrivals::{Arrival, Arrivals};
 use whinspindle_lab_model::links::Links;
-use whinspindle_lab_model::machine::{Did, Machine};
+use whinspindle_lab_model::machine::{Machine, MachineEvent};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_model::registry::Registry;
 use whinspindle_lab_report::{Run, Tally};
 use whinspindle_lab_scenario::Scenario;
@@ -53,19 +53,19 @@
     /// Balancers of the first tier by zone.
     fronts: Vec<Vec<usize>>,
     arrivals: Vec<Arrivals>,
-    next: Vec<Option<Wanted>>,
+    next: Vec<Option<Arrival>>,
     wants: SlotMap<WantKey, Want>,
     queries: SlotMap<QueryKey, Query>,
     execs: SlotMap<ExecKey, Exec>,
     queries_made: u64,
     pub(crate) links: Links,
-    pub(crate) clients: Dice,
-    pub(crate) discovery: Dice,
+    pub(crate) clients: RandomGenerator,
+    pub(crate) discovery: RandomGenerator,
     pub(crate) checker: InvariantChecker,
     pub(crate) tally: Tally,
     pub(crate) supervised: Option<Supervised>,
     digest: Xxh3,
-    did: Vec<Did>,
+    did: Vec<MachineEvent>,
 }
 
 impl<'s> Fleet<'s> {
@@ -86,8 +86,8 @@
             execs: SlotMap::with_key(),
             queries_made: 0,
             links: Links::new(&scenario.network, seed),
-            clients: Dice::new(seed, Concern::Clients),
-            discovery: Dice::new(seed, Concern::Discovery),
+            clients: RandomGenerator::new(seed, Concern::Clients),
+            discovery: RandomGenerator::new(seed, Concern::Discovery),
             checker: InvariantChecker::new(rules::invariant_rules(scenario)),
             tally: Tally::new(scenario, BEGUN),
             supervised: None,
@@ -99,8 +99,8 @@
                 TierState { registry: Registry::default(), hosts: Vec::new(), place_of: Vec::new() };
             let cells = scenario.cells(tier);
             for (place, (kind, zone)) in scenario.servers(tier).into_iter().enumerate() {
-                let dice = Dice::new(seed, Concern::Machine(place + tier * 100_000));
-                let machine = Machine::new(&scenario.kinds[kind], &scenario.tiers[tier], dice, 0);
+                let random = RandomGenerator::new(seed, Concern::Machine(place + tier * 100_000));
+                let machine = Machine::new(&scenario.kinds[kind], &scenario.tiers[tier], random, 0);
                 state.hosts.push(Host::new(machine, zone, kind, cells[place], place));
                 state.place_of.push(place);
                 let listing = listing(scenario, &state.hosts[place], place, EndpointState::Ready, 0);
@@ -239,8 +239,8 @@
         let mut held = vec![0; self.scenario.zones.len()];
         let mut choked = 0;
         for host in self.tiers.iter().flat_map(|tier| &tier.hosts) {
-            held[host.zone] += host.machine.held() as u64;
-            choked += u64::from(host.machine.is_choked());
+            held[host.zone] += host.machine.open_jobs() as u64;
+            choked += u64::from(host.machine.is_saturated());
         }
         self.tally.sample(self.now - 1, &held, choked);
         if self.now < BEGUN + self.scenario.lasts {
--- a/lab/simulation/src/play/balancers.rs
+++ b/lab/simulation/src/play/balancers.rs
@@ -128,7 +128,7 @@
         };
         self.note(3, id, told as u64);
         self.tally.tier(self.nodes[node].tier, node, product, came, self.now, told);
-        match self.links.way(self.nodes[node].zone, from) {
+        match self.links.transit_time(self.nodes[node].zone, from) {
             Some(way) => self.queue.put(self.now + way, Event::Heard(key, told, wait)),
             // Cut off: the client finds out when its time is over.
             None => {
--- a/lab/simulation/src/play/clients.rs
+++ b/lab/simulation/src/play/clients.rs
@@ -1,7 +1,7 @@
 //! Clients: they come, try, wait, leave and try again.
 
 use slotmap::Key;
-use whinspindle_lab_model::arrivals::Wanted;
+use whinspindle_lab_model::arrivals::Arrival;
 use whinspindle_lab_report::Told;
 use whinspindle_lab_scenario::{Effect, Group};
 
@@ -11,9 +11,9 @@
 
 impl Fleet<'_> {
     pub(super) fn look_ahead(&mut self, stream: usize) {
-        match self.arrivals[stream].ahead() {
+        match self.arrivals[stream].next_arrival() {
             Some(Ok(wanted)) => {
-                let wanted = Wanted { due: BEGUN + wanted.due, ..wanted };
+                let wanted = Arrival { due: BEGUN + wanted.due, ..wanted };
                 self.next[stream] = Some(wanted);
                 self.queue.put(wanted.due, Event::Due(stream));
             }
@@ -51,7 +51,7 @@
         let q = &mut self.queries[query];
         (q.work, q.mark) = (wanted.work, wanted.mark);
         let (from, to) = (wanted.zone, self.nodes[node].zone);
-        if let Some(way) = self.links.way(from, to) {
+        if let Some(way) = self.links.transit_time(from, to) {
             self.queue.put(self.now + way, Event::AtNode(query));
         }
         // A client waits a little longer than it says, so that an answer in the slack still finds it.
--- a/lab/simulation/src/play/discovery.rs
+++ b/lab/simulation/src/play/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: the list of each tier's servers, and how balancers hear of it.
 
 use whinspindle::host::{Endpoint, EndpointState};
-use whinspindle_lab_model::registry::{Listing, News, Site};
+use whinspindle_lab_model::registry::{ListUpdate, Listing, Site};
 use whinspindle_lab_scenario::Scenario;
 
 use super::Fleet;
@@ -13,7 +13,7 @@
 pub(crate) const DISCOVERY_NOTICES: u64 = 2_000_000;
 
 impl Fleet<'_> {
-    pub(crate) fn tell(&mut self, node: usize, news: News) {
+    pub(crate) fn tell(&mut self, node: usize, news: ListUpdate) {
         let (scenario, tier) = (self.scenario, self.nodes[node].tier);
         rules::report_listing(&mut self.checker, self.now, node, tier, &news);
         let mut entries = Vec::with_capacity(news.listings.len());
@@ -36,7 +36,7 @@
         let n = &mut self.nodes[node];
         n.generation = news.generation;
         if let Some(decider) = &mut n.decider {
-            decider.list(self.now, news.whole, &entries);
+            decider.list(self.now, news.is_full, &entries);
         }
     }
 
@@ -46,7 +46,7 @@
         if registry.silent {
             return;
         }
-        let (late, discovery) = (registry.late, &self.scenario.discovery);
+        let (late, discovery) = (registry.delay, &self.scenario.discovery);
         for node in 0..self.nodes.len() {
             if self.nodes[node].tier == tier && self.nodes[node].up {
                 let delay = self.discovery.spread(discovery.delay, discovery.spread) + late;
--- a/lab/simulation/src/play/executions.rs
+++ b/lab/simulation/src/play/executions.rs
@@ -2,7 +2,7 @@
 
 use slotmap::Key;
 use whinspindle::host::{ExecutionEnd, Outcome};
-use whinspindle_lab_model::machine::{Report, Taken, Task};
+use whinspindle_lab_model::machine::{Admission, Report, Task};
 use whinspindle_lab_report::Told;
 
 use super::Fleet;
@@ -50,10 +50,12 @@
         self.queue.put(self.now + time_out, Event::TimeOut(exec));
         let connect = self.scenario.tiers[tier].connections.time_out;
         let silent = alive && self.tiers[tier].hosts[place].machine.silent;
-        let mut way = self.links.way(from, to);
+        let mut way = self.links.transit_time(from, to);
         if fresh {
             // There and back once before the query itself goes out.
-            way = way.and_then(|way| Some(way + self.links.way(to, from)? + self.links.way(from, to)?));
+            way = way.and_then(|way| {
+                Some(way + self.links.transit_time(to, from)? + self.links.transit_time(from, to)?)
+            });
             if silent || way.is_none_or(|way| way > connect) {
                 self.queue.put(self.now + connect, Event::Ended(exec, Outcome::NotConnected));
                 return;
@@ -89,23 +91,23 @@
         let task = Task { work, calls: product.calls, fresh };
         let taken = if host.server == server {
             host.machine.connections += usize::from(fresh);
-            host.machine.arrive(self.now, key.data().as_ffi(), task)
+            host.machine.admit(self.now, key.data().as_ffi(), task)
         } else {
-            Taken::Down
+            Admission::Down
         };
         self.note(5, server as u64, taken as u64);
         match taken {
-            Taken::Taken => {
+            Admission::Accepted => {
                 self.execs[key].arrived = true;
                 self.schedule(tier, place);
             }
-            Taken::Rejected => {
+            Admission::Rejected => {
                 if let Some(way) = self.way_back(key) {
                     self.queue.put(self.now + way, Event::Reply(key, Outcome::Rejected, None));
                 }
             }
-            Taken::Down => {
-                if self.tiers[tier].hosts[place].machine.has_fallen() {
+            Admission::Down => {
+                if self.tiers[tier].hosts[place].machine.is_overloaded() {
                     self.fallen(tier, place);
                 }
                 if let Some(way) = self.way_back(key) {
@@ -119,7 +121,7 @@
         let e = &self.execs[exec];
         let (from, to) =
             (self.tiers[e.tier].hosts[e.place].zone, self.nodes[self.queries[e.query].node].zone);
-        self.links.way(from, to)
+        self.links.transit_time(from, to)
     }
 
     pub(super) fn time_out(&mut self, exec: ExecKey) {
@@ -135,7 +137,7 @@
         let host = &mut self.tiers[tier].hosts[place];
         if arrived && host.server == server {
             host.machine.connections = host.machine.connections.saturating_sub(1);
-            host.machine.leave(self.now, key.data().as_ffi());
+            host.machine.cancel(self.now, key.data().as_ffi());
             self.schedule(tier, place);
         }
         // What has not arrived yet is not known not to have: only a fresh connection shows that.
--- a/lab/simulation/src/play/lifecycle.rs
+++ b/lab/simulation/src/play/lifecycle.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use whinspindle::host::Outcome;
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_report::Told;
 
 use super::Fleet;
@@ -48,19 +48,22 @@
     pub(crate) fn start_node(&mut self, node: usize) {
         let (tier, zone) = (self.nodes[node].tier, self.nodes[node].zone);
         let incarnation = self.nodes[node].incarnation + 1;
-        let seed =
-            Dice::new(self.scenario.seed ^ (u64::from(incarnation) << 32), Concern::Balancer(node)).bits();
-        let dice = Dice::new(seed, Concern::Policy(node));
+        let seed = RandomGenerator::new(
+            self.scenario.seed ^ (u64::from(incarnation) << 32),
+            Concern::Balancer(node),
+        )
+        .bits();
+        let random = RandomGenerator::new(seed, Concern::Policy(node));
         let terms = rules::terms(self.scenario, tier, zone, node);
         let n = &mut self.nodes[node];
         (n.up, n.stopped, n.incarnation) = (true, false, incarnation);
-        let mut decider = Decider::new(self.policy, terms, seed, dice, self.now);
+        let mut decider = Decider::new(self.policy, terms, seed, random, self.now);
         decider.route(rules::route(self.scenario));
         n.decider = Some(decider);
         n.qrys.clear();
         n.free.clear();
         n.kept.clear();
-        let news = self.tiers[tier].registry.whole();
+        let news = self.tiers[tier].registry.full_list();
         self.tell(node, news);
         self.carry_out(node);
     }
--- a/lab/simulation/src/play/probes.rs
+++ b/lab/simulation/src/play/probes.rs
@@ -8,7 +8,7 @@
         self.tally.price.probes += 1;
         let (tier, incarnation) = (self.nodes[node].tier, self.nodes[node].incarnation);
         let Some(&place) = self.tiers[tier].place_of.get(server) else { return };
-        let way = self.links.way(self.nodes[node].zone, self.tiers[tier].hosts[place].zone);
+        let way = self.links.transit_time(self.nodes[node].zone, self.tiers[tier].hosts[place].zone);
         match way {
             Some(way) => self.queue.put(self.now + way, Event::ProbeAt(node, incarnation, server)),
             None => {
@@ -27,7 +27,7 @@
         let report = if says { host.machine.report(self.now) } else { None };
         let (from, to) = (host.zone, self.nodes[node].zone);
         let lost = self.scenario.tiers[tier].connections.time_out;
-        let back = if says || !up { self.links.way(from, to) } else { None };
+        let back = if says || !up { self.links.transit_time(from, to) } else { None };
         let at = self.now + back.unwrap_or(lost);
         self.queue.put(at, Event::Probed(node, incarnation, server, says && back.is_some(), report));
     }
--- a/lab/simulation/src/play/servers.rs
+++ b/lab/simulation/src/play/servers.rs
@@ -2,8 +2,8 @@
 
 use slotmap::{Key, KeyData};
 use whinspindle::host::{EndpointState, Outcome};
-use whinspindle_lab_model::dice::{Concern, Dice};
-use whinspindle_lab_model::machine::Did;
+use whinspindle_lab_model::machine::MachineEvent;
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 
 use super::Fleet;
 use super::discovery::DISCOVERY_NOTICES;
@@ -15,7 +15,7 @@
     /// A cold server has been pushed over: what it held breaks, and it stays down.
     pub(super) fn fallen(&mut self, tier: usize, place: usize) {
         let server = self.tiers[tier].hosts[place].server;
-        let held = self.tiers[tier].hosts[place].machine.drop_all();
+        let held = self.tiers[tier].hosts[place].machine.drop_jobs();
         if !held.is_empty()
             || self.tiers[tier].registry.get(server).is_some_and(|l| l.standing == EndpointState::Ready)
         {
@@ -59,10 +59,10 @@
     }
 
     /// What a server has done goes out.
-    pub(super) fn serve(&mut self, tier: usize, place: usize, did: &mut Vec<Did>) {
+    pub(super) fn serve(&mut self, tier: usize, place: usize, did: &mut Vec<MachineEvent>) {
         for did in did.drain(..) {
             match did {
-                Did::Answered(job, well) => {
+                MachineEvent::Answered(job, well) => {
                     let exec = ExecKey::from(KeyData::from_ffi(job));
                     let Some(e) = self.execs.get(exec) else { continue };
                     let id = self.queries[e.query].id;
@@ -71,7 +71,7 @@
                         self.tally.work_done += e.work;
                     }
                     let report = self.tiers[tier].hosts[place].machine.report(self.now);
-                    let broken = !self.execs[exec].fresh && self.links.breaks();
+                    let broken = !self.execs[exec].fresh && self.links.resets_exchange();
                     let Some(way) = self.way_back(exec) else { continue };
                     if broken {
                         self.queue.put(self.now + way, Event::Ended(exec, Outcome::Stale));
@@ -80,7 +80,7 @@
                         self.queue.put(self.now + way, Event::Reply(exec, outcome, report));
                     }
                 }
-                Did::Calls(job) => self.call(tier, place, job),
+                MachineEvent::Calls(job) => self.call(tier, place, job),
             }
         }
     }
@@ -95,7 +95,7 @@
         let row = &self.scenario.products[product];
         let deadline = parent.deadline.min(self.now + row.statement_timeout);
         let (tenant, mark) = (parent.tenant, parent.mark.rotate_left(17) ^ self.queries_made);
-        let work = Dice::new(mark, Concern::Clients).varied(row.work as f64, row.varies).max(1.0);
+        let work = RandomGenerator::new(mark, Concern::Clients).varied(row.work as f64, row.varies).max(1.0);
         let query = self.make(Origin::Server(exec), node, product, tenant, deadline);
         let q = &mut self.queries[query];
         (q.work, q.mark) = (work, mark);
@@ -108,7 +108,7 @@
         let (tier, place) = (e.tier, e.place);
         let mut did = std::mem::take(&mut self.did);
         let machine = &mut self.tiers[tier].hosts[place].machine;
-        machine.returned(self.now, exec.data().as_ffi(), well, &mut did);
+        machine.call_returned(self.now, exec.data().as_ffi(), well, &mut did);
         self.serve(tier, place, &mut did);
         self.did = did;
         self.schedule(tier, place);
--- a/lab/simulation/src/play/state.rs
+++ b/lab/simulation/src/play/state.rs
@@ -4,7 +4,7 @@
 
 use slotmap::new_key_type;
 use whinspindle::host::LoadReport;
-use whinspindle_lab_model::arrivals::Wanted;
+use whinspindle_lab_model::arrivals::Arrival;
 use whinspindle_lab_model::machine::{Machine, Report};
 use whinspindle_lab_model::registry::Registry;
 
@@ -19,7 +19,7 @@
 
 /// What a client wants, over all its tries.
 pub(super) struct Want {
-    pub(super) wanted: Wanted,
+    pub(super) wanted: Arrival,
     pub(super) tries_left: usize,
 }
 
@@ -121,10 +121,10 @@
     fn burden(&self, server: usize) -> Option<f64> {
         let place = *self.0.place_of.get(server)?;
         let host = &self.0.hosts[place];
-        let strength = host.machine.strength(self.1);
-        let well = strength > 0.0 && host.machine.fails == 0.0;
+        let strength = host.machine.capacity(self.1);
+        let well = strength > 0.0 && host.machine.failure_rate == 0.0;
         let alive = host.server == server && well && !host.machine.is_full(host.coming);
-        alive.then(|| (host.machine.held() + host.coming + 1) as f64 / strength)
+        alive.then(|| (host.machine.open_jobs() + host.coming + 1) as f64 / strength)
     }
 }
 
--- a/lab/simulation/src/release.rs
+++ b/lab/simulation/src/release.rs
@@ -95,7 +95,7 @@
         match unit {
             Unit::Server(place) => {
                 let machine = &self.tiers[tier].hosts[place as usize].machine;
-                machine.is_up() && !machine.draining && machine.warmth(self.now) >= 1.0
+                machine.is_up() && !machine.draining && machine.warm_fraction(self.now) >= 1.0
             }
             Unit::Balancer(node) => self.nodes[node as usize].up && self.nodes[node as usize].dealt,
         }
@@ -275,7 +275,7 @@
             if on.way == Way::Forth {
                 let (now, fails, slow) = (self.now, on.terms.fails, on.terms.slow);
                 self.tiers[tier].hosts[server].machine.change(now, |machine| {
-                    (machine.fails, machine.slow) = (fails, slow);
+                    (machine.failure_rate, machine.slowdown) = (fails, slow);
                 });
                 self.schedule(tier, server);
             }
--- a/lab/simulation/src/rules.rs
+++ b/lab/simulation/src/rules.rs
@@ -6,7 +6,7 @@
     BalancerSettings, Effect, EndpointState, Group, HedgePolicy, Product, RetryOn, RoutePolicy,
 };
 use whinspindle_lab_invariants::{InvariantChecker, Listed, RetrySafety, Rules, Scope};
-use whinspindle_lab_model::registry::{Listing, News};
+use whinspindle_lab_model::registry::{ListUpdate, Listing};
 use whinspindle_lab_scenario::Scenario;
 
 /// The shortest step of the clock that the decisions are told of.
@@ -104,9 +104,9 @@
 }
 
 /// Reports an update of a balancer's endpoint list to the invariant checker.
-pub fn report_listing(checker: &mut InvariantChecker, now: u64, node: usize, tier: usize, news: &News) {
+pub fn report_listing(checker: &mut InvariantChecker, now: u64, node: usize, tier: usize, news: &ListUpdate) {
     let id = |listing: &Listing| server_id(tier, listing.server);
-    if news.whole {
+    if news.is_full {
         let listed: BTreeSet<usize> = news.listings.iter().map(id).collect();
         checker.full_list_received(now, node, &listed);
     }
--- a/lab/simulation/src/troubles.rs
+++ b/lab/simulation/src/troubles.rs
@@ -1,8 +1,8 @@
 //! The timetable: what each trouble does when it begins and when it is over.
 
 use whinspindle::host::EndpointState;
-use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_model::machine::Machine;
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_scenario::{Ill, Trouble};
 
 use crate::play::{DISCOVERY_NOTICES, Event, Fleet, Host, Step};
@@ -44,14 +44,14 @@
             }
             Ill::Vanish => self.change(&trouble, |machine| machine.silent = true),
             Ill::Hang => self.change(&trouble, |machine| machine.hung = true),
-            Ill::Fail(part) => self.change(&trouble, |machine| machine.fails = *part),
-            Ill::Slow(factor) => self.change(&trouble, |machine| machine.slow = *factor),
+            Ill::Fail(part) => self.change(&trouble, |machine| machine.failure_rate = *part),
+            Ill::Slow(factor) => self.change(&trouble, |machine| machine.slowdown = *factor),
             Ill::Pause(time) => {
                 self.change(&trouble, |machine| machine.paused = true);
                 self.queue
                     .put(self.now + time, Event::Later(Step::Pauses { trouble: number, paused: false }));
             }
-            Ill::Neighbour(part) => self.change(&trouble, |machine| machine.neighbour = *part),
+            Ill::Neighbour(part) => self.change(&trouble, |machine| machine.neighbour_load = *part),
             Ill::Drain => {
                 for place in self.troubled(&trouble) {
                     self.drain(tier, place);
@@ -64,13 +64,13 @@
                 }
             }
             Ill::Join(count) => self.join(tier, *count),
-            Ill::Cut(a, b) => self.links.cut(*a, *b),
-            Ill::Loss(part) => self.links.loss = *part,
-            Ill::Resets(part) => self.links.resets = *part,
+            Ill::Cut(a, b) => self.links.partition(*a, *b),
+            Ill::Loss(part) => self.links.loss_rate = *part,
+            Ill::Resets(part) => self.links.reset_rate = *part,
             Ill::DiscoverySilent => self.registries(|registry| registry.silent = true),
-            Ill::DiscoveryLate(by) => self.registries(|registry| registry.late = *by),
+            Ill::DiscoveryLate(by) => self.registries(|registry| registry.delay = *by),
             Ill::DiscoveryForgets(part) => {
-                self.registries(|registry| registry.forgets = *part);
+                self.registries(|registry| registry.omitted_share = *part);
                 self.tell_all_whole();
             }
             Ill::DiscoveryRepeats(ago) => {
@@ -118,10 +118,10 @@
             }
             Ill::Vanish => self.change(&trouble, |machine| machine.silent = false),
             Ill::Hang => self.change(&trouble, |machine| machine.hung = false),
-            Ill::Fail(_) => self.change(&trouble, |machine| machine.fails = 0.0),
-            Ill::Slow(_) => self.change(&trouble, |machine| machine.slow = 1.0),
+            Ill::Fail(_) => self.change(&trouble, |machine| machine.failure_rate = 0.0),
+            Ill::Slow(_) => self.change(&trouble, |machine| machine.slowdown = 1.0),
             Ill::Pause(_) => self.change(&trouble, |machine| machine.paused = false),
-            Ill::Neighbour(_) => self.change(&trouble, |machine| machine.neighbour = 0.0),
+            Ill::Neighbour(_) => self.change(&trouble, |machine| machine.neighbour_load = 0.0),
             Ill::Drain => {
                 for place in self.troubled(&trouble) {
                     let started_at = self.started_at(tier, place);
@@ -129,18 +129,18 @@
                     self.list(tier, place, EndpointState::Ready, started_at);
                 }
             }
-            Ill::Cut(a, b) => self.links.mend(*a, *b),
-            Ill::Loss(_) => self.links.loss = self.scenario.network.loss,
-            Ill::Resets(_) => self.links.resets = self.scenario.network.resets,
+            Ill::Cut(a, b) => self.links.heal(*a, *b),
+            Ill::Loss(_) => self.links.loss_rate = self.scenario.network.loss,
+            Ill::Resets(_) => self.links.reset_rate = self.scenario.network.resets,
             Ill::DiscoverySilent => {
                 self.registries(|registry| registry.silent = false);
                 for tier in 0..self.tiers.len() {
                     self.spread_news(tier);
                 }
             }
-            Ill::DiscoveryLate(_) => self.registries(|registry| registry.late = 0),
+            Ill::DiscoveryLate(_) => self.registries(|registry| registry.delay = 0),
             Ill::DiscoveryForgets(_) => {
-                self.registries(|registry| registry.forgets = 0.0);
+                self.registries(|registry| registry.omitted_share = 0.0);
                 self.tell_all_whole();
             }
             Ill::DiscoveryRepeats(_) => self.tell_all_whole(),
@@ -223,7 +223,7 @@
     fn tell_all_whole(&mut self) {
         for node in 0..self.nodes.len() {
             if self.nodes[node].up && !self.nodes[node].stopped {
-                let news = self.tiers[self.nodes[node].tier].registry.whole();
+                let news = self.tiers[self.nodes[node].tier].registry.full_list();
                 self.tell(node, news);
                 self.carry_out(node);
             }
@@ -243,7 +243,7 @@
 
     /// The process ends; so does the balancer of its calls.
     fn stop(&mut self, tier: usize, place: usize) {
-        let held = self.tiers[tier].hosts[place].machine.drop_all();
+        let held = self.tiers[tier].hosts[place].machine.drop_jobs();
         self.tiers[tier].hosts[place].machine.stop(self.now);
         self.schedule(tier, place);
         if let Some(node) = self.tiers[tier].hosts[place].node {
@@ -289,9 +289,9 @@
         let group = self.scenario.tiers[tier].servers[0].clone();
         for n in 0..count {
             let place = self.tiers[tier].hosts.len();
-            let dice = Dice::new(self.scenario.seed, Concern::Machine(place + tier * 100_000));
+            let random = RandomGenerator::new(self.scenario.seed, Concern::Machine(place + tier * 100_000));
             let kind = &self.scenario.kinds[group.kind];
-            let mut machine = Machine::new(kind, &self.scenario.tiers[tier], dice, 0);
+            let mut machine = Machine::new(kind, &self.scenario.tiers[tier], random, 0);
             machine.stop(self.now);
             let zone = group.zones[n % group.zones.len()];
             // It has no process yet; `start` gives it one. Each is a pod of its own.
--- a/lab/testbed/src/clients.rs
+++ b/lab/testbed/src/clients.rs
@@ -10,8 +10,8 @@
 use tokio::time::{sleep, timeout};
 use whinspindle::host::{Effect, Group};
 use whinspindle_lab_invariants::Final;
-use whinspindle_lab_model::arrivals::{Arrivals, Wanted};
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::arrivals::{Arrival, Arrivals};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_report::Told;
 
 use crate::http::{self, Message, Reader};
@@ -63,7 +63,7 @@
     let mut arrivals = Arrivals::new(&stage.scenario, number);
     loop {
         arrivals.surge = stage.world.borrow().surge;
-        match arrivals.ahead() {
+        match arrivals.next_arrival() {
             None => return,
             Some(Err(until)) => stage.until(until).await,
             Some(Ok(wanted)) => {
@@ -75,7 +75,7 @@
 }
 
 /// A client's query, over all its tries.
-async fn want(stage: Rc<Stage>, wanted: Wanted) {
+async fn want(stage: Rc<Stage>, wanted: Arrival) {
     let due = stage.begun() + wanted.due;
     let product = &stage.scenario.products[wanted.product];
     let harmless = matches!(product.effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
@@ -94,9 +94,9 @@
             None => (Told::Failed, 0, false),
             Some(node) => {
                 let leaves = {
-                    let dice = &mut stage.world.borrow_mut().dice;
-                    let leaves = dice.chance(clients.leaves);
-                    leaves.then(|| (product.slo_time as f64 * dice.unit()) as u64)
+                    let random = &mut stage.world.borrow_mut().random;
+                    let leaves = random.chance(clients.leaves);
+                    leaves.then(|| (product.slo_time as f64 * random.unit()) as u64)
                 };
                 let asked = Asked {
                     product: wanted.product,
@@ -123,7 +123,7 @@
             if let Some(tally) = &mut world.tally {
                 tally.price.client_retries += 1;
             }
-            world.dice.spread(clients.wait, clients.spread)
+            world.random.spread(clients.wait, clients.spread)
         };
         let wait = wait.max(if clients.follow_retry_after { advice } else { 0 });
         sleep(Duration::from_micros(wait)).await;
@@ -139,7 +139,7 @@
     let dealt: Vec<usize> = fronts.filter(|&node| world.nodes[node].dealt).collect();
     let near: Vec<usize> = dealt.iter().copied().filter(|&node| world.nodes[node].zone == zone).collect();
     let from = if near.is_empty() { dealt } else { near };
-    let chance = world.dice.unit();
+    let chance = world.random.unit();
     from.get(stage.scenario.favoured(from.len(), chance)).copied()
 }
 
@@ -306,7 +306,7 @@
             product,
             tenant: parent.tenant,
             node,
-            work: Dice::new(mark, Concern::Clients).varied(row.work as f64, row.varies).max(1.0),
+            work: RandomGenerator::new(mark, Concern::Clients).varied(row.work as f64, row.varies).max(1.0),
             mark,
             deadline: parent.deadline.min(now + row.statement_timeout),
             executions: 0,
@@ -320,10 +320,10 @@
         let world = &mut *world;
         let host = &mut world.tiers[tier].hosts[place];
         if host.server == server {
-            host.machine.returned(now, job, well, &mut did);
+            host.machine.call_returned(now, job, well, &mut did);
         }
         for did in did {
-            if let whinspindle_lab_model::machine::Did::Answered(job, well) = did
+            if let whinspindle_lab_model::machine::MachineEvent::Answered(job, well) = did
                 && let Some(waits) = world.jobs.remove(&job)
             {
                 let _ = waits.send(well);
--- a/lab/testbed/src/discovery.rs
+++ b/lab/testbed/src/discovery.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use whinspindle::host::EndpointState;
-use whinspindle_lab_model::registry::News;
+use whinspindle_lab_model::registry::ListUpdate;
 use whinspindle_lab_simulation::report_listing;
 
 use crate::http::{self, Reader};
@@ -38,8 +38,8 @@
     format!("s-{server:06}")
 }
 
-/// News as the protocol words it, with the addresses that this balancer is given.
-pub fn line(stage: &Stage, node: usize, news: &News) -> String {
+/// An update in the protocol's form, with the addresses that this balancer is given.
+pub fn line(stage: &Stage, node: usize, news: &ListUpdate) -> String {
     let world = stage.world.borrow();
     let tier = world.nodes[node].tier;
     let instances = news.listings.iter().map(|listing| {
@@ -60,11 +60,11 @@
         })
     });
     let instances: Vec<_> = instances.collect();
-    json!({"generation": news.generation, "reset": news.whole, "instances": instances}).to_string()
+    json!({"generation": news.generation, "reset": news.is_full, "instances": instances}).to_string()
 }
 
 /// The invariant checker is informed once the update is written to the balancer.
-pub fn told(stage: &Stage, node: usize, news: &News) {
+pub fn told(stage: &Stage, node: usize, news: &ListUpdate) {
     let now = stage.now();
     let mut world = stage.world.borrow_mut();
     let tier = world.nodes[node].tier;
@@ -80,7 +80,7 @@
             sleep(Duration::from_millis(20)).await;
         }
         if !request.target.contains("watch=1") {
-            let news = stage.world.borrow().tiers[tier].registry.whole();
+            let news = stage.world.borrow().tiers[tier].registry.full_list();
             let body = line(&stage, node, &news);
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
             if http::write(&socket, answer.as_bytes()).await.is_err() {
@@ -110,13 +110,13 @@
             let world = stage.world.borrow();
             let registry = &world.tiers[tier].registry;
             let news = match known {
-                None => registry.whole(),
+                None => registry.full_list(),
                 Some(known) => registry.since(known),
             };
             (news, registry.silent)
         };
         changed.borrow_and_update();
-        let due = known != Some(news.generation) || news.whole;
+        let due = known != Some(news.generation) || news.is_full;
         if silent {
             // Nothing, not even the sign of life.
             sleep(Duration::from_millis(20)).await;
@@ -131,9 +131,9 @@
         if timeout(HEARTBEAT, changed.changed()).await.is_ok() {
             let delay = {
                 let mut world = stage.world.borrow_mut();
-                let late = world.tiers[tier].registry.late;
+                let late = world.tiers[tier].registry.delay;
                 let discovery = &stage.scenario.discovery;
-                world.dice.spread(discovery.delay, discovery.spread) + late
+                world.random.spread(discovery.delay, discovery.spread) + late
             };
             sleep(Duration::from_micros(delay)).await;
         }
--- a/lab/testbed/src/program.rs
+++ b/lab/testbed/src/program.rs
@@ -46,7 +46,7 @@
 /// Starts the program; its log goes to a file of its own.
 pub fn start(stage: &Stage, node: usize) -> Result<(), String> {
     let tier = stage.world.borrow().nodes[node].tier;
-    let news = stage.world.borrow().tiers[tier].registry.whole();
+    let news = stage.world.borrow().tiers[tier].registry.full_list();
     let configuration = configuration(stage, node, &discovery::line(stage, node, &news));
     let config = stage.folder.join(format!("n{node}.json"));
     std::fs::write(&config, configuration.to_string()).map_err(|fault| fault.to_string())?;
--- a/lab/testbed/src/release.rs
+++ b/lab/testbed/src/release.rs
@@ -94,7 +94,7 @@
             let now = stage.now();
             let mut world = stage.world.borrow_mut();
             world.tiers[tier].hosts[place].machine.change(now, |machine| {
-                (machine.fails, machine.slow) = (terms.fails, terms.slow);
+                (machine.failure_rate, machine.slowdown) = (terms.fails, terms.slow);
             });
             drop(world);
             stage.stirred.notify_one();
--- a/lab/testbed/src/servers.rs
+++ b/lab/testbed/src/servers.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 use whinspindle::host::EndpointState;
-use whinspindle_lab_model::machine::{Did, Report, Taken, Task};
+use whinspindle_lab_model::machine::{Admission, MachineEvent, Report, Task};
 use whinspindle_lab_simulation::server_id;
 
 use crate::clients;
@@ -149,7 +149,7 @@
             let host = &world.tiers[tier].hosts[place];
             let (from, to) = (world.nodes[node].zone, host.zone);
             let silent = host.machine.silent;
-            (silent, world.links.way(from, to))
+            (silent, world.links.transit_time(from, to))
         };
         match delay {
             Some(delay) if !silent => {
@@ -181,7 +181,7 @@
     let Some((number, job, taken)) = begin(stage, at, socket, id, begun, fresh) else { return Ok(false) };
     let (mut well, mut ran) = (false, false);
     match taken {
-        Taken::Taken => {
+        Admission::Accepted => {
             let (tell, told) = oneshot::channel();
             stage.world.borrow_mut().jobs.insert(job, tell);
             stage.stirred.notify_one();
@@ -199,7 +199,7 @@
                     let now = stage.now();
                     let mut world = stage.world.borrow_mut();
                     world.jobs.remove(&job);
-                    world.tiers[tier].hosts[place].machine.leave(now, job);
+                    world.tiers[tier].hosts[place].machine.cancel(now, job);
                     drop(world);
                     stage.stirred.notify_one();
                     over(stage, id, number, true);
@@ -207,15 +207,15 @@
                 }
             }
         }
-        Taken::Rejected => {}
-        Taken::Down => {
+        Admission::Rejected => {}
+        Admission::Down => {
             fell(stage, tier, place, server);
             over(stage, id, number, false);
             return Ok(false);
         }
     }
     out_of_reach(stage, tier, place, node).await;
-    let breaks = !fresh && stage.world.borrow_mut().links.breaks();
+    let breaks = !fresh && stage.world.borrow_mut().links.resets_exchange();
     if ran && breaks {
         over(stage, id, number, true);
         let _ = socket2::SockRef::from(&**socket).set_linger(Some(Duration::ZERO));
@@ -243,7 +243,7 @@
     id: u64,
     begun: u64,
     fresh: bool,
-) -> Option<(usize, u64, Taken)> {
+) -> Option<(usize, u64, Admission)> {
     let (tier, place, node, server) = at;
     let now = stage.now();
     let mut world = stage.world.borrow_mut();
@@ -273,7 +273,7 @@
     }
     world.next_job += 1;
     let job = world.next_job << 32 | (id & 0xffff_ffff);
-    let taken = world.tiers[tier].hosts[place].machine.arrive(now, job, Task { work, calls, fresh });
+    let taken = world.tiers[tier].hosts[place].machine.admit(now, job, Task { work, calls, fresh });
     Some((number, job, taken))
 }
 
@@ -294,10 +294,10 @@
     let now = stage.now();
     let mut world = stage.world.borrow_mut();
     let host = &mut world.tiers[tier].hosts[place];
-    if !host.machine.has_fallen() || host.up.borrow().is_none() {
+    if !host.machine.is_overloaded() || host.up.borrow().is_none() {
         return;
     }
-    host.machine.drop_all();
+    host.machine.drop_jobs();
     host.up.send_replace(None);
     world.checker.server_overloaded(now, server_id(tier, server));
     if let Some(tally) = &mut world.tally {
@@ -364,7 +364,7 @@
             let server = host.server;
             for did in did.drain(..) {
                 match did {
-                    Did::Answered(job, well) => {
+                    MachineEvent::Answered(job, well) => {
                         if well {
                             let id = job & 0xffff_ffff;
                             world.checker.query_executed(now, server_id(tier, server), id);
@@ -373,7 +373,7 @@
                             let _ = waits.send(well);
                         }
                     }
-                    Did::Calls(job) => calls.push((tier, place, server, job)),
+                    MachineEvent::Calls(job) => calls.push((tier, place, server, job)),
                 }
             }
         }
--- a/lab/testbed/src/state.rs
+++ b/lab/testbed/src/state.rs
@@ -13,9 +13,9 @@
 use tokio::time::sleep;
 use whinspindle::host::EndpointState;
 use whinspindle_lab_invariants::InvariantChecker;
-use whinspindle_lab_model::dice::{Concern, Dice};
 use whinspindle_lab_model::links::Links;
 use whinspindle_lab_model::machine::Machine;
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_model::registry::{Listing, Registry, Site};
 use whinspindle_lab_report::{Run, Tally};
 use whinspindle_lab_scenario::Scenario;
@@ -91,7 +91,7 @@
     pub tiers: Vec<Tier>,
     pub nodes: Vec<Node>,
     pub links: Links,
-    pub dice: Dice,
+    pub random: RandomGenerator,
     pub checker: InvariantChecker,
     pub tally: Option<Tally>,
     pub asked: HashMap<u64, Asked>,
@@ -159,9 +159,9 @@
                 changed: watch::channel(0).0,
             };
             for (place, (kind, zone)) in scenario.servers(tier).into_iter().enumerate() {
-                let dice = Dice::new(scenario.seed, Concern::Machine(place + tier * 100_000));
+                let random = RandomGenerator::new(scenario.seed, Concern::Machine(place + tier * 100_000));
                 let mut host = Host {
-                    machine: Machine::new(&scenario.kinds[kind], &scenario.tiers[tier], dice, 0),
+                    machine: Machine::new(&scenario.kinds[kind], &scenario.tiers[tier], random, 0),
                     zone,
                     kind,
                     cell: cells[place],
@@ -184,7 +184,7 @@
             tiers,
             nodes,
             links: Links::new(&scenario.network, scenario.seed),
-            dice: Dice::new(scenario.seed, Concern::Clients),
+            random: RandomGenerator::new(scenario.seed, Concern::Clients),
             checker: InvariantChecker::new(rules),
             tally: None,
             asked: HashMap::new(),
@@ -252,8 +252,8 @@
         let mut held = vec![0; self.scenario.zones.len()];
         let mut choked = 0;
         for host in world.tiers.iter().flat_map(|tier| &tier.hosts) {
-            held[host.zone] += host.machine.held() as u64;
-            choked += u64::from(host.machine.is_choked());
+            held[host.zone] += host.machine.open_jobs() as u64;
+            choked += u64::from(host.machine.is_saturated());
         }
         if let Some(tally) = &mut world.tally {
             tally.sample(now, &held, choked);
--- a/lab/testbed/src/troubles.rs
+++ b/lab/testbed/src/troubles.rs
@@ -54,7 +54,7 @@
     let node = {
         let mut world = stage.world.borrow_mut();
         let host = &mut world.tiers[tier].hosts[place];
-        let held = host.machine.drop_all();
+        let held = host.machine.drop_jobs();
         host.machine.stop(now);
         host.up.send_replace(None);
         let node = host.node;
@@ -156,10 +156,12 @@
         }
         Ill::Vanish => during(&stage, &trouble, |m| m.silent = true, |m| m.silent = false).await,
         Ill::Hang => during(&stage, &trouble, |m| m.hung = true, |m| m.hung = false).await,
-        Ill::Fail(part) => during(&stage, &trouble, |m| m.fails = *part, |m| m.fails = 0.0).await,
-        Ill::Slow(factor) => during(&stage, &trouble, |m| m.slow = *factor, |m| m.slow = 1.0).await,
+        Ill::Fail(part) => {
+            during(&stage, &trouble, |m| m.failure_rate = *part, |m| m.failure_rate = 0.0).await
+        }
+        Ill::Slow(factor) => during(&stage, &trouble, |m| m.slowdown = *factor, |m| m.slowdown = 1.0).await,
         Ill::Neighbour(part) => {
-            during(&stage, &trouble, |m| m.neighbour = *part, |m| m.neighbour = 0.0).await;
+            during(&stage, &trouble, |m| m.neighbour_load = *part, |m| m.neighbour_load = 0.0).await;
         }
         Ill::Pause(time) => {
             let (mut paused, mut left) = (true, trouble.lasts);
@@ -194,19 +196,19 @@
             stage.world.borrow_mut().faults.push(note);
         }
         Ill::Cut(a, b) => {
-            stage.world.borrow_mut().links.cut(*a, *b);
+            stage.world.borrow_mut().links.partition(*a, *b);
             sleep(lasts).await;
-            stage.world.borrow_mut().links.mend(*a, *b);
+            stage.world.borrow_mut().links.heal(*a, *b);
         }
         Ill::Loss(part) => {
-            stage.world.borrow_mut().links.loss = *part;
+            stage.world.borrow_mut().links.loss_rate = *part;
             sleep(lasts).await;
-            stage.world.borrow_mut().links.loss = stage.scenario.network.loss;
+            stage.world.borrow_mut().links.loss_rate = stage.scenario.network.loss;
         }
         Ill::Resets(part) => {
-            stage.world.borrow_mut().links.resets = *part;
+            stage.world.borrow_mut().links.reset_rate = *part;
             sleep(lasts).await;
-            stage.world.borrow_mut().links.resets = stage.scenario.network.resets;
+            stage.world.borrow_mut().links.reset_rate = stage.scenario.network.resets;
         }
         Ill::DiscoverySilent => {
             registries(&stage, |registry| registry.silent = true);
@@ -214,14 +216,14 @@
             registries(&stage, |registry| registry.silent = false);
         }
         Ill::DiscoveryLate(by) => {
-            stage.world.borrow_mut().tiers.iter_mut().for_each(|tier| tier.registry.late = *by);
+            stage.world.borrow_mut().tiers.iter_mut().for_each(|tier| tier.registry.delay = *by);
             sleep(lasts).await;
-            stage.world.borrow_mut().tiers.iter_mut().for_each(|tier| tier.registry.late = 0);
+            stage.world.borrow_mut().tiers.iter_mut().for_each(|tier| tier.registry.delay = 0);
         }
         Ill::DiscoveryForgets(part) => {
-            registries(&stage, |registry| registry.forgets = *part);
+            registries(&stage, |registry| registry.omitted_share = *part);
             sleep(lasts).await;
-            registries(&stage, |registry| registry.forgets = 0.0);
+            registries(&stage, |registry| registry.omitted_share = 0.0);
         }
         Ill::DiscoveryRepeats(_) => {
             let note = "old lists are told again in virtual time only".to_string();
