--- a/lab/testbed/src/clients.rs
+++ b/lab/testbed/src/clients.rs
@@ -10,8 +10,8 @@
 use tokio::time::{sleep, timeout};
 use whinspindle::host::{Effect, Group};
 use whinspindle_lab_invariants::Final;
-use whinspindle_lab_model::arrivals::{Arrivals, Wanted};
-use whinspindle_lab_model::dice::{Concern, Dice};
+use whinspindle_lab_model::arrivals::{Arrival, Arrivals};
+use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_lab_report::Told;
 
 use crate::http::{self, Message, Reader};
@@ -63,7 +63,7 @@
     let mut arrivals = Arrivals::new(&stage.scenario, number);
     loop {
         arrivals.surge = stage.world.borrow().surge;
-        match arrivals.ahead() {
+        match arrivals.next_arrival() {
             None => return,
             Some(Err(until)) => stage.until(until).await,
             Some(Ok(wanted)) => {
@@ -75,7 +75,7 @@
 }
 
 /// A client's query, over all its tries.
-async fn want(stage: Rc<Stage>, wanted: Wanted) {
+async fn want(stage: Rc<Stage>, wanted: Arrival) {
     let due = stage.begun() + wanted.due;
     let product = &stage.scenario.products[wanted.product];
     let harmless = matches!(product.effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
@@ -94,9 +94,9 @@
             None => (Told::Failed, 0, false),
             Some(node) => {
                 let leaves = {
-                    let dice = &mut stage.world.borrow_mut().dice;
-                    let leaves = dice.chance(clients.leaves);
-                    leaves.then(|| (product.slo_time as f64 * dice.unit()) as u64)
+                    let random = &mut stage.world.borrow_mut().random;
+                    let leaves = random.chance(clients.leaves);
+                    leaves.then(|| (product.slo_time as f64 * random.unit()) as u64)
                 };
                 let asked = Asked {
                     product: wanted.product,
@@ -123,7 +123,7 @@
             if let Some(tally) = &mut world.tally {
                 tally.price.client_retries += 1;
             }
-            world.dice.spread(clients.wait, clients.spread)
+            world.random.spread(clients.wait, clients.spread)
         };
         let wait = wait.max(if clients.follow_retry_after { advice } else { 0 });
         sleep(Duration::from_micros(wait)).await;
@@ -139,7 +139,7 @@
     let dealt: Vec<usize> = fronts.filter(|&node| world.nodes[node].dealt).collect();
     let near: Vec<usize> = dealt.iter().copied().filter(|&node| world.nodes[node].zone == zone).collect();
     let from = if near.is_empty() { dealt } else { near };
-    let chance = world.dice.unit();
+    let chance = world.random.unit();
     from.get(stage.scenario.favoured(from.len(), chance)).copied()
 }
 
@@ -220,7 +220,7 @@
     let came = stage.now();
     if wrote.is_ok() {
         let mut world = stage.world.borrow_mut();
-        world.referee.taken(came, asked.node, id, asked.product, asked.deadline);
+        world.checker.query_accepted(came, asked.node, id, asked.product, asked.deadline);
         if let Some(tally) = &mut world.tally {
             tally.taken += u64::from(tally.counts(came));
         }
@@ -241,7 +241,7 @@
     let attempt = match answer {
         Ok(Ok(Some(answer))) => {
             let (told, word, advice) = read(id, &answer);
-            world.referee.answered(now, id, word);
+            world.checker.query_answered(now, id, word);
             let keeps = answer.header("connection") != Some("close");
             let same = world.nodes[asked.node].incarnation == incarnation;
             if let Some(tally) = &mut world.tally {
@@ -251,23 +251,23 @@
             Attempt::Answered(told, advice, keeps && same)
         }
         Ok(_) if !fresh && executions == 0 => {
-            world.referee.left(now, id);
+            world.checker.query_cancelled(now, id);
             Attempt::Crossed
         }
-        // Lost: the referee counts it when its time is over, unless the balancer was killed.
+        // Lost: the invariant checker counts it once its answer is overdue, unless the balancer was killed.
         Ok(_) => {
             let killed =
                 world.nodes[asked.node].incarnation != incarnation || world.nodes[asked.node].may_end;
             if killed {
-                world.referee.left(now, id);
+                world.checker.query_cancelled(now, id);
             }
             Attempt::Lost
         }
         Err(_) => {
             // Whoever gives up a balancer that stands still has hung up before it could answer: nothing is
             // owed then.
-            if leaves.is_some() || world.referee.is_halted(asked.node) {
-                world.referee.left(now, id);
+            if leaves.is_some() || world.checker.is_paused(asked.node) {
+                world.checker.query_cancelled(now, id);
             }
             Attempt::Lost
         }
@@ -282,7 +282,7 @@
     let advice = advice.map_or(0, |seconds| (seconds * 1e6) as u64);
     match answer.status {
         200 if answer.body == body(id).as_bytes() => (Told::Completed, Final::Completed, 0),
-        // Served with what no server made for it: told as completed, which the referee finds no run for.
+        // A body that no server made for this query: reported as completed, so that the invariant checker finds no run for it.
         200 => (Told::Failed, Final::Completed, 0),
         429 | 503 => (Told::Rejected, Final::Rejected, advice),
         _ => (Told::Failed, Final::Aborted, 0),
@@ -306,7 +306,7 @@
             product,
             tenant: parent.tenant,
             node,
-            work: Dice::new(mark, Concern::Clients).varied(row.work as f64, row.varies).max(1.0),
+            work: RandomGenerator::new(mark, Concern::Clients).varied(row.work as f64, row.varies).max(1.0),
             mark,
             deadline: parent.deadline.min(now + row.statement_timeout),
             executions: 0,
@@ -320,10 +320,10 @@
         let world = &mut *world;
         let host = &mut world.tiers[tier].hosts[place];
         if host.server == server {
-            host.machine.returned(now, job, well, &mut did);
+            host.machine.call_returned(now, job, well, &mut did);
         }
         for did in did {
-            if let whinspindle_lab_model::machine::Did::Answered(job, well) = did
+            if let whinspindle_lab_model::machine::MachineEvent::Answered(job, well) = did
                 && let Some(waits) = world.jobs.remove(&job)
             {
                 let _ = waits.send(well);
--- a/lab/testbed/src/program.rs
+++ b/lab/testbed/src/program.rs
@@ -46,7 +46,7 @@
 /// Starts the program; its log goes to a file of its own.
 pub fn start(stage: &Stage, node: usize) -> Result<(), String> {
     let tier = stage.world.borrow().nodes[node].tier;
-    let news = stage.world.borrow().tiers[tier].registry.whole();
+    let news = stage.world.borrow().tiers[tier].registry.full_list();
     let configuration = configuration(stage, node, &discovery::line(stage, node, &news));
     let config = stage.folder.join(format!("n{node}.json"));
     std::fs::write(&config, configuration.to_string()).map_err(|fault| fault.to_string())?;
@@ -148,7 +148,7 @@
     let now = stage.now();
     let mut world = stage.world.borrow_mut();
     let world = &mut *world;
-    world.referee.balancer_ended(now, node);
+    world.checker.balancer_ended(now, node);
     let n = &mut world.nodes[node];
     n.may_end = true;
     n.incarnation += 1;
@@ -179,7 +179,7 @@
             };
             if running && has_ended(&stage, node) {
                 let mut world = stage.world.borrow_mut();
-                world.referee.crashed(now, node);
+                world.checker.balancer_crashed(now, node);
                 world.nodes[node].process = None;
                 world.nodes[node].dealt = false;
                 let log = stage.folder.join(format!("n{node}.log"));
