--- a/controlplane/controller/tests/common/edge.rs
+++ b/controlplane/controller/tests/common/edge.rs
@@ -82,7 +82,7 @@
         let (zone, region) = self.location();
         let settings = AgentSettings {
             node: self.node(),
-            machine: self.address.ip(),
+            machine_ip: self.address.ip(),
             zone,
             region,
             seeds: self.seeds.clone(),
@@ -132,7 +132,7 @@
         let Some(agent) = &mut self.agent else { return Vec::new() };
         let mut outputs = agent.handle(now, input);
         if outputs.contains(&Output::ReadSettings) {
-            outputs.extend(agent.handle(now, Input::Seeds(self.seeds.clone())));
+            outputs.extend(agent.handle(now, Input::SeedsReloaded(self.seeds.clone())));
         }
         outputs.into_iter().filter_map(|output| self.carry_out(now, output)).collect()
     }
@@ -143,19 +143,19 @@
                 return Some(EdgeAction::Connect(connection, endpoint));
             }
             Output::Close(connection) => return self.wires.remove(&connection).map(EdgeAction::Closed),
-            Output::Report(connection, report) => {
+            Output::SendReport(connection, report) => {
                 if let Some(wire) = self.wires.get_mut(&connection) {
                     wire.upward.push_back(report);
                 }
             }
-            Output::ToProxy(ToBalancer::Update(update)) => {
+            Output::SendToProxy(ToBalancer::Update(update)) => {
                 if let Some(proxy) = &mut self.proxy {
                     proxy.applied.apply(now, update);
                     proxy.report_at = now;
                 }
             }
-            Output::ToProxy(ToBalancer::Link(_))
-            | Output::Greet(_)
+            Output::SendToProxy(ToBalancer::Link(_))
+            | Output::SendHello(_)
             | Output::ReadSettings
             | Output::Exit
             | Output::Log(_) => {}
--- a/controlplane/controller/tests/common/rules.rs
+++ b/controlplane/controller/tests/common/rules.rs
@@ -33,7 +33,7 @@
 pub struct AcceptsAnyFirstRecords;
 
 impl agent::ProtocolRules for AcceptsAnyFirstRecords {
-    fn takes_first_records(_may: bool) -> bool {
+    fn may_accept_initial_records(_is_eligible: bool) -> bool {
         true
     }
 }
--- a/dataplane/agent/src/agent.rs
+++ b/dataplane/agent/src/agent.rs
@@ -52,13 +52,13 @@
 impl<L: ProtocolRules> Agent<L> {
     /// Like [`Agent::new`], with other protocol rules.
     pub fn with_rules(now: u64, settings: AgentSettings) -> Self {
-        let AgentSettings { node, machine, zone, region, seeds, grace_ms, incarnation } = settings;
+        let AgentSettings { node, machine_ip, zone, region, seeds, grace_ms, incarnation } = settings;
         let mut catalog = ControllerCatalog::new(zone.clone(), region.clone(), incarnation);
         catalog.set_seeds(now, &seeds);
         Agent {
             selector: LinkSelector::new(catalog),
             sections: GuardedSections::new(),
-            proxy: ProxyState::absent(node, zone, region, machine, incarnation),
+            proxy: ProxyState::absent(node, zone, region, machine_ip, incarnation),
             link: Link::default(),
             link_sent_at: now,
             received_at: None,
@@ -79,7 +79,7 @@
             Input::Tick => {}
             Input::Connected(connection) => self.connected(now, connection, &mut outputs),
             Input::Closed(connection) => {
-                let events = self.selector.closed(now, connection);
+                let events = self.selector.record_closed(now, connection);
                 self.carry_out(now, events, &mut outputs);
             }
             Input::FromController(connection, message) => {
@@ -88,7 +88,7 @@
             Input::ProxyConnected => self.proxy_connected(now, &mut outputs),
             Input::ProxyClosed => self.proxy_closed(now, &mut outputs),
             Input::FromProxy(report) => self.proxy_reported(now, report, &mut outputs),
-            Input::Seeds(seeds) => {
+            Input::SeedsReloaded(seeds) => {
                 let events = self.selector.set_seeds(now, &seeds);
                 self.carry_out(now, events, &mut outputs);
             }
@@ -101,23 +101,23 @@
     /// The present metrics.
     pub fn metrics(&self, now: u64) -> AgentMetrics {
         AgentMetrics {
-            linked: self.selector.current().is_some(),
+            has_link: self.selector.current_link().is_some(),
             in_quorum: self.selector.has_quorum(),
-            proxy_connected: self.proxy.is_connected(),
+            is_proxy_connected: self.proxy.is_connected(),
             received_ms_ago: self.received_at.map(|at| now.saturating_sub(at)),
-            held: self.sections.versions(),
-            applied: self.applied,
+            held_versions: self.sections.versions(),
+            applied_versions: self.applied,
         }
     }
 
     /// The time of the next [`Input::Tick`] at the latest.
     pub fn next_wake(&self, now: u64) -> u64 {
-        let report = match self.selector.current() {
+        let report = match self.selector.current_link() {
             Some(_) if self.proxy.is_reporting(now) => Some(self.proxy.times_out_at()),
             Some(_) => Some(self.next_report_at),
             None => None,
         };
-        let settings = self.selector.current().is_none().then_some(self.next_settings_at);
+        let settings = self.selector.current_link().is_none().then_some(self.next_settings_at);
         let wakes = [report, settings, self.sections.next_wake(), self.exit_at];
         wakes.into_iter().flatten().fold(self.selector.next_wake(now), u64::min)
     }
@@ -130,7 +130,7 @@
         if !self.proxy.is_reporting(now) && now >= self.next_report_at {
             self.report(now, outputs);
         }
-        if self.selector.current().is_none() && now >= self.next_settings_at {
+        if self.selector.current_link().is_none() && now >= self.next_settings_at {
             self.next_settings_at = now + SETTINGS_MS;
             outputs.push(Output::ReadSettings);
         }
@@ -141,9 +141,9 @@
 
     /// Sends hello and report together, since a controller answers the first report with its state.
     fn connected(&mut self, now: u64, connection: ConnectionId, outputs: &mut Vec<Output>) {
-        let events = self.selector.connected(now, connection);
-        outputs.push(Output::Greet(connection));
-        outputs.push(Output::Report(connection, self.outgoing_report(now)));
+        let events = self.selector.record_connected(now, connection);
+        outputs.push(Output::SendHello(connection));
+        outputs.push(Output::SendReport(connection, self.outgoing_report(now)));
         self.carry_out(now, events, outputs);
     }
 
@@ -154,7 +154,7 @@
         message: ToBalancer,
         outputs: &mut Vec<Output>,
     ) {
-        if self.selector.current() == Some(id) {
+        if self.selector.current_link() == Some(id) {
             self.received_at = Some(now);
         }
         match message {
@@ -165,7 +165,7 @@
             }
             ToBalancer::Update(update) => {
                 self.selector.record_received(now, id);
-                if self.selector.current() == Some(id) {
+                if self.selector.current_link() == Some(id) {
                     let changes = self.sections.apply(now, update);
                     self.forward_and_acknowledge(now, changes, outputs);
                 }
@@ -174,7 +174,7 @@
     }
 
     fn record_quorum(&mut self, now: u64, id: ConnectionId, in_quorum: bool, outputs: &mut Vec<Output>) {
-        if self.selector.current() != Some(id) {
+        if self.selector.current_link() != Some(id) {
             return;
         }
         let changes = self.sections.set_quorum(now, in_quorum);
@@ -197,7 +197,7 @@
 
     fn send_link_to_proxy(&mut self, now: u64, outputs: &mut Vec<Output>) {
         self.link_sent_at = now;
-        outputs.push(Output::ToProxy(ToBalancer::Link(self.link.clone())));
+        outputs.push(Output::SendToProxy(ToBalancer::Link(self.link.clone())));
     }
 
     /// Forwards changes to the proxy, and acknowledges at once what the proxy has applied already.
@@ -210,7 +210,7 @@
 
     fn forward(&self, changes: Update, outputs: &mut Vec<Output>) {
         if self.proxy.is_connected() && changes != Update::default() {
-            outputs.push(Output::ToProxy(ToBalancer::Update(changes)));
+            outputs.push(Output::SendToProxy(ToBalancer::Update(changes)));
         }
     }
 
@@ -271,8 +271,8 @@
         self.next_report_at = now + REPORT_MS;
         let report = self.outgoing_report(now);
         self.applied = report.applied;
-        if let Some(connection) = self.selector.current() {
-            outputs.push(Output::Report(connection, report));
+        if let Some(connection) = self.selector.current_link() {
+            outputs.push(Output::SendReport(connection, report));
         }
     }
 
@@ -283,7 +283,7 @@
                     outputs.push(Output::Connect { connection, endpoint });
                 }
                 LinkEvent::Close { connection } => outputs.push(Output::Close(connection)),
-                LinkEvent::Adopted { endpoint, in_quorum, .. } => {
+                LinkEvent::Linked { endpoint, in_quorum, .. } => {
                     self.sections.linked(now);
                     self.logged_quorum = in_quorum;
                     outputs.push(Output::Log(Notice::Linked { endpoint, in_quorum }));
--- a/dataplane/agent/src/catalog.rs
+++ b/dataplane/agent/src/catalog.rs
@@ -19,7 +19,7 @@
 
 /// The distance of a controller; lower is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum Proximity {
     /// In the agent's zone.
     OwnZone,
     /// In the agent's region.
@@ -42,7 +42,7 @@
 
 #[derive(Clone, Debug)]
 struct KnownController {
-    rank: Rank,
+    proximity: Proximity,
     is_seed: bool,
     listed_at: u64,
     failures: u32,
@@ -74,33 +74,33 @@
     /// Adds the controllers that a controller lists.
     pub fn learn(&mut self, now: u64, controllers: &[ControllerAddress]) {
         for controller in controllers {
-            let rank = self.rank_of(&controller.zone, &controller.region);
-            self.entry(now, controller.endpoint).rank = rank;
+            let proximity = self.proximity_of(&controller.zone, &controller.region);
+            self.entry(now, controller.endpoint).proximity = proximity;
         }
         self.shrink();
     }
 
-    /// The rank of a controller.
-    pub fn rank(&self, endpoint: SocketAddr) -> Rank {
-        self.known.get(&endpoint).map_or(Rank::Unknown, |known| known.rank)
+    /// The proximity of a controller.
+    pub fn proximity(&self, endpoint: SocketAddr) -> Proximity {
+        self.known.get(&endpoint).map_or(Proximity::Unknown, |known| known.proximity)
     }
 
     /// Records the start of an attempt.
-    pub fn attempted(&mut self, now: u64, endpoint: SocketAddr) {
+    pub fn record_attempt(&mut self, now: u64, endpoint: SocketAddr) {
         if let Some(known) = self.known.get_mut(&endpoint) {
             known.attempted_at = Some(now);
         }
     }
 
     /// Records that a controller has become the link.
-    pub fn succeeded(&mut self, endpoint: SocketAddr) {
+    pub fn record_success(&mut self, endpoint: SocketAddr) {
         if let Some(known) = self.known.get_mut(&endpoint) {
             known.failures = 0;
         }
     }
 
     /// Records a failed attempt or a lost link.
-    pub fn failed(&mut self, now: u64, endpoint: SocketAddr) {
+    pub fn record_failure(&mut self, now: u64, endpoint: SocketAddr) {
         if let Some(known) = self.known.get_mut(&endpoint) {
             known.failures += 1;
             let is_early = known.failures <= FIRST_ATTEMPTS;
@@ -109,40 +109,43 @@
     }
 
     /// Records that a controller answered and cannot serve.
-    pub fn rejected(&mut self, now: u64, endpoint: SocketAddr) {
+    pub fn record_rejection(&mut self, now: u64, endpoint: SocketAddr) {
         if let Some(known) = self.known.get_mut(&endpoint) {
             known.not_before = now + REJECTED_BACKOFF_MS;
         }
     }
 
     /// The controller for the next attempt: the nearest, among these the one attempted longest ago.
-    pub fn next(&self, now: u64, is_taken: impl Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
+    pub fn next_candidate(&self, now: u64, is_taken: impl Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
         let eligible =
             self.known.iter().filter(|(endpoint, known)| known.not_before <= now && !is_taken(**endpoint));
         eligible
-            .min_by_key(|(_, known)| (known.rank, known.attempted_at, known.tie_breaker))
+            .min_by_key(|(_, known)| (known.proximity, known.attempted_at, known.tie_breaker))
             .map(|(&endpoint, _)| endpoint)
     }
 
-    /// The earliest time at which [`ControllerCatalog::next`] returns a controller.
-    pub fn next_at(&self, is_taken: impl Fn(SocketAddr) -> bool) -> Option<u64> {
+    /// The earliest time at which [`ControllerCatalog::next_candidate`] returns a controller.
+    pub fn next_candidate_at(&self, is_taken: impl Fn(SocketAddr) -> bool) -> Option<u64> {
         let others = self.known.iter().filter(|(endpoint, _)| !is_taken(**endpoint));
         others.map(|(_, known)| known.not_before).min()
     }
 
     /// A controller that is known to be nearer, among these the one attempted longest ago.
-    pub fn nearer_than(&self, rank: Rank) -> Option<SocketAddr> {
-        let nearer = self.known.iter().filter(|(_, known)| known.rank < rank && known.rank != Rank::Unknown);
-        nearer.min_by_key(|(_, known)| (known.attempted_at, known.rank)).map(|(&endpoint, _)| endpoint)
+    pub fn nearer_candidate(&self, proximity: Proximity) -> Option<SocketAddr> {
+        let nearer = self
+            .known
+            .iter()
+            .filter(|(_, known)| known.proximity < proximity && known.proximity != Proximity::Unknown);
+        nearer.min_by_key(|(_, known)| (known.attempted_at, known.proximity)).map(|(&endpoint, _)| endpoint)
     }
 
-    fn rank_of(&self, zone: &str, region: &str) -> Rank {
+    fn proximity_of(&self, zone: &str, region: &str) -> Proximity {
         if zone == self.zone {
-            Rank::OwnZone
+            Proximity::OwnZone
         } else if region == self.region {
-            Rank::OwnRegion
+            Proximity::OwnRegion
         } else {
-            Rank::OtherRegion
+            Proximity::OtherRegion
         }
     }
 
@@ -168,7 +171,7 @@
         let mut hasher = DefaultHasher::new();
         (seed, endpoint).hash(&mut hasher);
         KnownController {
-            rank: Rank::Unknown,
+            proximity: Proximity::Unknown,
             is_seed: false,
             listed_at: 0,
             failures: 0,
--- a/dataplane/agent/src/guarded_sections.rs
+++ b/dataplane/agent/src/guarded_sections.rs
@@ -174,7 +174,7 @@
     fn may_take_records(&self, now: u64) -> bool {
         let has_records = self.applied_state.configured().is_some();
         let has_waited = self.records_open_at.is_some_and(|at| now >= at);
-        has_records || L::takes_first_records(self.in_quorum || has_waited)
+        has_records || L::may_accept_initial_records(self.in_quorum || has_waited)
     }
 
     /// Keeps the newest lists of a controller that is not trusted yet.
--- a/dataplane/agent/src/lib.rs
+++ b/dataplane/agent/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod settings_file;
 
 pub use agent::Agent;
-pub use catalog::{ControllerCatalog, Rank};
+pub use catalog::{ControllerCatalog, Proximity};
 pub use connection::ConnectionId;
 pub use messages::{AgentSettings, Input, Notice, Output};
 pub use protocol_rules::{ProtocolRules, StandardRules};
--- a/dataplane/agent/src/messages.rs
+++ b/dataplane/agent/src/messages.rs
@@ -13,7 +13,7 @@
     /// Name of the node.
     pub node: String,
     /// Address of the machine.
-    pub machine: IpAddr,
+    pub machine_ip: IpAddr,
     /// Zone of the machine.
     pub zone: String,
     /// Region of the machine.
@@ -44,7 +44,7 @@
     /// A report of the proxy.
     FromProxy(Report),
     /// The settings were read again.
-    Seeds(Vec<SocketAddr>),
+    SeedsReloaded(Vec<SocketAddr>),
     /// The process is to shut down.
     Terminate,
 }
@@ -62,12 +62,12 @@
     /// Close a connection.
     Close(ConnectionId),
     /// Send a hello, the first frame of a connection.
-    Greet(ConnectionId),
+    SendHello(ConnectionId),
     /// Send a report to a controller.
-    Report(ConnectionId, Report),
+    SendReport(ConnectionId, Report),
     /// Send a message to the proxy.
-    ToProxy(ToBalancer),
-    /// Read the settings file and pass its controllers in as [`Input::Seeds`].
+    SendToProxy(ToBalancer),
+    /// Read the settings file and pass its controllers in as [`Input::SeedsReloaded`].
     ReadSettings,
     /// Write what is queued and exit.
     Exit,
--- a/dataplane/agent/src/metrics.rs
+++ b/dataplane/agent/src/metrics.rs
@@ -10,35 +10,40 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AgentMetrics {
     /// A controller is linked.
-    pub linked: bool,
+    pub has_link: bool,
     /// The link's controller is in a quorum.
     pub in_quorum: bool,
     /// The proxy is connected.
-    pub proxy_connected: bool,
+    pub is_proxy_connected: bool,
     /// Milliseconds since something was received from the present or last link; none before the first link.
     pub received_ms_ago: Option<u64>,
     /// Versions of the sections that the agent has.
-    pub held: Versions,
+    pub held_versions: Versions,
     /// Versions of the sections that its proxy has applied.
-    pub applied: Versions,
+    pub applied_versions: Versions,
 }
 
 /// The present metrics as OpenMetrics text.
-pub fn text<L: ProtocolRules>(agent: &Agent<L>, now: u64) -> String {
-    let told = agent.metrics(now);
+pub fn render<L: ProtocolRules>(agent: &Agent<L>, now: u64) -> String {
+    let metrics = agent.metrics(now);
     let mut figures = Figures::default();
     let flags = [
-        ("agent_linked", "1 while a controller is linked", told.linked),
-        ("agent_in_quorum", "1 while the link's controller is in a quorum", told.in_quorum),
-        ("agent_proxy_connected", "1 while the proxy is connected", told.proxy_connected),
+        ("agent_linked", "1 while a controller is linked", metrics.has_link),
+        ("agent_in_quorum", "1 while the link's controller is in a quorum", metrics.in_quorum),
+        ("agent_proxy_connected", "1 while the proxy is connected", metrics.is_proxy_connected),
     ];
     for (name, help, flag) in flags {
         figures.gauge(name, help, [([].as_slice(), if flag { 1.0 } else { 0.0 })]);
     }
-    let heard = told.received_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
+    let heard = metrics.received_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
     figures.gauge("agent_heard_seconds", "Time since a controller was last heard", heard);
-    add_versions(&mut figures, "agent_held", "Newest versions that the agent holds", told.held);
-    add_versions(&mut figures, "agent_applied", "Versions that the proxy has in force", told.applied);
+    add_versions(&mut figures, "agent_held", "Newest versions that the agent holds", metrics.held_versions);
+    add_versions(
+        &mut figures,
+        "agent_applied",
+        "Versions that the proxy has in force",
+        metrics.applied_versions,
+    );
     figures.into_text()
 }
 
--- a/dataplane/agent/src/protocol_rules.rs
+++ b/dataplane/agent/src/protocol_rules.rs
@@ -4,9 +4,9 @@
 
 /// The rules of the protocol. The defaults are those of the program.
 pub trait ProtocolRules: Clone + Debug {
-    /// Whether an agent without records takes those of its link, where quorum and time allow it (`may`).
-    fn takes_first_records(may: bool) -> bool {
-        may
+    /// Whether an agent without records takes those of its link, where quorum and time allow it (`is_eligible`).
+    fn may_accept_initial_records(is_eligible: bool) -> bool {
+        is_eligible
     }
 }
 
--- a/dataplane/agent/src/runtime.rs
+++ b/dataplane/agent/src/runtime.rs
@@ -110,7 +110,7 @@
         biased;
         Some(event) = waiting.recv() => runtime.input_of(event),
         _ = terminate.recv() => Some(Input::Terminate),
-        _ = hangup.recv() => settings_file::seeds(&runtime.settings_file).map(Input::Seeds),
+        _ = hangup.recv() => settings_file::read_seeds(&runtime.settings_file).map(Input::SeedsReloaded),
         () = sleep_until(wake.into()) => Some(Input::Tick),
     }
 }
@@ -135,7 +135,7 @@
         let hello = encode_hello(&Hello { role: Role::Balancer, endpoint: own });
         let agent_settings = AgentSettings {
             node: settings.node.clone(),
-            machine: settings.ip,
+            machine_ip: settings.ip,
             zone: settings.zone.clone(),
             region: settings.region.clone(),
             seeds: settings_file::internal_endpoints(settings),
@@ -162,7 +162,7 @@
     /// A function that renders the present metrics.
     fn metrics(&self) -> Rc<dyn Fn() -> String> {
         let (agent, started) = (Rc::clone(&self.agent), self.started);
-        Rc::new(move || metrics::text(&agent.borrow(), milliseconds_since(started)))
+        Rc::new(move || metrics::render(&agent.borrow(), milliseconds_since(started)))
     }
 
     fn next_wake(&self) -> Instant {
@@ -186,11 +186,11 @@
             Output::Close(connection) => {
                 self.controllers.remove(&connection);
             }
-            Output::Greet(connection) => self.send(connection, FrameKind::Hello, self.hello.clone()),
-            Output::Report(connection, report) => {
+            Output::SendHello(connection) => self.send(connection, FrameKind::Hello, self.hello.clone()),
+            Output::SendReport(connection, report) => {
                 self.send(connection, FrameKind::Report, encode_report(&report).into());
             }
-            Output::ToProxy(message) => {
+            Output::SendToProxy(message) => {
                 if let Some(proxy) = &mut self.proxy {
                     proxy.send(Frame {
                         kind: FrameKind::ToBalancer,
@@ -199,8 +199,8 @@
                 }
             }
             Output::ReadSettings => {
-                if let Some(seeds) = settings_file::seeds(&self.settings_file) {
-                    self.handle(Input::Seeds(seeds));
+                if let Some(seeds) = settings_file::read_seeds(&self.settings_file) {
+                    self.handle(Input::SeedsReloaded(seeds));
                 }
             }
             Output::Exit => self.exiting = true,
--- a/dataplane/agent/src/selector.rs
+++ b/dataplane/agent/src/selector.rs
@@ -41,7 +41,7 @@
         connection: ConnectionId,
     },
     /// This connection has become the link.
-    Adopted {
+    Linked {
         /// The connection.
         connection: ConnectionId,
         /// The controller's endpoint.
@@ -83,7 +83,7 @@
     }
 
     /// The connection that is the link.
-    pub fn current(&self) -> Option<ConnectionId> {
+    pub fn current_link(&self) -> Option<ConnectionId> {
         self.current
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// The connection is established.
-    pub fn connected(&mut self, now: u64, id: ConnectionId) -> Vec<LinkEvent> {
+    pub fn record_connected(&mut self, now: u64, id: ConnectionId) -> Vec<LinkEvent> {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.connected(now);
         }
@@ -107,7 +107,7 @@
     }
 
     /// The connection has ended, or could not be made.
-    pub fn closed(&mut self, now: u64, id: ConnectionId) -> Vec<LinkEvent> {
+    pub fn record_closed(&mut self, now: u64, id: ConnectionId) -> Vec<LinkEvent> {
         let mut events = Vec::new();
         self.drop_connection(now, id, LossReason::Closed, &mut events);
         events.extend(self.tick(now));
@@ -179,7 +179,7 @@
         let better = match self.current_connection() {
             None => !candidate.is_shutting_down(),
             Some(current) => {
-                let nearer = self.catalog.rank(endpoint) < self.catalog.rank(current.endpoint);
+                let nearer = self.catalog.proximity(endpoint) < self.catalog.proximity(current.endpoint);
                 candidate.is_usable() && (nearer || !self.is_fit(now))
             }
         };
@@ -188,7 +188,7 @@
             return;
         }
         if !candidate.is_usable() {
-            self.catalog.rejected(now, endpoint);
+            self.catalog.record_rejection(now, endpoint);
         }
         self.close(id, events);
     }
@@ -197,9 +197,9 @@
         let Some(adopted) = self.connections.get(&id) else { return };
         let (endpoint, in_quorum) = (adopted.endpoint, adopted.has_quorum());
         let previous = self.current.replace(id);
-        self.catalog.succeeded(endpoint);
+        self.catalog.record_success(endpoint);
         self.next_improvement_at = now + IMPROVEMENT_MS;
-        events.push(LinkEvent::Adopted { connection: id, endpoint, in_quorum });
+        events.push(LinkEvent::Linked { connection: id, endpoint, in_quorum });
         if let Some(previous) = previous {
             self.close(previous, events);
         }
@@ -243,7 +243,7 @@
         events: &mut Vec<LinkEvent>,
     ) {
         let Some(connection) = self.connections.remove(&id) else { return };
-        self.catalog.failed(now, connection.endpoint);
+        self.catalog.record_failure(now, connection.endpoint);
         self.next_attempt_at = now;
         if self.current == Some(id) {
             self.current = None;
@@ -256,7 +256,7 @@
         if self.is_fit(now) || now < self.next_attempt_at || self.attempts() >= MAXIMUM_ATTEMPTS {
             return;
         }
-        if let Some(endpoint) = self.catalog.next(now, |endpoint| self.is_connected(endpoint)) {
+        if let Some(endpoint) = self.catalog.next_candidate(now, |endpoint| self.is_connected(endpoint)) {
             self.attempt(now, endpoint, events);
         }
     }
@@ -265,7 +265,7 @@
         if self.attempts() >= MAXIMUM_ATTEMPTS {
             return None;
         }
-        let eligible_at = self.catalog.next_at(|endpoint| self.is_connected(endpoint))?;
+        let eligible_at = self.catalog.next_candidate_at(|endpoint| self.is_connected(endpoint))?;
         Some(eligible_at.max(self.next_attempt_at))
     }
 
@@ -285,15 +285,15 @@
     }
 
     fn improvement(&self) -> Option<SocketAddr> {
-        let rank = self.catalog.rank(self.current_connection()?.endpoint);
-        self.catalog.nearer_than(rank)
+        let proximity = self.catalog.proximity(self.current_connection()?.endpoint);
+        self.catalog.nearer_candidate(proximity)
     }
 
     fn attempt(&mut self, now: u64, endpoint: SocketAddr, events: &mut Vec<LinkEvent>) {
         self.last_connection += 1;
         let connection = ConnectionId(self.last_connection);
         self.connections.insert(connection, Connection::connecting(now, endpoint));
-        self.catalog.attempted(now, endpoint);
+        self.catalog.record_attempt(now, endpoint);
         self.next_attempt_at = now + ATTEMPT_SPACING_MS;
         events.push(LinkEvent::Connect { connection, endpoint });
     }
--- a/dataplane/agent/src/settings_file.rs
+++ b/dataplane/agent/src/settings_file.rs
@@ -12,7 +12,7 @@
 }
 
 /// The controllers in the file; none if it cannot be read or parsed, perhaps because it is being written.
-pub fn seeds(path: &Path) -> Option<Vec<SocketAddr>> {
+pub fn read_seeds(path: &Path) -> Option<Vec<SocketAddr>> {
     let text = match std::fs::read(path) {
         Ok(text) => text,
         Err(error) => {
--- a/dataplane/agent/tests/common/mod.rs
+++ b/dataplane/agent/tests/common/mod.rs
@@ -132,7 +132,7 @@
     pub fn new(controllers: &[(u8, Controller)], seeds: &[u8], incarnation: u64) -> Harness {
         let settings = AgentSettings {
             node: "edge-1".to_owned(),
-            machine: "10.0.0.99".parse().unwrap(),
+            machine_ip: "10.0.0.99".parse().unwrap(),
             zone: "a".to_owned(),
             region: "north".to_owned(),
             seeds: seeds.iter().copied().map(endpoint).collect(),
@@ -224,9 +224,9 @@
                 self.connections.remove(&connection);
                 self.inbox.retain(|_, input| connection_of(input) != Some(connection));
             }
-            Output::Greet(_) => {}
-            Output::Report(connection, report) => self.take_report(connection, report),
-            Output::ToProxy(message) => self.to_proxy.push(message),
+            Output::SendHello(_) => {}
+            Output::SendReport(connection, report) => self.take_report(connection, report),
+            Output::SendToProxy(message) => self.to_proxy.push(message),
             Output::ReadSettings => self.settings_read.push(self.now),
             Output::Exit => self.exited_at = Some(self.now),
             Output::Log(notice) => self.notices.push((self.now, notice)),
--- a/dataplane/agent/tests/connections.rs
+++ b/dataplane/agent/tests/connections.rs
@@ -12,7 +12,7 @@
     let seeds: Vec<SocketAddr> = [1, 2].map(endpoint).to_vec();
     let settings = AgentSettings {
         node: "edge-1".to_owned(),
-        machine: "10.0.0.99".parse().unwrap(),
+        machine_ip: "10.0.0.99".parse().unwrap(),
         zone: "a".to_owned(),
         region: "north".to_owned(),
         seeds,
@@ -32,7 +32,7 @@
 
 fn updates(outputs: &[Output]) -> Vec<&Update> {
     let updates = outputs.iter().filter_map(|output| match output {
-        Output::ToProxy(ToBalancer::Update(update)) => Some(update),
+        Output::SendToProxy(ToBalancer::Update(update)) => Some(update),
         _ => None,
     });
     updates.collect()
@@ -40,7 +40,7 @@
 
 fn reports(outputs: &[Output]) -> Vec<&Report> {
     let reports = outputs.iter().filter_map(|output| match output {
-        Output::Report(_, report) => Some(report),
+        Output::SendReport(_, report) => Some(report),
         _ => None,
     });
     reports.collect()
--- a/dataplane/agent/tests/link_selection.rs
+++ b/dataplane/agent/tests/link_selection.rs
@@ -81,7 +81,7 @@
 #[test]
 fn learned_controllers_stay_when_the_seeds_are_replaced() {
     let mut harness = linked(&three());
-    harness.give(Input::Seeds(vec![endpoint(9)]));
+    harness.give(Input::SeedsReloaded(vec![endpoint(9)]));
     harness.set_mode(1, Mode::Down);
     harness.run_until(8_500);
     assert_eq!(harness.linked_to(), [endpoint(2)]);
@@ -212,7 +212,7 @@
     let mut harness = Harness::new(&three(), &[9], 1);
     harness.run_until(9_000);
     assert_eq!(harness.settings_read, [2_000, 4_000, 6_000, 8_000]);
-    harness.give(Input::Seeds(vec![endpoint(1)]));
+    harness.give(Input::SeedsReloaded(vec![endpoint(1)]));
     harness.run_until(9_500);
     assert_eq!(harness.linked_to(), [endpoint(1)]);
 }
--- a/dataplane/agent/tests/metrics.rs
+++ b/dataplane/agent/tests/metrics.rs
@@ -4,11 +4,11 @@
 
 use common::{Harness, Mode, configured, controller, proxy_report};
 use whinspindle_agent::Input;
-use whinspindle_agent::metrics::text;
+use whinspindle_agent::metrics::render;
 use whinspindle_distribution::Versions;
 
 fn metrics_text(harness: &Harness) -> String {
-    text(&harness.agent, harness.now)
+    render(&harness.agent, harness.now)
 }
 
 fn assert_lines(text: &str, lines: &[&str]) {
@@ -56,5 +56,5 @@
     harness.run_until(12_000);
     let metrics = harness.agent.metrics(harness.now);
     assert!((9_600..=10_400).contains(&metrics.received_ms_ago.unwrap()), "{metrics:?}");
-    assert!(!metrics.linked && !metrics.in_quorum);
+    assert!(!metrics.has_link && !metrics.in_quorum);
 }
