--- a/dataplane/proxy/src/control_link.rs
+++ b/dataplane/proxy/src/control_link.rs
@@ -166,7 +166,7 @@
         shutting_down: node.shutdown.is_requested(),
         applied: node.applied_state.borrow().versions(),
         sends: node.router.borrow().attempt_rates(node.clock.now_ms()),
-        failing: node.router.borrow().failing(node.clock.now_ms()),
+        failing: node.router.borrow().failing_instances(node.clock.now_ms()),
     };
     frames.push(FrameKind::Report, &encode_report(&report)).context(FrameSnafu)?;
     let written = timeout(SILENCE_LIMIT, frames.write_to(writer)).await;
--- a/dataplane/proxy/src/exchange.rs
+++ b/dataplane/proxy/src/exchange.rs
@@ -99,14 +99,14 @@
     /// Tells the router that the head of the answer or the first event has arrived.
     fn first_event(&self) {
         if let Some(id) = self.id {
-            self.node.router.borrow_mut().first_event(self.node.clock.now_ms(), id);
+            self.node.router.borrow_mut().record_first_event(self.node.clock.now_ms(), id);
         }
     }
 
     /// Reports how the attempt ended.
     pub fn finish(&mut self, outcome: Outcome) {
         if let Some(id) = self.id.take() {
-            self.node.router.borrow_mut().finished(self.node.clock.now_ms(), id, outcome);
+            self.node.router.borrow_mut().finish_attempt(self.node.clock.now_ms(), id, outcome);
         }
     }
 }
@@ -129,7 +129,7 @@
     }
 
     fn broken() -> Self {
-        FailedAttempt { end: AttemptEnd::Broken, outcome: Outcome::Broken }
+        FailedAttempt { end: AttemptEnd::Broken, outcome: Outcome::ConnectionBroken }
     }
 }
 
@@ -218,7 +218,7 @@
         facts.generation = self.matched.configuration.generation;
         facts.route = self.matched.route;
         facts.service = self.matched.service;
-        facts.unreached = self.history.unsent as usize;
+        facts.unsent_attempts = self.history.unsent as usize;
         facts.time_left_ms = self.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
         let now = self.node.clock.now_ms();
         let choice = self.node.router.borrow_mut().choose(now, facts, &self.tried);
@@ -282,21 +282,21 @@
         let target = self.node.router.borrow().target(instance).cloned();
         let Some(target) = target else { return Err(FailedAttempt::not_sent(Outcome::Cancelled)) };
         let most = self.node.most_connections(self.matched.service().max_conns);
-        let trusts_idle = !self.node.router.borrow().is_in_doubt(instance);
+        let trusts_idle = !self.node.router.borrow().may_be_unreachable(instance);
         let leased = self.node.pool.lease(instance, target.address, most, trusts_idle).await;
         let mut leased = leased.map_err(|fault| {
             spdlog::debug!("{}: {fault}", target.id);
             FailedAttempt::not_sent(match fault {
                 ConnectionError::Full => Outcome::Cancelled,
-                ConnectionError::Silent => Outcome::Silent,
-                ConnectionError::Refused { .. } | ConnectionError::Handshake { .. } => Outcome::Unreachable,
+                ConnectionError::Silent => Outcome::ConnectTimedOut,
+                ConnectionError::Refused { .. } | ConnectionError::Handshake { .. } => Outcome::ConnectFailed,
             })
         })?;
         if leased.connection.is_fresh() {
             self.node.router.borrow_mut().record_received(instance);
         }
         // Connecting may have taken a while.
-        let wanted = self.node.router.borrow().may_still_send(instance);
+        let wanted = self.node.router.borrow().can_send(instance);
         if !wanted || self.time_left() < LEAST_TIME {
             self.node.pool.release(leased);
             return Err(FailedAttempt::not_sent(Outcome::Cancelled));
@@ -335,7 +335,11 @@
         answer.map_err(|fault| {
             let written = leased.connection.written() - before;
             spdlog::debug!("{}: {fault}, {written} bytes written", target.id);
-            if written > 0 { FailedAttempt::broken() } else { FailedAttempt::not_sent(Outcome::Unreachable) }
+            if written > 0 {
+                FailedAttempt::broken()
+            } else {
+                FailedAttempt::not_sent(Outcome::ConnectFailed)
+            }
         })
     }
 
--- a/dataplane/proxy/src/exchange/reading.rs
+++ b/dataplane/proxy/src/exchange/reading.rs
@@ -44,7 +44,7 @@
         let counts = !matches!(class, AnswerClass::Rejected | AnswerClass::Misdirected);
         self.in_flight = counts;
         if counts && !is_framed(&self.request.method, &head, &body) {
-            attempt.finish(Outcome::Broken);
+            attempt.finish(Outcome::ConnectionBroken);
             return Err(AttemptEnd::Broken);
         }
         let keep_alive = keep_alive_ms(&head.headers).map(Duration::from_millis);
@@ -95,7 +95,7 @@
             _ => {}
         }
         let Some(body) = body else {
-            attempt.finish(Outcome::Broken);
+            attempt.finish(Outcome::ConnectionBroken);
             return Err(AttemptEnd::Broken);
         };
         let failed = head.status.is_server_error();
@@ -168,7 +168,7 @@
                 Err(_) => break,
             }
         }
-        attempt.finish(Outcome::Broken);
+        attempt.finish(Outcome::ConnectionBroken);
         Err(AttemptEnd::Broken)
     }
 
--- a/dataplane/proxy/src/metrics.rs
+++ b/dataplane/proxy/src/metrics.rs
@@ -29,7 +29,8 @@
 
 fn add_services(metrics: &mut Figures, services: &[ServiceMetrics]) {
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
-    let left = labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.retry_budget));
+    let left =
+        labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.retry_budget_tokens));
     metrics.gauge("repeats_left", "Repeated sends that this balancer's part of the budget allows", left);
     add_choices(metrics, services);
     add_regions(metrics, services, "region_share", "Weight by which the region is drawn", |region| {
@@ -47,19 +48,19 @@
         services,
         "upstreams_ready",
         "Upstreams that may be sent to and don't rest",
-        |region| region.ready as f64,
+        |region| region.ready_instances as f64,
     );
     add_regions(metrics, services, "upstreams_cold", "Upstreams that are cold", |region| {
-        region.warming_up as f64
+        region.warming_up_instances as f64
     });
     add_regions(metrics, services, "upstreams_resting", "Upstreams that rest after failures", |region| {
-        region.ejected as f64
+        region.ejected_instances as f64
     });
     add_regions(metrics, services, "upstreams_out_of_reach", "Upstreams in places out of reach", |region| {
-        region.unreachable as f64
+        region.unreachable_instances as f64
     });
     add_regions(metrics, services, "sends_in_flight", "This balancer's sends under way", |region| {
-        region.in_flight as f64
+        region.in_flight_attempts as f64
     });
 }
 
@@ -77,13 +78,13 @@
     metrics.count("refusals", "Requests that were refused, by reason", counted);
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
     let passed =
-        labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.passed_over));
+        labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.busy_instance_skips));
     metrics.count("passed_over", "Picks that passed over an upstream for its sends in flight", passed);
     let prompts: Vec<_> = services
         .iter()
         .flat_map(|service| {
             let name = service.service.as_str();
-            [(name, "holder", service.at_cache_owner), (name, "elsewhere", service.beside_cache_owner)]
+            [(name, "holder", service.cache_owner_hits), (name, "elsewhere", service.cache_owner_misses)]
         })
         .map(|(service, target, count)| ([("service", service), ("to", target)], count))
         .collect();
--- a/dataplane/proxy/src/node.rs
+++ b/dataplane/proxy/src/node.rs
@@ -57,7 +57,7 @@
         let router_settings = RouterSettings {
             zone: settings.zone.clone(),
             region: settings.region.clone(),
-            zones: settings.zones.clone(),
+            zone_regions: settings.zones.clone(),
             bounds: settings.bounds.clone(),
             heartbeat_ms: settings.heartbeat_ms,
             mechanisms: settings.mechanisms,
@@ -115,14 +115,14 @@
         let configured = changes.configured.map(|configured| self.configure(now, &configured.body));
         let mut router = self.router.borrow_mut();
         if let Some(evacuations) = &changes.evacuations {
-            router.evacuations(now, &evacuations.zones);
+            router.set_evacuated_zones(now, &evacuations.zones);
         }
         if let Some(fleet) = &changes.fleet {
             self.balancers.set(fleet.balancers);
-            router.fleet(now, fleet);
+            router.set_fleet(now, fleet);
         }
         if let Some(instances) = &changes.instances {
-            router.instances(now, instances);
+            router.set_instances(now, instances);
         }
         drop(router);
         self.updated.notify_waiters();
@@ -131,7 +131,7 @@
 
     fn configure(&self, now: u64, body: &[u8]) -> Result<(), ConfigurationError> {
         let configuration = Arc::new(Configuration::parse(body)?);
-        self.router.borrow_mut().configure(now, &configuration);
+        self.router.borrow_mut().set_configuration(now, &configuration);
         self.limits.borrow_mut().replace(&configuration.limits);
         *self.configuration.borrow_mut() = Some(configuration);
         Ok(())
--- a/dataplane/proxy/src/request.rs
+++ b/dataplane/proxy/src/request.rs
@@ -11,7 +11,7 @@
 use http_body_util::Full;
 use tokio::time::Instant;
 use whinspindle_configuration::{Configuration, Route, RouteKind, Service};
-use whinspindle_routing::{InstanceTarget, RequestFacts};
+use whinspindle_routing::{InstanceTarget, RequestInfo};
 
 use crate::events::Position;
 use crate::headers::{
@@ -46,7 +46,7 @@
     /// How long the client waits, if it says so.
     pub client_timeout: Option<Duration>,
     /// The facts for the router; the route is filled in at each choice.
-    pub facts: RequestFacts,
+    pub facts: RequestInfo,
 }
 
 impl ClientRequest {
@@ -59,9 +59,9 @@
         if had_length || !body.is_empty() {
             headers.insert(CONTENT_LENGTH, number_value(body.len() as u64));
         }
-        let (prompt_tokens, most_output_tokens) = token_counts(&headers);
+        let (prompt_tokens, max_output_tokens) = token_counts(&headers);
         let prompt = prompt_parts(&headers);
-        let facts = RequestFacts { prompt, prompt_tokens, most_output_tokens, ..RequestFacts::default() };
+        let facts = RequestInfo { prompt, prompt_tokens, max_output_tokens, ..RequestInfo::default() };
         ClientRequest {
             method: parts.method,
             target: origin_form(&parts.uri),
@@ -79,7 +79,7 @@
     pub fn release(&mut self) {
         self.body = Bytes::new();
         self.headers = HeaderMap::new();
-        self.facts = RequestFacts::default();
+        self.facts = RequestInfo::default();
     }
 
     /// The deadline of the answer on a route with this time-out.
--- a/dataplane/proxy/src/stream.rs
+++ b/dataplane/proxy/src/stream.rs
@@ -279,7 +279,7 @@
             self.resume_elsewhere(flow, None);
             return;
         }
-        flow.run.attempt.finish(Outcome::Broken);
+        flow.run.attempt.finish(Outcome::ConnectionBroken);
         self.node.request_counts.record(RequestEvent::StreamTruncated);
         self.state = State::Flushing;
     }
@@ -295,7 +295,7 @@
     fn resume_elsewhere(&mut self, flow: Box<Flow>, chosen: Option<ChosenInstance>) {
         let Flow { mut exchange, mut run } = *flow;
         self.moved_after_silence = chosen.is_some();
-        run.attempt.finish(Outcome::Broken);
+        run.attempt.finish(Outcome::ConnectionBroken);
         // The old run must not continue beside the new one.
         drop(run);
         exchange.resume_after(self.position);
--- a/dataplane/routing/src/catalogue.rs
+++ b/dataplane/routing/src/catalogue.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexSet;
 use whinspindle_configuration::{Configuration, Route, RouteKind};
 
-use crate::RequestFacts;
+use crate::RequestInfo;
 
 /// Number of configurations kept for requests that were matched under them.
 const CONFIGURATIONS_KEPT: usize = 8;
@@ -111,7 +111,7 @@
     }
 
     /// The route and the service of a request in the configuration under which it was matched.
-    pub(crate) fn resolve(&self, facts: &RequestFacts) -> Option<(&RoutePlan, ServiceId)> {
+    pub(crate) fn resolve(&self, facts: &RequestInfo) -> Option<(&RoutePlan, ServiceId)> {
         let known = self.configurations.iter().rev().find(|known| known.generation == facts.generation)?;
         Some((known.routes.get(facts.route)?, *known.services.get(facts.service)?))
     }
--- a/dataplane/routing/src/counts.rs
+++ b/dataplane/routing/src/counts.rs
@@ -12,9 +12,9 @@
     /// Picks that passed over an instance for its attempts in flight.
     pub(crate) passed_over: Cell<u64>,
     /// Prompts forwarded to the cache owner of their prefix.
-    pub(crate) at_cache_owner: Cell<u64>,
+    pub(crate) cache_owner_hits: Cell<u64>,
     /// Prompts forwarded elsewhere since the cache owner was above its bound.
-    pub(crate) beside_cache_owner: Cell<u64>,
+    pub(crate) cache_owner_misses: Cell<u64>,
     rejections: IndexMap<RejectionReason, u64>,
 }
 
--- a/dataplane/routing/src/lib.rs
+++ b/dataplane/routing/src/lib.rs
@@ -10,13 +10,13 @@
 //! ```
 //! use std::collections::BTreeMap;
 //! use whinspindle_configuration::{Bounds, Mechanisms};
-//! use whinspindle_routing::{Choice, RejectionReason, RequestFacts, Router, RouterSettings};
+//! use whinspindle_routing::{Choice, RejectionReason, RequestInfo, Router, RouterSettings};
 //!
 //! # fn example(bounds: Bounds) {
 //! let settings = RouterSettings {
 //!     zone: "z1".to_owned(),
 //!     region: "a".to_owned(),
-//!     zones: BTreeMap::from([("z1".to_owned(), "a".to_owned())]),
+//!     zone_regions: BTreeMap::from([("z1".to_owned(), "a".to_owned())]),
 //!     bounds,
 //!     heartbeat_ms: 1_000,
 //!     mechanisms: Mechanisms::default(),
@@ -24,7 +24,7 @@
 //! };
 //! let mut router = Router::new(settings, 0);
 //! // Without a configuration no route is known.
-//! let Choice::Reject(rejection) = router.choose(0, &RequestFacts::default(), &[]) else { panic!() };
+//! let Choice::Reject(rejection) = router.choose(0, &RequestInfo::default(), &[]) else { panic!() };
 //! assert_eq!(rejection.reason, RejectionReason::NoUpstream);
 //! # }
 //! ```
@@ -50,6 +50,6 @@
 
 pub use metrics::{RegionMetrics, ServiceMetrics};
 pub use request::{
-    AttemptId, Choice, InstanceKey, Outcome, PromptPart, Rejection, RejectionReason, RequestFacts,
+    AttemptId, Choice, InstanceKey, Outcome, PromptPart, Rejection, RejectionReason, RequestInfo,
 };
 pub use router::{InstanceTarget, Router, RouterSettings};
--- a/dataplane/routing/src/metrics.rs
+++ b/dataplane/routing/src/metrics.rs
@@ -9,15 +9,15 @@
     /// Name of the service.
     pub service: String,
     /// Retries that the balancer's part of the retry budget allows now.
-    pub retry_budget: f64,
+    pub retry_budget_tokens: f64,
     /// Requests rejected since the start, by reason.
     pub rejections: Vec<(RejectionReason, u64)>,
     /// Picks since the start that passed over an instance for its attempts in flight.
-    pub passed_over: u64,
+    pub busy_instance_skips: u64,
     /// Prompts forwarded since the start to the cache owner of their prefix.
-    pub at_cache_owner: u64,
+    pub cache_owner_hits: u64,
     /// Prompts forwarded since the start to another instance than the cache owner of their prefix.
-    pub beside_cache_owner: u64,
+    pub cache_owner_misses: u64,
     /// The service's instances by region.
     pub regions: Vec<RegionMetrics>,
 }
@@ -32,15 +32,15 @@
     /// Root mean square distance of latencies from the fit that the weight is solved with, in milliseconds.
     pub fit_error_ms: f64,
     /// Instances that take requests and are neither ejected nor unreachable.
-    pub ready: u64,
+    pub ready_instances: u64,
     /// Instances in slow start.
-    pub warming_up: u64,
+    pub warming_up_instances: u64,
     /// Instances ejected for consecutive failures.
-    pub ejected: u64,
-    /// Instances in a zone or region that this balancer can't domain.
-    pub unreachable: u64,
+    pub ejected_instances: u64,
+    /// Instances in a zone or region that this balancer can't reach.
+    pub unreachable_instances: u64,
     /// This balancer's open attempts.
-    pub in_flight: u64,
+    pub in_flight_attempts: u64,
 }
 
 impl Router {
@@ -48,11 +48,11 @@
     pub fn metrics(&self, now: u64) -> Vec<ServiceMetrics> {
         let metrics = |(id, service): (usize, &Service)| ServiceMetrics {
             service: self.catalogue.service_name(id).to_owned(),
-            retry_budget: service.budget.tokens(),
+            retry_budget_tokens: service.budget.tokens(),
             rejections: service.counts.rejections(),
-            passed_over: service.counts.passed_over.get(),
-            at_cache_owner: service.counts.at_cache_owner.get(),
-            beside_cache_owner: service.counts.beside_cache_owner.get(),
+            busy_instance_skips: service.counts.passed_over.get(),
+            cache_owner_hits: service.counts.cache_owner_hits.get(),
+            cache_owner_misses: service.counts.cache_owner_misses.get(),
             regions: (0..service.regions.len())
                 .map(|region| self.region_metrics(service, region, now))
                 .collect(),
@@ -69,12 +69,13 @@
             region: self.catalogue.region_name(region).to_owned(),
             weight: service.regions[region].weight,
             fit_error_ms: service.regions[region].fit_error(now),
-            ready: open().filter(|instance| instance.is_ready(now)).count() as u64,
-            warming_up: open().filter(|instance| instance.is_warming_up(now)).count() as u64,
-            ejected: open().filter(|instance| instance.health.is_ejected(now, instance.unanswered)).count()
-                as u64,
-            unreachable: open().filter(|instance| now < instance.unreachable_until).count() as u64,
-            in_flight: open().map(|instance| u64::from(instance.in_flight)).sum(),
+            ready_instances: open().filter(|instance| instance.is_ready(now)).count() as u64,
+            warming_up_instances: open().filter(|instance| instance.is_warming_up(now)).count() as u64,
+            ejected_instances: open()
+                .filter(|instance| instance.health.is_ejected(now, instance.unanswered))
+                .count() as u64,
+            unreachable_instances: open().filter(|instance| now < instance.unreachable_until).count() as u64,
+            in_flight_attempts: open().map(|instance| u64::from(instance.in_flight)).sum(),
         }
     }
 }
--- a/dataplane/routing/src/reachability.rs
+++ b/dataplane/routing/src/reachability.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether connecting to any instance of a zone or its region has timed out and nothing was received from there since.
-    pub(crate) fn is_in_doubt(&self, zone: ZoneId, region: RegionId) -> bool {
+    pub(crate) fn may_be_unreachable(&self, zone: ZoneId, region: RegionId) -> bool {
         let has_time_outs = |domains: &[FailureDomain], id: usize| {
             domains.get(id).is_some_and(|domain| !domain.timed_out.is_empty())
         };
--- a/dataplane/routing/src/request.rs
+++ b/dataplane/routing/src/request.rs
@@ -15,7 +15,7 @@
 
 /// What is known of a request before it is forwarded.
 #[derive(Clone, Debug, Default)]
-pub struct RequestFacts {
+pub struct RequestInfo {
     /// Generation of the configuration under which the request was matched.
     pub generation: u64,
     /// Index into the routes of that configuration.
@@ -27,15 +27,15 @@
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
     /// The most tokens that the answer may have.
-    pub most_output_tokens: u32,
+    pub max_output_tokens: u32,
     /// Time until the deadline of the request, in milliseconds.
     pub time_left_ms: u64,
     /// Number of earlier attempts that ended before a byte was written; an attempt after only such is no retry.
-    pub unreached: usize,
+    pub unsent_attempts: usize,
 }
 
 /// Identifies one attempt, from [`Router::choose`](crate::Router::choose) to
-/// [`Router::finished`](crate::Router::finished).
+/// [`Router::finish_attempt`](crate::Router::finish_attempt).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId(pub u64);
 
@@ -99,11 +99,11 @@
     /// The address belongs to another instance (421).
     Misdirected,
     /// The connection was refused or could not be made.
-    Unreachable,
+    ConnectFailed,
     /// Connecting timed out: the connection was neither accepted nor refused.
-    Silent,
+    ConnectTimedOut,
     /// The connection broke or the answer was malformed.
-    Broken,
+    ConnectionBroken,
     /// The client disconnected or the deadline passed before an answer.
     Cancelled,
 }
--- a/dataplane/routing/src/router.rs
+++ b/dataplane/routing/src/router.rs
@@ -41,7 +41,7 @@
     /// Region of this balancer.
     pub region: String,
     /// Region of each zone that has balancers, by the zone's name.
-    pub zones: BTreeMap<String, String>,
+    pub zone_regions: BTreeMap<String, String>,
     /// Limits that all balancers together keep to.
     pub bounds: Bounds,
     /// Time between two heartbeats of an instance, in milliseconds.
@@ -67,9 +67,9 @@
 
 /// Decides where requests go. All times are milliseconds of one monotonic clock that the caller reads.
 ///
-/// [`Router::configure`], [`Router::fleet`], [`Router::instances`] and [`Router::evacuations`] take what the control plane
+/// [`Router::set_configuration`], [`Router::set_fleet`], [`Router::set_instances`] and [`Router::set_evacuated_zones`] take what the control plane
 /// sends. For each request [`Router::draw_service`] and [`Router::choose`] pick an instance; the caller reports the course
-/// of the attempt with [`Router::first_event`] and [`Router::finished`], and calls [`Router::tick`] when it asks for it.
+/// of the attempt with [`Router::record_first_event`] and [`Router::finish_attempt`], and calls [`Router::tick`] when it asks for it.
 pub struct Router {
     settings: RouterSettings,
     own_region: RegionId,
@@ -100,7 +100,7 @@
     pub fn new(settings: RouterSettings, now: u64) -> Self {
         let mut catalogue = Catalogue::default();
         let own_region = catalogue.region(&settings.region);
-        let regions: BTreeSet<&String> = settings.zones.values().collect();
+        let regions: BTreeSet<&String> = settings.zone_regions.values().collect();
         let regions_with_balancers = regions.len().max(1);
         regions.into_iter().for_each(|name| _ = catalogue.region(name));
         Router {
@@ -126,7 +126,7 @@
 
     /// Takes a configuration as the newest one. Requests that were matched under one of the last few older ones are still
     /// resolved by its generation.
-    pub fn configure(&mut self, now: u64, configuration: &Arc<Configuration>) {
+    pub fn set_configuration(&mut self, now: u64, configuration: &Arc<Configuration>) {
         self.catalogue.add_configuration(configuration);
         self.grow(now);
         for reported in &configuration.services {
@@ -138,7 +138,7 @@
     }
 
     /// Replaces the state of the fleet: number of balancers, loads by region, and failing instances.
-    pub fn fleet(&mut self, now: u64, fleet: &Fleet) {
+    pub fn set_fleet(&mut self, now: u64, fleet: &Fleet) {
         self.balancers.update(now, fleet.balancers);
         let target = |load: &RegionLoad| {
             let service = self.catalogue.service(&load.target.service);
@@ -232,7 +232,7 @@
             own_region: self.own_region,
             balancers: self.balancers.get(),
             regions: self.regions_with_balancers,
-            zones: self.settings.zones.len().max(1),
+            zones: self.settings.zone_regions.len().max(1),
             bounds: &self.settings.bounds,
         };
         self.services.iter_mut().for_each(|service| service.check(&context, &mut self.random));
--- a/dataplane/routing/src/router/attempts.rs
+++ b/dataplane/routing/src/router/attempts.rs
@@ -5,7 +5,7 @@
 use super::Router;
 use crate::catalogue::{RegionId, ServiceId};
 use crate::service::{RoutingContext, Service};
-use crate::{AttemptId, InstanceKey, Outcome, RequestFacts};
+use crate::{AttemptId, InstanceKey, Outcome, RequestInfo};
 
 /// One open attempt.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 
 impl Router {
     /// Records that the head of the answer, or the first event of a stream, has arrived.
-    pub fn first_event(&mut self, now: u64, attempt: AttemptId) {
+    pub fn record_first_event(&mut self, now: u64, attempt: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&attempt).filter(|attempt| !attempt.answered) else {
             return;
         };
@@ -48,7 +48,7 @@
     }
 
     /// Records the end of an attempt. Each attempt is to be ended once; an unknown one is ignored.
-    pub fn finished(&mut self, now: u64, attempt: AttemptId, outcome: Outcome) {
+    pub fn finish_attempt(&mut self, now: u64, attempt: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.attempts.remove(&attempt) else { return };
         let service = &mut self.services[attempt.service];
         if let Some(instance) = service.instances.get_mut(&attempt.instance) {
@@ -79,30 +79,30 @@
             }
             Outcome::Rejected => self.record_answer(now, attempt),
             Outcome::Misdirected => self.retire(attempt.service, attempt.instance),
-            Outcome::Unreachable | Outcome::Silent => {
+            Outcome::ConnectFailed | Outcome::ConnectTimedOut => {
                 if attempt.is_retry {
                     service.budget.refund();
                 }
-                service.record_failure(now, attempt.instance, outcome == Outcome::Silent);
+                service.record_failure(now, attempt.instance, outcome == Outcome::ConnectTimedOut);
             }
-            Outcome::Failed | Outcome::Broken if !attempt.counted_as_failed => {
+            Outcome::Failed | Outcome::ConnectionBroken if !attempt.counted_as_failed => {
                 service.record_failure(now, attempt.instance, false);
             }
             Outcome::Cancelled if is_silent(service, now, attempt) => {
                 service.record_failure(now, attempt.instance, false);
             }
-            Outcome::Failed | Outcome::Broken | Outcome::Cancelled => {}
+            Outcome::Failed | Outcome::ConnectionBroken | Outcome::Cancelled => {}
         }
     }
 
     /// Whether the zone and region of the instance are known to be reachable after the end of an attempt.
     fn apply_to_reachability(&mut self, now: u64, instance: InstanceKey, outcome: Outcome) {
         match outcome {
-            Outcome::Silent => self.record_time_out(now, instance),
+            Outcome::ConnectTimedOut => self.record_time_out(now, instance),
             Outcome::Served | Outcome::Rejected | Outcome::Misdirected | Outcome::Failed => {
                 self.record_received(instance);
             }
-            Outcome::Unreachable | Outcome::Broken | Outcome::Cancelled => {}
+            Outcome::ConnectFailed | Outcome::ConnectionBroken | Outcome::Cancelled => {}
         }
     }
 
@@ -143,7 +143,7 @@
     context: &RoutingContext,
     id: ServiceId,
     key: InstanceKey,
-    facts: &RequestFacts,
+    facts: &RequestInfo,
 ) -> Attempt {
     let pace = service.pace;
     let instance = &mut service.instances[&key];
--- a/dataplane/routing/src/router/choice.rs
+++ b/dataplane/routing/src/router/choice.rs
@@ -10,7 +10,7 @@
 use crate::even_draw::EvenDraw;
 use crate::instance::InstanceState;
 use crate::service::{RoutingContext, Service};
-use crate::{AttemptId, Choice, InstanceKey, RejectionReason, RequestFacts};
+use crate::{AttemptId, Choice, InstanceKey, RejectionReason, RequestInfo};
 
 impl Router {
     /// Draws the service of a request by the weights of the route's backends. Returns an index into the services of the
@@ -37,15 +37,15 @@
     /// Chooses the instance for the first attempt of a request or for a retry.
     ///
     /// `tried` are the instances of the request's earlier attempts; none of them is chosen again. Each attempt that this
-    /// begins is to be ended with [`Router::finished`].
-    pub fn choose(&mut self, now: u64, facts: &RequestFacts, tried: &[InstanceKey]) -> Choice {
+    /// begins is to be ended with [`Router::finish_attempt`].
+    pub fn choose(&mut self, now: u64, facts: &RequestInfo, tried: &[InstanceKey]) -> Choice {
         let is_full = self.attempts.len() >= ATTEMPT_CAPACITY;
         let context = RoutingContext {
             now,
             own_region: self.own_region,
             balancers: self.balancers.get(),
             regions: self.regions_with_balancers,
-            zones: self.settings.zones.len().max(1),
+            zones: self.settings.zone_regions.len().max(1),
             bounds: &self.settings.bounds,
         };
         let resolved = self.catalogue.resolve(facts);
@@ -58,7 +58,7 @@
         if tried.is_empty() {
             service.record_arrival(now, context.bounds);
         }
-        let is_retry = tried.len() > facts.unreached;
+        let is_retry = tried.len() > facts.unsent_attempts;
         let result = if is_retry && !may_retry(service) {
             Err(RejectionReason::RetryBudget)
         } else if is_full {
@@ -97,7 +97,7 @@
     }
 
     /// Whether the instance still takes requests; to be asked right before the first byte is written.
-    pub fn may_still_send(&self, instance: InstanceKey) -> bool {
+    pub fn can_send(&self, instance: InstanceKey) -> bool {
         self.instance(instance).is_some_and(InstanceState::may_be_sent_to)
     }
 }
@@ -107,7 +107,7 @@
 }
 
 /// The prefix by which the request is bound to an instance, on sticky routes.
-fn affinity_prefix(service: &Service, route: &RoutePlan, facts: &RequestFacts) -> Option<SharedPrefix> {
+fn affinity_prefix(service: &Service, route: &RoutePlan, facts: &RequestInfo) -> Option<SharedPrefix> {
     let is_sticky = route.sticky && service.mechanisms.has(Mechanism::Holders);
     if is_sticky { shared_prefix(&facts.prompt) } else { None }
 }
--- a/dataplane/routing/src/router/evidence.rs
+++ b/dataplane/routing/src/router/evidence.rs
@@ -37,7 +37,7 @@
     }
 
     /// Instances that have recently failed requests of this balancer, to be reported to the control plane.
-    pub fn failing(&self, now: u64) -> Vec<InstanceFailures> {
+    pub fn failing_instances(&self, now: u64) -> Vec<InstanceFailures> {
         let instances = self.services.iter().flat_map(|service| service.instances.values());
         let failures = instances.map(|instance| (instance, instance.health.recent_failures(now)));
         let failing = failures.filter(|&(instance, failures)| failures > 0 && instance.may_be_sent_to());
@@ -57,8 +57,9 @@
 
     /// Whether connecting to other instances of its zone or region has timed out and nothing was received from there since:
     /// what is written on an idle connection may be lost.
-    pub fn is_in_doubt(&self, instance: InstanceKey) -> bool {
-        self.instance(instance).is_some_and(|known| self.reachability.is_in_doubt(known.zone, known.region))
+    pub fn may_be_unreachable(&self, instance: InstanceKey) -> bool {
+        self.instance(instance)
+            .is_some_and(|known| self.reachability.may_be_unreachable(known.zone, known.region))
     }
 
     /// Records that connecting to the instance has timed out.
--- a/dataplane/routing/src/router/membership.rs
+++ b/dataplane/routing/src/router/membership.rs
@@ -19,7 +19,7 @@
 
 impl Router {
     /// Replaces the endpoint list.
-    pub fn instances(&mut self, now: u64, instances: &Instances) {
+    pub fn set_instances(&mut self, now: u64, instances: &Instances) {
         self.refresh(now);
         let listed: BTreeSet<&str> = instances.list.iter().map(|instance| instance.id.as_str()).collect();
         for instance in self.services.iter_mut().flat_map(|service| service.instances.values_mut()) {
@@ -39,7 +39,7 @@
     }
 
     /// Replaces the list of evacuated zones.
-    pub fn evacuations(&mut self, now: u64, zones: &[String]) {
+    pub fn set_evacuated_zones(&mut self, now: u64, zones: &[String]) {
         let evacuated: BTreeSet<String> = zones.iter().cloned().collect();
         let suspect_ms = self.suspect_ms();
         for instance in self.services.iter_mut().flat_map(|service| service.instances.values_mut()) {
@@ -56,7 +56,7 @@
 
     fn take_instance(&mut self, now: u64, reported: &Instance) {
         let service = self.catalogue.service(&reported.service);
-        let region_name = self.settings.zones.get(&reported.zone).cloned().unwrap_or_default();
+        let region_name = self.settings.zone_regions.get(&reported.zone).cloned().unwrap_or_default();
         let region = self.catalogue.region(&region_name);
         let zone = self.catalogue.zone(&reported.zone);
         self.grow(now);
--- a/dataplane/routing/src/router/rejections.rs
+++ b/dataplane/routing/src/router/rejections.rs
@@ -6,7 +6,7 @@
 use super::RouterSettings;
 use crate::catalogue::RoutePlan;
 use crate::service::Service;
-use crate::{Choice, Rejection, RejectionReason, RequestFacts};
+use crate::{Choice, Rejection, RejectionReason, RequestInfo};
 
 /// Clients wait for at most a third of their remaining time; this stays below it.
 const MOST_OF_REMAINING_TIME: f64 = 0.3;
@@ -46,12 +46,7 @@
 }
 
 /// A rejection with jitter on the time to retry, so that clients don't come back all at once.
-pub(super) fn reject(
-    reason: RejectionReason,
-    wait_ms: f64,
-    facts: &RequestFacts,
-    random: &mut Pcg,
-) -> Choice {
+pub(super) fn reject(reason: RejectionReason, wait_ms: f64, facts: &RequestInfo, random: &mut Pcg) -> Choice {
     let most = (MOST_OF_REMAINING_TIME * facts.time_left_ms as f64).max(LEAST_RETRY_AFTER_MS);
     let spread = wait_ms * (JITTER_LEAST + JITTER_RANGE * random.unit());
     let retry_after_ms = spread.clamp(LEAST_RETRY_AFTER_MS, most) as u64;
--- a/dataplane/routing/src/service/selection.rs
+++ b/dataplane/routing/src/service/selection.rs
@@ -195,7 +195,7 @@
         let first = self.candidates.iter().max_by_key(highest).copied();
         let owner = self.candidates.iter().filter(is_within_bounds).max_by_key(highest).copied();
         let is_first = owner.is_some() && owner == first;
-        count_one(if is_first { &self.counts.at_cache_owner } else { &self.counts.beside_cache_owner });
+        count_one(if is_first { &self.counts.cache_owner_hits } else { &self.counts.cache_owner_misses });
         owner.or_else(|| self.pick(random))
     }
 }
--- a/dataplane/routing/tests/affinity.rs
+++ b/dataplane/routing/tests/affinity.rs
@@ -7,7 +7,7 @@
 use common::*;
 use whinspindle_configuration::{Route, RouteKind};
 use whinspindle_distribution::Instance;
-use whinspindle_routing::{Outcome, RequestFacts, Router};
+use whinspindle_routing::{Outcome, RequestInfo, Router};
 
 fn sticky() -> Route {
     Route { sticky: true, ..route("r", RouteKind::Streaming) }
@@ -65,7 +65,7 @@
         let (attempt, key) =
             send(router, 0, &prompt(&[(7, tokens), (1_000 + own, 500)])).expect("an instance");
         if !waiting {
-            router.first_event(0, attempt);
+            router.record_first_event(0, attempt);
         }
         *counts.entry(key).or_insert(0) += 1;
     }
@@ -112,11 +112,11 @@
     let mut router = router(1, sticky(), spread([6, 0, 0]));
     let facts = prompt(&[(7, 6_000), (8, 500)]);
     let (attempt, first) = send(&mut router, 0, &facts).expect("an instance");
-    router.finished(1, attempt, Outcome::Unreachable);
-    let facts = RequestFacts { unreached: 1, ..facts };
+    router.finish_attempt(1, attempt, Outcome::ConnectFailed);
+    let facts = RequestInfo { unsent_attempts: 1, ..facts };
     let again = (0..5).map(|now| match router.choose(now, &facts, &[first]) {
         whinspindle_routing::Choice::Forward { attempt, instance } => {
-            router.finished(now, attempt, Outcome::Served);
+            router.finish_attempt(now, attempt, Outcome::Served);
             instance
         }
         whinspindle_routing::Choice::Reject(_) => panic!("no budget"),
@@ -129,9 +129,12 @@
 fn routers_everywhere(route: &Route, instances: &[Instance]) -> Vec<Router> {
     let in_region = |region: &str| {
         let mut router = Router::new(settings(region, 7), 0);
-        router.configure(0, &configuration(GENERATION, vec![route.clone()], vec![service(SERVICE, 0.0)]));
-        router.instances(0, &list(instances.to_vec()));
-        router.fleet(0, &fleet(6, vec![]));
+        router.set_configuration(
+            0,
+            &configuration(GENERATION, vec![route.clone()], vec![service(SERVICE, 0.0)]),
+        );
+        router.set_instances(0, &list(instances.to_vec()));
+        router.set_fleet(0, &fleet(6, vec![]));
         router
     };
     ["a", "b", "c"].map(in_region).into()
@@ -157,7 +160,7 @@
     for shared in 0..1_200 {
         let (attempt, key) = send(&mut router, 0, &prompt(&[(shared, 6_000), (9, 9)])).expect("an instance");
         *counts.entry(region_of(&router, key)).or_insert(0) += 1;
-        router.finished(0, attempt, Outcome::Served);
+        router.finish_attempt(0, attempt, Outcome::Served);
     }
     assert!((counts["a"] - 600i32).abs() < 80, "{counts:?}");
     assert!((counts["b"] - 300i32).abs() < 80, "{counts:?}");
@@ -167,12 +170,12 @@
 fn a_small_prefix_stays_in_its_balancers_region() {
     let mut router = router(1, sticky(), spread([4, 4, 4]));
     let even = ["a", "b", "c"].map(|region| load(region, 200.0)).to_vec();
-    router.fleet(0, &fleet(6, even));
+    router.set_fleet(0, &fleet(6, even));
     for shared in 0..100 {
         let facts = prompt(&[(shared, 200), (99, 500)]);
         let (attempt, key) = send(&mut router, shared * 10, &facts).expect("an instance");
         assert_eq!(region_of(&router, key), "a");
-        router.finished(shared * 10, attempt, Outcome::Served);
+        router.finish_attempt(shared * 10, attempt, Outcome::Served);
     }
 }
 
@@ -184,7 +187,7 @@
             let facts = prompt(&[(shared, 6_000), (99, 500)]);
             let (attempt, key) = send(&mut router, shared, &facts).expect("an instance");
             assert_eq!(region_of(&router, key), "b");
-            router.finished(shared, attempt, Outcome::Served);
+            router.finish_attempt(shared, attempt, Outcome::Served);
         }
     }
 }
@@ -199,11 +202,11 @@
         .find(|instance| Some(&instance.id) == owner.as_ref())
         .map(|instance| instance.zone)
         .expect("a zone");
-    router.evacuations(1, std::slice::from_ref(&zone));
+    router.set_evacuated_zones(1, std::slice::from_ref(&zone));
     let (attempt, key) = send(&mut router, 2, &facts).expect("an instance");
     assert_ne!(router.target(key).expect("known").zone, zone);
-    router.finished(2, attempt, Outcome::Served);
-    router.evacuations(3, &[]);
+    router.finish_attempt(2, attempt, Outcome::Served);
+    router.set_evacuated_zones(3, &[]);
     assert_eq!(served_by(&mut router, 4, &facts), owner);
 }
 
@@ -214,14 +217,14 @@
     let in_own_region = large(1)
         .find(|facts| {
             let (attempt, key) = send(&mut router, 0, facts).expect("an instance");
-            router.finished(0, attempt, Outcome::Served);
+            router.finish_attempt(0, attempt, Outcome::Served);
             region_of(&router, key) == "a"
         })
         .expect("a prefix with its cache owner in region a");
     let owner = served_by(&mut router, 0, &in_own_region);
     for number in 0..30 {
         if let Some((attempt, _)) = send(&mut router, 1, &prompt(&[(1_000 + number, 100), (9, 50)])) {
-            router.first_event(2, attempt);
+            router.record_first_event(2, attempt);
         }
     }
     assert_eq!(served_by(&mut router, 3, &in_own_region), owner);
--- a/dataplane/routing/tests/budget.rs
+++ b/dataplane/routing/tests/budget.rs
@@ -5,22 +5,22 @@
 use common::*;
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use whinspindle_configuration::RouteKind;
-use whinspindle_routing::{Choice, Outcome, RejectionReason, RequestFacts, Router};
+use whinspindle_routing::{Choice, Outcome, RejectionReason, RequestInfo, Router};
 
 fn plain(seed: u64, balancers: u32) -> Router {
     let mut router = router(seed, route("r", RouteKind::Safe), spread([4, 4, 4]));
-    router.fleet(0, &fleet(balancers, vec![]));
+    router.set_fleet(0, &fleet(balancers, vec![]));
     router
 }
 
 /// Makes a first attempt and a retry; returns whether the retry was allowed, if the first attempt was made at all.
 fn retries(router: &mut Router, now: u64, first: Outcome) -> Option<bool> {
     let (attempt, key) = send(router, now, &facts())?;
-    router.finished(now, attempt, first);
-    let unreached = usize::from(first == Outcome::Unreachable);
-    match router.choose(now, &RequestFacts { unreached, ..facts() }, &[key]) {
+    router.finish_attempt(now, attempt, first);
+    let unsent_attempts = usize::from(first == Outcome::ConnectFailed);
+    match router.choose(now, &RequestInfo { unsent_attempts, ..facts() }, &[key]) {
         Choice::Forward { attempt, .. } => {
-            router.finished(now, attempt, Outcome::Served);
+            router.finish_attempt(now, attempt, Outcome::Served);
             Some(true)
         }
         Choice::Reject(rejected) => {
@@ -42,7 +42,7 @@
 fn an_attempt_that_never_arrived_costs_no_retry_budget() {
     let mut router = plain(1, 6);
     let allowed =
-        (0..500).filter(|&now| retries(&mut router, now * 100, Outcome::Unreachable) == Some(true)).count();
+        (0..500).filter(|&now| retries(&mut router, now * 100, Outcome::ConnectFailed) == Some(true)).count();
     assert!(allowed > 450, "{allowed}");
 }
 
@@ -51,11 +51,11 @@
     let mut router = plain(1, 6);
     for now in 0..100 {
         let (attempt, key) = send(&mut router, now * 300, &facts()).expect("an instance");
-        router.finished(now * 300, attempt, Outcome::Rejected);
+        router.finish_attempt(now * 300, attempt, Outcome::Rejected);
         let Choice::Forward { attempt, .. } = router.choose(now * 300, &facts(), &[key]) else {
             panic!("no budget")
         };
-        router.finished(now * 300, attempt, Outcome::Unreachable);
+        router.finish_attempt(now * 300, attempt, Outcome::ConnectFailed);
     }
 }
 
@@ -69,13 +69,13 @@
 #[test]
 fn an_unknown_number_of_balancers_leaves_a_small_budget() {
     let mut router = Router::new(settings("a", 1), 0);
-    router.configure(
+    router.set_configuration(
         0,
         &configuration(GENERATION, vec![route("r", RouteKind::Safe)], vec![service(SERVICE, 0.0)]),
     );
-    router.instances(0, &list(spread([4, 0, 0])));
+    router.set_instances(0, &list(spread([4, 0, 0])));
     assert_eq!(retries(&mut router, 0, Outcome::Rejected), Some(false));
-    router.fleet(1, &fleet(6, vec![]));
+    router.set_fleet(1, &fleet(6, vec![]));
     assert_eq!(retries(&mut router, 300, Outcome::Rejected), Some(true));
 }
 
@@ -125,11 +125,11 @@
             let Choice::Forward { attempt, instance } = router.choose(now, &facts, &tried) else { break };
             tried.push(instance);
             if request.unreachable == Some(send) {
-                router.finished(now, attempt, Outcome::Unreachable);
-                facts.unreached += 1;
+                router.finish_attempt(now, attempt, Outcome::ConnectFailed);
+                facts.unsent_attempts += 1;
                 continue;
             }
-            router.finished(now, attempt, Outcome::Broken);
+            router.finish_attempt(now, attempt, Outcome::ConnectionBroken);
             arrivals.push((now, arrived));
             arrived = true;
         }
--- a/dataplane/routing/tests/common/mod.rs
+++ b/dataplane/routing/tests/common/mod.rs
@@ -11,7 +11,7 @@
 };
 use whinspindle_distribution::{Fleet, Instance, Instances, RegionLoad, ServiceRegion};
 use whinspindle_routing::{
-    AttemptId, Choice, InstanceKey, Outcome, PromptPart, Rejection, RequestFacts, Router, RouterSettings,
+    AttemptId, Choice, InstanceKey, Outcome, PromptPart, Rejection, RequestInfo, Router, RouterSettings,
 };
 
 pub const SERVICE: &str = "model";
@@ -51,7 +51,7 @@
     RouterSettings {
         zone: format!("z{region}"),
         region: region.to_owned(),
-        zones: zones(),
+        zone_regions: zones(),
         bounds: bounds(),
         heartbeat_ms: HEARTBEAT_MS,
         mechanisms: Mechanisms::default(),
@@ -123,24 +123,24 @@
 /// A router in region a with one route of `SERVICE`, which knows of six balancers.
 pub fn router(seed: u64, route: Route, instances: Vec<Instance>) -> Router {
     let mut router = Router::new(settings("a", seed), 0);
-    router.configure(0, &configuration(GENERATION, vec![route], vec![service(SERVICE, 0.0)]));
-    router.instances(0, &list(instances));
-    router.fleet(0, &fleet(6, vec![]));
+    router.set_configuration(0, &configuration(GENERATION, vec![route], vec![service(SERVICE, 0.0)]));
+    router.set_instances(0, &list(instances));
+    router.set_fleet(0, &fleet(6, vec![]));
     router
 }
 
-pub fn facts() -> RequestFacts {
-    RequestFacts { generation: GENERATION, time_left_ms: 6_000, ..RequestFacts::default() }
+pub fn facts() -> RequestInfo {
+    RequestInfo { generation: GENERATION, time_left_ms: 6_000, ..RequestInfo::default() }
 }
 
-pub fn prompt(parts: &[(u64, u32)]) -> RequestFacts {
+pub fn prompt(parts: &[(u64, u32)]) -> RequestInfo {
     let prompt = parts.iter().map(|&(id, tokens)| PromptPart { id, tokens }).collect();
     let prompt_tokens = parts.iter().map(|part| part.1).sum();
-    RequestFacts { prompt, prompt_tokens, ..facts() }
+    RequestInfo { prompt, prompt_tokens, ..facts() }
 }
 
 /// The first attempt of a request, and its instance; none if the request is rejected.
-pub fn send(router: &mut Router, now: u64, facts: &RequestFacts) -> Option<(AttemptId, InstanceKey)> {
+pub fn send(router: &mut Router, now: u64, facts: &RequestInfo) -> Option<(AttemptId, InstanceKey)> {
     match router.choose(now, facts, &[]) {
         Choice::Forward { attempt, instance } => Some((attempt, instance)),
         Choice::Reject(_) => None,
@@ -155,10 +155,10 @@
 }
 
 /// The id of the instance of a first attempt, which is served at once.
-pub fn served_by(router: &mut Router, now: u64, facts: &RequestFacts) -> Option<String> {
+pub fn served_by(router: &mut Router, now: u64, facts: &RequestInfo) -> Option<String> {
     let (attempt, key) = send(router, now, facts)?;
     let id = router.target(key)?.id.clone();
-    router.finished(now, attempt, Outcome::Served);
+    router.finish_attempt(now, attempt, Outcome::Served);
     Some(id)
 }
 
--- a/dataplane/routing/tests/health.rs
+++ b/dataplane/routing/tests/health.rs
@@ -16,7 +16,7 @@
     while ended < count {
         let (attempt, key) = send(router, now, &facts()).expect("an instance");
         let hit = router.target(key).expect("a known instance").id == id;
-        router.finished(now, attempt, if hit { outcome } else { Outcome::Served });
+        router.finish_attempt(now, attempt, if hit { outcome } else { Outcome::Served });
         ended += u32::from(hit);
     }
 }
@@ -27,7 +27,7 @@
 
 #[test]
 fn an_instance_is_ejected_after_two_consecutive_failures_and_comes_back() {
-    for outcome in [Outcome::Unreachable, Outcome::Broken, Outcome::Failed] {
+    for outcome in [Outcome::ConnectFailed, Outcome::ConnectionBroken, Outcome::Failed] {
         let mut router = plain(spread([4, 0, 0]));
         end_at(&mut router, 100, "i2", outcome, 2);
         assert!(!gets_any(&mut router, 101, "i2"), "{outcome:?}");
@@ -38,17 +38,17 @@
 #[test]
 fn an_answer_between_two_failures_resets_the_count() {
     let mut router = plain(spread([4, 0, 0]));
-    end_at(&mut router, 100, "i2", Outcome::Unreachable, 1);
+    end_at(&mut router, 100, "i2", Outcome::ConnectFailed, 1);
     end_at(&mut router, 100, "i2", Outcome::Served, 1);
-    end_at(&mut router, 100, "i2", Outcome::Unreachable, 1);
+    end_at(&mut router, 100, "i2", Outcome::ConnectFailed, 1);
     assert!(gets_any(&mut router, 101, "i2"));
 }
 
 #[test]
 fn an_ejection_doubles_while_the_probe_after_it_fails() {
     let mut router = plain(spread([4, 0, 0]));
-    end_at(&mut router, 0, "i2", Outcome::Unreachable, 2);
-    end_at(&mut router, 300, "i2", Outcome::Unreachable, 1);
+    end_at(&mut router, 0, "i2", Outcome::ConnectFailed, 2);
+    end_at(&mut router, 300, "i2", Outcome::ConnectFailed, 1);
     assert!(!gets_any(&mut router, 700, "i2"));
     assert!(gets_any(&mut router, 900, "i2"));
 }
@@ -56,16 +56,16 @@
 #[test]
 fn a_probe_is_one_attempt() {
     let mut router = plain(spread([4, 0, 0]));
-    end_at(&mut router, 0, "i2", Outcome::Unreachable, 2);
+    end_at(&mut router, 0, "i2", Outcome::ConnectFailed, 2);
     let trial = loop {
         let (attempt, key) = send(&mut router, 400, &facts()).expect("an instance");
         if router.target(key).expect("a known instance").id == "i2" {
             break attempt;
         }
-        router.finished(400, attempt, Outcome::Served);
+        router.finish_attempt(400, attempt, Outcome::Served);
     };
     assert!(!gets_any(&mut router, 401, "i2"));
-    router.finished(410, trial, Outcome::Served);
+    router.finish_attempt(410, trial, Outcome::Served);
     assert!(gets_any(&mut router, 411, "i2"));
 }
 
@@ -74,7 +74,7 @@
     let mut router = plain(spread([4, 0, 0]));
     for _ in 0..100 {
         let (attempt, _) = send(&mut router, 0, &facts()).expect("an instance");
-        router.finished(0, attempt, Outcome::Broken);
+        router.finish_attempt(0, attempt, Outcome::ConnectionBroken);
     }
     assert!(send(&mut router, 1, &facts()).is_some());
 }
@@ -95,7 +95,7 @@
         if router.target(key).expect("a known instance").id == "i2" && out < 2 {
             out += 1;
         } else {
-            router.finished(now, attempt, Outcome::Served);
+            router.finish_attempt(now, attempt, Outcome::Served);
         }
     }
     router.tick(3_000);
@@ -121,7 +121,7 @@
                     "an instance that rejected the request is not asked again"
                 );
                 tried.push(instance);
-                router.finished(now, attempt, Outcome::Rejected);
+                router.finish_attempt(now, attempt, Outcome::Rejected);
             }
             Choice::Reject(rejected) => return (tried.len(), rejected),
         }
@@ -141,7 +141,7 @@
 fn requests_leave_a_region_that_rejects_them() {
     let mut router = plain(spread([1, 1, 0]));
     let (attempt, first) = send(&mut router, 1_000, &facts()).expect("an instance");
-    router.finished(1_000, attempt, Outcome::Rejected);
+    router.finish_attempt(1_000, attempt, Outcome::Rejected);
     let Choice::Forward { instance, .. } = router.choose(1_000, &facts(), &[first]) else {
         panic!("the other region has room")
     };
@@ -173,7 +173,7 @@
         router.tick(now);
         if let Some((attempt, _)) = send(router, now, &facts()) {
             sent.push(now);
-            router.finished(now, attempt, Outcome::Unreachable);
+            router.finish_attempt(now, attempt, Outcome::ConnectFailed);
         }
     }
     sent
@@ -205,7 +205,7 @@
 
 fn report_failing(router: &mut Router, now: u64, failing: &[&str]) {
     let failing = failing.iter().map(|id| (*id).to_owned()).collect();
-    router.fleet(now, &whinspindle_distribution::Fleet { failing, ..fleet(6, vec![]) });
+    router.set_fleet(now, &whinspindle_distribution::Fleet { failing, ..fleet(6, vec![]) });
 }
 
 #[test]
@@ -253,8 +253,9 @@
     end_at(&mut router, 0, "i2", Outcome::Failed, 1);
     end_at(&mut router, 100, "i2", Outcome::Served, 1);
     end_at(&mut router, 200, "i2", Outcome::Failed, 1);
-    end_at(&mut router, 200, "i3", Outcome::Broken, 1);
-    let reported: Vec<_> = router.failing(4_100).into_iter().map(|seen| (seen.id, seen.failures)).collect();
+    end_at(&mut router, 200, "i3", Outcome::ConnectionBroken, 1);
+    let reported: Vec<_> =
+        router.failing_instances(4_100).into_iter().map(|seen| (seen.id, seen.failures)).collect();
     assert_eq!(reported, [("i2".to_owned(), 2)], "a connection that broke may be the network's");
-    assert!(router.failing(4_201).is_empty());
+    assert!(router.failing_instances(4_201).is_empty());
 }
--- a/dataplane/routing/tests/metrics.rs
+++ b/dataplane/routing/tests/metrics.rs
@@ -26,28 +26,28 @@
     let shared = prompt(&[(7, 3_000), (8, 10)]);
     for now in 0..20 {
         let (attempt, _) = send(&mut router, now, &shared).expect("an instance");
-        router.finished(now, attempt, Outcome::Served);
+        router.finish_attempt(now, attempt, Outcome::Served);
     }
     let calm = service_metrics(&router, 20);
-    assert_eq!((calm.at_cache_owner, calm.beside_cache_owner), (20, 0));
+    assert_eq!((calm.cache_owner_hits, calm.cache_owner_misses), (20, 0));
     for now in 20..80 {
         send(&mut router, now, &shared).expect("an instance");
     }
     let crowded = service_metrics(&router, 80);
-    assert_eq!(crowded.at_cache_owner + crowded.beside_cache_owner, 80);
-    assert!(crowded.beside_cache_owner > 20, "{crowded:?}");
+    assert_eq!(crowded.cache_owner_hits + crowded.cache_owner_misses, 80);
+    assert!(crowded.cache_owner_misses > 20, "{crowded:?}");
 }
 
 #[test]
 fn picks_that_pass_over_busy_instances_are_counted() {
     let mut router = router(1, route("r", RouteKind::Unsafe), spread([2, 0, 0]));
     let (attempt, _) = send(&mut router, 0, &facts()).expect("an instance");
-    router.finished(0, attempt, Outcome::Served);
-    assert_eq!(service_metrics(&router, 0).passed_over, 0);
+    router.finish_attempt(0, attempt, Outcome::Served);
+    assert_eq!(service_metrics(&router, 0).busy_instance_skips, 0);
     for now in 0..6 {
         send(&mut router, now, &facts()).expect("an instance");
     }
-    assert!(service_metrics(&router, 6).passed_over > 0);
+    assert!(service_metrics(&router, 6).busy_instance_skips > 0);
 }
 
 #[test]
@@ -57,7 +57,7 @@
         for turn in 0..40_u64 {
             let begun = turn * 1_000;
             let (attempt, _) = send(&mut router, begun, &facts()).expect("an instance");
-            router.finished(begun + latencies[(turn % 2) as usize], attempt, Outcome::Served);
+            router.finish_attempt(begun + latencies[(turn % 2) as usize], attempt, Outcome::Served);
         }
         service_metrics(&router, 40_000).regions[0].fit_error_ms
     };
--- a/dataplane/routing/tests/ordinary_path.rs
+++ b/dataplane/routing/tests/ordinary_path.rs
@@ -7,7 +7,7 @@
 use common::*;
 use whinspindle_configuration::{Backend, RouteKind};
 use whinspindle_distribution::Instance;
-use whinspindle_routing::{Choice, Outcome, RequestFacts, Router, RouterSettings};
+use whinspindle_routing::{Choice, Outcome, RequestInfo, Router, RouterSettings};
 
 /// Fractions of attempts by region; each is answered after the latency of its region.
 fn play(
@@ -24,7 +24,7 @@
         router.tick(now);
         out.retain(|&(due, attempt)| {
             if due <= now {
-                router.finished(due, attempt, Outcome::Served);
+                router.finish_attempt(due, attempt, Outcome::Served);
             }
             due > now
         });
@@ -34,7 +34,7 @@
         *parts.entry(region).or_insert(0.0) += 1.0 / count as f64;
     }
     for (due, attempt) in out {
-        router.finished(due, attempt, Outcome::Served);
+        router.finish_attempt(due, attempt, Outcome::Served);
     }
     parts
 }
@@ -77,7 +77,7 @@
     let mut router = without_own_instances(spread([0, 4, 4]));
     let mut left = spread([0, 4, 4]);
     left.retain(|instance| instance.zone == "zc" || instance.id == "i1");
-    router.instances(10, &list(left));
+    router.set_instances(10, &list(left));
     let parts = play(&mut router, 20, 500, 1, |_| 1);
     assert!((parts["b"] - 0.2).abs() < 0.07, "{parts:?}");
 }
@@ -86,7 +86,7 @@
 fn a_region_whose_balancers_bring_what_it_can_serve_keeps_its_requests() {
     let mut router = router(3, route("r", RouteKind::Unsafe), spread([4, 4, 4]));
     let even = ["a", "b", "c"].map(|region| load(region, 200.0)).to_vec();
-    router.fleet(0, &fleet(6, even));
+    router.set_fleet(0, &fleet(6, even));
     let parts = play(&mut router, 0, 500, 10, |_| 5);
     assert!(parts["a"] > 0.99, "{parts:?}");
 }
@@ -95,7 +95,7 @@
 fn a_region_with_few_instances_sends_the_rest_elsewhere() {
     let mut router = router(3, route("r", RouteKind::Unsafe), spread([1, 6, 6]));
     let loads = vec![load("a", 200.0), load("b", 200.0), load("c", 200.0)];
-    router.fleet(0, &fleet(6, loads));
+    router.set_fleet(0, &fleet(6, loads));
     let parts = play(&mut router, 0, 1_000, 10, |_| 5);
     assert!(parts["a"] < 0.5, "{parts:?}");
 }
@@ -105,7 +105,7 @@
     let mut router = router(3, route("r", RouteKind::Unsafe), spread([4, 4, 4]));
     for second in 0..20 {
         let loads = vec![load("a", 500.0), load("b", 50.0), load("c", 50.0)];
-        router.fleet(second * 1_100, &fleet(6, loads));
+        router.set_fleet(second * 1_100, &fleet(6, loads));
     }
     let parts = play(&mut router, 22_000, 500, 10, |_| 5);
     assert!(parts["a"] < 0.6, "{parts:?}");
@@ -133,7 +133,7 @@
             // Never answered: two in flight are above twice a mean of a quarter.
             known += 1;
         } else {
-            router.finished(now, attempt, Outcome::Served);
+            router.finish_attempt(now, attempt, Outcome::Served);
         }
     }
     assert_eq!(known, 1);
@@ -158,22 +158,22 @@
     let mut router = router(5, route("r", RouteKind::Unsafe), spread([2, 0, 0]));
     let (first, _) = send(&mut router, 0, &facts()).expect("an instance");
     let (_, second) = send(&mut router, 0, &facts()).expect("the other instance");
-    router.finished(1, first, Outcome::Served);
+    router.finish_attempt(1, first, Outcome::Served);
     let (_, third) = send(&mut router, 2, &facts()).expect("an instance");
     assert_ne!(second, third, "the idle one is taken");
 }
 
 #[test]
 fn failed_rejected_and_timed_out_requests_stay_out_of_the_fit() {
-    let outcomes = [Outcome::Failed, Outcome::Rejected, Outcome::Cancelled, Outcome::Broken];
+    let outcomes = [Outcome::Failed, Outcome::Rejected, Outcome::Cancelled, Outcome::ConnectionBroken];
     let slow = |region: &str| if region == "b" { 400 } else { 20 };
     let mut with = without_own_instances(spread([0, 4, 4]));
     let mut without = without_own_instances(spread([0, 4, 4]));
     for outcome in outcomes {
         let (attempt, _) = send(&mut with, 0, &facts()).expect("an instance");
-        with.finished(900, attempt, outcome);
+        with.finish_attempt(900, attempt, outcome);
         let (attempt, _) = send(&mut without, 0, &facts()).expect("an instance");
-        without.finished(0, attempt, Outcome::Served);
+        without.finish_attempt(0, attempt, Outcome::Served);
     }
     // Slow failures are no samples: the region that is slow is still found.
     play(&mut with, 10_000, 3_000, 20, slow);
@@ -191,14 +191,14 @@
         router.tick(now);
         let (attempt, key) = send(&mut router, now, &facts()).expect("an instance");
         let first = if region_of(&router, key) == "b" { 400 } else { 20 };
-        router.first_event(now + first, attempt);
+        router.record_first_event(now + first, attempt);
         // Complete streams take the same time everywhere.
-        router.finished(now + 1_000, attempt, Outcome::Served);
+        router.finish_attempt(now + 1_000, attempt, Outcome::Served);
     }
     let count = 400;
     let b = (0..count).filter(|number| {
         let (attempt, key) = send(&mut router, 60_000 + number, &facts()).expect("an instance");
-        router.finished(60_000 + number, attempt, Outcome::Cancelled);
+        router.finish_attempt(60_000 + number, attempt, Outcome::Cancelled);
         region_of(&router, key) == "b"
     });
     assert!(b.count() < 100);
@@ -222,15 +222,16 @@
     let mut split = route("r", RouteKind::Unsafe);
     split.backends = vec![Backend { service: 0, weight: 90.0 }, Backend { service: 1, weight: 10.0 }];
     let mut router = Router::new(settings("a", 1), 0);
-    router.configure(0, &configuration(1, vec![split], vec![service("one", 0.0), service("two", 0.0)]));
+    router
+        .set_configuration(0, &configuration(1, vec![split], vec![service("one", 0.0), service("two", 0.0)]));
     let of = |number, name: &str| whinspindle_distribution::Instance {
         service: name.into(),
         ..instance(number, "za")
     };
-    router.instances(0, &list(vec![of(1, "one"), of(2, "two")]));
+    router.set_instances(0, &list(vec![of(1, "one"), of(2, "two")]));
     let second = (0..2_000).filter(|_| router.draw_service(0) == 1).count();
     assert!((140..260).contains(&second), "{second}");
-    router.instances(1, &list(vec![of(1, "one")]));
+    router.set_instances(1, &list(vec![of(1, "one")]));
     assert!((0..200).all(|_| router.draw_service(0) == 0), "a service without instances is left out");
 }
 
@@ -241,11 +242,11 @@
         vec![Backend { service: 0, weight: weights[0] }, Backend { service: 1, weight: weights[1] }];
     let services = vec![service("one", 0.0), service("two", 5.0)];
     let mut router = Router::new(settings("a", seed), 0);
-    router.configure(0, &configuration(GENERATION, vec![split], services));
+    router.set_configuration(0, &configuration(GENERATION, vec![split], services));
     let one = Instance { service: "one".into(), ..instance(1, "za") };
     let two = Instance { service: "two".into(), slow_start_ms: second_cold_ms, ..instance(2, "za") };
-    router.instances(0, &list(vec![one, two]));
-    router.fleet(0, &fleet(30, vec![]));
+    router.set_instances(0, &list(vec![one, two]));
+    router.set_fleet(0, &fleet(30, vec![]));
     router
 }
 
@@ -285,18 +286,21 @@
 
 #[test]
 fn a_backend_of_a_split_that_rejects_is_warming_up_or_is_ejected_keeps_its_weight() {
-    for (outcome, slow_start_ms) in
-        [(Outcome::Served, 60_000), (Outcome::Rejected, 0), (Outcome::Broken, 0), (Outcome::Unreachable, 0)]
-    {
+    for (outcome, slow_start_ms) in [
+        (Outcome::Served, 60_000),
+        (Outcome::Rejected, 0),
+        (Outcome::ConnectionBroken, 0),
+        (Outcome::ConnectFailed, 0),
+    ] {
         let mut router = split_router(1, [50.0, 50.0], slow_start_ms);
         let mut second = 0;
         for request in 0..200 {
             let now = request * 20;
             let drawn = router.draw_service(0);
             second += drawn;
-            let facts = RequestFacts { service: drawn, ..facts() };
+            let facts = RequestInfo { service: drawn, ..facts() };
             if let Some((attempt, _)) = send(&mut router, now, &facts) {
-                router.finished(now, attempt, if drawn == 1 { outcome } else { Outcome::Served });
+                router.finish_attempt(now, attempt, if drawn == 1 { outcome } else { Outcome::Served });
             }
         }
         assert!((96..=104).contains(&second), "{outcome:?}: {second}");
@@ -309,24 +313,24 @@
     let new =
         configuration(2, vec![route("r", RouteKind::Unsafe)], vec![service("new", 0.0), service("old", 0.0)]);
     let mut router = Router::new(settings("a", 1), 0);
-    router.configure(0, &old);
+    router.set_configuration(0, &old);
     let of = |number, name: &str| whinspindle_distribution::Instance {
         service: name.into(),
         ..instance(number, "za")
     };
-    router.instances(0, &list(vec![of(1, "old"), of(2, "new")]));
-    router.configure(1, &new);
-    assert_eq!(served_by(&mut router, 2, &RequestFacts { generation: 1, ..facts() }).as_deref(), Some("i1"));
-    assert_eq!(served_by(&mut router, 2, &RequestFacts { generation: 2, ..facts() }).as_deref(), Some("i2"));
+    router.set_instances(0, &list(vec![of(1, "old"), of(2, "new")]));
+    router.set_configuration(1, &new);
+    assert_eq!(served_by(&mut router, 2, &RequestInfo { generation: 1, ..facts() }).as_deref(), Some("i1"));
+    assert_eq!(served_by(&mut router, 2, &RequestInfo { generation: 2, ..facts() }).as_deref(), Some("i2"));
 }
 
 #[test]
 fn a_request_of_an_unknown_configuration_or_route_is_rejected() {
     let mut router = router(1, route("r", RouteKind::Unsafe), spread([1, 0, 0]));
     for facts in [
-        RequestFacts { generation: 9, ..facts() },
-        RequestFacts { route: 5, ..facts() },
-        RequestFacts { service: 5, ..facts() },
+        RequestInfo { generation: 9, ..facts() },
+        RequestInfo { route: 5, ..facts() },
+        RequestInfo { service: 5, ..facts() },
     ] {
         assert!(matches!(router.choose(0, &facts, &[]), Choice::Reject(_)));
     }
@@ -335,13 +339,13 @@
 /// A router in zone z1 of region a, which has zones z1 and z2; region b has the others.
 fn in_a_region_of_two_zones(seed: u64, instances: Vec<whinspindle_distribution::Instance>) -> Router {
     let zones = [("z1", "a"), ("z2", "a"), ("z3", "b"), ("z4", "b")];
-    let zones = zones.into_iter().map(|(zone, region)| (zone.to_owned(), region.to_owned())).collect();
-    let settings = RouterSettings { zone: "z1".to_owned(), zones, ..settings("a", seed) };
+    let zone_regions = zones.into_iter().map(|(zone, region)| (zone.to_owned(), region.to_owned())).collect();
+    let settings = RouterSettings { zone: "z1".to_owned(), zone_regions, ..settings("a", seed) };
     let mut router = Router::new(settings, 0);
     let routes = vec![route("r", RouteKind::Safe)];
-    router.configure(0, &configuration(GENERATION, routes, vec![service(SERVICE, 0.0)]));
-    router.instances(0, &list(instances));
-    router.fleet(0, &fleet(8, vec![]));
+    router.set_configuration(0, &configuration(GENERATION, routes, vec![service(SERVICE, 0.0)]));
+    router.set_instances(0, &list(instances));
+    router.set_fleet(0, &fleet(8, vec![]));
     router
 }
 
@@ -350,7 +354,7 @@
     let rates = (0..400).filter(|&number| {
         let (attempt, key) = send(router, number * 20, &facts()).expect("there are instances");
         let is_there = router.target(key).expect("a known instance").zone == zone;
-        router.finished(number * 20, attempt, Outcome::Served);
+        router.finish_attempt(number * 20, attempt, Outcome::Served);
         is_there
     });
     rates.count() as f64 / 400.0
--- a/dataplane/routing/tests/reachability.rs
+++ b/dataplane/routing/tests/reachability.rs
@@ -19,11 +19,11 @@
         }
         let (attempt, key) = send(router, now, &facts()).expect("an instance");
         if region_of(router, key) != region {
-            router.finished(now, attempt, Outcome::Served);
+            router.finish_attempt(now, attempt, Outcome::Served);
         } else if silent.contains(&key) {
-            router.finished(now, attempt, Outcome::Cancelled);
+            router.finish_attempt(now, attempt, Outcome::Cancelled);
         } else {
-            router.finished(now, attempt, Outcome::Silent);
+            router.finish_attempt(now, attempt, Outcome::ConnectTimedOut);
             silent.push(key);
         }
     }
@@ -35,7 +35,7 @@
     for _ in 0..300 {
         let Some((attempt, key)) = send(router, now, &facts()) else { continue };
         count += usize::from(region_of(router, key) == region);
-        router.finished(now, attempt, Outcome::Cancelled);
+        router.finish_attempt(now, attempt, Outcome::Cancelled);
     }
     count
 }
@@ -59,7 +59,7 @@
         let (attempt, key) = send(&mut router, 1, &facts()).expect("an instance");
         assert!(!silent.contains(&key), "it is ejected after one time-out");
         others += usize::from(region_of(&router, key) == "b");
-        router.finished(1, attempt, Outcome::Cancelled);
+        router.finish_attempt(1, attempt, Outcome::Cancelled);
     }
     assert!(others > 10);
 }
@@ -106,7 +106,11 @@
         for _ in 0..20 {
             let Some((attempt, key)) = send(&mut router, now, &facts()) else { continue };
             let is_try = region_of(&router, key) == "b";
-            router.finished(now, attempt, if is_try { Outcome::Silent } else { Outcome::Served });
+            router.finish_attempt(
+                now,
+                attempt,
+                if is_try { Outcome::ConnectTimedOut } else { Outcome::Served },
+            );
             if is_try {
                 probes.push(now);
             }
@@ -123,9 +127,9 @@
     let mut router = Router::new(RouterSettings { mechanisms, ..settings("a", 1) }, 0);
     let configured =
         configuration(GENERATION, vec![route("r", RouteKind::Unsafe)], vec![service(SERVICE, 0.0)]);
-    router.configure(0, &configured);
-    router.fleet(0, &fleet(6, vec![]));
-    router.instances(0, &list(spread([1, 8, 4])));
+    router.set_configuration(0, &configured);
+    router.set_fleet(0, &fleet(6, vec![]));
+    router.set_instances(0, &list(spread([1, 8, 4])));
     time_out_connects(&mut router, 0, "b", 2);
     assert!(attempts_at(&mut router, 1, "b") > 10);
 }
--- a/dataplane/routing/tests/rules.rs
+++ b/dataplane/routing/tests/rules.rs
@@ -16,21 +16,21 @@
 fn a_draining_instance_gets_no_new_attempts_even_if_it_was_chosen_before() {
     let mut router = router(1, plain(), spread([1, 0, 0]));
     let (_, key) = send(&mut router, 0, &facts()).expect("an instance");
-    assert!(router.may_still_send(key));
-    router.instances(1, &list(vec![Instance { draining: true, ..instance(1, "za") }]));
-    assert!(!router.may_still_send(key));
+    assert!(router.can_send(key));
+    router.set_instances(1, &list(vec![Instance { draining: true, ..instance(1, "za") }]));
+    assert!(!router.can_send(key));
     assert_eq!(rejection(router.choose(2, &facts(), &[])).reason, RejectionReason::NoUpstream);
 }
 
 #[test]
 fn an_instance_that_drained_never_comes_back() {
     let mut router = router(1, plain(), spread([1, 0, 0]));
-    router.instances(1, &list(vec![Instance { draining: true, ..instance(1, "za") }]));
-    router.instances(2, &list(vec![instance(1, "za")]));
+    router.set_instances(1, &list(vec![Instance { draining: true, ..instance(1, "za") }]));
+    router.set_instances(2, &list(vec![instance(1, "za")]));
     assert!(send(&mut router, 3, &facts()).is_none());
-    router.instances(100_000, &list(vec![]));
+    router.set_instances(100_000, &list(vec![]));
     router.tick(200_000);
-    router.instances(200_001, &list(vec![instance(1, "za")]));
+    router.set_instances(200_001, &list(vec![instance(1, "za")]));
     assert!(send(&mut router, 200_002, &facts()).is_none(), "also after it was forgotten");
 }
 
@@ -38,11 +38,11 @@
 fn an_unlisted_instance_gets_nothing_and_may_come_back() {
     let mut router = router(1, plain(), spread([1, 0, 0]));
     let (attempt, key) = send(&mut router, 0, &facts()).expect("an instance");
-    router.instances(1, &list(vec![]));
-    assert!(!router.may_still_send(key) && send(&mut router, 2, &facts()).is_none());
+    router.set_instances(1, &list(vec![]));
+    assert!(!router.can_send(key) && send(&mut router, 2, &facts()).is_none());
     assert!(router.target(key).is_some(), "its open attempts still refer to it");
-    router.finished(3, attempt, Outcome::Served);
-    router.instances(4, &list(vec![instance(1, "za")]));
+    router.finish_attempt(3, attempt, Outcome::Served);
+    router.set_instances(4, &list(vec![instance(1, "za")]));
     assert_eq!(send(&mut router, 5, &facts()).map(|sent| sent.1), Some(key));
 }
 
@@ -50,12 +50,12 @@
 fn a_misdirected_attempt_ends_that_incarnation() {
     let mut router = router(1, plain(), spread([1, 0, 0]));
     let (attempt, key) = send(&mut router, 0, &facts()).expect("an instance");
-    router.finished(1, attempt, Outcome::Misdirected);
-    assert!(!router.may_still_send(key));
-    router.instances(2, &list(vec![instance(1, "za")]));
+    router.finish_attempt(1, attempt, Outcome::Misdirected);
+    assert!(!router.can_send(key));
+    router.set_instances(2, &list(vec![instance(1, "za")]));
     assert!(send(&mut router, 3, &facts()).is_none());
     let next = Instance { id: "next".into(), ..instance(1, "za") };
-    router.instances(4, &list(vec![next]));
+    router.set_instances(4, &list(vec![next]));
     assert!(send(&mut router, 5, &facts()).is_some_and(|(_, other)| other != key));
 }
 
@@ -64,17 +64,17 @@
     let mut router = router(1, plain(), spread([2, 2, 0]));
     let (_, key) = send(&mut router, 0, &facts()).expect("an instance");
     assert_eq!(region_of(&router, key), "a");
-    router.evacuations(1, &["za".to_owned()]);
-    assert!(!router.may_still_send(key));
+    router.set_evacuated_zones(1, &["za".to_owned()]);
+    assert!(!router.can_send(key));
     for now in 2..100 {
         let (attempt, key) = send(&mut router, now, &facts()).expect("an instance");
         assert_eq!(region_of(&router, key), "b");
-        router.finished(now, attempt, Outcome::Served);
+        router.finish_attempt(now, attempt, Outcome::Served);
     }
     let late = Instance { id: "late".into(), ..instance(9, "za") };
-    router.instances(100, &list([spread([2, 2, 0]), vec![late]].concat()));
+    router.set_instances(100, &list([spread([2, 2, 0]), vec![late]].concat()));
     assert!((101..200).all(|now| served_by(&mut router, now, &facts()).is_some_and(|id| id != "late")));
-    router.evacuations(200, &[]);
+    router.set_evacuated_zones(200, &[]);
     let back = (200..300)
         .any(|now| send(&mut router, now, &facts()).is_some_and(|(_, key)| region_of(&router, key) == "a"));
     assert!(back);
@@ -105,8 +105,8 @@
             Outcome::Failed,
             Outcome::Rejected,
             Outcome::Misdirected,
-            Outcome::Unreachable,
-            Outcome::Broken,
+            Outcome::ConnectFailed,
+            Outcome::ConnectionBroken,
             Outcome::Cancelled,
         ];
         match u8::arbitrary(g) % 16 {
@@ -163,7 +163,7 @@
                     && (homes.is_empty() || homes.contains(&target.region.as_str()))
                     && !tried.contains(&instance)
                     && !reported.misdirected.contains(&instance)
-                    && router.may_still_send(instance);
+                    && router.can_send(instance);
                 if !allowed {
                     return Err(format!("sent to {target:?} at {now}"));
                 }
@@ -172,7 +172,7 @@
             }
             Event::Finish { outcome } => {
                 let Some((attempt, instance)) = out.pop() else { continue };
-                router.finished(now, attempt, *outcome);
+                router.finish_attempt(now, attempt, *outcome);
                 if *outcome == Outcome::Misdirected {
                     reported.misdirected.push(instance);
                 }
@@ -185,17 +185,17 @@
                         slow_start_ms: if is(*slow_start, &instance.id) { 700 } else { 0 },
                         ..instance.clone()
                     });
-                router.instances(now, &list(shown.collect()));
+                router.set_instances(now, &list(shown.collect()));
                 reported.hidden = *hidden;
                 reported.drained |= draining & !hidden;
             }
             Event::Evacuated { zones } => {
                 let named =
                     (0..3).filter(|zone| zones & (1 << zone) != 0).map(|zone| format!("z{}", regions[zone]));
-                router.evacuations(now, &named.collect::<Vec<_>>());
+                router.set_evacuated_zones(now, &named.collect::<Vec<_>>());
                 reported.evacuated = *zones;
             }
-            Event::Balancers(count) => router.fleet(now, &fleet(u32::from(*count), vec![])),
+            Event::Balancers(count) => router.set_fleet(now, &fleet(u32::from(*count), vec![])),
             Event::Wait(time) => {
                 now += u64::from(*time);
                 router.tick(now);
--- a/dataplane/routing/tests/slow_start.rs
+++ b/dataplane/routing/tests/slow_start.rs
@@ -16,13 +16,13 @@
 
 fn router_of(settings: RouterSettings, bears: f64, balancers: u32, instances: Vec<Instance>) -> Router {
     let mut router = Router::new(settings, 0);
-    router.configure(
+    router.set_configuration(
         0,
         &configuration(GENERATION, vec![route("r", RouteKind::Unsafe)], vec![service(SERVICE, bears)]),
     );
-    router.instances(0, &list(instances));
+    router.set_instances(0, &list(instances));
     if balancers > 0 {
-        router.fleet(0, &fleet(balancers, vec![]));
+        router.set_fleet(0, &fleet(balancers, vec![]));
     }
     router
 }
@@ -54,7 +54,7 @@
 fn nothing_goes_to_an_instance_in_slow_start_while_the_number_of_balancers_is_unknown() {
     let mut router = router_of(settings("a", 1), BEARS, 0, vec![in_slow_start(1, "za", 3_000)]);
     assert!((0..3_000).all(|now| send_and_serve(&mut router, now).is_none()));
-    router.fleet(3_000, &fleet(1, vec![]));
+    router.set_fleet(3_000, &fleet(1, vec![]));
     assert!((3_000..3_250).any(|now| send_and_serve(&mut router, now).is_some()));
 }
 
@@ -74,8 +74,8 @@
 #[test]
 fn a_zone_that_is_no_longer_evacuated_may_be_in_slow_start() {
     let mut router = router_of(settings("a", 1), BEARS, 6, vec![instance(1, "za")]);
-    router.evacuations(0, &["za".to_owned()]);
-    router.evacuations(10_000, &[]);
+    router.set_evacuated_zones(0, &["za".to_owned()]);
+    router.set_evacuated_zones(10_000, &[]);
     let early = (10_000..11_000).filter(|&now| send_and_serve(&mut router, now).is_some()).count();
     assert!(early <= 2, "{early}");
     assert!((12_100..12_200).all(|now| send_and_serve(&mut router, now).is_some()));
@@ -97,7 +97,7 @@
     let mut times = Vec::new();
     for now in (9_000..13_000).step_by(15) {
         for router in &mut routers {
-            router.instances(now, &reported(now));
+            router.set_instances(now, &reported(now));
         }
         let turn = (now / 15 % 2) as usize;
         let served = served_by(&mut routers[turn], now, &facts());
@@ -116,14 +116,17 @@
 #[test]
 fn one_instance_that_enters_slow_start_does_not_affect_the_others() {
     let mut router = router_of(settings("a", 1), BEARS, 6, (1..=3).map(|n| instance(n, "za")).collect());
-    router.instances(1_000, &list(vec![in_slow_start(1, "za", 3_000), instance(2, "za"), instance(3, "za")]));
+    router.set_instances(
+        1_000,
+        &list(vec![in_slow_start(1, "za", 3_000), instance(2, "za"), instance(3, "za")]),
+    );
     assert!((1_000..3_000).step_by(10).all(|now| send_and_serve(&mut router, now).is_some()));
 }
 
 #[test]
 fn instances_that_have_just_started_do_not_affect_the_others() {
     let mut router = router_of(settings("a", 1), BEARS, 6, vec![instance(1, "za")]);
-    router.instances(
+    router.set_instances(
         1_000,
         &list(vec![instance(1, "za"), in_slow_start(2, "za", 3_000), in_slow_start(3, "za", 3_000)]),
     );
@@ -154,7 +157,7 @@
 #[test]
 fn a_lower_number_of_balancers_is_not_taken_at_once() {
     let mut router = router_of(settings("a", 1), BEARS, 12, vec![in_slow_start(1, "za", 30_000)]);
-    router.fleet(10, &fleet(1, vec![]));
+    router.set_fleet(10, &fleet(1, vec![]));
     let sent = (10..5_010).filter(|&now| send_and_serve(&mut router, now).is_some()).count();
     assert!(sent <= 5, "{sent}");
 }
@@ -218,7 +221,7 @@
             let index = usize::from(balancer.wrapping_add(offset)) % routers.len();
             if let Some((attempt, _)) = send(&mut routers[index], now, &facts()) {
                 times.push(now);
-                routers[index].finished(now, attempt, Outcome::Served);
+                routers[index].finish_attempt(now, attempt, Outcome::Served);
             }
         }
     }
@@ -247,7 +250,7 @@
             for router in &mut routers {
                 if let Some((attempt, _)) = send(router, now, &facts()) {
                     times.push(now);
-                    router.finished(now, attempt, Outcome::Served);
+                    router.finish_attempt(now, attempt, Outcome::Served);
                 }
             }
         }
