--- a/dataplane/routing/src/catalogue.rs
+++ b/dataplane/routing/src/catalogue.rs
@@ -1,7 +1,7 @@
-//! Interned names of services, regions and zones, and the last configurations by their generation.
+//! Interned names of services, regions and zones, and the last configurations by generation.
 //!
-//! The number of a service stays the same when the configuration changes, so that instances, budgets and requests in
-//! flight keep referring to it.
+//! A service keeps its id when the configuration changes, so that instances, budgets and requests in flight
+//! keep referring to it.
 
 use std::collections::VecDeque;
 
@@ -10,32 +10,32 @@
 
 use crate::RequestInfo;
 
-/// Number of configurations kept for requests that were matched under them.
-const CONFIGURATIONS_KEPT: usize = 8;
+/// Number of configurations that are kept for requests that were matched under them.
+const RETAINED_CONFIGURATIONS: usize = 8;
 
-/// Number of a service; the same in all configurations.
+/// Id of a service; the same in all configurations.
 pub(crate) type ServiceId = usize;
-/// Number of a region.
+/// Id of a region.
 pub(crate) type RegionId = usize;
-/// Number of a zone.
+/// Id of a zone.
 pub(crate) type ZoneId = usize;
 
-/// What routing needs to know of a route.
+/// Properties of a route that routing needs.
 #[derive(Clone, Debug)]
 pub(crate) struct RoutePlan {
-    /// Answers are streams; latency is the time to their first event.
-    pub(crate) streaming: bool,
-    /// Requests with a common prefix go to one instance.
-    pub(crate) sticky: bool,
+    /// Whether responses are streams, whose latency is the time to the first event.
+    pub(crate) is_streaming: bool,
+    /// Whether the route has prefix affinity.
+    pub(crate) is_sticky: bool,
     /// Latency target, in milliseconds.
     pub(crate) target_ms: u64,
-    /// The regions that may serve it; none if all may.
+    /// Regions that may serve the route; `None` if all may.
     pub(crate) home_regions: Option<Vec<RegionId>>,
-    /// Index into the configuration's services, number, and weight.
+    /// Index into the services of the configuration, service id and weight of each backend.
     pub(crate) backends: Vec<(usize, ServiceId, f64)>,
 }
 
-/// What is kept of a configuration.
+/// Routes and services of a configuration.
 #[derive(Debug)]
 struct KnownConfiguration {
     generation: u64,
@@ -43,38 +43,38 @@
     services: Vec<ServiceId>,
 }
 
-/// Numbers of names, and routes by the generation of their configuration.
+/// Ids of names, and routes by the generation of their configuration.
 #[derive(Debug, Default)]
 pub(crate) struct Catalogue {
     services: IndexSet<String>,
     regions: IndexSet<String>,
     zones: IndexSet<String>,
-    /// Oldest first.
+    /// The last configurations, oldest first.
     configurations: VecDeque<KnownConfiguration>,
 }
 
 impl Catalogue {
-    /// The number of a service, a new one for a new name.
+    /// Returns the id of a service; a new name gets a new id.
     pub(crate) fn service(&mut self, name: &str) -> ServiceId {
         intern(&mut self.services, name)
     }
 
-    /// The number of a region, a new one for a new name.
+    /// Returns the id of a region; a new name gets a new id.
     pub(crate) fn region(&mut self, name: &str) -> RegionId {
         intern(&mut self.regions, name)
     }
 
-    /// The number of a zone, a new one for a new name.
+    /// Returns the id of a zone; a new name gets a new id.
     pub(crate) fn zone(&mut self, name: &str) -> ZoneId {
         intern(&mut self.zones, name)
     }
 
-    /// The name of a service; empty for an unknown number.
+    /// Returns the name of a service, or an empty string for an unknown id.
     pub(crate) fn service_name(&self, service: ServiceId) -> &str {
         self.services.get_index(service).map_or("", String::as_str)
     }
 
-    /// The name of a region; empty for an unknown number.
+    /// Returns the name of a region, or an empty string for an unknown id.
     pub(crate) fn region_name(&self, region: RegionId) -> &str {
         self.regions.get_index(region).map_or("", String::as_str)
     }
@@ -89,13 +89,13 @@
         self.regions.len()
     }
 
-    /// Adds a configuration as the newest one, in place of one of the same generation.
+    /// Adds a configuration as the newest one and replaces a configuration of the same generation.
     pub(crate) fn add_configuration(&mut self, configuration: &Configuration) {
         let services: Vec<_> =
             configuration.services.iter().map(|service| self.service(&service.name)).collect();
         let routes = configuration.routes.iter().map(|route| self.plan(route, &services)).collect();
         self.configurations.retain(|known| known.generation != configuration.generation);
-        if self.configurations.len() >= CONFIGURATIONS_KEPT {
+        if self.configurations.len() >= RETAINED_CONFIGURATIONS {
             self.configurations.pop_front();
         }
         self.configurations.push_back(KnownConfiguration {
@@ -105,15 +105,15 @@
         });
     }
 
-    /// A route of the newest configuration.
+    /// Returns a route of the newest configuration.
     pub(crate) fn newest_route(&self, route: usize) -> Option<&RoutePlan> {
         self.configurations.back()?.routes.get(route)
     }
 
-    /// The route and the service of a request in the configuration under which it was matched.
-    pub(crate) fn resolve(&self, facts: &RequestInfo) -> Option<(&RoutePlan, ServiceId)> {
-        let known = self.configurations.iter().rev().find(|known| known.generation == facts.generation)?;
-        Some((known.routes.get(facts.route)?, *known.services.get(facts.service)?))
+    /// Returns the route and the service of a request in the configuration under which it was matched.
+    pub(crate) fn resolve(&self, request: &RequestInfo) -> Option<(&RoutePlan, ServiceId)> {
+        let known = self.configurations.iter().rev().find(|known| known.generation == request.generation)?;
+        Some((known.routes.get(request.route)?, *known.services.get(request.service)?))
     }
 
     fn plan(&mut self, route: &Route, services: &[ServiceId]) -> RoutePlan {
@@ -121,8 +121,8 @@
         let backend =
             |b: &whinspindle_configuration::Backend| Some((b.service, *services.get(b.service)?, b.weight));
         RoutePlan {
-            streaming: route.kind == RouteKind::Streaming,
-            sticky: route.sticky,
+            is_streaming: route.kind == RouteKind::Streaming,
+            is_sticky: route.sticky,
             target_ms: route.target_ms,
             home_regions: (!home_regions.is_empty()).then_some(home_regions),
             backends: route.backends.iter().filter_map(backend).collect(),
--- a/dataplane/routing/src/counts.rs
+++ b/dataplane/routing/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counters of a service's choices since the start of the process.
+//! Counters of routing decisions of a service since the start of the process.
 
 use std::cell::Cell;
 
@@ -6,14 +6,15 @@
 
 use crate::RejectionReason;
 
-/// Counters of a service's choices. Those of picks are cells since a pick borrows the service immutably.
+/// Counters of routing decisions of a service. Some counters are cells since a pick borrows the service
+/// immutably.
 #[derive(Debug, Default)]
 pub(crate) struct ChoiceCounts {
-    /// Picks that passed over an instance for its attempts in flight.
-    pub(crate) passed_over: Cell<u64>,
+    /// Picks that skipped a busy instance.
+    pub(crate) busy_instance_skips: Cell<u64>,
     /// Prompts forwarded to the cache owner of their prefix.
     pub(crate) cache_owner_hits: Cell<u64>,
-    /// Prompts forwarded elsewhere since the cache owner was above its bound.
+    /// Prompts forwarded to another instance since the cache owner was above its bound.
     pub(crate) cache_owner_misses: Cell<u64>,
     rejections: IndexMap<RejectionReason, u64>,
 }
@@ -24,13 +25,13 @@
         *self.rejections.entry(reason).or_default() += 1;
     }
 
-    /// Rejections by reason, in the order in which the reasons first occurred.
+    /// Rejections by reason, in the order of their first occurrence.
     pub(crate) fn rejections(&self) -> Vec<(RejectionReason, u64)> {
         self.rejections.iter().map(|(&reason, &count)| (reason, count)).collect()
     }
 }
 
 /// Adds one to a counter.
-pub(crate) fn count_one(count: &Cell<u64>) {
+pub(crate) fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/dataplane/routing/src/instance.rs
+++ b/dataplane/routing/src/instance.rs
@@ -1,4 +1,4 @@
-//! The state of one upstream instance, as this balancer sees it.
+//! State of one upstream instance from the view of this balancer.
 
 use whinspindle_distribution::Instance;
 
@@ -8,173 +8,175 @@
 use crate::health::Health;
 use crate::slow_start::{SlowStartPace, SlowStartSchedule};
 
-/// An instance is in slow start for this much longer than it reports.
+/// Margin that is added to the reported duration of a slow start, in milliseconds.
 const SLOW_START_MARGIN_MS: u64 = 300;
-/// An instance is full for certain if this balancer alone has more attempts there than its slots and a queue of this
-/// fraction (one in four) of them.
-const QUEUED_DIVISOR: u32 = 4;
-/// The least length of that queue.
-const LEAST_QUEUED: u32 = 2;
+/// An instance counts as full if this balancer alone fills its slots and a queue. The length of the queue is
+/// the number of slots divided by this.
+const QUEUE_DIVISOR: u32 = 4;
+/// Minimum length of that queue.
+const MIN_QUEUE_LENGTH: u32 = 2;
 
-/// Whether an instance may be sent to; candidates are the instances of the best state present, in this order.
+/// Eligibility of an instance, from best to worst. Candidates are the instances in the best state present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HealthState {
     /// Healthy, warm and with capacity.
     Available,
-    /// In slow start, and its pace allows an attempt now.
+    /// In slow start, and the pace allows an attempt now.
     SlowStart,
-    /// Ejected after failures; used where there is no better one.
+    /// Ejected after failures; used if no better instance is present.
     Ejected,
-    /// All its slots and a short queue are taken by this balancer alone.
+    /// This balancer alone fills all slots and a short queue.
     Full,
-    /// In slow start, and its pace allows no attempt now.
+    /// In slow start, and the pace allows no attempt now.
     SlowStartLimited,
     /// Unreachable, or ejected again after a failed probe.
     Down,
-    /// Draining, evacuated or no longer listed: takes no requests.
+    /// Draining, evacuated or no longer listed; accepts no requests.
     Excluded,
 }
 
-/// An instance with everything that decides whether and how often it is sent to. Times are in milliseconds.
+/// State that decides whether and how often an instance receives requests. Times are in milliseconds.
 #[derive(Debug)]
 pub(crate) struct InstanceState {
     /// Identity and address.
     pub(crate) target: InstanceTarget,
-    /// Its zone.
+    /// Zone of the instance.
     pub(crate) zone: ZoneId,
-    /// Its region.
+    /// Region of the instance.
     pub(crate) region: RegionId,
-    /// Hash of its id, for rendezvous hashing.
-    pub(crate) hash: u64,
-    /// Requests that it runs at once; 0 if that does not bound this balancer.
+    /// Hash of the instance id, for rendezvous hashing.
+    pub(crate) id_hash: u64,
+    /// Maximum number of concurrent requests; 0 for no limit on this balancer.
     pub(crate) slots: u32,
-    /// This balancer's open attempts there.
+    /// Number of this balancer's open attempts at the instance.
     pub(crate) in_flight: u32,
-    /// Of these, the ones without a first event or the head of an answer.
+    /// Number of open attempts without a first event or response head.
     pub(crate) unanswered: u32,
-    /// Prompt tokens of the unanswered ones.
-    pub(crate) unread_tokens: u64,
+    /// Prompt tokens of the unanswered attempts.
+    pub(crate) pending_prompt_tokens: u64,
     /// Outlier ejection.
     pub(crate) health: Health,
-    /// Pacing while it is warming up.
+    /// Schedule of attempts during slow start.
     pub(crate) slow_start: SlowStartSchedule,
-    /// Its zone is evacuated.
-    pub(crate) evacuated: bool,
-    /// Its zone or region counts as unreachable until then; after that, one attempt probes it.
+    /// Whether the zone of the instance is evacuated.
+    pub(crate) is_evacuated: bool,
+    /// End of the time in which the zone or region counts as unreachable; one attempt probes it afterwards.
     pub(crate) unreachable_until: u64,
-    /// It is in the balancer's zone.
+    /// Whether the instance is in the zone of this balancer.
     pub(crate) in_own_zone: bool,
-    /// The last state of the fleet lists it as failing for several balancers.
+    /// Whether the last state of the fleet lists the instance as failing for several balancers.
     pub(crate) is_reported_failing: bool,
-    /// Until when it is avoided for that.
+    /// End of the time in which the instance is avoided for reported failures.
     pub(crate) avoided_until: u64,
-    /// It takes no new requests, now or ever again.
-    pub(crate) retired: bool,
-    /// Since when it is not in the endpoint list, if so.
+    /// Whether the instance never receives new requests again.
+    pub(crate) is_retired: bool,
+    /// Time since which the endpoint list lacks the instance; `None` while it is listed.
     pub(crate) unlisted_since: Option<u64>,
-    /// End of the slow start that it reports.
+    /// End of the reported slow start.
     warm_at: u64,
-    /// Until when it may be in slow start without having reported it yet.
-    suspected_until: u64,
-    /// When it last reported a slow start after having been warm.
-    slow_start_begun_at: Option<u64>,
-    /// It has been in an endpoint list.
-    is_reported: bool,
+    /// End of an assumed slow start that the instance may not have reported yet.
+    assumed_slow_start_until: u64,
+    /// Time of the last report of a slow start after the instance was warm.
+    slow_start_started_at: Option<u64>,
+    /// Whether an endpoint list has contained the instance.
+    was_listed: bool,
 }
 
 impl InstanceState {
-    /// An instance that is to be updated with its first report.
+    /// Creates an instance; the first report sets the remaining state.
     pub(crate) fn new(target: InstanceTarget, zone: ZoneId, region: RegionId) -> Self {
         InstanceState {
-            hash: hash_id(&target.id),
+            id_hash: hash_id(&target.id),
             target,
             zone,
             region,
             slots: 0,
             in_flight: 0,
             unanswered: 0,
-            unread_tokens: 0,
+            pending_prompt_tokens: 0,
             health: Health::default(),
             slow_start: SlowStartSchedule::default(),
-            evacuated: false,
+            is_evacuated: false,
             is_reported_failing: false,
             avoided_until: 0,
             unreachable_until: 0,
             in_own_zone: false,
-            retired: false,
+            is_retired: false,
             unlisted_since: None,
             warm_at: 0,
-            suspected_until: 0,
-            slow_start_begun_at: None,
-            is_reported: false,
+            assumed_slow_start_until: 0,
+            slow_start_started_at: None,
+            was_listed: false,
         }
     }
 
-    /// Takes what the endpoint list reports.
+    /// Updates the instance from the endpoint list.
     pub(crate) fn update(&mut self, now: u64, reported: &Instance) {
-        let was_warm = self.is_reported && self.unlisted_since.is_none() && now >= self.warm_at;
-        self.is_reported = true;
+        let was_warm = self.was_listed && self.unlisted_since.is_none() && now >= self.warm_at;
+        self.was_listed = true;
         self.slots = reported.slots;
-        self.retired |= reported.draining;
+        self.is_retired |= reported.draining;
         self.unlisted_since = None;
         if reported.slow_start_ms > 0 {
-            self.slow_start_begun_at = if was_warm { Some(now) } else { self.slow_start_begun_at };
+            self.slow_start_started_at = if was_warm { Some(now) } else { self.slow_start_started_at };
             self.warm_at = self
                 .warm_at
                 .max(now.saturating_add(reported.slow_start_ms).saturating_add(SLOW_START_MARGIN_MS));
         }
     }
 
-    /// Treats the instance as in slow start until then.
-    pub(crate) fn suspect_slow_start(&mut self, until: u64) {
-        self.suspected_until = self.suspected_until.max(until);
+    /// Treats the instance as in slow start until the given time.
+    pub(crate) fn assume_slow_start_until(&mut self, until: u64) {
+        self.assumed_slow_start_until = self.assumed_slow_start_until.max(until);
     }
 
-    /// The end of its slow start, if that has begun within the last `span_ms`.
-    pub(crate) fn warm_at_if_begun_within(&self, now: u64, span_ms: u64) -> Option<u64> {
-        self.slow_start_begun_at.filter(|at| at + span_ms > now).map(|_| self.warm_at)
+    /// Returns the end of the slow start if it started within the last `span_ms`.
+    pub(crate) fn recent_slow_start_end(&self, now: u64, span_ms: u64) -> Option<u64> {
+        self.slow_start_started_at.filter(|at| at + span_ms > now).map(|_| self.warm_at)
     }
 
-    /// Whether it is in slow start, reported or suspected.
+    /// Whether the instance is in slow start, either reported or assumed.
     pub(crate) fn is_warming_up(&self, now: u64) -> bool {
-        now < self.warm_at || now < self.suspected_until
+        now < self.warm_at || now < self.assumed_slow_start_until
     }
 
-    /// Milliseconds until its slow start ends.
-    pub(crate) fn warm_in_ms(&self, now: u64) -> u64 {
-        self.warm_at.max(self.suspected_until).saturating_sub(now)
+    /// Milliseconds until the slow start ends.
+    pub(crate) fn remaining_slow_start_ms(&self, now: u64) -> u64 {
+        self.warm_at.max(self.assumed_slow_start_until).saturating_sub(now)
     }
 
-    /// Whether it takes new requests at all.
-    pub(crate) fn may_be_sent_to(&self) -> bool {
-        !self.retired && !self.evacuated && self.unlisted_since.is_none()
+    /// Whether the instance accepts new requests at all.
+    pub(crate) fn is_in_service(&self) -> bool {
+        !self.is_retired && !self.is_evacuated && self.unlisted_since.is_none()
     }
 
-    /// Whether it counts as ready in its region: it takes requests and is neither unreachable, avoided nor ejected.
+    /// Whether the instance counts as ready: it accepts requests and is neither unreachable, avoided nor
+    /// ejected.
     pub(crate) fn is_ready(&self, now: u64) -> bool {
-        self.may_be_sent_to()
+        self.is_in_service()
             && now >= self.unreachable_until
             && now >= self.avoided_until
             && !self.health.is_ejected(now, self.unanswered)
     }
 
-    /// Its state for the next choice; `slow_start_rate` is what an instance in slow start bears a second, 0 for no limit.
+    /// Returns the state for the next choice. `slow_start_rate` is the maximum number of requests per second
+    /// during slow start; 0 for no limit.
     pub(crate) fn health_state(
         &self,
         now: u64,
         slow_start_rate: f64,
         pace: Option<&SlowStartPace>,
     ) -> HealthState {
-        if !self.may_be_sent_to() {
+        if !self.is_in_service() {
             return HealthState::Excluded;
         }
         if now < self.unreachable_until {
             return HealthState::Down;
         }
-        let ejected = now < self.avoided_until || self.health.is_ejected(now, self.unanswered);
+        let is_ejected = now < self.avoided_until || self.health.is_ejected(now, self.unanswered);
         if slow_start_rate > 0.0 && self.is_warming_up(now) {
-            let has_capacity = pace.is_some_and(|pace| self.slow_start.has_capacity(now, pace));
-            return if has_capacity && !ejected {
+            let can_attempt = pace.is_some_and(|pace| self.slow_start.can_attempt(now, pace));
+            return if can_attempt && !is_ejected {
                 HealthState::SlowStart
             } else {
                 HealthState::SlowStartLimited
@@ -182,7 +184,7 @@
         }
         if self.health.is_down(now, self.unanswered) {
             HealthState::Down
-        } else if ejected {
+        } else if is_ejected {
             HealthState::Ejected
         } else if self.is_full() {
             HealthState::Full
@@ -192,7 +194,7 @@
     }
 
     fn is_full(&self) -> bool {
-        let most = self.slots + (self.slots / QUEUED_DIVISOR).max(LEAST_QUEUED);
-        self.slots > 0 && self.in_flight >= most
+        let max_in_flight = self.slots + (self.slots / QUEUE_DIVISOR).max(MIN_QUEUE_LENGTH);
+        self.slots > 0 && self.in_flight >= max_in_flight
     }
 }
--- a/dataplane/routing/src/lib.rs
+++ b/dataplane/routing/src/lib.rs
@@ -1,11 +1,12 @@
 //! Routing: decides which upstream instance a request is forwarded to.
 //!
-//! [`Router`] is a state machine without input or output of its own: times are passed in, nothing is read from a clock or
-//! a socket, and random numbers come from a seeded generator. The proxy owns one and calls it for each request.
+//! [`Router`] is a state machine without I/O. The caller passes in the time, and random numbers come from a
+//! seeded generator. The proxy owns one router and calls it for each request.
 //!
-//! On the ordinary path a region is drawn by weights, which are solved for from measured latency and reported load; inside
-//! it an instance is picked at random, passing over those with many attempts in flight. `docs/routing-design.md` describes
-//! the exceptions: slow start, outlier ejection, prefix affinity, locality preference, reachability and retry budget.
+//! By default, the router draws a region by its weight and picks a random instance in that region, skipping
+//! instances with many attempts in flight. The region weights are solved from measured latencies and reported
+//! loads. `docs/routing-design.md` describes the exceptions: slow start, outlier ejection, prefix affinity,
+//! locality preference, reachability and the retry budget.
 //!
 //! ```
 //! use std::collections::BTreeMap;
@@ -23,7 +24,7 @@
 //!     seed: 1,
 //! };
 //! let mut router = Router::new(settings, 0);
-//! // Without a configuration no route is known.
+//! // The router has no configuration yet, so it knows no route.
 //! let Choice::Reject(rejection) = router.choose(0, &RequestInfo::default(), &[]) else { panic!() };
 //! assert_eq!(rejection.reason, RejectionReason::NoUpstream);
 //! # }
@@ -34,7 +35,6 @@
 mod budget;
 mod catalogue;
 mod counts;
-mod even_draw;
 mod health;
 mod instance;
 mod locality;
@@ -47,6 +47,7 @@
 mod service;
 mod slow_start;
 mod warming_zone;
+mod weighted_sampler;
 
 pub use metrics::{RegionMetrics, ServiceMetrics};
 pub use request::{
--- a/dataplane/routing/src/metrics.rs
+++ b/dataplane/routing/src/metrics.rs
@@ -3,22 +3,22 @@
 use crate::service::Service;
 use crate::{RejectionReason, Router};
 
-/// Metrics of one service, as this balancer sees it.
+/// Metrics of one service from the view of this balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceMetrics {
     /// Name of the service.
     pub service: String,
-    /// Retries that the balancer's part of the retry budget allows now.
+    /// Number of retries that the balancer's share of the retry budget allows now.
     pub retry_budget_tokens: f64,
-    /// Requests rejected since the start, by reason.
+    /// Number of rejected requests since the start, by reason.
     pub rejections: Vec<(RejectionReason, u64)>,
-    /// Picks since the start that passed over an instance for its attempts in flight.
+    /// Number of picks since the start that skipped a busy instance.
     pub busy_instance_skips: u64,
-    /// Prompts forwarded since the start to the cache owner of their prefix.
+    /// Number of prompts since the start that went to the cache owner of their prefix.
     pub cache_owner_hits: u64,
-    /// Prompts forwarded since the start to another instance than the cache owner of their prefix.
+    /// Number of prompts since the start that went to another instance than the cache owner of their prefix.
     pub cache_owner_misses: u64,
-    /// The service's instances by region.
+    /// Metrics of the instances by region.
     pub regions: Vec<RegionMetrics>,
 }
 
@@ -27,30 +27,30 @@
 pub struct RegionMetrics {
     /// Name of the region.
     pub region: String,
-    /// The weight by which the region is drawn, between 0 and 1.
+    /// Normalized weight of the region, between 0 and 1.
     pub weight: f64,
-    /// Root mean square distance of latencies from the fit that the weight is solved with, in milliseconds.
+    /// Root mean square distance of the latencies from the fit behind the weight, in milliseconds.
     pub fit_error_ms: f64,
-    /// Instances that take requests and are neither ejected nor unreachable.
+    /// Number of instances that accept requests and are neither ejected nor unreachable.
     pub ready_instances: u64,
-    /// Instances in slow start.
+    /// Number of instances in slow start.
     pub warming_up_instances: u64,
-    /// Instances ejected for consecutive failures.
+    /// Number of instances that are ejected for consecutive failures.
     pub ejected_instances: u64,
-    /// Instances in a zone or region that this balancer can't reach.
+    /// Number of instances in zones or regions that this balancer can't reach.
     pub unreachable_instances: u64,
-    /// This balancer's open attempts.
+    /// Number of this balancer's open attempts.
     pub in_flight_attempts: u64,
 }
 
 impl Router {
-    /// The present metrics, by service and region.
+    /// Returns the current metrics by service and region.
     pub fn metrics(&self, now: u64) -> Vec<ServiceMetrics> {
         let metrics = |(id, service): (usize, &Service)| ServiceMetrics {
             service: self.catalogue.service_name(id).to_owned(),
             retry_budget_tokens: service.budget.tokens(),
             rejections: service.counts.rejections(),
-            busy_instance_skips: service.counts.passed_over.get(),
+            busy_instance_skips: service.counts.busy_instance_skips.get(),
             cache_owner_hits: service.counts.cache_owner_hits.get(),
             cache_owner_misses: service.counts.cache_owner_misses.get(),
             regions: (0..service.regions.len())
@@ -63,7 +63,7 @@
     fn region_metrics(&self, service: &Service, region: usize, now: u64) -> RegionMetrics {
         let open = || {
             let in_region = service.instances.values().filter(move |instance| instance.region == region);
-            in_region.filter(|instance| instance.may_be_sent_to())
+            in_region.filter(|instance| instance.is_in_service())
         };
         RegionMetrics {
             region: self.catalogue.region_name(region).to_owned(),
--- a/dataplane/routing/src/reachability.rs
+++ b/dataplane/routing/src/reachability.rs
@@ -1,42 +1,43 @@
 //! Reachability of failure domains: whether this balancer can connect to a zone or a region at all.
 //!
-//! If connecting to several instances of a domain times out and nothing is received from the domain since, it is taken to
-//! be partitioned or without power. Requests then go elsewhere or are rejected at once, and only an occasional one probes
-//! the domain. A failed probe is a connection that does not come up: no request is lost by it.
+//! If connections to several instances of a domain time out and no data arrives from the domain afterwards,
+//! the domain is suspected to be partitioned or without power. Requests then go to other domains or are
+//! rejected at once, and only an occasional request probes the domain. A failed probe loses no request, since
+//! no connection was established.
 
 use std::collections::BTreeSet;
 
 use crate::InstanceKey;
 use crate::catalogue::{RegionId, ZoneId};
 
-/// A zone is suspected once connecting to so many of its instances has timed out.
-const TIMED_OUT_IN_ZONE: usize = 2;
-/// The same for a region.
-const TIMED_OUT_IN_REGION: usize = 3;
+/// Number of instances with connect timeouts at which a zone is suspected to be unreachable.
+const SUSPECT_ZONE_TIMEOUTS: usize = 2;
+/// Number of instances with connect timeouts at which a region is suspected to be unreachable.
+const SUSPECT_REGION_TIMEOUTS: usize = 3;
 /// Backoff before the first probe of a suspected domain, in milliseconds.
 const FIRST_BACKOFF_MS: u64 = 250;
-/// The backoff doubles with each probe, at most this many times.
+/// Maximum number of times that the backoff doubles with further probes.
 const DOUBLINGS: u32 = 2;
 
-/// What is known of one zone or region.
+/// State of one zone or region.
 #[derive(Debug, Default)]
 struct FailureDomain {
-    /// Instances to which connecting has timed out since anything was received from the domain.
-    timed_out: BTreeSet<InstanceKey>,
-    /// Probes since then.
+    /// Instances with connect timeouts since the last data from the domain.
+    timed_out_instances: BTreeSet<InstanceKey>,
+    /// Number of probes since the last data from the domain.
     probes: u32,
     /// Earliest time of the next probe, in milliseconds.
-    next_probe: u64,
+    next_probe_at: u64,
 }
 
 impl FailureDomain {
-    fn record_time_out(&mut self, now: u64, instance: InstanceKey) {
-        self.timed_out.insert(instance);
-        self.next_probe = self.next_probe.max(now + FIRST_BACKOFF_MS);
+    fn record_connect_timeout(&mut self, now: u64, instance: InstanceKey) {
+        self.timed_out_instances.insert(instance);
+        self.next_probe_at = self.next_probe_at.max(now + FIRST_BACKOFF_MS);
     }
 
     fn record_probe(&mut self, now: u64) {
-        self.next_probe = self.next_probe.max(now + (FIRST_BACKOFF_MS << self.probes.min(DOUBLINGS)));
+        self.next_probe_at = self.next_probe_at.max(now + (FIRST_BACKOFF_MS << self.probes.min(DOUBLINGS)));
         self.probes += 1;
     }
 }
@@ -46,39 +47,39 @@
 pub(crate) struct Reachability {
     zones: Vec<FailureDomain>,
     regions: Vec<FailureDomain>,
-    /// Some domain has an instance in `timed_out`.
-    has_time_outs: bool,
+    /// Whether any domain has an instance in `timed_out_instances`.
+    has_timeouts: bool,
 }
 
 impl Reachability {
-    /// Records that connecting to an instance has timed out.
-    pub(crate) fn record_time_out(
+    /// Records a connect timeout of an instance.
+    pub(crate) fn record_connect_timeout(
         &mut self,
         now: u64,
         zone: ZoneId,
         region: RegionId,
         instance: InstanceKey,
     ) {
-        self.has_time_outs = true;
-        domain_mut(&mut self.zones, zone).record_time_out(now, instance);
-        domain_mut(&mut self.regions, region).record_time_out(now, instance);
+        self.has_timeouts = true;
+        domain_mut(&mut self.zones, zone).record_connect_timeout(now, instance);
+        domain_mut(&mut self.regions, region).record_connect_timeout(now, instance);
     }
 
-    /// Records that something was received from an instance. Returns whether its zone or region was suspected.
+    /// Records that data was received from an instance. Returns whether its zone or region was suspected.
     pub(crate) fn record_received(&mut self, zone: ZoneId, region: RegionId) -> bool {
-        if !self.has_time_outs {
+        if !self.has_timeouts {
             return false;
         }
         let was_suspect = self.is_suspect(zone, region);
         *domain_mut(&mut self.zones, zone) = FailureDomain::default();
         *domain_mut(&mut self.regions, region) = FailureDomain::default();
-        self.has_time_outs =
-            self.zones.iter().chain(&self.regions).any(|domain| !domain.timed_out.is_empty());
+        self.has_timeouts =
+            self.zones.iter().chain(&self.regions).any(|domain| !domain.timed_out_instances.is_empty());
         was_suspect
     }
 
-    /// Records the begin of an attempt. In a suspected domain it is the probe, and the next one is scheduled; returns whether
-    /// it is.
+    /// Records the start of an attempt. An attempt in a suspected domain is a probe and schedules the next
+    /// probe. Returns whether the attempt is a probe.
     pub(crate) fn record_attempt(&mut self, now: u64, zone: ZoneId, region: RegionId) -> bool {
         if !self.is_suspect(zone, region) {
             return false;
@@ -88,34 +89,36 @@
         true
     }
 
-    /// Whether a zone or its region is suspected of being unreachable.
+    /// Whether a zone or its region is suspected to be unreachable.
     pub(crate) fn is_suspect(&self, zone: ZoneId, region: RegionId) -> bool {
-        self.has_time_outs && (self.is_zone_suspect(zone) || self.is_region_suspect(region))
+        self.has_timeouts && (self.is_zone_suspect(zone) || self.is_region_suspect(region))
     }
 
-    /// Until when nothing is to be sent to a zone, in milliseconds; 0 while it is reachable.
+    /// End of the time in which no requests go to a zone, in milliseconds; 0 while the zone is reachable.
     pub(crate) fn unreachable_until(&self, zone: ZoneId, region: RegionId) -> u64 {
         let until =
-            |domains: &[FailureDomain], id: usize| domains.get(id).map_or(0, |domain| domain.next_probe);
+            |domains: &[FailureDomain], id: usize| domains.get(id).map_or(0, |domain| domain.next_probe_at);
         let zone_until = if self.is_zone_suspect(zone) { until(&self.zones, zone) } else { 0 };
         let region_until = if self.is_region_suspect(region) { until(&self.regions, region) } else { 0 };
         zone_until.max(region_until)
     }
 
-    /// Whether connecting to any instance of a zone or its region has timed out and nothing was received from there since.
+    /// Whether any instance of a zone or its region has a connect timeout since the last data from there.
     pub(crate) fn may_be_unreachable(&self, zone: ZoneId, region: RegionId) -> bool {
-        let has_time_outs = |domains: &[FailureDomain], id: usize| {
-            domains.get(id).is_some_and(|domain| !domain.timed_out.is_empty())
+        let has_timeouts = |domains: &[FailureDomain], id: usize| {
+            domains.get(id).is_some_and(|domain| !domain.timed_out_instances.is_empty())
         };
-        self.has_time_outs && (has_time_outs(&self.zones, zone) || has_time_outs(&self.regions, region))
+        self.has_timeouts && (has_timeouts(&self.zones, zone) || has_timeouts(&self.regions, region))
     }
 
     fn is_zone_suspect(&self, zone: ZoneId) -> bool {
-        self.zones.get(zone).is_some_and(|domain| domain.timed_out.len() >= TIMED_OUT_IN_ZONE)
+        self.zones.get(zone).is_some_and(|domain| domain.timed_out_instances.len() >= SUSPECT_ZONE_TIMEOUTS)
     }
 
     fn is_region_suspect(&self, region: RegionId) -> bool {
-        self.regions.get(region).is_some_and(|domain| domain.timed_out.len() >= TIMED_OUT_IN_REGION)
+        self.regions
+            .get(region)
+            .is_some_and(|domain| domain.timed_out_instances.len() >= SUSPECT_REGION_TIMEOUTS)
     }
 }
 
--- a/dataplane/routing/src/router.rs
+++ b/dataplane/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: the state machine that decides where a request goes.
+//! The router state machine.
 
 mod attempts;
 mod choice;
@@ -18,35 +18,36 @@
 use self::attempts::Attempt;
 use crate::balancer_count::BalancerCount;
 use crate::catalogue::{Catalogue, RegionId, ServiceId};
-use crate::even_draw::EvenDraw;
 use crate::instance::InstanceState;
 use crate::reachability::Reachability;
-use crate::region::CHECK_MS;
+use crate::region::CHECK_INTERVAL_MS;
 use crate::service::{RoutingContext, Service};
 use crate::slow_start::SlowStartPace;
+use crate::weighted_sampler::WeightedSampler;
 use crate::{AttemptId, InstanceKey};
 
-/// How often open attempts are checked against the silence limit.
-const SILENCE_CHECK_MS: u64 = 500;
-/// The most open attempts; requests beyond it are rejected as [`RejectionReason::Full`](crate::RejectionReason::Full).
+/// Interval of comparing open attempts with the silence limit.
+const SILENCE_CHECK_INTERVAL_MS: u64 = 500;
+/// Maximum number of open attempts; further requests are rejected as
+/// [`RejectionReason::Full`](crate::RejectionReason::Full).
 const ATTEMPT_CAPACITY: usize = 1 << 16;
-/// An attempt that is not ended is forgotten after this time.
+/// Open attempts older than this are discarded.
 const ATTEMPT_RETENTION_MS: u64 = 900_000;
 
-/// Where a router runs and the limits that it keeps to.
+/// Location, limits and mechanisms of a router.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
     /// Zone of this balancer.
     pub zone: String,
     /// Region of this balancer.
     pub region: String,
-    /// Region of each zone that has balancers, by the zone's name.
+    /// Region of each zone that has balancers, keyed by the name of the zone.
     pub zone_regions: BTreeMap<String, String>,
-    /// Limits that all balancers together keep to.
+    /// Limits on the sum over all balancers.
     pub bounds: Bounds,
-    /// Time between two heartbeats of an instance, in milliseconds.
+    /// Heartbeat interval of the instances, in milliseconds.
     pub heartbeat_ms: u64,
-    /// The mechanisms that are switched on.
+    /// Enabled mechanisms.
     pub mechanisms: Mechanisms,
     /// Seed of the random generator.
     pub seed: u64,
@@ -55,48 +56,49 @@
 /// Identity and address of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceTarget {
-    /// The address that it listens on.
+    /// Address on which the instance listens.
     pub address: SocketAddr,
-    /// Its id, of this incarnation alone.
+    /// Id of the instance; each incarnation has a new one.
     pub id: String,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: String,
-    /// Its region.
+    /// Region of the instance.
     pub region: String,
 }
 
 /// Decides where requests go. All times are milliseconds of one monotonic clock that the caller reads.
 ///
-/// [`Router::set_configuration`], [`Router::set_fleet`], [`Router::set_instances`] and [`Router::set_evacuated_zones`] take what the control plane
-/// sends. For each request [`Router::draw_service`] and [`Router::choose`] pick an instance; the caller reports the course
-/// of the attempt with [`Router::record_first_event`] and [`Router::finish_attempt`], and calls [`Router::tick`] when it asks for it.
+/// [`Router::set_configuration`], [`Router::set_fleet`], [`Router::set_instances`] and
+/// [`Router::set_evacuated_zones`] take the state that the control plane sends. For each request,
+/// [`Router::draw_service`] and [`Router::choose`] pick an instance. The caller reports the progress of the
+/// attempt with [`Router::record_first_event`] and [`Router::finish_attempt`], and calls [`Router::tick`] at
+/// the time that the previous call returned.
 pub struct Router {
     settings: RouterSettings,
     own_region: RegionId,
     regions_with_balancers: usize,
     random: Pcg,
     pub(crate) catalogue: Catalogue,
-    /// Draws the services of split routes, by the index of the route.
-    draws: HashMap<usize, EvenDraw>,
+    /// Samplers for the services of split routes, keyed by the index of the route.
+    samplers: HashMap<usize, WeightedSampler>,
     pub(crate) services: Vec<Service>,
-    /// The newest key of each instance id.
-    keys: HashMap<String, InstanceKey>,
-    /// The service of each key.
-    service_of: HashMap<InstanceKey, ServiceId>,
+    /// Newest key of each instance id.
+    key_by_id: HashMap<String, InstanceKey>,
+    /// Service of each instance key.
+    service_by_key: HashMap<InstanceKey, ServiceId>,
     next_key: u64,
-    /// Ids of instances that take no new requests ever again, oldest first.
-    retired: IndexSet<String>,
-    /// Zones that are evacuated.
-    evacuated: BTreeSet<String>,
-    balancers: BalancerCount,
+    /// Ids of instances that never receive new requests again, oldest first.
+    retired_ids: IndexSet<String>,
+    evacuated_zones: BTreeSet<String>,
+    balancer_count: BalancerCount,
     reachability: Reachability,
     attempts: HashMap<AttemptId, Attempt>,
-    next_attempt: u64,
-    next_check: u64,
+    next_attempt_id: u64,
+    next_check_at: u64,
 }
 
 impl Router {
-    /// A router without configuration and instances.
+    /// Creates a router without configuration and instances.
     pub fn new(settings: RouterSettings, now: u64) -> Self {
         let mut catalogue = Catalogue::default();
         let own_region = catalogue.region(&settings.region);
@@ -109,68 +111,73 @@
             own_region,
             regions_with_balancers,
             catalogue,
-            draws: HashMap::new(),
+            samplers: HashMap::new(),
             services: Vec::new(),
-            keys: HashMap::new(),
-            service_of: HashMap::new(),
+            key_by_id: HashMap::new(),
+            service_by_key: HashMap::new(),
             next_key: 0,
-            retired: IndexSet::new(),
-            evacuated: BTreeSet::new(),
-            balancers: BalancerCount::default(),
+            retired_ids: IndexSet::new(),
+            evacuated_zones: BTreeSet::new(),
+            balancer_count: BalancerCount::default(),
             reachability: Reachability::default(),
             attempts: HashMap::new(),
-            next_attempt: 0,
-            next_check: now + CHECK_MS,
+            next_attempt_id: 0,
+            next_check_at: now + CHECK_INTERVAL_MS,
         }
     }
 
-    /// Takes a configuration as the newest one. Requests that were matched under one of the last few older ones are still
-    /// resolved by its generation.
+    /// Sets the newest configuration. A request that was matched under one of the last few configurations is
+    /// still resolved by the generation of that configuration.
     pub fn set_configuration(&mut self, now: u64, configuration: &Arc<Configuration>) {
         self.catalogue.add_configuration(configuration);
-        self.grow(now);
+        self.add_missing_state(now);
         for reported in &configuration.services {
             let id = self.catalogue.service(&reported.name);
             let is_bounded = reported.cold_per_s > 0.0 && self.settings.mechanisms.has(Mechanism::ColdShares);
-            self.services[id].cold_per_s = if is_bounded { reported.cold_per_s } else { 0.0 };
+            self.services[id].slow_start_per_s = if is_bounded { reported.cold_per_s } else { 0.0 };
         }
         self.set_slow_start_paces(now);
     }
 
-    /// Replaces the state of the fleet: number of balancers, loads by region, and failing instances.
+    /// Replaces the state of the fleet: the number of balancers, the loads by region, and the failing
+    /// instances.
     pub fn set_fleet(&mut self, now: u64, fleet: &Fleet) {
-        self.balancers.update(now, fleet.balancers);
-        let target = |load: &RegionLoad| {
+        self.balancer_count.update(now, fleet.balancers);
+        let resolve = |load: &RegionLoad| {
             let service = self.catalogue.service(&load.target.service);
             (service, self.catalogue.region(&load.target.region), load.requests_per_s)
         };
-        let loads: Vec<_> = fleet.loads.iter().map(target).collect();
-        self.grow(now);
+        let loads: Vec<_> = fleet.loads.iter().map(resolve).collect();
+        self.add_missing_state(now);
         self.apply_shared_failures(now, &fleet.failing);
         for (id, service) in self.services.iter_mut().enumerate() {
-            let own = loads.iter().filter(|load| load.0 == id).map(|load| (load.1, load.2));
-            service.set_reported_loads(now, self.own_region, own);
+            let service_loads = loads.iter().filter(|load| load.0 == id).map(|load| (load.1, load.2));
+            service.set_reported_loads(now, self.own_region, service_loads);
         }
         self.set_slow_start_paces(now);
     }
 
-    /// Does what is due by time alone. Returns the time at which to call again at the latest.
+    /// Runs the periodic work that is due. Returns the latest time of the next call.
     pub fn tick(&mut self, now: u64) -> u64 {
         self.count_silent_attempts(now);
-        if now >= self.next_check {
-            self.next_check = now + CHECK_MS;
-            self.attempts.retain(|_, attempt| attempt.sent_at + ATTEMPT_RETENTION_MS > now);
-            if self.balancers.pass_time(now) {
+        if now >= self.next_check_at {
+            self.next_check_at = now + CHECK_INTERVAL_MS;
+            self.attempts.retain(|_, attempt| attempt.started_at + ATTEMPT_RETENTION_MS > now);
+            if self.balancer_count.apply_pending_count(now) {
                 self.set_slow_start_paces(now);
             }
-            self.forget(now);
-            self.refresh(now);
-            self.check(now);
+            self.remove_expired_instances(now);
+            self.refresh_instances(now);
+            self.update_weights(now);
+        }
+        if self.attempts.is_empty() {
+            self.next_check_at
+        } else {
+            self.next_check_at.min(now + SILENCE_CHECK_INTERVAL_MS)
         }
-        if self.attempts.is_empty() { self.next_check } else { self.next_check.min(now + SILENCE_CHECK_MS) }
     }
 
-    /// This balancer's rate of attempts, by service and region; those without any are left out.
+    /// Rate of this balancer's attempts by service and region; pairs without attempts are omitted.
     pub fn attempt_rates(&self, now: u64) -> Vec<RegionLoad> {
         let mut loads = Vec::new();
         for (id, service) in self.services.iter().enumerate() {
@@ -186,55 +193,58 @@
         loads
     }
 
-    /// Identity and address of the instance, as long as it is known.
+    /// Returns the identity and address of the instance while the router knows it.
     pub fn target(&self, instance: InstanceKey) -> Option<&InstanceTarget> {
         self.instance(instance).map(|instance| &instance.target)
     }
 
     fn instance(&self, key: InstanceKey) -> Option<&InstanceState> {
-        self.services.get(*self.service_of.get(&key)?)?.instances.get(&key)
+        self.services.get(*self.service_by_key.get(&key)?)?.instances.get(&key)
     }
 
-    /// Adds state for services and regions that are new in the catalogue.
-    fn grow(&mut self, now: u64) {
+    /// Adds state for the services and regions that are new in the catalogue.
+    fn add_missing_state(&mut self, now: u64) {
         let regions = self.catalogue.region_count();
         while self.services.len() < self.catalogue.service_count() {
             let mut service = Service::new(now, self.settings.mechanisms);
-            service.budget.set_balancers(self.balancers.get(), &self.settings.bounds);
+            service.budget.set_balancers(self.balancer_count.get(), &self.settings.bounds);
             self.services.push(service);
         }
         self.services.iter_mut().for_each(|service| service.grow_regions(now, regions));
     }
 
     fn instance_mut(&mut self, key: InstanceKey) -> Option<&mut InstanceState> {
-        self.services.get_mut(*self.service_of.get(&key)?)?.instances.get_mut(&key)
+        self.services.get_mut(*self.service_by_key.get(&key)?)?.instances.get_mut(&key)
     }
 
-    /// Divides the limits among the present number of balancers.
+    /// Divides the limits of slow start and retries by the current number of balancers.
     fn set_slow_start_paces(&mut self, now: u64) {
-        let (balancers, bounds) = (self.balancers.get(), &self.settings.bounds);
+        let (balancers, bounds) = (self.balancer_count.get(), &self.settings.bounds);
         for service in &mut self.services {
             service.budget.set_balancers(balancers, bounds);
-            let bounded = service.cold_per_s > 0.0;
-            service.pace =
-                if bounded { SlowStartPace::new(service.cold_per_s, balancers, bounds) } else { None };
+            let is_bounded = service.slow_start_per_s > 0.0;
+            service.pace = if is_bounded {
+                SlowStartPace::new(service.slow_start_per_s, balancers, bounds)
+            } else {
+                None
+            };
         }
-        self.refresh(now);
+        self.refresh_instances(now);
     }
 
-    fn refresh(&mut self, now: u64) {
-        self.services.iter_mut().for_each(|service| service.refresh(now, &mut self.random));
+    fn refresh_instances(&mut self, now: u64) {
+        self.services.iter_mut().for_each(|service| service.refresh_instances(now, &mut self.random));
     }
 
-    fn check(&mut self, now: u64) {
+    fn update_weights(&mut self, now: u64) {
         let context = RoutingContext {
             now,
             own_region: self.own_region,
-            balancers: self.balancers.get(),
-            regions: self.regions_with_balancers,
-            zones: self.settings.zone_regions.len().max(1),
+            balancers: self.balancer_count.get(),
+            region_count: self.regions_with_balancers,
+            zone_count: self.settings.zone_regions.len().max(1),
             bounds: &self.settings.bounds,
         };
-        self.services.iter_mut().for_each(|service| service.check(&context, &mut self.random));
+        self.services.iter_mut().for_each(|service| service.update_weights(&context, &mut self.random));
     }
 }
--- a/dataplane/routing/src/router/membership.rs
+++ b/dataplane/routing/src/router/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: the instances that the control plane lists, evacuated zones, and instances that take no more requests.
+//! Membership: the instances that the control plane lists, evacuated zones, and retired instances.
 
 use std::collections::BTreeSet;
 
@@ -10,17 +10,18 @@
 use crate::catalogue::ServiceId;
 use crate::instance::InstanceState;
 
-/// Number of ids kept of instances that take no new requests.
+/// Maximum number of retained ids of retired instances.
 const RETIRED_CAPACITY: usize = 4096;
-/// An instance may be in slow start for this many halves of a heartbeat interval before it has reported it.
-const SUSPECT_HALF_INTERVALS: u64 = 3;
-/// The same, in addition, in milliseconds.
-const SUSPECT_MARGIN_MS: u64 = 500;
+/// An instance reports its slow start with a heartbeat, so that its slow start may be unknown for up to this
+/// many halves of a heartbeat interval ...
+const UNREPORTED_SLOW_START_HALF_INTERVALS: u64 = 3;
+/// ... plus this margin, in milliseconds.
+const UNREPORTED_SLOW_START_MARGIN_MS: u64 = 500;
 
 impl Router {
     /// Replaces the endpoint list.
     pub fn set_instances(&mut self, now: u64, instances: &Instances) {
-        self.refresh(now);
+        self.refresh_instances(now);
         let listed: BTreeSet<&str> = instances.list.iter().map(|instance| instance.id.as_str()).collect();
         for instance in self.services.iter_mut().flat_map(|service| service.instances.values_mut()) {
             if !listed.contains(instance.target.id.as_str()) {
@@ -28,38 +29,38 @@
             }
         }
         for reported in &instances.list {
-            self.take_instance(now, reported);
+            self.update_instance(now, reported);
         }
-        let suspect_ms = self.suspect_ms();
-        for service in self.services.iter_mut().filter(|service| service.cold_per_s > 0.0) {
-            service.suspect_warming_zones(now, suspect_ms);
+        let unreported_slow_start_ms = self.unreported_slow_start_ms();
+        for service in self.services.iter_mut().filter(|service| service.slow_start_per_s > 0.0) {
+            service.assume_slow_start_in_warming_zones(now, unreported_slow_start_ms);
         }
-        self.refresh(now);
-        self.check(now);
+        self.refresh_instances(now);
+        self.update_weights(now);
     }
 
     /// Replaces the list of evacuated zones.
     pub fn set_evacuated_zones(&mut self, now: u64, zones: &[String]) {
         let evacuated: BTreeSet<String> = zones.iter().cloned().collect();
-        let suspect_ms = self.suspect_ms();
+        let unreported_slow_start_ms = self.unreported_slow_start_ms();
         for instance in self.services.iter_mut().flat_map(|service| service.instances.values_mut()) {
-            let was_evacuated = instance.evacuated;
-            instance.evacuated = evacuated.contains(&instance.target.zone);
-            if was_evacuated && !instance.evacuated {
-                instance.suspect_slow_start(now + suspect_ms);
+            let was_evacuated = instance.is_evacuated;
+            instance.is_evacuated = evacuated.contains(&instance.target.zone);
+            if was_evacuated && !instance.is_evacuated {
+                instance.assume_slow_start_until(now + unreported_slow_start_ms);
             }
         }
-        self.evacuated = evacuated;
-        self.refresh(now);
-        self.check(now);
+        self.evacuated_zones = evacuated;
+        self.refresh_instances(now);
+        self.update_weights(now);
     }
 
-    fn take_instance(&mut self, now: u64, reported: &Instance) {
+    fn update_instance(&mut self, now: u64, reported: &Instance) {
         let service = self.catalogue.service(&reported.service);
         let region_name = self.settings.zone_regions.get(&reported.zone).cloned().unwrap_or_default();
         let region = self.catalogue.region(&region_name);
         let zone = self.catalogue.zone(&reported.zone);
-        self.grow(now);
+        self.add_missing_state(now);
         if reported.draining {
             self.record_retired(&reported.id);
         }
@@ -76,64 +77,65 @@
         if !self.settings.mechanisms.has(Mechanism::FullByOwnSends) {
             instance.slots = 0;
         }
-        instance.retired |= self.retired.contains(&reported.id);
-        instance.evacuated = self.evacuated.contains(&reported.zone);
+        instance.is_retired |= self.retired_ids.contains(&reported.id);
+        instance.is_evacuated = self.evacuated_zones.contains(&reported.zone);
         instance.unreachable_until = self.reachability.unreachable_until(zone, region);
         instance.in_own_zone = reported.zone == self.settings.zone;
     }
 
-    /// The key of an instance; a new one if it is not known with this id, service, address and zone.
+    /// Returns the key of an instance, or a new key if its id, service, address or zone is new.
     fn key_for(&mut self, service: ServiceId, reported: &Instance) -> InstanceKey {
-        if let Some(&key) = self.keys.get(&reported.id) {
+        if let Some(&key) = self.key_by_id.get(&reported.id) {
             let known = self.instance(key).map(|instance| &instance.target);
-            let same = known
+            let is_same = known
                 .is_some_and(|target| target.address == reported.address && target.zone == reported.zone);
-            if same && self.service_of.get(&key) == Some(&service) {
+            if is_same && self.service_by_key.get(&key) == Some(&service) {
                 return key;
             }
             if let Some(instance) = self.instance_mut(key) {
-                instance.retired = true;
+                instance.is_retired = true;
             }
         }
         let key = InstanceKey(self.next_key);
         self.next_key += 1;
-        self.keys.insert(reported.id.clone(), key);
-        self.service_of.insert(key, service);
+        self.key_by_id.insert(reported.id.clone(), key);
+        self.service_by_key.insert(key, service);
         key
     }
 
-    /// Sends nothing more to an instance, nor to any other one of its id.
+    /// Stops sending requests to an instance and to all instances with the same id.
     pub(super) fn retire(&mut self, service: ServiceId, key: InstanceKey) {
         let Some(instance) = self.services[service].instances.get_mut(&key) else { return };
-        instance.retired = true;
+        instance.is_retired = true;
         let id = instance.target.id.clone();
         self.record_retired(&id);
     }
 
     fn record_retired(&mut self, id: &str) {
-        if self.retired.contains(id) {
+        if self.retired_ids.contains(id) {
             return;
         }
-        if self.retired.len() >= RETIRED_CAPACITY {
-            self.retired.shift_remove_index(0);
+        if self.retired_ids.len() >= RETIRED_CAPACITY {
+            self.retired_ids.shift_remove_index(0);
         }
-        self.retired.insert(id.to_owned());
+        self.retired_ids.insert(id.to_owned());
     }
 
-    /// How long an instance may be in slow start without having reported it, in milliseconds.
-    fn suspect_ms(&self) -> u64 {
+    /// The longest time for which an instance may be in slow start before it reports it, in milliseconds.
+    fn unreported_slow_start_ms(&self) -> u64 {
         if !self.settings.mechanisms.has(Mechanism::SuspectedZones) {
             return 0;
         }
-        self.settings.heartbeat_ms * SUSPECT_HALF_INTERVALS / 2 + SUSPECT_MARGIN_MS
+        self.settings.heartbeat_ms * UNREPORTED_SLOW_START_HALF_INTERVALS / 2
+            + UNREPORTED_SLOW_START_MARGIN_MS
     }
 
-    /// Forgets instances that have been unlisted for long.
-    pub(super) fn forget(&mut self, now: u64) {
-        self.services.iter_mut().for_each(|service| service.forget(now));
+    /// Removes instances that have been unlisted for a long time.
+    pub(super) fn remove_expired_instances(&mut self, now: u64) {
+        self.services.iter_mut().for_each(|service| service.remove_expired_instances(now));
         let services = &self.services;
-        self.service_of.retain(|key, service| services[*service].instances.contains_key(key));
-        let known = &self.service_of;
-        self.keys.retain(|_, key| known.contains_key(key));
+        self.service_by_key.retain(|key, service| services[*service].instances.contains_key(key));
+        let known = &self.service_by_key;
+        self.key_by_id.retain(|_, key| known.contains_key(key));
     }
 }
--- a/dataplane/routing/src/warming_zone.rs
+++ b/dataplane/routing/src/warming_zone.rs
@@ -1,22 +1,22 @@
-//! Detection of zones of which many instances enter slow start at about the same time.
+//! Detection of zones in which many instances enter slow start at about the same time.
 
-/// Least number of instances that have begun slow start for the whole zone to count as warming up.
-const LEAST_WARMING_INSTANCES: usize = 2;
-/// One in so many of the zone's instances must have done so as well.
+/// Minimum number of instances with a recent start of slow start for a zone to count as warming up.
+const MIN_WARMING_INSTANCES: usize = 2;
+/// The same instances must also be at least one in this many instances of the zone.
 const WARMING_DIVISOR: usize = 2;
 
-/// Counts the instances of a zone that have begun slow start within a span of time.
+/// Counts the instances of a zone, and those that started slow start within a time span.
 #[derive(Debug, Default)]
 pub(crate) struct WarmingZone {
     instances: usize,
     warming: usize,
-    /// When the last of these is warm, in milliseconds.
+    /// End of the last of these slow starts, in milliseconds.
     pub(crate) warm_at: u64,
 }
 
 impl WarmingZone {
-    /// Counts one instance; `warm_at` is the end of its slow start if it has begun one within the span.
-    pub(crate) fn count(&mut self, warm_at: Option<u64>) {
+    /// Adds an instance. `warm_at` is the end of its slow start if that started within the time span.
+    pub(crate) fn add_instance(&mut self, warm_at: Option<u64>) {
         self.instances += 1;
         if let Some(until) = warm_at {
             self.warming += 1;
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Whether all instances of the zone are to be treated as in slow start.
+    /// Whether to treat all instances of the zone as in slow start.
     pub(crate) fn is_warming_up(&self) -> bool {
-        self.warming >= LEAST_WARMING_INSTANCES && self.warming * WARMING_DIVISOR >= self.instances
+        self.warming >= MIN_WARMING_INSTANCES && self.warming * WARMING_DIVISOR >= self.instances
     }
 }
