--- a/dataplane/routing/tests/common/mod.rs
+++ b/dataplane/routing/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Helpers: routers over small deployments.
+//! Test helpers: routers for small deployments.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 pub const GENERATION: u64 = 1;
 pub const HEARTBEAT_MS: u64 = 1_000;
 
-/// One zone for each of the regions a, b and c.
+/// One zone in each of the regions a, b and c.
 pub fn zones() -> BTreeMap<String, String> {
     ["a", "b", "c"].into_iter().map(|region| (format!("z{region}"), region.to_owned())).collect()
 }
@@ -87,7 +87,7 @@
     )
 }
 
-/// An instance of `SERVICE`; its address follows from its number.
+/// Creates an instance of `SERVICE`; the number determines its id and address.
 pub fn instance(number: u8, zone: &str) -> Instance {
     Instance {
         id: format!("i{number}"),
@@ -100,18 +100,19 @@
     }
 }
 
-pub fn list(list: Vec<Instance>) -> Instances {
+pub fn endpoint_list(list: Vec<Instance>) -> Instances {
     Instances { version: 1, list }
 }
 
-/// Instances in the regions a, b and c, by the number in each.
-pub fn spread(counts: [u8; 3]) -> Vec<Instance> {
+/// Creates instances in the regions a, b and c; `counts` gives their number in each region.
+pub fn instances_by_region(counts: [u8; 3]) -> Vec<Instance> {
     let zone = |index: usize| ["za", "zb", "zc"][index];
-    let places = (0..3).flat_map(|index| std::iter::repeat_n(zone(index), usize::from(counts[index])));
-    places.enumerate().map(|(number, zone)| instance(number as u8 + 1, zone)).collect()
+    let instance_zones =
+        (0..3).flat_map(|index| std::iter::repeat_n(zone(index), usize::from(counts[index])));
+    instance_zones.enumerate().map(|(number, zone)| instance(number as u8 + 1, zone)).collect()
 }
 
-pub fn load(region: &str, requests_per_s: f64) -> RegionLoad {
+pub fn region_load(region: &str, requests_per_s: f64) -> RegionLoad {
     let target = ServiceRegion { service: SERVICE.to_owned(), region: region.to_owned() };
     RegionLoad { target, requests_per_s }
 }
@@ -120,28 +121,29 @@
     Fleet { version: 1, balancers, loads, failing: vec![] }
 }
 
-/// A router in region a with one route of `SERVICE`, which knows of six balancers.
+/// Creates a router in region a with one route to `SERVICE` in a fleet of six balancers.
 pub fn router(seed: u64, route: Route, instances: Vec<Instance>) -> Router {
     let mut router = Router::new(settings("a", seed), 0);
     router.set_configuration(0, &configuration(GENERATION, vec![route], vec![service(SERVICE, 0.0)]));
-    router.set_instances(0, &list(instances));
+    router.set_instances(0, &endpoint_list(instances));
     router.set_fleet(0, &fleet(6, vec![]));
     router
 }
 
-pub fn facts() -> RequestInfo {
+pub fn request_info() -> RequestInfo {
     RequestInfo { generation: GENERATION, time_left_ms: 6_000, ..RequestInfo::default() }
 }
 
-pub fn prompt(parts: &[(u64, u32)]) -> RequestInfo {
+pub fn with_prompt(parts: &[(u64, u32)]) -> RequestInfo {
     let prompt = parts.iter().map(|&(id, tokens)| PromptPart { id, tokens }).collect();
     let prompt_tokens = parts.iter().map(|part| part.1).sum();
-    RequestInfo { prompt, prompt_tokens, ..facts() }
+    RequestInfo { prompt, prompt_tokens, ..request_info() }
 }
 
-/// The first attempt of a request, and its instance; none if the request is rejected.
-pub fn send(router: &mut Router, now: u64, facts: &RequestInfo) -> Option<(AttemptId, InstanceKey)> {
-    match router.choose(now, facts, &[]) {
+/// Starts the first attempt of a request. Returns the attempt and its instance, or `None` if the request is
+/// rejected.
+pub fn send(router: &mut Router, now: u64, request_info: &RequestInfo) -> Option<(AttemptId, InstanceKey)> {
+    match router.choose(now, request_info, &[]) {
         Choice::Forward { attempt, instance } => Some((attempt, instance)),
         Choice::Reject(_) => None,
     }
@@ -150,13 +152,13 @@
 pub fn rejection(choice: Choice) -> Rejection {
     match choice {
         Choice::Reject(rejection) => rejection,
-        Choice::Forward { .. } => panic!("sent where a rejection was due"),
+        Choice::Forward { .. } => panic!("expected a rejection"),
     }
 }
 
-/// The id of the instance of a first attempt, which is served at once.
-pub fn served_by(router: &mut Router, now: u64, facts: &RequestInfo) -> Option<String> {
-    let (attempt, key) = send(router, now, facts)?;
+/// Starts a first attempt that is served at once. Returns the id of its instance.
+pub fn served_by(router: &mut Router, now: u64, request_info: &RequestInfo) -> Option<String> {
+    let (attempt, key) = send(router, now, request_info)?;
     let id = router.target(key)?.id.clone();
     router.finish_attempt(now, attempt, Outcome::Served);
     Some(id)
--- a/dataplane/routing/tests/reachability.rs
+++ b/dataplane/routing/tests/reachability.rs
@@ -1,4 +1,5 @@
-//! Unreachable zones and regions: requests go elsewhere or are rejected, and few of them probe.
+//! Unreachable zones and regions: requests go to other regions or are rejected, and only a few requests
+//! probe.
 
 mod common;
 
@@ -6,34 +7,35 @@
 use whinspindle_configuration::{Mechanism, Mechanisms, Route, RouteKind};
 use whinspindle_routing::{Choice, InstanceKey, Outcome, RejectionReason, Router, RouterSettings};
 
-fn plain(counts: [u8; 3]) -> Router {
-    router(1, route("r", RouteKind::Unsafe), spread(counts))
+fn new_router(counts: [u8; 3]) -> Router {
+    router(1, route("r", RouteKind::Unsafe), instances_by_region(counts))
 }
 
-/// Makes attempts until connecting to `count` instances of a region has timed out; all others are served.
+/// Starts attempts until connections to `count` instances of a region have timed out. Attempts in other
+/// regions are served.
 fn time_out_connects(router: &mut Router, now: u64, region: &str, count: usize) -> Vec<InstanceKey> {
-    let mut silent = Vec::new();
+    let mut timed_out = Vec::new();
     for _ in 0..2_000 {
-        if silent.len() == count {
-            return silent;
+        if timed_out.len() == count {
+            return timed_out;
         }
-        let (attempt, key) = send(router, now, &facts()).expect("an instance");
+        let (attempt, key) = send(router, now, &request_info()).expect("an instance");
         if region_of(router, key) != region {
             router.finish_attempt(now, attempt, Outcome::Served);
-        } else if silent.contains(&key) {
+        } else if timed_out.contains(&key) {
             router.finish_attempt(now, attempt, Outcome::Cancelled);
         } else {
             router.finish_attempt(now, attempt, Outcome::ConnectTimedOut);
-            silent.push(key);
+            timed_out.push(key);
         }
     }
-    panic!("{} of {count} connections to region {region}", silent.len());
+    panic!("{} of {count} connect timeouts in region {region}", timed_out.len());
 }
 
 fn attempts_at(router: &mut Router, now: u64, region: &str) -> usize {
     let mut count = 0;
     for _ in 0..300 {
-        let Some((attempt, key)) = send(router, now, &facts()) else { continue };
+        let Some((attempt, key)) = send(router, now, &request_info()) else { continue };
         count += usize::from(region_of(router, key) == region);
         router.finish_attempt(now, attempt, Outcome::Cancelled);
     }
@@ -41,77 +43,77 @@
 }
 
 #[test]
-fn a_region_in_which_several_connects_timed_out_gets_an_occasional_probe() {
-    let mut router = plain([1, 8, 4]);
+fn a_region_with_several_connect_timeouts_receives_occasional_probes() {
+    let mut router = new_router([1, 8, 4]);
     assert!(attempts_at(&mut router, 0, "b") > 10);
     time_out_connects(&mut router, 0, "b", 2);
-    assert_eq!(attempts_at(&mut router, 1, "b"), 0, "one zone, in which two are enough");
-    assert_eq!(attempts_at(&mut router, 2_000, "b"), 1, "a probe is one attempt");
+    assert_eq!(attempts_at(&mut router, 1, "b"), 0, "two timeouts are enough to suspect a zone");
+    assert_eq!(attempts_at(&mut router, 2_000, "b"), 1, "one attempt probes the region");
     assert_eq!(attempts_at(&mut router, 2_010, "b"), 0);
 }
 
 #[test]
-fn one_timed_out_instance_does_not_count_against_its_region() {
-    let mut router = plain([1, 8, 4]);
-    let silent = time_out_connects(&mut router, 0, "b", 1);
-    let mut others = 0;
+fn one_connect_timeout_does_not_make_a_region_suspect() {
+    let mut router = new_router([1, 8, 4]);
+    let timed_out = time_out_connects(&mut router, 0, "b", 1);
+    let mut other_count = 0;
     for _ in 0..300 {
-        let (attempt, key) = send(&mut router, 1, &facts()).expect("an instance");
-        assert!(!silent.contains(&key), "it is ejected after one time-out");
-        others += usize::from(region_of(&router, key) == "b");
+        let (attempt, key) = send(&mut router, 1, &request_info()).expect("an instance");
+        assert!(!timed_out.contains(&key), "not ejected after a connect timeout");
+        other_count += usize::from(region_of(&router, key) == "b");
         router.finish_attempt(1, attempt, Outcome::Cancelled);
     }
-    assert!(others > 10);
+    assert!(other_count > 10);
 }
 
 #[test]
-fn anything_received_from_the_region_ends_the_suspicion() {
-    let mut router = plain([1, 8, 4]);
-    let silent = time_out_connects(&mut router, 0, "b", 2);
+fn received_data_makes_a_suspect_region_reachable() {
+    let mut router = new_router([1, 8, 4]);
+    let timed_out = time_out_connects(&mut router, 0, "b", 2);
     assert_eq!(attempts_at(&mut router, 1, "b"), 0);
-    router.record_received(silent[0]);
+    router.record_received(timed_out[0]);
     assert!(attempts_at(&mut router, 2, "b") > 10);
 }
 
 #[test]
-fn anything_received_between_two_time_outs_keeps_the_region_in_use() {
-    let mut router = plain([1, 8, 4]);
-    let silent = time_out_connects(&mut router, 0, "b", 1);
-    router.record_received(silent[0]);
+fn received_data_resets_the_connect_timeouts_of_a_region() {
+    let mut router = new_router([1, 8, 4]);
+    let timed_out = time_out_connects(&mut router, 0, "b", 1);
+    router.record_received(timed_out[0]);
     time_out_connects(&mut router, 1, "b", 1);
     assert!(attempts_at(&mut router, 2, "b") > 10);
 }
 
 #[test]
-fn where_only_unreachable_regions_may_serve_the_request_is_rejected_at_once() {
-    let at_home = Route { home_regions: vec!["b".to_owned()], ..route("r", RouteKind::Unsafe) };
-    let mut router = router(1, at_home, spread([4, 4, 4]));
+fn a_request_is_rejected_if_only_unreachable_regions_may_serve_it() {
+    let home_route = Route { home_regions: vec!["b".to_owned()], ..route("r", RouteKind::Unsafe) };
+    let mut router = router(1, home_route, instances_by_region([4, 4, 4]));
     time_out_connects(&mut router, 0, "b", 2);
-    match router.choose(1, &facts(), &[]) {
+    match router.choose(1, &request_info(), &[]) {
         Choice::Reject(rejection) => {
             assert_eq!(rejection.reason, RejectionReason::NoUpstream);
             assert!(rejection.retry_after_ms > 0);
         }
-        sent => panic!("{sent:?}"),
+        choice => panic!("{choice:?}"),
     }
-    assert!(send(&mut router, 600, &facts()).is_some(), "the next probe is due");
+    assert!(send(&mut router, 600, &request_info()).is_some(), "the next probe is due");
 }
 
 #[test]
-fn probes_of_a_region_that_stays_unreachable_grow_rarer() {
-    let mut router = plain([1, 8, 4]);
+fn the_interval_between_probes_of_an_unreachable_region_grows() {
+    let mut router = new_router([1, 8, 4]);
     time_out_connects(&mut router, 0, "b", 2);
     let mut probes = Vec::new();
     for now in (0..6_000).step_by(10) {
         for _ in 0..20 {
-            let Some((attempt, key)) = send(&mut router, now, &facts()) else { continue };
-            let is_try = region_of(&router, key) == "b";
+            let Some((attempt, key)) = send(&mut router, now, &request_info()) else { continue };
+            let is_probe = region_of(&router, key) == "b";
             router.finish_attempt(
                 now,
                 attempt,
-                if is_try { Outcome::ConnectTimedOut } else { Outcome::Served },
+                if is_probe { Outcome::ConnectTimedOut } else { Outcome::Served },
             );
-            if is_try {
+            if is_probe {
                 probes.push(now);
             }
         }
@@ -122,14 +124,14 @@
 }
 
 #[test]
-fn switched_off_each_instance_is_judged_alone() {
+fn without_the_reachability_mechanism_regions_stay_in_use() {
     let mechanisms = Mechanisms::default().switch_off(Mechanism::Reachability);
     let mut router = Router::new(RouterSettings { mechanisms, ..settings("a", 1) }, 0);
-    let configured =
+    let configuration =
         configuration(GENERATION, vec![route("r", RouteKind::Unsafe)], vec![service(SERVICE, 0.0)]);
-    router.set_configuration(0, &configured);
+    router.set_configuration(0, &configuration);
     router.set_fleet(0, &fleet(6, vec![]));
-    router.set_instances(0, &list(spread([1, 8, 4])));
+    router.set_instances(0, &endpoint_list(instances_by_region([1, 8, 4])));
     time_out_connects(&mut router, 0, "b", 2);
     assert!(attempts_at(&mut router, 1, "b") > 10);
 }
