--- a/dataplane/agent/src/guarded_sections.rs
+++ b/dataplane/agent/src/guarded_sections.rs
@@ -1,9 +1,10 @@
-//! The sections that the agent has for its proxy, guarded against controllers with incomplete or old state.
+//! Sections that the agent sends to its proxy, guarded against controllers with incomplete or old state.
 //!
-//! A controller without a quorum, or one that has just become the link and may have just started, is not trusted: its lists
-//! add to the present ones and remove nothing. Its complete list replaces them once it is trusted. Its records
-//! (configuration and evacuations) may be old: an agent without records waits some time for those of a controller in a
-//! quorum, and takes none that are older than what its proxies have reported.
+//! A controller is not trusted while it has no quorum, or if it has just become the link and may have just
+//! started. Lists of an untrusted controller add entries to the current lists and remove none. Its complete
+//! lists replace the current lists once it is trusted. Its records (configuration and evacuations) may be
+//! old. An agent without records therefore waits some time for the records of a controller in a quorum, and
+//! never accepts records that are older than the records that its proxies have reported.
 
 use std::collections::HashSet;
 use std::marker::PhantomData;
@@ -13,31 +14,31 @@
 use crate::endpoint_list::EndpointList;
 use crate::protocol_rules::{ProtocolRules, StandardRules};
 
-/// For this time after a controller has become the link its lists remove nothing, in milliseconds.
+/// Time after a controller has become the link in which its lists remove no entries, in milliseconds.
 const TRUST_DELAY_MS: u64 = 3_000;
 
-/// For this time after the first link the records of a controller without a quorum are deferred, in milliseconds. All
-/// reachable controllers have been attempted by then.
+/// Time after the first link in which records of a controller without a quorum are deferred, in milliseconds.
+/// It is long enough to try all reachable controllers.
 const RECORDS_WAIT_MS: u64 = 3_000;
 
-/// The sections in force, and what is pending.
+/// Current sections, and pending lists and records.
 #[derive(Clone, Debug)]
-pub(crate) struct GuardedSections<L = StandardRules> {
-    rules: PhantomData<L>,
+pub(crate) struct GuardedSections<R = StandardRules> {
+    rules: PhantomData<R>,
     applied_state: AppliedState,
     endpoint_list: EndpointList,
     trusted_at: u64,
     in_quorum: bool,
     pending_lists: Option<PendingLists>,
-    /// When records of any controller are taken; none before the first link.
-    records_open_at: Option<u64>,
-    /// The newest records of a controller without a quorum, which are deferred.
+    /// Time from which records of any controller are accepted; `None` before the first link.
+    records_accepted_at: Option<u64>,
+    /// Newest deferred records of a controller without a quorum.
     pending_records: Update,
-    /// The newest positions that proxies of this agent have reported as applied.
-    floor: Versions,
+    /// Newest versions that the proxies of this agent have reported as applied; older records are dropped.
+    min_versions: Versions,
 }
 
-/// The newest complete lists of a link that is not trusted yet.
+/// Newest complete lists of a controller that is not trusted yet.
 #[derive(Clone, Debug)]
 struct PendingLists {
     received_at: u64,
@@ -45,8 +46,8 @@
     fleet: Option<Fleet>,
 }
 
-impl<L: ProtocolRules> GuardedSections<L> {
-    /// No sections.
+impl<R: ProtocolRules> GuardedSections<R> {
+    /// Creates an empty state.
     pub fn new() -> Self {
         GuardedSections {
             rules: PhantomData,
@@ -55,96 +56,96 @@
             trusted_at: 0,
             in_quorum: false,
             pending_lists: None,
-            records_open_at: None,
+            records_accepted_at: None,
             pending_records: Update::default(),
-            floor: Versions::default(),
+            min_versions: Versions::default(),
         }
     }
 
-    /// Another controller has become the link.
-    pub fn linked(&mut self, now: u64) {
+    /// Records that another controller has become the link.
+    pub fn record_new_link(&mut self, now: u64) {
         self.trusted_at = now + TRUST_DELAY_MS;
         self.endpoint_list = EndpointList::default();
         self.pending_lists = None;
         self.pending_records = Update::default();
-        self.records_open_at.get_or_insert(now + RECORDS_WAIT_MS);
+        self.records_accepted_at.get_or_insert(now + RECORDS_WAIT_MS);
     }
 
-    /// Records what a proxy has applied: nothing older is taken from now on.
-    pub fn record_in_force(&mut self, applied: Versions) {
-        self.floor.configured = self.floor.configured.max(applied.configured);
-        self.floor.evacuations = self.floor.evacuations.max(applied.evacuations);
+    /// Records the versions that a proxy has applied. Older records are dropped from now on.
+    pub fn record_applied(&mut self, applied: Versions) {
+        self.min_versions.configured = self.min_versions.configured.max(applied.configured);
+        self.min_versions.evacuations = self.min_versions.evacuations.max(applied.evacuations);
     }
 
-    /// Sets whether the link's controller is in a quorum. Returns the changes for the proxy.
+    /// Sets whether the linked controller is in a quorum. Returns the changes for the proxy.
     pub fn set_quorum(&mut self, now: u64, in_quorum: bool) -> Update {
         self.in_quorum = in_quorum;
-        self.release_pending(now)
+        self.apply_pending(now)
     }
 
     /// Applies an update of the link. Returns the changes for the proxy.
     pub fn apply(&mut self, now: u64, update: Update) -> Update {
-        let update = self.endpoint_list.complete(now, update);
+        let update = self.endpoint_list.resolve_changes(now, update);
         let mut update = self.defer_records(now, update);
         if let Some(section) = &mut update.instances {
-            self.take_deregistrations(section);
+            self.apply_deregistrations(section);
         }
         if self.is_trusted(now) {
             self.pending_lists = None;
             return self.applied_state.apply(now, update);
         }
-        self.keep_pending(now, &update);
-        let instances = update.instances.map(|section| self.with_held_instances(now, section));
-        let fleet = update.fleet.map(|section| self.with_held_balancers(section));
+        self.store_pending_lists(now, &update);
+        let instances = update.instances.map(|section| self.with_current_instances(now, section));
+        let fleet = update.fleet.map(|section| self.with_current_balancers(section));
         self.applied_state.apply(now, Update { instances, fleet, ..update })
     }
 
     /// Applies pending lists and records once their controller is trusted. Returns the changes for the proxy.
-    pub fn release_pending(&mut self, now: u64) -> Update {
-        let mut due = self.release_records(now);
+    pub fn apply_pending(&mut self, now: u64) -> Update {
+        let mut changes = self.take_pending_records(now);
         if self.is_trusted(now)
-            && let Some(waiting) = self.pending_lists.take()
+            && let Some(pending) = self.pending_lists.take()
         {
-            let elapsed_ms = now.saturating_sub(waiting.received_at);
-            due.instances = waiting.instances.map(|section| section.aged(elapsed_ms));
-            due.fleet = waiting.fleet;
+            let elapsed_ms = now.saturating_sub(pending.received_at);
+            changes.instances = pending.instances.map(|section| section.aged(elapsed_ms));
+            changes.fleet = pending.fleet;
         }
-        self.applied_state.apply(now, due)
+        self.applied_state.apply(now, changes)
     }
 
-    /// When [`GuardedSections::release_pending`] is to be called.
+    /// Returns the time of the next necessary call of [`GuardedSections::apply_pending`].
     pub fn next_wake(&self) -> Option<u64> {
         let lists = (self.in_quorum && self.pending_lists.is_some()).then_some(self.trusted_at);
-        let records = self.records_open_at.filter(|_| self.pending_records != Update::default());
+        let records = self.records_accepted_at.filter(|_| self.pending_records != Update::default());
         lists.into_iter().chain(records).min()
     }
 
-    /// All sections, for a proxy that has just connected.
+    /// Returns all sections, for a proxy that has just connected.
     pub fn snapshot(&self, now: u64) -> Update {
         self.applied_state.snapshot(now)
     }
 
-    /// Versions of the sections.
+    /// Returns the versions of the sections.
     pub fn versions(&self) -> Versions {
         self.applied_state.versions()
     }
 
-    /// Whether complete lists of the link replace what is held.
+    /// Whether complete lists of the link replace the current lists.
     fn is_trusted(&self, now: u64) -> bool {
         self.in_quorum && now >= self.trusted_at
     }
 
-    /// Retires deregistered instances, also where the list itself removes nothing.
-    fn take_deregistrations(&mut self, section: &mut Instances) {
-        for ended in section.list.extract_if(.., |instance| instance.is_ended()) {
-            self.applied_state.retire(&ended.id);
+    /// Retires deregistered instances, even if the list itself removes no entries.
+    fn apply_deregistrations(&mut self, section: &mut Instances) {
+        for deregistered in section.list.extract_if(.., |instance| instance.is_ended()) {
+            self.applied_state.retire(&deregistered.id);
         }
     }
 
-    /// The update without records that are old, or that are deferred.
+    /// Drops old records from the update, and defers its other records if they are not accepted yet.
     fn defer_records(&mut self, now: u64, mut update: Update) -> Update {
         self.drop_older_records(&mut update);
-        if self.may_take_records(now) {
+        if self.can_accept_records(now) {
             return update;
         }
         if let Some(section) = update.configured.take() {
@@ -156,32 +157,32 @@
         update
     }
 
-    fn release_records(&mut self, now: u64) -> Update {
-        if !self.may_take_records(now) {
+    fn take_pending_records(&mut self, now: u64) -> Update {
+        if !self.can_accept_records(now) {
             return Update::default();
         }
-        let mut due = std::mem::take(&mut self.pending_records);
-        self.drop_older_records(&mut due);
-        due
+        let mut changes = std::mem::take(&mut self.pending_records);
+        self.drop_older_records(&mut changes);
+        changes
     }
 
     fn drop_older_records(&self, update: &mut Update) {
-        update.configured.take_if(|section| section.sequence < self.floor.configured);
-        update.evacuations.take_if(|section| section.sequence < self.floor.evacuations);
+        update.configured.take_if(|section| section.sequence < self.min_versions.configured);
+        update.evacuations.take_if(|section| section.sequence < self.min_versions.evacuations);
     }
 
-    /// With records present, newer ones are taken from any controller.
-    fn may_take_records(&self, now: u64) -> bool {
+    /// Whether records are accepted. An agent with records accepts newer ones from any controller.
+    fn can_accept_records(&self, now: u64) -> bool {
         let has_records = self.applied_state.configured().is_some();
-        let has_waited = self.records_open_at.is_some_and(|at| now >= at);
-        has_records || L::may_accept_initial_records(self.in_quorum || has_waited)
+        let has_waited = self.records_accepted_at.is_some_and(|at| now >= at);
+        has_records || R::may_accept_initial_records(self.in_quorum || has_waited)
     }
 
-    /// Keeps the newest lists of a controller that is not trusted yet.
-    fn keep_pending(&mut self, now: u64, update: &Update) {
-        let earlier = self.pending_lists.take();
-        let (received_at, instances, fleet) = match earlier {
-            Some(earlier) => (earlier.received_at, earlier.instances, earlier.fleet),
+    /// Stores the newest lists of a controller that is not trusted yet.
+    fn store_pending_lists(&mut self, now: u64, update: &Update) {
+        let previous = self.pending_lists.take();
+        let (received_at, instances, fleet) = match previous {
+            Some(previous) => (previous.received_at, previous.instances, previous.fleet),
             None => (now, None, None),
         };
         let received_at = if update.instances.is_some() { now } else { received_at };
@@ -192,17 +193,17 @@
         }
     }
 
-    /// The list with the instances added that are held and that it lacks.
-    fn with_held_instances(&self, now: u64, mut section: Instances) -> Instances {
-        let Some(held) = self.applied_state.snapshot(now).instances else { return section };
+    /// Adds the current instances that the list lacks.
+    fn with_current_instances(&self, now: u64, mut section: Instances) -> Instances {
+        let Some(current) = self.applied_state.snapshot(now).instances else { return section };
         let listed: HashSet<_> = section.list.iter().map(|instance| instance.id.clone()).collect();
-        section.list.extend(held.list.into_iter().filter(|instance| !listed.contains(&instance.id)));
+        section.list.extend(current.list.into_iter().filter(|instance| !listed.contains(&instance.id)));
         section
     }
 
-    /// The fleet with at least the number of balancers that is held.
-    fn with_held_balancers(&self, section: Fleet) -> Fleet {
-        let held = self.applied_state.fleet().map_or(0, |held| held.balancers);
-        Fleet { balancers: section.balancers.max(held), ..section }
+    /// Raises the number of balancers to at least the current number.
+    fn with_current_balancers(&self, section: Fleet) -> Fleet {
+        let current = self.applied_state.fleet().map_or(0, |current| current.balancers);
+        Fleet { balancers: section.balancers.max(current), ..section }
     }
 }
--- a/dataplane/agent/src/lib.rs
+++ b/dataplane/agent/src/lib.rs
@@ -1,8 +1,9 @@
-//! The agent beside each proxy: keeps a link to a controller, sends the control plane's updates to the proxy over loopback
-//! and forwards the proxy's reports.
+//! The agent next to each proxy. It keeps a link to a controller, sends the updates of the control plane to
+//! the proxy over loopback, and forwards the reports of the proxy.
 //!
-//! [`Agent`] is the state machine, with [`LinkSelector`] to choose the controller. Both have no clock, socket or random
-//! numbers of their own: inputs and times are passed in, outputs are returned. [`run`] is the process around them.
+//! [`Agent`] is the state machine, and [`LinkSelector`] chooses the controller. Both work without I/O: the
+//! caller passes in inputs and the time, and carries out the returned outputs. [`run`] is the process around
+//! them.
 
 mod agent;
 mod catalog;
--- a/dataplane/agent/src/messages.rs
+++ b/dataplane/agent/src/messages.rs
@@ -1,4 +1,4 @@
-//! Settings, inputs and outputs of the agent's state machine.
+//! Settings, inputs and outputs of the agent state machine.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -18,45 +18,45 @@
     pub zone: String,
     /// Region of the machine.
     pub region: String,
-    /// Internal endpoints of the controllers in the settings.
+    /// Internal endpoints of the controllers from the settings.
     pub seeds: Vec<SocketAddr>,
-    /// Grace period between the request to shut down and the kill, in milliseconds.
+    /// Grace period between the shutdown request and the kill, in milliseconds.
     pub grace_ms: u64,
-    /// A number that differs for each start; also spreads the first attempts over the controllers.
+    /// Number that differs for each start. It also spreads the first attempts of agents over the controllers.
     pub incarnation: u64,
 }
 
 /// Inputs of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The time of [`Agent::next_wake`](crate::Agent::next_wake) has come.
+    /// The time that [`Agent::next_wake`](crate::Agent::next_wake) returned is reached.
     Tick,
     /// A connection to a controller is established.
     Connected(ConnectionId),
-    /// A connection has ended, or could not be made.
+    /// A connection has ended or could not be established.
     Closed(ConnectionId),
-    /// A message of a controller.
+    /// A message from a controller.
     FromController(ConnectionId, ToBalancer),
-    /// A proxy has connected, in place of an earlier one.
+    /// A proxy has connected and replaces any earlier one.
     ProxyConnected,
     /// The connection of the proxy has ended.
     ProxyClosed,
-    /// A report of the proxy.
+    /// A report from the proxy.
     FromProxy(Report),
-    /// The settings were read again.
+    /// The settings were reloaded.
     SeedsReloaded(Vec<SocketAddr>),
-    /// The process is to shut down.
+    /// The process received a shutdown request.
     Terminate,
 }
 
-/// Outputs of the state machine, to be carried out in order.
+/// Outputs of the state machine. The caller carries them out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Connect to a controller.
     Connect {
-        /// The id of the new connection.
+        /// Id of the new connection.
         connection: ConnectionId,
-        /// The controller's endpoint.
+        /// Endpoint of the controller.
         endpoint: SocketAddr,
     },
     /// Close a connection.
@@ -67,9 +67,9 @@
     SendReport(ConnectionId, Report),
     /// Send a message to the proxy.
     SendToProxy(ToBalancer),
-    /// Read the settings file and pass its controllers in as [`Input::SeedsReloaded`].
+    /// Read the settings file and pass in its controllers as [`Input::SeedsReloaded`].
     ReadSettings,
-    /// Write what is queued and exit.
+    /// Write the queued frames and exit.
     Exit,
     /// Log a notice.
     Log(Notice),
@@ -80,21 +80,21 @@
 pub enum Notice {
     /// A controller has become the link.
     Linked {
-        /// The controller's endpoint.
+        /// Endpoint of the controller.
         endpoint: SocketAddr,
-        /// Whether it is in a quorum.
+        /// Whether the controller is in a quorum.
         in_quorum: bool,
     },
-    /// The link has ended, and no other one is there.
+    /// The link has ended without a replacement.
     LinkLost {
-        /// The controller's endpoint.
+        /// Endpoint of the controller.
         endpoint: SocketAddr,
-        /// Why.
+        /// Reason of the loss.
         reason: LossReason,
     },
-    /// The link's controller has lost or regained its quorum.
+    /// The linked controller has lost or regained its quorum.
     QuorumChanged {
-        /// Whether it is in a quorum now.
+        /// Whether the controller is in a quorum now.
         in_quorum: bool,
     },
     /// A proxy has connected.
@@ -108,6 +108,6 @@
         /// Sequence number of the evacuations.
         evacuations: u64,
     },
-    /// The process shuts down.
+    /// The process is shutting down.
     ShuttingDown,
 }
--- a/dataplane/agent/src/metrics.rs
+++ b/dataplane/agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The agent's metrics, read from its state at each scrape.
+//! Metrics of the agent, read from its state at each scrape.
 
 use whinspindle_distribution::Versions;
 use whinspindle_metrics::Figures;
@@ -9,22 +9,22 @@
 /// Metrics of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AgentMetrics {
-    /// A controller is linked.
+    /// Whether the agent is linked to a controller.
     pub has_link: bool,
-    /// The link's controller is in a quorum.
+    /// Whether the linked controller is in a quorum.
     pub in_quorum: bool,
-    /// The proxy is connected.
+    /// Whether the proxy is connected.
     pub is_proxy_connected: bool,
-    /// Milliseconds since something was received from the present or last link; none before the first link.
+    /// Milliseconds since the last message on the current or last link; `None` before the first link.
     pub received_ms_ago: Option<u64>,
-    /// Versions of the sections that the agent has.
-    pub held_versions: Versions,
-    /// Versions of the sections that its proxy has applied.
+    /// Versions of the sections of the agent.
+    pub section_versions: Versions,
+    /// Versions of the sections that the proxy has applied.
     pub applied_versions: Versions,
 }
 
-/// The present metrics as OpenMetrics text.
-pub fn render<L: ProtocolRules>(agent: &Agent<L>, now: u64) -> String {
+/// Renders the current metrics as OpenMetrics text.
+pub fn render<R: ProtocolRules>(agent: &Agent<R>, now: u64) -> String {
     let metrics = agent.metrics(now);
     let mut figures = Figures::default();
     let flags = [
@@ -35,9 +35,14 @@
     for (name, help, flag) in flags {
         figures.gauge(name, help, [([].as_slice(), if flag { 1.0 } else { 0.0 })]);
     }
-    let heard = metrics.received_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
-    figures.gauge("agent_heard_seconds", "Time since a controller was last heard", heard);
-    add_versions(&mut figures, "agent_held", "Newest versions that the agent holds", metrics.held_versions);
+    let received_s = metrics.received_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
+    figures.gauge("agent_heard_seconds", "Time since a controller was last heard", received_s);
+    add_versions(
+        &mut figures,
+        "agent_held",
+        "Newest versions that the agent holds",
+        metrics.section_versions,
+    );
     add_versions(
         &mut figures,
         "agent_applied",
--- a/dataplane/agent/src/protocol_rules.rs
+++ b/dataplane/agent/src/protocol_rules.rs
@@ -1,16 +1,17 @@
-//! The safety rule for records as a type parameter, so that tests can replace it by a fault.
+//! Protocol rules as a type parameter, so that tests can replace a rule by a fault.
 
 use std::fmt::Debug;
 
-/// The rules of the protocol. The defaults are those of the program.
+/// Safety rules of the protocol. The default methods are the rules of the program.
 pub trait ProtocolRules: Clone + Debug {
-    /// Whether an agent without records takes those of its link, where quorum and time allow it (`is_eligible`).
+    /// Whether an agent without records accepts the records of its link. `is_eligible` tells whether the
+    /// controller is in a quorum or the waiting time is over.
     fn may_accept_initial_records(is_eligible: bool) -> bool {
         is_eligible
     }
 }
 
-/// The rules of the program.
+/// Rules of the program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandardRules;
 
--- a/dataplane/agent/src/runtime.rs
+++ b/dataplane/agent/src/runtime.rs
@@ -1,4 +1,4 @@
-//! The process runtime around the state machine: sockets, clock, signals, settings file and log.
+//! Process runtime around the state machine: sockets, clock, signals, settings file and log.
 
 mod channel;
 mod log_lines;
@@ -30,36 +30,36 @@
 use crate::connection::ConnectionId;
 use crate::messages::{AgentSettings, Input, Output};
 use crate::{metrics, settings_file};
-use channel::{Channel, ChannelEvent, Event, Source};
+use channel::{Channel, ChannelEvent, ChannelSource, Event};
 
-/// Length of the queue of events for the state machine; connections are not read while it is full.
-const EVENT_QUEUE: usize = 64;
-/// Time to write the last frames before the process ends.
-const FLUSH_LIMIT: Duration = Duration::from_millis(200);
-/// Backoff after a failed accept, such as with too many open files.
+/// Capacity of the event queue of the state machine. Connections are not read while the queue is full.
+const EVENT_QUEUE_CAPACITY: usize = 64;
+/// Timeout of writing the last frames before the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Backoff after a failed accept, for example with too many open files.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Why the agent could not start.
+/// Startup error of the agent.
 #[derive(Debug, Snafu)]
 pub enum AgentError {
     /// The listener for the proxy could not be opened.
-    #[snafu(display("listening for the proxy on {endpoint}: {source}"))]
+    #[snafu(display("cannot listen for the proxy on {endpoint}: {source}"))]
     Listen {
-        /// Its address.
+        /// Address of the listener.
         endpoint: SocketAddr,
-        /// The error of the system.
+        /// Operating system error.
         source: std::io::Error,
     },
     /// Signal handlers could not be installed.
-    #[snafu(display("waiting for signals: {source}"))]
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// The error of the system.
+        /// Operating system error.
         source: std::io::Error,
     },
 }
 
-/// Runs the agent until it is told to shut down. `settings_file` is read again at a hang-up signal. The agent's tasks need
-/// a `LocalSet` around it. Metrics are served at `metrics`, if given.
+/// Runs the agent until a shutdown request. A hang-up signal reloads `settings_file`. The caller runs this in
+/// a `LocalSet`, since it spawns local tasks. Metrics are served at `metrics`, if given.
 pub async fn run(
     settings: Settings,
     settings_file: PathBuf,
@@ -69,15 +69,15 @@
     let listener = TcpListener::bind(endpoint).await.context(ListenSnafu { endpoint })?;
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
-    let (events, mut waiting) = mpsc::channel(EVENT_QUEUE);
+    let (events, mut event_receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     spawn_local(accept(listener, events.clone()));
     let mut runtime = Runtime::new(&settings, settings_file, events);
     if let Some(endpoint) = metrics {
         spawn_local(whinspindle_metrics::serve(settings.ip, endpoint, runtime.metrics()));
     }
     runtime.handle(Input::Tick);
-    while !runtime.exiting {
-        let input = next_input(&mut runtime, &mut waiting, &mut terminate, &mut hangup).await;
+    while !runtime.is_exiting {
+        let input = next_input(&mut runtime, &mut event_receiver, &mut terminate, &mut hangup).await;
         if let Some(input) = input {
             runtime.handle(input);
         }
@@ -101,14 +101,14 @@
 
 async fn next_input(
     runtime: &mut Runtime,
-    waiting: &mut mpsc::Receiver<Event>,
+    event_receiver: &mut mpsc::Receiver<Event>,
     terminate: &mut Signal,
     hangup: &mut Signal,
 ) -> Option<Input> {
     let wake = runtime.next_wake();
     tokio::select! {
         biased;
-        Some(event) = waiting.recv() => runtime.input_of(event),
+        Some(event) = event_receiver.recv() => runtime.event_to_input(event),
         _ = terminate.recv() => Some(Input::Terminate),
         _ = hangup.recv() => settings_file::read_seeds(&runtime.settings_file).map(Input::SeedsReloaded),
         () = sleep_until(wake.into()) => Some(Input::Tick),
@@ -119,20 +119,20 @@
 struct Runtime {
     agent: Rc<RefCell<Agent>>,
     settings_file: PathBuf,
-    started: Instant,
+    started_at: Instant,
     hello: Bytes,
     events: mpsc::Sender<Event>,
     controllers: HashMap<ConnectionId, Channel>,
     proxy: Option<Channel>,
-    /// Number of proxies that have connected; only the last one is served.
-    proxies: u64,
-    exiting: bool,
+    /// Number of proxies that have connected. Only the last one is served.
+    proxy_count: u64,
+    is_exiting: bool,
 }
 
 impl Runtime {
     fn new(settings: &Settings, settings_file: PathBuf, events: mpsc::Sender<Event>) -> Self {
-        let own = SocketAddr::new(settings.ip, settings.agent_endpoint().port());
-        let hello = encode_hello(&Hello { role: Role::Balancer, endpoint: own });
+        let own_endpoint = SocketAddr::new(settings.ip, settings.agent_endpoint().port());
+        let hello = encode_hello(&Hello { role: Role::Balancer, endpoint: own_endpoint });
         let agent_settings = AgentSettings {
             node: settings.node.clone(),
             machine_ip: settings.ip,
@@ -145,39 +145,39 @@
         Runtime {
             agent: Rc::new(RefCell::new(Agent::new(0, agent_settings))),
             settings_file,
-            started: Instant::now(),
+            started_at: Instant::now(),
             hello: Bytes::from(hello),
             events,
             controllers: HashMap::new(),
             proxy: None,
-            proxies: 0,
-            exiting: false,
+            proxy_count: 0,
+            is_exiting: false,
         }
     }
 
     fn now(&self) -> u64 {
-        milliseconds_since(self.started)
+        milliseconds_since(self.started_at)
     }
 
-    /// A function that renders the present metrics.
+    /// Returns a function that renders the current metrics.
     fn metrics(&self) -> Rc<dyn Fn() -> String> {
-        let (agent, started) = (Rc::clone(&self.agent), self.started);
-        Rc::new(move || metrics::render(&agent.borrow(), milliseconds_since(started)))
+        let (agent, started_at) = (Rc::clone(&self.agent), self.started_at);
+        Rc::new(move || metrics::render(&agent.borrow(), milliseconds_since(started_at)))
     }
 
     fn next_wake(&self) -> Instant {
-        self.started + Duration::from_millis(self.agent.borrow().next_wake(self.now()))
+        self.started_at + Duration::from_millis(self.agent.borrow().next_wake(self.now()))
     }
 
     fn handle(&mut self, input: Input) {
         let now = self.now();
         let outputs = self.agent.borrow_mut().handle(now, input);
         for output in outputs {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Connect { connection, endpoint } => {
                 let channel = Channel::connect(connection, endpoint, self.events.clone());
@@ -203,7 +203,7 @@
                     self.handle(Input::SeedsReloaded(seeds));
                 }
             }
-            Output::Exit => self.exiting = true,
+            Output::Exit => self.is_exiting = true,
             Output::Log(notice) => log_lines::log(notice),
         }
     }
@@ -214,22 +214,22 @@
         }
     }
 
-    fn input_of(&mut self, event: Event) -> Option<Input> {
+    fn event_to_input(&mut self, event: Event) -> Option<Input> {
         match event {
-            Event::Accepted(stream) => Some(self.accepted(stream)),
-            Event::Channel(Source::Controller(connection), event) => self
+            Event::Accepted(stream) => Some(self.accept_proxy(stream)),
+            Event::Channel(ChannelSource::Controller(connection), event) => self
                 .controllers
                 .contains_key(&connection)
                 .then(|| self.controller_input(connection, event))?,
-            Event::Channel(Source::Proxy(number), event) => {
-                (number == self.proxies && self.proxy.is_some()).then(|| self.proxy_input(event))?
+            Event::Channel(ChannelSource::Proxy(number), event) => {
+                (number == self.proxy_count && self.proxy.is_some()).then(|| self.proxy_input(event))?
             }
         }
     }
 
-    fn accepted(&mut self, stream: TcpStream) -> Input {
-        self.proxies += 1;
-        self.proxy = Some(Channel::accepted(self.proxies, stream, self.events.clone()));
+    fn accept_proxy(&mut self, stream: TcpStream) -> Input {
+        self.proxy_count += 1;
+        self.proxy = Some(Channel::accept(self.proxy_count, stream, self.events.clone()));
         Input::ProxyConnected
     }
 
@@ -239,7 +239,7 @@
             ChannelEvent::Received(frame) if frame.kind == FrameKind::ToBalancer => {
                 match decode_to_balancer(&frame.payload) {
                     Ok(message) => Some(Input::FromController(connection, message)),
-                    Err(error) => Some(self.controller_failed(connection, &error)),
+                    Err(error) => Some(self.close_controller(connection, &error)),
                 }
             }
             ChannelEvent::Received(_) => None,
@@ -250,8 +250,8 @@
         }
     }
 
-    fn controller_failed(&mut self, connection: ConnectionId, error: &DecodeError) -> Input {
-        spdlog::warn!("a message of a controller cannot be decoded: {error}");
+    fn close_controller(&mut self, connection: ConnectionId, error: &DecodeError) -> Input {
+        spdlog::warn!("cannot decode a message from a controller: {error}");
         self.controllers.remove(&connection);
         Input::Closed(connection)
     }
@@ -262,29 +262,29 @@
                 match decode_report(&frame.payload) {
                     Ok(report) => Some(Input::FromProxy(report)),
                     Err(error) => {
-                        spdlog::warn!("a message of the proxy cannot be decoded: {error}");
-                        Some(self.proxy_closed())
+                        spdlog::warn!("cannot decode a message from the proxy: {error}");
+                        Some(self.close_proxy())
                     }
                 }
             }
             ChannelEvent::Connected | ChannelEvent::Received(_) => None,
-            ChannelEvent::Closed => Some(self.proxy_closed()),
+            ChannelEvent::Closed => Some(self.close_proxy()),
         }
     }
 
-    fn proxy_closed(&mut self) -> Input {
+    fn close_proxy(&mut self) -> Input {
         self.proxy = None;
         Input::ProxyClosed
     }
 
-    /// Writes the frames that are queued.
+    /// Writes the queued frames.
     async fn flush(self) {
         let channels = self.controllers.into_values().chain(self.proxy);
-        let ends: Vec<_> = channels.filter_map(Channel::finish).collect();
-        // A peer that has not read them by then never will.
-        let _ = tokio::time::timeout(FLUSH_LIMIT, async {
-            for end in ends {
-                let _ = end.await;
+        let tasks: Vec<_> = channels.filter_map(Channel::close_queue).collect();
+        // A peer that has not read the frames by the timeout will not read them later.
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT, async {
+            for task in tasks {
+                let _ = task.await;
             }
         })
         .await;
--- a/dataplane/agent/src/runtime/channel.rs
+++ b/dataplane/agent/src/runtime/channel.rs
@@ -1,4 +1,4 @@
-//! A connection with a task of its own that reads and writes frames.
+//! Connections, each with a task that reads and writes frames.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,41 +13,41 @@
 
 use crate::connection::ConnectionId;
 
-/// Length of the queue of frames to write; a slower peer is disconnected.
-const FRAME_QUEUE: usize = 256;
-/// Time-out of connecting; the state machine gives up earlier.
-const CONNECT_LIMIT: Duration = Duration::from_millis(2_000);
+/// Capacity of the queue of outgoing frames. A peer whose queue is full is disconnected.
+const FRAME_QUEUE_CAPACITY: usize = 256;
+/// Timeout of a connection attempt. The state machine has a shorter timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Events that tasks send to the runtime.
+/// Event that a task sends to the runtime.
 pub enum Event {
     /// A proxy has connected.
     Accepted(TcpStream),
-    /// Something has happened on a connection.
-    Channel(Source, ChannelEvent),
+    /// An event on a connection.
+    Channel(ChannelSource, ChannelEvent),
 }
 
-/// The connection on which an event has happened.
+/// Connection that an event belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum ChannelSource {
     /// A connection to a controller.
     Controller(ConnectionId),
-    /// The number of the proxy's connection.
+    /// A connection from a proxy, by its number.
     Proxy(u64),
 }
 
-/// What happens on a connection.
+/// Event on a connection.
 pub enum ChannelEvent {
     /// The connection is established.
     Connected,
     /// A frame was received.
     Received(Frame),
-    /// The connection has ended, or could not be made.
+    /// The connection has ended or could not be established.
     Closed,
 }
 
-/// The handle of a connection; dropping it closes the connection.
+/// Handle of a connection. Dropping the handle closes the connection.
 pub struct Channel {
-    source: Source,
+    source: ChannelSource,
     outgoing: mpsc::Sender<Frame>,
     events: mpsc::Sender<Event>,
     task: Option<JoinHandle<()>>,
@@ -56,52 +56,52 @@
 impl Channel {
     /// Opens a connection to a controller.
     pub fn connect(connection: ConnectionId, endpoint: SocketAddr, events: mpsc::Sender<Event>) -> Channel {
-        let source = Source::Controller(connection);
+        let source = ChannelSource::Controller(connection);
         Channel::start(source, events, async move |outgoing, events| {
-            let Ok(stream) = connect(endpoint, CONNECT_LIMIT).await else { return };
+            let Ok(stream) = connect(endpoint, CONNECT_TIMEOUT).await else { return };
             if events.send(Event::Channel(source, ChannelEvent::Connected)).await.is_ok() {
-                // `Closed` is sent however it ends.
+                // The result is not needed: the runtime receives `Closed` in any case.
                 let _ = serve(stream, source, outgoing, &events).await;
             }
         })
     }
 
-    /// Serves a connection that a proxy has opened.
-    pub fn accepted(number: u64, stream: TcpStream, events: mpsc::Sender<Event>) -> Channel {
-        let source = Source::Proxy(number);
+    /// Serves a connection from a proxy.
+    pub fn accept(number: u64, stream: TcpStream, events: mpsc::Sender<Event>) -> Channel {
+        let source = ChannelSource::Proxy(number);
         Channel::start(source, events, async move |outgoing, events| {
-            // The connection works without this option too, only slower.
+            // Without this option, the connection works but is slower.
             let _ = stream.set_nodelay(true);
             let _ = serve(stream, source, outgoing, &events).await;
         })
     }
 
-    fn start<F>(source: Source, events: mpsc::Sender<Event>, body: F) -> Channel
+    fn start<F>(source: ChannelSource, events: mpsc::Sender<Event>, body: F) -> Channel
     where
         F: AsyncFnOnce(mpsc::Receiver<Frame>, mpsc::Sender<Event>) + 'static,
     {
-        let (outgoing, waiting) = mpsc::channel(FRAME_QUEUE);
-        let told = events.clone();
+        let (outgoing, outgoing_receiver) = mpsc::channel(FRAME_QUEUE_CAPACITY);
+        let task_events = events.clone();
         let task = spawn_local(async move {
-            body(waiting, told.clone()).await;
-            // The runtime may have ended already.
-            let _ = told.send(Event::Channel(source, ChannelEvent::Closed)).await;
+            body(outgoing_receiver, task_events.clone()).await;
+            // The send fails if the runtime has already ended.
+            let _ = task_events.send(Event::Channel(source, ChannelEvent::Closed)).await;
         });
         Channel { source, outgoing, events, task: Some(task) }
     }
 
-    /// Queues a frame. A peer whose queue is full is disconnected.
+    /// Queues a frame. Closes the connection if the queue is full.
     pub fn send(&mut self, frame: Frame) {
-        let full = matches!(self.outgoing.try_send(frame), Err(mpsc::error::TrySendError::Full(_)));
-        if full && let Some(task) = self.task.take() {
+        let is_full = matches!(self.outgoing.try_send(frame), Err(mpsc::error::TrySendError::Full(_)));
+        if is_full && let Some(task) = self.task.take() {
             task.abort();
             let (events, source) = (self.events.clone(), self.source);
             spawn_local(async move { events.send(Event::Channel(source, ChannelEvent::Closed)).await });
         }
     }
 
-    /// Closes the queue; the returned task ends once the rest is written.
-    pub fn finish(mut self) -> Option<JoinHandle<()>> {
+    /// Closes the queue. The returned task ends once the queued frames are written.
+    pub fn close_queue(mut self) -> Option<JoinHandle<()>> {
         self.task.take()
     }
 }
@@ -116,7 +116,7 @@
 
 async fn serve(
     stream: TcpStream,
-    source: Source,
+    source: ChannelSource,
     mut outgoing: mpsc::Receiver<Frame>,
     events: &mpsc::Sender<Event>,
 ) -> Result<(), FrameError> {
@@ -127,7 +127,7 @@
         tokio::select! {
             biased;
             next = outgoing.recv() => {
-                let Some(frame) = next else { return end(reader, writer).await };
+                let Some(frame) = next else { return close_gracefully(reader, writer).await };
                 buffer.push(frame.kind, &frame.payload)?;
                 while let Ok(frame) = outgoing.try_recv() {
                     buffer.push(frame.kind, &frame.payload)?;
@@ -145,8 +145,11 @@
     }
 }
 
-/// Closes a connection gracefully: a close with unread bytes would discard the last frames.
-async fn end(mut reader: FrameReader<OwnedReadHalf>, mut writer: OwnedWriteHalf) -> Result<(), FrameError> {
+/// Closes a connection gracefully. Closing a socket with unread bytes would discard the last frames.
+async fn close_gracefully(
+    mut reader: FrameReader<OwnedReadHalf>,
+    mut writer: OwnedWriteHalf,
+) -> Result<(), FrameError> {
     if writer.shutdown().await.is_err() {
         return Ok(());
     }
--- a/dataplane/agent/src/runtime/log_lines.rs
+++ b/dataplane/agent/src/runtime/log_lines.rs
@@ -1,4 +1,4 @@
-//! The agent's log lines.
+//! Log lines of the agent.
 
 use spdlog::{info, warn};
 
@@ -10,21 +10,21 @@
     match notice {
         Notice::Linked { endpoint, in_quorum: true } => info!("linked to controller {endpoint}"),
         Notice::Linked { endpoint, in_quorum: false } => {
-            info!("linked to controller {endpoint}, which has no quorum");
+            info!("linked to controller {endpoint}, which is not in a quorum");
         }
         Notice::LinkLost { endpoint, reason: LossReason::Closed } => {
-            warn!("the link to controller {endpoint} was closed");
+            warn!("link to controller {endpoint} closed");
         }
         Notice::LinkLost { endpoint, reason: LossReason::TimedOut } => {
-            warn!("the link to controller {endpoint} timed out")
+            warn!("link to controller {endpoint} timed out")
         }
-        Notice::QuorumChanged { in_quorum: true } => info!("the controller of the link has a quorum"),
-        Notice::QuorumChanged { in_quorum: false } => warn!("the controller of the link has no quorum"),
-        Notice::ProxyConnected => info!("the proxy has connected"),
-        Notice::ProxyClosed => info!("the proxy's connection has ended"),
+        Notice::QuorumChanged { in_quorum: true } => info!("linked controller is in a quorum"),
+        Notice::QuorumChanged { in_quorum: false } => warn!("linked controller is not in a quorum"),
+        Notice::ProxyConnected => info!("proxy connected"),
+        Notice::ProxyClosed => info!("proxy disconnected"),
         Notice::Applied { configured, evacuations } => {
-            info!("the proxy has applied configuration {configured}, evacuations {evacuations}");
+            info!("proxy applied configuration {configured}, evacuations {evacuations}");
         }
-        Notice::ShuttingDown => info!("shutting down: the controller is notified"),
+        Notice::ShuttingDown => info!("shutting down, notifying the controller"),
     }
 }
