--- a/dataplane/agent/tests/common/mod.rs
+++ b/dataplane/agent/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! An agent among simulated controllers, on simulated time.
-#![allow(dead_code, reason = "each test file uses its share")]
+//! Test harness: an agent with simulated controllers and simulated time.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,19 +11,19 @@
     Versions,
 };
 
-const KEEP_ALIVE_MS: u64 = 300;
-/// More inputs than this within one millisecond mean that the agent wakes without need.
-const MAXIMUM_INPUTS_AT_ONCE: u32 = 100;
+const KEEP_ALIVE_INTERVAL_MS: u64 = 300;
+/// More inputs than this within one millisecond mean that the agent is in a busy loop.
+const MAX_CONCURRENT_INPUTS: u32 = 100;
 
 pub const GRACE_MS: u64 = 8_000;
 
-/// How a controller's machine behaves.
+/// State of the process and machine of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     Up,
-    /// The process is gone: connections end, new ones are refused.
+    /// The process has ended. Connections end, and new connections are refused.
     Down,
-    /// The machine is gone: nothing is answered.
+    /// The machine does not respond.
     Silent,
 }
 
@@ -34,37 +34,37 @@
     pub shutting_down: bool,
     pub zone: &'static str,
     pub region: &'static str,
-    /// Sent once to each connection.
+    /// Update that is sent once on each connection.
     pub update: Update,
-    /// One way, in milliseconds.
+    /// One-way delay, in milliseconds.
     pub delay_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SimulatedConnection {
     endpoint: SocketAddr,
-    reported: bool,
+    has_reported: bool,
 }
 
 pub struct Harness {
     pub now: u64,
     pub agent: Agent,
     pub controllers: BTreeMap<SocketAddr, Controller>,
-    /// The controllers that every controller lists.
+    /// Controllers that every controller lists.
     pub listed: Vec<SocketAddr>,
     pub reports: Vec<(u64, SocketAddr, Report)>,
     pub attempts: Vec<(u64, SocketAddr)>,
-    pub to_proxy: Vec<ToBalancer>,
+    pub proxy_messages: Vec<ToBalancer>,
     pub notices: Vec<(u64, Notice)>,
-    pub settings_read: Vec<u64>,
+    pub settings_read_at: Vec<u64>,
     pub exited_at: Option<u64>,
     connections: BTreeMap<ConnectionId, SimulatedConnection>,
     inbox: BTreeMap<(u64, u64), Input>,
-    queued: u64,
-    keep_alive_at: u64,
+    queued_count: u64,
+    next_keep_alive_at: u64,
 }
 
-/// The internal endpoint of a controller.
+/// Returns the internal endpoint of a controller.
 pub fn endpoint(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7_720))
 }
@@ -128,7 +128,7 @@
 }
 
 impl Harness {
-    /// An agent in zone `a` of region `north` whose settings name these controllers.
+    /// Creates an agent in zone `a` of region `north` with the controllers `seeds` in its settings.
     pub fn new(controllers: &[(u8, Controller)], seeds: &[u8], incarnation: u64) -> Harness {
         let settings = AgentSettings {
             node: "edge-1".to_owned(),
@@ -149,14 +149,14 @@
             listed: controllers.iter().map(|(number, _)| endpoint(*number)).collect(),
             reports: Vec::new(),
             attempts: Vec::new(),
-            to_proxy: Vec::new(),
+            proxy_messages: Vec::new(),
             notices: Vec::new(),
-            settings_read: Vec::new(),
+            settings_read_at: Vec::new(),
             exited_at: None,
             connections: BTreeMap::new(),
             inbox: BTreeMap::new(),
-            queued: 0,
-            keep_alive_at: 0,
+            queued_count: 0,
+            next_keep_alive_at: 0,
         }
     }
 
@@ -169,55 +169,55 @@
         if mode != Mode::Down {
             return;
         }
-        let ended: Vec<_> = self
+        let closed: Vec<_> = self
             .connections
             .iter()
-            .filter(|(_, wire)| wire.endpoint == endpoint(number))
+            .filter(|(_, connection_state)| connection_state.endpoint == endpoint(number))
             .map(|(&id, _)| id)
             .collect();
-        for connection in ended {
+        for connection in closed {
             self.connections.remove(&connection);
             self.queue(1, Input::Closed(connection));
         }
     }
 
-    /// Plays until the time, this moment included.
+    /// Runs the simulation until the given time, inclusive.
     pub fn run_until(&mut self, until: u64) {
-        let mut at_once = 0;
+        let mut concurrent_inputs = 0;
         loop {
             let arrival = self.inbox.first_key_value().map_or(u64::MAX, |((at, _), _)| *at);
-            let next = self.agent.next_wake(self.now).min(arrival).min(self.keep_alive_at).max(self.now);
+            let next = self.agent.next_wake(self.now).min(arrival).min(self.next_keep_alive_at).max(self.now);
             if next > until || self.exited_at.is_some() {
                 self.now = until;
                 return;
             }
-            at_once = if next == self.now { at_once + 1 } else { 0 };
-            assert!(at_once < MAXIMUM_INPUTS_AT_ONCE, "busy at {next}");
+            concurrent_inputs = if next == self.now { concurrent_inputs + 1 } else { 0 };
+            assert!(concurrent_inputs < MAX_CONCURRENT_INPUTS, "busy loop at {next}");
             self.now = next;
-            self.play(arrival);
+            self.run_step(arrival);
         }
     }
 
-    fn play(&mut self, arrival: u64) {
+    fn run_step(&mut self, arrival: u64) {
         if arrival <= self.now
             && let Some((_, input)) = self.inbox.pop_first()
         {
-            self.give(input);
-        } else if self.keep_alive_at <= self.now {
-            self.keep_alive_at = self.now + KEEP_ALIVE_MS;
+            self.handle_input(input);
+        } else if self.next_keep_alive_at <= self.now {
+            self.next_keep_alive_at = self.now + KEEP_ALIVE_INTERVAL_MS;
             self.send_keep_alives();
         } else {
-            self.give(Input::Tick);
+            self.handle_input(Input::Tick);
         }
     }
 
-    pub fn give(&mut self, input: Input) {
+    pub fn handle_input(&mut self, input: Input) {
         for output in self.agent.handle(self.now, input) {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Connect { connection, endpoint } => self.connect(connection, endpoint),
             Output::Close(connection) => {
@@ -225,9 +225,9 @@
                 self.inbox.retain(|_, input| connection_of(input) != Some(connection));
             }
             Output::SendHello(_) => {}
-            Output::SendReport(connection, report) => self.take_report(connection, report),
-            Output::SendToProxy(message) => self.to_proxy.push(message),
-            Output::ReadSettings => self.settings_read.push(self.now),
+            Output::SendReport(connection, report) => self.receive_report(connection, report),
+            Output::SendToProxy(message) => self.proxy_messages.push(message),
+            Output::ReadSettings => self.settings_read_at.push(self.now),
             Output::Exit => self.exited_at = Some(self.now),
             Output::Log(notice) => self.notices.push((self.now, notice)),
         }
@@ -237,7 +237,7 @@
         self.attempts.push((self.now, endpoint));
         match self.controllers.get(&endpoint).map(|state| (state.mode, state.delay_ms)) {
             Some((Mode::Up, delay_ms)) => {
-                self.connections.insert(connection, SimulatedConnection { endpoint, reported: false });
+                self.connections.insert(connection, SimulatedConnection { endpoint, has_reported: false });
                 self.queue(2 * delay_ms, Input::Connected(connection));
             }
             Some((Mode::Down, delay_ms)) => self.queue(2 * delay_ms, Input::Closed(connection)),
@@ -245,15 +245,15 @@
         }
     }
 
-    fn take_report(&mut self, connection: ConnectionId, report: Report) {
-        let Some(wire) = self.connections.get_mut(&connection) else { return };
-        let endpoint = wire.endpoint;
+    fn receive_report(&mut self, connection: ConnectionId, report: Report) {
+        let Some(connection_state) = self.connections.get_mut(&connection) else { return };
+        let endpoint = connection_state.endpoint;
         let state = &self.controllers[&endpoint];
         if state.mode != Mode::Up {
             return;
         }
         self.reports.push((self.now, endpoint, report));
-        if !std::mem::replace(&mut wire.reported, true) {
+        if !std::mem::replace(&mut connection_state.has_reported, true) {
             let (delay_ms, update) = (2 * state.delay_ms, state.update.clone());
             let link = self.link(endpoint, true);
             self.queue(delay_ms, Input::FromController(connection, link));
@@ -263,11 +263,11 @@
         }
     }
 
-    fn link(&self, endpoint: SocketAddr, with_controllers: bool) -> ToBalancer {
+    fn link(&self, endpoint: SocketAddr, lists_controllers: bool) -> ToBalancer {
         let state = &self.controllers[&endpoint];
-        let listed_controllers = self.listed.iter().filter(|_| with_controllers).map(|&endpoint| {
-            let of = &self.controllers[&endpoint];
-            ControllerAddress { endpoint, zone: of.zone.to_owned(), region: of.region.to_owned() }
+        let listed_controllers = self.listed.iter().filter(|_| lists_controllers).map(|&endpoint| {
+            let listed = &self.controllers[&endpoint];
+            ControllerAddress { endpoint, zone: listed.zone.to_owned(), region: listed.region.to_owned() }
         });
         ToBalancer::Link(Link {
             in_quorum: state.in_quorum,
@@ -277,54 +277,60 @@
     }
 
     fn send_keep_alives(&mut self) {
-        let connections: Vec<_> = self.connections.iter().map(|(&id, &wire)| (id, wire)).collect();
-        for (connection, wire) in connections {
-            let state = &self.controllers[&wire.endpoint];
-            if state.mode == Mode::Up && wire.reported {
+        let connections: Vec<_> =
+            self.connections.iter().map(|(&id, &connection_state)| (id, connection_state)).collect();
+        for (connection, connection_state) in connections {
+            let state = &self.controllers[&connection_state.endpoint];
+            if state.mode == Mode::Up && connection_state.has_reported {
                 let delay_ms = state.delay_ms;
-                let link = self.link(wire.endpoint, false);
+                let link = self.link(connection_state.endpoint, false);
                 self.queue(delay_ms, Input::FromController(connection, link));
             }
         }
     }
 
     /// Sends an update from a controller to the agent.
-    pub fn update(&mut self, number: u8, update: Update) {
-        let connections: Vec<_> = self.connections.iter().map(|(&id, &wire)| (id, wire)).collect();
-        for (connection, wire) in connections {
-            if wire.endpoint == endpoint(number) && wire.reported {
+    pub fn send_update(&mut self, number: u8, update: Update) {
+        let connections: Vec<_> =
+            self.connections.iter().map(|(&id, &connection_state)| (id, connection_state)).collect();
+        for (connection, connection_state) in connections {
+            if connection_state.endpoint == endpoint(number) && connection_state.has_reported {
                 self.queue(5, Input::FromController(connection, ToBalancer::Update(update.clone())));
             }
         }
     }
 
     fn queue(&mut self, delay_ms: u64, input: Input) {
-        self.queued += 1;
-        self.inbox.insert((self.now + delay_ms, self.queued), input);
+        self.queued_count += 1;
+        self.inbox.insert((self.now + delay_ms, self.queued_count), input);
     }
 
-    /// The controllers that have a connection of the agent on which it has reported.
-    pub fn linked_to(&self) -> Vec<SocketAddr> {
-        self.connections.values().filter(|wire| wire.reported).map(|wire| wire.endpoint).collect()
+    /// Returns the controllers to which the agent has reported on an open connection.
+    pub fn connected_controllers(&self) -> Vec<SocketAddr> {
+        self.connections
+            .values()
+            .filter(|connection_state| connection_state.has_reported)
+            .map(|connection_state| connection_state.endpoint)
+            .collect()
     }
 
-    /// Where the agent was linked to, in order.
-    pub fn links(&self) -> Vec<SocketAddr> {
-        let linked = self.notices.iter().filter_map(|(_, notice)| match notice {
+    /// Returns the controllers of all links of the agent, in order.
+    pub fn link_history(&self) -> Vec<SocketAddr> {
+        let endpoints = self.notices.iter().filter_map(|(_, notice)| match notice {
             Notice::Linked { endpoint, .. } => Some(*endpoint),
             _ => None,
         });
-        linked.collect()
+        endpoints.collect()
     }
 
-    /// When the newest link was made.
+    /// Returns the time of the newest link.
     pub fn linked_at(&self) -> u64 {
-        let linked = self.notices.iter().rev().find(|(_, notice)| matches!(notice, Notice::Linked { .. }));
-        linked.unwrap().0
+        let newest = self.notices.iter().rev().find(|(_, notice)| matches!(notice, Notice::Linked { .. }));
+        newest.unwrap().0
     }
 
-    /// Whether the agent was ever without a link after its first one.
-    pub fn lost_link(&self) -> bool {
+    /// Whether the agent has ever lost its link.
+    pub fn has_lost_link(&self) -> bool {
         self.notices.iter().any(|(_, notice)| matches!(notice, Notice::LinkLost { .. }))
     }
 
@@ -332,9 +338,9 @@
         &self.reports.last().unwrap().2
     }
 
-    /// The updates that the proxy was sent.
+    /// Returns the updates that were sent to the proxy.
     pub fn proxy_updates(&self) -> Vec<Update> {
-        let updates = self.to_proxy.iter().filter_map(|message| match message {
+        let updates = self.proxy_messages.iter().filter_map(|message| match message {
             ToBalancer::Update(update) => Some(update.clone()),
             ToBalancer::Link(_) => None,
         });
--- a/dataplane/agent/tests/deregistrations.rs
+++ b/dataplane/agent/tests/deregistrations.rs
@@ -6,11 +6,11 @@
 use whinspindle_agent::Input;
 use whinspindle_distribution::{Instance, Instances, Update, Versions};
 
-/// Long enough for the agent to trust the controller of its link.
+/// Time after which the agent trusts the linked controller.
 const TRUSTED_MS: u64 = 8_000;
 
-fn with_end(version: u64, lives: &str, ended: &str) -> Update {
-    let list = vec![instance(lives), Instance::ended(ended.to_owned())];
+fn list_with_deregistration(version: u64, active_id: &str, deregistered_id: &str) -> Update {
+    let list = vec![instance(active_id), Instance::ended(deregistered_id.to_owned())];
     Update { instances: Some(Instances { version, list }), ..Update::default() }
 }
 
@@ -21,19 +21,19 @@
 }
 
 #[test]
-fn a_deregistration_is_applied_at_once_from_a_controller_just_linked() {
+fn a_deregistration_from_a_new_link_is_applied_at_once() {
     let mut harness =
         Harness::new(&[(1, controller("a", "north")), (2, controller("b", "north"))], &[1, 2], 1);
-    harness.give(Input::ProxyConnected);
-    harness.give(Input::FromProxy(proxy_report(Versions::default())));
+    harness.handle_input(Input::ProxyConnected);
+    harness.handle_input(Input::FromProxy(proxy_report(Versions::default())));
     harness.run_until(TRUSTED_MS);
-    harness.update(1, instances(900, &["i-1", "i-2"]));
+    harness.send_update(1, instances(900, &["i-1", "i-2"]));
     harness.run_until(TRUSTED_MS + 500);
-    harness.controller(2).update = with_end(1, "i-2", "i-1");
+    harness.controller(2).update = list_with_deregistration(1, "i-2", "i-1");
     harness.controller(1).in_quorum = false;
     harness.run_until(TRUSTED_MS + 2_500);
-    assert_eq!(harness.linked_to(), [endpoint(2)]);
+    assert_eq!(harness.connected_controllers(), [endpoint(2)]);
     assert_eq!(newest_list(&harness), [("i-2".to_owned(), false), ("i-1".to_owned(), true)]);
     harness.run_until(TRUSTED_MS + 7_000);
-    assert_eq!(newest_list(&harness), [("i-2".to_owned(), false)], "the end itself is not passed on");
+    assert_eq!(newest_list(&harness), [("i-2".to_owned(), false)], "the deregistration is not forwarded");
 }
--- a/dataplane/agent/tests/metrics.rs
+++ b/dataplane/agent/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that the agent serves.
+//! Exported metrics of the agent.
 
 mod common;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn without_anything_received_there_is_no_age() {
+fn there_is_no_age_before_the_first_message() {
     let harness = Harness::new(&[(1, controller("a", "north"))], &[1], 5);
     let text = metrics_text(&harness);
     assert_lines(&text, &["linked{} 0.0", "in_quorum{} 0.0", "proxy_connected{} 0.0"]);
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn the_link_the_proxy_and_the_versions_are_served() {
+fn link_proxy_and_versions_are_exported() {
     let mut harness = Harness::new(&[(1, controller("a", "north"))], &[1], 5);
     harness.run_until(1_000);
-    harness.give(Input::ProxyConnected);
-    harness.update(1, configured(7));
+    harness.handle_input(Input::ProxyConnected);
+    harness.send_update(1, configured(7));
     harness.run_until(1_200);
     assert_lines(
         &metrics_text(&harness),
@@ -42,16 +42,16 @@
             "applied{section=\"configuration\"} 0.0",
         ],
     );
-    harness.give(Input::FromProxy(proxy_report(Versions { configured: 7, ..Versions::default() })));
+    harness.handle_input(Input::FromProxy(proxy_report(Versions { configured: 7, ..Versions::default() })));
     assert_lines(&metrics_text(&harness), &["applied{section=\"configuration\"} 7.0"]);
 }
 
 #[test]
-fn the_age_grows_while_nothing_is_received_from_controllers() {
+fn the_age_grows_without_messages_from_controllers() {
     let mut harness = Harness::new(&[(1, controller("a", "north"))], &[1], 5);
     harness.run_until(2_000);
-    let heard = harness.agent.metrics(harness.now).received_ms_ago.expect("it was heard");
-    assert!(heard <= 310, "{heard}");
+    let received_ms_ago = harness.agent.metrics(harness.now).received_ms_ago.expect("a received message");
+    assert!(received_ms_ago <= 310, "{received_ms_ago}");
     harness.set_mode(1, Mode::Silent);
     harness.run_until(12_000);
     let metrics = harness.agent.metrics(harness.now);
