--- a/dataplane/agent/src/agent.rs
+++ b/dataplane/agent/src/agent.rs
@@ -18,7 +18,7 @@
 const KEEP_ALIVE_INTERVAL_MS: u64 = 1_000;
 /// Interval of reloading the settings while there is no link.
 const SETTINGS_READ_INTERVAL_MS: u64 = 2_000;
-/// The agent exits this long before the end of the grace period.
+/// Time between the exit of the agent and the end of the grace period.
 const EXIT_MARGIN_MS: u64 = 1_000;
 
 /// State machine of an agent. Times are milliseconds of a monotonic clock that the caller reads.
--- a/dataplane/routing/src/affinity.rs
+++ b/dataplane/routing/src/affinity.rs
@@ -8,11 +8,12 @@
 use crate::PromptPart;
 use crate::instance::InstanceState;
 
-/// In-flight bound of a cache owner, as a factor on the mean of this balancer's attempts in the region ...
+/// In-flight bound of a cache owner, as a multiple of this balancer's mean attempts per instance in the
+/// region.
 const IN_FLIGHT_BOUND_FACTOR: f64 = 2.0;
-/// ... or, if higher, the mean plus one, plus one for each full multiple of this prefix length ...
+/// The in-flight bound is at least the mean plus one, plus one for each full multiple of this prefix length.
 const TOKENS_PER_EXTRA_ATTEMPT: u32 = 2_000;
-/// ... up to this maximum.
+/// Maximum number of attempts that the length of a prefix adds to the in-flight bound.
 const MAX_EXTRA_ATTEMPTS: u32 = 3;
 /// Bound on prompt tokens that wait for prefill: the mean plus the length of the prefix times this factor.
 const PREFILL_BOUND_FACTOR: f64 = 1.0;
--- a/dataplane/routing/src/instance.rs
+++ b/dataplane/routing/src/instance.rs
@@ -10,10 +10,10 @@
 
 /// Margin that is added to the reported duration of a slow start, in milliseconds.
 const SLOW_START_MARGIN_MS: u64 = 300;
-/// An instance counts as full if this balancer alone fills its slots and a queue. The length of the queue is
-/// the number of slots divided by this.
+/// Divisor of the number of slots that gives the length of a short queue. An instance counts as full if this
+/// balancer alone fills its slots and that queue.
 const QUEUE_DIVISOR: u32 = 4;
-/// Minimum length of that queue.
+/// Minimum length of the short queue.
 const MIN_QUEUE_LENGTH: u32 = 2;
 
 /// Eligibility of an instance, from best to worst. Candidates are the instances in the best state present.
--- a/dataplane/routing/src/metrics.rs
+++ b/dataplane/routing/src/metrics.rs
@@ -22,7 +22,7 @@
     pub regions: Vec<RegionMetrics>,
 }
 
-/// Metrics of a service's instances in one region.
+/// Metrics of the instances of a service in one region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionMetrics {
     /// Name of the region.
--- a/dataplane/routing/src/region.rs
+++ b/dataplane/routing/src/region.rs
@@ -22,8 +22,8 @@
 /// Model of the instances of a service in one region.
 #[derive(Debug)]
 pub(crate) struct RegionModel {
-    /// Relative weight of one ready instance. The weight of the region is this times its number of ready
-    /// instances.
+    /// Relative weight of one ready instance. The weight of the region is this value times its
+    /// number of ready instances.
     weight_per_instance: f64,
     /// Time of a response, the load per ready instance at that time, and the latency in milliseconds.
     samples: VecDeque<(u64, f64, f64)>,
--- a/dataplane/routing/src/router/membership.rs
+++ b/dataplane/routing/src/router/membership.rs
@@ -12,10 +12,10 @@
 
 /// Maximum number of retained ids of retired instances.
 const RETIRED_CAPACITY: usize = 4096;
-/// An instance reports its slow start with a heartbeat, so that its slow start may be unknown for up to this
-/// many halves of a heartbeat interval ...
+/// Time for which a slow start may be unreported, in halves of a heartbeat interval. Instances report their
+/// slow start with a heartbeat.
 const UNREPORTED_SLOW_START_HALF_INTERVALS: u64 = 3;
-/// ... plus this margin, in milliseconds.
+/// Margin that is added to that time, in milliseconds.
 const UNREPORTED_SLOW_START_MARGIN_MS: u64 = 500;
 
 impl Router {
--- a/dataplane/routing/src/warming_zone.rs
+++ b/dataplane/routing/src/warming_zone.rs
@@ -2,7 +2,7 @@
 
 /// Minimum number of instances with a recent start of slow start for a zone to count as warming up.
 const MIN_WARMING_INSTANCES: usize = 2;
-/// The same instances must also be at least one in this many instances of the zone.
+/// The fraction of these instances in the zone must be at least one divided by this.
 const WARMING_DIVISOR: usize = 2;
 
 /// Counts the instances of a zone, and those that started slow start within a time span.
