--- a/controlplane/client/src/lib.rs
+++ b/controlplane/client/src/lib.rs
@@ -29,7 +29,7 @@
 use tokio::time::{error::Elapsed, timeout};
 
 /// The header with the generation that a configuration builds on.
-pub const BASE_VERSION: HeaderName = HeaderName::from_static("whinspindle-base-version");
+pub const BASE_VERSION_HEADER: HeaderName = HeaderName::from_static("whinspindle-base-version");
 
 /// A call to a controller.
 #[derive(Clone, Debug)]
@@ -58,13 +58,13 @@
 
 /// The answer of a controller.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// The status of the HTTP response.
     pub status: StatusCode,
     /// Its complete body.
     pub body: Bytes,
     /// The controller that a response with status 307 redirects to.
-    pub redirection: Option<SocketAddr>,
+    pub redirect: Option<SocketAddr>,
 }
 
 /// Why there is no answer.
@@ -88,13 +88,13 @@
     },
     /// The call is no valid HTTP request.
     #[snafu(display("the call can't be written: {source}"))]
-    Build {
+    InvalidRequest {
         /// What the HTTP library reports.
         source: http::Error,
     },
     /// The time limit passed before the complete answer was received.
     #[snafu(display("{controller}: no answer in time"))]
-    Silent {
+    TimedOut {
         /// The address of the controller.
         controller: SocketAddr,
         /// The expired timer.
@@ -103,11 +103,11 @@
 }
 
 /// Makes a call and waits for the complete answer, within a time limit. To be called inside a `LocalSet`.
-pub async fn call(controller: SocketAddr, call: &Call, within: Duration) -> Result<Answer, CallError> {
-    timeout(within, exchange(controller, call)).await.context(SilentSnafu { controller })?
+pub async fn call(controller: SocketAddr, call: &Call, within: Duration) -> Result<Response, CallError> {
+    timeout(within, exchange(controller, call)).await.context(TimedOutSnafu { controller })?
 }
 
-async fn exchange(controller: SocketAddr, call: &Call) -> Result<Answer, CallError> {
+async fn exchange(controller: SocketAddr, call: &Call) -> Result<Response, CallError> {
     let request = request(controller, call)?;
     let stream = TcpStream::connect(controller).await.context(ConnectSnafu { controller })?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
@@ -116,9 +116,9 @@
     let response = sender.send_request(request).await.context(ExchangeSnafu { controller })?;
     let status = response.status();
     let location = response.headers().get(http::header::LOCATION).and_then(|value| value.to_str().ok());
-    let redirection = location.and_then(address_of).filter(|_| status == StatusCode::TEMPORARY_REDIRECT);
+    let redirect = location.and_then(address_of).filter(|_| status == StatusCode::TEMPORARY_REDIRECT);
     let body = response.into_body().collect().await.context(ExchangeSnafu { controller })?;
-    Ok(Answer { status, body: body.to_bytes(), redirection })
+    Ok(Response { status, body: body.to_bytes(), redirect })
 }
 
 fn request(controller: SocketAddr, call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
@@ -131,9 +131,9 @@
         builder = builder.header(http::header::CONTENT_TYPE, "application/json");
     }
     if let Some(base) = call.base_version {
-        builder = builder.header(BASE_VERSION, base);
+        builder = builder.header(BASE_VERSION_HEADER, base);
     }
-    builder.body(Full::new(call.body.clone())).context(BuildSnafu)
+    builder.body(Full::new(call.body.clone())).context(InvalidRequestSnafu)
 }
 
 fn address_of(location: &str) -> Option<SocketAddr> {
--- a/lab/serving/src/control_client.rs
+++ b/lab/serving/src/control_client.rs
@@ -6,8 +6,8 @@
 
 use http::StatusCode;
 use snafu::{ResultExt, Snafu};
-use whinspindle_client::Answer;
 pub use whinspindle_client::Call;
+use whinspindle_client::Response;
 
 /// How long a caller waits for a controller.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -39,7 +39,7 @@
     }
 
     /// Makes a call to the current contact; after a failure the next one is current.
-    pub async fn call(&self, call: &Call) -> Result<Answer, CallError> {
+    pub async fn call(&self, call: &Call) -> Result<Response, CallError> {
         let result = self.call_current(call).await;
         if result.is_err() {
             self.current.set(self.current.get() + 1);
@@ -47,7 +47,7 @@
         result
     }
 
-    async fn call_current(&self, call: &Call) -> Result<Answer, CallError> {
+    async fn call_current(&self, call: &Call) -> Result<Response, CallError> {
         if self.contacts.is_empty() {
             return NobodyKnownSnafu.fail();
         }
@@ -55,7 +55,7 @@
         let mut redirections = 0;
         loop {
             let answer = call_one(address, call).await?;
-            match answer.redirection {
+            match answer.redirect {
                 Some(location) if redirections < MOST_REDIRECTIONS => address = location,
                 _ if is_unavailable(answer.status) => {
                     return UnavailableSnafu { status: answer.status }.fail();
@@ -68,7 +68,7 @@
 }
 
 /// Makes a call to one address.
-pub async fn call_one(address: SocketAddr, call: &Call) -> Result<Answer, CallError> {
+pub async fn call_one(address: SocketAddr, call: &Call) -> Result<Response, CallError> {
     whinspindle_client::call(address, call, ANSWER_TIMEOUT).await.context(FailedSnafu)
 }
 
--- a/programs/serving/src/operator.rs
+++ b/programs/serving/src/operator.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use snafu::{ResultExt, Snafu};
 use tokio::task::LocalSet;
-use whinspindle_client::{Answer, Call, CallError};
+use whinspindle_client::{Call, CallError, Response};
 use whinspindle_configuration::{Configuration, ConfigurationError, Route, Service};
 
 use crate::FAILURE_STATUS;
@@ -35,7 +35,7 @@
     #[snafu(display("{source}"))]
     Call { source: CallError },
     #[snafu(display("refused with {}: {}", answer.status, String::from_utf8_lossy(&answer.body)))]
-    Refused { answer: Answer },
+    Refused { answer: Response },
 }
 
 /// Carries out a command and prints its result.
