--- a/controlplane/controller/src/api.rs
+++ b/controlplane/controller/src/api.rs
@@ -9,7 +9,7 @@
 use whinspindle_configuration::{Configuration, ConfigurationError, Heartbeat, HeartbeatError};
 
 /// The header that names the generation on which a configuration builds.
-pub const BASE_VERSION: &str = "whinspindle-base-version";
+pub const BASE_VERSION_HEADER: &str = "whinspindle-base-version";
 
 /// A longer reason is truncated: it may quote what the caller has sent.
 const MAX_REASON_BYTES: usize = 1024;
@@ -73,7 +73,7 @@
 
 impl Call {
     /// The description of an operator command for the log; none for other calls.
-    pub fn command_name(&self) -> Option<String> {
+    pub fn command_description(&self) -> Option<String> {
         match self {
             Call::Replace { base, generation, .. } => Some(format!("configuration {generation} on {base}")),
             Call::Evacuate { zone, evacuated: true } => Some(format!("evacuation of {zone}")),
@@ -96,25 +96,25 @@
     pub path: &'a str,
     /// The query of the URI, empty without one.
     pub query: &'a str,
-    /// The value of the header [`BASE_VERSION`].
+    /// The value of the header [`BASE_VERSION_HEADER`].
     pub base_version: Option<&'a str>,
-    /// The whole body; empty where [`takes_body`] doesn't hold.
+    /// The whole body; empty where [`has_body`] doesn't hold.
     pub body: Bytes,
 }
 
 /// Why a request is refused before it reaches the state.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Refusal {
+pub enum RequestError {
     /// There is no call of this path.
     #[snafu(display("no such path"))]
     UnknownPath,
     /// The path is called with another method.
     #[snafu(display("this path takes another method"))]
-    WrongMethod,
+    MethodNotAllowed,
     /// The header with the base generation is missing, repeated or no number.
     #[snafu(display("the header Whinspindle-Base-Version must stand once and hold a whole number"))]
-    BaseVersion,
+    InvalidBaseVersion,
     /// The configuration can't be parsed or is inconsistent.
     #[snafu(display("invalid configuration: {source}"))]
     InvalidConfiguration {
@@ -129,41 +129,41 @@
     },
     /// The id of the instance is empty, too long or has a slash.
     #[snafu(display("an instance id has 1 to {MAX_INSTANCE_ID_BYTES} bytes and no slash"))]
-    InstanceId,
+    InvalidInstanceId,
     /// An address is none, or there are none or too many.
     #[snafu(display("1 to {MAX_DECLARED} addresses like 10.1.0.2:7400, with commas between them"))]
-    Addresses,
+    InvalidAddresses,
     /// The settings name no such zone.
     #[snafu(display("no such zone"))]
     UnknownZone,
     /// The body is larger than the server accepts.
     #[snafu(display("the body is too large"))]
-    TooLarge,
+    BodyTooLarge,
     /// The body was broken off or came too slowly.
     #[snafu(display("the body could not be read"))]
-    BodyUnread,
+    UnreadableBody,
     /// The server has too many bytes buffered.
     #[snafu(display("too many requests are under way"))]
-    Busy,
+    Overloaded,
     /// The controller is in graceful shutdown.
     #[snafu(display("the controller is stopping"))]
-    Stopping,
+    ShuttingDown,
 }
 
-impl Refusal {
+impl RequestError {
     fn status(&self) -> StatusCode {
         match self {
-            Refusal::UnknownPath | Refusal::UnknownZone => StatusCode::NOT_FOUND,
-            Refusal::WrongMethod => StatusCode::METHOD_NOT_ALLOWED,
-            Refusal::BaseVersion
-            | Refusal::InvalidConfiguration { .. }
-            | Refusal::InvalidHeartbeat { .. }
-            | Refusal::Addresses
-            | Refusal::InstanceId => StatusCode::BAD_REQUEST,
+            RequestError::UnknownPath | RequestError::UnknownZone => StatusCode::NOT_FOUND,
+            RequestError::MethodNotAllowed => StatusCode::METHOD_NOT_ALLOWED,
+            RequestError::InvalidBaseVersion
+            | RequestError::InvalidConfiguration { .. }
+            | RequestError::InvalidHeartbeat { .. }
+            | RequestError::InvalidAddresses
+            | RequestError::InvalidInstanceId => StatusCode::BAD_REQUEST,
             // The command was not received: the caller is to send it again.
-            Refusal::BodyUnread => StatusCode::REQUEST_TIMEOUT,
-            Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::Busy | Refusal::Stopping => StatusCode::SERVICE_UNAVAILABLE,
+            RequestError::UnreadableBody => StatusCode::REQUEST_TIMEOUT,
+            RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::Overloaded | RequestError::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
         }
     }
 }
@@ -212,24 +212,24 @@
     }
 }
 
-impl From<Refusal> for Response {
-    fn from(refusal: Refusal) -> Response {
+impl From<RequestError> for Response {
+    fn from(refusal: RequestError) -> Response {
         Response::failure(refusal.status(), &refusal.to_string())
     }
 }
 
 /// Whether requests of this path carry a body that has to be read.
-pub fn takes_body(path: &str) -> bool {
+pub fn has_body(path: &str) -> bool {
     path == "/Config.Replace" || path.starts_with("/Instances.Heartbeat/")
 }
 
 /// Whether this is the path of an operator command.
-pub fn is_command(path: &str) -> bool {
+pub fn is_operator_command(path: &str) -> bool {
     path == "/Config.Replace" || path.starts_with("/Evacuate.") || path.starts_with("/Members.")
 }
 
 /// Parses a call and validates its arguments.
-pub fn parse(request: &Request<'_>) -> Result<Call, Refusal> {
+pub fn parse(request: &Request<'_>) -> Result<Call, RequestError> {
     let (operation, argument) = split_path(request.path)?;
     check_method(operation, request.method)?;
     match operation {
@@ -258,7 +258,7 @@
     DeclareLost,
 }
 
-fn split_path(path: &str) -> Result<(Operation, &str), Refusal> {
+fn split_path(path: &str) -> Result<(Operation, &str), RequestError> {
     let exact = match path {
         "/Config.Replace" => Some(Operation::Replace),
         "/Config.Fetch" => Some(Operation::Fetch),
@@ -279,31 +279,31 @@
     prefixed
         .into_iter()
         .find_map(|(prefix, operation)| Some((operation, path.strip_prefix(prefix)?)))
-        .ok_or(Refusal::UnknownPath)
+        .ok_or(RequestError::UnknownPath)
 }
 
-fn check_method(operation: Operation, method: &Method) -> Result<(), Refusal> {
+fn check_method(operation: Operation, method: &Method) -> Result<(), RequestError> {
     let reads = matches!(operation, Operation::Fetch | Operation::Resolve | Operation::Status);
     let expected = if reads { Method::GET } else { Method::POST };
-    if *method == expected { Ok(()) } else { Err(Refusal::WrongMethod) }
+    if *method == expected { Ok(()) } else { Err(RequestError::MethodNotAllowed) }
 }
 
-fn parse_replace(request: &Request<'_>) -> Result<Call, Refusal> {
+fn parse_replace(request: &Request<'_>) -> Result<Call, RequestError> {
     let base = request.base_version.and_then(|value| value.trim().parse().ok());
-    let base = base.ok_or(Refusal::BaseVersion)?;
+    let base = base.ok_or(RequestError::InvalidBaseVersion)?;
     let configuration = Configuration::parse(&request.body).context(InvalidConfigurationSnafu)?;
     Ok(Call::Replace { base, generation: configuration.generation, body: request.body.clone() })
 }
 
-fn parse_heartbeat(argument: &str, body: &[u8]) -> Result<Call, Refusal> {
+fn parse_heartbeat(argument: &str, body: &[u8]) -> Result<Call, RequestError> {
     let instance = instance_id(argument)?;
     let heartbeat = Heartbeat::parse(body).context(InvalidHeartbeatSnafu)?;
     Ok(Call::Heartbeat { instance, heartbeat })
 }
 
-fn instance_id(argument: &str) -> Result<String, Refusal> {
+fn instance_id(argument: &str) -> Result<String, RequestError> {
     let proper = !argument.is_empty() && argument.len() <= MAX_INSTANCE_ID_BYTES && !argument.contains('/');
-    if proper { Ok(argument.to_owned()) } else { Err(Refusal::InstanceId) }
+    if proper { Ok(argument.to_owned()) } else { Err(RequestError::InvalidInstanceId) }
 }
 
 fn parse_resolve(query: &str) -> Call {
@@ -314,9 +314,9 @@
     }
 }
 
-fn parse_declaration(argument: &str, query: &str) -> Result<Call, Refusal> {
+fn parse_declaration(argument: &str, query: &str) -> Result<Call, RequestError> {
     let lost: Result<Vec<SocketAddr>, _> = argument.split(',').map(str::parse).collect();
-    let lost = lost.ok().filter(|lost| lost.len() <= MAX_DECLARED).ok_or(Refusal::Addresses)?;
+    let lost = lost.ok().filter(|lost| lost.len() <= MAX_DECLARED).ok_or(RequestError::InvalidAddresses)?;
     Ok(Call::DeclareLost { lost, confirmed_view: query_value(query, "confirm").parse().ok() })
 }
 
--- a/controlplane/controller/src/commands/application.rs
+++ b/controlplane/controller/src/commands/application.rs
@@ -4,8 +4,8 @@
 use whinspindle_replica::{Answer, Application, Evaluation, RecordWrite, Records};
 
 use super::records::{
-    CONFIGURATION, DRAINED, GENERATION, HISTORY, ZONE_EVACUATED, ZONE_IN_SERVICE, current_generation,
-    departure_of, drained_key, evacuation_key, evacuation_sequence, history_key,
+    CONFIGURATION_KEY, DRAINED_PREFIX, GENERATION_KEY, HISTORY_PREFIX, ZONE_EVACUATED, ZONE_IN_SERVICE,
+    current_generation, departure_of, drained_key, evacuation_key, evacuation_sequence, history_key,
 };
 use super::{Command, Departure, Outcome};
 
@@ -23,7 +23,7 @@
         match Command::decode(command) {
             Ok(Command::Replace { base, generation, body }) => replace(records, base, generation, body),
             Ok(Command::Fetch) => {
-                Evaluation { writes: Vec::new(), answer: Answer::Record(CONFIGURATION.to_owned()) }
+                Evaluation { writes: Vec::new(), answer: Answer::Record(CONFIGURATION_KEY.to_owned()) }
             }
             Ok(Command::Evacuate { zone, evacuated, observed_sequence }) => {
                 evacuate(records, &zone, evacuated, observed_sequence)
@@ -44,8 +44,8 @@
         return answer_only(rejection);
     }
     let mut writes = vec![
-        write(CONFIGURATION.to_owned(), body),
-        write(GENERATION.to_owned(), generation.to_string().into_bytes()),
+        write(CONFIGURATION_KEY.to_owned(), body),
+        write(GENERATION_KEY.to_owned(), generation.to_string().into_bytes()),
         write(history_key(generation), digest.as_bytes().to_vec()),
     ];
     writes.extend(oldest_of_full_history(records));
@@ -68,11 +68,11 @@
 
 /// The lowest generation whose fate the history still holds; 0 while it holds all.
 fn oldest_known_generation(records: &Records) -> u64 {
-    if records.range(HISTORY).count() < MAX_HISTORY {
+    if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
         return 0;
     }
-    let oldest = records.range(HISTORY).next();
-    oldest.and_then(|(key, _)| key[HISTORY.len()..].parse().ok()).unwrap_or(0)
+    let oldest = records.range(HISTORY_PREFIX).next();
+    oldest.and_then(|(key, _)| key[HISTORY_PREFIX.len()..].parse().ok()).unwrap_or(0)
 }
 
 fn was_taken(records: &Records, generation: u64, digest: &Hash) -> bool {
@@ -82,10 +82,10 @@
 /// The write that removes the oldest entry of a full history. Generations rise and their keys sort alike, so the first
 /// entry is the oldest.
 fn oldest_of_full_history(records: &Records) -> Option<RecordWrite> {
-    if records.range(HISTORY).count() < MAX_HISTORY {
+    if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
         return None;
     }
-    records.range(HISTORY).next().map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
+    records.range(HISTORY_PREFIX).next().map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
 }
 
 /// Writes the record also if the zone is in that state already: the new sequence voids every copy of an earlier command.
@@ -112,10 +112,10 @@
 }
 
 fn oldest_of_full_drained(records: &Records) -> Option<RecordWrite> {
-    if records.range(DRAINED).count() < MAX_DRAINED {
+    if records.range(DRAINED_PREFIX).count() < MAX_DRAINED {
         return None;
     }
-    let oldest = records.range(DRAINED).min_by_key(|(_, record)| record.sequence);
+    let oldest = records.range(DRAINED_PREFIX).min_by_key(|(_, record)| record.sequence);
     oldest.map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
 }
 
--- a/controlplane/controller/src/commands/records.rs
+++ b/controlplane/controller/src/commands/records.rs
@@ -5,15 +5,15 @@
 use super::Departure;
 
 /// The record that holds the body of the newest configuration.
-pub const CONFIGURATION: &str = "configuration";
+pub const CONFIGURATION_KEY: &str = "configuration";
 /// The record that holds the generation of the newest configuration, in decimal digits.
-pub(super) const GENERATION: &str = "generation";
+pub(super) const GENERATION_KEY: &str = "generation";
 /// The prefix of the records with the digests of accepted configurations, by generation.
-pub(super) const HISTORY: &str = "history/";
+pub(super) const HISTORY_PREFIX: &str = "history/";
 /// The prefix of the records of zones for which an evacuation was ever begun or finished.
-pub const EVACUATION: &str = "evacuation/";
+pub const EVACUATION_PREFIX: &str = "evacuation/";
 /// The prefix of the records of departed instances, draining or deregistered.
-pub const DRAINED: &str = "drained/";
+pub const DRAINED_PREFIX: &str = "drained/";
 
 pub(super) const ZONE_EVACUATED: &[u8] = b"1";
 pub(super) const ZONE_IN_SERVICE: &[u8] = b"0";
@@ -36,7 +36,7 @@
 
 /// The generation of the configuration in place, 0 before the first.
 pub fn current_generation(records: &Records) -> u64 {
-    let digits = records.get(GENERATION).and_then(|record| std::str::from_utf8(&record.value).ok());
+    let digits = records.get(GENERATION_KEY).and_then(|record| std::str::from_utf8(&record.value).ok());
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
@@ -53,10 +53,10 @@
 pub fn evacuated_zones(records: &Records) -> EvacuatedZones {
     let mut newest = 0;
     let mut zones = Vec::new();
-    for (key, record) in records.range(EVACUATION) {
+    for (key, record) in records.range(EVACUATION_PREFIX) {
         newest = newest.max(record.sequence);
         if record.value.as_slice() == ZONE_EVACUATED {
-            zones.push(key[EVACUATION.len()..].to_owned());
+            zones.push(key[EVACUATION_PREFIX.len()..].to_owned());
         }
     }
     EvacuatedZones { sequence: newest, zones }
@@ -74,24 +74,24 @@
 
 /// All departed instances with their departures.
 pub fn departures(records: &Records) -> impl Iterator<Item = (&str, Departure)> {
-    let records = records.range(DRAINED);
-    records.map(|(key, record)| (&key[DRAINED.len()..], Departure::from_value(&record.value)))
+    let records = records.range(DRAINED_PREFIX);
+    records.map(|(key, record)| (&key[DRAINED_PREFIX.len()..], Departure::from_value(&record.value)))
 }
 
 /// The instance and its departure, if a write records one.
 pub fn departure_in(write: &RecordWrite) -> Option<(&str, Departure)> {
-    let instance = write.key.strip_prefix(DRAINED)?;
+    let instance = write.key.strip_prefix(DRAINED_PREFIX)?;
     Some((instance, Departure::from_value(write.value.as_deref()?)))
 }
 
 pub(super) fn history_key(generation: u64) -> String {
-    format!("{HISTORY}{generation:020}")
+    format!("{HISTORY_PREFIX}{generation:020}")
 }
 
 pub(super) fn evacuation_key(zone: &str) -> String {
-    format!("{EVACUATION}{zone}")
+    format!("{EVACUATION_PREFIX}{zone}")
 }
 
 pub(super) fn drained_key(instance: &str) -> String {
-    format!("{DRAINED}{instance}")
+    format!("{DRAINED_PREFIX}{instance}")
 }
--- a/controlplane/controller/src/controller/calls.rs
+++ b/controlplane/controller/src/controller/calls.rs
@@ -10,7 +10,7 @@
 use super::Controller;
 use super::event::Action;
 use super::submission::configuration_response;
-use crate::api::{Call, Refusal, Response};
+use crate::api::{Call, RequestError, Response};
 use crate::commands::{Departure, records};
 use crate::directory::{self, ClientLocation};
 use crate::pending_commands::{CallId, CommandRequest};
@@ -24,20 +24,20 @@
             Call::Replace { base, generation, body } => {
                 self.accept_command(now, id, CommandRequest::Replace { base, generation, body });
             }
-            Call::Fetch if R::answers_reads_locally() => {
-                let record = self.replica.committed().get(records::CONFIGURATION);
+            Call::Fetch if R::should_answer_reads_locally() => {
+                let record = self.replica.committed().get(records::CONFIGURATION_KEY);
                 let body = record.map(|record| record.value.to_vec()).unwrap_or_default();
                 self.answer(id, configuration_response(body));
             }
             Call::Fetch => self.accept_command(now, id, CommandRequest::Fetch),
             Call::Evacuate { zone, .. } if !self.settings.zones.contains_key(&zone) => {
-                self.answer(id, Refusal::UnknownZone.into());
+                self.answer(id, RequestError::UnknownZone.into());
             }
             Call::Evacuate { zone, evacuated } => {
                 self.accept_command(now, id, CommandRequest::Evacuate { zone, evacuated });
             }
             Call::Heartbeat { instance, heartbeat } => {
-                let effect = self.registry.heartbeat(now, &instance, &heartbeat);
+                let effect = self.registry.record_heartbeat(now, &instance, &heartbeat);
                 self.heartbeat_taken(now, id, instance, effect);
             }
             Call::Deregister { instance } => self.depart(now, id, instance, Departure::Deregistered),
@@ -83,7 +83,7 @@
     /// Without a quorum only this controller's own balancers learn of the instance, so it is to call another controller
     /// too: all other balancers would remove it.
     fn acknowledge_heartbeat(&mut self, now: u64, id: CallId) {
-        let response = if R::confirms_heartbeat(self.is_in_quorum(now)) {
+        let response = if R::should_confirm_heartbeat(self.is_in_quorum(now)) {
             Response::accepted()
         } else {
             Response::unavailable("no contact with a majority of the controllers")
@@ -93,7 +93,7 @@
 
     fn depart(&mut self, now: u64, id: CallId, instance: String, departure: Departure) {
         let is_committed = records::departure_of(self.replica.committed(), &instance) >= Some(departure);
-        if R::confirms_departure(is_committed) {
+        if R::should_confirm_departure(is_committed) {
             self.answer(id, Response::accepted());
         }
         if !is_committed {
--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -105,7 +105,7 @@
     fn refresh_replicated(&mut self) {
         let records = self.replica.committed();
         let published = self.publisher.versions();
-        if let Some(record) = records.get(records::CONFIGURATION)
+        if let Some(record) = records.get(records::CONFIGURATION_KEY)
             && record.sequence > published.configured
         {
             let body = Bytes::from(record.value.to_vec());
@@ -120,7 +120,7 @@
     /// Whether a change of the instances is to be published now; withdrawals are at once.
     pub(super) fn are_instances_due(&self, now: u64) -> bool {
         let interval_elapsed = self.instances_published_at.is_none_or(|at| now >= at + INSTANCES_INTERVAL_MS);
-        let is_urgent = self.registry.withdrawals() != self.published_withdrawals;
+        let is_urgent = self.registry.withdrawal_count() != self.published_withdrawals;
         self.registry.version() != self.published_instances && (interval_elapsed || is_urgent)
     }
 
@@ -130,21 +130,22 @@
         }
         let version = self.registry.version();
         self.published_instances = version;
-        self.published_withdrawals = self.registry.withdrawals();
+        self.published_withdrawals = self.registry.withdrawal_count();
         self.instances_published_at = Some(now);
         let known = self.registry.snapshot(now).into_iter().map(instance);
-        let ended = self.registry.ended().map(|id| Instance::ended(id.to_owned()));
+        let ended = self.registry.recently_deregistered().map(|id| Instance::ended(id.to_owned()));
         let list = known.chain(ended).collect();
         self.publisher.set_instances(now, Instances { version, list });
     }
 
     fn refresh_fleet(&mut self, now: u64) {
-        let balancers = self.leases.balancers(now);
-        let failing = failing_instances::ids(self.leases.live(now), |id| self.registry.service_of(id));
+        let balancers = self.leases.balancer_count(now);
+        let failing =
+            failing_instances::detect(self.leases.live_leases(now), |id| self.registry.service_size(id));
         if !self.fleet.is_due(now, balancers, &failing, self.publisher.subscribers().count()) {
             return;
         }
-        let loads = self.leases.loads(now).into_iter().map(gossip_records::region_load).collect();
+        let loads = self.leases.request_rates(now).into_iter().map(gossip_records::region_load).collect();
         if let Some(fleet) = self.fleet.update(now, balancers, failing, loads) {
             self.publisher.set_fleet(fleet);
         }
--- a/controlplane/controller/src/controller/readiness.rs
+++ b/controlplane/controller/src/controller/readiness.rs
@@ -38,13 +38,13 @@
     pub(super) fn count_silence(&mut self, now: u64) {
         let in_contact: Vec<SocketAddr> = self.replica.live_peers(now).map(|(peer, ..)| peer).collect();
         if self.silence_grace.take_end(&in_contact) {
-            self.registry.count_all_silence();
+            self.registry.stop_ignoring_silence();
         }
     }
 
     /// Whether the committed records may be served to a balancer that has none yet.
     pub(super) fn may_serve_records(&self, now: u64) -> bool {
-        R::serves_records(self.contact.may_serve_records(now, self.replica.committed_sequence()))
+        R::should_serve_records(self.contact.may_serve_records(now, self.replica.committed_sequence()))
     }
 
     /// Whether every live upstream and balancer has had the time to be known here, directly or by other controllers.
--- a/controlplane/controller/src/controller/replication.rs
+++ b/controlplane/controller/src/controller/replication.rs
@@ -62,7 +62,7 @@
     pub(super) fn take_departures(&mut self) {
         let records = self.replica.committed();
         let sequence = |instance: &str| {
-            records.get(&format!("{}{instance}", records::DRAINED)).map_or(0, |record| record.sequence)
+            records.get(&format!("{}{instance}", records::DRAINED_PREFIX)).map_or(0, |record| record.sequence)
         };
         let mut departures: Vec<(u64, String, Departure)> = records::departures(records)
             .map(|(instance, departure)| (sequence(instance), instance.to_owned(), departure))
@@ -75,8 +75,8 @@
 
     fn departed(&mut self, instance: &str, departure: Departure) {
         match departure {
-            Departure::Draining => self.registry.draining_committed(instance),
-            Departure::Deregistered => self.registry.deregistered(instance),
+            Departure::Draining => self.registry.mark_draining(instance),
+            Departure::Deregistered => self.registry.mark_deregistered(instance),
         }
     }
 
--- a/controlplane/controller/src/directory.rs
+++ b/controlplane/controller/src/directory.rs
@@ -44,14 +44,14 @@
     host_regions: &ServingRegions,
 ) -> Vec<SocketAddr> {
     if !host_regions.contains(client.region) {
-        let homes = leases.presumed(now).filter(|lease| host_regions.contains(&lease.region));
+        let homes = leases.presumed_live_leases(now).filter(|lease| host_regions.contains(&lease.region));
         let homes: Vec<&Lease> = open_in_order(homes);
         if homes.len() >= MIN_ADDRESSES {
             return limited(fronts(&homes, |_| true), client);
         }
     }
     let permitted = |lease: &&Lease| client.is_local(lease) || host_regions.contains(&lease.region);
-    let open = open_in_order(leases.live(now).filter(permitted));
+    let open = open_in_order(leases.live_leases(now).filter(permitted));
     let zone = fronts(&open, |lease| lease.zone == client.zone);
     if zone.len() >= MIN_ADDRESSES {
         return limited(zone, client);
@@ -81,12 +81,12 @@
 /// The balancers that take new clients, in a fixed order.
 fn open_in_order<'a>(leases: impl Iterator<Item = &'a Lease>) -> Vec<&'a Lease> {
     let mut open: Vec<&Lease> = leases.filter(|lease| lease.ready && !lease.shutting_down).collect();
-    open.sort_by_key(|lease| lease.front);
+    open.sort_by_key(|lease| lease.front_address);
     open
 }
 
 fn fronts(open: &[&Lease], belongs: impl Fn(&Lease) -> bool) -> Vec<SocketAddr> {
-    open.iter().filter(|lease| belongs(lease)).map(|lease| lease.front).collect()
+    open.iter().filter(|lease| belongs(lease)).map(|lease| lease.front_address).collect()
 }
 
 /// Adds one balancer of another region. The choice is fixed for each zone, so that clients keep their connections, and
@@ -96,7 +96,7 @@
     open: &[&Lease],
     client: ClientLocation<'_>,
 ) -> Vec<SocketAddr> {
-    let others = fronts(open, |lease| !addresses.contains(&lease.front));
+    let others = fronts(open, |lease| !addresses.contains(&lease.front_address));
     if !others.is_empty() {
         let spread: usize = client.zone.bytes().map(usize::from).sum();
         addresses.push(others[spread % others.len()]);
--- a/controlplane/controller/src/failing_instances.rs
+++ b/controlplane/controller/src/failing_instances.rs
@@ -21,7 +21,7 @@
 }
 
 /// The ids of failing instances, in order. `service_of` returns the service of an instance, none if it is unknown.
-pub fn ids<'a, 's>(
+pub fn detect<'a, 's>(
     leases: impl Iterator<Item = &'a Lease>,
     service_of: impl Fn(&str) -> Option<ServiceSize<'s>>,
 ) -> Vec<String> {
@@ -33,9 +33,9 @@
         }
     }
     let stands_out = |id: &str, total: FailureTotals| {
-        service_of(id).is_some_and(|ServiceSize { service, instances }| {
+        service_of(id).is_some_and(|ServiceSize { service, instance_count }| {
             let sum = failures_by_service.get(service).copied().unwrap_or_default();
-            let mean = sum / instances.max(1) as f64;
+            let mean = sum / instance_count.max(1) as f64;
             f64::from(total.failures) >= MIN_RATIO_TO_MEAN * mean
         })
     };
@@ -47,10 +47,10 @@
 
 fn totals_by_instance<'a>(leases: impl Iterator<Item = &'a Lease>) -> BTreeMap<&'a str, FailureTotals> {
     let mut totals: BTreeMap<&str, FailureTotals> = BTreeMap::new();
-    for failing in leases.flat_map(|lease| &lease.failing) {
+    for failing in leases.flat_map(|lease| &lease.observed_failures) {
         let total = totals.entry(&failing.instance).or_default();
         total.reporters += 1;
-        total.failures = total.failures.saturating_add(failing.failures);
+        total.failures = total.failures.saturating_add(failing.failed_requests);
     }
     totals
 }
--- a/controlplane/controller/src/gossip_records.rs
+++ b/controlplane/controller/src/gossip_records.rs
@@ -4,7 +4,7 @@
     Gossip, GossipInstance, GossipLease, GossipScope, InstanceFailures, RegionLoad, Report, ServiceRegion,
 };
 use whinspindle_registry::{
-    InstanceRecord, InstanceRegistry, Lease, LeaseRecord, LeaseTable, RegionSends, SeenFailures,
+    InstanceRecord, InstanceRegistry, Lease, LeaseRecord, LeaseTable, ObservedFailures, RegionRequestRate,
 };
 
 /// The observations of this controller since the last call.
@@ -14,20 +14,20 @@
 
 /// Everything that was observed since the start, for a controller that may know nothing yet.
 pub fn observed(now: u64, scope: GossipScope, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
-    gossip(scope, registry.observed(now), leases.observed(now))
+    gossip(scope, registry.observed_records(now), leases.observed_records(now))
 }
 
 /// What is known from the saved state alone, for a controller that lost its own.
 pub fn restored(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
-    gossip(GossipScope::Restored, registry.restored(now), leases.restored(now))
+    gossip(GossipScope::Restored, registry.restored_records(now), leases.restored_records(now))
 }
 
 /// The state to save for the next start. Rates of sends and failures are left out: they change all the time.
 pub fn saved_state(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
     let mut leases = leases.snapshot(now);
     leases.iter_mut().for_each(|record| {
-        record.lease.sends.clear();
-        record.lease.failing.clear();
+        record.lease.request_rates.clear();
+        record.lease.observed_failures.clear();
     });
     gossip(GossipScope::Restored, registry.snapshot(now), leases)
 }
@@ -56,11 +56,11 @@
         incarnation: lease.incarnation,
         zone: lease.zone,
         region: lease.region,
-        front: lease.front,
+        front_address: lease.front,
         ready: lease.ready,
         shutting_down: lease.shutting_down,
-        sends: lease.sends.into_iter().map(region_sends).collect(),
-        failing: lease.failing.into_iter().map(seen_failures).collect(),
+        request_rates: lease.sends.into_iter().map(region_request_rate).collect(),
+        observed_failures: lease.failing.into_iter().map(observed_failures).collect(),
     };
     LeaseRecord { lease, age_ms }
 }
@@ -72,32 +72,32 @@
         incarnation: report.incarnation,
         zone: report.zone.clone(),
         region: report.region.clone(),
-        front: report.front,
+        front_address: report.front,
         ready: report.ready,
         shutting_down: report.shutting_down,
-        sends: report.sends.iter().cloned().map(region_sends).collect(),
-        failing: report.failing.iter().cloned().map(seen_failures).collect(),
+        request_rates: report.sends.iter().cloned().map(region_request_rate).collect(),
+        observed_failures: report.failing.iter().cloned().map(observed_failures).collect(),
     }
 }
 
 /// A load of the lease table as balancers are sent it.
-pub fn region_load(sends: RegionSends) -> RegionLoad {
+pub fn region_load(rate: RegionRequestRate) -> RegionLoad {
     RegionLoad {
-        target: ServiceRegion { service: sends.service, region: sends.region },
-        requests_per_s: sends.requests_per_s,
+        target: ServiceRegion { service: rate.service, region: rate.region },
+        requests_per_s: rate.requests_per_s,
     }
 }
 
-fn seen_failures(failures: InstanceFailures) -> SeenFailures {
-    SeenFailures { instance: failures.id, failures: failures.failures }
+fn observed_failures(failures: InstanceFailures) -> ObservedFailures {
+    ObservedFailures { instance: failures.id, failed_requests: failures.failures }
 }
 
-fn instance_failures(seen: SeenFailures) -> InstanceFailures {
-    InstanceFailures { id: seen.instance, failures: seen.failures }
+fn instance_failures(observed: ObservedFailures) -> InstanceFailures {
+    InstanceFailures { id: observed.instance, failures: observed.failed_requests }
 }
 
-fn region_sends(load: RegionLoad) -> RegionSends {
-    RegionSends {
+fn region_request_rate(load: RegionLoad) -> RegionRequestRate {
+    RegionRequestRate {
         service: load.target.service,
         region: load.target.region,
         requests_per_s: load.requests_per_s,
@@ -134,11 +134,11 @@
         incarnation: lease.incarnation,
         zone: lease.zone,
         region: lease.region,
-        front: lease.front,
+        front: lease.front_address,
         ready: lease.ready,
         shutting_down: lease.shutting_down,
         age_ms: record.age_ms,
-        sends: lease.sends.into_iter().map(region_load).collect(),
-        failing: lease.failing.into_iter().map(instance_failures).collect(),
+        sends: lease.request_rates.into_iter().map(region_load).collect(),
+        failing: lease.observed_failures.into_iter().map(instance_failures).collect(),
     }
 }
--- a/controlplane/controller/src/host_region_cache.rs
+++ b/controlplane/controller/src/host_region_cache.rs
@@ -5,7 +5,7 @@
 use whinspindle_configuration::{Configuration, HostRegions, ServingRegions};
 use whinspindle_replica::Records;
 
-use crate::commands::records::CONFIGURATION;
+use crate::commands::records::CONFIGURATION_KEY;
 
 /// No region but the client's own: the rule for unknown hosts.
 static OWN_REGION_ONLY: ServingRegions = ServingRegions::Only(BTreeSet::new());
@@ -23,7 +23,7 @@
     /// then stays as it is, so that a partitioned controller directs clients to the regions that served them before.
     pub fn refresh(&mut self, records: Option<&Records>) {
         let Some(records) = records else { return };
-        let record = records.get(CONFIGURATION);
+        let record = records.get(CONFIGURATION_KEY);
         let sequence = record.map(|record| record.sequence);
         if sequence == self.sequence {
             return;
--- a/controlplane/controller/src/runtime/http_server.rs
+++ b/controlplane/controller/src/runtime/http_server.rs
@@ -23,7 +23,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::node::SharedNode;
-use crate::api::{self, BASE_VERSION, Refusal, Response};
+use crate::api::{self, BASE_VERSION_HEADER, RequestError, Response};
 use crate::pending_commands::CallId;
 
 /// The largest body that is accepted.
@@ -107,19 +107,19 @@
     Ok(answer)
 }
 
-async fn respond(request: http::Request<Incoming>, server: &HttpServer) -> Result<Response, Refusal> {
+async fn respond(request: http::Request<Incoming>, server: &HttpServer) -> Result<Response, RequestError> {
     if server.is_stopping() {
-        return Err(Refusal::Stopping);
+        return Err(RequestError::ShuttingDown);
     }
     let (head, body) = request.into_parts();
     let mut buffered = ScopedCount::new(&server.buffered_bytes, 0);
     let body =
-        if api::takes_body(head.uri.path()) { read_body(body, &mut buffered).await? } else { Bytes::new() };
+        if api::has_body(head.uri.path()) { read_body(body, &mut buffered).await? } else { Bytes::new() };
     let call = api::parse(&api::Request {
         method: &head.method,
         path: head.uri.path(),
         query: head.uri.query().unwrap_or(""),
-        base_version: only_value(&head.headers, BASE_VERSION),
+        base_version: only_value(&head.headers, BASE_VERSION_HEADER),
         body,
     })?;
     let (id, receiver) = server.node.borrow_mut().call(call);
@@ -135,9 +135,9 @@
 }
 
 /// The response to a request that does not reach the state machine.
-fn refused(path: &str, refusal: Refusal) -> Response {
+fn refused(path: &str, refusal: RequestError) -> Response {
     let response = Response::from(refusal);
-    if api::is_command(path) {
+    if api::is_operator_command(path) {
         warn!("command at {path}: {response}");
     }
     response
@@ -147,23 +147,23 @@
     receiver.await.unwrap_or_else(|_| Response::unavailable("the call was dropped"))
 }
 
-async fn read_body(body: Incoming, buffered: &mut ScopedCount<'_>) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, buffered: &mut ScopedCount<'_>) -> Result<Bytes, RequestError> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-        return Err(Refusal::TooLarge);
+        return Err(RequestError::BodyTooLarge);
     }
-    timeout(BODY_TIMEOUT, collect(body, buffered)).await.unwrap_or(Err(Refusal::BodyUnread))
+    timeout(BODY_TIMEOUT, collect(body, buffered)).await.unwrap_or(Err(RequestError::UnreadableBody))
 }
 
-async fn collect(mut body: Incoming, buffered: &mut ScopedCount<'_>) -> Result<Bytes, Refusal> {
+async fn collect(mut body: Incoming, buffered: &mut ScopedCount<'_>) -> Result<Bytes, RequestError> {
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return Err(Refusal::BodyUnread) };
+        let Ok(frame) = frame else { return Err(RequestError::UnreadableBody) };
         let Ok(data) = frame.into_data() else { continue };
         if collected.len() + data.len() > MAX_BODY_BYTES {
-            return Err(Refusal::TooLarge);
+            return Err(RequestError::BodyTooLarge);
         }
         if buffered.total() + data.len() > MAX_BUFFERED_BYTES {
-            return Err(Refusal::Busy);
+            return Err(RequestError::Overloaded);
         }
         buffered.add(data.len());
         collected.extend_from_slice(&data);
--- a/controlplane/controller/src/runtime/node.rs
+++ b/controlplane/controller/src/runtime/node.rs
@@ -148,7 +148,7 @@
         self.last_call += 1;
         let id = CallId(self.last_call);
         let (sender, receiver) = oneshot::channel();
-        self.calls.insert(id, WaitingCall { sender, command: call.command_name() });
+        self.calls.insert(id, WaitingCall { sender, command: call.command_description() });
         self.handle(Event::Call { id, call });
         (id, receiver)
     }
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -47,7 +47,11 @@
         metrics.gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
     }
     let counts = [
-        ("controller_balancers", "Balancers that hold a lease", summary.leases.live(summary.now).count()),
+        (
+            "controller_balancers",
+            "Balancers that hold a lease",
+            summary.leases.live_leases(summary.now).count(),
+        ),
         (
             "controller_fatal_losses",
             "Kinds of tolerated losses without a majority",
--- a/controlplane/controller/tests/api.rs
+++ b/controlplane/controller/tests/api.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
-use whinspindle_controller::api::{Call, Refusal, Request, Response, is_command, parse};
+use whinspindle_controller::api::{Call, Request, RequestError, Response, is_operator_command, parse};
 
 const CONFIGURATION: &str = r#"{"generation":7,
     "routes":[{"name":"r","host":"shop.example","path_prefix":"/a/","kind":"safe","timeout_ms":1000,
@@ -134,9 +134,9 @@
 #[test]
 fn a_body_that_could_not_be_read_is_to_be_sent_again() {
     for (refusal, status) in [
-        (Refusal::BodyUnread, StatusCode::REQUEST_TIMEOUT),
-        (Refusal::Busy, StatusCode::SERVICE_UNAVAILABLE),
-        (Refusal::Stopping, StatusCode::SERVICE_UNAVAILABLE),
+        (RequestError::UnreadableBody, StatusCode::REQUEST_TIMEOUT),
+        (RequestError::Overloaded, StatusCode::SERVICE_UNAVAILABLE),
+        (RequestError::ShuttingDown, StatusCode::SERVICE_UNAVAILABLE),
     ] {
         assert_eq!(Response::from(refusal).status, status);
     }
@@ -145,13 +145,13 @@
 #[test]
 fn log_describes_operator_commands_and_their_answers() {
     let replace = Call::Replace { base: 5, generation: 7, body: Bytes::new() };
-    assert_eq!(replace.command_name().as_deref(), Some("configuration 7 on 5"));
+    assert_eq!(replace.command_description().as_deref(), Some("configuration 7 on 5"));
     let begin = Call::Evacuate { zone: "zone-a".to_owned(), evacuated: true };
-    assert_eq!(begin.command_name().as_deref(), Some("evacuation of zone-a"));
+    assert_eq!(begin.command_description().as_deref(), Some("evacuation of zone-a"));
     let finish = Call::Evacuate { zone: "zone-a".to_owned(), evacuated: false };
-    assert_eq!(finish.command_name().as_deref(), Some("end of the evacuation of zone-a"));
-    assert_eq!(Call::Fetch.command_name(), None);
-    assert_eq!(Call::Deregister { instance: "i-1".to_owned() }.command_name(), None);
+    assert_eq!(finish.command_description().as_deref(), Some("end of the evacuation of zone-a"));
+    assert_eq!(Call::Fetch.command_description(), None);
+    assert_eq!(Call::Deregister { instance: "i-1".to_owned() }.command_description(), None);
 
     assert_eq!(Response::accepted().to_string(), "200 OK");
     let refused = Response::failure(StatusCode::PRECONDITION_FAILED, "another one");
@@ -162,7 +162,7 @@
         ("/Config.Fetch", false),
         ("/status", false),
     ] {
-        assert_eq!(is_command(path), expected, "{path}");
+        assert_eq!(is_operator_command(path), expected, "{path}");
     }
 }
 
@@ -174,7 +174,7 @@
     assert_eq!(parse(&request(&Method::POST, path, "")).unwrap(), unconfirmed);
     let confirmed = Request { query: "confirm=12", ..request(&Method::POST, path, "") };
     assert_eq!(parse(&confirmed).unwrap(), Call::DeclareLost { lost, confirmed_view: Some(12) });
-    assert!(is_command(path), "it is in the log of commands");
+    assert!(is_operator_command(path), "it is in the log of commands");
     let too_many = ["10.1.0.2:7400"; 17].join(",");
     for addresses in ["", "10.1.0.2", "10.1.0.2:7400,", "here:7400", &too_many] {
         let path = format!("/Members.DeclareLost/{addresses}");
--- a/controlplane/controller/tests/common/rules.rs
+++ b/controlplane/controller/tests/common/rules.rs
@@ -23,7 +23,7 @@
 pub struct ServesRecordsWithoutQuorum;
 
 impl controller::ProtocolRules for ServesRecordsWithoutQuorum {
-    fn serves_records(_may: bool) -> bool {
+    fn should_serve_records(_may: bool) -> bool {
         true
     }
 }
@@ -57,7 +57,7 @@
 pub struct ConfirmsUncommittedDeparture;
 
 impl controller::ProtocolRules for ConfirmsUncommittedDeparture {
-    fn confirms_departure(_is_committed: bool) -> bool {
+    fn should_confirm_departure(_is_committed: bool) -> bool {
         true
     }
 }
@@ -72,7 +72,7 @@
 pub struct AnswersReadsLocally;
 
 impl controller::ProtocolRules for AnswersReadsLocally {
-    fn answers_reads_locally() -> bool {
+    fn should_answer_reads_locally() -> bool {
         true
     }
 }
@@ -87,7 +87,7 @@
 pub struct ConfirmsHeartbeatWithoutQuorum;
 
 impl controller::ProtocolRules for ConfirmsHeartbeatWithoutQuorum {
-    fn confirms_heartbeat(_in_quorum: bool) -> bool {
+    fn should_confirm_heartbeat(_in_quorum: bool) -> bool {
         true
     }
 }
--- a/controlplane/controller/tests/failing_instances.rs
+++ b/controlplane/controller/tests/failing_instances.rs
@@ -3,35 +3,38 @@
 use std::net::SocketAddr;
 
 use whinspindle_controller::failing_instances;
-use whinspindle_registry::{Lease, SeenFailures, ServiceSize};
+use whinspindle_registry::{Lease, ObservedFailures, ServiceSize};
 
 /// A balancer that has seen these failures.
 fn balancer(number: u8, failures: &[(&str, u32)]) -> Lease {
-    let seen = |&(instance, failures): &(&str, u32)| SeenFailures { instance: instance.to_owned(), failures };
+    let seen = |&(instance, failed_requests): &(&str, u32)| ObservedFailures {
+        instance: instance.to_owned(),
+        failed_requests,
+    };
     Lease {
         node: format!("edge-{number}"),
         incarnation: 1,
         zone: "z".to_owned(),
         region: "r".to_owned(),
-        front: SocketAddr::from(([10, 0, 0, number], 80)),
+        front_address: SocketAddr::from(([10, 0, 0, number], 80)),
         ready: true,
         shutting_down: false,
-        sends: Vec::new(),
-        failing: failures.iter().map(seen).collect(),
+        request_rates: Vec::new(),
+        observed_failures: failures.iter().map(seen).collect(),
     }
 }
 
 /// Ten instances of `model`, two of `desk`; the first letter of an id tells which.
 fn service_of(id: &str) -> Option<ServiceSize<'static>> {
     match id.chars().next()? {
-        'm' => Some(ServiceSize { service: "model", instances: 10 }),
-        'd' => Some(ServiceSize { service: "desk", instances: 2 }),
+        'm' => Some(ServiceSize { service: "model", instance_count: 10 }),
+        'd' => Some(ServiceSize { service: "desk", instance_count: 2 }),
         _ => None,
     }
 }
 
 fn named(balancers: &[Lease]) -> Vec<String> {
-    failing_instances::ids(balancers.iter(), service_of)
+    failing_instances::detect(balancers.iter(), service_of)
 }
 
 #[test]
--- a/controlplane/registry/src/instances.rs
+++ b/controlplane/registry/src/instances.rs
@@ -36,7 +36,7 @@
     /// The name of the service.
     pub service: &'a str,
     /// The number of its instances that are known.
-    pub instances: usize,
+    pub instance_count: usize,
 }
 
 /// The effect of a heartbeat, and whether it is to be acknowledged.
@@ -50,7 +50,7 @@
     /// A later heartbeat of the same instance is known, or the instance is deregistered. To be acknowledged as well.
     Stale,
     /// The instance is draining and this is not committed yet: to be acknowledged after
-    /// [`InstanceRegistry::draining_committed`].
+    /// [`InstanceRegistry::mark_draining`].
     DrainingAnnounced,
     /// The registry is full and the instance is unknown. Not to be acknowledged.
     AtCapacity,
@@ -68,7 +68,7 @@
     isolated: bool,
     expired_at: Option<u64>,
     version: u64,
-    withdrawals: u64,
+    withdrawal_count: u64,
 }
 
 impl InstanceRegistry {
@@ -83,12 +83,12 @@
             isolated: false,
             expired_at: None,
             version: 1,
-            withdrawals: 0,
+            withdrawal_count: 0,
         }
     }
 
     /// Applies a heartbeat that an instance sent to this controller.
-    pub fn heartbeat(&mut self, now: u64, id: &str, heartbeat: &Heartbeat) -> HeartbeatEffect {
+    pub fn record_heartbeat(&mut self, now: u64, id: &str, heartbeat: &Heartbeat) -> HeartbeatEffect {
         if self.departures.is_deregistered(id) {
             return HeartbeatEffect::Stale;
         }
@@ -104,7 +104,7 @@
             self.unsent.insert(id.to_owned());
         }
         self.bump_if(changed || announced);
-        self.withdrawals += u64::from(announced);
+        self.withdrawal_count += u64::from(announced);
         match self.departures.stage(id) {
             Some(DepartureStage::Announced) if is_draining => HeartbeatEffect::DrainingAnnounced,
             _ if stale => HeartbeatEffect::Stale,
@@ -113,15 +113,15 @@
     }
 
     /// Applies the committed command that the instance takes no new requests, now or ever again.
-    pub fn draining_committed(&mut self, id: &str) {
+    pub fn mark_draining(&mut self, id: &str) {
         let begins = self.departures.stage(id).is_none();
         self.departures.raise(id, DepartureStage::Draining);
         self.bump_if(begins && self.known.contains(id));
-        self.withdrawals += u64::from(begins);
+        self.withdrawal_count += u64::from(begins);
     }
 
     /// Removes an instance whose deregistration is committed. Later heartbeats and records of it are ignored.
-    pub fn deregistered(&mut self, id: &str) {
+    pub fn mark_deregistered(&mut self, id: &str) {
         let ends = self.departures.raise(id, DepartureStage::Deregistered);
         self.unsent.remove(id);
         if ends {
@@ -129,7 +129,7 @@
         }
         let removed = self.known.remove(id);
         self.bump_if(ends || removed);
-        self.withdrawals += u64::from(ends || removed);
+        self.withdrawal_count += u64::from(ends || removed);
     }
 
     /// Merges the record of another controller; returns whether balancers see a difference.
@@ -140,7 +140,7 @@
         let announced = record.draining && self.departures.raise(&record.id, DepartureStage::Announced);
         let changed = self.merge_known(now, record);
         self.bump_if(changed || announced);
-        self.withdrawals += u64::from(announced);
+        self.withdrawal_count += u64::from(announced);
         changed || announced
     }
 
@@ -185,10 +185,10 @@
     }
 
     /// The service of an instance, and the number of its instances that are known.
-    pub fn service_of(&self, id: &str) -> Option<ServiceSize<'_>> {
+    pub fn service_size(&self, id: &str) -> Option<ServiceSize<'_>> {
         let service = self.known.get(id)?.service.as_str();
-        let instances = self.known.iter().filter(|(_, known)| known.service == service).count();
-        Some(ServiceSize { service, instances })
+        let instance_count = self.known.iter().filter(|(_, known)| known.service == service).count();
+        Some(ServiceSize { service, instance_count })
     }
 
     /// The number of known instances.
@@ -207,18 +207,18 @@
     }
 
     /// Ids of instances that were deregistered a short while ago, whether they were known here or not.
-    pub fn ended(&self) -> impl Iterator<Item = &str> {
+    pub fn recently_deregistered(&self) -> impl Iterator<Item = &str> {
         self.recent_ends.ids()
     }
 
     /// The records of `snapshot` that a heartbeat or another controller has confirmed since this process started.
-    pub fn observed(&self, now: u64) -> Vec<InstanceRecord> {
+    pub fn observed_records(&self, now: u64) -> Vec<InstanceRecord> {
         let observed = self.known.iter().filter(|(_, known)| !known.restored);
         observed.map(|(id, known)| self.record(now, id, known)).collect()
     }
 
     /// The records of `snapshot` that are known from the saved state alone.
-    pub fn restored(&self, now: u64) -> Vec<InstanceRecord> {
+    pub fn restored_records(&self, now: u64) -> Vec<InstanceRecord> {
         let restored = self.known.iter().filter(|(_, known)| known.restored);
         restored.map(|(id, known)| self.record(now, id, known)).collect()
     }
@@ -233,7 +233,7 @@
     }
 
     /// Counts the silence of all instances from when they were last seen: whatever was seen elsewhere meanwhile is known.
-    pub fn count_all_silence(&mut self) {
+    pub fn stop_ignoring_silence(&mut self) {
         self.known.update_all(|known| known.silence_ignored_until = 0);
     }
 
@@ -257,8 +257,8 @@
     }
 
     /// Rises with each instance that begins to drain or ends: balancers are notified of these at once.
-    pub fn withdrawals(&self) -> u64 {
-        self.withdrawals
+    pub fn withdrawal_count(&self) -> u64 {
+        self.withdrawal_count
     }
 
     fn discount_own_pause(&mut self, now: u64) {
--- a/controlplane/registry/src/leases.rs
+++ b/controlplane/registry/src/leases.rs
@@ -25,7 +25,7 @@
 
 /// The rate of requests that a balancer sends to the instances of a service in a region.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RegionSends {
+pub struct RegionRequestRate {
     /// The service.
     pub service: String,
     /// The region of the instances.
@@ -36,11 +36,11 @@
 
 /// Failures of an instance that a balancer has seen a short while ago.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SeenFailures {
+pub struct ObservedFailures {
     /// The id of the instance.
     pub instance: String,
     /// The number of failed requests.
-    pub failures: u32,
+    pub failed_requests: u32,
 }
 
 /// What a balancer reports of itself with each renewal.
@@ -55,15 +55,15 @@
     /// The region of that zone.
     pub region: String,
     /// Where clients connect.
-    pub front: SocketAddr,
+    pub front_address: SocketAddr,
     /// It can handle requests.
     pub ready: bool,
     /// It is in graceful shutdown, for the rest of the incarnation: no new clients are sent to it.
     pub shutting_down: bool,
     /// What it sends to the instances of each service and region.
-    pub sends: Vec<RegionSends>,
+    pub request_rates: Vec<RegionRequestRate>,
     /// Instances that have failed requests of it.
-    pub failing: Vec<SeenFailures>,
+    pub observed_failures: Vec<ObservedFailures>,
 }
 
 /// A lease, as controllers send it to each other.
@@ -162,12 +162,12 @@
     }
 
     /// The records of `snapshot` that have been renewed since this process started.
-    pub fn observed(&self, now: u64) -> Vec<LeaseRecord> {
+    pub fn observed_records(&self, now: u64) -> Vec<LeaseRecord> {
         self.entries.values().filter(|entry| !entry.restored).map(|entry| entry.record(now)).collect()
     }
 
     /// The records of `snapshot` that are known from the saved state alone.
-    pub fn restored(&self, now: u64) -> Vec<LeaseRecord> {
+    pub fn restored_records(&self, now: u64) -> Vec<LeaseRecord> {
         self.entries.values().filter(|entry| entry.restored).map(|entry| entry.record(now)).collect()
     }
 
@@ -193,13 +193,13 @@
     }
 
     /// The leases in force.
-    pub fn live(&self, now: u64) -> impl Iterator<Item = &Lease> {
+    pub fn live_leases(&self, now: u64) -> impl Iterator<Item = &Lease> {
         self.entries.values().filter(move |entry| entry.is_live(now, &self.timing)).map(|entry| &entry.lease)
     }
 
     /// The leases in force, and those that were in force when this controller was partitioned from the others: it does
     /// not receive the reports of these balancers, but clients may reach them.
-    pub fn presumed(&self, now: u64) -> impl Iterator<Item = &Lease> {
+    pub fn presumed_live_leases(&self, now: u64) -> impl Iterator<Item = &Lease> {
         let was_live_at_partition = move |entry: &LeaseEntry| {
             self.isolated_since.is_some_and(|since| entry.renewed_at + 2 * self.timing.lease_ms >= since)
         };
@@ -210,7 +210,7 @@
 
     /// The number of balancers that may send requests: those with a lease, and those that lost theirs less than the
     /// retention time ago. A node that has restarted counts once.
-    pub fn balancers(&self, now: u64) -> u32 {
+    pub fn balancer_count(&self, now: u64) -> u32 {
         let removed_after = self.timing.lease_ms + self.timing.retention_ms;
         let counted =
             |entry: &&LeaseEntry| self.isolated_since.is_some() || entry.renewed_at + removed_after >= now;
@@ -218,12 +218,12 @@
     }
 
     /// The rates of requests of all balancers with a lease, summed by service and region.
-    pub fn loads(&self, now: u64) -> Vec<RegionSends> {
+    pub fn request_rates(&self, now: u64) -> Vec<RegionRequestRate> {
         let mut sums: BTreeMap<(&str, &str), f64> = BTreeMap::new();
-        for sends in self.live(now).flat_map(|lease| &lease.sends) {
+        for sends in self.live_leases(now).flat_map(|lease| &lease.request_rates) {
             *sums.entry((&sends.service, &sends.region)).or_default() += sends.requests_per_s;
         }
-        let load = |((service, region), requests_per_s): ((&str, &str), f64)| RegionSends {
+        let load = |((service, region), requests_per_s): ((&str, &str), f64)| RegionRequestRate {
             service: service.to_owned(),
             region: region.to_owned(),
             requests_per_s,
@@ -256,7 +256,7 @@
         self.incarnation != other.incarnation
             || self.ready != other.ready
             || self.shutting_down != other.shutting_down
-            || self.front != other.front
+            || self.front_address != other.front_address
             || self.zone != other.zone
             || self.region != other.region
     }
--- a/controlplane/registry/src/lib.rs
+++ b/controlplane/registry/src/lib.rs
@@ -20,4 +20,4 @@
 
 pub use instance_record::InstanceRecord;
 pub use instances::{HeartbeatEffect, InstanceRegistry, RegistryTiming, ServiceSize};
-pub use leases::{Lease, LeaseRecord, LeaseTable, LeaseTiming, RegionSends, SeenFailures};
+pub use leases::{Lease, LeaseRecord, LeaseTable, LeaseTiming, ObservedFailures, RegionRequestRate};
--- a/controlplane/registry/tests/instances.rs
+++ b/controlplane/registry/tests/instances.rs
@@ -45,7 +45,7 @@
 fn a_first_heartbeat_makes_an_instance_known() {
     let mut registry = registry();
     let version = registry.version();
-    assert_eq!(registry.heartbeat(0, "a", &ready(1, 1)), HeartbeatEffect::Accepted { changed: true });
+    assert_eq!(registry.record_heartbeat(0, "a", &ready(1, 1)), HeartbeatEffect::Accepted { changed: true });
     assert!(registry.version() > version);
     assert_eq!(ids(&registry), ["a"]);
 }
@@ -53,25 +53,28 @@
 #[test]
 fn a_repeated_heartbeat_changes_nothing_for_balancers() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     let version = registry.version();
-    assert_eq!(registry.heartbeat(1_000, "a", &ready(1, 2)), HeartbeatEffect::Accepted { changed: false });
+    assert_eq!(
+        registry.record_heartbeat(1_000, "a", &ready(1, 2)),
+        HeartbeatEffect::Accepted { changed: false }
+    );
     assert_eq!(registry.version(), version);
 }
 
 #[test]
 fn a_late_heartbeat_is_stale() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &Heartbeat { slots: 9, ..ready(1, 5) });
-    assert_eq!(registry.heartbeat(10, "a", &ready(1, 4)), HeartbeatEffect::Stale);
-    assert_eq!(registry.heartbeat(10, "a", &ready(1, 5)), HeartbeatEffect::Stale);
+    registry.record_heartbeat(0, "a", &Heartbeat { slots: 9, ..ready(1, 5) });
+    assert_eq!(registry.record_heartbeat(10, "a", &ready(1, 4)), HeartbeatEffect::Stale);
+    assert_eq!(registry.record_heartbeat(10, "a", &ready(1, 5)), HeartbeatEffect::Stale);
     assert_eq!(registry.snapshot(10)[0].slots, 9);
 }
 
 #[test]
 fn heartbeat_received_again_by_gossip_changes_nothing() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 5));
+    registry.record_heartbeat(0, "a", &ready(1, 5));
     let record = registry.snapshot(0).remove(0);
     let version = registry.version();
     for now in [400, 800, 1_200] {
@@ -83,7 +86,7 @@
 #[test]
 fn heartbeats_received_late_by_gossip_change_nothing() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 5));
+    registry.record_heartbeat(0, "a", &ready(1, 5));
     let mut record = registry.snapshot(0).remove(0);
     let version = registry.version();
     for last_seen_at in [1_000, 2_000, 3_000] {
@@ -97,49 +100,52 @@
 #[test]
 fn drain_is_announced_until_it_is_committed() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
-    assert_eq!(registry.heartbeat(1, "a", &draining(1, 2)), HeartbeatEffect::DrainingAnnounced);
+    registry.record_heartbeat(0, "a", &ready(1, 1));
+    assert_eq!(registry.record_heartbeat(1, "a", &draining(1, 2)), HeartbeatEffect::DrainingAnnounced);
     assert!(registry.snapshot(1)[0].draining, "balancers are told before the commit");
-    assert_eq!(registry.heartbeat(2, "a", &draining(1, 3)), HeartbeatEffect::DrainingAnnounced);
-    registry.draining_committed("a");
-    assert_eq!(registry.heartbeat(3, "a", &draining(1, 4)), HeartbeatEffect::Accepted { changed: false });
+    assert_eq!(registry.record_heartbeat(2, "a", &draining(1, 3)), HeartbeatEffect::DrainingAnnounced);
+    registry.mark_draining("a");
+    assert_eq!(
+        registry.record_heartbeat(3, "a", &draining(1, 4)),
+        HeartbeatEffect::Accepted { changed: false }
+    );
 }
 
 #[test]
 fn late_heartbeat_of_a_draining_instance_counts() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 9));
-    assert_eq!(registry.heartbeat(1, "a", &draining(1, 8)), HeartbeatEffect::DrainingAnnounced);
+    registry.record_heartbeat(0, "a", &ready(1, 9));
+    assert_eq!(registry.record_heartbeat(1, "a", &draining(1, 8)), HeartbeatEffect::DrainingAnnounced);
     assert!(registry.snapshot(1)[0].draining);
 }
 
 #[test]
 fn a_draining_instance_never_becomes_ready_again() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &draining(1, 1));
-    registry.heartbeat(1, "a", &ready(1, 2));
+    registry.record_heartbeat(0, "a", &draining(1, 1));
+    registry.record_heartbeat(1, "a", &ready(1, 2));
     assert!(registry.snapshot(1)[0].draining);
     registry.expire(100_000);
-    registry.heartbeat(100_001, "a", &ready(1, 3));
+    registry.record_heartbeat(100_001, "a", &ready(1, 3));
     assert!(registry.snapshot(100_001)[0].draining, "also after it was lost in between");
 }
 
 #[test]
 fn committed_drain_applies_to_an_instance_observed_later() {
     let mut registry = registry();
-    registry.draining_committed("a");
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.mark_draining("a");
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     assert!(registry.snapshot(0)[0].draining);
 }
 
 #[test]
 fn deregistered_instance_is_not_added_again() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     let mut record = registry.snapshot(0).remove(0);
-    registry.deregistered("a");
+    registry.mark_deregistered("a");
     assert!(ids(&registry).is_empty());
-    assert_eq!(registry.heartbeat(1, "a", &ready(1, 2)), HeartbeatEffect::Stale);
+    assert_eq!(registry.record_heartbeat(1, "a", &ready(1, 2)), HeartbeatEffect::Stale);
     record.sequence = 7;
     assert!(!registry.merge(2, record));
     assert!(ids(&registry).is_empty());
@@ -148,17 +154,17 @@
 #[test]
 fn a_newer_incarnation_takes_the_address() {
     let mut registry = registry();
-    registry.heartbeat(0, "old", &ready(1, 40));
-    registry.heartbeat(2_000, "new", &ready(1, 1));
+    registry.record_heartbeat(0, "old", &ready(1, 40));
+    registry.record_heartbeat(2_000, "new", &ready(1, 1));
     assert_eq!(ids(&registry), ["new"]);
 }
 
 #[test]
 fn an_older_record_does_not_take_the_address_back() {
     let mut registry = registry();
-    registry.heartbeat(0, "old", &ready(1, 40));
+    registry.record_heartbeat(0, "old", &ready(1, 40));
     let record = registry.snapshot(1_500).remove(0);
-    registry.heartbeat(1_000, "new", &ready(1, 1));
+    registry.record_heartbeat(1_000, "new", &ready(1, 1));
     assert!(!registry.merge(1_500, record));
     assert_eq!(ids(&registry), ["new"]);
 }
@@ -166,16 +172,16 @@
 #[test]
 fn instance_displaced_by_a_late_heartbeat_comes_back() {
     let mut registry = registry();
-    registry.heartbeat(0, "new", &ready(1, 3));
-    registry.heartbeat(10, "old", &ready(1, 40));
-    registry.heartbeat(1_000, "new", &ready(1, 4));
+    registry.record_heartbeat(0, "new", &ready(1, 3));
+    registry.record_heartbeat(10, "old", &ready(1, 40));
+    registry.record_heartbeat(1_000, "new", &ready(1, 4));
     assert_eq!(ids(&registry), ["new"]);
 }
 
 #[test]
 fn instance_is_removed_after_the_silence_timeout() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     for now in (0..=SILENCE_TIMEOUT_MS).step_by(500) {
         assert!(!registry.expire(now));
     }
@@ -186,7 +192,7 @@
 #[test]
 fn newest_heartbeat_at_any_controller_restarts_the_silence_timeout() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     let mut record = registry.snapshot(0).remove(0);
     record.sequence = 3;
     record.age_ms = 200;
@@ -200,7 +206,7 @@
 #[test]
 fn record_older_than_the_silence_timeout_is_ignored() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     let record = InstanceRecord {
         id: "b".into(),
         address: address(2),
@@ -214,7 +220,7 @@
 #[test]
 fn an_isolated_controller_loses_no_instance() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     registry.set_isolated(100, true);
     for now in (0..20_000).step_by(500) {
         assert!(!registry.expire(now));
@@ -230,7 +236,7 @@
 #[test]
 fn pause_of_the_controller_does_not_count_as_silence() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
     registry.expire(500);
     assert!(!registry.expire(30_500));
     assert_eq!(ids(&registry), ["a"]);
@@ -239,24 +245,24 @@
 #[test]
 fn instance_silent_during_a_partition_keeps_its_age_for_others() {
     let mut returning = registry();
-    returning.heartbeat(0, "a", &ready(1, 1));
+    returning.record_heartbeat(0, "a", &ready(1, 1));
     returning.set_isolated(100, true);
     returning.expire(20_000);
     returning.set_isolated(20_000, false);
     assert_eq!(ids(&returning), ["a"], "it may only have called others");
     assert_eq!(returning.snapshot(20_100)[0].age_ms, 20_100);
     let mut other = registry();
-    for record in returning.observed(20_100) {
+    for record in returning.observed_records(20_100) {
         assert!(!other.merge(20_100, record), "it has been silent for too long");
     }
-    returning.heartbeat(21_000, "a", &ready(1, 2));
+    returning.record_heartbeat(21_000, "a", &ready(1, 2));
     assert_eq!(returning.snapshot(21_000)[0].age_ms, 0);
 }
 
 #[test]
 fn instance_silent_during_a_pause_keeps_its_age_for_others() {
     let mut paused = registry();
-    paused.heartbeat(0, "a", &ready(1, 1));
+    paused.record_heartbeat(0, "a", &ready(1, 1));
     paused.expire(500);
     assert!(!paused.expire(30_500));
     assert_eq!(paused.snapshot(30_500)[0].age_ms, 30_500);
@@ -270,12 +276,12 @@
 #[test]
 fn address_taken_over_during_a_partition_stays_taken() {
     let mut returning = registry();
-    returning.heartbeat(0, "a", &ready(1, 1));
+    returning.record_heartbeat(0, "a", &ready(1, 1));
     returning.set_isolated(100, true);
     returning.set_isolated(20_000, false);
     let mut other = registry();
-    other.heartbeat(19_000, "b", &ready(1, 1));
-    for record in other.observed(20_100) {
+    other.record_heartbeat(19_000, "b", &ready(1, 1));
+    for record in other.observed_records(20_100) {
         assert!(returning.merge(20_100, record), "it was heard there later");
     }
     assert_eq!(ids(&returning), ["b"]);
@@ -284,12 +290,12 @@
 #[test]
 fn slow_start_is_exported_as_remaining_time() {
     let mut registry = registry();
-    registry.heartbeat(1_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 1) });
+    registry.record_heartbeat(1_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 1) });
     assert_eq!(registry.snapshot(1_500)[0].slow_start_ms, 2_500);
     let version = registry.version();
-    registry.heartbeat(2_000, "a", &Heartbeat { slow_start_ms: 2_010, ..ready(1, 2) });
+    registry.record_heartbeat(2_000, "a", &Heartbeat { slow_start_ms: 2_010, ..ready(1, 2) });
     assert_eq!(registry.version(), version, "it runs down as was told");
-    registry.heartbeat(3_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 3) });
+    registry.record_heartbeat(3_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 3) });
     assert!(registry.version() > version, "it has turned cold again");
     assert_eq!(registry.snapshot(3_000)[0].slow_start_ms, 3_000);
 }
@@ -297,8 +303,8 @@
 #[test]
 fn changes_contain_each_local_heartbeat_once() {
     let mut registry = registry();
-    registry.heartbeat(0, "a", &ready(1, 1));
-    registry.heartbeat(0, "a", &ready(1, 2));
+    registry.record_heartbeat(0, "a", &ready(1, 1));
+    registry.record_heartbeat(0, "a", &ready(1, 2));
     let record = InstanceRecord { id: "b".into(), address: address(2), ..registry.snapshot(0).remove(0) };
     registry.merge(0, record);
     let changes = registry.take_changes(5);
@@ -331,7 +337,7 @@
     let state = if random.draining { InstanceState::Draining } else { InstanceState::Ready };
     let heartbeat =
         Heartbeat { state, slow_start_ms: random.slow_start_ms, ..ready(random.instance, random.sequence) };
-    registry.heartbeat(now, &format!("i{}", random.instance), &heartbeat);
+    registry.record_heartbeat(now, &format!("i{}", random.instance), &heartbeat);
 }
 
 fn sorted(registry: &InstanceRegistry, now: u64) -> Vec<InstanceRecord> {
@@ -400,8 +406,8 @@
     let mut registry = registry();
     assert!(registry.restore(0, record(1, "a", 3)));
     assert_eq!(ids(&registry), ["a"]);
-    assert!(registry.observed(0).is_empty());
-    assert_eq!(registry.restored(0).len(), 1);
+    assert!(registry.observed_records(0).is_empty());
+    assert_eq!(registry.restored_records(0).len(), 1);
     for now in [1_000, 2_000, 3_000, SILENCE_TIMEOUT_MS] {
         registry.expire(now);
     }
@@ -415,8 +421,8 @@
     let mut registry = registry();
     registry.restore(0, record(1, "a", 3));
     registry.restore(0, record(2, "b", 3));
-    registry.heartbeat(100, "a", &ready(1, 4));
-    assert_eq!(registry.observed(100).len(), 1);
+    registry.record_heartbeat(100, "a", &ready(1, 4));
+    assert_eq!(registry.observed_records(100).len(), 1);
     registry.drop_restored();
     assert_eq!(ids(&registry), ["a"]);
 }
@@ -445,8 +451,8 @@
 #[test]
 fn departed_instance_is_not_restored_as_ready() {
     let mut registry = registry();
-    registry.deregistered("a");
-    registry.draining_committed("b");
+    registry.mark_deregistered("a");
+    registry.mark_draining("b");
     assert!(!registry.restore(0, record(1, "a", 3)));
     assert!(registry.restore(0, record(2, "b", 3)));
     assert!(registry.snapshot(0)[0].draining);
--- a/controlplane/registry/tests/leases.rs
+++ b/controlplane/registry/tests/leases.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use quickcheck::quickcheck;
-use whinspindle_registry::{Lease, LeaseRecord, LeaseTable, LeaseTiming, RegionSends};
+use whinspindle_registry::{Lease, LeaseRecord, LeaseTable, LeaseTiming, RegionRequestRate};
 
 const LEASE_MS: u64 = 2_000;
 const RETENTION_MS: u64 = 30_000;
@@ -12,7 +12,7 @@
     LeaseTable::new(LeaseTiming { lease_ms: LEASE_MS, retention_ms: RETENTION_MS })
 }
 
-fn front(last: u8) -> SocketAddr {
+fn front_address(last: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, last], 8000))
 }
 
@@ -22,11 +22,15 @@
         incarnation: 1,
         zone: zone.into(),
         region: region.into(),
-        front: front(last),
+        front_address: front_address(last),
         ready: true,
         shutting_down: false,
-        sends: vec![RegionSends { service: "model".into(), region: "north".into(), requests_per_s: 2.5 }],
-        failing: vec![],
+        request_rates: vec![RegionRequestRate {
+            service: "model".into(),
+            region: "north".into(),
+            requests_per_s: 2.5,
+        }],
+        observed_failures: vec![],
     }
 }
 
@@ -34,12 +38,12 @@
 fn a_lease_ends_without_renewal_but_its_balancer_still_counts() {
     let mut table = table();
     table.renew(0, lease(1, "z1", "r1"));
-    assert_eq!(table.live(LEASE_MS).count(), 1);
-    assert_eq!(table.live(LEASE_MS + 1).count(), 0);
+    assert_eq!(table.live_leases(LEASE_MS).count(), 1);
+    assert_eq!(table.live_leases(LEASE_MS + 1).count(), 0);
     assert!(table.expire(LEASE_MS + 1));
     assert!(!table.expire(LEASE_MS + 2), "told once");
-    assert_eq!(table.balancers(LEASE_MS + RETENTION_MS), 1);
-    assert_eq!(table.balancers(LEASE_MS + RETENTION_MS + 1), 0);
+    assert_eq!(table.balancer_count(LEASE_MS + RETENTION_MS), 1);
+    assert_eq!(table.balancer_count(LEASE_MS + RETENTION_MS + 1), 0);
     assert!(table.expire(LEASE_MS + RETENTION_MS + 1));
 }
 
@@ -48,7 +52,7 @@
     let mut table = table();
     table.renew(0, lease(1, "z1", "r1"));
     assert!(table.renew(5_000, Lease { incarnation: 2, ..lease(1, "z1", "r1") }));
-    assert_eq!(table.balancers(5_000), 1);
+    assert_eq!(table.balancer_count(5_000), 1);
 }
 
 #[test]
@@ -57,11 +61,11 @@
     table.renew(0, lease(1, "z1", "r1"));
     table.set_isolated(0, true);
     table.expire(100_000);
-    assert_eq!(table.balancers(100_000), 1);
-    assert_eq!(table.live(100_000).count(), 0);
+    assert_eq!(table.balancer_count(100_000), 1);
+    assert_eq!(table.live_leases(100_000).count(), 0);
     table.set_isolated(0, false);
     table.expire(100_001);
-    assert_eq!(table.balancers(100_001), 0);
+    assert_eq!(table.balancer_count(100_001), 0);
 }
 
 #[test]
@@ -69,9 +73,9 @@
     let mut table = table();
     table.renew(100, Lease { shutting_down: true, ..lease(1, "z1", "r1") });
     table.merge(105, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 0 });
-    assert!(table.live(105).all(|lease| lease.shutting_down));
+    assert!(table.live_leases(105).all(|lease| lease.shutting_down));
     table.renew(200, Lease { incarnation: 2, ..lease(1, "z1", "r1") });
-    assert!(table.live(200).all(|lease| !lease.shutting_down));
+    assert!(table.live_leases(200).all(|lease| !lease.shutting_down));
 }
 
 #[test]
@@ -79,7 +83,7 @@
     let mut table = table();
     table.renew(1_000, Lease { incarnation: 2, ..lease(1, "z1", "r1") });
     assert!(!table.merge(1_100, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 500 }));
-    assert!(table.live(1_100).all(|lease| lease.incarnation == 2));
+    assert!(table.live_leases(1_100).all(|lease| lease.incarnation == 2));
 }
 
 #[test]
@@ -87,7 +91,7 @@
     let mut table = table();
     assert!(table.renew(0, lease(1, "z1", "r1")));
     let version = table.version();
-    assert!(!table.renew(250, Lease { sends: vec![], ..lease(1, "z1", "r1") }));
+    assert!(!table.renew(250, Lease { request_rates: vec![], ..lease(1, "z1", "r1") }));
     assert_eq!(table.version(), version);
     assert!(table.renew(500, Lease { ready: false, ..lease(1, "z1", "r1") }));
 }
@@ -99,8 +103,8 @@
     table.renew(3_000, lease(2, "z1", "r1"));
     table.renew(3_000, lease(3, "z2", "r2"));
     assert_eq!(
-        table.loads(3_000),
-        [RegionSends { service: "model".into(), region: "north".into(), requests_per_s: 5.0 }]
+        table.request_rates(3_000),
+        [RegionRequestRate { service: "model".into(), region: "north".into(), requests_per_s: 5.0 }]
     );
 }
 
@@ -127,7 +131,7 @@
         records.iter().for_each(|record| { copy.merge(now, record.clone()); });
         let once = copy.snapshot(now);
         let again = records.into_iter().any(|record| copy.merge(now, record));
-        !again && once == copy.snapshot(now) && copy.balancers(now) == source.balancers(now)
+        !again && once == copy.snapshot(now) && copy.balancer_count(now) == source.balancer_count(now)
     }
 }
 
@@ -136,18 +140,21 @@
     let mut table = table();
     let lease = lease(1, "z1", "r1");
     assert!(table.restore(10_000, LeaseRecord { lease: lease.clone(), age_ms: 1_500 }));
-    assert_eq!(table.live(10_000 + LEASE_MS).count(), 1);
-    assert!(table.observed(10_000).is_empty());
+    assert_eq!(table.live_leases(10_000 + LEASE_MS).count(), 1);
+    assert!(table.observed_records(10_000).is_empty());
     assert!(!table.restore(10_000, LeaseRecord { lease, age_ms: 0 }), "it is known");
     table.expire(10_001 + LEASE_MS);
-    assert_eq!((table.live(10_001 + LEASE_MS).count(), table.balancers(10_001 + LEASE_MS)), (0, 1));
+    assert_eq!(
+        (table.live_leases(10_001 + LEASE_MS).count(), table.balancer_count(10_001 + LEASE_MS)),
+        (0, 1)
+    );
 }
 
 #[test]
 fn restored_lease_that_had_ended_is_only_counted() {
     let mut table = table();
     table.restore(40_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: LEASE_MS + 1 });
-    assert_eq!((table.live(40_000).count(), table.balancers(40_000)), (0, 1));
+    assert_eq!((table.live_leases(40_000).count(), table.balancer_count(40_000)), (0, 1));
 }
 
 #[test]
@@ -157,7 +164,7 @@
     table.restore(10_000, LeaseRecord { lease: lease(2, "z1", "r1"), age_ms: 0 });
     let shutting_down = Lease { shutting_down: true, ..lease(1, "z1", "r1") };
     assert!(table.merge(10_100, LeaseRecord { lease: shutting_down, age_ms: 1_000 }));
-    assert!(table.live(10_100).any(|lease| lease.shutting_down));
+    assert!(table.live_leases(10_100).any(|lease| lease.shutting_down));
     table.drop_restored();
-    assert_eq!(table.balancers(10_100), 1);
+    assert_eq!(table.balancer_count(10_100), 1);
 }
