--- a/controlplane/client/src/lib.rs
+++ b/controlplane/client/src/lib.rs
@@ -1,5 +1,5 @@
-//! A client for the HTTP interface of a controller, as operators, upstreams and clients use it: each call has a connection
-//! of its own, one request and the complete answer.
+//! A client for the HTTP API of a controller. Each call opens its own connection, sends one request and reads
+//! the complete response.
 //!
 //! ```no_run
 //! # async fn read() -> Result<(), whinspindle_client::CallError> {
@@ -8,8 +8,8 @@
 //! use whinspindle_client::{Call, call};
 //!
 //! let controller = "10.0.0.1:7700".parse().expect("a valid address");
-//! let answer = call(controller, &Call::get("/status"), Duration::from_secs(1)).await?;
-//! println!("{}", answer.status);
+//! let response = call(controller, &Call::get("/status"), Duration::from_secs(1)).await?;
+//! println!("{}", response.status);
 //! # Ok(())
 //! # }
 //! ```
@@ -28,72 +28,72 @@
 use tokio::task::spawn_local;
 use tokio::time::{error::Elapsed, timeout};
 
-/// The header with the generation that a configuration builds on.
+/// The request header that holds the generation on which a new configuration is based.
 pub const BASE_VERSION_HEADER: HeaderName = HeaderName::from_static("whinspindle-base-version");
 
-/// A call to a controller.
+/// An HTTP request to a controller.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// The path and the query.
+    /// The path and the query string.
     pub path: String,
-    /// The generation that a configuration builds on.
+    /// The generation on which the configuration in the body is based.
     pub base_version: Option<u64>,
-    /// The body, JSON or empty.
+    /// The body: JSON, or empty.
     pub body: Bytes,
 }
 
 impl Call {
-    /// A read without a body.
+    /// Creates a GET request without a body.
     pub fn get(path: impl Into<String>) -> Call {
         Call { method: Method::GET, path: path.into(), base_version: None, body: Bytes::new() }
     }
 
-    /// A command; its body may be empty.
+    /// Creates a POST request; the body may be empty.
     pub fn post(path: impl Into<String>, body: impl Into<Bytes>) -> Call {
         Call { method: Method::POST, path: path.into(), base_version: None, body: body.into() }
     }
 }
 
-/// The answer of a controller.
+/// The response of a controller.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The status of the HTTP response.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// Its complete body.
+    /// The complete body.
     pub body: Bytes,
-    /// The controller that a response with status 307 redirects to.
+    /// The controller to which a response with status 307 redirects.
     pub redirect: Option<SocketAddr>,
 }
 
-/// Why there is no answer.
+/// An error that prevented a complete response.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// The connection could not be opened.
-    #[snafu(display("{controller}: no connection: {source}"))]
+    /// The connection to the controller failed.
+    #[snafu(display("{controller}: could not connect: {source}"))]
     Connect {
         /// The address of the controller.
         controller: SocketAddr,
-        /// What the system reports.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The request could not be sent, or the response not received.
-    #[snafu(display("{controller}: the exchange failed: {source}"))]
+    /// Sending the request or receiving the response failed.
+    #[snafu(display("{controller}: HTTP exchange failed: {source}"))]
     Exchange {
         /// The address of the controller.
         controller: SocketAddr,
-        /// What the HTTP library reports.
+        /// The error of the HTTP library.
         source: hyper::Error,
     },
-    /// The call is no valid HTTP request.
-    #[snafu(display("the call can't be written: {source}"))]
+    /// The call does not form a valid HTTP request.
+    #[snafu(display("invalid HTTP request: {source}"))]
     InvalidRequest {
-        /// What the HTTP library reports.
+        /// The error of the HTTP library.
         source: http::Error,
     },
-    /// The time limit passed before the complete answer was received.
-    #[snafu(display("{controller}: no answer in time"))]
+    /// The complete response was not received within the time limit.
+    #[snafu(display("{controller}: the request timed out"))]
     TimedOut {
         /// The address of the controller.
         controller: SocketAddr,
@@ -102,13 +102,14 @@
     },
 }
 
-/// Makes a call and waits for the complete answer, within a time limit. To be called inside a `LocalSet`.
-pub async fn call(controller: SocketAddr, call: &Call, within: Duration) -> Result<Response, CallError> {
-    timeout(within, exchange(controller, call)).await.context(TimedOutSnafu { controller })?
+/// Sends a call and waits for the complete response, for at most `time_limit`. Must be called inside a
+/// `LocalSet`.
+pub async fn call(controller: SocketAddr, call: &Call, time_limit: Duration) -> Result<Response, CallError> {
+    timeout(time_limit, exchange(controller, call)).await.context(TimedOutSnafu { controller })?
 }
 
 async fn exchange(controller: SocketAddr, call: &Call) -> Result<Response, CallError> {
-    let request = request(controller, call)?;
+    let request = build_request(controller, call)?;
     let stream = TcpStream::connect(controller).await.context(ConnectSnafu { controller })?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = handshake.context(ExchangeSnafu { controller })?;
@@ -116,12 +117,12 @@
     let response = sender.send_request(request).await.context(ExchangeSnafu { controller })?;
     let status = response.status();
     let location = response.headers().get(http::header::LOCATION).and_then(|value| value.to_str().ok());
-    let redirect = location.and_then(address_of).filter(|_| status == StatusCode::TEMPORARY_REDIRECT);
+    let redirect = location.and_then(parse_location).filter(|_| status == StatusCode::TEMPORARY_REDIRECT);
     let body = response.into_body().collect().await.context(ExchangeSnafu { controller })?;
     Ok(Response { status, body: body.to_bytes(), redirect })
 }
 
-fn request(controller: SocketAddr, call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
+fn build_request(controller: SocketAddr, call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
     let mut builder = Request::builder()
         .method(call.method.clone())
         .uri(&call.path)
@@ -136,7 +137,7 @@
     builder.body(Full::new(call.body.clone())).context(InvalidRequestSnafu)
 }
 
-fn address_of(location: &str) -> Option<SocketAddr> {
+fn parse_location(location: &str) -> Option<SocketAddr> {
     let authority = location.strip_prefix("http://")?;
     authority.split('/').next()?.parse().ok()
 }
--- a/controlplane/registry/src/departures.rs
+++ b/controlplane/registry/src/departures.rs
@@ -1,19 +1,20 @@
-//! The departures of instances: ids that never take new requests again.
+//! The departures of instances, by instance id. A departed instance never accepts new requests again.
 
 use indexmap::IndexMap;
 
-/// The progress of a departure; a later stage never goes back to an earlier one.
+/// The stage of a departure. Stages only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DepartureStage {
-    /// The instance has announced, here or at another controller, that it is draining; this is not committed yet.
+    /// The instance has announced to a controller that it is draining, but no committed command confirms it
+    /// yet.
     Announced,
-    /// That it is draining is committed.
+    /// A committed command marks the instance as draining.
     Draining,
-    /// Its deregistration is committed.
+    /// The deregistration of the instance is committed.
     Deregistered,
 }
 
-/// The newest departures; beyond the capacity the oldest are removed.
+/// The newest departures. When the capacity is exceeded, the oldest departure is removed.
 #[derive(Debug)]
 pub(crate) struct Departures {
     stages: IndexMap<String, DepartureStage>,
@@ -33,12 +34,13 @@
         self.stage(id) == Some(DepartureStage::Deregistered)
     }
 
-    /// Raises the stage of an instance; returns whether it rose.
-    pub(crate) fn raise(&mut self, id: &str, stage: DepartureStage) -> bool {
-        if let Some(present) = self.stages.get_mut(id) {
-            let rises = stage > *present;
-            *present = stage.max(*present);
-            return rises;
+    /// Advances an instance to a stage, unless it has reached a later one. Returns whether the stage has
+    /// changed.
+    pub(crate) fn advance(&mut self, id: &str, stage: DepartureStage) -> bool {
+        if let Some(current) = self.stages.get_mut(id) {
+            let has_advanced = stage > *current;
+            *current = stage.max(*current);
+            return has_advanced;
         }
         if self.stages.len() >= self.capacity {
             self.stages.shift_remove_index(0);
--- a/controlplane/registry/src/leases.rs
+++ b/controlplane/registry/src/leases.rs
@@ -1,19 +1,20 @@
-//! The table of balancers' leases, fed by their reports and by the records of other controllers.
+//! The table of balancers' leases. It is updated by their reports and by the records of other controllers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 use indexmap::IndexMap;
 
-/// The number of balancers that are kept at once.
+/// The maximum number of balancers that are kept at the same time.
 const LEASE_CAPACITY: usize = 4096;
 
-/// How long a lease lasts, and how long a balancer without one is still counted.
+/// The duration of a lease, and the time for which a balancer is counted after its lease has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// A lease ends this long after its last renewal, in milliseconds.
+    /// The time after its last renewal at which a lease expires, in milliseconds.
     pub lease_ms: u64,
-    /// How long a balancer that lost its lease is still counted as one that may send requests, in milliseconds.
+    /// The time for which a balancer with an expired lease is still counted as able to send requests, in
+    /// milliseconds.
     pub retention_ms: u64,
 }
 
@@ -23,18 +24,18 @@
     }
 }
 
-/// The rate of requests that a balancer sends to the instances of a service in a region.
+/// The rate at which a balancer sends requests to the instances of a service in a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionRequestRate {
     /// The service.
     pub service: String,
     /// The region of the instances.
     pub region: String,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
 }
 
-/// Failures of an instance that a balancer has seen a short while ago.
+/// The recent failures of an instance that a balancer has observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedFailures {
     /// The id of the instance.
@@ -43,35 +44,36 @@
     pub failed_requests: u32,
 }
 
-/// What a balancer reports of itself with each renewal.
+/// The lease of a balancer, with the state that the balancer reports at each renewal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lease {
-    /// The name of the balancer's node; the key of its lease.
+    /// The name of the balancer's node, which identifies the lease.
     pub node: String,
-    /// Differs for each start of the balancer.
+    /// A number that differs for each start of the balancer.
     pub incarnation: u64,
-    /// The zone that it runs in.
+    /// The zone in which the balancer runs.
     pub zone: String,
     /// The region of that zone.
     pub region: String,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub front_address: SocketAddr,
-    /// It can handle requests.
+    /// Whether the balancer can handle requests.
     pub ready: bool,
-    /// It is in graceful shutdown, for the rest of the incarnation: no new clients are sent to it.
+    /// Whether the balancer is in graceful shutdown, which lasts for the rest of the incarnation. New clients
+    /// are not directed to it.
     pub shutting_down: bool,
-    /// What it sends to the instances of each service and region.
+    /// The request rates to the instances of each service and region.
     pub request_rates: Vec<RegionRequestRate>,
-    /// Instances that have failed requests of it.
+    /// The instances that have failed requests of this balancer.
     pub observed_failures: Vec<ObservedFailures>,
 }
 
-/// A lease, as controllers send it to each other.
+/// The record of a lease that controllers exchange.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseRecord {
-    /// The lease as it was last renewed.
+    /// The lease at its last renewal.
     pub lease: Lease,
-    /// The time since the renewal, in milliseconds.
+    /// The time since that renewal, in milliseconds.
     pub age_ms: u64,
 }
 
@@ -79,25 +81,25 @@
 struct LeaseEntry {
     lease: Lease,
     renewed_at: u64,
-    lost: bool,
-    /// Known from the saved state alone.
+    has_expired: bool,
+    /// Whether the lease is known only from the saved state.
     restored: bool,
 }
 
-/// The balancers that are known from their reports to this controller and from the records of others.
+/// The balancers known from reports to this controller and from the records of other controllers.
 #[derive(Debug)]
 pub struct LeaseTable {
     timing: LeaseTiming,
     entries: IndexMap<String, LeaseEntry>,
-    /// Nodes that renewed their leases here since the last `take_changes`.
+    /// The nodes that have renewed their leases at this controller since the last `take_changes`.
     unsent: BTreeSet<String>,
-    /// Since when this controller is partitioned from the others, if it is.
+    /// The start of the current partition of this controller from the others; none without a partition.
     isolated_since: Option<u64>,
     version: u64,
 }
 
 impl LeaseTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(timing: LeaseTiming) -> Self {
         LeaseTable {
             timing,
@@ -108,151 +110,162 @@
         }
     }
 
-    /// Renews a lease; returns whether anything but the rates of sends has changed.
+    /// Renews a lease. Returns whether anything other than the request rates and the failures has changed.
     pub fn renew(&mut self, now: u64, lease: Lease) -> bool {
         self.unsent.insert(lease.node.clone());
-        self.take(lease, now)
+        self.replace(lease, now)
     }
 
-    /// Merges the record of another controller; returns the same as `renew`.
+    /// Merges the record of another controller. Returns the same as [`renew`](Self::renew).
     pub fn merge(&mut self, now: u64, record: LeaseRecord) -> bool {
         let renewed_at = now.saturating_sub(record.age_ms);
         let entry = self.entries.get(&record.lease.node);
-        let newer = entry.is_none_or(|entry| entry.restored || renewed_at > entry.renewed_at);
+        let is_newer = entry.is_none_or(|entry| entry.restored || renewed_at > entry.renewed_at);
         let is_recent = renewed_at + self.timing.lease_ms + self.timing.retention_ms >= now;
-        newer && is_recent && self.take(record.lease, renewed_at)
+        is_newer && is_recent && self.replace(record.lease, renewed_at)
     }
 
-    /// Restores a record of the saved state; a lease that was in force then counts as renewed now. Any report or record
-    /// of another controller replaces it. Returns whether the balancer was unknown.
+    /// Restores a record of the saved state. A lease that was valid when the state was saved counts as
+    /// renewed now. Any report, and any record of another controller, replaces the restored lease. Returns
+    /// whether the balancer was added.
     pub fn restore(&mut self, now: u64, record: LeaseRecord) -> bool {
         if self.entries.contains_key(&record.lease.node) || self.entries.len() >= LEASE_CAPACITY {
             return false;
         }
-        let was_live = record.age_ms <= self.timing.lease_ms;
-        let renewed_at = if was_live { now } else { now.saturating_sub(record.age_ms) };
+        let was_valid = record.age_ms <= self.timing.lease_ms;
+        let renewed_at = if was_valid { now } else { now.saturating_sub(record.age_ms) };
         let node = record.lease.node.clone();
-        self.entries
-            .insert(node, LeaseEntry { lease: record.lease, renewed_at, lost: !was_live, restored: true });
+        self.entries.insert(
+            node,
+            LeaseEntry { lease: record.lease, renewed_at, has_expired: !was_valid, restored: true },
+        );
         self.version += 1;
         true
     }
 
-    /// Removes what is known from the saved state alone: by now every live balancer has reported.
+    /// Removes the balancers that are known only from the saved state. The caller ensures that every live
+    /// balancer has reported by now.
     pub fn drop_restored(&mut self) {
         let count = self.entries.len();
         self.entries.retain(|_, entry| !entry.restored);
         self.version += (count - self.entries.len()) as u64;
     }
 
-    /// Records of the renewals here since the last call, for the other controllers.
+    /// Returns records of the leases that were renewed at this controller since the last call, to be sent to
+    /// the other controllers.
     pub fn take_changes(&mut self, now: u64) -> Vec<LeaseRecord> {
         let unsent = std::mem::take(&mut self.unsent);
         unsent.iter().filter_map(|node| self.entries.get(node)).map(|entry| entry.record(now)).collect()
     }
 
-    /// Whether `take_changes` would return any record.
+    /// Whether [`take_changes`](Self::take_changes) would return any record.
     pub fn has_changes(&self) -> bool {
         !self.unsent.is_empty()
     }
 
-    /// Records of all balancers that are counted.
+    /// Records of all known balancers.
     pub fn snapshot(&self, now: u64) -> Vec<LeaseRecord> {
         self.entries.values().map(|entry| entry.record(now)).collect()
     }
 
-    /// The records of `snapshot` that have been renewed since this process started.
+    /// Records of the leases that were renewed since this process started.
     pub fn observed_records(&self, now: u64) -> Vec<LeaseRecord> {
         self.entries.values().filter(|entry| !entry.restored).map(|entry| entry.record(now)).collect()
     }
 
-    /// The records of `snapshot` that are known from the saved state alone.
+    /// Records of the leases that are known only from the saved state.
     pub fn restored_records(&self, now: u64) -> Vec<LeaseRecord> {
         self.entries.values().filter(|entry| entry.restored).map(|entry| entry.record(now)).collect()
     }
 
-    /// While this controller is partitioned from the others it keeps counting the balancers that it can't reach.
+    /// Sets whether this controller is partitioned from the others. During a partition unreachable balancers
+    /// are still counted.
     pub fn set_isolated(&mut self, now: u64, isolated: bool) {
         self.isolated_since = isolated.then(|| self.isolated_since.unwrap_or(now));
     }
 
-    /// Ends leases that were not renewed and removes balancers after the retention time; returns whether there were any.
+    /// Marks leases that were not renewed as expired, and removes balancers after the retention time. Returns
+    /// whether any lease has expired or any balancer was removed.
     pub fn expire(&mut self, now: u64) -> bool {
         let version = self.version;
-        for entry in self.entries.values_mut().filter(|entry| !entry.lost) {
-            entry.lost = !entry.is_live(now, &self.timing);
-            self.version += u64::from(entry.lost);
+        for entry in self.entries.values_mut().filter(|entry| !entry.has_expired) {
+            entry.has_expired = !entry.is_valid(now, &self.timing);
+            self.version += u64::from(entry.has_expired);
         }
         if self.isolated_since.is_none() {
-            let removed_after = self.timing.lease_ms + self.timing.retention_ms;
+            let removal_delay_ms = self.timing.lease_ms + self.timing.retention_ms;
             let count = self.entries.len();
-            self.entries.retain(|_, entry| entry.renewed_at + removed_after >= now);
+            self.entries.retain(|_, entry| entry.renewed_at + removal_delay_ms >= now);
             self.version += (count - self.entries.len()) as u64;
         }
         self.version != version
     }
 
-    /// The leases in force.
+    /// The leases that have not expired.
     pub fn live_leases(&self, now: u64) -> impl Iterator<Item = &Lease> {
-        self.entries.values().filter(move |entry| entry.is_live(now, &self.timing)).map(|entry| &entry.lease)
+        self.entries.values().filter(move |entry| entry.is_valid(now, &self.timing)).map(|entry| &entry.lease)
     }
 
-    /// The leases in force, and those that were in force when this controller was partitioned from the others: it does
-    /// not receive the reports of these balancers, but clients may reach them.
+    /// The leases that have not expired, and those that were valid when the current partition began. This
+    /// controller does not receive reports of the latter balancers, but clients may still reach them.
     pub fn presumed_live_leases(&self, now: u64) -> impl Iterator<Item = &Lease> {
-        let was_live_at_partition = move |entry: &LeaseEntry| {
+        let was_valid_at_partition = move |entry: &LeaseEntry| {
             self.isolated_since.is_some_and(|since| entry.renewed_at + 2 * self.timing.lease_ms >= since)
         };
-        let presumed =
-            move |entry: &&LeaseEntry| entry.is_live(now, &self.timing) || was_live_at_partition(entry);
-        self.entries.values().filter(presumed).map(|entry| &entry.lease)
+        let is_presumed_live =
+            move |entry: &&LeaseEntry| entry.is_valid(now, &self.timing) || was_valid_at_partition(entry);
+        self.entries.values().filter(is_presumed_live).map(|entry| &entry.lease)
     }
 
-    /// The number of balancers that may send requests: those with a lease, and those that lost theirs less than the
-    /// retention time ago. A node that has restarted counts once.
+    /// The number of balancers that may send requests: those with a valid lease, and those whose lease
+    /// expired less than the retention time ago. A restarted node counts once.
     pub fn balancer_count(&self, now: u64) -> u32 {
-        let removed_after = self.timing.lease_ms + self.timing.retention_ms;
-        let counted =
-            |entry: &&LeaseEntry| self.isolated_since.is_some() || entry.renewed_at + removed_after >= now;
-        self.entries.values().filter(counted).count() as u32
+        let removal_delay_ms = self.timing.lease_ms + self.timing.retention_ms;
+        let is_counted =
+            |entry: &&LeaseEntry| self.isolated_since.is_some() || entry.renewed_at + removal_delay_ms >= now;
+        self.entries.values().filter(is_counted).count() as u32
     }
 
-    /// The rates of requests of all balancers with a lease, summed by service and region.
+    /// The request rates of all balancers with a valid lease, summed by service and region.
     pub fn request_rates(&self, now: u64) -> Vec<RegionRequestRate> {
         let mut sums: BTreeMap<(&str, &str), f64> = BTreeMap::new();
-        for sends in self.live_leases(now).flat_map(|lease| &lease.request_rates) {
-            *sums.entry((&sends.service, &sends.region)).or_default() += sends.requests_per_s;
+        for rate in self.live_leases(now).flat_map(|lease| &lease.request_rates) {
+            *sums.entry((&rate.service, &rate.region)).or_default() += rate.requests_per_s;
         }
-        let load = |((service, region), requests_per_s): ((&str, &str), f64)| RegionRequestRate {
+        let request_rate = |((service, region), requests_per_s): ((&str, &str), f64)| RegionRequestRate {
             service: service.to_owned(),
             region: region.to_owned(),
             requests_per_s,
         };
-        sums.into_iter().map(load).collect()
+        sums.into_iter().map(request_rate).collect()
     }
 
-    /// Rises when a balancer is added or removed, or changes anything but its rates.
+    /// The version of the table. It increases when a balancer is added or removed, or changes anything other
+    /// than its request rates and failures.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    fn take(&mut self, mut lease: Lease, renewed_at: u64) -> bool {
+    fn replace(&mut self, mut lease: Lease, renewed_at: u64) -> bool {
         let entry = self.entries.get(&lease.node);
-        let same_incarnation = entry.filter(|entry| entry.lease.incarnation == lease.incarnation);
-        lease.shutting_down |= same_incarnation.is_some_and(|entry| entry.lease.shutting_down);
-        let changed = entry.is_none_or(|entry| entry.lost || entry.lease.differs_beyond_sends(&lease));
+        let same_incarnation_entry = entry.filter(|entry| entry.lease.incarnation == lease.incarnation);
+        lease.shutting_down |= same_incarnation_entry.is_some_and(|entry| entry.lease.shutting_down);
+        let changed = entry.is_none_or(|entry| entry.has_expired || entry.lease.differs_beyond_rates(&lease));
         if entry.is_none() && self.entries.len() >= LEASE_CAPACITY {
             return false;
         }
-        self.entries
-            .insert(lease.node.clone(), LeaseEntry { lease, renewed_at, lost: false, restored: false });
+        self.entries.insert(
+            lease.node.clone(),
+            LeaseEntry { lease, renewed_at, has_expired: false, restored: false },
+        );
         self.version += u64::from(changed);
         changed
     }
 }
 
 impl Lease {
-    fn differs_beyond_sends(&self, other: &Lease) -> bool {
+    /// Whether the leases differ in anything other than the node, the request rates and the failures.
+    fn differs_beyond_rates(&self, other: &Lease) -> bool {
         self.incarnation != other.incarnation
             || self.ready != other.ready
             || self.shutting_down != other.shutting_down
@@ -263,7 +276,7 @@
 }
 
 impl LeaseEntry {
-    fn is_live(&self, now: u64, timing: &LeaseTiming) -> bool {
+    fn is_valid(&self, now: u64, timing: &LeaseTiming) -> bool {
         self.renewed_at + timing.lease_ms >= now
     }
 
--- a/controlplane/registry/src/lib.rs
+++ b/controlplane/registry/src/lib.rs
@@ -1,14 +1,15 @@
-//! The registries of a controller: upstream instances by their heartbeats, and balancers by their leases.
+//! The registries of a controller: [`InstanceRegistry`] tracks upstream instances by their heartbeats, and
+//! [`LeaseTable`] tracks balancers by their leases.
 //!
-//! Both are state machines without a clock or sockets: the time is passed in as milliseconds of a steady clock, and the
-//! observations of other controllers are merged as records.
+//! Both are state machines without a clock or sockets. The caller passes the time in milliseconds of a
+//! monotonic clock, and merges the observations of other controllers as records.
 //!
 //! ```
 //! use whinspindle_registry::{InstanceRegistry, RegistryTiming, ServiceSize};
 //!
 //! let mut registry = InstanceRegistry::new(RegistryTiming { heartbeat_ms: 1_000 });
 //! assert!(registry.is_empty());
-//! assert!(!registry.expire(5_000), "there is nothing to remove");
+//! assert!(!registry.expire(5_000), "the registry is empty");
 //! ```
 
 mod departures;
@@ -16,7 +17,7 @@
 mod instances;
 mod known_instances;
 mod leases;
-mod recent_ends;
+mod recent_deregistrations;
 
 pub use instance_record::InstanceRecord;
 pub use instances::{HeartbeatEffect, InstanceRegistry, RegistryTiming, ServiceSize};
--- a/controlplane/registry/tests/instances.rs
+++ b/controlplane/registry/tests/instances.rs
@@ -1,4 +1,4 @@
-//! The registry of instances: heartbeats, records of other controllers, ends and silence.
+//! Tests of the instance registry: heartbeats, records of other controllers, departures and silence timeouts.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,14 @@
     InstanceRegistry::new(RegistryTiming { heartbeat_ms: HEARTBEAT_MS })
 }
 
-fn address(last: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, last], 8080))
+fn address(host: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, host], 8080))
 }
 
-fn ready(last: u8, sequence: u64) -> Heartbeat {
+fn ready(host: u8, sequence: u64) -> Heartbeat {
     Heartbeat {
         backend: "model".into(),
-        address: address(last),
+        address: address(host),
         zone: "z1".into(),
         generation: "v1".into(),
         slots: 8,
@@ -31,8 +31,8 @@
     }
 }
 
-fn draining(last: u8, sequence: u64) -> Heartbeat {
-    Heartbeat { state: InstanceState::Draining, ..ready(last, sequence) }
+fn draining(host: u8, sequence: u64) -> Heartbeat {
+    Heartbeat { state: InstanceState::Draining, ..ready(host, sequence) }
 }
 
 fn ids(registry: &InstanceRegistry) -> Vec<String> {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_first_heartbeat_makes_an_instance_known() {
+fn first_heartbeat_adds_an_instance() {
     let mut registry = registry();
     let version = registry.version();
     assert_eq!(registry.record_heartbeat(0, "a", &ready(1, 1)), HeartbeatEffect::Accepted { changed: true });
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_repeated_heartbeat_changes_nothing_for_balancers() {
+fn repeated_heartbeat_does_not_change_the_version() {
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &ready(1, 1));
     let version = registry.version();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_is_stale() {
+fn late_heartbeat_is_stale() {
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &Heartbeat { slots: 9, ..ready(1, 5) });
     assert_eq!(registry.record_heartbeat(10, "a", &ready(1, 4)), HeartbeatEffect::Stale);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn heartbeat_received_again_by_gossip_changes_nothing() {
+fn duplicate_gossip_record_does_not_change_the_version() {
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &ready(1, 5));
     let record = registry.snapshot(0).remove(0);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn heartbeats_received_late_by_gossip_change_nothing() {
+fn delayed_gossip_records_do_not_change_the_version() {
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &ready(1, 5));
     let mut record = registry.snapshot(0).remove(0);
@@ -92,7 +92,7 @@
     for last_seen_at in [1_000, 2_000, 3_000] {
         record.sequence += 1;
         record.age_ms = 300;
-        assert!(!registry.merge(last_seen_at + record.age_ms, record.clone()), "it was warm and still is");
+        assert!(!registry.merge(last_seen_at + record.age_ms, record.clone()), "the instance stays warm");
     }
     assert_eq!(registry.version(), version);
 }
@@ -102,7 +102,7 @@
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &ready(1, 1));
     assert_eq!(registry.record_heartbeat(1, "a", &draining(1, 2)), HeartbeatEffect::DrainingAnnounced);
-    assert!(registry.snapshot(1)[0].draining, "balancers are told before the commit");
+    assert!(registry.snapshot(1)[0].draining, "the drain is published before it is committed");
     assert_eq!(registry.record_heartbeat(2, "a", &draining(1, 3)), HeartbeatEffect::DrainingAnnounced);
     registry.mark_draining("a");
     assert_eq!(
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn late_heartbeat_of_a_draining_instance_counts() {
+fn late_draining_heartbeat_is_applied() {
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &ready(1, 9));
     assert_eq!(registry.record_heartbeat(1, "a", &draining(1, 8)), HeartbeatEffect::DrainingAnnounced);
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn a_draining_instance_never_becomes_ready_again() {
+fn draining_instance_never_becomes_ready_again() {
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &draining(1, 1));
     registry.record_heartbeat(1, "a", &ready(1, 2));
     assert!(registry.snapshot(1)[0].draining);
     registry.expire(100_000);
     registry.record_heartbeat(100_001, "a", &ready(1, 3));
-    assert!(registry.snapshot(100_001)[0].draining, "also after it was lost in between");
+    assert!(registry.snapshot(100_001)[0].draining, "a removed instance stays draining");
 }
 
 #[test]
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_newer_incarnation_takes_the_address() {
+fn newer_instance_takes_over_the_address() {
     let mut registry = registry();
     registry.record_heartbeat(0, "old", &ready(1, 40));
     registry.record_heartbeat(2_000, "new", &ready(1, 1));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_older_record_does_not_take_the_address_back() {
+fn older_record_does_not_reclaim_the_address() {
     let mut registry = registry();
     registry.record_heartbeat(0, "old", &ready(1, 40));
     let record = registry.snapshot(1_500).remove(0);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn instance_displaced_by_a_late_heartbeat_comes_back() {
+fn displaced_instance_is_added_again_by_its_next_heartbeat() {
     let mut registry = registry();
     registry.record_heartbeat(0, "new", &ready(1, 3));
     registry.record_heartbeat(10, "old", &ready(1, 40));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn an_isolated_controller_loses_no_instance() {
+fn isolated_controller_removes_no_instance() {
     let mut registry = registry();
     registry.record_heartbeat(0, "a", &ready(1, 1));
     registry.set_isolated(100, true);
@@ -243,24 +243,24 @@
 }
 
 #[test]
-fn instance_silent_during_a_partition_keeps_its_age_for_others() {
-    let mut returning = registry();
-    returning.record_heartbeat(0, "a", &ready(1, 1));
-    returning.set_isolated(100, true);
-    returning.expire(20_000);
-    returning.set_isolated(20_000, false);
-    assert_eq!(ids(&returning), ["a"], "it may only have called others");
-    assert_eq!(returning.snapshot(20_100)[0].age_ms, 20_100);
+fn exported_age_includes_silence_during_a_partition() {
+    let mut rejoined = registry();
+    rejoined.record_heartbeat(0, "a", &ready(1, 1));
+    rejoined.set_isolated(100, true);
+    rejoined.expire(20_000);
+    rejoined.set_isolated(20_000, false);
+    assert_eq!(ids(&rejoined), ["a"], "it may have sent heartbeats to other controllers");
+    assert_eq!(rejoined.snapshot(20_100)[0].age_ms, 20_100);
     let mut other = registry();
-    for record in returning.observed_records(20_100) {
+    for record in rejoined.observed_records(20_100) {
         assert!(!other.merge(20_100, record), "it has been silent for too long");
     }
-    returning.record_heartbeat(21_000, "a", &ready(1, 2));
-    assert_eq!(returning.snapshot(21_000)[0].age_ms, 0);
+    rejoined.record_heartbeat(21_000, "a", &ready(1, 2));
+    assert_eq!(rejoined.snapshot(21_000)[0].age_ms, 0);
 }
 
 #[test]
-fn instance_silent_during_a_pause_keeps_its_age_for_others() {
+fn exported_age_includes_silence_during_a_pause() {
     let mut paused = registry();
     paused.record_heartbeat(0, "a", &ready(1, 1));
     paused.expire(500);
@@ -270,21 +270,24 @@
     for now in (pause_end..=pause_end + SILENCE_TIMEOUT_MS - 500).step_by(500) {
         assert!(!paused.expire(now));
     }
-    assert!(paused.expire(pause_end + SILENCE_TIMEOUT_MS), "half a second of silence came before the pause");
+    assert!(
+        paused.expire(pause_end + SILENCE_TIMEOUT_MS),
+        "half a second of silence before the pause counts"
+    );
 }
 
 #[test]
 fn address_taken_over_during_a_partition_stays_taken() {
-    let mut returning = registry();
-    returning.record_heartbeat(0, "a", &ready(1, 1));
-    returning.set_isolated(100, true);
-    returning.set_isolated(20_000, false);
+    let mut rejoined = registry();
+    rejoined.record_heartbeat(0, "a", &ready(1, 1));
+    rejoined.set_isolated(100, true);
+    rejoined.set_isolated(20_000, false);
     let mut other = registry();
     other.record_heartbeat(19_000, "b", &ready(1, 1));
     for record in other.observed_records(20_100) {
-        assert!(returning.merge(20_100, record), "it was heard there later");
+        assert!(rejoined.merge(20_100, record), "the other controller has received a later heartbeat");
     }
-    assert_eq!(ids(&returning), ["b"]);
+    assert_eq!(ids(&rejoined), ["b"]);
 }
 
 #[test]
@@ -294,9 +297,9 @@
     assert_eq!(registry.snapshot(1_500)[0].slow_start_ms, 2_500);
     let version = registry.version();
     registry.record_heartbeat(2_000, "a", &Heartbeat { slow_start_ms: 2_010, ..ready(1, 2) });
-    assert_eq!(registry.version(), version, "it runs down as was told");
+    assert_eq!(registry.version(), version, "the slow start ends at the expected time");
     registry.record_heartbeat(3_000, "a", &Heartbeat { slow_start_ms: 3_000, ..ready(1, 3) });
-    assert!(registry.version() > version, "it has turned cold again");
+    assert!(registry.version() > version, "the slow start has restarted");
     assert_eq!(registry.snapshot(3_000)[0].slow_start_ms, 3_000);
 }
 
@@ -313,7 +316,7 @@
     assert!(registry.take_changes(6).is_empty());
 }
 
-/// A few heartbeats of a few instances.
+/// A random heartbeat of one of four instances.
 #[derive(Clone, Debug)]
 struct RandomHeartbeat {
     instance: u8,
@@ -333,50 +336,50 @@
     }
 }
 
-fn play(registry: &mut InstanceRegistry, now: u64, random: &RandomHeartbeat) {
+fn apply(registry: &mut InstanceRegistry, now: u64, random: &RandomHeartbeat) {
     let state = if random.draining { InstanceState::Draining } else { InstanceState::Ready };
     let heartbeat =
         Heartbeat { state, slow_start_ms: random.slow_start_ms, ..ready(random.instance, random.sequence) };
     registry.record_heartbeat(now, &format!("i{}", random.instance), &heartbeat);
 }
 
-fn sorted(registry: &InstanceRegistry, now: u64) -> Vec<InstanceRecord> {
+fn sorted_records(registry: &InstanceRegistry, now: u64) -> Vec<InstanceRecord> {
     let mut records = registry.snapshot(now);
     records.sort_by(|a, b| a.id.cmp(&b.id));
     records
 }
 
 quickcheck! {
-    fn merging_twice_is_merging_once(heartbeats: Vec<RandomHeartbeat>) -> bool {
+    fn merge_is_idempotent(heartbeats: Vec<RandomHeartbeat>) -> bool {
         let (mut source, mut copy) = (registry(), registry());
-        heartbeats.iter().for_each(|random| play(&mut source, 100, random));
+        heartbeats.iter().for_each(|random| apply(&mut source, 100, random));
         let records = source.snapshot(100);
         for record in &records {
             copy.merge(100, record.clone());
         }
-        let once = sorted(&copy, 100);
-        let again = records.into_iter().any(|record| copy.merge(100, record));
-        !again && once == sorted(&copy, 100) && once == sorted(&source, 100)
+        let merged_once = sorted_records(&copy, 100);
+        let has_changed_again = records.into_iter().any(|record| copy.merge(100, record));
+        !has_changed_again && merged_once == sorted_records(&copy, 100) && merged_once == sorted_records(&source, 100)
     }
 
-    fn controllers_that_exchange_everything_agree_on_sequences_and_drains(first: Vec<RandomHeartbeat>, second: Vec<RandomHeartbeat>) -> bool {
+    fn exchange_of_all_changes_converges_on_sequences_and_drains(first: Vec<RandomHeartbeat>, second: Vec<RandomHeartbeat>) -> bool {
         let (mut a, mut b) = (registry(), registry());
-        first.iter().for_each(|random| play(&mut a, 100, random));
-        second.iter().for_each(|random| play(&mut b, 100, random));
+        first.iter().for_each(|random| apply(&mut a, 100, random));
+        second.iter().for_each(|random| apply(&mut b, 100, random));
         let (from_a, from_b) = (a.take_changes(100), b.take_changes(100));
         from_a.into_iter().for_each(|record| { b.merge(100, record); });
         from_b.into_iter().for_each(|record| { a.merge(100, record); });
-        let seen = |registry: &InstanceRegistry| -> Vec<(String, u64, bool)> {
-            sorted(registry, 100).into_iter().map(|r| (r.id, r.sequence, r.draining)).collect()
+        let sequences_and_drains = |registry: &InstanceRegistry| -> Vec<(String, u64, bool)> {
+            sorted_records(registry, 100).into_iter().map(|record| (record.id, record.sequence, record.draining)).collect()
         };
-        seen(&a) == seen(&b)
+        sequences_and_drains(&a) == sequences_and_drains(&b)
     }
 
     fn drain_is_never_reverted(heartbeats: Vec<RandomHeartbeat>) -> bool {
         let mut registry = registry();
         let mut drained = std::collections::BTreeSet::new();
         heartbeats.iter().all(|random| {
-            play(&mut registry, 100, random);
+            apply(&mut registry, 100, random);
             if random.draining {
                 drained.insert(format!("i{}", random.instance));
             }
@@ -385,12 +388,12 @@
     }
 }
 
-/// A record from before the start.
-fn record(last: u8, id: &str, sequence: u64) -> InstanceRecord {
+/// A record of the saved state.
+fn record(host: u8, id: &str, sequence: u64) -> InstanceRecord {
     InstanceRecord {
         id: id.into(),
         service: "model".into(),
-        address: address(last),
+        address: address(host),
         zone: "z1".into(),
         generation: "v1".into(),
         slots: 8,
@@ -436,7 +439,7 @@
     registry.expire(5_400);
     assert_eq!(ids(&registry), ["a"]);
     registry.expire(5_600);
-    assert!(ids(&registry).is_empty(), "it was last heard of long before the recall");
+    assert!(ids(&registry).is_empty(), "the last heartbeat was long before the restore");
 }
 
 #[test]
@@ -445,7 +448,7 @@
     registry.restore(5_000, record(1, "a", 3));
     registry.merge(5_000, InstanceRecord { age_ms: 1_000, ..record(1, "b", 1) });
     assert_eq!(ids(&registry), ["b"]);
-    assert!(!registry.restore(5_000, record(1, "a", 3)), "what was heard stands");
+    assert!(!registry.restore(5_000, record(1, "a", 3)), "the observed instance keeps the address");
 }
 
 #[test]
--- a/controlplane/registry/tests/leases.rs
+++ b/controlplane/registry/tests/leases.rs
@@ -1,4 +1,4 @@
-//! The leases of balancers.
+//! Tests of the table of balancers' leases.
 
 use std::net::SocketAddr;
 
@@ -12,17 +12,17 @@
     LeaseTable::new(LeaseTiming { lease_ms: LEASE_MS, retention_ms: RETENTION_MS })
 }
 
-fn front_address(last: u8) -> SocketAddr {
-    SocketAddr::from(([10, 0, 0, last], 8000))
+fn front_address(host: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, host], 8000))
 }
 
-fn lease(last: u8, zone: &str, region: &str) -> Lease {
+fn lease(number: u8, zone: &str, region: &str) -> Lease {
     Lease {
-        node: format!("edge-{last}"),
+        node: format!("edge-{number}"),
         incarnation: 1,
         zone: zone.into(),
         region: region.into(),
-        front_address: front_address(last),
+        front_address: front_address(number),
         ready: true,
         shutting_down: false,
         request_rates: vec![RegionRequestRate {
@@ -35,13 +35,13 @@
 }
 
 #[test]
-fn a_lease_ends_without_renewal_but_its_balancer_still_counts() {
+fn balancer_with_an_expired_lease_is_still_counted() {
     let mut table = table();
     table.renew(0, lease(1, "z1", "r1"));
     assert_eq!(table.live_leases(LEASE_MS).count(), 1);
     assert_eq!(table.live_leases(LEASE_MS + 1).count(), 0);
     assert!(table.expire(LEASE_MS + 1));
-    assert!(!table.expire(LEASE_MS + 2), "told once");
+    assert!(!table.expire(LEASE_MS + 2), "the expiry is reported once");
     assert_eq!(table.balancer_count(LEASE_MS + RETENTION_MS), 1);
     assert_eq!(table.balancer_count(LEASE_MS + RETENTION_MS + 1), 0);
     assert!(table.expire(LEASE_MS + RETENTION_MS + 1));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_isolated_controller_keeps_counting() {
+fn isolated_controller_keeps_counting_balancers() {
     let mut table = table();
     table.renew(0, lease(1, "z1", "r1"));
     table.set_isolated(0, true);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn older_record_changes_nothing() {
+fn older_record_is_ignored() {
     let mut table = table();
     table.renew(1_000, Lease { incarnation: 2, ..lease(1, "z1", "r1") });
     assert!(!table.merge(1_100, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: 500 }));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn changed_rates_are_not_a_change() {
+fn changed_request_rates_do_not_change_the_version() {
     let mut table = table();
     assert!(table.renew(0, lease(1, "z1", "r1")));
     let version = table.version();
@@ -119,7 +119,7 @@
 }
 
 quickcheck! {
-    fn merging_twice_is_merging_once(nodes: Vec<(u8, u16)>) -> bool {
+    fn merge_is_idempotent(nodes: Vec<(u8, u16)>) -> bool {
         let (mut source, mut copy) = (table(), table());
         let mut renewals = nodes;
         renewals.sort_by_key(|&(_, at)| at);
@@ -129,20 +129,20 @@
         let now = 70_000;
         let records = source.snapshot(now);
         records.iter().for_each(|record| { copy.merge(now, record.clone()); });
-        let once = copy.snapshot(now);
-        let again = records.into_iter().any(|record| copy.merge(now, record));
-        !again && once == copy.snapshot(now) && copy.balancer_count(now) == source.balancer_count(now)
+        let merged_once = copy.snapshot(now);
+        let has_changed_again = records.into_iter().any(|record| copy.merge(now, record));
+        !has_changed_again && merged_once == copy.snapshot(now) && copy.balancer_count(now) == source.balancer_count(now)
     }
 }
 
 #[test]
-fn restored_lease_lasts_for_a_full_term() {
+fn restored_lease_is_valid_for_a_full_term() {
     let mut table = table();
     let lease = lease(1, "z1", "r1");
     assert!(table.restore(10_000, LeaseRecord { lease: lease.clone(), age_ms: 1_500 }));
     assert_eq!(table.live_leases(10_000 + LEASE_MS).count(), 1);
     assert!(table.observed_records(10_000).is_empty());
-    assert!(!table.restore(10_000, LeaseRecord { lease, age_ms: 0 }), "it is known");
+    assert!(!table.restore(10_000, LeaseRecord { lease, age_ms: 0 }), "the lease is already known");
     table.expire(10_001 + LEASE_MS);
     assert_eq!(
         (table.live_leases(10_001 + LEASE_MS).count(), table.balancer_count(10_001 + LEASE_MS)),
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn restored_lease_that_had_ended_is_only_counted() {
+fn restored_expired_lease_is_only_counted() {
     let mut table = table();
     table.restore(40_000, LeaseRecord { lease: lease(1, "z1", "r1"), age_ms: LEASE_MS + 1 });
     assert_eq!((table.live_leases(40_000).count(), table.balancer_count(40_000)), (0, 1));
