--- a/balancer/operator-file/src/fleet.rs
+++ b/balancer/operator-file/src/fleet.rs
@@ -62,48 +62,48 @@
     let me = deployment.terms.rank.min(u16::MAX as usize) as u16;
     if me >= members {
         let way_out = "settings whose rank is below their number of balancers";
-        t.fault(&t.place(), format!("this balancer is number {me} of {members}"), way_out);
+        t.report_error(&t.location(), format!("this balancer is number {me} of {members}"), way_out);
     }
     let voters = voters(&t, members);
     let Times { right, pace, absent } = times(&t, members);
     let datagram = datagram(&t);
     Some(FleetTerms {
-        name: t.text("name", None),
-        secret: t.text("secret", Some("")),
-        socket: PathBuf::from(t.text("socket", None)),
-        store: PathBuf::from(t.text("store", None)),
+        name: t.string("name", None),
+        secret: t.string("secret", Some("")),
+        socket: PathBuf::from(t.string("socket", None)),
+        store: PathBuf::from(t.string("store", None)),
         voters,
         members,
         me,
         right,
-        drift: (t.number("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
+        drift: (t.float("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
         pace: pace.max(1),
         absent,
-        give_up: t.time("give-up", Some(60 * SECOND)),
-        learn: t.time("learn", Some(2 * SECOND)),
+        give_up: t.duration_us("give-up", Some(60 * SECOND)),
+        learn: t.duration_us("learn", Some(2 * SECOND)),
         datagram,
-        neighbours: t.flag("neighbours", true),
-        begin_slowly: t.flag("begin-slowly", true),
+        neighbours: t.boolean("neighbours", true),
+        begin_slowly: t.boolean("begin-slowly", true),
     })
 }
 
 /// The numbers of the voters, in order.
 fn voters(t: &Table, members: u16) -> Vec<u16> {
-    let numbers = t.numbers("voters", (0, u64::from(members.saturating_sub(1))));
+    let numbers = t.integers("voters", (0, u64::from(members.saturating_sub(1))));
     let mut voters: Vec<u16> = numbers.into_iter().map(|voter| voter as u16).collect();
     voters.sort_unstable();
     let given = voters.len();
     voters.dedup();
-    let place = t.place_of("voters");
+    let place = t.location_of("voters");
     if given != voters.len() {
-        t.fault(&place, "names a balancer twice", "each once");
+        t.report_error(&place, "names a balancer twice", "each once");
     }
     if !VOTERS.contains(&given) {
         let way_out = "three, or five: of three one may be away, of five two";
-        t.fault(&place, format!("{given} voters"), way_out);
+        t.report_error(&place, format!("{given} voters"), way_out);
     } else if given.is_multiple_of(2) {
         let fault = format!("{given} voters outlive no more than {} do", given - 1);
-        t.fault(&place, fault, "an odd number");
+        t.report_error(&place, fault, "an odd number");
     }
     voters
 }
@@ -116,32 +116,36 @@
 }
 
 fn times(t: &Table, members: u16) -> Times {
-    let right = t.time("right", Some(10 * SECOND));
+    let right = t.duration_us("right", Some(10 * SECOND));
     let shortest_pace = u64::from(members) * SECOND / ANSWERS_PER_SECOND;
-    let pace = t.time("pace", Some((right / 5).max(shortest_pace)));
+    let pace = t.duration_us("pace", Some((right / 5).max(shortest_pace)));
     if pace == 0 || pace > right / 3 {
         let fault = format!("a right of {} ms is asked for every {} ms", right / 1000, pace / 1000);
-        t.fault(&t.place_of("right"), fault, "three questions in the time of a right at the least");
+        t.report_error(&t.location_of("right"), fault, "three questions in the time of a right at the least");
     }
     if pace < shortest_pace / 2 {
         let most = 2 * ANSWERS_PER_SECOND;
         let fault = format!("{members} balancers would ask a voter over {most} times a second");
-        t.fault(&t.place_of("pace"), fault, "leave it out, or a longer one");
+        t.report_error(&t.location_of("pace"), fault, "leave it out, or a longer one");
     }
-    let absent = t.time("absent", Some(right));
+    let absent = t.duration_us("absent", Some(right));
     if absent < 2 * pace {
         let way_out = "twice the pace at the least";
-        t.fault(&t.place_of("absent"), "one question lost would make a balancer pass for away", way_out);
+        t.report_error(
+            &t.location_of("absent"),
+            "one question lost would make a balancer pass for away",
+            way_out,
+        );
     }
     Times { right, pace, absent }
 }
 
 /// The largest datagram, in bytes.
 fn datagram(t: &Table) -> usize {
-    let datagram = t.size("datagram", Some(DEFAULT_DATAGRAM));
+    let datagram = t.size_bytes("datagram", Some(DEFAULT_DATAGRAM));
     if !(DEFAULT_DATAGRAM..=MAX_DATAGRAM).contains(&datagram) {
         let way_out = format!("from {DEFAULT_DATAGRAM} to {MAX_DATAGRAM} bytes");
-        t.fault(&t.place_of("datagram"), format!("{datagram} bytes"), way_out);
+        t.report_error(&t.location_of("datagram"), format!("{datagram} bytes"), way_out);
     }
     datagram as usize
 }
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -23,7 +23,7 @@
 use whinspindle_deployment_settings::{Deployment, index};
 use whinspindle_rollout::Limits;
 use whinspindle_routes::{Bounds, Conditions, RouteTable};
-use whinspindle_toml_config::Fault;
+use whinspindle_toml_config::ConfigError;
 
 pub use draw::draw;
 pub use fleet::FleetTerms;
@@ -111,14 +111,14 @@
 }
 
 /// Reads and proves a file for a deployment.
-pub fn read(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
-    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, true))
+pub fn read(text: &str, deployment: &Deployment) -> Result<Operator, Vec<ConfigError>> {
+    whinspindle_toml_config::parse(text, |table| read::operator(table, deployment, true))
 }
 
 /// Reads and proves the text of a fleet's policy: routes, limits, and what holds in a partition, but no setting of
 /// a single balancer.
-pub fn read_policy(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
-    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, false))
+pub fn read_policy(text: &str, deployment: &Deployment) -> Result<Operator, Vec<ConfigError>> {
+    whinspindle_toml_config::parse(text, |table| read::operator(table, deployment, false))
 }
 
 /// What the deployment allows and demands, as far as the proof needs it.
--- a/balancer/operator-file/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -21,19 +21,23 @@
     if table.is_empty() {
         let way_out = "a table at the least, [cut-off] for one; a file that is only being written looks like this, so \
                        write it beside and rename it";
-        table.fault(&table.place(), "the file is empty", way_out);
+        table.report_error(&table.location(), "the file is empty", way_out);
     }
     let routes = route::routes(table, "route", deployment);
-    if fleet.is_some() && table.holds("route") {
+    if fleet.is_some() && table.contains_key("route") {
         let way_out = "a file of their own for them: whinspindle fleet propose FILE";
-        table.fault(&table.place_of("route"), "routes are agreed on by the fleet", way_out);
+        table.report_error(&table.location_of("route"), "routes are agreed on by the fleet", way_out);
     }
     let cut_off = match table.table("cut-off") {
         None => CutOff::Routes(RouteTable::new(Vec::new())),
         Some(t) => {
             let rejects = t.one_of("queries", &[("reject", true), ("take", false)], Some(false));
-            if rejects && t.holds("route") {
-                t.fault(&t.place_of("route"), "no query comes to a route here", "queries = \"take\"");
+            if rejects && t.contains_key("route") {
+                t.report_error(
+                    &t.location_of("route"),
+                    "no query comes to a route here",
+                    "queries = \"take\"",
+                );
             }
             let routes = route::routes(&t, "route", deployment);
             if rejects { CutOff::Rejects } else { CutOff::Routes(routes) }
@@ -45,35 +49,43 @@
 }
 
 fn keep(t: &Table) -> Keep {
-    let (fresh, old) = (t.time("fresh", Some(10 * SECOND)), t.time("old", Some(3600 * SECOND)));
+    let (fresh, old) = (t.duration_us("fresh", Some(10 * SECOND)), t.duration_us("old", Some(3600 * SECOND)));
     if fresh >= old {
-        t.fault(&t.place_of("fresh"), "a list would be old before it is fresh no more", "less than old");
+        t.report_error(
+            &t.location_of("fresh"),
+            "a list would be old before it is fresh no more",
+            "less than old",
+        );
     }
-    Keep { folder: PathBuf::from(t.text("folder", None)), fresh, old }
+    Keep { folder: PathBuf::from(t.string("folder", None)), fresh, old }
 }
 
 /// How many units may be out of service at once. Limits that allow none or all, or contradict one another, are
 /// faults.
 fn limits(t: &Table, deployment: &Deployment, own: bool) -> Limits {
     if own {
-        t.fault(
-            &t.place(),
+        t.report_error(
+            &t.location(),
             "limits are agreed on by the fleet",
             "in a policy: whinspindle fleet propose FILE",
         );
     }
-    let most = |key: &str| t.holds(key).then(|| t.count(key, (1, 100_000), None) as usize);
+    let most = |key: &str| t.contains_key(key).then(|| t.integer(key, (1, 100_000), None) as usize);
     let limits = Limits {
         balancers: most("balancers"),
         servers: most("servers"),
         servers_by_zone: most("servers-by-zone"),
         servers_by_cell: most("servers-by-pod"),
-        servers_part: t.holds("servers-part").then(|| t.number("servers-part", (0.001, 0.9), None)),
+        servers_part: t.contains_key("servers-part").then(|| t.float("servers-part", (0.001, 0.9), None)),
     };
     let all = deployment.terms.balancers;
     if limits.balancers.is_some_and(|most| most >= all) {
         let way_out = format!("{} at the most", all.saturating_sub(1));
-        t.fault(&t.place_of("balancers"), format!("all {all} balancers could be out at once"), way_out);
+        t.report_error(
+            &t.location_of("balancers"),
+            format!("all {all} balancers could be out at once"),
+            way_out,
+        );
     }
     for (key, inner) in
         [("servers-by-zone", limits.servers_by_zone), ("servers-by-pod", limits.servers_by_cell)]
@@ -82,10 +94,14 @@
             && inner > most
         {
             let fault = format!("{inner} of one while {most} in all may be out");
-            t.fault(&t.place_of(key), fault, "no more than servers");
+            t.report_error(&t.location_of(key), fault, "no more than servers");
         }
         if inner.is_some() && limits.servers.is_none() && limits.servers_part.is_none() {
-            t.fault(&t.place_of(key), "nothing says how many in all may be out", "servers, or servers-part");
+            t.report_error(
+                &t.location_of(key),
+                "nothing says how many in all may be out",
+                "servers, or servers-part",
+            );
         }
     }
     limits
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -7,7 +7,7 @@
 use whinspindle_routes::proof::{self, Field};
 use whinspindle_routes::{Conditions, HedgePolicy, Matches, ProductRow, RetryOn, Route, RouteTable, Servers};
 use whinspindle_toml_config::units::Unit;
-use whinspindle_toml_config::{Place, Table, units};
+use whinspindle_toml_config::{Location, Table, units};
 
 use crate::{LARGEST_BODY, bounds};
 
@@ -16,12 +16,12 @@
 
 /// The places of a route's values in the file, for the faults that the proof finds.
 struct RoutePlaces {
-    route: Place,
-    fields: Vec<(Field, Place)>,
+    route: Location,
+    fields: Vec<(Field, Location)>,
 }
 
 impl RoutePlaces {
-    fn of(&self, field: Field) -> &Place {
+    fn of(&self, field: Field) -> &Location {
         self.fields.iter().find(|(known, _)| *known == field).map_or(&self.route, |(_, place)| place)
     }
 }
@@ -31,15 +31,15 @@
     let tables = table.tables(key);
     if tables.len() > MAX_ROUTES {
         let fault = format!("there are {} routes", tables.len());
-        table.fault(&table.place_of(key), fault, format!("at most {MAX_ROUTES}"));
+        table.report_error(&table.location_of(key), fault, format!("at most {MAX_ROUTES}"));
     }
     let mut routes = Vec::new();
     let mut places = Vec::new();
     for t in &tables {
         let (route, place) = route(t, deployment);
         if let Some(before) = routes.iter().position(|known: &Route| known.name == route.name) {
-            let place = t.place_of("name");
-            t.fault(
+            let place = t.location_of("name");
+            t.report_error(
                 &place,
                 format!("{:?} is there twice", route.name),
                 format!("a name of its own, not route {before}'s"),
@@ -53,45 +53,45 @@
         let other = &routes.routes()[tie.first].name;
         let fault = format!("matches the same queries as {other:?}, and neither is more particular");
         let way_out = "another path, or a method, product or tenant in one of them";
-        table.fault(&places[tie.second].route, fault, way_out);
+        table.report_error(&places[tie.second].route, fault, way_out);
     }
     routes
 }
 
 fn named(t: &Table, key: &str, names: &[String]) -> Option<usize> {
-    if !t.holds(key) {
+    if !t.contains_key(key) {
         return None;
     }
-    let name = t.text(key, None);
+    let name = t.string(key, None);
     let found = index(names, &name);
     if found.is_none() && !name.is_empty() {
         let way_out = format!("known to the settings: {}", names.join(", "));
-        t.fault(&t.place_of(key), format!("the settings know no {name:?}"), way_out);
+        t.report_error(&t.location_of(key), format!("the settings know no {name:?}"), way_out);
     }
     found
 }
 
 fn route(t: &Table, deployment: &Deployment) -> (Route, RoutePlaces) {
-    let text = t.text("path", Some("/*"));
+    let text = t.string("path", Some("/*"));
     let path = Pattern::read(&text).unwrap_or_else(|fault| {
         let way_out = "as in \"/orders\", \"/orders/{id}/items\" or \"/orders/*\"";
-        t.fault(&t.place_of("path"), fault.to_string(), way_out);
+        t.report_error(&t.location_of("path"), fault.to_string(), way_out);
         Pattern { segments: Vec::new(), below: true }
     });
     let methods = [("GET", "GET"), ("POST", "POST")];
-    let method = t.holds("method").then(|| t.one_of("method", &methods, None).to_string());
+    let method = t.contains_key("method").then(|| t.one_of("method", &methods, None).to_string());
     let product = named(t, "product", &deployment.products);
     let tenant = named(t, "tenant", &deployment.tenants);
     let effect = product.map(|product| deployment.terms.products[product].effect);
     if method.as_deref() == Some("GET") && effect.is_some_and(|effect| effect != Effect::Idempotent) {
         let fault = "no query can reach it: GET is only for products that are safe to repeat";
-        t.fault(&t.place_of("method"), fault, "method = \"POST\", or another product");
+        t.report_error(&t.location_of("method"), fault, "method = \"POST\", or another product");
     }
     let matches = Matches { method, path, product, tenant };
     let (shared, given) = conditions(t, deployment);
-    let place_of = |key: &str| t.place_of(key);
+    let place_of = |key: &str| t.location_of(key);
     let places = RoutePlaces {
-        route: t.place(),
+        route: t.location(),
         fields: vec![
             (Field::Time, place_of("time")),
             (Field::ExecutionTime, place_of("execution-time")),
@@ -123,14 +123,14 @@
                 let fault = format!("{rule}{} (product {of:?})", refusal.fault);
                 // A fault that all products have is reported once.
                 if !reported.contains(&(refusal.field, refusal.fault.clone())) {
-                    t.fault(places.of(refusal.field), fault, refusal.way_out.clone());
+                    t.report_error(places.of(refusal.field), fault, refusal.way_out.clone());
                     reported.push((refusal.field, refusal.fault));
                 }
             }
         }
         rows.push(conditions);
     }
-    (Route { name: t.text("name", None), matches, conditions: rows }, places)
+    (Route { name: t.string("name", None), matches, conditions: rows }, places)
 }
 
 /// What the file sets; what it doesn't is decided by the product or the deployment.
@@ -202,34 +202,34 @@
 }
 
 fn conditions(t: &Table, deployment: &Deployment) -> (Conditions, Given) {
-    let time = t.holds("time").then(|| t.time("time", None));
-    let execution_time = t.holds("execution-time").then(|| t.time("execution-time", None));
+    let time = t.contains_key("time").then(|| t.duration_us("time", None));
+    let execution_time = t.contains_key("execution-time").then(|| t.duration_us("execution-time", None));
     for (key, value) in [("time", time), ("execution-time", execution_time)] {
         if value == Some(0) {
-            t.fault(&t.place_of(key), "is nothing", "more than 0");
+            t.report_error(&t.location_of(key), "is nothing", "more than 0");
         }
     }
-    let executions = t.holds("executions").then(|| t.count("executions", (1, 100), None) as usize);
+    let executions = t.contains_key("executions").then(|| t.integer("executions", (1, 100), None) as usize);
     let given = Given {
         time,
         execution_time,
         executions,
-        retry_on: t.holds("repeat-after").then(|| retry_on(t)),
+        retry_on: t.contains_key("repeat-after").then(|| retry_on(t)),
         retry_scope: None,
     };
     let servers = t.table_or_defaults("servers");
     let scopes = [("anywhere", RetryScope::Anywhere), ("zone", RetryScope::Zone), ("pod", RetryScope::Pod)];
-    let retry_scope = servers.holds("repeats").then(|| servers.one_of("repeats", &scopes, None));
+    let retry_scope = servers.contains_key("repeats").then(|| servers.one_of("repeats", &scopes, None));
     let shared = Conditions {
         time: 0,
         execution_time: 0,
         executions: 1,
         retry_on: RetryOn::NOTHING,
-        wait: t.time("wait", Some(0)),
-        spread: t.number("spread", (0.0, 10.0), Some(0.0)),
+        wait: t.duration_us("wait", Some(0)),
+        spread: t.float("spread", (0.0, 10.0), Some(0.0)),
         hedge: hedge(t),
-        budget: t.number("budget", (0.0, 100.0), Some(100.0)),
-        largest_body: t.size("largest-body", Some(LARGEST_BODY)),
+        budget: t.float("budget", (0.0, 100.0), Some(100.0)),
+        largest_body: t.size_bytes("largest-body", Some(LARGEST_BODY)),
         servers: Servers {
             zones: names(&servers, "zones", &deployment.zones),
             kinds: names(&servers, "kinds", &deployment.kinds),
@@ -240,10 +240,10 @@
 }
 
 fn names(t: &Table, key: &str, known: &[String]) -> Vec<String> {
-    let texts = t.texts(key);
-    if texts.is_empty() && t.holds(key) {
-        t.fault(
-            &t.place_of(key),
+    let texts = t.strings(key);
+    if texts.is_empty() && t.contains_key(key) {
+        t.report_error(
+            &t.location_of(key),
             "names nobody, so that no server may take the queries",
             "leave it out for all",
         );
@@ -251,7 +251,7 @@
     for (name, place) in &texts {
         if index(known, name).is_none() {
             let way_out = format!("known to the settings: {}", known.join(", "));
-            t.fault(place, format!("the settings know no {name:?}"), way_out);
+            t.report_error(place, format!("the settings know no {name:?}"), way_out);
         }
     }
     texts.into_iter().map(|(name, _)| name).collect()
@@ -259,7 +259,7 @@
 
 fn retry_on(t: &Table) -> RetryOn {
     let mut after = RetryOn::NOTHING;
-    for (outcome, place) in t.texts("repeat-after") {
+    for (outcome, place) in t.strings("repeat-after") {
         match outcome.as_str() {
             "never-ran" => after.never_ran = true,
             "error" => after.error = true,
@@ -267,7 +267,7 @@
             "timed-out" => after.timed_out = true,
             _ => {
                 let way_out = "one of \"never-ran\", \"error\", \"broken\", \"timed-out\"";
-                t.fault(&place, format!("is no outcome: {outcome:?}"), way_out);
+                t.report_error(&place, format!("is no outcome: {outcome:?}"), way_out);
             }
         }
     }
@@ -276,18 +276,22 @@
 
 /// When a hedged request is sent: `"100ms"`, or `"p95"` for the 95th percentile of answer times.
 fn hedge(t: &Table) -> HedgePolicy {
-    if !t.holds("second-copy") {
+    if !t.contains_key("second-copy") {
         return HedgePolicy::Never;
     }
-    let text = t.text("second-copy", None);
+    let text = t.string("second-copy", None);
     if let Some(number) = text.strip_prefix('p') {
         if let Some(part) = number.parse::<f64>().ok().filter(|part| *part >= 50.0 && *part < 100.0) {
             return HedgePolicy::Quantile(part / 100.0);
         }
-    } else if let Ok(after) = units::Time::read(&text) {
+    } else if let Ok(after) = units::Time::parse(&text) {
         return HedgePolicy::After(after);
     }
     let way_out = "a time as in \"100ms\", or from \"p50\" to \"p99.9\"";
-    t.fault(&t.place_of("second-copy"), format!("is neither a time nor a quantile: {text:?}"), way_out);
+    t.report_error(
+        &t.location_of("second-copy"),
+        format!("is neither a time nor a quantile: {text:?}"),
+        way_out,
+    );
     HedgePolicy::Never
 }
--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -5,9 +5,9 @@
 use common::deployment;
 use whinspindle_operator_file::{CutOff, LARGEST_BODY, Operator, draw, read, read_policy};
 use whinspindle_routes::RetryOn;
-use whinspindle_toml_config::Fault;
+use whinspindle_toml_config::ConfigError;
 
-fn faults(text: &str) -> Vec<Fault> {
+fn faults(text: &str) -> Vec<ConfigError> {
     read(text, &deployment()).err().unwrap_or_default()
 }
 
@@ -126,7 +126,7 @@
         let found = faults(&text);
         let told: Vec<String> = found.iter().map(ToString::to_string).collect();
         let field = if field.is_empty() { String::new() } else { format!("route[0].{field}") };
-        let fits = |f: &&Fault| f.line == *line && f.field == field && f.fault.contains(words);
+        let fits = |f: &&ConfigError| f.line == *line && f.field == field && f.message.contains(words);
         let fault = found.iter().find(fits);
         assert!(fault.is_some(), "{lines}: line {line}, {field}, {words} in {told:?}");
         let drawn = draw("operator.toml", &text, &found);
@@ -147,7 +147,7 @@
     for (text, line, words) in cases {
         let found = faults(text);
         let told: Vec<String> = found.iter().map(ToString::to_string).collect();
-        assert!(found.iter().any(|f| f.line == line && f.fault.contains(words)), "{text}: {told:?}");
+        assert!(found.iter().any(|f| f.line == line && f.message.contains(words)), "{text}: {told:?}");
     }
 }
 
@@ -164,7 +164,7 @@
     assert!(policy(LIMITS).is_ok_and(|policy| policy.limits.servers_by_zone == Some(2)));
     let rejects = policy("[cut-off]\nqueries = \"reject\"\n").expect("good");
     assert!(matches!(rejects.cut_off, CutOff::Rejects));
-    type Read<'a> = &'a dyn Fn(&str) -> Result<Operator, Vec<Fault>>;
+    type Read<'a> = &'a dyn Fn(&str) -> Result<Operator, Vec<ConfigError>>;
     let cases: [(Read, &str, &str, &str, usize, &str); 22] = [
         (&own, "", "", "", 1, "the file is empty"),
         (&policy, "# being written", "", "", 1, "the file is empty"),
@@ -208,7 +208,7 @@
         let found = read(&text).err().unwrap_or_default();
         let told: Vec<String> = found.iter().map(ToString::to_string).collect();
         assert!(
-            found.iter().any(|f| f.line == line && f.fault.contains(words)),
+            found.iter().any(|f| f.line == line && f.message.contains(words)),
             "{text}: {words} in {told:?}"
         );
     }
--- a/balancer/upstream-pool/src/exchange.rs
+++ b/balancer/upstream-pool/src/exchange.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until};
-use whinspindle_metered_sockets::{Meter, Metered};
+use whinspindle_metered_sockets::{Meter, MeteredSocket};
 
 use crate::failure::{Cause, Failure, Progress};
 use crate::memory_budget::MemoryBudget;
@@ -37,14 +37,14 @@
     /// How far the exchange has come.
     pub fn progress(&self) -> Progress {
         match &*self.0.borrow() {
-            Some(written) if written.meter.written.get() >= written.end => Progress::Complete,
-            Some(written) if written.meter.written.get() > written.begin => Progress::Begun,
+            Some(written) if written.meter.bytes_written.get() >= written.end => Progress::Complete,
+            Some(written) if written.meter.bytes_written.get() > written.begin => Progress::Begun,
             _ => Progress::Nothing,
         }
     }
 
     fn begin(&self, meter: &Rc<Meter>, size: u64) {
-        let begin = meter.written.get();
+        let begin = meter.bytes_written.get();
         *self.0.borrow_mut() = Some(Written { meter: Rc::clone(meter), begin, end: begin + size });
     }
 
@@ -57,7 +57,7 @@
 /// polled, and closes when dropped.
 pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
-    connection: Pin<Box<Connection<TokioIo<Metered>, Full<Bytes>>>>,
+    connection: Pin<Box<Connection<TokioIo<MeteredSocket>, Full<Bytes>>>>,
     ended: bool,
     meter: Rc<Meter>,
     /// It has carried an answer before.
@@ -72,7 +72,7 @@
         let meter = Rc::new(Meter::default());
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(64 * 1024)
-            .handshake(TokioIo::new(Metered::new(socket, Rc::clone(&meter))))
+            .handshake(TokioIo::new(MeteredSocket::new(socket, Rc::clone(&meter))))
             .await
             .map_err(Cause::Connection)?;
         Ok(ServerConnection { sender, connection: Box::pin(connection), ended: false, meter, kept: false })
@@ -120,7 +120,7 @@
         progress: &ProgressHandle,
     ) -> Result<Response<Bytes>, Failure> {
         progress.begin(&self.meter, size(&request));
-        self.meter.heard.set(None);
+        self.meter.first_received_at.set(None);
         let monitor =
             AnswerMonitor { meter: Rc::clone(&self.meter), announced: Arc::new(Mutex::new(Instant::now())) };
         let announced = Arc::clone(&monitor.announced);
@@ -134,7 +134,7 @@
         };
         let kept = std::mem::replace(&mut self.kept, true);
         end.map_err(|cause| {
-            let answered = self.meter.heard.get().is_some();
+            let answered = self.meter.first_received_at.get().is_some();
             let stale = kept && !answered && matches!(cause, Cause::Connection(_));
             Failure { stale, answered, ..progress.failure(cause) }
         })
@@ -189,7 +189,8 @@
     async fn stalled(&self, stall_time_out: Duration) {
         loop {
             let announced = *self.announced.lock().unwrap_or_else(PoisonError::into_inner);
-            match self.meter.heard_last.get().filter(|&at| at > announced).map(|at| at + stall_time_out) {
+            match self.meter.last_received_at.get().filter(|&at| at > announced).map(|at| at + stall_time_out)
+            {
                 Some(end) if end <= Instant::now() => return,
                 Some(end) => sleep_until(end).await,
                 None => sleep(stall_time_out).await,
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use whinspindle_distribution::Publisher;
-use whinspindle_metrics::Figures;
+use whinspindle_metrics::MetricsSnapshot;
 use whinspindle_registry::{InstanceRegistry, LeaseTable};
 use whinspindle_replica::{Replica, Voter};
 
@@ -41,10 +41,10 @@
 
 /// The same as OpenMetrics text.
 pub fn metrics(summary: &Summary<'_>) -> String {
-    let mut metrics = Figures::default();
+    let mut metrics = MetricsSnapshot::default();
     for (name, value) in fields(summary) {
         let name = format!("controller_{name}");
-        metrics.gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
+        metrics.add_gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
     }
     let counts = [
         ("controller_balancers", "Balancers that hold a lease", summary.leases.live(summary.now).count()),
@@ -56,7 +56,7 @@
         ("controller_chain_length", "Members of the chain", summary.replica.view().chain.len()),
     ];
     for (name, help, value) in counts {
-        metrics.gauge(name, help, [([].as_slice(), value as f64)]);
+        metrics.add_gauge(name, help, [([].as_slice(), value as f64)]);
     }
     metrics.into_text()
 }
--- a/crates/metered-sockets/src/lib.rs
+++ b/crates/metered-sockets/src/lib.rs
@@ -1,8 +1,7 @@
-//! Sockets that measure what passes in both directions and notice when the peer has closed the connection; and the
-//! closing of a listener.
+//! Sockets that meter their traffic and detect when the peer closes the connection, and a graceful listener close.
 //!
-//! Wrap a socket with [`Metered::new`] and keep the [`Meter`] beside it: it tells how many bytes were written and when
-//! bytes have arrived. [`Metered::ending`] returns a handle that completes when the peer closes.
+//! Wrap a socket with [`MeteredSocket::new`] and keep a clone of its [`Meter`], which counts written bytes and records
+//! when bytes were received. [`MeteredSocket::close_watcher`] returns a handle that detects the close of the peer.
 
 mod listener;
 
@@ -17,128 +16,123 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-pub use listener::drain;
+pub use listener::close_listener;
 
-/// What has passed; shared by the socket and its observer.
+/// Traffic of one socket, shared between the socket and its observer.
 #[derive(Default)]
 pub struct Meter {
     /// Bytes written.
-    pub written: Cell<u64>,
-    /// When the first bytes arrived since this was last cleared.
-    pub heard: Cell<Option<Instant>>,
-    /// When the last bytes arrived.
-    pub heard_last: Cell<Option<Instant>>,
+    pub bytes_written: Cell<u64>,
+    /// When bytes were first received since the observer last reset this field.
+    pub first_received_at: Cell<Option<Instant>>,
+    /// When bytes were last received.
+    pub last_received_at: Cell<Option<Instant>>,
 }
 
-/// A socket that counts in a [`Meter`].
-pub struct Metered<S = TcpStream> {
-    /// The socket, shared with its [`Ending`].
+/// A socket that records its traffic in a [`Meter`].
+pub struct MeteredSocket<S = TcpStream> {
     shared: Rc<RefCell<Shared<S>>>,
-    /// What has passed.
     meter: Rc<Meter>,
 }
 
-/// The socket and what was read ahead of its reader.
+/// Socket state shared between a [`MeteredSocket`] and its [`CloseWatcher`].
 struct Shared<S> {
-    /// The socket.
     socket: S,
-    /// Bytes that were read to see whether the peer has closed the connection, and not taken yet.
-    ahead: Vec<u8>,
-    /// The peer has closed the connection.
-    ended: bool,
+    /// Bytes that the watcher read while checking for a close, not yet consumed by the reader.
+    read_ahead: Vec<u8>,
+    closed_by_peer: bool,
 }
 
-/// This many bytes are read ahead at most.
-const MAX_AHEAD: usize = 32 * 1024;
+/// Limit of `Shared::read_ahead`.
+const MAX_READ_AHEAD_BYTES: usize = 32 * 1024;
 
-/// Notices that the peer closes the connection, also behind bytes that are not read yet.
-pub struct Ending<S = TcpStream>(Rc<RefCell<Shared<S>>>);
+/// Detects that the peer has closed the connection, even behind bytes that were not read yet.
+pub struct CloseWatcher<S = TcpStream>(Rc<RefCell<Shared<S>>>);
 
-impl<S: AsyncRead + AsyncWrite + Unpin> Ending<S> {
-    /// Ready once the peer has closed the connection. Must be polled by the task that polls the socket, after it.
+impl<S: AsyncRead + AsyncWrite + Unpin> CloseWatcher<S> {
+    /// Completes once the peer has closed the connection. Must be polled by the task that polls the socket, after it.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut shared = self.0.borrow_mut();
-        let Shared { socket, ahead, ended } = &mut *shared;
-        while !*ended && ahead.len() < MAX_AHEAD {
+        let Shared { socket, read_ahead, closed_by_peer } = &mut *shared;
+        while !*closed_by_peer && read_ahead.len() < MAX_READ_AHEAD_BYTES {
             let mut chunk = [0; 1024];
             let mut buf = ReadBuf::new(&mut chunk);
             match Pin::new(&mut *socket).poll_read(cx, &mut buf) {
                 Poll::Pending => break,
                 Poll::Ready(Ok(())) if !buf.filled().is_empty() => {
-                    ahead.extend_from_slice(buf.filled());
-                    // The reader may have found nothing just before, and the space to read ahead is limited.
+                    read_ahead.extend_from_slice(buf.filled());
+                    // Wakes the task because the reader may have found no data just before.
                     cx.waker().wake_by_ref();
                 }
-                Poll::Ready(_) => *ended = true,
+                Poll::Ready(_) => *closed_by_peer = true,
             }
         }
-        if *ended { Poll::Ready(()) } else { Poll::Pending }
+        if *closed_by_peer { Poll::Ready(()) } else { Poll::Pending }
     }
 
-    /// A lingering close: shuts down the sending side, and reads on until the peer has closed the connection too.
+    /// Shuts down the write side, then discards received bytes until the peer closes the connection too.
     ///
-    /// A close with unread bytes would reset the connection, and the peer would lose what it has not read yet.
-    pub async fn part(self) {
+    /// Closing a socket with unread bytes would reset the connection, and the peer could lose data it has not read.
+    pub async fn lingering_close(self) {
         if poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().socket).poll_shutdown(cx)).await.is_err() {
             return;
         }
         poll_fn(|cx| {
-            self.0.borrow_mut().ahead.clear();
+            self.0.borrow_mut().read_ahead.clear();
             self.poll(cx)
         })
         .await;
     }
 }
 
-impl<S> Metered<S> {
-    /// Wraps a socket; what passes is counted in `meter`.
+impl<S> MeteredSocket<S> {
+    /// Wraps a socket and records its traffic in `meter`.
     pub fn new(socket: S, meter: Rc<Meter>) -> Self {
-        let shared = Shared { socket, ahead: Vec::new(), ended: false };
-        Metered { shared: Rc::new(RefCell::new(shared)), meter }
+        let shared = Shared { socket, read_ahead: Vec::new(), closed_by_peer: false };
+        MeteredSocket { shared: Rc::new(RefCell::new(shared)), meter }
     }
 
-    /// A handle that notices when the peer closes the connection.
-    pub fn ending(&self) -> Ending<S> {
-        Ending(Rc::clone(&self.shared))
+    /// Returns a handle that detects the close of the peer.
+    pub fn close_watcher(&self) -> CloseWatcher<S> {
+        CloseWatcher(Rc::clone(&self.shared))
     }
 
-    /// Counts written bytes.
-    fn count(&self, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if let Poll::Ready(Ok(bytes)) = wrote {
-            self.meter.written.set(self.meter.written.get() + bytes as u64);
+    fn count_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        if let Poll::Ready(Ok(bytes)) = result {
+            self.meter.bytes_written.set(self.meter.bytes_written.get() + bytes as u64);
         }
-        wrote
+        result
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Metered<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for MeteredSocket<S> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let mut shared = self.shared.borrow_mut();
-        let Shared { socket, ahead, ended } = &mut *shared;
-        let read = if !ahead.is_empty() {
-            let taken = ahead.len().min(buf.remaining());
-            buf.put_slice(&ahead[..taken]);
-            ahead.drain(..taken);
+        let Shared { socket, read_ahead, closed_by_peer } = &mut *shared;
+        let result = if !read_ahead.is_empty() {
+            let copied = read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_ahead[..copied]);
+            read_ahead.drain(..copied);
             Poll::Ready(Ok(()))
-        } else if *ended {
+        } else if *closed_by_peer {
             Poll::Ready(Ok(()))
         } else {
             Pin::new(socket).poll_read(cx, buf)
         };
-        if buf.filled().len() > before {
+        if buf.filled().len() > filled_before {
             let now = Some(Instant::now());
-            self.meter.heard.set(self.meter.heard.get().or(now));
-            self.meter.heard_last.set(now);
+            self.meter.first_received_at.set(self.meter.first_received_at.get().or(now));
+            self.meter.last_received_at.set(now);
         }
-        read
+        result
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Metered<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for MeteredSocket<S> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.shared.borrow_mut().socket).poll_write(cx, buf);
-        self.count(wrote)
+        let result = Pin::new(&mut self.shared.borrow_mut().socket).poll_write(cx, buf);
+        self.count_written(result)
     }
 
     fn poll_write_vectored(
@@ -146,8 +140,8 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let wrote = Pin::new(&mut self.shared.borrow_mut().socket).poll_write_vectored(cx, bufs);
-        self.count(wrote)
+        let result = Pin::new(&mut self.shared.borrow_mut().socket).poll_write_vectored(cx, bufs);
+        self.count_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/metered-sockets/src/listener.rs
+++ b/crates/metered-sockets/src/listener.rs
@@ -1,15 +1,15 @@
-//! Closing a listener without losing connections.
+//! Closing a listener without losing accepted connections.
 
 use std::io;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Closes a listener, and returns the connections that the kernel has accepted already: what their clients send counts as
-/// received.
+/// Closes a listener and returns the connections that the kernel has accepted already, so that their clients can still
+/// be served.
 ///
-/// A connection may have arrived after the runtime last polled the listener, so the socket itself is asked until it has
-/// no more.
-pub fn drain(listener: TcpListener) -> Vec<TcpStream> {
+/// Connections may have arrived after the runtime last polled the listener, so they are accepted from the socket
+/// directly.
+pub fn close_listener(listener: TcpListener) -> Vec<TcpStream> {
     let accept = |listener: &std::net::TcpListener| -> io::Result<TcpStream> {
         let (socket, _) = listener.accept()?;
         socket.set_nonblocking(true)?;
--- a/crates/metrics/src/endpoint.rs
+++ b/crates/metrics/src/endpoint.rs
@@ -1,23 +1,23 @@
-//! Where metrics are served: a port and a path, as the command line names them.
+//! Port and path of the metrics endpoint, as given on the command line.
 
 use std::str::FromStr;
 
 use snafu::{OptionExt, Snafu, ensure};
 
-/// The port and path of the metrics.
+/// Port and path of the metrics endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
-    /// The port, on the address that the process is given.
+    /// The port on the process's listen address.
     pub port: u16,
     /// The path, with its leading slash.
     pub path: String,
 }
 
-/// A text that is not of the form `PORT/PATH`.
+/// The error for a text that is not of the form `PORT/PATH`.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("`{text}` is no PORT/PATH, such as `9464/metrics`"))]
 pub struct MetricsEndpointError {
-    /// The text.
+    /// The rejected text.
     pub text: String,
 }
 
--- a/crates/metrics/src/lib.rs
+++ b/crates/metrics/src/lib.rs
@@ -1,10 +1,10 @@
-//! Metrics of a process, served as OpenMetrics text on an address of the operator's choice.
+//! Metrics of a process, served over HTTP as OpenMetrics text.
 //!
 //! ```
-//! use whinspindle_metrics::Figures;
+//! use whinspindle_metrics::MetricsSnapshot;
 //!
-//! let mut metrics = Figures::default();
-//! metrics.count("requests", "Requests by outcome", [([("outcome", "answered")].as_slice(), 3)]);
+//! let mut metrics = MetricsSnapshot::default();
+//! metrics.add_counter("requests", "Requests by outcome", [([("outcome", "answered")].as_slice(), 3)]);
 //! assert!(metrics.into_text().contains("whinspindle_requests_total{outcome=\"answered\"} 3"));
 //! ```
 
@@ -14,4 +14,4 @@
 
 pub use endpoint::{MetricsEndpoint, MetricsEndpointError};
 pub use server::serve;
-pub use snapshot::Figures;
+pub use snapshot::MetricsSnapshot;
--- a/crates/metrics/src/server.rs
+++ b/crates/metrics/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the metrics: `GET PATH` answers a snapshot.
+//! HTTP server for the metrics: `GET PATH` returns a snapshot.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -14,9 +14,9 @@
 /// The media type of OpenMetrics text.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Serves what `text` returns, for as long as the process runs. If the port cannot be bound, the process runs without
-/// metrics. Must be called inside a `LocalSet`.
-pub async fn serve(ip: IpAddr, endpoint: MetricsEndpoint, text: Rc<dyn Fn() -> String>) {
+/// Serves the text that `snapshot` returns, for the lifetime of the process. If the port cannot be bound, the process
+/// runs without metrics. Must be called inside a `LocalSet`.
+pub async fn serve(ip: IpAddr, endpoint: MetricsEndpoint, snapshot: Rc<dyn Fn() -> String>) {
     let listener = match TcpListener::bind((ip, endpoint.port)).await {
         Ok(listener) => listener,
         Err(error) => {
@@ -24,12 +24,11 @@
             return;
         }
     };
-    let respond = Rc::new(move |request: &Request<_>| respond(request, &endpoint.path, text.as_ref()));
+    let respond = Rc::new(move |request: &Request<_>| respond(request, &endpoint.path, snapshot.as_ref()));
     whinspindle_status_server::serve(listener, respond).await;
 }
 
-/// The response to a request.
-fn respond<B>(request: &Request<B>, path: &str, text: &dyn Fn() -> String) -> Response<Full<Bytes>> {
+fn respond<B>(request: &Request<B>, path: &str, snapshot: &dyn Fn() -> String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     if request.uri().path() != path {
         *response.status_mut() = StatusCode::NOT_FOUND;
@@ -37,7 +36,7 @@
         *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
     } else {
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS));
-        *response.body_mut() = Full::from(text());
+        *response.body_mut() = Full::from(snapshot());
     }
     response
 }
--- a/crates/metrics/src/snapshot.rs
+++ b/crates/metrics/src/snapshot.rs
@@ -13,22 +13,21 @@
 
 /// A snapshot of metrics.
 ///
-/// The values are read from the state of the process when a scrape asks for them, so that nothing is counted twice and
-/// nothing is spent between scrapes.
-pub struct Figures {
-    /// Encodes them.
+/// Values are read from the process state for each scrape, so there are no duplicate counters and no cost between
+/// scrapes.
+pub struct MetricsSnapshot {
     registry: Registry,
 }
 
-impl Default for Figures {
+impl Default for MetricsSnapshot {
     fn default() -> Self {
-        Figures { registry: Registry::with_prefix("whinspindle") }
+        MetricsSnapshot { registry: Registry::with_prefix("whinspindle") }
     }
 }
 
-impl Figures {
-    /// Adds a counter, one value for each set of labels. Its name is encoded with the suffix `_total`.
-    pub fn count<'a>(
+impl MetricsSnapshot {
+    /// Adds a counter with one value per label set. The encoded name gets the suffix `_total`.
+    pub fn add_counter<'a>(
         &mut self,
         name: &str,
         help: &str,
@@ -41,8 +40,8 @@
         self.registry.register(name, help, family);
     }
 
-    /// Adds a gauge, one value for each set of labels.
-    pub fn gauge<'a>(
+    /// Adds a gauge with one value per label set.
+    pub fn add_gauge<'a>(
         &mut self,
         name: &str,
         help: &str,
@@ -55,7 +54,7 @@
         self.registry.register(name, help, family);
     }
 
-    /// The text of all metrics.
+    /// Encodes all metrics as OpenMetrics text.
     pub fn into_text(self) -> String {
         let mut text = String::new();
         // Writing to a string never fails.
--- a/crates/status-server/src/lib.rs
+++ b/crates/status-server/src/lib.rs
@@ -1,5 +1,4 @@
-//! A small HTTP server for the status of a process: every response is made from memory at once, and request bodies are
-//! not read.
+//! A small HTTP server for status endpoints. Responses come from memory without delay, and request bodies are ignored.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -16,17 +15,17 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A connection is closed after this time.
-const CONNECTION_LIMIT: Duration = Duration::from_secs(60);
-/// Delay after a failed accept, such as for want of file descriptors.
+/// Maximum lifetime of a connection.
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(60);
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// The size of the buffer of a connection, which limits the head of a request.
+/// Buffer size of a connection, which also limits the size of a request head.
 const BUFFER_BYTES: usize = 8 * 1024;
 
-/// Makes the response to a request.
+/// Creates the response to a request.
 pub type Respond = dyn Fn(&Request<Incoming>) -> Response<Full<Bytes>>;
 
-/// Serves requests for as long as the process runs. Must be called inside a `LocalSet`.
+/// Serves requests for the lifetime of the process. Must be called inside a `LocalSet`.
 pub async fn serve(listener: TcpListener, respond: Rc<Respond>) -> Infallible {
     loop {
         match listener.accept().await {
@@ -36,11 +35,10 @@
     }
 }
 
-/// Serves one connection.
 async fn serve_connection(socket: TcpStream, respond: Rc<Respond>) {
     let service = service_fn(move |request| std::future::ready(Ok::<_, Infallible>(respond(&request))));
     let connection =
         Builder::new().max_buf_size(BUFFER_BYTES).serve_connection(TokioIo::new(socket), service);
-    // The client sees on its own side how the connection ends.
-    let _ = timeout(CONNECTION_LIMIT, connection).await;
+    // Errors are ignored: the client observes them itself.
+    let _ = timeout(CONNECTION_LIFETIME, connection).await;
 }
--- a/crates/toml-config/src/units.rs
+++ b/crates/toml-config/src/units.rs
@@ -1,19 +1,19 @@
-//! Values with units, as people write them: `"300ms"`, `"110/s"`, `"64KiB"`.
+//! Values with units, such as `"300ms"`, `"110/s"` and `"64KiB"`.
 
-/// A kind of value, and how it is written.
+/// A unit of measurement and its text format.
 pub trait Unit {
-    /// The value in its base unit.
+    /// A value in the base unit.
     type Value: Copy;
-    /// How the value is written, for the report of a fault.
-    const WANTED: &'static str;
-    /// Stands for a value that cannot be read, so that reading can continue to the next fault.
-    const STAND_IN: Self::Value;
-    /// Reads a value.
+    /// Description of the format, used as the hint of an error.
+    const EXPECTED: &'static str;
+    /// Replaces an invalid value, so that parsing can continue and report further errors.
+    const PLACEHOLDER: Self::Value;
+    /// Parses a value.
     ///
     /// # Errors
     ///
-    /// What is wrong with the text.
-    fn read(text: &str) -> Result<Self::Value, &'static str>;
+    /// A description of the problem.
+    fn parse(text: &str) -> Result<Self::Value, &'static str>;
 }
 
 /// A time in microseconds.
@@ -23,19 +23,20 @@
 /// A size in bytes.
 pub struct Size;
 
-/// Splits a text into the number and the unit after it.
-fn split(text: &str) -> Result<(f64, &str), &'static str> {
-    let at = text.find(|c: char| !c.is_ascii_digit() && c != '.' && c != '_').unwrap_or(text.len());
-    let number: f64 = text[..at].replace('_', "").parse().map_err(|_| "does not begin with a number")?;
-    Ok((number, text[at..].trim_start()))
+/// Splits a text into its number and its unit.
+fn split_unit(text: &str) -> Result<(f64, &str), &'static str> {
+    let unit_start = text.find(|c: char| !c.is_ascii_digit() && c != '.' && c != '_').unwrap_or(text.len());
+    let number: f64 =
+        text[..unit_start].replace('_', "").parse().map_err(|_| "does not begin with a number")?;
+    Ok((number, text[unit_start..].trim_start()))
 }
 
-/// The number of microseconds, bytes or events must be below this: all integers below it are exact.
+/// Upper limit (2^53) of a value in its base unit: `f64` represents all smaller integers exactly.
 const EXACT_LIMIT: f64 = 9_007_199_254_740_992.0;
 
-/// The number of a text, multiplied by the factor of its unit.
-fn scaled(text: &str, units: &[(&str, f64)]) -> Result<f64, &'static str> {
-    let (number, unit) = split(text)?;
+/// Parses a number and multiplies it by the factor of its unit.
+fn parse_scaled(text: &str, units: &[(&str, f64)]) -> Result<f64, &'static str> {
+    let (number, unit) = split_unit(text)?;
     if unit.is_empty() {
         return Err("has no unit");
     }
@@ -45,35 +46,35 @@
 
 impl Unit for Time {
     type Value = u64;
-    const WANTED: &'static str = "a time with its unit (us, ms, s, min, h, d), as in \"300ms\"";
-    const STAND_IN: u64 = 1;
-    fn read(text: &str) -> Result<u64, &'static str> {
+    const EXPECTED: &'static str = "a time with its unit (us, ms, s, min, h, d), as in \"300ms\"";
+    const PLACEHOLDER: u64 = 1;
+    fn parse(text: &str) -> Result<u64, &'static str> {
         let units = [("us", 1.0), ("ms", 1e3), ("s", 1e6), ("min", 60e6), ("h", 3_600e6), ("d", 86_400e6)];
-        scaled(text, &units).map(|us| us.round() as u64)
+        parse_scaled(text, &units).map(|us| us.round() as u64)
     }
 }
 
 impl Unit for Rate {
     type Value = f64;
-    const WANTED: &'static str = "a rate with its unit (/s, /min, /h), as in \"110/s\"";
-    const STAND_IN: f64 = 1.0;
-    fn read(text: &str) -> Result<f64, &'static str> {
-        scaled(text, &[("/s", 1.0), ("/min", 1.0 / 60.0), ("/h", 1.0 / 3600.0)])
+    const EXPECTED: &'static str = "a rate with its unit (/s, /min, /h), as in \"110/s\"";
+    const PLACEHOLDER: f64 = 1.0;
+    fn parse(text: &str) -> Result<f64, &'static str> {
+        parse_scaled(text, &[("/s", 1.0), ("/min", 1.0 / 60.0), ("/h", 1.0 / 3600.0)])
     }
 }
 
 impl Unit for Size {
     type Value = u64;
-    const WANTED: &'static str = "a size with its unit (B, KiB, MiB, GiB), as in \"64KiB\"";
-    const STAND_IN: u64 = 1;
-    fn read(text: &str) -> Result<u64, &'static str> {
+    const EXPECTED: &'static str = "a size with its unit (B, KiB, MiB, GiB), as in \"64KiB\"";
+    const PLACEHOLDER: u64 = 1;
+    fn parse(text: &str) -> Result<u64, &'static str> {
         let units = [("B", 1.0), ("KiB", 1024.0), ("MiB", 1_048_576.0), ("GiB", 1_073_741_824.0)];
-        scaled(text, &units).map(|bytes| bytes.round() as u64)
+        parse_scaled(text, &units).map(|bytes| bytes.round() as u64)
     }
 }
 
-/// A time in microseconds as it is written in a file.
-pub fn time_text(us: u64) -> String {
+/// Formats a time in microseconds in the largest unit that represents it exactly.
+pub fn format_duration(us: u64) -> String {
     match us {
         0 => "0s".to_string(),
         us if us % 60_000_000 == 0 => format!("{}min", us / 60_000_000),
--- a/crates/toml-config/tests/tables.rs
+++ b/crates/toml-config/tests/tables.rs
@@ -1,32 +1,32 @@
-//! Faults are reported all at once, each at its line; values come with their units.
+//! Error reports with lines, fields and hints, and the formatting of durations.
 
-use whinspindle_toml_config::units::time_text;
-use whinspindle_toml_config::{Fault, read};
+use whinspindle_toml_config::units::format_duration;
+use whinspindle_toml_config::{ConfigError, parse};
 
-/// The line, the field, and words of the fault.
-type Expected = (usize, &'static str, &'static str);
+/// Line, field and part of the message.
+type ExpectedError = (usize, &'static str, &'static str);
 
-/// Reads a table with one value of each kind.
-fn faults_of(text: &str) -> Vec<Fault> {
-    let taken = read(text, |table| {
-        table.time("wait", Some(1));
-        table.rate("rate", Some(1.0));
-        table.size("body", Some(1));
-        table.number("part", (0.0, 1.0), Some(0.5));
-        table.count("servers", (1, 10), Some(1));
-        table.flag("on", false);
+/// Parses a table with one value of each type and returns the errors.
+fn errors_of(text: &str) -> Vec<ConfigError> {
+    let result = parse(text, |table| {
+        table.duration_us("wait", Some(1));
+        table.rate_per_s("rate", Some(1.0));
+        table.size_bytes("body", Some(1));
+        table.float("part", (0.0, 1.0), Some(0.5));
+        table.integer("servers", (1, 10), Some(1));
+        table.boolean("on", false);
         table.one_of("shape", &[("steady", 1), ("poisson", 2)], Some(1));
-        table.texts("zones");
+        table.strings("zones");
         for server in table.tables("server") {
-            server.text("name", None);
+            server.string("name", None);
         }
     });
-    taken.err().unwrap_or_default()
+    result.err().unwrap_or_default()
 }
 
 #[test]
-fn each_fault_is_reported_at_its_line_with_a_correction() {
-    let cases: &[(&str, &[Expected])] = &[
+fn reports_each_error_with_its_line_and_field() {
+    let cases: &[(&str, &[ExpectedError])] = &[
         ("wait = \"300ms\"\nrate = \"6/min\"\nbody = \"64KiB\"\npart = 1\nservers = 0x0a\n", &[]),
         ("wait = 300", &[(1, "wait", "bare integer")]),
         ("wait = \"300\"", &[(1, "wait", "no unit")]),
@@ -57,47 +57,50 @@
         ("wait = \n\nrate == 1", &[(1, "", ""), (3, "", "")]),
     ];
     for (text, expected) in cases {
-        let found = faults_of(text);
-        let reported: Vec<String> = found.iter().map(Fault::to_string).collect();
+        let found = errors_of(text);
+        let reported: Vec<String> = found.iter().map(ConfigError::to_string).collect();
         assert!(
             found.len() >= expected.len() && found.is_empty() == expected.is_empty(),
             "{text}: {reported:?}"
         );
-        for (line, field, words) in *expected {
-            let fits = |f: &&Fault| f.line == *line && f.field == *field && f.fault.contains(words);
-            assert!(found.iter().any(|f| fits(&f)), "{text}: line {line}, {field}, {words} in {reported:?}");
+        for (line, field, part) in *expected {
+            let matches = |e: &&ConfigError| e.line == *line && e.field == *field && e.message.contains(part);
+            assert!(
+                found.iter().any(|e| matches(&e)),
+                "{text}: line {line}, {field}, {part} in {reported:?}"
+            );
         }
     }
 }
 
 #[test]
-fn a_misspelt_key_is_reported_with_the_nearest_known_one() {
-    let found = faults_of("shap = 3");
-    assert_eq!(found[0].way_out, "is \"shape\" meant?");
+fn suggests_the_nearest_known_key() {
+    let found = errors_of("shap = 3");
+    assert_eq!(found[0].hint, "is \"shape\" meant?");
 }
 
 #[test]
-fn no_text_panics_the_reader() {
-    let mut bits = 1u64;
+fn random_texts_do_not_panic_the_parser() {
+    let mut random = 1u64;
     let alphabet: Vec<char> = "a=[]{}\"'\n\\#.,0189eE+-_ü\u{0}\t:Tz ".chars().collect();
     for length in 0..2_000 {
         let text: String = (0..length % 64)
             .map(|_| {
-                bits = bits.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
-                alphabet[(bits >> 33) as usize % alphabet.len()]
+                random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+                alphabet[(random >> 33) as usize % alphabet.len()]
             })
             .collect();
-        for fault in faults_of(&text) {
-            assert!(fault.line <= text.lines().count() + 1, "{text:?}: {fault}");
+        for error in errors_of(&text) {
+            assert!(error.line <= text.lines().count() + 1, "{text:?}: {error}");
         }
     }
     let long = "x".repeat(5 * 1024 * 1024);
-    assert_eq!(faults_of(&long).len(), 1);
+    assert_eq!(errors_of(&long).len(), 1);
 }
 
 #[test]
-fn times_are_written_as_they_are_read() {
+fn formats_durations_in_the_largest_exact_unit() {
     for (us, text) in [(0, "0s"), (300_000, "300ms"), (5_000_000, "5s"), (120_000_000, "2min"), (7, "7us")] {
-        assert_eq!(time_text(us), text);
+        assert_eq!(format_duration(us), text);
     }
 }
--- a/dataplane/agent/src/metrics.rs
+++ b/dataplane/agent/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The agent's metrics, read from its state at each scrape.
 
 use whinspindle_distribution::Versions;
-use whinspindle_metrics::Figures;
+use whinspindle_metrics::MetricsSnapshot;
 
 use crate::agent::Agent;
 use crate::protocol_rules::ProtocolRules;
@@ -26,28 +26,28 @@
 /// The present metrics as OpenMetrics text.
 pub fn text<L: ProtocolRules>(agent: &Agent<L>, now: u64) -> String {
     let told = agent.metrics(now);
-    let mut figures = Figures::default();
+    let mut figures = MetricsSnapshot::default();
     let flags = [
         ("agent_linked", "1 while a controller is linked", told.linked),
         ("agent_in_quorum", "1 while the link's controller is in a quorum", told.in_quorum),
         ("agent_proxy_connected", "1 while the proxy is connected", told.proxy_connected),
     ];
     for (name, help, flag) in flags {
-        figures.gauge(name, help, [([].as_slice(), if flag { 1.0 } else { 0.0 })]);
+        figures.add_gauge(name, help, [([].as_slice(), if flag { 1.0 } else { 0.0 })]);
     }
     let heard = told.received_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
-    figures.gauge("agent_heard_seconds", "Time since a controller was last heard", heard);
+    figures.add_gauge("agent_heard_seconds", "Time since a controller was last heard", heard);
     add_versions(&mut figures, "agent_held", "Newest versions that the agent holds", told.held);
     add_versions(&mut figures, "agent_applied", "Versions that the proxy has in force", told.applied);
     figures.into_text()
 }
 
-fn add_versions(figures: &mut Figures, name: &str, help: &str, versions: Versions) {
+fn add_versions(figures: &mut MetricsSnapshot, name: &str, help: &str, versions: Versions) {
     let rows: [([(&str, &str); 1], u64); 4] = [
         ([("section", "configuration")], versions.configured),
         ([("section", "evacuations")], versions.evacuations),
         ([("section", "instances")], versions.instances),
         ([("section", "fleet")], versions.fleet),
     ];
-    figures.gauge(name, help, rows.iter().map(|(labels, version)| (labels.as_slice(), *version as f64)));
+    figures.add_gauge(name, help, rows.iter().map(|(labels, version)| (labels.as_slice(), *version as f64)));
 }
--- a/dataplane/proxy/src/clients.rs
+++ b/dataplane/proxy/src/clients.rs
@@ -108,7 +108,7 @@
             () = &mut accepting_ends => break,
         }
     }
-    for socket in whinspindle_metered_sockets::drain(listener) {
+    for socket in whinspindle_metered_sockets::close_listener(listener) {
         clients.serve(&node, accepted(socket));
     }
     finish(&node, &clients).await;
--- a/dataplane/proxy/src/clients/connection.rs
+++ b/dataplane/proxy/src/clients/connection.rs
@@ -58,7 +58,7 @@
 
     /// When the first bytes of the request were received.
     pub fn received(&self) -> Instant {
-        self.client.meter.heard.get().unwrap_or_else(Instant::now)
+        self.client.meter.first_received_at.get().unwrap_or_else(Instant::now)
     }
 
     /// Whether the request's head has both `Content-Length` and `Transfer-Encoding`.
@@ -81,7 +81,7 @@
     fn drop(&mut self) {
         self.client.idle_since.set(Some(Instant::now()));
         self.client.answer_deadline.set(None);
-        self.client.meter.heard.set(None);
+        self.client.meter.first_received_at.set(None);
         self.client.head.borrow_mut().restart();
         self.clients.capacity_freed.notify_one();
     }
@@ -109,7 +109,7 @@
 
     /// Whether the head of a request has begun and is incomplete.
     pub(super) fn has_begun(&self) -> bool {
-        self.is_idle() && self.meter.heard.get().is_some()
+        self.is_idle() && self.meter.first_received_at.get().is_some()
     }
 
     /// Waits until the connection is to be dropped. A drop that crosses the begin of a request is ignored.
@@ -163,7 +163,7 @@
             return;
         };
         self.idle_timeout.set(self.idle_timeout.get().max(times.idle));
-        let begun = self.meter.heard.get();
+        let begun = self.meter.first_received_at.get();
         let late = begun.is_some_and(|begun| begun + times.header + HEADER_MARGIN <= now);
         let unclosed = self.closing.get().is_some_and(|at| at.max(idle_since) + times.header <= now);
         if late || unclosed {
--- a/dataplane/proxy/src/clients/serving.rs
+++ b/dataplane/proxy/src/clients/serving.rs
@@ -14,7 +14,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use whinspindle_metered_sockets::{Ending, Metered};
+use whinspindle_metered_sockets::{CloseWatcher, MeteredSocket};
 
 use super::Clients;
 use super::connection::{Client, HEADER_MARGIN, RequestInProgress};
@@ -44,8 +44,8 @@
         let busy = RequestInProgress::begin(&watched, &watching);
         answer(Rc::clone(&shared), request, busy)
     });
-    let socket = Metered::new(socket, Rc::clone(&client.meter));
-    let ending = socket.ending();
+    let socket = MeteredSocket::new(socket, Rc::clone(&client.meter));
+    let ending = socket.close_watcher();
     let header_bytes = node.limits.borrow().header_bytes();
     let socket = ObservedSocket::new(socket, Rc::clone(&client.head));
     let connection = Builder::new()
@@ -66,12 +66,12 @@
     Ok(answer.map(|body| body.keeping_busy(busy)))
 }
 
-type Wire = TokioIo<ObservedSocket<Metered<BoxedSocket>>>;
+type Wire = TokioIo<ObservedSocket<MeteredSocket<BoxedSocket>>>;
 
 /// A client's connection while it is served.
 struct ClientSession<'a, S: HttpService<Incoming>> {
     connection: Pin<Box<Connection<Wire, S>>>,
-    ending: Ending<BoxedSocket>,
+    ending: CloseWatcher<BoxedSocket>,
     client: &'a Client,
 }
 
@@ -111,7 +111,7 @@
             () = yield_now() => {}
         }
         // Without a byte received there is no request to lose.
-        if client.fresh.get() && client.meter.heard.get().is_none() {
+        if client.fresh.get() && client.meter.first_received_at.get().is_none() {
             return;
         }
         if !self.wait_for_begun(clients).await {
@@ -154,12 +154,12 @@
         drop(connection);
         // Without an answer on its way there is nothing to wait for; the client may send a request again elsewhere.
         let rested = client.idle_since.get().is_some_and(|since| since + LINGER <= Instant::now());
-        if rested || client.meter.written.get() == 0 {
+        if rested || client.meter.bytes_written.get() == 0 {
             return;
         }
         client.lingering.set(true);
         tokio::select! {
-            _ = timeout(LINGER, ending.part()) => {}
+            _ = timeout(LINGER, ending.lingering_close()) => {}
             () = client.drop.notified() => {}
         }
     }
--- a/dataplane/proxy/src/connection.rs
+++ b/dataplane/proxy/src/connection.rs
@@ -12,14 +12,14 @@
 use hyper::body::{Body, Frame, Incoming};
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use hyper_util::rt::TokioIo;
-use whinspindle_metered_sockets::{Meter, Metered};
+use whinspindle_metered_sockets::{Meter, MeteredSocket};
 
 use crate::connect::BoxedSocket;
 
 /// Read buffer: more than the longest head of an answer, and enough for what arrives between two reads.
 const BUFFER_BYTES: usize = 64 * 1024;
 
-type Wire = TokioIo<Metered<BoxedSocket>>;
+type Wire = TokioIo<MeteredSocket<BoxedSocket>>;
 
 /// A connection to an upstream, and how much it has carried.
 pub struct UpstreamConnection {
@@ -34,7 +34,7 @@
     /// Makes a connected socket ready for requests.
     pub async fn open(socket: BoxedSocket) -> hyper::Result<UpstreamConnection> {
         let meter = Rc::new(Meter::default());
-        let wire = TokioIo::new(Metered::new(socket, Rc::clone(&meter)));
+        let wire = TokioIo::new(MeteredSocket::new(socket, Rc::clone(&meter)));
         let (sender, connection) = Builder::new().max_buf_size(BUFFER_BYTES).handshake(wire).await?;
         Ok(UpstreamConnection { sender, connection: Box::pin(connection), ended: false, meter, answers: 0 })
     }
@@ -46,7 +46,7 @@
 
     /// Bytes written so far.
     pub fn written(&self) -> u64 {
-        self.meter.written.get()
+        self.meter.bytes_written.get()
     }
 
     /// Sends a request and waits for the head of its answer.
--- a/dataplane/proxy/src/metrics.rs
+++ b/dataplane/proxy/src/metrics.rs
@@ -1,36 +1,36 @@
 //! The proxy's metrics, read from its state at each scrape.
 
-use whinspindle_metrics::Figures;
+use whinspindle_metrics::MetricsSnapshot;
 use whinspindle_routing::{RegionMetrics, RejectionReason, ServiceMetrics};
 
 use crate::node::Node;
 
 /// The present metrics as OpenMetrics text.
 pub fn text(node: &Node) -> String {
-    let mut metrics = Figures::default();
+    let mut metrics = MetricsSnapshot::default();
     add_requests(&mut metrics, node);
     let services = node.router.borrow().metrics(node.clock.now_ms());
     add_services(&mut metrics, &services);
     metrics.into_text()
 }
 
-fn add_requests(metrics: &mut Figures, node: &Node) {
+fn add_requests(metrics: &mut MetricsSnapshot, node: &Node) {
     let counts = node.request_counts.totals();
     let names: Vec<(String, u64)> =
         counts.iter().map(|(event, count)| (event.label().to_owned(), *count)).collect();
     let labels: Vec<[(&str, &str); 1]> = names.iter().map(|(name, _)| [("event", name.as_str())]).collect();
     let counted = labels.iter().zip(&names).map(|(labels, (_, count))| (labels.as_slice(), *count));
-    metrics.count("requests", "Answers, streams and sends by how they ended", counted);
+    metrics.add_counter("requests", "Answers, streams and sends by how they ended", counted);
     let open = node.pool.open() as f64;
-    metrics.gauge("upstream_connections", "Open connections to upstreams", [([].as_slice(), open)]);
+    metrics.add_gauge("upstream_connections", "Open connections to upstreams", [([].as_slice(), open)]);
     let is_ready = if node.is_ready() { 1.0 } else { 0.0 };
-    metrics.gauge("ready", "1 while the proxy takes clients", [([].as_slice(), is_ready)]);
+    metrics.add_gauge("ready", "1 while the proxy takes clients", [([].as_slice(), is_ready)]);
 }
 
-fn add_services(metrics: &mut Figures, services: &[ServiceMetrics]) {
+fn add_services(metrics: &mut MetricsSnapshot, services: &[ServiceMetrics]) {
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
     let left = labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.retry_budget));
-    metrics.gauge("repeats_left", "Repeated sends that this balancer's part of the budget allows", left);
+    metrics.add_gauge("repeats_left", "Repeated sends that this balancer's part of the budget allows", left);
     add_choices(metrics, services);
     add_regions(metrics, services, "region_share", "Weight by which the region is drawn", |region| {
         region.weight
@@ -63,7 +63,7 @@
     });
 }
 
-fn add_choices(metrics: &mut Figures, services: &[ServiceMetrics]) {
+fn add_choices(metrics: &mut MetricsSnapshot, services: &[ServiceMetrics]) {
     let rejections = services.iter().flat_map(|service| {
         let named = |(reason, count): &(RejectionReason, u64)| (reason.label().to_owned(), *count);
         service.rejections.iter().map(named).map(|(reason, count)| (service.service.as_str(), reason, count))
@@ -74,11 +74,11 @@
         .map(|(service, reason, _)| [("service", *service), ("reason", reason.as_str())])
         .collect();
     let counted = labels.iter().zip(&rejections).map(|(labels, (_, _, count))| (labels.as_slice(), *count));
-    metrics.count("refusals", "Requests that were refused, by reason", counted);
+    metrics.add_counter("refusals", "Requests that were refused, by reason", counted);
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
     let passed =
         labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.passed_over));
-    metrics.count("passed_over", "Picks that passed over an upstream for its sends in flight", passed);
+    metrics.add_counter("passed_over", "Picks that passed over an upstream for its sends in flight", passed);
     let prompts: Vec<_> = services
         .iter()
         .flat_map(|service| {
@@ -88,7 +88,7 @@
         .map(|(service, target, count)| ([("service", service), ("to", target)], count))
         .collect();
     let counted = prompts.iter().map(|(labels, count)| (labels.as_slice(), *count));
-    metrics.count(
+    metrics.add_counter(
         "prompts",
         "Prompts sent to the upstream that is to keep their shared parts, and elsewhere",
         counted,
@@ -96,7 +96,7 @@
 }
 
 fn add_regions(
-    metrics: &mut Figures,
+    metrics: &mut MetricsSnapshot,
     services: &[ServiceMetrics],
     name: &str,
     help: &str,
@@ -109,5 +109,5 @@
             ([("service", service.service.as_str()), ("region", region.region.as_str())], value(region))
         })
         .collect();
-    metrics.gauge(name, help, regions.iter().map(|(labels, value)| (labels.as_slice(), *value)));
+    metrics.add_gauge(name, help, regions.iter().map(|(labels, value)| (labels.as_slice(), *value)));
 }
--- a/lab/report/src/table.rs
+++ b/lab/report/src/table.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use whinspindle_lab_scenario::{Ill, Scenario, Trouble};
-use whinspindle_toml_config::units::time_text;
+use whinspindle_toml_config::units::format_duration;
 
 use crate::{Row, Run};
 
@@ -22,7 +22,7 @@
         Ill::Hang => format!("hang {}", whom()),
         Ill::Fail(part) => format!("{part} fail at {}", whom()),
         Ill::Slow(factor) => format!("{factor} times slower {}", whom()),
-        Ill::Pause(time) => format!("pauses of {} at {}", time_text(*time), whom()),
+        Ill::Pause(time) => format!("pauses of {} at {}", format_duration(*time), whom()),
         Ill::Neighbour(part) => format!("a neighbour takes {part} of {}", whom()),
         Ill::Drain => format!("drain {}", whom()),
         Ill::Replace(_) => format!("replace {}", whom()),
@@ -31,7 +31,7 @@
         Ill::Loss(part) => format!("loss of {part}"),
         Ill::Resets(part) => format!("resets of {part}"),
         Ill::DiscoverySilent => "discovery is silent".to_string(),
-        Ill::DiscoveryLate(by) => format!("discovery is late by {}", time_text(*by)),
+        Ill::DiscoveryLate(by) => format!("discovery is late by {}", format_duration(*by)),
         Ill::DiscoveryForgets(part) => format!("discovery forgets {part}"),
         Ill::DiscoveryRepeats(_) => "discovery repeats an old list".to_string(),
         Ill::BalancerKill(of) => format!("kill {} balancers", of.len()),
@@ -41,8 +41,8 @@
         Ill::PeerCut(of, ways) => format!("peers cut {ways:?} at {} balancers", of.len()),
         Ill::PeerLoss(part) => format!("peers lose {part}"),
         Ill::PeerRepeat(part) => format!("peers repeat {part}"),
-        Ill::PeerDelay(by) => format!("peers late by {}", time_text(*by)),
-        Ill::PeerReorder(by) => format!("peers late by up to {}", time_text(*by)),
+        Ill::PeerDelay(by) => format!("peers late by {}", format_duration(*by)),
+        Ill::PeerReorder(by) => format!("peers late by up to {}", format_duration(*by)),
         Ill::DiskLost(of) => format!("disks of {} balancers lost", of.len()),
         Ill::DiskBack(of) => format!("disks of {} balancers put back", of.len()),
         Ill::Release(release) => format!("release {:?} of {}", release.how, whom()),
--- a/lab/scenario/src/lib.rs
+++ b/lab/scenario/src/lib.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 #![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
 
-use whinspindle_toml_config::Fault;
+use whinspindle_toml_config::ConfigError;
 
 pub mod change;
 mod read;
@@ -388,8 +388,8 @@
 
 impl Scenario {
     /// Reads and checks a scenario file.
-    pub fn read(text: &str) -> Result<Scenario, Vec<Fault>> {
-        whinspindle_toml_config::read(text, read::scenario)
+    pub fn read(text: &str) -> Result<Scenario, Vec<ConfigError>> {
+        whinspindle_toml_config::parse(text, read::scenario)
     }
 
     /// Servers of a tier, by kind and zone, in the order of their numbers.
--- a/lab/scenario/tests/files.rs
+++ b/lab/scenario/tests/files.rs
@@ -86,7 +86,7 @@
         let text = GOOD.replacen(old, new, 1);
         let faults = Scenario::read(&text).err().unwrap_or_default();
         let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        let found = faults.iter().any(|f| f.line == *line && f.field == *field && !f.way_out.is_empty());
+        let found = faults.iter().any(|f| f.line == *line && f.field == *field && !f.hint.is_empty());
         let unknown = faults.iter().any(|f| f.line == *line && f.field == *field);
         assert!(found || (unknown && *field == "nane"), "{new}: line {line}, {field} in {told:?}");
     }
--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -161,8 +161,8 @@
         let faults: Vec<_> = faults
             .iter()
             .map(|fault| {
-                json!({"line": fault.line, "column": fault.column, "field": fault.field, "fault": fault.fault,
-                    "wayOut": fault.way_out})
+                json!({"line": fault.line, "column": fault.column, "field": fault.field, "fault": fault.message,
+                    "wayOut": fault.hint})
             })
             .collect();
         println!("{}", json!({"file": name, "good": faults.is_empty(), "faults": faults}));
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -228,7 +228,7 @@
         whinspindle_operator_file::read_policy(text, &self.deployment).map_err(|faults| {
             let first = faults.first();
             let words = first.map_or(String::new(), |fault| {
-                format!("{}: {} ({} faults)", fault.field, fault.fault, faults.len())
+                format!("{}: {} ({} faults)", fault.field, fault.message, faults.len())
             });
             Objection { line: first.map_or(0, |fault| fault.line as u32), words: truncated(words) }
         })
--- a/programs/balancer/src/listener.rs
+++ b/programs/balancer/src/listener.rs
@@ -21,7 +21,7 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use tower::{BoxError, Service};
-use whinspindle_metered_sockets::{Ending, Meter, Metered, drain};
+use whinspindle_metered_sockets::{CloseWatcher, Meter, MeteredSocket, close_listener};
 use whinspindle_rate_limited_log::log_line;
 
 use crate::http_service::{self, BodyDeadline, Reply, ReplyBody};
@@ -87,18 +87,18 @@
 
     /// Whether a part of a request has been received, but not a complete head.
     fn has_partial_request(&self) -> bool {
-        self.is_idle() && self.meter.heard.get().is_some()
+        self.is_idle() && self.meter.first_received_at.get().is_some()
     }
 
     /// The time by which the present or the first request must have been read completely.
     fn read_deadline(&self) -> Option<Instant> {
         let connected = self.idle_since.get().filter(|_| self.no_request_yet.get());
-        Some(connected.or(self.meter.heard.get())? + REQUEST_READ_TIME_OUT)
+        Some(connected.or(self.meter.first_received_at.get())? + REQUEST_READ_TIME_OUT)
     }
 
     /// Until when a connection that has sent nothing yet is given time for its first request.
     fn first_request_deadline(&self) -> Option<Instant> {
-        let unheard = self.no_request_yet.get() && self.meter.heard.get().is_none();
+        let unheard = self.no_request_yet.get() && self.meter.first_received_at.get().is_none();
         self.idle_since.get().filter(|_| unheard).map(|came| came + SWEEP_INTERVAL)
     }
 
@@ -240,7 +240,7 @@
             },
         }
     }
-    for socket in drain(listener) {
+    for socket in close_listener(listener) {
         next += 1;
         serve(next, socket, services.clone(), &connections);
     }
@@ -282,13 +282,13 @@
                 client.no_request_yet.set(false);
                 let reply = services.call(request).await;
                 client.idle_since.set(Some(Instant::now()));
-                client.meter.heard.set(None);
+                client.meter.first_received_at.set(None);
                 connections.capacity_freed.notify_one();
                 reply
             }
         });
-        let socket = Metered::new(socket, Rc::clone(&client.meter));
-        let ending = socket.ending();
+        let socket = MeteredSocket::new(socket, Rc::clone(&client.meter));
+        let ending = socket.close_watcher();
         let connection = http1::Builder::new()
             .max_buf_size(READ_BUFFER)
             .serve_connection(TokioIo::new(socket), TowerToHyperService::new(services));
@@ -307,8 +307,8 @@
 
 /// A client's connection while it is being served.
 struct Served<'a, S: HttpService<Incoming>> {
-    connection: Pin<Box<Connection<TokioIo<Metered>, S>>>,
-    ending: Ending,
+    connection: Pin<Box<Connection<TokioIo<MeteredSocket>, S>>>,
+    ending: CloseWatcher,
     client: &'a Client,
 }
 
@@ -350,7 +350,7 @@
             () = yield_now() => {}
         }
         // Connections that sent nothing close at once, so that a flood of them does not occupy the limit.
-        if client.no_request_yet.get() && client.meter.heard.get().is_none() {
+        if client.no_request_yet.get() && client.meter.first_received_at.get().is_none() {
             return Ok(());
         }
         // Waits for a partly received request: hyper's graceful shutdown would not wait for the rest of its head.
@@ -384,12 +384,12 @@
         let Served { connection, ending, client } = self;
         // Ends hyper's use of the socket before it is read here.
         drop(connection);
-        if client.meter.written.get() == 0 {
+        if client.meter.bytes_written.get() == 0 {
             return;
         }
         client.is_lingering.set(true);
         tokio::select! {
-            _ = timeout(QUIET_TIME, ending.part()) => {}
+            _ = timeout(QUIET_TIME, ending.lingering_close()) => {}
             () = client.drop.notified() => {}
         }
     }
--- a/programs/balancer/src/listener/tests.rs
+++ b/programs/balancer/src/listener/tests.rs
@@ -12,7 +12,7 @@
 fn client(idle: Option<u64>, no_request_yet: bool, heard: Option<u64>, closing: Option<u64>) -> Rc<Client> {
     let ago = |ms: Option<u64>| ms.map(|ms| Instant::now() - Duration::from_millis(ms));
     let meter = Rc::new(Meter::default());
-    meter.heard.set(ago(heard));
+    meter.first_received_at.set(ago(heard));
     Rc::new(Client {
         idle_since: Cell::new(ago(idle)),
         no_request_yet: Cell::new(no_request_yet),
@@ -303,6 +303,6 @@
     let address = listener.local_addr().expect("an address");
     let _second = std::net::TcpStream::connect(address).expect("a connection");
     // The runtime has not looked at its sockets since they came.
-    assert_eq!(drain(listener).len(), 2);
+    assert_eq!(close_listener(listener).len(), 2);
     assert!(std::net::TcpStream::connect(address).is_err(), "nobody listens any more");
 }
