--- a/balancer/bench-adapter/src/host.rs
+++ b/balancer/bench-adapter/src/host.rs
@@ -134,8 +134,8 @@
             match self.columns.get(column).map(String::as_str) {
                 Some("utilization") => report.utilization = value,
                 Some("throughput") => report.throughput = value,
-                Some("outstanding") => report.held = value,
-                Some("backlog") => report.held = report.held.or(value),
+                Some("outstanding") => report.queries_at_server = value,
+                Some("backlog") => report.queries_at_server = report.queries_at_server.or(value),
                 _ => {}
             }
         }
@@ -166,7 +166,7 @@
         self.finish(query, reply_code::ABORT, &[]);
     }
 
-    fn wake(&mut self, wait: u64, label: u32) {
+    fn set_timer(&mut self, wait: u64, label: u32) {
         self.record(reply_code::WAKE, &[&(wait * NANOS_PER_MICRO).to_le_bytes(), &label.to_le_bytes()]);
     }
 
@@ -174,7 +174,7 @@
         self.record(reply_code::PROBE, &[&self.upstreams[server]]);
     }
 
-    fn follow_endpoints(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.record(reply_code::FOLLOW_ENDPOINTS, &[&[1]]);
     }
 }
--- a/balancer/bench-adapter/src/instances.rs
+++ b/balancer/bench-adapter/src/instances.rs
@@ -69,7 +69,7 @@
             event_code::UNDER_WAY => started(instance, now, &mut fields)?,
             event_code::COMPLETED => completed(instance, now, &mut fields)?,
             event_code::WITHDRAWN => withdrawn(instance, now, &mut fields)?,
-            event_code::FIRED => instance.timer(now, fields.u32("label")?),
+            event_code::FIRED => instance.timer_fired(now, fields.u32("label")?),
             event_code::PROBE_RESULT => probe_result(instance, now, &mut fields)?,
             event_code::HEARD => skip_message(&mut fields)?,
             _ => {
@@ -119,7 +119,7 @@
                     cell,
                     kind,
                     state,
-                    size,
+                    relative_capacity: size,
                     started_at,
                 },
             });
@@ -166,7 +166,7 @@
     fields.u64("object")?;
     let deadline = fields.u64("deadlineNs")? / NANOS_PER_MICRO;
     let query = instance.host.take(txn);
-    instance.query(now, query, Arrival { product, tenant, deadline, route: None });
+    instance.query_arrived(now, query, Arrival { product, tenant, deadline, route: None });
     Ok(())
 }
 
@@ -176,7 +176,7 @@
     let execution = usize::from(fields.u8("shot")?);
     fields.bytes("spentNs and upstream", SPENT_AND_UPSTREAM_SIZE)?;
     if let Some(query) = instance.host.query(txn) {
-        instance.started(now, query, execution);
+        instance.execution_started(now, query, execution);
     }
     Ok(())
 }
@@ -194,7 +194,12 @@
         let open = instance.host.open_query(query);
         open.executions_in_flight = open.executions_in_flight.saturating_sub(1);
         open.ended |= over;
-        instance.completed(now, query, execution, ExecutionEnd { outcome, over, spent, report });
+        instance.execution_ended(
+            now,
+            query,
+            execution,
+            ExecutionEnd { outcome, query_answered: over, elapsed_us: spent, report },
+        );
         instance.host.release(query);
     }
     Ok(())
@@ -205,7 +210,7 @@
     let txn = fields.u32("txn")?;
     if let Some(query) = instance.host.query(txn) {
         instance.host.open_query(query).ended = true;
-        instance.withdrawn(now, query);
+        instance.query_withdrawn(now, query);
         instance.host.release(query);
     }
     Ok(())
@@ -218,7 +223,7 @@
     fields.u64("spentNs")?;
     let report = instance.host.report(fields)?;
     let server = instance.host.server(upstream);
-    instance.probed(now, server, answered, report);
+    instance.probe_ended(now, server, answered, report);
     Ok(())
 }
 
--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -92,7 +92,7 @@
 
     /// Queries come by these routes from now on; those in hand keep theirs.
     pub fn routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
-        self.balancer.routes(routes);
+        self.balancer.set_routes(routes);
     }
 
     /// The endpoint list has changed.
@@ -128,7 +128,7 @@
     /// Servers that are gone and that nothing in flight holds any more make way for others.
     fn forget_gone(&mut self) {
         while let Some(server) = self.balancer.host.servers.forget_gone() {
-            self.balancer.endpoint_forgotten(server);
+            self.balancer.endpoint_removed(server);
         }
     }
 
@@ -141,7 +141,7 @@
         caller: E::Caller,
     ) -> Option<Ticket> {
         let ticket = self.balancer.host.take(query, arrival.product, caller)?;
-        self.balancer.query(now, ticket.query_index, arrival);
+        self.balancer.query_arrived(now, ticket.query_index, arrival);
         // It may have its answer already.
         self.release(ticket.query_index);
         Some(ticket)
@@ -150,7 +150,7 @@
     /// The client has gone; nobody waits for the answer any more.
     pub fn client_gone(&mut self, now: u64, ticket: Ticket) {
         if self.balancer.host.client_gone(ticket) {
-            self.balancer.withdrawn(now, ticket.query_index);
+            self.balancer.query_withdrawn(now, ticket.query_index);
             self.release(ticket.query_index);
         }
     }
@@ -164,30 +164,30 @@
     pub fn execution_ended(&mut self, now: u64, ended: EndedExecution) {
         let EndedExecution { query_index, execution_index, outcome, spent, report, served } = ended;
         let over = self.balancer.host.execution_ended(query_index, outcome, served);
-        self.balancer.completed(
+        self.balancer.execution_ended(
             now,
             query_index,
             execution_index,
-            ExecutionEnd { outcome, over, spent, report },
+            ExecutionEnd { outcome, query_answered: over, elapsed_us: spent, report },
         );
         self.release(query_index);
     }
 
     /// The program ends at `until`.
     pub fn stopping(&mut self, now: u64, until: u64) {
-        self.balancer.stopping(now, until);
+        self.balancer.begin_shutdown(now, until);
     }
 
     /// A probe has ended; `answered` says whether the server gave a sign of life.
     pub fn probed(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
-        self.balancer.probed(now, server, answered, report);
+        self.balancer.probe_ended(now, server, answered, report);
         self.balancer.host.servers.release(server);
         self.forget_gone();
     }
 
     /// A timer set by [`Effects::wake`] is due.
     pub fn timer(&mut self, now: u64, label: u32) {
-        self.balancer.timer(now, label);
+        self.balancer.timer_fired(now, label);
     }
 
     /// Whether an execution may still begin: asked again right before its first byte goes out. Guards against
@@ -196,7 +196,7 @@
     pub fn may_begin(&mut self, now: u64, query_index: usize, execution_index: usize, server: usize) -> bool {
         self.balancer.host.is_open(query_index)
             && self.is_ready(server)
-            && self.balancer.may_begin(now, query_index, execution_index)
+            && self.balancer.may_send(now, query_index, execution_index)
     }
 
     /// Whether the last list has the server ready.
--- a/balancer/core/src/request_table.rs
+++ b/balancer/core/src/request_table.rs
@@ -168,7 +168,7 @@
         self.answer(query_index, Answer::Aborted(because));
     }
 
-    fn wake(&mut self, wait: u64, label: u32) {
+    fn set_timer(&mut self, wait: u64, label: u32) {
         self.effects.wake(wait, label);
     }
 
@@ -179,5 +179,5 @@
     }
 
     /// The program watches the list from its start on, and opens the watch again by itself.
-    fn follow_endpoints(&mut self) {}
+    fn watch_endpoints(&mut self) {}
 }
--- a/balancer/core/src/servers.rs
+++ b/balancer/core/src/servers.rs
@@ -82,7 +82,7 @@
                 cell: listed.cell,
                 kind: index(&mut self.kinds, &listed.kind),
                 state,
-                size: listed.size,
+                relative_capacity: listed.size,
                 started_at: listed.started_at,
             };
             self.known[server].entry = Some(entry);
@@ -117,7 +117,7 @@
                 zone: self.zones.get(entry.zone)?.clone(),
                 kind: self.kinds.get(entry.kind).cloned().unwrap_or_default(),
                 cell: entry.cell,
-                size: entry.size,
+                size: entry.relative_capacity,
                 started_at: entry.started_at,
                 state: entry.state,
                 address: known.process.map(|process| process.address),
--- a/balancer/core/tests/core.rs
+++ b/balancer/core/tests/core.rs
@@ -10,7 +10,8 @@
 use whinspindle_protocol::query::Forwarded;
 
 use Outcome::{
-    Broken, Cancelled, Completed, Error, Malformed, NeverSent, NotConnected, Rejected, Stale, TimedOut, Unfit,
+    Broken, Cancelled, ClientError, Completed, Error, Malformed, NeverSent, NotConnected, Rejected,
+    StaleConnection, TimedOut,
 };
 
 const NOW: u64 = 1_000_000_000;
@@ -142,8 +143,8 @@
         ("keyed", &[NeverSent], &["rejected"]),
         ("safe", &[Error], &["rejected"]),
         ("unsafe", &[Broken], &["aborted"]),
-        ("keyed", &[Unfit], &["aborted"]),
-        ("keyed", &[Stale, Malformed, Completed], &["completed"]),
+        ("keyed", &[ClientError], &["aborted"]),
+        ("keyed", &[StaleConnection, Malformed, Completed], &["completed"]),
     ] {
         let mut bench = Bench::new(effect, &[("1", "ready")]);
         bench.query("client");
@@ -161,7 +162,7 @@
 #[test]
 fn what_never_ran_goes_to_another_server() {
     for (outcome, again) in
-        [(Rejected, true), (NotConnected, true), (NeverSent, true), (Error, false), (Unfit, false)]
+        [(Rejected, true), (NotConnected, true), (NeverSent, true), (Error, false), (ClientError, false)]
     {
         let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
         bench.query("client");
--- a/balancer/deployment-settings/src/lib.rs
+++ b/balancer/deployment-settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! programs round them need.
 
 use serde::Deserialize;
-use whinspindle::host::{BalancerSettings, Effect, Group, Product};
+use whinspindle::host::{BalancerSettings, Effect, Product, ServerScope};
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -142,9 +142,9 @@
 /// would pass for the widest.
 fn effect(p: &ProductOptions) -> Result<Effect, String> {
     let group = match p.key_scope.as_deref() {
-        Some("all") => Some(Group::All),
-        Some("zone") => Some(Group::Zone),
-        Some("cell") => Some(Group::Cell),
+        Some("all") => Some(ServerScope::All),
+        Some("zone") => Some(ServerScope::Zone),
+        Some("cell") => Some(ServerScope::Cell),
         _ => None,
     };
     match (p.effect.as_str(), group) {
@@ -202,9 +202,9 @@
     for (number, p) in options.products.iter().enumerate() {
         products.push(Product {
             effect: effect(p).map_err(|fault| format!("products[{number}].{fault}"))?,
-            slo_time: p.slo_time_ns / 1000,
-            memory_span: p.memory_span_ns.unwrap_or(0) / 1000,
-            tardy_importance: p.tardy_importance.unwrap_or(0.0),
+            slo_time_us: p.slo_time_ns / 1000,
+            dedup_window_us: p.memory_span_ns.unwrap_or(0) / 1000,
+            late_answer_value: p.tardy_importance.unwrap_or(0.0),
         });
     }
     if products.is_empty() {
@@ -229,31 +229,31 @@
     let terms = BalancerSettings {
         balancers: options.balancers.max(1),
         rank: options.rank,
-        streams,
-        load_by_probe: how == "pull" && probes_pay,
+        streams_per_connection: streams,
+        load_only_from_probes: how == "pull" && probes_pay,
         tier: options.tier,
-        home: options.locality,
-        cross_zone: options.deductions.cross_zone.max(0.0),
+        home_zone: options.locality,
+        cross_zone_cost: options.deductions.cross_zone.max(0.0),
         products,
         tenant_quotas: options.projects.iter().map(|p| p.quota_per_s.unwrap_or(0.0)).collect(),
         max_executions: limits.most_executions,
         allow_hedging: limits.second_copies,
-        cancel: limits.cancel,
-        probes_pay,
-        probe_dear: 4.0 * options.deductions.probe > options.deductions.late_fail,
-        max_retry_after: if limits.retry_after { limits.max_retry_after_ns / 1000 } else { 0 },
-        tick: options.tick_ns / 1000,
-        must_ask_in: must_ask_in(&options.membership_mode, rules.must_ask_in_ns)?,
-        slow_start_from: rules.cold_from,
-        slow_start_time: rules.cold_ns / 1000,
-        fall_multiple: rules.fall_multiple,
-        tip_after: rules.tip_after_ns / 1000,
+        allow_cancel: limits.cancel,
+        allow_probes: probes_pay,
+        single_probe: 4.0 * options.deductions.probe > options.deductions.late_fail,
+        max_retry_after_us: if limits.retry_after { limits.max_retry_after_ns / 1000 } else { 0 },
+        clock_resolution_us: options.tick_ns / 1000,
+        watch_reopen_limit_us: must_ask_in(&options.membership_mode, rules.must_ask_in_ns)?,
+        slow_start_initial_fraction: rules.cold_from,
+        slow_start_duration_us: rules.cold_ns / 1000,
+        slow_start_overload_factor: rules.fall_multiple,
+        slow_start_window_us: rules.tip_after_ns / 1000,
     };
     let statement_timeouts: Vec<u64> = options.products.iter().map(statement_timeout).collect();
     // What is not told follows from what is: no query stays longer at a server than its longest time, and to
     // connect may take a part of the shortest one.
     let (longest, shortest) =
-        (statement_timeouts.iter().max(), terms.products.iter().map(|p| p.slo_time).min());
+        (statement_timeouts.iter().max(), terms.products.iter().map(|p| p.slo_time_us).min());
     let idle_time = limits.conn_idle_ns.map(|ns| ns / 1000).or(longest.copied()).unwrap_or(0);
     let connect_time_out = limits.connect_timeout_ns.map(|ns| ns / 1000).or(shortest.map(|time| time / 4));
     Ok(Deployment {
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -74,20 +74,20 @@
             names.iter().filter_map(|name| index(known, name)).collect()
         };
         let row = |c: &Conditions| host::RoutePolicy {
-            time: c.time,
-            execution_time: c.execution_time,
-            executions: c.executions,
+            timeout_us: c.time,
+            execution_timeout_us: c.execution_time,
+            max_executions: c.executions,
             retry_on: c.retry_on,
-            wait: c.wait,
-            spread: c.spread,
+            backoff_us: c.wait,
+            jitter: c.spread,
             hedge: c.hedge,
-            budget: c.budget,
+            retry_budget: c.budget,
             zones: named(&c.servers.zones, &deployment.zones),
             kinds: named(&c.servers.kinds, &deployment.kinds),
-            near: match (c.servers.repeats_in_zone, c.servers.repeats_in_pod) {
-                (_, true) => host::Group::Cell,
-                (true, false) => host::Group::Zone,
-                (false, false) => host::Group::All,
+            retry_scope: match (c.servers.repeats_in_zone, c.servers.repeats_in_pod) {
+                (_, true) => host::ServerScope::Cell,
+                (true, false) => host::ServerScope::Zone,
+                (false, false) => host::ServerScope::All,
             },
         };
         self.routes.routes().iter().map(|route| route.conditions.iter().map(row).collect()).collect()
@@ -127,9 +127,9 @@
     Bounds {
         executions: terms.max_executions,
         allow_hedging: terms.allow_hedging,
-        cancel: terms.cancel,
+        cancel: terms.allow_cancel,
         connect_time_out: deployment.connect_time_out,
-        tick: terms.tick,
+        tick: terms.clock_resolution_us,
         network: NETWORK_MARGIN,
         largest_body: LARGEST_BODY,
     }
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -109,7 +109,8 @@
     let mut reported: Vec<(Field, String)> = Vec::new();
     for (number, product) in deployment.terms.products.iter().enumerate() {
         let statement_timeout = deployment.statement_timeouts[number];
-        let row = ProductRow { effect: product.effect, memory_span: product.memory_span, statement_timeout };
+        let row =
+            ProductRow { effect: product.effect, memory_span: product.dedup_window_us, statement_timeout };
         let conditions = given.fill(&shared, &row, deployment);
         let meant = matches.product.is_none_or(|only| only == number)
             && (matches.method.as_deref() != Some("GET") || product.effect == Effect::Idempotent);
@@ -153,21 +154,21 @@
 impl Given {
     /// The conditions for one product, with the balancer's defaults where nothing is set.
     fn fill(&self, shared: &Conditions, row: &ProductRow, deployment: &Deployment) -> Conditions {
-        use whinspindle::host::Group;
-        let tick = deployment.terms.tick;
+        use whinspindle::host::ServerScope;
+        let tick = deployment.terms.clock_resolution_us;
         let time = self.time.unwrap_or(row.statement_timeout.saturating_sub(tick));
         let ever = row.effect != Effect::NonIdempotent;
         let by_effect = RetryOn { never_ran: true, error: ever, broken: ever, timed_out: ever };
         let executions = self.executions.unwrap_or(deployment.terms.max_executions);
         let retry_on = match self.retry_on {
             Some(set) => set,
-            None if executions == 1 => RetryOn::NOTHING,
+            None if executions == 1 => RetryOn::NONE,
             None => by_effect,
         };
         // As without a route, retries stay among the servers that deduplicate them.
         let retry_scope = self.retry_scope.unwrap_or(match row.effect {
-            Effect::Deduplicated(Group::Zone) => RetryScope::Zone,
-            Effect::Deduplicated(Group::Cell) => RetryScope::Pod,
+            Effect::Deduplicated(ServerScope::Zone) => RetryScope::Zone,
+            Effect::Deduplicated(ServerScope::Cell) => RetryScope::Pod,
             _ => RetryScope::Anywhere,
         });
         let mut filled = Conditions {
@@ -194,7 +195,7 @@
             };
             filled.executions = (1..=executions).rev().find(|&n| fits(n)).unwrap_or(1);
             if filled.executions == 1 && self.retry_on.is_none() {
-                filled.retry_on = RetryOn::NOTHING;
+                filled.retry_on = RetryOn::NONE;
             }
         }
         filled
@@ -224,7 +225,7 @@
         time: 0,
         execution_time: 0,
         executions: 1,
-        retry_on: RetryOn::NOTHING,
+        retry_on: RetryOn::NONE,
         wait: t.duration_us("wait", Some(0)),
         spread: t.float("spread", (0.0, 10.0), Some(0.0)),
         hedge: hedge(t),
@@ -258,7 +259,7 @@
 }
 
 fn retry_on(t: &Table) -> RetryOn {
-    let mut after = RetryOn::NOTHING;
+    let mut after = RetryOn::NONE;
     for (outcome, place) in t.strings("repeat-after") {
         match outcome.as_str() {
             "never-ran" => after.never_ran = true,
--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -230,10 +230,8 @@
     let operator = valid("[[route]]\nname = \"all\"\n");
     let rows = &operator.routes.routes()[0].conditions;
     let all = RetryOn { never_ran: true, error: true, broken: true, timed_out: true };
-    let never_ran = RetryOn { never_ran: true, ..RetryOn::NOTHING };
-    for (product, executions, after, in_pod) in
-        [(0, 1, RetryOn::NOTHING, false), (2, 1, RetryOn::NOTHING, false)]
-    {
+    let never_ran = RetryOn { never_ran: true, ..RetryOn::NONE };
+    for (product, executions, after, in_pod) in [(0, 1, RetryOn::NONE, false), (2, 1, RetryOn::NONE, false)] {
         let row = &rows[product];
         assert_eq!((row.executions, row.retry_on), (executions, after), "product {product}");
         assert_eq!(
--- a/balancer/operator-file/tests/random.rs
+++ b/balancer/operator-file/tests/random.rs
@@ -136,11 +136,11 @@
             prop_assert_eq!(rows.len(), deployment.terms.products.len());
             for (row, most) in rows.iter().zip(&deployment.statement_timeouts) {
                 prop_assert!(
-                    row.time <= *most && row.executions <= deployment.terms.max_executions,
+                    row.timeout_us <= *most && row.max_executions <= deployment.terms.max_executions,
                     "{}",
                     text
                 );
-                prop_assert!(row.execution_time <= row.time, "{}", text);
+                prop_assert!(row.execution_timeout_us <= row.timeout_us, "{}", text);
             }
         }
         Ok(())
--- a/balancer/protocol/src/execution.rs
+++ b/balancer/protocol/src/execution.rs
@@ -66,7 +66,7 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Rejected,
             // Guards against one client's bad queries making all servers look broken.
             StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
-            status if status.is_client_error() => Outcome::Unfit,
+            status if status.is_client_error() => Outcome::ClientError,
             _ => Outcome::Error,
         };
         let served = (outcome == Outcome::Completed)
--- a/balancer/protocol/src/report.rs
+++ b/balancer/protocol/src/report.rs
@@ -22,9 +22,9 @@
         } else if THROUGHPUT.contains(&name) && holds(THROUGHPUT) {
             report.throughput = value;
         } else if IN_FLIGHT.contains(&name) && holds(IN_FLIGHT) {
-            report.held = value;
+            report.queries_at_server = value;
         } else if QUEUED.contains(&name) && holds(QUEUED) {
-            report.held = report.held.or(value);
+            report.queries_at_server = report.queries_at_server.or(value);
         }
     }
     report
--- a/balancer/protocol/tests/messages.rs
+++ b/balancer/protocol/tests/messages.rs
@@ -135,8 +135,8 @@
     for (status, headers, outcome) in [
         (200, &[][..], Outcome::Completed),
         (201, &[], Outcome::Error),
-        (400, &[], Outcome::Unfit),
-        (404, &[], Outcome::Unfit),
+        (400, &[], Outcome::ClientError),
+        (404, &[], Outcome::ClientError),
         (408, &[], Outcome::Error),
         (429, &never_ran, Outcome::Error),
         (500, &never_ran, Outcome::Error),
@@ -168,7 +168,7 @@
         (columns(&["outstanding"]), "TEXT inflight=-7", None),
     ] {
         let probed = Response::new(Bytes::from_static(text.as_bytes()));
-        assert_eq!(Reply::decode_probe(probed, &named).1.held, held, "{named:?} {text}");
+        assert_eq!(Reply::decode_probe(probed, &named).1.queries_at_server, held, "{named:?} {text}");
     }
     // A bad report beside a good one spoils neither that nor the answer.
     let reply = reply(200, &[("endpoint-load-metrics", "%%%"), ("endpoint-load-metrics", "TEXT qps=2")]);
--- a/balancer/rollout/src/observed_outcomes.rs
+++ b/balancer/rollout/src/observed_outcomes.rs
@@ -31,7 +31,9 @@
             Outcome::Completed => bad[SLOW] = self.thresholds.is_slow(product, spent),
             Outcome::Rejected => bad[REJECTED] = true,
             // The server is not at fault.
-            Outcome::Unfit | Outcome::Stale | Outcome::Cancelled | Outcome::NeverSent => return,
+            Outcome::ClientError | Outcome::StaleConnection | Outcome::Cancelled | Outcome::NeverSent => {
+                return;
+            }
             _ => bad[FAILED] = true,
         }
         self.servers.entry(server).or_default().add(count(bad));
--- a/balancer/routes/src/proof/checks.rs
+++ b/balancer/routes/src/proof/checks.rs
@@ -1,6 +1,6 @@
 //! The checks of the proof, a function each.
 
-use whinspindle::host::{Effect, Group};
+use whinspindle::host::{Effect, ServerScope};
 
 use super::{Check, Field, Refusal, Schedule, worst};
 use crate::{Bounds, Conditions, HedgePolicy, ProductRow, RetryOn};
@@ -18,7 +18,7 @@
         product,
         bounds,
         schedule: worst(conditions, bounds),
-        retries: conditions.executions > 1 && conditions.retry_on.may_have_run(),
+        retries: conditions.executions > 1 && conditions.retry_on.allows_after_possible_run(),
         hedges: conditions.hedge != HedgePolicy::Never,
         refusals: Vec::new(),
     };
@@ -122,8 +122,10 @@
     fn scope(&mut self) {
         let servers = &self.conditions.servers;
         let (scope, inside) = match self.product.effect {
-            Effect::Deduplicated(Group::Zone) => ("zone", servers.repeats_in_zone || servers.repeats_in_pod),
-            Effect::Deduplicated(Group::Cell) => ("pod", servers.repeats_in_pod),
+            Effect::Deduplicated(ServerScope::Zone) => {
+                ("zone", servers.repeats_in_zone || servers.repeats_in_pod)
+            }
+            Effect::Deduplicated(ServerScope::Cell) => ("pod", servers.repeats_in_pod),
             _ => return,
         };
         if (self.retries || self.hedges) && !inside {
@@ -157,7 +159,7 @@
 
     fn sense(&mut self) {
         let executions = self.conditions.executions;
-        if executions == 1 && (self.conditions.retry_on != RetryOn::NOTHING || self.hedges) {
+        if executions == 1 && (self.conditions.retry_on != RetryOn::NONE || self.hedges) {
             let fault = "repeats are set, but no execution is left for them";
             self.refuse(Field::Executions, fault, "at least 2");
         }
--- a/balancer/routes/tests/common/mod.rs
+++ b/balancer/routes/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A valid route and the bounds of a deployment, for the cases to change.
 
-use whinspindle::host::{Effect, Group};
+use whinspindle::host::{Effect, ServerScope};
 use whinspindle_routes::pattern::Pattern;
 use whinspindle_routes::{Bounds, Conditions, HedgePolicy, Matches, ProductRow, RetryOn, Route, Servers};
 
@@ -24,7 +24,11 @@
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 pub fn order() -> ProductRow {
-    ProductRow { effect: Effect::Deduplicated(Group::All), memory_span: 5 * S, statement_timeout: 3 * S }
+    ProductRow {
+        effect: Effect::Deduplicated(ServerScope::All),
+        memory_span: 5 * S,
+        statement_timeout: 3 * S,
+    }
 }
 
 pub fn conditions() -> Conditions {
--- a/balancer/routes/tests/proof.rs
+++ b/balancer/routes/tests/proof.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{MS, S, bounds, conditions, order};
-use whinspindle::host::{Effect, Group};
+use whinspindle::host::{Effect, ServerScope};
 use whinspindle_routes::proof::{CHECKS, Check, prove, prove_by, worst};
 use whinspindle_routes::{Bounds, Conditions, HedgePolicy, ProductRow, RetryOn, Servers};
 
@@ -15,28 +15,28 @@
     ("time up to the last tick", None, |c, _, _| c.time = 3 * S - 5 * MS),
     ("a microsecond more", Some(Check::AnswerInTime), |c, _, _| c.time = 3 * S - 5 * MS + 1),
     ("an execution as long as its query", None, |c, _, _| {
-        (c.execution_time, c.executions, c.retry_on) = (2 * S, 1, RetryOn::NOTHING);
+        (c.execution_time, c.executions, c.retry_on) = (2 * S, 1, RetryOn::NONE);
     }),
     ("a microsecond longer", Some(Check::ExecutionInTime), |c, _, _| {
-        (c.execution_time, c.executions, c.retry_on) = (2 * S + 1, 1, RetryOn::NOTHING);
+        (c.execution_time, c.executions, c.retry_on) = (2 * S + 1, 1, RetryOn::NONE);
     }),
     ("as many executions as are allowed", None, |c, _, _| (c.executions, c.execution_time) = (4, 300 * MS)),
     ("one more", Some(Check::Executions), |c, _, _| (c.executions, c.execution_time) = (5, 300 * MS)),
     ("non-idempotent, sent again where it never ran", None, |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NONE };
     }),
     ("non-idempotent, again after an error", Some(Check::NonIdempotent), |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { error: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { error: true, ..RetryOn::NONE };
     }),
     ("non-idempotent, again after a break", Some(Check::NonIdempotent), |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { broken: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { broken: true, ..RetryOn::NONE };
     }),
     ("non-idempotent, with a second copy", Some(Check::NonIdempotent), |c, p, b| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NONE };
         c.hedge = HedgePolicy::Quantile(0.95);
         b.allow_hedging = true;
     }),
@@ -45,28 +45,28 @@
     ("forgotten at that very moment", Some(Check::Memory), |_, p, _| p.memory_span = 1_380 * MS),
     ("forgotten, but nothing is sent again", None, |c, p, _| {
         p.memory_span = 1;
-        (c.executions, c.retry_on) = (1, RetryOn::NOTHING);
+        (c.executions, c.retry_on) = (1, RetryOn::NONE);
     }),
     ("forgotten, but sent again only where it never ran", None, |c, p, _| {
         p.memory_span = 1;
-        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NONE };
     }),
     ("waits that grow past the memory", Some(Check::Memory), |c, p, _| {
         (p.memory_span, c.wait) = (1_500 * MS, 100 * MS);
     }),
     ("repeats known in the zone, kept there", None, |c, p, _| {
-        p.effect = Effect::Deduplicated(Group::Zone);
+        p.effect = Effect::Deduplicated(ServerScope::Zone);
         c.servers = Servers { repeats_in_zone: true, ..Servers::default() };
     }),
     ("repeats known in the zone, sent anywhere", Some(Check::Scope), |_, p, _| {
-        p.effect = Effect::Deduplicated(Group::Zone);
+        p.effect = Effect::Deduplicated(ServerScope::Zone);
     }),
     ("repeats known in the pod, kept in the zone", Some(Check::Scope), |c, p, _| {
-        p.effect = Effect::Deduplicated(Group::Cell);
+        p.effect = Effect::Deduplicated(ServerScope::Cell);
         c.servers = Servers { repeats_in_zone: true, ..Servers::default() };
     }),
     ("repeats known in the pod, kept there", None, |c, p, _| {
-        p.effect = Effect::Deduplicated(Group::Cell);
+        p.effect = Effect::Deduplicated(ServerScope::Cell);
         c.servers = Servers { repeats_in_pod: true, ..Servers::default() };
     }),
     ("a second copy where none is allowed", Some(Check::Overlap), |c, _, _| {
--- a/controlplane/controller/tests/common/deployment/operators.rs
+++ b/controlplane/controller/tests/common/deployment/operators.rs
@@ -37,7 +37,7 @@
 
     fn begin_race(&mut self) {
         let base = self.checker.newest_generation();
-        let generation = base + 1 + self.fleet.random.below(2) as u64;
+        let generation = base + 1 + self.fleet.random.next_below(2) as u64;
         let bodies = ["one", "other"].map(|operator| {
             let text = String::from_utf8(configuration(generation).to_vec()).unwrap();
             Bytes::from(text.replacen('{', &format!("{{\"operator\":\"{operator}\","), 1))
@@ -47,7 +47,7 @@
     }
 
     fn begin_zone_command(&mut self) {
-        let zone = ["zone-a", "zone-b", "zone-c"][self.fleet.random.below(3)];
+        let zone = ["zone-a", "zone-b", "zone-c"][self.fleet.random.next_below(3)];
         let evacuated = !self.checker.zones().get(zone).is_some_and(|(_, evacuated)| *evacuated);
         self.checker.evacuating(zone);
         let attempt = self.fleet.begin(evacuate(zone, evacuated));
--- a/controlplane/controller/tests/common/deployment/reads.rs
+++ b/controlplane/controller/tests/common/deployment/reads.rs
@@ -28,7 +28,7 @@
         }
         self.read_at = now + READ_MS;
         let endpoints = self.fleet.cluster.endpoints();
-        let at = endpoints[self.random.below(endpoints.len())];
+        let at = endpoints[self.random.next_below(endpoints.len())];
         let id = self.fleet.next_call();
         let read = Read { at, sent_at: now, acknowledged: self.newest_acknowledged() };
         if self.fleet.cluster.command(at, Command::Call { id, call: Call::Fetch }) {
--- a/controlplane/controller/tests/common/deployment/upstreams.rs
+++ b/controlplane/controller/tests/common/deployment/upstreams.rs
@@ -38,10 +38,10 @@
 
     /// Now and then a copy of a heartbeat arrives seconds later, at any controller.
     fn schedule_late_copy(&mut self, now: u64, call: &Call) {
-        if matches!(call, Call::Heartbeat { .. }) && self.random.unit() < LATE_RATIO {
+        if matches!(call, Call::Heartbeat { .. }) && self.random.next_f64() < LATE_RATIO {
             let endpoints = self.fleet.cluster.endpoints();
-            let at = endpoints[self.random.below(endpoints.len())];
-            let due = now + self.random.below(MAX_LATE_MS) as u64;
+            let at = endpoints[self.random.next_below(endpoints.len())];
+            let due = now + self.random.next_below(MAX_LATE_MS) as u64;
             self.late_heartbeats.push((due, at, call.clone()));
         }
     }
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -440,7 +440,7 @@
                 continue;
             }
             let call = attempt.call.clone();
-            let at = endpoints[self.random.below(endpoints.len())];
+            let at = endpoints[self.random.next_below(endpoints.len())];
             self.send(index, at, call);
         }
     }
@@ -468,7 +468,7 @@
 
     fn answered(&mut self, at: u64, id: CallId, response: Response) {
         let waits = |attempt: &&mut Attempt| attempt.waiting.is_some_and(|(waiting, _)| waiting == id);
-        if self.lost_answers > 0.0 && self.random.unit() < self.lost_answers {
+        if self.lost_answers > 0.0 && self.random.next_f64() < self.lost_answers {
             return;
         }
         let Some(attempt) = self.attempts.iter_mut().find(waits) else { return };
--- a/controlplane/controller/tests/fleet.rs
+++ b/controlplane/controller/tests/fleet.rs
@@ -290,7 +290,7 @@
             self.race(round);
             self.evacuate(round);
             self.depart(round);
-            let span = self.fleet.random.below(1_500) as u64;
+            let span = self.fleet.random.next_below(1_500) as u64;
             self.fleet.pass(span);
             self.repair_all(fault);
         }
@@ -298,8 +298,8 @@
 
     /// A controller is killed, partitioned, or has lost its disk.
     fn fault(&mut self) -> (u8, usize) {
-        let number = 1 + self.fleet.random.below(5) as u8;
-        let kind = self.fleet.random.below(5);
+        let number = 1 + self.fleet.random.next_below(5) as u8;
+        let kind = self.fleet.random.next_below(5);
         match kind {
             0 => self.fleet.cluster.stop(endpoint(number)),
             1 => self.fleet.set_partitioned(endpoint(number), true),
@@ -329,7 +329,7 @@
     fn race(&mut self, round: usize) {
         let base = self.acknowledged.last().map_or(0, |(_, generation, _)| *generation);
         let operators = ["one", "other"].map(|operator| {
-            let generation = base + 1 + self.fleet.random.below(2) as u64;
+            let generation = base + 1 + self.fleet.random.next_below(2) as u64;
             let body = Bytes::from(String::from_utf8(configuration(generation).to_vec()).unwrap().replacen(
                 '{',
                 &format!("{{\"operator\":\"{operator} {round}\","),
--- a/controlplane/controller/tests/random_operators.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -161,7 +161,7 @@
     }
 
     fn below(&mut self, bound: usize) -> usize {
-        self.fleet.random.below(bound)
+        self.fleet.random.next_below(bound)
     }
 
     fn anywhere(&mut self) -> SocketAddr {
--- a/coordination/replica/tests/common/clients.rs
+++ b/coordination/replica/tests/common/clients.rs
@@ -101,10 +101,10 @@
         at: SocketAddr,
         registers: usize,
     ) {
-        let register = format!("register-{}", random.below(registers));
+        let register = format!("register-{}", random.next_below(registers));
         let new = format!("v{}", self.operations.len() + 1);
         let old = self.guesses.get(&register).cloned().unwrap_or("-".to_string());
-        let asked = match random.below(4) {
+        let asked = match random.next_below(4) {
             0 => Asked::Put(new),
             1 | 2 => Asked::Swap { old, new },
             _ => Asked::Get,
--- a/coordination/replica/tests/common/schedule.rs
+++ b/coordination/replica/tests/common/schedule.rs
@@ -254,7 +254,7 @@
             let next = self.asks_at.clamp(self.cluster.now(), until);
             self.clients.run_until(&mut self.cluster, next);
             if next == self.asks_at || self.asks_at < self.cluster.now() {
-                self.asks_at = self.cluster.now() + 5 + self.random.below(self.workload.pause) as u64;
+                self.asks_at = self.cluster.now() + 5 + self.random.next_below(self.workload.pause) as u64;
                 self.ask();
             }
         }
@@ -262,7 +262,7 @@
 
     fn ask(&mut self) {
         let endpoints = self.cluster.endpoints();
-        let at = endpoints[self.random.below(endpoints.len())];
+        let at = endpoints[self.random.next_below(endpoints.len())];
         self.clients.ask_again(&mut self.cluster, at, RETRY_AFTER);
         if self.clients.operations.len() < self.workload.operations {
             self.clients.begin_any(&mut self.cluster, &mut self.random, at, self.workload.registers);
--- a/coordination/replica/tests/faults.rs
+++ b/coordination/replica/tests/faults.rs
@@ -261,12 +261,12 @@
     const PLAYS: u64 = 60;
     for seed in 0..PLAYS {
         let mut random = Pcg::new(seed);
-        let losses = 1 + random.below(2);
-        let replicas = 2 * losses + 1 + random.below(3);
+        let losses = 1 + random.next_below(2);
+        let replicas = 2 * losses + 1 + random.next_below(3);
         let (mut cluster, mut clients) = stable_cluster(seed, replicas, losses);
         for _ in 0..2 {
-            let away = endpoint(random.below(replicas));
-            let was_away = random.below(2) == 0;
+            let away = endpoint(random.next_below(replicas));
+            let was_away = random.next_below(2) == 0;
             if was_away {
                 cluster.stop(away);
             }
@@ -279,7 +279,7 @@
             }
             operate(&mut cluster, &mut clients, &mut random, replicas, 200);
             (0..replicas).for_each(|number| cluster.stop(endpoint(number)));
-            let first = random.below(replicas);
+            let first = random.next_below(replicas);
             (0..losses).for_each(|more| cluster.wipe(endpoint((first + more) % replicas)));
             let until = cluster.now() + 500;
             clients.run_until(&mut cluster, until);
@@ -302,11 +302,11 @@
 ) {
     let end = cluster.now() + milliseconds;
     while cluster.now() < end {
-        let at = endpoint(random.below(replicas));
+        let at = endpoint(random.next_below(replicas));
         if cluster.is_running(at) {
             clients.begin_any(cluster, random, at, REGISTERS);
         }
-        let until = (cluster.now() + 1 + random.below(40) as u64).min(end);
+        let until = (cluster.now() + 1 + random.next_below(40) as u64).min(end);
         clients.run_until(cluster, until);
     }
 }
--- a/dataplane/routing/src/even_draw.rs
+++ b/dataplane/routing/src/even_draw.rs
@@ -19,7 +19,7 @@
 impl EvenDraw {
     /// A sequence with a random first point.
     pub(crate) fn starting_at_random(random: &mut Pcg) -> Self {
-        EvenDraw { point: random.unit() }
+        EvenDraw { point: random.next_f64() }
     }
 
     /// Draws an index in proportion to its weight; none if no weight is positive.
--- a/dataplane/routing/src/region.rs
+++ b/dataplane/routing/src/region.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use whinspindle::pcg::Pcg;
-use whinspindle::samples::{LatencyFit, decayed, fit_rising, push, shares};
-use whinspindle::weights::{FLOOR_SHARE, Target, solve};
+use whinspindle::samples::{LatencyFit, decay_weighted, fit_increasing_line, normalize_shares, push_bounded};
+use whinspindle::weights::{MIN_SHARE, Target, solve};
 
 use crate::rate::RateCounter;
 
@@ -52,7 +52,7 @@
     }
 
     pub(crate) fn record_latency(&mut self, now: u64, load_per_ready: f64, latency_ms: f64) {
-        push(&mut self.samples, SAMPLES, (now, load_per_ready, latency_ms));
+        push_bounded(&mut self.samples, SAMPLES, (now, load_per_ready, latency_ms));
     }
 
     /// The root of the weighted mean square distance between the samples and the fit, in milliseconds.
@@ -61,13 +61,13 @@
         let square = |(weight, load, latency): (f64, f64, f64)| {
             weight * (latency - fit.base - fit.slope * load).powi(2)
         };
-        let squares: f64 = decayed(&self.samples, now, 2 * CHECK_MS).map(square).sum();
+        let squares: f64 = decay_weighted(&self.samples, now, 2 * CHECK_MS).map(square).sum();
         if fit.weight > 0.0 { (squares / fit.weight).sqrt() } else { 0.0 }
     }
 
     /// The present fit of latency against the load for each ready instance.
     pub(crate) fn fit(&self, now: u64) -> LatencyFit {
-        fit_rising(decayed(&self.samples, now, 2 * CHECK_MS), LEAST_SLOPE)
+        fit_increasing_line(decay_weighted(&self.samples, now, 2 * CHECK_MS), LEAST_SLOPE)
     }
 }
 
@@ -88,7 +88,7 @@
 /// Normalizes the region weights: weight of an instance times the number of ready instances, with a floor if wanted.
 pub(crate) fn set_weights(regions: &mut [RegionModel], has_floor: bool) {
     let weights = regions.iter().map(|region| region.weight_per_instance * region.ready).collect();
-    let floored = shares(weights, if has_floor { FLOOR_SHARE } else { 0.0 });
+    let floored = normalize_shares(weights, if has_floor { MIN_SHARE } else { 0.0 });
     regions.iter_mut().zip(floored).for_each(|(region, weight)| region.weight = weight);
 }
 
@@ -112,10 +112,10 @@
     *solved = Solved { rate: conditions.rate, checks_since: 0 };
     // No cost for leaving the region here: `crate::locality` decides which requests stay.
     let place = |(index, region): (usize, &RegionModel)| Target {
-        ready: region.ready,
-        load: load(region) / region.ready.max(1.0),
+        ready_servers: region.ready,
+        load_per_server: load(region) / region.ready.max(1.0),
         fit: fits[index],
-        crossing: 0.0,
+        crossing_cost: 0.0,
     };
     let places: Vec<Target> = regions.iter().enumerate().map(place).collect();
     let weights: Vec<f64> = regions.iter().map(|region| region.weight).collect();
--- a/dataplane/routing/src/router/evidence.rs
+++ b/dataplane/routing/src/router/evidence.rs
@@ -29,7 +29,7 @@
             if is_named {
                 instance.avoided_until = now + SHARED_FAILURE_MS;
             } else if instance.is_reported_failing {
-                instance.avoided_until = now + (RETURN_MS * self.random.unit()) as u64;
+                instance.avoided_until = now + (RETURN_MS * self.random.next_f64()) as u64;
             }
             instance.is_reported_failing = is_named;
         }
--- a/dataplane/routing/src/router/rejections.rs
+++ b/dataplane/routing/src/router/rejections.rs
@@ -53,7 +53,7 @@
     random: &mut Pcg,
 ) -> Choice {
     let most = (MOST_OF_REMAINING_TIME * facts.time_left_ms as f64).max(LEAST_RETRY_AFTER_MS);
-    let spread = wait_ms * (JITTER_LEAST + JITTER_RANGE * random.unit());
+    let spread = wait_ms * (JITTER_LEAST + JITTER_RANGE * random.next_f64());
     let retry_after_ms = spread.clamp(LEAST_RETRY_AFTER_MS, most) as u64;
     Choice::Reject(Rejection { reason, retry_after_ms })
 }
--- a/dataplane/routing/src/service.rs
+++ b/dataplane/routing/src/service.rs
@@ -129,7 +129,7 @@
             } else if let Some(pace) = &self.pace
                 && !instance.slow_start.has_begun()
             {
-                instance.slow_start.begin(now, pace, random.unit());
+                instance.slow_start.begin(now, pace, random.next_f64());
             }
         }
         self.count_ready(now);
--- a/dataplane/routing/src/service/selection.rs
+++ b/dataplane/routing/src/service/selection.rs
@@ -108,7 +108,7 @@
         let stays_in_region =
             self.stay_probability(context, self.regions[context.own_region].ready, context.regions);
         let stays_in_zone = self.stay_probability(context, self.zone_ready, context.zones);
-        let stays = random.unit() * stays_in_region < stays_in_zone;
+        let stays = random.next_f64() * stays_in_region < stays_in_zone;
         let instances = &self.instances;
         self.candidates.retain(|&index| instances[index].in_own_zone == stays);
     }
@@ -124,11 +124,11 @@
         let home_is_open = self.weights.get(context.own_region).is_some_and(|&weight| weight > 0.0);
         if home_is_open && self.has(Mechanism::OwnRegionFirst) {
             let ready = self.regions[context.own_region].ready;
-            if random.unit() < self.stay_probability(context, ready, context.regions) {
+            if random.next_f64() < self.stay_probability(context, ready, context.regions) {
                 return Some(context.own_region);
             }
         }
-        random.pick(&self.weights)
+        random.pick_weighted(&self.weights)
     }
 
     /// The probability that a request stays in the own domain (region or zone), which has `ready` ready instances and is one
@@ -170,7 +170,7 @@
                 continue;
             }
             ties = if excess < least { 1 } else { ties + 1 };
-            if random.below(ties) == 0 {
+            if random.next_below(ties) == 0 {
                 chosen = Some((excess, index));
             }
         }
--- a/lab/scenario/src/lib.rs
+++ b/lab/scenario/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod change;
 mod read;
 
-pub use whinspindle::host::{Effect, Group};
+pub use whinspindle::host::{Effect, ServerScope};
 
 /// Servers of a zone that make up a pod.
 const CELL: usize = 4;
--- a/lab/scenario/src/read.rs
+++ b/lab/scenario/src/read.rs
@@ -258,10 +258,10 @@
             ("deduplicated", Kept::Deduplicated),
             ("non-idempotent", Kept::NonIdempotent),
         ];
-        let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+        let groups = [("all", ServerScope::All), ("zone", ServerScope::Zone), ("cell", ServerScope::Cell)];
         let effect = match t.one_of("effect", &effects, None) {
             Kept::Idempotent => Effect::Idempotent,
-            Kept::Deduplicated => Effect::Deduplicated(t.one_of("group", &groups, Some(Group::All))),
+            Kept::Deduplicated => Effect::Deduplicated(t.one_of("group", &groups, Some(ServerScope::All))),
             Kept::NonIdempotent => Effect::NonIdempotent,
         };
         let deduplicated = matches!(effect, Effect::Deduplicated(_));
--- a/lab/simulated-cluster/src/cluster.rs
+++ b/lab/simulated-cluster/src/cluster.rs
@@ -160,12 +160,12 @@
         node.process = Some(process);
         let life = node.life;
         self.carry_out(endpoint, effects);
-        let phase = self.chance.below(TICK as usize) as u64;
+        let phase = self.chance.next_below(TICK as usize) as u64;
         self.schedule(phase, endpoint, Some(life), Due::Tick);
     }
 
     fn draw_number(&mut self) -> u64 {
-        let half = |chance: &mut Pcg| chance.below(1 << 31) as u64;
+        let half = |chance: &mut Pcg| chance.next_below(1 << 31) as u64;
         half(&mut self.chance) << 31 | half(&mut self.chance) | 1 << 62
     }
 
--- a/lab/simulated-cluster/src/disk.rs
+++ b/lab/simulated-cluster/src/disk.rs
@@ -129,10 +129,10 @@
     fn write_partly(&mut self, chance: &mut Pcg, write: Write) {
         match write {
             Write::Append(records) => {
-                let kept = chance.below(records.len() + 1);
+                let kept = chance.next_below(records.len() + 1);
                 self.log.extend(records.into_iter().take(kept));
             }
-            Write::Checkpoint(_) if chance.below(2) == 0 => {}
+            Write::Checkpoint(_) if chance.next_below(2) == 0 => {}
             checkpoint => self.write(checkpoint),
         }
     }
--- a/lab/simulated-cluster/src/network.rs
+++ b/lab/simulated-cluster/src/network.rs
@@ -118,15 +118,15 @@
             return Vec::new();
         }
         if self.is_cut(from, to) {
-            if chance.unit() < self.timing.held_by_cut {
+            if chance.next_f64() < self.timing.held_by_cut {
                 self.held.entry((from, to)).or_default().push(message.clone());
             }
             return Vec::new();
         }
-        if chance.unit() < self.timing.loss {
+        if chance.next_f64() < self.timing.loss {
             return Vec::new();
         }
-        let copies = if chance.unit() < self.timing.repetition { 2 } else { 1 };
+        let copies = if chance.next_f64() < self.timing.repetition { 2 } else { 1 };
         let delays: Vec<u64> = (0..copies).map(|_| self.delay(chance)).collect();
         match self.timing.bytes_per_ms {
             None => delays,
@@ -146,6 +146,6 @@
 
     fn delay(&self, chance: &mut Pcg) -> u64 {
         let spread = self.timing.longest - self.timing.shortest + 1;
-        self.timing.shortest + chance.below(spread as usize) as u64
+        self.timing.shortest + chance.next_below(spread as usize) as u64
     }
 }
--- a/lab/simulation/src/decider.rs
+++ b/lab/simulation/src/decider.rs
@@ -63,13 +63,13 @@
     fn abort(&mut self, query_index: usize) {
         self.0.push(Wish::Abort { query_index });
     }
-    fn wake(&mut self, wait: u64, label: u32) {
+    fn set_timer(&mut self, wait: u64, label: u32) {
         self.0.push(Wish::Wake { wait, label });
     }
     fn probe(&mut self, server: usize) {
         self.0.push(Wish::Probe { server });
     }
-    fn follow_endpoints(&mut self) {}
+    fn watch_endpoints(&mut self) {}
 }
 
 /// What is true of the servers, for the policy that sees it.
@@ -100,7 +100,7 @@
     /// The plain policies know no routes.
     pub fn route(&mut self, rows: Option<Vec<RoutePolicy>>) {
         if let (Decider::Module(balancer), Some(rows)) = (self, rows) {
-            balancer.routes(vec![rows]);
+            balancer.set_routes(vec![rows]);
         }
     }
 
@@ -121,7 +121,7 @@
 
     pub fn query(&mut self, now: u64, query_index: usize, arrival: Arrival, sight: &dyn Sight) {
         match self {
-            Decider::Module(balancer) => balancer.query(now, query_index, arrival),
+            Decider::Module(balancer) => balancer.query_arrived(now, query_index, arrival),
             Decider::Plain(plain) => plain.query(now, query_index, arrival, sight),
         }
     }
@@ -135,14 +135,14 @@
         sight: &dyn Sight,
     ) {
         match self {
-            Decider::Module(balancer) => balancer.completed(now, query_index, exec, ending),
+            Decider::Module(balancer) => balancer.execution_ended(now, query_index, exec, ending),
             Decider::Plain(plain) => plain.completed(now, query_index, exec, ending, sight),
         }
     }
 
     pub fn withdrawn(&mut self, now: u64, query_index: usize) {
         match self {
-            Decider::Module(balancer) => balancer.withdrawn(now, query_index),
+            Decider::Module(balancer) => balancer.query_withdrawn(now, query_index),
             Decider::Plain(plain) => plain.withdrawn(query_index),
         }
     }
@@ -150,19 +150,19 @@
     /// The plain policies answer what they hold until its own time is over.
     pub fn stopping(&mut self, now: u64, until: u64) {
         if let Decider::Module(balancer) = self {
-            balancer.stopping(now, until);
+            balancer.begin_shutdown(now, until);
         }
     }
 
     pub fn probed(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
         if let Decider::Module(balancer) = self {
-            balancer.probed(now, server, answered, report);
+            balancer.probe_ended(now, server, answered, report);
         }
     }
 
     pub fn timer(&mut self, now: u64, label: u32) {
         if let Decider::Module(balancer) = self {
-            balancer.timer(now, label);
+            balancer.timer_fired(now, label);
         }
     }
 }
--- a/lab/simulation/src/plain.rs
+++ b/lab/simulation/src/plain.rs
@@ -2,7 +2,7 @@
 //! that breaks them would say nothing, and send a cold server a part of its share by its warmth.
 
 use whinspindle::host::{
-    Arrival, BalancerSettings, Effect, Endpoint, EndpointState, ExecutionEnd, Group, Outcome,
+    Arrival, BalancerSettings, Effect, Endpoint, EndpointState, ExecutionEnd, Outcome, ServerScope,
 };
 use whinspindle_lab_model::random::RandomGenerator;
 
@@ -88,7 +88,7 @@
         if let Some(server) = self.servers[server].as_mut() {
             server.own = server.own.saturating_sub(1);
         }
-        if ending.over {
+        if ending.query_answered {
             self.queries[query_index].live = false;
         }
         let query = &self.queries[query_index];
@@ -103,7 +103,7 @@
     pub fn withdrawn(&mut self, query_index: usize) {
         self.queries[query_index].live = false;
         for (exec, execution) in self.queries[query_index].executions.iter().enumerate() {
-            if execution.ended.is_none() && self.terms.cancel {
+            if execution.ended.is_none() && self.terms.allow_cancel {
                 self.wishes.push(Wish::Cancel { query_index, exec });
             }
         }
@@ -113,7 +113,7 @@
         let query = &mut self.queries[query_index];
         query.live = false;
         let effect = self.terms.products[query.product].effect;
-        let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
+        let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(ServerScope::All));
         let never_ran = query.executions.iter().all(|e| e.ended.is_some_and(Outcome::never_ran));
         if harmless || never_ran || self.policy == Policy::Reckless {
             self.wishes.push(Wish::Reject { query_index, retry_after: 0 });
@@ -134,11 +134,11 @@
             Effect::Deduplicated(group) => ran.all(|e| {
                 let Some(before) = &self.servers[e.server] else { return false };
                 let same = match group {
-                    Group::All => true,
-                    Group::Zone => before.entry.zone == server.entry.zone,
-                    Group::Cell => before.entry.cell == server.entry.cell,
+                    ServerScope::All => true,
+                    ServerScope::Zone => before.entry.zone == server.entry.zone,
+                    ServerScope::Cell => before.entry.cell == server.entry.cell,
                 };
-                same && now + self.terms.tick < e.sent + row.memory_span
+                same && now + self.terms.clock_resolution_us < e.sent + row.dedup_window_us
             }),
         }
     }
@@ -156,13 +156,14 @@
     fn is_warm(&mut self, now: u64, number: usize) -> bool {
         let Some(server) = &self.servers[number] else { return false };
         let age = now.saturating_sub(server.entry.started_at) as f64;
-        let part = age / self.terms.slow_start_time.max(1) as f64;
-        let warmth = self.terms.slow_start_from + (1.0 - self.terms.slow_start_from) * part;
+        let part = age / self.terms.slow_start_duration_us.max(1) as f64;
+        let warmth =
+            self.terms.slow_start_initial_fraction + (1.0 - self.terms.slow_start_initial_fraction) * part;
         server.entry.started_at == 0 || warmth >= 1.0 || self.random.unit() < warmth
     }
 
     fn place(&mut self, now: u64, query_index: usize, sight: &dyn Sight) -> bool {
-        let margin = 2 * self.terms.tick;
+        let margin = 2 * self.terms.clock_resolution_us;
         let query = &self.queries[query_index];
         if now + margin >= query.deadline || query.executions.len() >= self.terms.max_executions {
             return false;
--- a/lab/simulation/src/play/clients.rs
+++ b/lab/simulation/src/play/clients.rs
@@ -3,7 +3,7 @@
 use slotmap::Key;
 use whinspindle_lab_model::arrivals::Arrival;
 use whinspindle_lab_report::Told;
-use whinspindle_lab_scenario::{Effect, Group};
+use whinspindle_lab_scenario::{Effect, ServerScope};
 
 use super::event::Event;
 use super::state::{ExecKey, Origin, Query, QueryKey, WantKey};
@@ -140,7 +140,7 @@
         let wanted = want.wanted;
         let clients = &self.scenario.clients;
         let effect = self.scenario.products[wanted.product].effect;
-        let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
+        let harmless = matches!(effect, Effect::Idempotent | Effect::Deduplicated(ServerScope::All));
         let again = told == Told::Rejected || (told == Told::Failed && (harmless || reached_nobody));
         if told != Told::Completed && again && want.tries_left > 0 {
             want.tries_left -= 1;
--- a/lab/simulation/src/play/discovery.rs
+++ b/lab/simulation/src/play/discovery.rs
@@ -25,7 +25,7 @@
                 cell: listing.cell,
                 kind: listing.kind,
                 state: listing.standing,
-                size: scenario.kinds[listing.kind].listed,
+                relative_capacity: scenario.kinds[listing.kind].listed,
                 started_at: listing.started_at,
             });
             if listing.standing == EndpointState::Gone {
--- a/lab/simulation/src/play/executions.rs
+++ b/lab/simulation/src/play/executions.rs
@@ -86,7 +86,7 @@
         if host.machine.silent && host.server == server {
             return;
         }
-        let gone = if fresh { Outcome::NotConnected } else { Outcome::Stale };
+        let gone = if fresh { Outcome::NotConnected } else { Outcome::StaleConnection };
         let product = &self.scenario.products[self.queries[query].product];
         let task = Task { work, calls: product.calls, fresh };
         let taken = if host.server == server {
@@ -200,7 +200,11 @@
             self.nodes[node].kept.remove(&server);
         }
         let host = &mut self.tiers[tier].hosts[place];
-        if host.server == server && host.machine.is_up() && kept.is_none() && outcome == Outcome::Stale {
+        if host.server == server
+            && host.machine.is_up()
+            && kept.is_none()
+            && outcome == Outcome::StaleConnection
+        {
             host.machine.connections = host.machine.connections.saturating_sub(1);
         }
         let q = &mut self.queries[query];
@@ -222,7 +226,7 @@
         let over = self.queries.get(query).is_none_or(|q| q.answered);
         // Those that have moved hear of load by probes alone.
         let report = report.filter(|_| node >= self.scenario.tiers[self.nodes[node].tier].moved);
-        let ending = ExecutionEnd { outcome, over, spent, report: load(report) };
+        let ending = ExecutionEnd { outcome, query_answered: over, elapsed_us: spent, report: load(report) };
         let eyes = Eyes(&self.tiers[tier], self.now);
         if let Some(decider) = &mut self.nodes[node].decider {
             decider.completed(self.now, query_index, number, ending, &eyes);
--- a/lab/simulation/src/play/servers.rs
+++ b/lab/simulation/src/play/servers.rs
@@ -74,7 +74,7 @@
                     let broken = !self.execs[exec].fresh && self.links.resets_exchange();
                     let Some(way) = self.way_back(exec) else { continue };
                     if broken {
-                        self.queue.put(self.now + way, Event::Ended(exec, Outcome::Stale));
+                        self.queue.put(self.now + way, Event::Ended(exec, Outcome::StaleConnection));
                     } else {
                         let outcome = if well { Outcome::Completed } else { Outcome::Error };
                         self.queue.put(self.now + way, Event::Reply(exec, outcome, report));
--- a/lab/simulation/src/play/state.rs
+++ b/lab/simulation/src/play/state.rs
@@ -133,6 +133,6 @@
     report.map_or(LoadReport::default(), |report| LoadReport {
         utilization: report.utilization,
         throughput: report.throughput,
-        held: Some((report.inflight + report.queue) as f64),
+        queries_at_server: Some((report.inflight + report.queue) as f64),
     })
 }
--- a/lab/simulation/src/rules.rs
+++ b/lab/simulation/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use whinspindle::host::{
-    BalancerSettings, Effect, EndpointState, Group, HedgePolicy, Product, RetryOn, RoutePolicy,
+    BalancerSettings, Effect, EndpointState, HedgePolicy, Product, RetryOn, RoutePolicy, ServerScope,
 };
 use whinspindle_lab_invariants::{InvariantChecker, Listed, RetrySafety, Rules, Scope};
 use whinspindle_lab_model::registry::{ListUpdate, Listing};
@@ -18,33 +18,33 @@
     let moved = rank < row.moved;
     let products = scenario.products.iter().map(|product| Product {
         effect: product.effect,
-        slo_time: product.slo_time,
-        memory_span: product.memory,
-        tardy_importance: product.tardy_importance,
+        slo_time_us: product.slo_time,
+        dedup_window_us: product.memory,
+        late_answer_value: product.tardy_importance,
     });
     BalancerSettings {
         balancers: scenario.balancers(tier),
         rank,
-        streams: if moved { 100 } else { 1 },
+        streams_per_connection: if moved { 100 } else { 1 },
         // As in the program: with nobody to be asked, nothing would bound what goes out.
-        load_by_probe: moved && scenario.allowed.probes,
+        load_only_from_probes: moved && scenario.allowed.probes,
         tier,
-        home,
-        cross_zone: scenario.allowed.crossing,
+        home_zone: home,
+        cross_zone_cost: scenario.allowed.crossing,
         products: products.collect(),
         tenant_quotas: scenario.tenants.iter().map(|tenant| tenant.quota).collect(),
         max_executions: scenario.allowed.executions,
         allow_hedging: scenario.allowed.allow_hedging,
-        cancel: scenario.allowed.cancel,
-        probes_pay: scenario.allowed.probes,
-        probe_dear: false,
-        max_retry_after: scenario.allowed.retry_after,
-        tick: TICK,
-        must_ask_in: None,
-        slow_start_from: row.cold.from,
-        slow_start_time: row.cold.lasts,
-        fall_multiple: row.cold.multiple,
-        tip_after: row.cold.tip_after,
+        allow_cancel: scenario.allowed.cancel,
+        allow_probes: scenario.allowed.probes,
+        single_probe: false,
+        max_retry_after_us: scenario.allowed.retry_after,
+        clock_resolution_us: TICK,
+        watch_reopen_limit_us: None,
+        slow_start_initial_fraction: row.cold.from,
+        slow_start_duration_us: row.cold.lasts,
+        slow_start_overload_factor: row.cold.multiple,
+        slow_start_window_us: row.cold.tip_after,
     }
 }
 
@@ -59,17 +59,17 @@
     let row = |product: &whinspindle_lab_scenario::Product| {
         let time = set.time.unwrap_or(product.statement_timeout).min(product.statement_timeout);
         RoutePolicy {
-            time,
-            execution_time: set.execution_time.unwrap_or(time),
-            executions: set.executions.unwrap_or(scenario.allowed.executions),
+            timeout_us: time,
+            execution_timeout_us: set.execution_time.unwrap_or(time),
+            max_executions: set.executions.unwrap_or(scenario.allowed.executions),
             retry_on: RetryOn { never_ran: true, error: true, broken: true, timed_out: true },
-            wait: set.wait,
-            spread: set.spread,
+            backoff_us: set.wait,
+            jitter: set.spread,
             hedge: set.hedge.map_or(HedgePolicy::Never, HedgePolicy::After),
-            budget: set.budget,
+            retry_budget: set.budget,
             zones: Vec::new(),
             kinds: Vec::new(),
-            near: Group::All,
+            retry_scope: ServerScope::All,
         }
     };
     Some(scenario.products.iter().map(row).collect())
@@ -82,9 +82,9 @@
         Effect::NonIdempotent => RetrySafety::NonIdempotent,
         Effect::Deduplicated(group) => {
             let scope = match group {
-                Group::All => Scope::Everywhere,
-                Group::Zone => Scope::Zone,
-                Group::Cell => Scope::Pod,
+                ServerScope::All => Scope::Everywhere,
+                ServerScope::Zone => Scope::Zone,
+                ServerScope::Cell => Scope::Pod,
             };
             RetrySafety::Deduplicated { scope, memory: product.memory }
         }
--- a/lab/simulation/tests/routes.rs
+++ b/lab/simulation/tests/routes.rs
@@ -25,16 +25,16 @@
 }
 
 fn drawn(chance: &mut Pcg) -> Route {
-    let mut ms = |most: usize| (1 + chance.below(most) as u64) * 1_000;
+    let mut ms = |most: usize| (1 + chance.next_below(most) as u64) * 1_000;
     let (time, execution_time, wait, copy) = (ms(3_400), ms(1_500), ms(300), ms(600));
-    let executions = 1 + chance.below(5);
+    let executions = 1 + chance.next_below(5);
     Route {
         time: Some(time),
-        execution_time: (chance.below(4) > 0).then_some(execution_time),
+        execution_time: (chance.next_below(4) > 0).then_some(execution_time),
         executions: Some(executions),
-        wait: if chance.below(2) > 0 { wait } else { 0 },
-        spread: chance.unit(),
-        hedge: (chance.below(3) == 0).then_some(copy),
+        wait: if chance.next_below(2) > 0 { wait } else { 0 },
+        spread: chance.next_f64(),
+        hedge: (chance.next_below(3) == 0).then_some(copy),
         budget: 100.0,
     }
 }
@@ -58,7 +58,7 @@
             time,
             execution_time: route.execution_time.unwrap_or(time),
             executions,
-            retry_on: if executions > 1 { after } else { RetryOn::NOTHING },
+            retry_on: if executions > 1 { after } else { RetryOn::NONE },
             wait: route.wait,
             spread: route.spread,
             hedge: route.hedge.map_or(HedgePolicy::Never, HedgePolicy::After),
--- a/lab/testbed/src/clients.rs
+++ b/lab/testbed/src/clients.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use whinspindle::host::{Effect, Group};
+use whinspindle::host::{Effect, ServerScope};
 use whinspindle_lab_invariants::Final;
 use whinspindle_lab_model::arrivals::{Arrival, Arrivals};
 use whinspindle_lab_model::random::{Concern, RandomGenerator};
@@ -78,7 +78,7 @@
 async fn want(stage: Rc<Stage>, wanted: Arrival) {
     let due = stage.begun() + wanted.due;
     let product = &stage.scenario.products[wanted.product];
-    let harmless = matches!(product.effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
+    let harmless = matches!(product.effect, Effect::Idempotent | Effect::Deduplicated(ServerScope::All));
     let clients = &stage.scenario.clients;
     let mut tries = 0;
     let (told, now) = loop {
--- a/lab/testbed/src/program.rs
+++ b/lab/testbed/src/program.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{Value, json};
 use tokio::time::sleep;
-use whinspindle::host::{Effect, Group};
+use whinspindle::host::{Effect, ServerScope};
 
 use crate::discovery;
 use crate::state::Stage;
@@ -86,9 +86,9 @@
             let (effect, scope) = match product.effect {
                 Effect::Idempotent => ("safe", Value::Null),
                 Effect::NonIdempotent => ("unsafe", Value::Null),
-                Effect::Deduplicated(Group::All) => ("keyed", json!("all")),
-                Effect::Deduplicated(Group::Zone) => ("keyed", json!("zone")),
-                Effect::Deduplicated(Group::Cell) => ("keyed", json!("cell")),
+                Effect::Deduplicated(ServerScope::All) => ("keyed", json!("all")),
+                Effect::Deduplicated(ServerScope::Zone) => ("keyed", json!("zone")),
+                Effect::Deduplicated(ServerScope::Cell) => ("keyed", json!("cell")),
             };
             json!({"name": product.name, "effect": effect, "keyScope": scope,
                 "memorySpanNs": ns(product.memory), "importance": product.importance,
--- a/programs/balancer/src/http_service.rs
+++ b/programs/balancer/src/http_service.rs
@@ -194,7 +194,7 @@
     if node.fleet.is_none() {
         return;
     }
-    let late = node.deployment.terms.products.get(product).is_some_and(|row| spent > row.slo_time);
+    let late = node.deployment.terms.products.get(product).is_some_and(|row| spent > row.slo_time_us);
     let (aborted, rejected) = (matches!(answer, Answer::Aborted(_)), matches!(answer, Answer::Rejected(_)));
     node.fleet_counts.borrow_mut().query(aborted, late, rejected);
 }
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -171,7 +171,7 @@
     fn start_slowly(&self) {
         self.slow_start_pending.set(false);
         let terms = &self.deployment.terms;
-        let slo_time = terms.products.iter().map(|row| row.slo_time).min().unwrap_or(0);
+        let slo_time = terms.products.iter().map(|row| row.slo_time_us).min().unwrap_or(0);
         // Bounded by the connect time-out, since for products that take minutes overload shows long before answers
         // do.
         let step = (slo_time / 2).min(self.deployment.connect_time_out);
@@ -270,7 +270,7 @@
                 zone: zones.get(entry.zone).cloned().unwrap_or_default(),
                 cell: entry.cell,
                 full: entry.state == EndpointState::Ready
-                    && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_time),
+                    && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_duration_us),
             };
             let listed = self.core.borrow().listed();
             let (servers, own) = self.fleet_counts.borrow_mut().take();
@@ -344,7 +344,7 @@
             let wanted = self.core.borrow().is_ready(server);
             wanted.then(|| execution::probe(process.address, !self.deployment.columns.is_empty()))
         };
-        let longest = self.deployment.terms.products.iter().map(|row| row.slo_time).max().unwrap_or(0);
+        let longest = self.deployment.terms.products.iter().map(|row| row.slo_time_us).max().unwrap_or(0);
         let exchange = self.upstreams.exchange(upstream(process), prepare, &progress);
         match timeout(Duration::from_micros(longest), exchange).await {
             Ok(Ok(response)) => Reply::decode_probe(response, &self.deployment.columns),
@@ -361,7 +361,7 @@
 fn outcome(failure: &Failure) -> Outcome {
     match failure.progress {
         _ if failure.is_own() => Outcome::NeverSent,
-        Progress::Complete if failure.stale => Outcome::Stale,
+        Progress::Complete if failure.stale => Outcome::StaleConnection,
         Progress::Complete if failure.answered => Outcome::Malformed,
         Progress::Complete => Outcome::Broken,
         Progress::Begun | Progress::Nothing => Outcome::NotConnected,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -24,7 +24,7 @@
 use self::state::{Query, RouteState, Server, Zone};
 use crate::host::{Arrival, BalancerSettings, ExecutionEnd, Host, Outcome, RoutePolicy};
 use crate::pcg::Pcg;
-use crate::samples::{Runs, record_time};
+use crate::samples::{BatchMeans, record_event};
 
 /// The design's check period, over which rates are taken as well, in microseconds.
 const CHECK_PERIOD: u64 = 5_000_000;
@@ -58,7 +58,7 @@
     admissions_by_tenant: Vec<VecDeque<u64>>,
     /// When the last executions completed, and their latencies in runs.
     completions: VecDeque<u64>,
-    latency_runs: Runs,
+    latency_runs: BatchMeans,
     /// When the last probes went out, and how long they took.
     probes_sent: VecDeque<u64>,
     probe_latencies: VecDeque<u64>,
@@ -86,30 +86,30 @@
             admissions: VecDeque::new(),
             admissions_by_tenant: vec![VecDeque::new(); settings.tenant_quotas.len()],
             completions: VecDeque::new(),
-            latency_runs: Runs::new(now),
+            latency_runs: BatchMeans::new(now),
             probes_sent: VecDeque::new(),
             probe_latencies: VecDeque::new(),
-            shortest_slo: settings.products.iter().map(|product| product.slo_time).min().unwrap_or(0),
+            shortest_slo: settings.products.iter().map(|product| product.slo_time_us).min().unwrap_or(0),
             solved_rate: 0.0,
             settings,
         };
         balancer.schedule_weight_check();
-        if balancer.settings.must_ask_in.is_some() {
-            balancer.host.follow_endpoints();
+        if balancer.settings.watch_reopen_limit_us.is_some() {
+            balancer.host.watch_endpoints();
         }
         balancer
     }
 
     /// Sets the routes: for each, a policy for each product.
-    pub fn routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
+    pub fn set_routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
         let route = |policies| Rc::new(RefCell::new(RouteState { policies, ..RouteState::default() }));
         self.routes = routes.into_iter().map(route).collect();
     }
 
     /// A client's query has arrived. `query` is its index until its last execution has ended.
-    pub fn query(&mut self, now: u64, query: usize, arrival: Arrival) {
+    pub fn query_arrived(&mut self, now: u64, query: usize, arrival: Arrival) {
         self.now = now;
-        record_time(&mut self.arrivals, now, CHECK_PERIOD);
+        record_event(&mut self.arrivals, now, CHECK_PERIOD);
         let is_known = arrival.product < self.settings.products.len();
         let tenant = arrival.tenant;
         self.open_query(query, arrival);
@@ -118,7 +118,7 @@
         }
         let by_tenant = self.admissions_by_tenant.get_mut(tenant);
         for times in by_tenant.into_iter().chain([&mut self.admissions]) {
-            record_time(times, now, CHECK_PERIOD);
+            record_event(times, now, CHECK_PERIOD);
         }
     }
 
@@ -129,30 +129,31 @@
         let (now, product, mut deadline) = (self.now, arrival.product, arrival.deadline);
         let route = arrival.route.and_then(|route| self.routes.get(route).cloned());
         if let Some(mut route) = route.as_ref().map(|route| route.borrow_mut()) {
-            record_time(&mut route.arrivals, now, CHECK_PERIOD);
+            record_event(&mut route.arrivals, now, CHECK_PERIOD);
             let policy = route.policies.get(product);
-            deadline = policy.map_or(deadline, |policy| deadline.min(now + policy.time));
+            deadline = policy.map_or(deadline, |policy| deadline.min(now + policy.timeout_us));
         }
         // An answer that earns nothing is not worth a server's time.
-        let late_is_worthless = self.settings.products.get(product).filter(|row| row.tardy_importance == 0.0);
-        let give_up_at = late_is_worthless.map_or(deadline, |row| deadline.min(now + row.slo_time));
+        let late_is_worthless =
+            self.settings.products.get(product).filter(|row| row.late_answer_value == 0.0);
+        let give_up_at = late_is_worthless.map_or(deadline, |row| deadline.min(now + row.slo_time_us));
         self.queries[query] = Query {
             open: true,
             product: product.min(self.settings.products.len() - 1),
             arrived_at: now,
             deadline,
-            give_up_at: give_up_at.saturating_sub(2 * self.settings.tick),
+            give_up_at: give_up_at.saturating_sub(2 * self.settings.clock_resolution_us),
             route,
             ..Query::default()
         };
     }
 
     fn send_first(&mut self, query: usize) -> bool {
-        self.probe_candidates(query) || (!self.settings.load_by_probe && self.forward(query))
+        self.probe_candidates(query) || (!self.settings.load_only_from_probes && self.forward(query))
     }
 
     /// The client gets the answer of this execution: from here on the query is not this balancer's to answer.
-    pub fn started(&mut self, now: u64, query: usize, execution: usize) {
+    pub fn execution_started(&mut self, now: u64, query: usize, execution: usize) {
         self.now = now;
         let Some(state) = self.queries.get_mut(query) else { return };
         state.open = false;
@@ -160,7 +161,7 @@
     }
 
     /// An execution has ended.
-    pub fn completed(&mut self, now: u64, query: usize, execution: usize, end: ExecutionEnd) {
+    pub fn execution_ended(&mut self, now: u64, query: usize, execution: usize, end: ExecutionEnd) {
         self.now = now;
         let Some(state) = self.queries.get_mut(query) else { return };
         let Some(execution) = state.executions.get_mut(execution) else { return };
@@ -170,16 +171,16 @@
         execution.outcome = Some(end.outcome);
         let (server, was_counted) = (execution.server, execution.counted_as_failed);
         let (product, was_open) = (state.product, state.open);
-        state.open &= !end.over;
+        state.open &= !end.query_answered;
         self.servers[server].in_flight = self.servers[server].in_flight.saturating_sub(1);
         self.record_report(server, end.report);
         match end.outcome {
-            Outcome::Completed => self.record_success(server, product, end.spent),
-            outcome if was_counted || outcome.says_nothing_of_server() => {}
+            Outcome::Completed => self.record_success(server, product, end.elapsed_us),
+            outcome if was_counted || outcome.is_health_neutral() => {}
             _ => self.record_failure(server),
         }
         let state = &self.queries[query];
-        if was_open && end.over {
+        if was_open && end.query_answered {
             self.cancel_all_but(query, None);
         } else if state.open && state.executions.iter().all(|execution| execution.outcome.is_some()) {
             self.retry_or_finish(query, end.outcome);
@@ -193,7 +194,7 @@
         let earliest_answer =
             self.now.saturating_add(backoff).saturating_add(self.median_latency(state.product));
         let is_late = earliest_answer >= state.give_up_at;
-        if is_late || outcome == Outcome::Unfit || (backoff == 0 && !self.forward(query)) {
+        if is_late || outcome == Outcome::ClientError || (backoff == 0 && !self.forward(query)) {
             self.finish(query);
         } else if backoff > 0 {
             self.queries[query].awaits_retry = true;
@@ -202,7 +203,7 @@
     }
 
     /// The client has gone: nobody waits for the answer any more.
-    pub fn withdrawn(&mut self, now: u64, query: usize) {
+    pub fn query_withdrawn(&mut self, now: u64, query: usize) {
         self.now = now;
         if let Some(state) = self.queries.get_mut(query).filter(|state| state.open) {
             state.open = false;
@@ -211,22 +212,22 @@
     }
 
     /// The program ends at `until`: queries that are open must have their answers by then.
-    pub fn stopping(&mut self, now: u64, until: u64) {
+    pub fn begin_shutdown(&mut self, now: u64, until: u64) {
         self.now = now;
         let open = self.queries.iter_mut().enumerate().filter(|(_, state)| state.open);
         for (query, state) in open.filter(|(_, state)| state.give_up_at > until) {
             state.give_up_at = until;
             state.next_check_at = state.next_check_at.min(until);
-            self.host.wake(until.saturating_sub(now), LABEL_QUERIES + query as u32);
+            self.host.set_timer(until.saturating_sub(now), LABEL_QUERIES + query as u32);
         }
     }
 
     /// A timer set by [`Host::wake`] is due.
-    pub fn timer(&mut self, now: u64, label: u32) {
+    pub fn timer_fired(&mut self, now: u64, label: u32) {
         self.now = now;
         match label {
             LABEL_WEIGHTS => self.check_weights(),
-            LABEL_ENDPOINTS => self.host.follow_endpoints(),
+            LABEL_ENDPOINTS => self.host.watch_endpoints(),
             _ => self.check_query((label - LABEL_QUERIES) as usize),
         }
     }
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -42,12 +42,12 @@
             *server = Server {
                 in_flight: server.in_flight,
                 probe_waiters: std::mem::take(&mut server.probe_waiters),
-                budget_rounding: self.random.unit(),
+                budget_rounding: self.random.next_f64(),
                 ..Server::default()
             };
         }
-        let has_size = endpoint.size.is_finite() && endpoint.size > 0.0;
-        server.size = if has_size { endpoint.size } else { 1.0 };
+        let has_size = endpoint.relative_capacity.is_finite() && endpoint.relative_capacity > 0.0;
+        server.size = if has_size { endpoint.relative_capacity } else { 1.0 };
         server.zone = endpoint.zone;
         server.cell = endpoint.cell;
         server.kind = endpoint.kind;
@@ -61,7 +61,7 @@
     /// each zone, as long as its share of the queries asks for, from the balancer's own position on. Guards against
     /// full connection tables, at which most executions find no connection and new ones cost as much as a query.
     pub(super) fn select_subset(&mut self) {
-        if self.settings.streams <= 1 {
+        if self.settings.streams_per_connection <= 1 {
             self.subset = self.listed.clone();
             return;
         }
@@ -71,7 +71,7 @@
         let stay_home = self.home_probability(&self.listed);
         let total = BALANCERS_PER_SERVER * self.traffic_share() * self.settings.balancers as f64;
         for (zone, weight) in weights.iter().enumerate() {
-            let home = if zone == self.settings.home { stay_home } else { 0.0 };
+            let home = if zone == self.settings.home_zone { stay_home } else { 0.0 };
             let mut missing = (total * (home + (1.0 - stay_home) * weight)).max(1.0);
             let mut ring = self.listed.clone();
             ring.retain(|&server| self.servers[server].zone == zone);
@@ -89,7 +89,7 @@
     }
 
     /// Nothing in flight refers to the server that is gone: its index may stand for another one from now on.
-    pub fn endpoint_forgotten(&mut self, server: usize) {
+    pub fn endpoint_removed(&mut self, server: usize) {
         if let Some(known) = self.servers.get_mut(server) {
             *known = Server { gone: true, ..Server::default() };
         }
@@ -99,9 +99,9 @@
     /// that the balancers don't flood discovery.
     pub fn endpoint_watch_failed(&mut self, now: u64) {
         self.now = now;
-        if let Some(within) = self.settings.must_ask_in {
-            let wait = (1.0 + self.random.unit()) * within as f64 / 8.0;
-            self.host.wake(wait as u64, LABEL_ENDPOINTS);
+        if let Some(within) = self.settings.watch_reopen_limit_us {
+            let wait = (1.0 + self.random.next_f64()) * within as f64 / 8.0;
+            self.host.set_timer(wait as u64, LABEL_ENDPOINTS);
         }
     }
 }
--- a/src/balancer/forward.rs
+++ b/src/balancer/forward.rs
@@ -2,14 +2,14 @@
 
 use super::Balancer;
 use super::state::{Execution, RECENT_SENDS};
-use crate::host::{Effect, Group, Host, Outcome};
-use crate::samples::{mean, push, record_time};
+use crate::host::{Effect, Host, Outcome, ServerScope};
+use crate::samples::{mean, push_bounded, record_event};
 
 impl<H: Host> Balancer<H> {
     /// Sends the query to a chosen server, if any may have it. Guards against groups so small that no other server may
     /// repeat what one has answered in a malformed way: that one may.
     pub(super) fn forward(&mut self, query: usize) -> bool {
-        let may_pass = |execution: &Execution| execution.outcome.is_some_and(Outcome::may_pass);
+        let may_pass = |execution: &Execution| execution.outcome.is_some_and(Outcome::is_transient);
         let retry_same = self.queries[query].executions.iter().any(may_pass);
         let first = self.choose(query, &[], false);
         let server = if first.is_none() && retry_same { self.choose(query, &[], true) } else { first };
@@ -22,10 +22,10 @@
             return false;
         }
         let work = self.relative_work(self.queries[query].product);
-        let longest = self.route_policy(query, |policy| policy.execution_time).unwrap_or(u64::MAX);
+        let longest = self.route_policy(query, |policy| policy.execution_timeout_us).unwrap_or(u64::MAX);
         let known = &mut self.servers[server];
         known.in_flight += 1;
-        push(&mut known.recent_sends, RECENT_SENDS, (self.now, work));
+        push_bounded(&mut known.recent_sends, RECENT_SENDS, (self.now, work));
         let execution = Execution {
             server,
             zone: known.zone,
@@ -36,7 +36,7 @@
         };
         let state = &mut self.queries[query];
         if let Some(route) = state.route.as_ref().filter(|_| !state.executions.is_empty()) {
-            record_time(&mut route.borrow_mut().retries, self.now, super::CHECK_PERIOD);
+            record_event(&mut route.borrow_mut().retries, self.now, super::CHECK_PERIOD);
         }
         state.awaits_retry = false;
         state.executions.push(execution);
@@ -48,7 +48,7 @@
 
     fn may_execute(&self, query: usize, server: usize) -> bool {
         let state = &self.queries[query];
-        let by_route = self.route_policy(query, |policy| policy.executions).unwrap_or(usize::MAX);
+        let by_route = self.route_policy(query, |policy| policy.max_executions).unwrap_or(usize::MAX);
         let limit = by_route.min(self.settings.max_executions);
         let is_open = state.open && self.now < state.give_up_at && state.executions.len() < limit;
         let is_alone = state.executions.iter().all(|execution| execution.outcome.is_some());
@@ -66,7 +66,7 @@
     }
 
     /// Asked right before an execution's first byte. Guards against a connection that comes up too late.
-    pub fn may_begin(&mut self, now: u64, query: usize, execution: usize) -> bool {
+    pub fn may_send(&mut self, now: u64, query: usize, execution: usize) -> bool {
         self.now = now;
         self.may_retry_on(query, self.queries[query].executions[execution].server, Some(execution))
     }
@@ -76,10 +76,11 @@
         let Some(state) = self.queries.get_mut(query).filter(|state| state.open) else { return };
         state.open = false;
         let product = &self.settings.products[state.product];
-        let is_idempotent = matches!(product.effect, Effect::Idempotent | Effect::Deduplicated(Group::All));
+        let is_idempotent =
+            matches!(product.effect, Effect::Idempotent | Effect::Deduplicated(ServerScope::All));
         let never_ran = |execution: &Execution| execution.outcome.is_some_and(Outcome::never_ran);
         if is_idempotent || state.executions.iter().all(never_ran) {
-            let retry_after = (product.slo_time / 2).min(self.settings.max_retry_after);
+            let retry_after = (product.slo_time_us / 2).min(self.settings.max_retry_after_us);
             self.host.reject(query, retry_after);
         } else {
             self.host.abort(query);
@@ -90,7 +91,7 @@
     /// Calls off the query's executions that are in flight, but for the one that is kept.
     pub(super) fn cancel_all_but(&mut self, query: usize, kept: Option<usize>) {
         for (number, execution) in self.queries[query].executions.iter().enumerate() {
-            if self.settings.cancel && execution.outcome.is_none() && Some(number) != kept {
+            if self.settings.allow_cancel && execution.outcome.is_none() && Some(number) != kept {
                 self.host.cancel(query, number);
             }
         }
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -3,7 +3,7 @@
 use super::observations::RECENT_RESULTS;
 use super::{Balancer, observations};
 use crate::host::Host;
-use crate::samples::push;
+use crate::samples::push_bounded;
 
 /// Failures in a row that eject a server, and failures among its last results that do, if they are half of them.
 const MIN_FAILURES: usize = 2;
@@ -28,7 +28,7 @@
     /// more of them.
     pub(super) fn record_failure(&mut self, server: usize) {
         let outcomes = &mut self.servers[server].recent_outcomes;
-        push(outcomes, RECENT_RESULTS, false);
+        push_bounded(outcomes, RECENT_RESULTS, false);
         let failures = outcomes.iter().filter(|&&completed| !completed).count();
         let consecutive = outcomes.iter().rev().take_while(|&&completed| !completed).count();
         let is_half = failures >= MIN_FAILURES && 2 * failures >= outcomes.len();
@@ -44,7 +44,7 @@
         if ejected >= self.listed.len() / 2 {
             return;
         }
-        let longest = self.settings.products.iter().map(|product| product.slo_time).max().unwrap_or(0);
+        let longest = self.settings.products.iter().map(|product| product.slo_time_us).max().unwrap_or(0);
         let server = &mut self.servers[server];
         server.ejected_until = self.now + (longest << server.ejections.min(MAX_DOUBLINGS));
         server.ejections += 1;
@@ -54,6 +54,6 @@
     /// How long an execution may be in flight before the silence of its server counts against it.
     pub(super) fn silence_limit(&self, product: usize) -> u64 {
         let long = self.latency_rank(product, observations::LONG_RANK);
-        long.map_or(self.settings.products[product].slo_time, |latency| SILENCE_RATIO * latency)
+        long.map_or(self.settings.products[product].slo_time_us, |latency| SILENCE_RATIO * latency)
     }
 }
--- a/src/balancer/load_shed.rs
+++ b/src/balancer/load_shed.rs
@@ -13,7 +13,7 @@
     /// completions is the time that one query more takes. Only the first tier rejects: what the tiers below reject is
     /// work lost above.
     pub(super) fn is_overloaded(&self, tenant: usize) -> bool {
-        let least = self.latency_runs.least();
+        let least = self.latency_runs.lowest_mean();
         let completions = &self.completions;
         let recent = self.rate(completions, CHECK_PERIOD).max(self.rate(completions, CHECK_PERIOD / 4));
         let even_part = self.listed.len() as f64 / self.settings.balancers as f64;
@@ -21,7 +21,7 @@
         // With few in flight, random arrivals alone exceed the limit by about its root.
         let limit = limit + limit.sqrt().max(1.0);
         let in_flight = self.servers.iter().map(|server| server.in_flight).sum::<usize>() as f64;
-        let may_reject = self.settings.tier == 0 && !self.settings.load_by_probe && least < f64::MAX;
+        let may_reject = self.settings.tier == 0 && !self.settings.load_only_from_probes && least < f64::MAX;
         let exceeds =
             in_flight > limit || (in_flight > BEYOND_QUOTA_PART * limit && self.exceeds_quota(tenant));
         may_reject && exceeds
--- a/src/balancer/probing.rs
+++ b/src/balancer/probing.rs
@@ -2,7 +2,7 @@
 
 use super::{Balancer, CHECK_PERIOD, load_shed::OVERLOAD_RATIO, observations::RECENT_RESULTS};
 use crate::host::{Host, LoadReport};
-use crate::samples::{push, record_time};
+use crate::samples::{push_bounded, record_event};
 
 /// A balancer that is answered by each server less than once in so many SLO times probes before it sends, but not while
 /// the last answers took less than `QUICK_RATIO` times the least mean latency.
@@ -23,15 +23,15 @@
     /// Probes servers for a query, where that pays; the first to answer gets it, or [`Self::forward_to_least_loaded`]
     /// decides. Guards against servers that are slower than listed, saturated, hung or loaded by other balancers.
     pub(super) fn probe_candidates(&mut self, query: usize) -> bool {
-        let slo_time = self.settings.products[self.queries[query].product].slo_time;
+        let slo_time = self.settings.products[self.queries[query].product].slo_time_us;
         let answers = SELDOM_SLO_TIMES * slo_time as f64 * self.rate(&self.arrivals, CHECK_PERIOD) / 1e6;
-        let is_quick = self.latency_runs.latest() < QUICK_RATIO * self.latency_runs.least();
-        let by_probe = self.settings.load_by_probe;
+        let is_quick = self.latency_runs.latest_mean() < QUICK_RATIO * self.latency_runs.lowest_mean();
+        let by_probe = self.settings.load_only_from_probes;
         let knows_enough = !by_probe && (is_quick || answers >= self.subset.len() as f64);
-        if !self.settings.probes_pay || knows_enough {
+        if !self.settings.allow_probes || knows_enough {
             return false;
         }
-        let count = if by_probe && self.settings.probe_dear { 1 } else { PROBES_PER_QUERY };
+        let count = if by_probe && self.settings.single_probe { 1 } else { PROBES_PER_QUERY };
         let (mut probed, mut awaited) = (Vec::with_capacity(count), 0);
         while probed.len() < count
             && let Some(server) = self.choose(query, &probed, false)
@@ -40,7 +40,7 @@
             if self.fresh_load(server).is_none() {
                 awaited += 1;
                 self.servers[server].probe_waiters.push_back((query, self.now));
-                record_time(&mut self.probes_sent, self.now, CHECK_PERIOD);
+                record_event(&mut self.probes_sent, self.now, CHECK_PERIOD);
                 self.host.probe(server);
             }
         }
@@ -54,21 +54,21 @@
     }
 
     /// A probe has ended; `answered` says whether the server gave a sign of life.
-    pub fn probed(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
+    pub fn probe_ended(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
         self.now = now;
         let Some(_) = self.servers.get(server) else { return };
         self.record_report(server, report);
         let Some((query, arrived_at)) = self.servers[server].probe_waiters.pop_front() else { return };
-        push(&mut self.probe_latencies, RECENT_RESULTS, now - arrived_at);
+        push_bounded(&mut self.probe_latencies, RECENT_RESULTS, now - arrived_at);
         if answered {
             self.update_admitted_share(server);
-        } else if self.settings.load_by_probe {
+        } else if self.settings.load_only_from_probes {
             self.record_failure(server);
         }
         let known = self.queries.get(query);
         let waits = known
             .is_some_and(|known| known.open && known.arrived_at == arrived_at && known.executions.is_empty());
-        if waits && self.settings.load_by_probe {
+        if waits && self.settings.load_only_from_probes {
             let awaited = &mut self.queries[query].awaited_probes;
             *awaited = awaited.saturating_sub(1);
             if *awaited == 0 && !self.forward_to_least_loaded(query) {
@@ -114,7 +114,7 @@
     /// What the server serves in a part of the shortest SLO time, or in the latency that counts as overload if less.
     pub(super) fn load_limit(&self, server: usize) -> f64 {
         let server = &self.servers[server];
-        let overload = OVERLOAD_RATIO * self.latency_runs.least();
+        let overload = OVERLOAD_RATIO * self.latency_runs.lowest_mean();
         let time = overload.min(self.shortest_slo as f64 / CAPACITY_SLO_PART) / 1e6;
         // Probes that wait in the queue as queries do are reported among those served.
         let wait_in_queue =
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -2,8 +2,8 @@
 
 use super::state::{Execution, RouteState};
 use super::{Balancer, CHECK_PERIOD, LABEL_QUERIES};
-use crate::host::{Effect, Group, HedgePolicy, Host, Outcome, RoutePolicy};
-use crate::samples::count_times;
+use crate::host::{Effect, HedgePolicy, Host, Outcome, RoutePolicy, ServerScope};
+use crate::samples::count_recent;
 
 impl<H: Host> Balancer<H> {
     /// The periodic check of one open query: gives it up in time, forwards it after a backoff or a late probe, and looks
@@ -52,7 +52,7 @@
             if self.settings.allow_hedging {
                 return self.forward(query);
             }
-            if self.settings.cancel && self.choose(query, &[], false).is_some() {
+            if self.settings.allow_cancel && self.choose(query, &[], false).is_some() {
                 self.host.cancel(query, number);
             }
         }
@@ -65,7 +65,7 @@
         let state = &mut self.queries[query];
         let next = state.give_up_at.min(self.now + wait).min(hedge_at);
         state.next_check_at = next.max(self.now + 1);
-        self.host.wake(state.next_check_at - self.now, LABEL_QUERIES + query as u32);
+        self.host.set_timer(state.next_check_at - self.now, LABEL_QUERIES + query as u32);
     }
 
     /// What the query's route says for its product, if it has a route.
@@ -82,10 +82,10 @@
         let Some(mut route) = state.route.as_ref().map(|route| route.borrow_mut()) else { return Some(0) };
         let RouteState { policies, arrivals, retries } = &mut *route;
         let Some(policy) = policies.get(state.product) else { return Some(0) };
-        let retries = count_times(retries, self.now, CHECK_PERIOD) + 1.0;
-        let has_budget = retries <= policy.budget * count_times(arrivals, self.now, CHECK_PERIOD);
-        let jitter = if policy.wait > 0 { self.random.unit() * policy.spread } else { 0.0 };
-        let backoff = policy.wait + (policy.wait as f64 * jitter) as u64;
+        let retries = count_recent(retries, self.now, CHECK_PERIOD) + 1.0;
+        let has_budget = retries <= policy.retry_budget * count_recent(arrivals, self.now, CHECK_PERIOD);
+        let jitter = if policy.backoff_us > 0 { self.random.next_f64() * policy.jitter } else { 0.0 };
+        let backoff = policy.backoff_us + (policy.backoff_us as f64 * jitter) as u64;
         (has_budget && policy.retry_on.allows(outcome)).then_some(backoff)
     }
 
@@ -110,14 +110,14 @@
         let numbered = state.executions.iter().enumerate();
         let others = numbered.filter(|&(number, _)| Some(number) != this).map(|(_, execution)| execution);
         let mut may_have_run = others.filter(|execution| !execution.outcome.is_some_and(Outcome::never_ran));
-        let is_within = |group: Group, execution: &Execution| match group {
-            Group::All => true,
-            Group::Zone => execution.zone == target.zone,
-            Group::Cell => execution.cell == target.cell,
+        let is_within = |group: ServerScope, execution: &Execution| match group {
+            ServerScope::All => true,
+            ServerScope::Zone => execution.zone == target.zone,
+            ServerScope::Cell => execution.cell == target.cell,
         };
         let is_named = |names: &[usize], name: usize| names.is_empty() || names.contains(&name);
         let by_route = |policy: &RoutePolicy| {
-            let is_near = may_have_run.clone().all(|execution| is_within(policy.near, execution));
+            let is_near = may_have_run.clone().all(|execution| is_within(policy.retry_scope, execution));
             is_near && is_named(&policy.zones, target.zone) && is_named(&policy.kinds, target.kind)
         };
         if self.route_policy(query, by_route) == Some(false) {
@@ -127,8 +127,8 @@
             Effect::Idempotent => true,
             Effect::NonIdempotent => may_have_run.next().is_none(),
             Effect::Deduplicated(group) => may_have_run.all(|execution| {
-                let is_remembered =
-                    self.now + 2 * self.settings.tick < execution.sent_at + product.memory_span;
+                let is_remembered = self.now + 2 * self.settings.clock_resolution_us
+                    < execution.sent_at + product.dedup_window_us;
                 is_within(group, execution) && is_remembered
             }),
         }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -7,7 +7,7 @@
     load_shed::{BEYOND_QUOTA_PART, OVERLOAD_RATIO},
 };
 use crate::host::{Host, Outcome};
-use crate::samples::{mean, ranked};
+use crate::samples::{mean, quantile};
 
 /// A server above this many times the mean of this balancer's queries in flight is passed over.
 const PASS_OVER_RATIO: f64 = 2.0;
@@ -41,11 +41,12 @@
         let mut candidates: Vec<usize> = Vec::with_capacity(self.listed.len());
         let mut open = vec![0.0; weights.len()];
         let some_have_capacity = |server: &usize| self.is_available(*server) && self.has_capacity(*server);
-        let needs_capacity = self.settings.load_by_probe || self.subset.iter().any(some_have_capacity);
+        let needs_capacity =
+            self.settings.load_only_from_probes || self.subset.iter().any(some_have_capacity);
         for position in 0..self.subset.len() {
             let server = self.subset[position];
             let had_it = |execution: &Execution| {
-                let may_repeat = retry_same && execution.outcome.is_some_and(Outcome::may_pass);
+                let may_repeat = retry_same && execution.outcome.is_some_and(Outcome::is_transient);
                 execution.server == server && !may_repeat
             };
             let tried = self.queries[query].executions.iter().any(had_it) || probed.contains(&server);
@@ -53,7 +54,7 @@
             let shares_zone = |&first: &usize| self.servers[first].zone == self.servers[server].zone;
             // A server in slow start gets the part of an even share that it can serve.
             let warm_fraction = self.warm_fraction(server);
-            let is_warm = warm_fraction >= 1.0 || self.random.unit() < warm_fraction;
+            let is_warm = warm_fraction >= 1.0 || self.random.next_f64() < warm_fraction;
             let may = self.is_available(server)
                 && self.has_slow_start_budget(server)
                 && self.may_retry_on(query, server, None);
@@ -70,17 +71,17 @@
     /// Draws a zone by the weights that are open; the home zone with its own probability first. None where the zone's
     /// admitted share says that the query is to be rejected, which counts for the first choice alone.
     fn choose_zone(&mut self, candidates: &[usize], open: &[f64], is_first: bool) -> Option<usize> {
-        let zone = self.random.pick(open)?;
-        let home = self.settings.home;
-        let sheds = self.settings.load_by_probe && is_first;
-        let among = if self.settings.streams > 1 { &self.listed } else { candidates };
+        let zone = self.random.pick_weighted(open)?;
+        let home = self.settings.home_zone;
+        let sheds = self.settings.load_only_from_probes && is_first;
+        let among = if self.settings.streams_per_connection > 1 { &self.listed } else { candidates };
         let admitted = if sheds && home < self.zones.len() { self.admitted_share(home) } else { 1.0 };
         let stay_home = self.home_probability(among) * admitted;
         let home_is_open = open.get(home).is_some_and(|&weight| weight > 0.0);
-        if stay_home > 0.0 && home_is_open && self.random.unit() < stay_home {
+        if stay_home > 0.0 && home_is_open && self.random.next_f64() < stay_home {
             return Some(home);
         }
-        if sheds && self.random.unit() >= self.admitted_share(zone) {
+        if sheds && self.random.next_f64() >= self.admitted_share(zone) {
             return None;
         }
         Some(zone)
@@ -96,7 +97,7 @@
         let limit = PASS_OVER_RATIO * mean(relative);
         let mut chosen = None;
         for (&server, capacity) in candidates.iter().zip(&capacities) {
-            let time = -(1.0 - self.random.unit()).ln() / capacity;
+            let time = -(1.0 - self.random.next_f64()).ln() / capacity;
             let is_crowded = (in_flight(server) + 1.0) / capacity > limit;
             let rank = (if is_crowded { in_flight(server) / capacity } else { -1.0 }, time);
             if chosen.is_none_or(|(least, _)| rank < least) {
@@ -113,11 +114,11 @@
     /// zone is too small, and the weights decide.
     pub(super) fn home_probability(&self, among: &[usize]) -> f64 {
         let all: f64 = among.iter().map(|&server| self.available_capacity(server)).sum();
-        let at_home = among.iter().filter(|&&server| self.servers[server].zone == self.settings.home);
+        let at_home = among.iter().filter(|&&server| self.servers[server].zone == self.settings.home_zone);
         let home: f64 = at_home.map(|&server| self.available_capacity(server)).sum();
-        let rejects_tenants = BEYOND_QUOTA_PART * OVERLOAD_RATIO * self.latency_runs.least();
-        let is_strained = self.settings.tier == 0 && self.latency_runs.latest() > rejects_tenants;
-        let pays = self.settings.cross_zone > 0.0 && self.settings.balancers >= 2 * self.zones.len();
+        let rejects_tenants = BEYOND_QUOTA_PART * OVERLOAD_RATIO * self.latency_runs.lowest_mean();
+        let is_strained = self.settings.tier == 0 && self.latency_runs.latest_mean() > rejects_tenants;
+        let pays = self.settings.cross_zone_cost > 0.0 && self.settings.balancers >= 2 * self.zones.len();
         if is_strained || !pays || home <= 0.0 {
             return 0.0;
         }
@@ -154,14 +155,14 @@
         };
         let known = self.listed.iter().filter(is_known);
         let means = known.map(|&server| mean(self.servers[server].relative_latencies.iter().copied()));
-        ranked(means, 0.5).unwrap_or(0.0)
+        quantile(means, 0.5).unwrap_or(0.0)
     }
 
     /// Guards against one good first-tier server taking the load of others that have capacity: what it holds of this
     /// balancer's, times the balancers, must be served in the least mean latency at the best rate that it reported.
     pub(super) fn has_capacity(&self, server: usize) -> bool {
         let known = &self.servers[server];
-        if self.settings.load_by_probe {
+        if self.settings.load_only_from_probes {
             // One that has not answered in time has no capacity either.
             let probe_time = self.probe_time_out();
             let is_silent = known
@@ -174,6 +175,6 @@
         let best = known.reported_rates.iter().copied().reduce(f64::max);
         self.settings.tier > 0
             || known.in_flight == 0
-            || best.is_none_or(|rate| in_flight <= self.latency_runs.least() / 1e6 * PEAK_RATIO * rate)
+            || best.is_none_or(|rate| in_flight <= self.latency_runs.lowest_mean() / 1e6 * PEAK_RATIO * rate)
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -13,11 +13,11 @@
     pub(super) fn warm_fraction(&self, server: usize) -> f64 {
         let started_at = self.servers[server].started_at;
         let age = self.now.saturating_sub(started_at);
-        if started_at == 0 || age >= self.settings.slow_start_time {
+        if started_at == 0 || age >= self.settings.slow_start_duration_us {
             return 1.0;
         }
-        let initial = self.settings.slow_start_from;
-        initial + (1.0 - initial) * age as f64 / self.settings.slow_start_time as f64
+        let initial = self.settings.slow_start_initial_fraction;
+        initial + (1.0 - initial) * age as f64 / self.settings.slow_start_duration_us as f64
     }
 
     /// Rule 4: whether this balancer's part of the server's slow-start budget allows one more execution. With many
@@ -27,7 +27,7 @@
         if warm_fraction >= 1.0 {
             return true;
         }
-        let window = self.settings.tip_after;
+        let window = self.settings.slow_start_window_us;
         let since = self.now.saturating_sub(window);
         let server = &self.servers[server];
         let spent: f64 = server.recent_sends.iter().filter(|sent| sent.0 >= since).map(|sent| sent.1).sum();
@@ -37,7 +37,7 @@
         let completions = Some(self.rate(&self.completions, CHECK_PERIOD)).filter(|&rate| rate > 0.0);
         let rate = completions.unwrap_or(self.arrivals.len() as f64 * 1e6 / CHECK_PERIOD as f64);
         let even = rate * server.size / sizes * window as f64 / 1e6;
-        let budget = even * warm_fraction * self.settings.fall_multiple / 2.0;
+        let budget = even * warm_fraction * self.settings.slow_start_overload_factor / 2.0;
         spent + 1.0 <= budget + server.budget_rounding
     }
 }
--- a/src/balancer/zone_weights.rs
+++ b/src/balancer/zone_weights.rs
@@ -3,8 +3,8 @@
 
 use super::{Balancer, CHECK_PERIOD, LABEL_WEIGHTS};
 use crate::host::Host;
-use crate::samples::{LatencyFit, decayed, fit_rising, mean, shares};
-use crate::weights::{FLOOR_SHARE, LEAST_SLOPE, Target, solve};
+use crate::samples::{LatencyFit, decay_weighted, fit_increasing_line, mean, normalize_shares};
+use crate::weights::{MIN_SHARE, MIN_SLOPE_RATIO, Target, solve};
 
 /// Each tier's checks come so long after those of the tier above, so that parents settle first.
 const TIER_SETTLE_TIME: u64 = 3_000_000;
@@ -18,7 +18,7 @@
     pub(super) fn schedule_weight_check(&mut self) {
         let phase = (self.settings.tier as u64 * TIER_SETTLE_TIME) % CHECK_PERIOD;
         let wait = CHECK_PERIOD - (self.now + CHECK_PERIOD - phase) % CHECK_PERIOD;
-        self.host.wake(wait, LABEL_WEIGHTS);
+        self.host.set_timer(wait, LABEL_WEIGHTS);
     }
 
     /// The periodic check: solves the weights anew where what they were solved for has changed.
@@ -41,12 +41,16 @@
 
     fn solve_weights(&mut self, rate: f64) {
         // A crossing costs as if a query came late by that part of its SLO time.
-        let slo_time = mean(self.settings.products.iter().map(|product| product.slo_time as f64));
+        let slo_time = mean(self.settings.products.iter().map(|product| product.slo_time_us as f64));
         let target = |zone: usize| Target {
-            ready: self.ready_count(zone),
-            load: self.load_per_ready(zone),
+            ready_servers: self.ready_count(zone),
+            load_per_server: self.load_per_ready(zone),
             fit: self.latency_fit(zone),
-            crossing: if zone == self.settings.home { 0.0 } else { self.settings.cross_zone * slo_time },
+            crossing_cost: if zone == self.settings.home_zone {
+                0.0
+            } else {
+                self.settings.cross_zone_cost * slo_time
+            },
         };
         let targets: Vec<Target> = (0..self.zones.len()).map(target).collect();
         let weights = self.zone_weights();
@@ -61,7 +65,7 @@
             let zone = self.servers[server].zone;
             weights[zone] += self.zones[zone].weight_per_ready;
         }
-        shares(weights, FLOOR_SHARE)
+        normalize_shares(weights, MIN_SHARE)
     }
 
     /// Queries a second on each available server of the zone: as reported, else this balancer's own for all balancers.
@@ -83,7 +87,7 @@
 
     /// Zone latency as a + b * load per ready server, by decayed least squares.
     fn latency_fit(&self, zone: usize) -> LatencyFit {
-        let samples = decayed(&self.zones[zone].samples, self.now, HALF_LIFE_PERIODS * CHECK_PERIOD);
-        fit_rising(samples, LEAST_SLOPE)
+        let samples = decay_weighted(&self.zones[zone].samples, self.now, HALF_LIFE_PERIODS * CHECK_PERIOD);
+        fit_increasing_line(samples, MIN_SLOPE_RATIO)
     }
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -14,11 +14,11 @@
     /// Final answer: failed, and it may or may not have taken effect.
     fn abort(&mut self, query: usize);
     /// Calls `Balancer::timer` with this label after `wait`.
-    fn wake(&mut self, wait: u64, label: u32);
+    fn set_timer(&mut self, wait: u64, label: u32);
     /// Asks a server for a sign of life and its load; `Balancer::probed` has the result.
     fn probe(&mut self, server: usize);
     /// Subscribes to the changes of the endpoint list.
-    fn follow_endpoints(&mut self);
+    fn watch_endpoints(&mut self);
 }
 
 /// How far a product's effect may be repeated.
@@ -27,14 +27,14 @@
     /// It may run any number of times.
     Idempotent,
     /// Servers of the group drop repeats for some time.
-    Deduplicated(Group),
+    Deduplicated(ServerScope),
     /// It must not run twice.
     NonIdempotent,
 }
 
 /// The servers that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum ServerScope {
     /// All servers of the tier.
     All,
     /// Those of one zone.
@@ -49,11 +49,11 @@
     /// How far a query may be repeated.
     pub effect: Effect,
     /// An answer earns its full value up to this latency.
-    pub slo_time: u64,
+    pub slo_time_us: u64,
     /// How long servers remember a deduplicated query.
-    pub memory_span: u64,
+    pub dedup_window_us: u64,
     /// Part of the value that an answer after the SLO time still earns.
-    pub tardy_importance: f64,
+    pub late_answer_value: f64,
 }
 
 /// What a deployment allows and demands, as handed over at the start.
@@ -66,13 +66,13 @@
     /// Its tier: 0 is the one that clients call.
     pub tier: usize,
     /// How many queries a connection to a server carries at once.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// Servers report their load to probes alone, and probing them pays.
-    pub load_by_probe: bool,
+    pub load_only_from_probes: bool,
     /// The zone of this balancer.
-    pub home: usize,
+    pub home_zone: usize,
     /// What an execution in another zone costs, as a part of a query's value.
-    pub cross_zone: f64,
+    pub cross_zone_cost: f64,
     /// The kinds of queries.
     pub products: Vec<Product>,
     /// Queries a second within each tenant's quota, over all balancers.
@@ -82,52 +82,52 @@
     /// A query may run on two servers at once.
     pub allow_hedging: bool,
     /// Executions may be called off.
-    pub cancel: bool,
+    pub allow_cancel: bool,
     /// Probes are allowed, and two of them cost less than a query that fails late.
-    pub probes_pay: bool,
+    pub allow_probes: bool,
     /// Four of them cost more than that: one server is probed for a query, not several.
-    pub probe_dear: bool,
+    pub single_probe: bool,
     /// Longest wait that clients follow; 0 where no advice is passed on.
-    pub max_retry_after: u64,
+    pub max_retry_after_us: u64,
     /// Resolution of the host's clock.
-    pub tick: u64,
+    pub clock_resolution_us: u64,
     /// The endpoint list comes only to those that ask; without news for this long it counts as known all the same.
-    pub must_ask_in: Option<u64>,
+    pub watch_reopen_limit_us: Option<u64>,
     /// Part of its capacity that a server has at its start.
-    pub slow_start_from: f64,
+    pub slow_start_initial_fraction: f64,
     /// Time from its start until a server has all of its capacity.
-    pub slow_start_time: u64,
+    pub slow_start_duration_us: u64,
     /// A server in slow start fails beyond this multiple of an even share.
-    pub fall_multiple: f64,
+    pub slow_start_overload_factor: f64,
     /// The window over which that is counted.
-    pub tip_after: u64,
+    pub slow_start_window_us: u64,
 }
 
 /// What a route sets for its queries of one product, within what the deployment allows.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutePolicy {
     /// Time-out of the whole query.
-    pub time: u64,
+    pub timeout_us: u64,
     /// Time-out of one execution.
-    pub execution_time: u64,
+    pub execution_timeout_us: u64,
     /// Executions of one query at the most.
-    pub executions: usize,
+    pub max_executions: usize,
     /// The outcomes that are retried.
     pub retry_on: RetryOn,
     /// Backoff before a retry.
-    pub wait: u64,
+    pub backoff_us: u64,
     /// Jitter: up to this part of the backoff more, drawn anew each time.
-    pub spread: f64,
+    pub jitter: f64,
     /// Whether and when a hedged request goes out.
     pub hedge: HedgePolicy,
     /// Retry budget: retries of the route's queries, as a part of these.
-    pub budget: f64,
+    pub retry_budget: f64,
     /// Zones whose servers may take the queries; none named: any.
     pub zones: Vec<usize>,
     /// Kinds of servers that may; none named: any.
     pub kinds: Vec<usize>,
     /// Where retries must stay with the first execution that may have run.
-    pub near: Group,
+    pub retry_scope: ServerScope,
 }
 
 /// Which outcomes of an execution may be followed by another one.
@@ -145,10 +145,10 @@
 
 impl RetryOn {
     /// No retry whatever happens.
-    pub const NOTHING: RetryOn = RetryOn { never_ran: false, error: false, broken: false, timed_out: false };
+    pub const NONE: RetryOn = RetryOn { never_ran: false, error: false, broken: false, timed_out: false };
 
     /// Whether an execution may be followed by another though it may have run.
-    pub fn may_have_run(self) -> bool {
+    pub fn allows_after_possible_run(self) -> bool {
         self.error || self.broken || self.timed_out
     }
 
@@ -156,7 +156,7 @@
     pub fn allows(self, outcome: Outcome) -> bool {
         match outcome {
             _ if outcome.never_ran() => self.never_ran,
-            _ if outcome.may_pass() => self.broken,
+            _ if outcome.is_transient() => self.broken,
             Outcome::TimedOut | Outcome::Cancelled => self.timed_out,
             Outcome::Error => self.error,
             _ => false,
@@ -202,7 +202,7 @@
     /// Whether it may be sent to.
     pub state: EndpointState,
     /// Its capacity against others.
-    pub size: f64,
+    pub relative_capacity: f64,
     /// Clock time of its last start; 0: long ago.
     pub started_at: u64,
 }
@@ -228,7 +228,7 @@
     /// With an answer that says it failed.
     Error,
     /// The server can't use the query: the fault is the query's, and another server would say the same.
-    Unfit,
+    ClientError,
     /// Rejected before it ran: the server's queue is full or the server drains.
     Rejected,
     /// Its time was over.
@@ -240,7 +240,7 @@
     /// A malformed or partial answer came: it may have run.
     Malformed,
     /// A connection that had stood idle broke under it: it may have run, and nothing is known of the server.
-    Stale,
+    StaleConnection,
     /// It was called off.
     Cancelled,
     /// It was never sent.
@@ -249,14 +249,14 @@
 
 impl Outcome {
     /// Whether nothing follows from it for the health of the server.
-    pub fn says_nothing_of_server(self) -> bool {
+    pub fn is_health_neutral(self) -> bool {
         use Outcome::*;
-        matches!(self, Cancelled | NeverSent | Rejected | Unfit | Stale)
+        matches!(self, Cancelled | NeverSent | Rejected | ClientError | StaleConnection)
     }
 
     /// Whether it may have run at a server that may well answer the next time.
-    pub fn may_pass(self) -> bool {
-        matches!(self, Outcome::Broken | Outcome::Malformed | Outcome::Stale)
+    pub fn is_transient(self) -> bool {
+        matches!(self, Outcome::Broken | Outcome::Malformed | Outcome::StaleConnection)
     }
 
     /// Whether it surely has not run.
@@ -271,9 +271,9 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The query has its final answer, by this outcome or before it.
-    pub over: bool,
+    pub query_answered: bool,
     /// Time from the send until now.
-    pub spent: u64,
+    pub elapsed_us: u64,
     /// What the server reported with it.
     pub report: LoadReport,
 }
@@ -286,7 +286,7 @@
     /// Queries that it serves a second.
     pub throughput: Option<f64>,
     /// Queries in flight or queued there.
-    pub held: Option<f64>,
+    pub queries_at_server: Option<f64>,
 }
 
 impl LoadReport {
@@ -295,7 +295,7 @@
         LoadReport {
             utilization: self.utilization.or(other.utilization),
             throughput: self.throughput.or(other.throughput),
-            held: self.held.or(other.held),
+            queries_at_server: self.queries_at_server.or(other.queries_at_server),
         }
     }
 }
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -22,18 +22,18 @@
     }
 
     /// A number from 0 up to but without 1.
-    pub fn unit(&mut self) -> f64 {
+    pub fn next_f64(&mut self) -> f64 {
         f64::from(self.bits()) / 4_294_967_296.0
     }
 
     /// A whole number below `n`; 0 if `n` is 0.
-    pub fn below(&mut self, n: usize) -> usize {
+    pub fn next_below(&mut self, n: usize) -> usize {
         ((u64::from(self.bits()) * n as u64) >> 32) as usize
     }
 
     /// An index in proportion to its weight; none where no weight is positive.
-    pub fn pick(&mut self, weights: &[f64]) -> Option<usize> {
-        let mut at = self.unit() * weights.iter().sum::<f64>();
+    pub fn pick_weighted(&mut self, weights: &[f64]) -> Option<usize> {
+        let mut at = self.next_f64() * weights.iter().sum::<f64>();
         let last = weights.iter().rposition(|&weight| weight > 0.0)?;
         let passed = |weight: &f64| {
             at -= weight;
--- a/src/samples/tests.rs
+++ b/src/samples/tests.rs
@@ -4,11 +4,11 @@
 fn rings_and_spans_let_go_of_what_is_old() {
     let (mut ring, mut times) = (VecDeque::new(), VecDeque::new());
     for (now, kept, counted) in [(10, [10].as_slice(), 1.0), (15, &[10, 15], 2.0), (30, &[15, 30], 1.0)] {
-        push(&mut ring, 2, now);
-        record_time(&mut times, now, 10);
+        push_bounded(&mut ring, 2, now);
+        record_event(&mut times, now, 10);
         assert_eq!((ring.make_contiguous() as &[u64], times.len() as f64), (kept, counted), "{now}");
     }
-    assert_eq!(count_times(&mut times, 41, 10), 0.0);
+    assert_eq!(count_recent(&mut times, 41, 10), 0.0);
 }
 
 #[test]
@@ -20,13 +20,13 @@
         // A sample without weight tells nothing.
         (&[(1.0, 1.0, 3.0), (1.0, 3.0, 7.0), (0.0, 9.0, 0.0)], 2.0, 2.0, 5.0, 2.0),
     ] {
-        assert_eq!(fit(samples.iter().copied()), (slope, x, y, w), "{samples:?}");
+        assert_eq!(fit_line(samples.iter().copied()), (slope, x, y, w), "{samples:?}");
     }
 }
 
 #[test]
 fn runs_end_when_full_or_old_and_the_least_mean_counts() {
-    let mut runs = Runs::new(0);
+    let mut runs = BatchMeans::new(0);
     // The time, how many samples of which length come then, and the least and the latest mean after them.
     for (now, count, sample, least, latest) in [
         (1, 63, 9.0, f64::MAX, f64::INFINITY),
@@ -36,7 +36,7 @@
         (41, 64, 7.0, 5.0, 7.0),
     ] {
         (0..count).for_each(|_| runs.record(now, sample, 30));
-        assert_eq!((runs.least(), runs.latest()), (least, latest), "{now}");
+        assert_eq!((runs.lowest_mean(), runs.latest_mean()), (least, latest), "{now}");
     }
 }
 
@@ -45,7 +45,7 @@
     let times = VecDeque::from([1_000_000, 2_000_000, 3_000_000]);
     for (since, least, per_second) in [(1_000_000, 1, 1.0), (2_500_000, 1, 2.0 / 3.0), (0, 8_000_000, 0.375)]
     {
-        assert_eq!(rate(&times, 4_000_000, since, least), per_second, "{since}");
+        assert_eq!(event_rate(&times, 4_000_000, since, least), per_second, "{since}");
     }
 }
 
@@ -60,7 +60,7 @@
         (&[4.0, 1.0, 3.0, 2.0], 2.5, 0.0, Some(1.0)),
     ] {
         assert_eq!(mean(values.iter().copied()), middle, "{values:?}");
-        assert_eq!(ranked(values.iter().copied(), rank), at, "{values:?} {rank}");
+        assert_eq!(quantile(values.iter().copied(), rank), at, "{values:?} {rank}");
     }
 }
 
@@ -74,7 +74,7 @@
         (&[(1.0, 1.0, 1.0), (1.0, 3.0, 9.0)], 0.0, 2.5),
     ] {
         let line = LatencyFit { base: height, slope, mean: 5.0, weight: 2.0 };
-        assert_eq!(fit_rising(samples.iter().copied(), 0.1), line, "{samples:?}");
+        assert_eq!(fit_increasing_line(samples.iter().copied(), 0.1), line, "{samples:?}");
     }
 }
 
@@ -88,7 +88,7 @@
         (vec![99.0, 0.1], vec![0.909, 0.091]),
     ] {
         let got: Vec<f64> =
-            shares(weights.clone(), 0.1).iter().map(|share| (share * 1e3).round() / 1e3).collect();
+            normalize_shares(weights.clone(), 0.1).iter().map(|share| (share * 1e3).round() / 1e3).collect();
         assert_eq!(got, expected, "{weights:?}");
     }
 }
--- a/src/search.rs
+++ b/src/search.rs
@@ -3,29 +3,30 @@
 use crate::pcg::Pcg;
 
 /// How often and how far a search moves, and the share that it leaves everywhere.
-pub struct Moves {
+pub struct SearchSettings {
     /// Shifts that are tried.
     pub attempts: usize,
     /// The largest shift, as a part of 1.
-    pub step: f64,
+    pub max_step: f64,
     /// The share that is left everywhere.
-    pub floor: f64,
+    pub min_share: f64,
 }
 
 /// Tries shifts of a part between two of the open places, two at the least; the shares of the least cost.
-pub fn least_cost(
+pub fn minimize_cost(
     random: &mut Pcg,
     shares: &[f64],
     open: &[usize],
-    moves: &Moves,
+    settings: &SearchSettings,
     cost: impl Fn(&[f64]) -> f64,
 ) -> Vec<f64> {
     let (mut best, mut least) = (shares.to_vec(), cost(shares));
-    for _ in 0..moves.attempts {
-        let first = random.below(open.len());
-        let second = (first + 1 + random.below(open.len() - 1)) % open.len();
+    for _ in 0..settings.attempts {
+        let first = random.next_below(open.len());
+        let second = (first + 1 + random.next_below(open.len() - 1)) % open.len();
         let (from, to) = (open[first], open[second]);
-        let step = (moves.step * (1.0 - random.unit())).min(shares[from] - moves.floor).max(0.0);
+        let step =
+            (settings.max_step * (1.0 - random.next_f64())).min(shares[from] - settings.min_share).max(0.0);
         let mut shifted = shares.to_vec();
         shifted[from] -= step;
         shifted[to] += step;
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -6,7 +6,7 @@
 use whinspindle::balancer::Balancer;
 use whinspindle::host::*;
 
-use Outcome::{Completed, Error, Stale, Unfit};
+use Outcome::{ClientError, Completed, Error, StaleConnection};
 
 /// Sends `count` queries one after the other from `now` on, 10 ms apart; each is served in the time that
 /// `took` gives for its server, with the report it gives. Returns how many each of the servers got.
@@ -67,7 +67,7 @@
             (if server < 3 { first * MS } else { second * MS }, report)
         };
         serve(&mut b, NOON, 450, 6, took);
-        b.timer(NOON + 5000 * MS, 0);
+        b.timer_fired(NOON + 5000 * MS, 0);
         let got = serve(&mut b, NOON + 5000 * MS, 1000, 6, took);
         let share = got[3..].iter().sum::<usize>() as f64 / 1000.0;
         assert!((least..most).contains(&share), "{second}: {share}");
@@ -83,7 +83,7 @@
         let got =
             serve(&mut b, now, 499, 2, |server| (100 * MS * (server as u64 + 1), LoadReport::default()));
         shares.push(got[1]);
-        b.timer(now + 5000 * MS, 0);
+        b.timer_fired(now + 5000 * MS, 0);
     }
     // One step after the first check, since nothing was known before; none after it.
     assert!(shares[0] > 215 && shares[1] < 245 && shares[3] > 150, "{shares:?}");
@@ -97,7 +97,7 @@
         // The arrivals change by more than a fifth each time, so each check solves again.
         let count = if period % 2 == 0 { 200 } else { 499 };
         serve(&mut b, NOON + period * 5000 * MS, count, 2, took);
-        b.timer(NOON + (period + 1) * 5000 * MS, 0);
+        b.timer_fired(NOON + (period + 1) * 5000 * MS, 0);
     }
     let got = serve(&mut b, NOON + 200_000 * MS, 1000, 2, took);
     assert!((5..300).contains(&got[1]), "{got:?}");
@@ -131,8 +131,8 @@
             let outcome = match (server == 0).then(|| signs.next()).flatten() {
                 Some('b') => Error,
                 // What no server could use says nothing of this one, nor does a connection that was gone.
-                Some('u') => Unfit,
-                Some('s') => Stale,
+                Some('u') => ClientError,
+                Some('s') => StaleConnection,
                 _ => Completed,
             };
             end(&mut b, NOON, 0, 0, ending(outcome, 100 * MS));
@@ -162,8 +162,8 @@
     assert_eq!(serve(&mut b, NOON + MS, 90, 4, steady)[0], 0);
     let now = NOON + 900 * MS;
     b.endpoints_changed(now, &[Endpoint { state: EndpointState::Gone, ..entry(0, 0) }]);
-    b.endpoint_forgotten(0);
-    b.endpoint_forgotten(9);
+    b.endpoint_removed(0);
+    b.endpoint_removed(9);
     b.endpoints_changed(now, &[entry(0, 0)]);
     assert!(serve(&mut b, now, 90, 4, steady)[0] > 0);
 }
@@ -186,7 +186,7 @@
         |rate: f64| LoadReport { throughput: Some(rate), utilization: Some(0.5), ..LoadReport::default() };
     for (size, rate, least, most) in [(1.0, 10.0, 80, 125), (0.25, 10.0, 80, 125), (1.0, 2.0, 15, 60)] {
         let mut entries: Vec<Endpoint> = (0..4).map(|server| entry(server, 0)).collect();
-        (entries[0].size, entries[0].kind) = (size, 1);
+        (entries[0].relative_capacity, entries[0].kind) = (size, 1);
         let mut b = start(BalancerSettings { tier: 1, ..terms(Effect::Idempotent) }, &entries);
         let took = |server: usize| (100 * MS, told(if server == 0 { rate } else { 10.0 }));
         serve(&mut b, NOON, 100, 4, took);
@@ -210,11 +210,14 @@
         // With one copy a zone the weights alone decide, by the price.
         (0.5, 2, 0.0, 0.35, 0.48),
     ] {
-        let mut b = start(BalancerSettings { cross_zone, balancers, ..terms(Effect::Idempotent) }, &entries);
+        let mut b = start(
+            BalancerSettings { cross_zone_cost: cross_zone, balancers, ..terms(Effect::Idempotent) },
+            &entries,
+        );
         let throughput = Some(told).filter(|&told| told > 0.0);
         let took = |_| (100 * MS, LoadReport { throughput, ..LoadReport::default() });
         serve(&mut b, NOON, 450, 6, took);
-        b.timer(NOON + 5000 * MS, 0);
+        b.timer_fired(NOON + 5000 * MS, 0);
         let got = serve(&mut b, NOON + 5000 * MS, 1000, 6, took);
         let share = got[3..].iter().sum::<usize>() as f64 / 1000.0;
         assert!((least..most).contains(&share), "{cross_zone} {balancers} {told}: {share}");
@@ -225,8 +228,10 @@
 fn a_home_zone_that_lost_servers_sends_the_rest_away() {
     let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     for (lost, least, most) in [(0, 0, 1), (1, 20, 140), (2, 130, 270), (3, 400, 401)] {
-        let mut b =
-            start(BalancerSettings { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
+        let mut b = start(
+            BalancerSettings { cross_zone_cost: 0.5, balancers: 4, ..terms(Effect::Idempotent) },
+            &entries,
+        );
         let gone = |server: usize| Endpoint { state: EndpointState::Gone, ..entry(server, 0) };
         b.endpoints_changed(NOON, &(0..lost).map(gone).collect::<Vec<_>>());
         let got = serve(&mut b, NOON, 400, 6, steady);
@@ -240,7 +245,7 @@
 fn a_home_zone_with_little_room_sends_some_away() {
     let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     let mut b =
-        start(BalancerSettings { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
+        start(BalancerSettings { cross_zone_cost: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
     // Four a second told: a server that holds one call has no room.
     let told = LoadReport { throughput: Some(4.0), ..LoadReport::default() };
     serve(&mut b, NOON, 450, 6, |_| (100 * MS, told));
@@ -269,8 +274,10 @@
 fn a_home_zone_whose_answers_take_long_sends_some_away() {
     let entries: Vec<Endpoint> = (0..6).map(|server| entry(server, server / 3)).collect();
     for (home, least, most) in [(100, 0, 1), (140, 0, 1), (300, 300, 900)] {
-        let mut b =
-            start(BalancerSettings { cross_zone: 0.5, balancers: 4, ..terms(Effect::Idempotent) }, &entries);
+        let mut b = start(
+            BalancerSettings { cross_zone_cost: 0.5, balancers: 4, ..terms(Effect::Idempotent) },
+            &entries,
+        );
         serve(&mut b, NOON, 450, 6, steady);
         let took = |server| (if server < 3 { home * MS } else { 100 * MS }, LoadReport::default());
         let got = serve(&mut b, NOON + 5000 * MS, 1000, 6, took);
@@ -290,7 +297,7 @@
         (vec![60.0, 50.0], 130, 400),
     ] {
         let rules = BalancerSettings {
-            cross_zone: 0.5,
+            cross_zone_cost: 0.5,
             balancers: 10,
             tenant_quotas: quotas,
             ..terms(Effect::Idempotent)
@@ -308,13 +315,14 @@
     let entries: Vec<Endpoint> = (0..40).map(|server| entry(server, server % 2)).collect();
     // Whether probes pay, queries a second, and whether servers are asked.
     for (probes_pay, pace, asks) in [(true, 2, true), (true, 50, false), (false, 2, false)] {
-        let mut b = start(BalancerSettings { probes_pay, ..terms(Effect::Idempotent) }, &entries);
+        let mut b =
+            start(BalancerSettings { allow_probes: probes_pay, ..terms(Effect::Idempotent) }, &entries);
         let asked = |said: &[String]| -> Vec<usize> {
             said.iter().filter_map(|line| line.strip_prefix("probe ")?.parse().ok()).collect()
         };
         for at in (0..5 * pace).map(|n| NOON + n * 1000 * MS / pace) {
             for server in asked(&ask(&mut b, at, 0)) {
-                b.probed(at, server, true, LoadReport::default());
+                b.probe_ended(at, server, true, LoadReport::default());
             }
             end(&mut b, at, 0, 0, ending(Completed, 100 * MS));
         }
@@ -328,13 +336,13 @@
         for (server, answered, sent) in
             [(asked[2], false, None), (asked[1], true, Some(asked[1])), (first, true, None)]
         {
-            b.probed(now + MS, server, answered, LoadReport::default());
+            b.probe_ended(now + MS, server, answered, LoadReport::default());
             assert_eq!(sent_to(&std::mem::take(&mut b.host.said)), sent);
         }
         // Where none answers the query goes out all the same.
         ask(&mut b, now, 2);
         let &(wait, label) = b.host.wakes.last().expect("a query that waits has a timer");
-        b.timer(now + wait, label);
+        b.timer_fired(now + wait, label);
         assert!(wait <= 125 * MS && sent_to(&b.host.said).is_some(), "{wait}");
     }
 }
@@ -397,11 +405,18 @@
 /// As at a deployment with a balancer in each client: connections of many queries, load told to probes alone.
 fn spread_out(rank: usize) -> BalancerSettings {
     let (streams, load_by_probe, probes_pay) = (100, true, true);
-    BalancerSettings { balancers: 20, rank, streams, load_by_probe, probes_pay, ..terms(Effect::Idempotent) }
+    BalancerSettings {
+        balancers: 20,
+        rank,
+        streams_per_connection: streams,
+        load_only_from_probes: load_by_probe,
+        allow_probes: probes_pay,
+        ..terms(Effect::Idempotent)
+    }
 }
 
 fn told(held: f64) -> LoadReport {
-    LoadReport { held: Some(held), throughput: Some(40.0), utilization: Some(0.8) }
+    LoadReport { queries_at_server: Some(held), throughput: Some(40.0), utilization: Some(0.8) }
 }
 
 /// Hands a query over and answers its probes; a server that holds `None` is silent. Where it went, and how
@@ -417,13 +432,13 @@
         said.iter().filter_map(|line| line.strip_prefix("probe ")?.parse().ok()).collect();
     for &server in &asked {
         if let Some(held) = held[server] {
-            b.probed(now, server, true, told(held));
+            b.probe_ended(now, server, true, told(held));
         }
     }
-    b.timer(now + 125 * MS, 2 + query as u32);
+    b.timer_fired(now + 125 * MS, 2 + query as u32);
     let sent = sent_to(&std::mem::take(&mut b.host.said));
     for &server in asked.iter().filter(|&&server| held[server].is_none()) {
-        b.probed(now + 250 * MS, server, false, LoadReport::default());
+        b.probe_ended(now + 250 * MS, server, false, LoadReport::default());
     }
     (sent.or(sent_to(&said)), asked.len())
 }
@@ -488,7 +503,7 @@
 fn a_part_lost_at_once_is_drawn_anew() {
     let entries: Vec<Endpoint> = (0..20).map(|server| entry(server, 0)).collect();
     for dear in [false, true] {
-        let mut b = start(BalancerSettings { probe_dear: dear, ..spread_out(0) }, &entries);
+        let mut b = start(BalancerSettings { single_probe: dear, ..spread_out(0) }, &entries);
         let mut held = vec![Some(0.0); 20];
         for n in 0..20 {
             if let Some(server) = ask_about(&mut b, NOON + n * 300 * MS, 0, &vec![Some(0.0); 20]).0 {
@@ -506,7 +521,7 @@
 #[test]
 fn where_probes_are_dear_one_server_is_asked() {
     let entries: Vec<Endpoint> = (0..3).map(|server| entry(server, 0)).collect();
-    let mut b = start(BalancerSettings { probe_dear: true, ..spread_out(0) }, &entries);
+    let mut b = start(BalancerSettings { single_probe: true, ..spread_out(0) }, &entries);
     let (sent, asked) = ask_about(&mut b, NOON, 0, &[Some(1.0); 3]);
     assert!(sent.is_some() && asked == 1);
 }
@@ -537,13 +552,14 @@
     // Servers tell forty a second, one of two a probe's answer where these wait: room for six, not thirteen.
     for (took, held, gets) in [(0, 12.0, true), (100, 5.0, true), (100, 12.0, false)] {
         let entries: Vec<Endpoint> = (0..1).map(|server| entry(server, 0)).collect();
-        let mut b = start(BalancerSettings { tick: 0, ..spread_out(0) }, &entries);
-        let told = |held| LoadReport { held: Some(held), throughput: Some(40.0), utilization: None };
+        let mut b = start(BalancerSettings { clock_resolution_us: 0, ..spread_out(0) }, &entries);
+        let told =
+            |held| LoadReport { queries_at_server: Some(held), throughput: Some(40.0), utilization: None };
         let mut sent = None;
         for n in 0..20 {
             let now = NOON + n * 400 * MS;
             ask(&mut b, now, 0);
-            b.probed(now + took * MS, 0, true, told(if n < 19 { 0.0 } else { held }));
+            b.probe_ended(now + took * MS, 0, true, told(if n < 19 { 0.0 } else { held }));
             sent = sent_to(&std::mem::take(&mut b.host.said));
             if n < 19 {
                 end(&mut b, now + took * MS + 50 * MS, 0, 0, ending(Outcome::Completed, 300 * MS));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,13 +25,13 @@
     fn abort(&mut self, query: usize) {
         self.said.push(format!("abort {query}"));
     }
-    fn wake(&mut self, wait: u64, label: u32) {
+    fn set_timer(&mut self, wait: u64, label: u32) {
         self.wakes.push((wait, label));
     }
     fn probe(&mut self, server: usize) {
         self.said.push(format!("probe {server}"));
     }
-    fn follow_endpoints(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.said.push("follow".into());
     }
 }
@@ -40,30 +40,30 @@
     BalancerSettings {
         balancers: 2,
         rank: 0,
-        streams: 1,
-        load_by_probe: false,
+        streams_per_connection: 1,
+        load_only_from_probes: false,
         tier: 0,
-        home: 0,
-        cross_zone: 0.0,
+        home_zone: 0,
+        cross_zone_cost: 0.0,
         products: vec![Product {
             effect,
-            slo_time: 1000 * MS,
-            memory_span: 5000 * MS,
-            tardy_importance: 0.5,
+            slo_time_us: 1000 * MS,
+            dedup_window_us: 5000 * MS,
+            late_answer_value: 0.5,
         }],
         tenant_quotas: vec![],
         max_executions: 3,
         allow_hedging: false,
-        cancel: true,
-        probes_pay: false,
-        probe_dear: false,
-        max_retry_after: 500 * MS,
-        tick: 5 * MS,
-        must_ask_in: None,
-        slow_start_from: 0.2,
-        slow_start_time: 10_000 * MS,
-        fall_multiple: 3.0,
-        tip_after: 2000 * MS,
+        allow_cancel: true,
+        allow_probes: false,
+        single_probe: false,
+        max_retry_after_us: 500 * MS,
+        clock_resolution_us: 5 * MS,
+        watch_reopen_limit_us: None,
+        slow_start_initial_fraction: 0.2,
+        slow_start_duration_us: 10_000 * MS,
+        slow_start_overload_factor: 3.0,
+        slow_start_window_us: 2000 * MS,
     }
 }
 
@@ -75,7 +75,7 @@
         cell: zone,
         kind: 0,
         state: EndpointState::Ready,
-        size: 1.0,
+        relative_capacity: 1.0,
         started_at: 0,
     }
 }
@@ -87,12 +87,21 @@
 }
 
 pub fn ending(outcome: Outcome, spent: u64) -> ExecutionEnd {
-    ExecutionEnd { outcome, over: outcome == Outcome::Completed, spent, report: LoadReport::default() }
+    ExecutionEnd {
+        outcome,
+        query_answered: outcome == Outcome::Completed,
+        elapsed_us: spent,
+        report: LoadReport::default(),
+    }
 }
 
 /// Hands over a query with three seconds to its deadline and returns what was said of it.
 pub fn ask(balancer: &mut Balancer<Notes>, now: u64, query: usize) -> Vec<String> {
-    balancer.query(now, query, Arrival { product: 0, tenant: 0, deadline: now + 3000 * MS, route: None });
+    balancer.query_arrived(
+        now,
+        query,
+        Arrival { product: 0, tenant: 0, deadline: now + 3000 * MS, route: None },
+    );
     std::mem::take(&mut balancer.host.said)
 }
 
@@ -109,6 +118,6 @@
     exec: usize,
     ending: ExecutionEnd,
 ) -> Vec<String> {
-    balancer.completed(now, query, exec, ending);
+    balancer.execution_ended(now, query, exec, ending);
     std::mem::take(&mut balancer.host.said)
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -8,17 +8,17 @@
 
 fn conditions() -> RoutePolicy {
     RoutePolicy {
-        time: 2000 * MS,
-        execution_time: 500 * MS,
-        executions: 3,
+        timeout_us: 2000 * MS,
+        execution_timeout_us: 500 * MS,
+        max_executions: 3,
         retry_on: RetryOn { never_ran: true, error: true, broken: true, timed_out: true },
-        wait: 0,
-        spread: 0.0,
+        backoff_us: 0,
+        jitter: 0.0,
         hedge: HedgePolicy::Never,
-        budget: 100.0,
+        retry_budget: 100.0,
         zones: vec![],
         kinds: vec![],
-        near: Group::All,
+        retry_scope: ServerScope::All,
     }
 }
 
@@ -26,31 +26,31 @@
 fn start_with(terms: BalancerSettings, conditions: RoutePolicy) -> Balancer<Notes> {
     let entries: Vec<Endpoint> = (0..4).map(|server| entry(server, server / 2)).collect();
     let mut balancer = start(terms, &entries);
-    balancer.routes(vec![vec![conditions]]);
+    balancer.set_routes(vec![vec![conditions]]);
     balancer
 }
 
 fn ask_by_route(balancer: &mut Balancer<Notes>, now: u64, query: usize) -> Vec<String> {
     let arrival = Arrival { product: 0, tenant: 0, deadline: now + 3000 * MS, route: Some(0) };
-    balancer.query(now, query, arrival);
+    balancer.query_arrived(now, query, arrival);
     std::mem::take(&mut balancer.host.said)
 }
 
 /// Calls the timer of a query at a time, and returns what was said.
 fn look(balancer: &mut Balancer<Notes>, now: u64, query: usize) -> Vec<String> {
-    balancer.timer(now, 2 + query as u32);
+    balancer.timer_fired(now, 2 + query as u32);
     std::mem::take(&mut balancer.host.said)
 }
 
 #[test]
 fn outcomes_are_followed_by_a_repeat_only_where_the_route_says_so() {
-    let nothing = RetryOn::NOTHING;
+    let nothing = RetryOn::NONE;
     let cases = [
         (Outcome::Rejected, RetryOn { never_ran: true, ..nothing }),
         (Outcome::NotConnected, RetryOn { never_ran: true, ..nothing }),
         (Outcome::Error, RetryOn { error: true, ..nothing }),
         (Outcome::Broken, RetryOn { broken: true, ..nothing }),
-        (Outcome::Stale, RetryOn { broken: true, ..nothing }),
+        (Outcome::StaleConnection, RetryOn { broken: true, ..nothing }),
         (Outcome::TimedOut, RetryOn { timed_out: true, ..nothing }),
     ];
     let all = conditions().retry_on;
@@ -82,7 +82,8 @@
 
 #[test]
 fn a_query_without_a_route_is_as_if_there_were_none() {
-    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { executions: 1, ..conditions() });
+    let mut balancer =
+        start_with(terms(Effect::Idempotent), RoutePolicy { max_executions: 1, ..conditions() });
     ask(&mut balancer, NOON, 0);
     assert!(sent_to(&end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS))).is_some());
 }
@@ -91,7 +92,7 @@
 fn times_and_numbers_are_the_lesser_of_route_and_deployment() {
     // Executions: the route's three, the deployment's two, and the other way round.
     for (route, deployment, most) in [(3, 2, 2), (2, 3, 2), (1, 3, 1)] {
-        let set = RoutePolicy { executions: route, ..conditions() };
+        let set = RoutePolicy { max_executions: route, ..conditions() };
         let max_executions = deployment;
         let mut balancer = start_with(BalancerSettings { max_executions, ..terms(Effect::Idempotent) }, set);
         let mut sent = usize::from(sent_to(&ask_by_route(&mut balancer, NOON, 0)).is_some());
@@ -102,7 +103,8 @@
         assert_eq!(sent, most, "{route} and {deployment}");
     }
     // The whole time: nothing is begun once the route's is over, though the client would wait.
-    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { time: 100 * MS, ..conditions() });
+    let mut balancer =
+        start_with(terms(Effect::Idempotent), RoutePolicy { timeout_us: 100 * MS, ..conditions() });
     ask_by_route(&mut balancer, NOON, 0);
     let said = end(&mut balancer, NOON + 95 * MS, 0, 0, ending(Outcome::Broken, 95 * MS));
     assert_eq!(said, ["reject 0"]);
@@ -110,7 +112,7 @@
 
 #[test]
 fn a_repeat_waits_its_time_and_what_cannot_wait_is_answered_at_once() {
-    let set = RoutePolicy { wait: 50 * MS, ..conditions() };
+    let set = RoutePolicy { backoff_us: 50 * MS, ..conditions() };
     let mut balancer = start_with(terms(Effect::Idempotent), set.clone());
     ask_by_route(&mut balancer, NOON, 0);
     assert!(end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS)).is_empty());
@@ -124,16 +126,18 @@
 
 #[test]
 fn a_client_that_leaves_while_its_query_waits_ends_it() {
-    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { wait: 50 * MS, ..conditions() });
+    let mut balancer =
+        start_with(terms(Effect::Idempotent), RoutePolicy { backoff_us: 50 * MS, ..conditions() });
     ask_by_route(&mut balancer, NOON, 0);
     end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS));
-    balancer.withdrawn(NOON + 20 * MS, 0);
+    balancer.query_withdrawn(NOON + 20 * MS, 0);
     assert!(look(&mut balancer, NOON + 60 * MS, 0).is_empty());
 }
 
 #[test]
 fn repeats_stay_within_their_part_of_the_traffic() {
-    let mut balancer = start_with(terms(Effect::Idempotent), RoutePolicy { budget: 0.2, ..conditions() });
+    let mut balancer =
+        start_with(terms(Effect::Idempotent), RoutePolicy { retry_budget: 0.2, ..conditions() });
     let mut repeats = 0;
     for query in 0..200 {
         let now = NOON + query as u64 * MS;
@@ -173,7 +177,7 @@
 #[test]
 fn repeats_stay_in_the_zone_that_the_route_names() {
     for query in 0..20 {
-        let set = RoutePolicy { near: Group::Zone, ..conditions() };
+        let set = RoutePolicy { retry_scope: ServerScope::Zone, ..conditions() };
         let mut balancer = start_with(terms(Effect::Idempotent), set);
         let first = sent_to(&ask_by_route(&mut balancer, NOON + query, 0)).expect("a server");
         let said = end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Error, MS));
@@ -212,12 +216,12 @@
 fn queries_in_hand_keep_the_routes_under_which_they_came() {
     let mut balancer = start_with(terms(Effect::Idempotent), conditions());
     ask_by_route(&mut balancer, NOON, 0);
-    balancer.routes(vec![vec![RoutePolicy { retry_on: RetryOn::NOTHING, ..conditions() }]]);
+    balancer.set_routes(vec![vec![RoutePolicy { retry_on: RetryOn::NONE, ..conditions() }]]);
     ask_by_route(&mut balancer, NOON, 1);
     assert!(sent_to(&end(&mut balancer, NOON + MS, 0, 0, ending(Outcome::Broken, MS))).is_some());
     assert_eq!(end(&mut balancer, NOON + MS, 1, 0, ending(Outcome::Broken, MS)), ["reject 1"]);
     // A route that is gone is none.
-    balancer.routes(vec![]);
+    balancer.set_routes(vec![]);
     ask_by_route(&mut balancer, NOON, 2);
     assert!(sent_to(&end(&mut balancer, NOON + MS, 2, 0, ending(Outcome::Broken, MS))).is_some());
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,15 +6,15 @@
 use whinspindle::host::*;
 
 use Effect::{Deduplicated, Idempotent, NonIdempotent};
-use Outcome::{Broken, Completed, Error, Malformed, NotConnected, Rejected, Stale, TimedOut};
+use Outcome::{Broken, Completed, Error, Malformed, NotConnected, Rejected, StaleConnection, TimedOut};
 
 #[test]
 fn last_answer_follows_what_may_have_run() {
     for (effect, outcome, answer) in [
         (Idempotent, Error, "reject 0"),
-        (Deduplicated(Group::All), Error, "reject 0"),
-        (Deduplicated(Group::Cell), Error, "abort 0"),
-        (Deduplicated(Group::Zone), NotConnected, "reject 0"),
+        (Deduplicated(ServerScope::All), Error, "reject 0"),
+        (Deduplicated(ServerScope::Cell), Error, "abort 0"),
+        (Deduplicated(ServerScope::Zone), NotConnected, "reject 0"),
         (NonIdempotent, Error, "abort 0"),
         (NonIdempotent, TimedOut, "abort 0"),
         (NonIdempotent, Rejected, "reject 0"),
@@ -29,13 +29,13 @@
 #[test]
 fn what_a_server_spoilt_it_gets_again_if_no_other_may_have_it() {
     for (effect, outcome, cell, to) in [
-        (Deduplicated(Group::Cell), Malformed, 1, Some(0)),
-        (Deduplicated(Group::Cell), Stale, 1, Some(0)),
-        (Deduplicated(Group::Cell), Malformed, 0, Some(1)),
-        (Deduplicated(Group::Cell), Broken, 1, Some(0)),
+        (Deduplicated(ServerScope::Cell), Malformed, 1, Some(0)),
+        (Deduplicated(ServerScope::Cell), StaleConnection, 1, Some(0)),
+        (Deduplicated(ServerScope::Cell), Malformed, 0, Some(1)),
+        (Deduplicated(ServerScope::Cell), Broken, 1, Some(0)),
         // What it answers or keeps silent about it would again.
-        (Deduplicated(Group::Cell), Error, 1, None),
-        (Deduplicated(Group::Cell), TimedOut, 1, None),
+        (Deduplicated(ServerScope::Cell), Error, 1, None),
+        (Deduplicated(ServerScope::Cell), TimedOut, 1, None),
         (NonIdempotent, Malformed, 1, None),
         (NonIdempotent, NotConnected, 1, Some(1)),
     ] {
@@ -61,18 +61,18 @@
         (Idempotent, Error, 3, 1, true),
         (NonIdempotent, Error, 1, 1, false),
         (NonIdempotent, NotConnected, 3, 1, true),
-        (Deduplicated(Group::Cell), Error, 1, 1, true),
-        (Deduplicated(Group::Cell), Error, 2, 1, false),
-        (Deduplicated(Group::Cell), Rejected, 2, 1, true),
-        (Deduplicated(Group::Zone), Error, 2, 1, true),
-        (Deduplicated(Group::Zone), Error, 3, 1, false),
-        (Deduplicated(Group::All), Error, 3, 1, true),
-        (Deduplicated(Group::Cell), Error, 1, 1985, true),
-        (Deduplicated(Group::Cell), Error, 1, 1990, false),
+        (Deduplicated(ServerScope::Cell), Error, 1, 1, true),
+        (Deduplicated(ServerScope::Cell), Error, 2, 1, false),
+        (Deduplicated(ServerScope::Cell), Rejected, 2, 1, true),
+        (Deduplicated(ServerScope::Zone), Error, 2, 1, true),
+        (Deduplicated(ServerScope::Zone), Error, 3, 1, false),
+        (Deduplicated(ServerScope::All), Error, 3, 1, true),
+        (Deduplicated(ServerScope::Cell), Error, 1, 1985, true),
+        (Deduplicated(ServerScope::Cell), Error, 1, 1990, false),
         (Idempotent, Error, 1, 2990, false),
     ] {
         let mut rules = terms(effect);
-        rules.products[0].memory_span = 2000 * MS;
+        rules.products[0].dedup_window_us = 2000 * MS;
         let mut b = start(rules, &[entry(0, 0)]);
         ask(&mut b, NOON, 0);
         b.endpoints_replaced(NOON, &fleet(other));
@@ -86,18 +86,18 @@
 fn a_repeat_whose_connection_comes_up_late_does_not_begin() {
     for (effect, first, later, may) in [
         (Idempotent, Error, 4000, true),
-        (Deduplicated(Group::All), Error, 1900, true),
-        (Deduplicated(Group::All), Error, 1990, false),
-        (Deduplicated(Group::All), Rejected, 1990, true),
+        (Deduplicated(ServerScope::All), Error, 1900, true),
+        (Deduplicated(ServerScope::All), Error, 1990, false),
+        (Deduplicated(ServerScope::All), Rejected, 1990, true),
         (NonIdempotent, NotConnected, 4000, true),
     ] {
         let mut rules = terms(effect);
-        rules.products[0].memory_span = 2000 * MS;
+        rules.products[0].dedup_window_us = 2000 * MS;
         let mut b = start(rules, &[entry(0, 0), entry(1, 0)]);
         ask(&mut b, NOON, 0);
-        assert!(b.may_begin(NOON + later * MS, 0, 0), "nothing forbids the first");
+        assert!(b.may_send(NOON + later * MS, 0, 0), "nothing forbids the first");
         end(&mut b, NOON + MS, 0, 0, ending(first, MS));
-        assert_eq!(b.may_begin(NOON + later * MS, 0, 1), may, "{effect:?} {first:?} {later}");
+        assert_eq!(b.may_send(NOON + later * MS, 0, 1), may, "{effect:?} {first:?} {later}");
     }
 }
 
@@ -116,18 +116,18 @@
 #[test]
 fn nothing_follows_the_end() {
     let ends: [fn(&mut whinspindle::balancer::Balancer<Notes>); 3] = [
-        |b| b.withdrawn(NOON, 0),
-        |b| b.completed(NOON, 0, 0, ending(Completed, MS)),
-        |b| b.completed(NOON, 0, 0, ExecutionEnd { over: true, ..ending(Broken, MS) }),
+        |b| b.query_withdrawn(NOON, 0),
+        |b| b.execution_ended(NOON, 0, 0, ending(Completed, MS)),
+        |b| b.execution_ended(NOON, 0, 0, ExecutionEnd { query_answered: true, ..ending(Broken, MS) }),
     ];
     for finish in ends {
         let mut b = start(terms(Idempotent), &[entry(0, 0), entry(1, 0)]);
         ask(&mut b, NOON, 0);
         finish(&mut b);
         b.host.said.clear();
-        b.completed(NOON + MS, 0, 0, ending(Error, MS));
-        b.withdrawn(NOON + MS, 0);
-        b.timer(NOON + 5000 * MS, 2);
+        b.execution_ended(NOON + MS, 0, 0, ending(Error, MS));
+        b.query_withdrawn(NOON + MS, 0);
+        b.timer_fired(NOON + 5000 * MS, 2);
         assert!(b.host.said.is_empty(), "{:?}", b.host.said);
     }
 }
@@ -135,14 +135,14 @@
 #[test]
 fn what_is_not_known_is_ignored() {
     let mut b = start(terms(Idempotent), &[]);
-    b.completed(NOON, 9, 0, ending(Error, MS));
-    b.withdrawn(NOON, 9);
-    b.started(NOON, 9, 0);
-    b.timer(NOON, 99);
-    b.probed(NOON, 9, true, LoadReport::default());
+    b.execution_ended(NOON, 9, 0, ending(Error, MS));
+    b.query_withdrawn(NOON, 9);
+    b.execution_started(NOON, 9, 0);
+    b.timer_fired(NOON, 99);
+    b.probe_ended(NOON, 9, true, LoadReport::default());
     assert!(b.host.said.is_empty());
-    b.query(NOON, 0, Arrival { product: 5, tenant: 5, deadline: NOON, route: None });
-    b.query(NOON, 1, Arrival { product: 0, tenant: 5, deadline: NOON + 1000 * MS, route: None });
+    b.query_arrived(NOON, 0, Arrival { product: 5, tenant: 5, deadline: NOON, route: None });
+    b.query_arrived(NOON, 1, Arrival { product: 0, tenant: 5, deadline: NOON + 1000 * MS, route: None });
     assert_eq!(b.host.said, ["reject 0", "reject 1"]);
 }
 
@@ -157,12 +157,15 @@
         ),
         (-1.0, LoadReport { throughput: Some(5.0), utilization: None, ..LoadReport::default() }),
     ] {
-        let mut b = start(terms(Idempotent), &[Endpoint { size, ..entry(0, 0) }, entry(1, 3), entry(2, 0)]);
+        let mut b = start(
+            terms(Idempotent),
+            &[Endpoint { relative_capacity: size, ..entry(0, 0) }, entry(1, 3), entry(2, 0)],
+        );
         for at in (0..300).map(|i| NOON + i * 20 * MS) {
             assert!(sent_to(&ask(&mut b, at, 0)).is_some(), "{size} {report:?}");
             end(&mut b, at, 0, 0, ExecutionEnd { report, ..ending(Completed, 0) });
         }
-        b.timer(NOON + 6000 * MS, 0);
+        b.timer_fired(NOON + 6000 * MS, 0);
         assert!(sent_to(&ask(&mut b, NOON + 6000 * MS, 1)).is_some(), "{size} {report:?}");
     }
 }
@@ -171,14 +174,14 @@
 fn gives_up_before_the_deadline_or_when_late_earns_nothing() {
     for (tardy, given_up) in [(0.5, 2990), (0.0, 990)] {
         let mut rules = terms(NonIdempotent);
-        rules.products[0].tardy_importance = tardy;
+        rules.products[0].late_answer_value = tardy;
         let mut b = start(rules, &[entry(0, 0)]);
         ask(&mut b, NOON, 0);
         let mut now = NOON;
         while b.host.said.is_empty() {
             let (wait, label) = b.host.wakes.pop().expect("a query out has a timer");
             now += wait;
-            b.timer(now, label);
+            b.timer_fired(now, label);
         }
         assert_eq!(now, NOON + given_up * MS);
         assert_eq!(b.host.said, ["abort 0", "cancel 0.0"]);
@@ -192,13 +195,13 @@
         ask(&mut b, NOON, 0);
         ask(&mut b, NOON, 1);
         end(&mut b, NOON, 1, 0, ending(Completed, 0));
-        b.stopping(NOON, NOON + until * MS);
+        b.begin_shutdown(NOON, NOON + until * MS);
         let mut wakes = std::mem::take(&mut b.host.wakes);
         wakes.sort_unstable();
         let mut now = NOON;
         for (wait, label) in wakes.into_iter().filter(|&(_, label)| label > 1) {
             now = NOON + wait;
-            b.timer(now, label);
+            b.timer_fired(now, label);
             if !b.host.said.is_empty() {
                 break;
             }
@@ -207,7 +210,7 @@
         while b.host.said.is_empty() {
             let (wait, label) = b.host.wakes.pop().expect("a query out has a timer");
             now += wait;
-            b.timer(now, label);
+            b.timer_fired(now, label);
         }
         assert_eq!((b.host.said.join(", "), now), ("abort 0, cancel 0.0".into(), NOON + answered * MS));
     }
@@ -236,12 +239,12 @@
 #[test]
 fn list_is_followed_where_it_must_be_asked_for() {
     for (must_ask_in, calls) in [(None, 0), (Some(8000 * MS), 2)] {
-        let mut b = start(BalancerSettings { must_ask_in, ..terms(Idempotent) }, &[]);
+        let mut b = start(BalancerSettings { watch_reopen_limit_us: must_ask_in, ..terms(Idempotent) }, &[]);
         b.host.wakes.clear();
         b.endpoint_watch_failed(NOON);
         if let Some((wait, label)) = b.host.wakes.pop() {
             assert!((1000 * MS..2000 * MS).contains(&wait), "{wait}");
-            b.timer(NOON + wait, label);
+            b.timer_fired(NOON + wait, label);
         }
         assert_eq!(b.host.said.iter().filter(|line| *line == "follow").count(), calls);
     }
@@ -324,7 +327,7 @@
 fn a_silent_server_is_answered_for() {
     // A deduplicated query may be repeated by its own pod alone: one that is far is no other server for it.
     let (near, far, none) = (vec![entry(1, 0)], vec![entry(1, 1)], vec![]);
-    let pod = Deduplicated(Group::Cell);
+    let pod = Deduplicated(ServerScope::Cell);
     for (effect, allow_hedging, cancel, others, said) in [
         (Idempotent, false, true, &near, vec!["cancel 0.0"]),
         (Idempotent, true, true, &near, vec!["execute 0 on 1"]),
@@ -334,10 +337,11 @@
         (pod, false, true, &far, vec![]),
         (pod, false, true, &none, vec![]),
     ] {
-        let mut b = start(BalancerSettings { allow_hedging, cancel, ..terms(effect) }, &[entry(0, 0)]);
+        let mut b =
+            start(BalancerSettings { allow_hedging, allow_cancel: cancel, ..terms(effect) }, &[entry(0, 0)]);
         ask(&mut b, NOON, 0);
         b.endpoints_changed(NOON, others);
-        b.timer(NOON + 1000 * MS, 2);
+        b.timer_fired(NOON + 1000 * MS, 2);
         assert_eq!(std::mem::take(&mut b.host.said), said);
         // The outcome of the cancel is no second failure, and leads to the other server.
         if said.is_empty() {
