--- a/balancer/bench-adapter/src/instances.rs
+++ b/balancer/bench-adapter/src/instances.rs
@@ -85,8 +85,8 @@
         let size = fields.u32("options")? as usize;
         let deployment = whinspindle_deployment_settings::parse(fields.bytes("options", size)?)
             .map_err(AdapterError::Options)?;
-        let host = InstanceHost::new(Rc::clone(&self.reply), balancer, deployment.columns);
-        self.instances.insert(balancer, Balancer::new(host, deployment.terms, seed, now));
+        let host = InstanceHost::new(Rc::clone(&self.reply), balancer, deployment.load_columns);
+        self.instances.insert(balancer, Balancer::new(host, deployment.balancer_settings, seed, now));
         fields.done()
     }
 
@@ -114,7 +114,7 @@
                 upstream,
                 entry: Endpoint {
                     server: 0,
-                    key: whinspindle_deployment_settings::key(&upstream),
+                    key: whinspindle_deployment_settings::server_key(&upstream),
                     zone,
                     cell,
                     kind,
--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -12,9 +12,9 @@
 use whinspindle::balancer::Balancer;
 use whinspindle::host::{Arrival, Endpoint, ExecutionEnd, LoadReport, Outcome, RoutePolicy};
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_protocol::answer::{Answer, Served};
+use whinspindle_protocol::answer::{Answer, ServerResponse};
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
-use whinspindle_protocol::query::Forwarded;
+use whinspindle_protocol::query::ForwardedQuery;
 
 use request_table::RequestTable;
 pub use request_table::Ticket;
@@ -30,7 +30,7 @@
     /// Gives the final answer to who waits for it.
     fn answer(&mut self, caller: Self::Caller, answer: Answer);
     /// Calls `BalancerCore::timer` after so many microseconds.
-    fn wake(&mut self, wait: u64, label: u32);
+    fn set_timer(&mut self, wait: u64, label: u32);
     /// `BalancerCore::probed` tells what came of it.
     fn probe(&mut self, server: usize, process: ServerProcess);
 }
@@ -57,9 +57,9 @@
     /// Index of the query's product.
     pub product: usize,
     /// What is sent.
-    pub query: Rc<Forwarded>,
+    pub query: Rc<ForwardedQuery>,
     /// How long it may take, in microseconds.
-    pub time_out: u64,
+    pub timeout_us: u64,
 }
 
 /// How an execution ended.
@@ -71,11 +71,11 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent, in microseconds.
-    pub spent: u64,
+    pub elapsed_us: u64,
     /// What the server reported of its load.
     pub report: LoadReport,
     /// The server's answer, if there is one for the client.
-    pub served: Option<Served>,
+    pub response: Option<ServerResponse>,
 }
 
 /// One balancer: its decisions and its open queries. Times are microseconds of the host's clock.
@@ -87,18 +87,20 @@
     /// A balancer without an endpoint list. The seed decides all random draws.
     pub fn new(effects: E, deployment: &Deployment, seed: u64, now: u64) -> Self {
         let request_table = RequestTable::new(effects, deployment);
-        BalancerCore { balancer: Balancer::new(request_table, deployment.terms.clone(), seed, now) }
+        BalancerCore {
+            balancer: Balancer::new(request_table, deployment.balancer_settings.clone(), seed, now),
+        }
     }
 
     /// Queries come by these routes from now on; those in hand keep theirs.
-    pub fn routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
+    pub fn set_routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
         self.balancer.set_routes(routes);
     }
 
     /// The endpoint list has changed.
-    pub fn list(&mut self, now: u64, update: &EndpointUpdate) {
+    pub fn apply_endpoint_update(&mut self, now: u64, update: &EndpointUpdate) {
         let entries = self.balancer.host.servers.apply(update);
-        if update.complete {
+        if update.is_complete {
             self.balancer.endpoints_replaced(now, &entries);
         } else {
             self.balancer.endpoints_changed(now, &entries);
@@ -108,7 +110,7 @@
 
     /// The fleet has let these servers out, by their keys: they get nothing new, as if the list had told that
     /// they drain, until they are not among them any more.
-    pub fn taken_out(&mut self, now: u64, keys: &BTreeSet<u64>) {
+    pub fn set_drained(&mut self, now: u64, keys: &BTreeSet<u64>) {
         let entries = self.balancer.host.servers.taken_out(keys);
         if !entries.is_empty() {
             self.balancer.endpoints_changed(now, &entries);
@@ -116,12 +118,12 @@
     }
 
     /// The whole list, to be kept over a restart.
-    pub fn complete_list(&self) -> Vec<ListedServer> {
+    pub fn endpoint_list(&self) -> Vec<ListedServer> {
         self.balancer.host.servers.complete_list()
     }
 
     /// The servers as the list told them last.
-    pub fn listed(&self) -> Vec<Endpoint> {
+    pub fn endpoints(&self) -> Vec<Endpoint> {
         self.balancer.host.servers.listed().copied().collect()
     }
 
@@ -133,11 +135,11 @@
     }
 
     /// None if another query is open under the same id; nothing has happened then.
-    pub fn query(
+    pub fn submit_query(
         &mut self,
         now: u64,
         arrival: Arrival,
-        query: Forwarded,
+        query: ForwardedQuery,
         caller: E::Caller,
     ) -> Option<Ticket> {
         let ticket = self.balancer.host.take(query, arrival.product, caller)?;
@@ -148,7 +150,7 @@
     }
 
     /// The client has gone; nobody waits for the answer any more.
-    pub fn client_gone(&mut self, now: u64, ticket: Ticket) {
+    pub fn client_disconnected(&mut self, now: u64, ticket: Ticket) {
         if self.balancer.host.client_gone(ticket) {
             self.balancer.query_withdrawn(now, ticket.query_index);
             self.release(ticket.query_index);
@@ -162,7 +164,14 @@
 
     /// An execution has ended.
     pub fn execution_ended(&mut self, now: u64, ended: EndedExecution) {
-        let EndedExecution { query_index, execution_index, outcome, spent, report, served } = ended;
+        let EndedExecution {
+            query_index,
+            execution_index,
+            outcome,
+            elapsed_us: spent,
+            report,
+            response: served,
+        } = ended;
         let over = self.balancer.host.execution_ended(query_index, outcome, served);
         self.balancer.execution_ended(
             now,
@@ -174,26 +183,26 @@
     }
 
     /// The program ends at `until`.
-    pub fn stopping(&mut self, now: u64, until: u64) {
+    pub fn begin_shutdown(&mut self, now: u64, until: u64) {
         self.balancer.begin_shutdown(now, until);
     }
 
     /// A probe has ended; `answered` says whether the server gave a sign of life.
-    pub fn probed(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
+    pub fn probe_ended(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
         self.balancer.probe_ended(now, server, answered, report);
         self.balancer.host.servers.release(server);
         self.forget_gone();
     }
 
     /// A timer set by [`Effects::wake`] is due.
-    pub fn timer(&mut self, now: u64, label: u32) {
+    pub fn timer_fired(&mut self, now: u64, label: u32) {
         self.balancer.timer_fired(now, label);
     }
 
     /// Whether an execution may still begin: asked again right before its first byte goes out. Guards against
     /// a query that was answered, a server that has left the list, and a window for repeats that has run out
     /// while the connection came up.
-    pub fn may_begin(&mut self, now: u64, query_index: usize, execution_index: usize, server: usize) -> bool {
+    pub fn may_send(&mut self, now: u64, query_index: usize, execution_index: usize, server: usize) -> bool {
         self.balancer.host.is_open(query_index)
             && self.is_ready(server)
             && self.balancer.may_send(now, query_index, execution_index)
@@ -210,16 +219,16 @@
     }
 
     /// The counts of queries since the start.
-    pub fn tally(&self) -> Tally {
+    pub fn query_counts(&self) -> QueryCounts {
         self.balancer.host.tally
     }
 }
 
 /// What has become of the queries since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct QueryCounts {
     /// Queries that were taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// Those with an answer of a server.
     pub completed: u64,
     /// Those that were rejected.
@@ -227,7 +236,7 @@
     /// Those that were aborted.
     pub aborted: u64,
     /// Those whose client went before an answer.
-    pub left: u64,
+    pub abandoned: u64,
     /// Executions of all of them.
     pub executions: u64,
 }
--- a/balancer/core/src/request_table.rs
+++ b/balancer/core/src/request_table.rs
@@ -6,12 +6,12 @@
 use http::HeaderValue;
 use whinspindle::host::{Host, Outcome};
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_protocol::answer::{AbortReason, Answer, Served};
-use whinspindle_protocol::query::Forwarded;
+use whinspindle_protocol::answer::{AbortReason, Answer, ServerResponse};
+use whinspindle_protocol::query::ForwardedQuery;
 use whinspindle_rate_limited_log::log_line;
 
 use crate::servers::Servers;
-use crate::{Effects, Execution, Tally};
+use crate::{Effects, Execution, QueryCounts};
 
 /// Stands for one open query; its index may stand for another one later, the serial number never does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 /// A query between its arrival and the end of its last execution.
 struct OpenQuery<C> {
     serial: u64,
-    query: Rc<Forwarded>,
+    query: Rc<ForwardedQuery>,
     product: usize,
     /// Taken with the final answer, or when the client leaves.
     caller: Option<C>,
@@ -36,7 +36,7 @@
 pub(crate) struct RequestTable<E: Effects> {
     pub effects: E,
     pub servers: Servers,
-    pub tally: Tally,
+    pub tally: QueryCounts,
     open: Vec<Option<OpenQuery<E::Caller>>>,
     free: Vec<usize>,
     /// The ids of the open queries.
@@ -48,7 +48,7 @@
         RequestTable {
             effects,
             servers: Servers::new(deployment.zones.clone(), deployment.kinds.clone()),
-            tally: Tally::default(),
+            tally: QueryCounts::default(),
             open: Vec::new(),
             free: Vec::new(),
             traces: HashSet::new(),
@@ -57,12 +57,12 @@
 
     /// None if another query is open under the same id. Guards against a client that uses the id of another's
     /// query: what it sends would pass for a second copy of that.
-    pub fn take(&mut self, query: Forwarded, product: usize, caller: E::Caller) -> Option<Ticket> {
+    pub fn take(&mut self, query: ForwardedQuery, product: usize, caller: E::Caller) -> Option<Ticket> {
         if !self.traces.insert(query.trace.clone()) {
             return None;
         }
-        self.tally.taken += 1;
-        let serial = self.tally.taken;
+        self.tally.accepted += 1;
+        let serial = self.tally.accepted;
         let open = OpenQuery {
             serial,
             query: Rc::new(query),
@@ -84,7 +84,7 @@
     pub fn client_gone(&mut self, ticket: Ticket) -> bool {
         let open = self.open[ticket.query_index].as_mut().filter(|open| open.serial == ticket.serial);
         let left = open.and_then(|open| open.caller.take()).is_some();
-        self.tally.left += u64::from(left);
+        self.tally.abandoned += u64::from(left);
         left
     }
 
@@ -94,7 +94,12 @@
     }
 
     /// Whether the query has its final answer now, by this end or before it.
-    pub fn execution_ended(&mut self, query_index: usize, outcome: Outcome, served: Option<Served>) -> bool {
+    pub fn execution_ended(
+        &mut self,
+        query_index: usize,
+        outcome: Outcome,
+        served: Option<ServerResponse>,
+    ) -> bool {
         let Some(open) = &mut self.open[query_index] else { return true };
         open.executions_out -= 1;
         open.last_outcome = Some(outcome);
@@ -145,7 +150,7 @@
             process,
             product,
             query,
-            time_out,
+            timeout_us: time_out,
         });
     }
 
@@ -162,14 +167,14 @@
         let because = match last {
             None | Some(Outcome::TimedOut) => AbortReason::OutOfTime,
             // While the query was open, only the silence of a server has called an execution off.
-            Some(Outcome::Cancelled) => AbortReason::Silent,
+            Some(Outcome::Cancelled) => AbortReason::ServerUnresponsive,
             Some(_) => AbortReason::Failed,
         };
         self.answer(query_index, Answer::Aborted(because));
     }
 
     fn set_timer(&mut self, wait: u64, label: u32) {
-        self.effects.wake(wait, label);
+        self.effects.set_timer(wait, label);
     }
 
     fn probe(&mut self, server: usize) {
--- a/balancer/core/src/servers.rs
+++ b/balancer/core/src/servers.rs
@@ -56,7 +56,7 @@
     pub fn apply(&mut self, update: &EndpointUpdate) -> Vec<Endpoint> {
         let is_older = update.generation < self.generation;
         self.generation = update.generation;
-        if update.complete {
+        if update.is_complete {
             self.has_list = true;
             self.known.iter_mut().for_each(|known| (known.ready, known.gone) = (false, true));
         }
@@ -77,12 +77,12 @@
             self.renew(server, listed, state);
             let entry = Endpoint {
                 server,
-                key: whinspindle_deployment_settings::key(listed.name.as_bytes()),
+                key: whinspindle_deployment_settings::server_key(listed.name.as_bytes()),
                 zone: index(&mut self.zones, &listed.zone),
                 cell: listed.cell,
                 kind: index(&mut self.kinds, &listed.kind),
                 state,
-                relative_capacity: listed.size,
+                relative_capacity: listed.relative_capacity,
                 started_at: listed.started_at,
             };
             self.known[server].entry = Some(entry);
@@ -117,7 +117,7 @@
                 zone: self.zones.get(entry.zone)?.clone(),
                 kind: self.kinds.get(entry.kind).cloned().unwrap_or_default(),
                 cell: entry.cell,
-                size: entry.relative_capacity,
+                relative_capacity: entry.relative_capacity,
                 started_at: entry.started_at,
                 state: entry.state,
                 address: known.process.map(|process| process.address),
--- a/balancer/core/tests/core.rs
+++ b/balancer/core/tests/core.rs
@@ -5,9 +5,9 @@
 
 use whinspindle::host::{Arrival, LoadReport, Outcome};
 use whinspindle_balancer_core::{BalancerCore, Effects, EndedExecution, Execution, ServerProcess, Ticket};
-use whinspindle_protocol::answer::{AbortReason, Answer, Served};
+use whinspindle_protocol::answer::{AbortReason, Answer, ServerResponse};
 use whinspindle_protocol::endpoints::EndpointUpdate;
-use whinspindle_protocol::query::Forwarded;
+use whinspindle_protocol::query::ForwardedQuery;
 
 use Outcome::{
     Broken, Cancelled, ClientError, Completed, Error, Malformed, NeverSent, NotConnected, Rejected,
@@ -39,12 +39,12 @@
             Answer::Rejected(_) => "rejected",
             Answer::Aborted(AbortReason::Failed) => "aborted",
             Answer::Aborted(AbortReason::OutOfTime) => "aborted, out of time",
-            Answer::Aborted(AbortReason::Silent) => "aborted, silent",
+            Answer::Aborted(AbortReason::ServerUnresponsive) => "aborted, silent",
         };
         self.0.borrow_mut().push(format!("{caller}: {answer}"));
     }
 
-    fn wake(&mut self, _wait: u64, _label: u32) {}
+    fn set_timer(&mut self, _wait: u64, _label: u32) {}
 
     fn probe(&mut self, _server: usize, process: ServerProcess) {
         self.0.borrow_mut().push(format!("probe {}", process.address));
@@ -92,7 +92,7 @@
             r#"{{"generation": {generation}, "reset": {whole}, "instances": [{}]}}"#,
             entries.join(",")
         );
-        self.core.list(NOW, &EndpointUpdate::decode(line.as_bytes()).expect("a list"));
+        self.core.apply_endpoint_update(NOW, &EndpointUpdate::decode(line.as_bytes()).expect("a list"));
     }
 
     /// A query under an id of its own, the name of its client.
@@ -102,26 +102,28 @@
 
     fn query_as(&mut self, trace: &'static str, caller: &'static str) -> Option<Ticket> {
         let arrival = Arrival { product: 0, tenant: 0, deadline: NOW + 3_000_000, route: None };
-        let query = Forwarded {
+        let query = ForwardedQuery {
             trace: http::HeaderValue::from_static(trace),
             method: http::Method::POST,
             target: http::Uri::from_static("/api"),
             headers: http::HeaderMap::new(),
             body: bytes::Bytes::new(),
         };
-        self.core.query(NOW, arrival, query, caller)
+        self.core.submit_query(NOW, arrival, query, caller)
     }
 
     fn ended(&mut self, query_index: usize, execution_index: usize, outcome: Outcome) {
-        let served = (outcome == Completed)
-            .then(|| Served { headers: http::HeaderMap::new(), body: bytes::Bytes::from_static(b"x") });
+        let served = (outcome == Completed).then(|| ServerResponse {
+            headers: http::HeaderMap::new(),
+            body: bytes::Bytes::from_static(b"x"),
+        });
         let ended = EndedExecution {
             query_index,
             execution_index,
             outcome,
-            spent: 1000,
+            elapsed_us: 1000,
             report: LoadReport::default(),
-            served,
+            response: served,
         };
         self.core.execution_ended(NOW + 1000, ended);
     }
@@ -183,13 +185,13 @@
         bench.said();
         assert!(bench.query_as("first", "second").is_none());
         if leaves {
-            bench.core.client_gone(NOW, ticket);
+            bench.core.client_disconnected(NOW, ticket);
             assert!(bench.query_as("first", "second").is_none());
         }
         bench.ended(0, 0, outcome);
         assert_eq!(bench.said(), [if leaves { "cancel 0.0" } else { "first: completed" }]);
         assert!(bench.query_as("first", "second").is_some());
-        assert_eq!(bench.core.tally().taken, 2);
+        assert_eq!(bench.core.query_counts().accepted, 2);
     }
 }
 
@@ -199,12 +201,12 @@
         let mut bench = Bench::new("keyed", &[("1", "ready")]);
         let ticket = bench.query("client");
         bench.said();
-        bench.core.client_gone(NOW, ticket);
-        bench.core.client_gone(NOW, ticket);
+        bench.core.client_disconnected(NOW, ticket);
+        bench.core.client_disconnected(NOW, ticket);
         assert_eq!(bench.said(), ["cancel 0.0"]);
         bench.ended(0, 0, outcome);
         assert!(bench.said().is_empty());
-        assert_eq!((bench.core.tally().left, bench.core.tally().completed), (1, 0));
+        assert_eq!((bench.core.query_counts().abandoned, bench.core.query_counts().completed), (1, 0));
     }
 }
 
@@ -216,7 +218,7 @@
     bench.ended(0, 0, Completed);
     bench.query("second");
     bench.said();
-    bench.core.client_gone(NOW, first);
+    bench.core.client_disconnected(NOW, first);
     assert!(bench.said().is_empty());
     bench.ended(0, 0, Completed);
     assert_eq!(bench.said(), ["second: completed"]);
@@ -226,7 +228,7 @@
 fn an_index_is_free_only_when_nothing_is_out() {
     let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
     let ticket = bench.query("first");
-    bench.core.client_gone(NOW, ticket);
+    bench.core.client_disconnected(NOW, ticket);
     bench.query("second");
     let said = bench.said();
     assert!(said.last().is_some_and(|line| line.starts_with("execute 1.0 at")), "{said:?}");
@@ -249,9 +251,9 @@
         let ticket = bench.query("client");
         bench.list(whole, update);
         assert_eq!(bench.core.is_ready(0), wanted, "{whole} {update:?}");
-        assert_eq!(bench.core.may_begin(NOW, 0, 0, 0), wanted, "{whole} {update:?}");
-        bench.core.client_gone(NOW, ticket);
-        assert!(!bench.core.may_begin(NOW, 0, 0, 0));
+        assert_eq!(bench.core.may_send(NOW, 0, 0, 0), wanted, "{whole} {update:?}");
+        bench.core.client_disconnected(NOW, ticket);
+        assert!(!bench.core.may_send(NOW, 0, 0, 0));
     }
     assert!(Bench::new("keyed", &[]).core.has_list());
 }
@@ -315,9 +317,9 @@
 
 #[test]
 fn servers_that_the_fleet_lets_out_drain_whatever_the_list_says() {
-    let key = |port: &str| whinspindle_deployment_settings::key(format!("s-{port}").as_bytes());
+    let key = |port: &str| whinspindle_deployment_settings::server_key(format!("s-{port}").as_bytes());
     let taken_out = |bench: &mut Bench, ports: &[&str]| {
-        bench.core.taken_out(NOW, &ports.iter().map(|port| key(port)).collect());
+        bench.core.set_drained(NOW, &ports.iter().map(|port| key(port)).collect());
     };
     let mut bench = Bench::new("safe", &[("1", "ready"), ("2", "ready")]);
     let goes = |bench: &mut Bench, caller| {
--- a/balancer/deployment-settings/src/lib.rs
+++ b/balancer/deployment-settings/src/lib.rs
@@ -101,12 +101,12 @@
 }
 
 /// A name in the settings and the small index that stands for it.
-pub fn index(names: &[String], name: &str) -> Option<usize> {
+pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
 /// A server's place among the others, drawn from its id, so that neighbours by id are none by key.
-pub fn key(id: &[u8]) -> u64 {
+pub fn server_key(id: &[u8]) -> u64 {
     let fold = |hash: u64, &byte: &u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
     id.iter().fold(0xcbf2_9ce4_8422_2325, fold)
 }
@@ -115,11 +115,11 @@
 #[derive(Clone)]
 pub struct Deployment {
     /// What the decisions are given of it.
-    pub terms: BalancerSettings,
+    pub balancer_settings: BalancerSettings,
     /// Names of the products, by index.
     pub products: Vec<String>,
     /// How long clients of a product wait at most, a row a product.
-    pub statement_timeouts: Vec<u64>,
+    pub statement_timeouts_us: Vec<u64>,
     /// Names of the tenants, by index.
     pub tenants: Vec<String>,
     /// Names of the zones, by index.
@@ -127,11 +127,11 @@
     /// Kinds of machines, by index.
     pub kinds: Vec<String>,
     /// The columns of a load report, in their order.
-    pub columns: Vec<String>,
+    pub load_columns: Vec<String>,
     /// Servers close a connection that has stood idle for so long.
-    pub idle_time: u64,
+    pub server_idle_timeout_us: u64,
     /// How long a connection to a server may take to come up, in microseconds.
-    pub connect_time_out: u64,
+    pub connect_timeout_us: u64,
 }
 
 fn statement_timeout(p: &ProductOptions) -> u64 {
@@ -257,14 +257,14 @@
     let idle_time = limits.conn_idle_ns.map(|ns| ns / 1000).or(longest.copied()).unwrap_or(0);
     let connect_time_out = limits.connect_timeout_ns.map(|ns| ns / 1000).or(shortest.map(|time| time / 4));
     Ok(Deployment {
-        terms,
-        statement_timeouts,
+        balancer_settings: terms,
+        statement_timeouts_us: statement_timeouts,
         products: options.products.into_iter().map(|p| p.name).collect(),
         tenants: options.projects.into_iter().map(|p| p.name).collect(),
         zones: options.zones,
         kinds: options.kinds,
-        columns: options.load_info.columns,
-        idle_time,
-        connect_time_out: connect_time_out.unwrap_or(0),
+        load_columns: options.load_info.columns,
+        server_idle_timeout_us: idle_time,
+        connect_timeout_us: connect_time_out.unwrap_or(0),
     })
 }
--- a/balancer/deployment-settings/tests/defaults.rs
+++ b/balancer/deployment-settings/tests/defaults.rs
@@ -26,6 +26,9 @@
     ] {
         let deployment =
             whinspindle_deployment_settings::parse(&settings(products, limits)).expect("settings");
-        assert_eq!((deployment.idle_time / 1000, deployment.connect_time_out / 1000), (idle, connect));
+        assert_eq!(
+            (deployment.server_idle_timeout_us / 1000, deployment.connect_timeout_us / 1000),
+            (idle, connect)
+        );
     }
 }
--- a/balancer/discovery/src/lib.rs
+++ b/balancer/discovery/src/lib.rs
@@ -59,13 +59,13 @@
     }
 
     /// For how long discovery has said nothing.
-    pub fn silent_for(&self) -> Duration {
+    pub fn time_since_message(&self) -> Duration {
         self.last_received.get().elapsed()
     }
 
     /// Waits for the first word of discovery, be it that nothing has changed, or for the first try that
     /// failed.
-    pub async fn first_attempted(&self) {
+    pub async fn wait_for_first_attempt(&self) {
         while !self.attempted.get() {
             self.first_attempt.notified().await;
         }
@@ -78,7 +78,7 @@
 
     /// The list is followed at this address from now on. One that is new may count otherwise than the one
     /// before, so it is asked for the whole list.
-    pub fn move_to(&self, discovery: SocketAddr) {
+    pub fn set_address(&self, discovery: SocketAddr) {
         if self.discovery.replace(discovery) != discovery {
             self.generation.set(None);
             self.moved.notify_one();
@@ -90,11 +90,11 @@
         let update =
             EndpointUpdate::decode(object).map_err(|fault| format!("a line that can't be read: {fault}"))?;
         if let Some(known) =
-            self.generation.get().filter(|&known| !update.complete && update.generation < known)
+            self.generation.get().filter(|&known| !update.is_complete && update.generation < known)
         {
             return Err(format!("changes up to {} after those up to {known}", update.generation));
         }
-        for fault in &update.faults {
+        for fault in &update.errors {
             log_line!("list", "an entry is passed over: {fault}");
         }
         self.generation.set(Some(update.generation));
@@ -104,7 +104,7 @@
 }
 
 /// Follows the list for ever, from the generation that is known already, and keeps that up to date.
-pub async fn follow(source: Rc<EndpointWatch>, mut on_update: impl FnMut(EndpointUpdate)) {
+pub async fn run(source: Rc<EndpointWatch>, mut on_update: impl FnMut(EndpointUpdate)) {
     loop {
         let watching = async {
             match watch(&source, &mut on_update).await {
--- a/balancer/discovery/tests/watch.rs
+++ b/balancer/discovery/tests/watch.rs
@@ -10,7 +10,7 @@
 
 use tokio::task::yield_now;
 use tokio::time::{Instant, advance, pause};
-use whinspindle_discovery::{EndpointWatch, follow};
+use whinspindle_discovery::{EndpointWatch, run};
 
 fn line(generation: u64) -> String {
     format!(r#"{{"generation": {generation}, "reset": false, "instances": []}}"#)
@@ -77,7 +77,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let targets = runtime.block_on(async {
             let source = Rc::new(EndpointWatch::new(address, known));
-            let following = follow(source, move |update| keep.borrow_mut().push(update.generation));
+            let following = run(source, move |update| keep.borrow_mut().push(update.generation));
             let asked_twice = tokio::task::spawn_blocking(move || asked.iter().take(2).collect::<Vec<_>>());
             tokio::select! {
                 () = following => Vec::new(),
@@ -157,7 +157,7 @@
         let source = Rc::new(EndpointWatch::new(discovery.listener.local_addr().expect("an address"), None));
         let received = Rc::new(RefCell::new(Vec::new()));
         let keep = Rc::clone(&received);
-        let following = follow(Rc::clone(&source), move |update| keep.borrow_mut().push(update.generation));
+        let following = run(Rc::clone(&source), move |update| keep.borrow_mut().push(update.generation));
         tokio::select! {
             () = following => {}
             () = script(source, received, discovery) => {}
@@ -233,7 +233,7 @@
         socket.write_all((HEAD.to_string() + &chunk(&(line(4) + "\n" + half))).as_bytes()).expect("written");
         awaited(usize::MAX, || (*received.borrow() == [4]).then_some(())).await;
         let next = Discovery::new();
-        source.move_to(next.listener.local_addr().expect("an address"));
+        source.set_address(next.listener.local_addr().expect("an address"));
         // The rest comes as the old watch is dropped, and counts no more.
         let _ = socket.write_all(chunk(rest).as_bytes());
         let (mut socket, target) = next.asked(Duration::ZERO).await;
--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -83,7 +83,7 @@
             zone: listed.zone.clone(),
             kind: listed.kind.clone(),
             cell: listed.cell as u64,
-            size: listed.size,
+            size: listed.relative_capacity,
             started_at: listed.started_at,
             draining: listed.state == EndpointState::Draining,
             address: listed.address?,
@@ -122,12 +122,12 @@
         zone: kept.zone,
         kind: kept.kind,
         cell: kept.cell as usize,
-        size: kept.size,
+        relative_capacity: kept.size,
         started_at: if trust == Trust::Full { kept.started_at } else { now },
         state: if kept.draining { EndpointState::Draining } else { EndpointState::Ready },
         address: Some(kept.address),
     });
     let servers = servers.collect();
     // Discovery is asked for the whole list, whatever generation this one had.
-    EndpointUpdate { generation: 0, complete: true, servers, faults: Vec::new() }
+    EndpointUpdate { generation: 0, is_complete: true, servers, errors: Vec::new() }
 }
--- a/balancer/endpoint-cache/tests/neighbours.rs
+++ b/balancer/endpoint-cache/tests/neighbours.rs
@@ -19,7 +19,7 @@
         zone: "a".to_string(),
         kind: "m".to_string(),
         cell: 0,
-        size: 1.0,
+        relative_capacity: 1.0,
         started_at: 5 * SECOND,
         state: if number == 1 { EndpointState::Draining } else { EndpointState::Ready },
         address: Some(SocketAddr::from(([127, 0, 0, 1], 9000 + number as u16))),
@@ -54,7 +54,7 @@
             queue.extend(answers.into_iter().map(|message| (to, from, message)));
         }
         if let Some((update, trust)) = members[0].take(now, 7 * SECOND) {
-            assert!(update.complete && update.servers.iter().any(|s| s.state == EndpointState::Draining));
+            assert!(update.is_complete && update.servers.iter().any(|s| s.state == EndpointState::Draining));
             taken = Some((update.servers.len(), trust, update.servers[0].started_at / SECOND));
         }
     }
--- a/balancer/endpoint-cache/tests/restore.rs
+++ b/balancer/endpoint-cache/tests/restore.rs
@@ -14,7 +14,7 @@
         zone: "a".to_string(),
         kind: "m".to_string(),
         cell: 3,
-        size: 1.5,
+        relative_capacity: 1.5,
         started_at,
         state,
         address: (name != "lost").then(|| ([127, 0, 0, 1], 80).into()),
@@ -37,7 +37,7 @@
     ] {
         let bytes = encode(&servers, 41, (NOW as i64 - age * SECOND as i64) as u64);
         let (update, told) = restore(&bytes, NOW, &AGES).expect("a list");
-        assert_eq!((told, update.complete, update.generation), (trust, true, 0), "{age}");
+        assert_eq!((told, update.is_complete, update.generation), (trust, true, 0), "{age}");
         let kept: Vec<_> = update.servers.iter().map(|s| (s.name.as_str(), s.state, s.started_at)).collect();
         let drained = if trust == Trust::Full { 6 } else { NOW };
         assert_eq!(kept, [("r", Ready, started_at), ("d", Draining, drained)], "{age}");
--- a/balancer/endpoint-cache/tests/stored_fixtures.rs
+++ b/balancer/endpoint-cache/tests/stored_fixtures.rs
@@ -24,7 +24,7 @@
             zone: "zone-b".to_string(),
             kind: "kind-large".to_string(),
             cell: 300,
-            size: 2.75,
+            relative_capacity: 2.75,
             started_at: 1_799_000_000_654_321,
             state: EndpointState::Draining,
             address: Some(SocketAddr::from((six, 8443))),
@@ -34,7 +34,7 @@
             zone: "zone-a".to_string(),
             kind: "kind-small".to_string(),
             cell: 7,
-            size: 0.1,
+            relative_capacity: 0.1,
             started_at: 0,
             state: EndpointState::Ready,
             address: Some(SocketAddr::from(([192, 0, 2, 17], 80))),
@@ -76,7 +76,7 @@
         (AGES.old + 1, Trust::Unverified),
     ] {
         let (update, told) = restore(&bytes, AT + age, &AGES).expect("a list");
-        assert_eq!((told, update.generation, update.complete, update.faults.len()), (trust, 0, true, 0));
+        assert_eq!((told, update.generation, update.is_complete, update.errors.len()), (trust, 0, true, 0));
         let expected = kept().map(|server| match trust {
             Trust::Full => server,
             Trust::Doubted | Trust::Unverified => ListedServer { started_at: AT + age, ..server },
--- a/balancer/operator-file/src/fleet.rs
+++ b/balancer/operator-file/src/fleet.rs
@@ -58,8 +58,8 @@
 /// Reads the table; none if there is none.
 pub fn fleet(table: &Table, deployment: &Deployment) -> Option<FleetTerms> {
     let t = table.table("fleet")?;
-    let members = deployment.terms.balancers.min(u16::MAX as usize) as u16;
-    let me = deployment.terms.rank.min(u16::MAX as usize) as u16;
+    let members = deployment.balancer_settings.balancers.min(u16::MAX as usize) as u16;
+    let me = deployment.balancer_settings.rank.min(u16::MAX as usize) as u16;
     if me >= members {
         let way_out = "settings whose rank is below their number of balancers";
         t.report_error(&t.location(), format!("this balancer is number {me} of {members}"), way_out);
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -20,7 +20,7 @@
 use std::path::PathBuf;
 
 use whinspindle::host;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 use whinspindle_rollout::Limits;
 use whinspindle_routes::{Bounds, Conditions, RouteTable};
 use whinspindle_toml_config::ConfigError;
@@ -71,7 +71,7 @@
     /// The routes as the balancer's core takes them: for each route a row of conditions for each product.
     pub fn rows(&self, deployment: &Deployment) -> Vec<Vec<host::RoutePolicy>> {
         let named = |names: &[String], known: &[String]| -> Vec<usize> {
-            names.iter().filter_map(|name| index(known, name)).collect()
+            names.iter().filter_map(|name| index_of(known, name)).collect()
         };
         let row = |c: &Conditions| host::RoutePolicy {
             timeout_us: c.time,
@@ -123,12 +123,12 @@
 
 /// What the deployment allows and demands, as far as the proof needs it.
 pub fn bounds(deployment: &Deployment) -> Bounds {
-    let terms = &deployment.terms;
+    let terms = &deployment.balancer_settings;
     Bounds {
         executions: terms.max_executions,
         allow_hedging: terms.allow_hedging,
         cancel: terms.allow_cancel,
-        connect_time_out: deployment.connect_time_out,
+        connect_time_out: deployment.connect_timeout_us,
         tick: terms.clock_resolution_us,
         network: NETWORK_MARGIN,
         largest_body: LARGEST_BODY,
--- a/balancer/operator-file/src/plan.rs
+++ b/balancer/operator-file/src/plan.rs
@@ -123,7 +123,7 @@
     match name.split_once(':') {
         Some(("balancer", number)) => number.parse().ok().map(Unit::Balancer),
         Some(("server", id)) if !id.is_empty() => {
-            Some(Unit::Server(whinspindle_deployment_settings::key(id.as_bytes())))
+            Some(Unit::Server(whinspindle_deployment_settings::server_key(id.as_bytes())))
         }
         _ => None,
     }
--- a/balancer/operator-file/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -78,7 +78,7 @@
         servers_by_cell: most("servers-by-pod"),
         servers_part: t.contains_key("servers-part").then(|| t.float("servers-part", (0.001, 0.9), None)),
     };
-    let all = deployment.terms.balancers;
+    let all = deployment.balancer_settings.balancers;
     if limits.balancers.is_some_and(|most| most >= all) {
         let way_out = format!("{} at the most", all.saturating_sub(1));
         t.report_error(
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -2,7 +2,7 @@
 //! rules.
 
 use whinspindle::host::Effect;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 use whinspindle_routes::pattern::Pattern;
 use whinspindle_routes::proof::{self, Field};
 use whinspindle_routes::{Conditions, HedgePolicy, Matches, ProductRow, RetryOn, Route, RouteTable, Servers};
@@ -63,7 +63,7 @@
         return None;
     }
     let name = t.string(key, None);
-    let found = index(names, &name);
+    let found = index_of(names, &name);
     if found.is_none() && !name.is_empty() {
         let way_out = format!("known to the settings: {}", names.join(", "));
         t.report_error(&t.location_of(key), format!("the settings know no {name:?}"), way_out);
@@ -82,7 +82,7 @@
     let method = t.contains_key("method").then(|| t.one_of("method", &methods, None).to_string());
     let product = named(t, "product", &deployment.products);
     let tenant = named(t, "tenant", &deployment.tenants);
-    let effect = product.map(|product| deployment.terms.products[product].effect);
+    let effect = product.map(|product| deployment.balancer_settings.products[product].effect);
     if method.as_deref() == Some("GET") && effect.is_some_and(|effect| effect != Effect::Idempotent) {
         let fault = "no query can reach it: GET is only for products that are safe to repeat";
         t.report_error(&t.location_of("method"), fault, "method = \"POST\", or another product");
@@ -107,8 +107,8 @@
     let bounds = bounds(deployment);
     let mut rows = Vec::new();
     let mut reported: Vec<(Field, String)> = Vec::new();
-    for (number, product) in deployment.terms.products.iter().enumerate() {
-        let statement_timeout = deployment.statement_timeouts[number];
+    for (number, product) in deployment.balancer_settings.products.iter().enumerate() {
+        let statement_timeout = deployment.statement_timeouts_us[number];
         let row =
             ProductRow { effect: product.effect, memory_span: product.dedup_window_us, statement_timeout };
         let conditions = given.fill(&shared, &row, deployment);
@@ -155,11 +155,11 @@
     /// The conditions for one product, with the balancer's defaults where nothing is set.
     fn fill(&self, shared: &Conditions, row: &ProductRow, deployment: &Deployment) -> Conditions {
         use whinspindle::host::ServerScope;
-        let tick = deployment.terms.clock_resolution_us;
+        let tick = deployment.balancer_settings.clock_resolution_us;
         let time = self.time.unwrap_or(row.statement_timeout.saturating_sub(tick));
         let ever = row.effect != Effect::NonIdempotent;
         let by_effect = RetryOn { never_ran: true, error: ever, broken: ever, timed_out: ever };
-        let executions = self.executions.unwrap_or(deployment.terms.max_executions);
+        let executions = self.executions.unwrap_or(deployment.balancer_settings.max_executions);
         let retry_on = match self.retry_on {
             Some(set) => set,
             None if executions == 1 => RetryOn::NONE,
@@ -250,7 +250,7 @@
         );
     }
     for (name, place) in &texts {
-        if index(known, name).is_none() {
+        if index_of(known, name).is_none() {
             let way_out = format!("known to the settings: {}", known.join(", "));
             t.report_error(place, format!("the settings know no {name:?}"), way_out);
         }
--- a/balancer/operator-file/tests/random.rs
+++ b/balancer/operator-file/tests/random.rs
@@ -133,10 +133,11 @@
         };
         accepted.set(accepted.get() + 1);
         for rows in operator.rows(&deployment) {
-            prop_assert_eq!(rows.len(), deployment.terms.products.len());
-            for (row, most) in rows.iter().zip(&deployment.statement_timeouts) {
+            prop_assert_eq!(rows.len(), deployment.balancer_settings.products.len());
+            for (row, most) in rows.iter().zip(&deployment.statement_timeouts_us) {
                 prop_assert!(
-                    row.timeout_us <= *most && row.max_executions <= deployment.terms.max_executions,
+                    row.timeout_us <= *most
+                        && row.max_executions <= deployment.balancer_settings.max_executions,
                     "{}",
                     text
                 );
--- a/balancer/protocol/src/answer.rs
+++ b/balancer/protocol/src/answer.rs
@@ -5,13 +5,13 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::Full;
 
-use crate::query::Malformed;
+use crate::query::QueryError;
 
 /// The final answer to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
     /// A server has answered.
-    Completed(Served),
+    Completed(ServerResponse),
     /// Nothing has happened; best tried again after so many microseconds (0: no advice).
     Rejected(u64),
     /// It may have happened.
@@ -26,12 +26,12 @@
     /// It has no time left.
     OutOfTime,
     /// Its server was silent and was given up, and no other could have it then.
-    Silent,
+    ServerUnresponsive,
 }
 
 /// What a server made of a query.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Served {
+pub struct ServerResponse {
     /// Its headers, less those of the connection.
     pub headers: HeaderMap,
     /// Its complete body.
@@ -60,7 +60,9 @@
                 let (status, text) = match because {
                     AbortReason::Failed => (StatusCode::BAD_GATEWAY, "aborted"),
                     AbortReason::OutOfTime => (StatusCode::GATEWAY_TIMEOUT, "aborted: out of time"),
-                    AbortReason::Silent => (StatusCode::GATEWAY_TIMEOUT, "aborted: its server is silent"),
+                    AbortReason::ServerUnresponsive => {
+                        (StatusCode::GATEWAY_TIMEOUT, "aborted: its server is silent")
+                    }
                 };
                 plain(status, text.to_string())
             }
@@ -68,7 +70,7 @@
     }
 }
 
-impl Malformed {
+impl QueryError {
     /// The refusal as an HTTP response that names the field.
     pub fn encode(&self) -> Response<Full<Bytes>> {
         plain(self.status, self.to_string())
--- a/balancer/protocol/src/endpoints.rs
+++ b/balancer/protocol/src/endpoints.rs
@@ -11,11 +11,11 @@
     /// Discovery's count of changes, up to this one.
     pub generation: u64,
     /// The complete list: whatever it lacks is gone.
-    pub complete: bool,
+    pub is_complete: bool,
     /// The servers that it names.
     pub servers: Vec<ListedServer>,
     /// Why entries were passed over.
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 /// A server as discovery lists it.
@@ -30,7 +30,7 @@
     /// Its cell.
     pub cell: usize,
     /// Its capacity against others.
-    pub size: f64,
+    pub relative_capacity: f64,
     /// Unix time of the last start in microseconds; 0: long ago.
     pub started_at: u64,
     /// Whether it may be sent to.
@@ -72,14 +72,14 @@
         let wire: WireUpdate = serde_json::from_slice(json).map_err(|e| e.to_string())?;
         let mut update = EndpointUpdate {
             generation: wire.generation,
-            complete: wire.reset,
+            is_complete: wire.reset,
             servers: Vec::with_capacity(wire.instances.len()),
-            faults: Vec::new(),
+            errors: Vec::new(),
         };
         for instance in wire.instances {
             match listed_server(instance) {
                 Ok(server) => update.servers.push(server),
-                Err(fault) => update.faults.push(fault),
+                Err(fault) => update.errors.push(fault),
             }
         }
         Ok(update)
@@ -104,7 +104,7 @@
         zone: instance.zone,
         kind: instance.machine_type,
         cell: instance.cell,
-        size: instance.weight.filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0),
+        relative_capacity: instance.weight.filter(|size| size.is_finite() && *size > 0.0).unwrap_or(1.0),
         started_at: instance.started_at_ms.saturating_mul(1000),
         state,
         address,
--- a/balancer/protocol/src/execution.rs
+++ b/balancer/protocol/src/execution.rs
@@ -8,13 +8,13 @@
 use http_body_util::Full;
 use whinspindle::host::{LoadReport, Outcome};
 
-use crate::answer::Served;
+use crate::answer::ServerResponse;
 use crate::headers;
-use crate::query::Forwarded;
+use crate::query::ForwardedQuery;
 use crate::report;
 
 /// `wait` is how long this balancer waits for the reply, in microseconds.
-pub fn encode(query: &Forwarded, server: SocketAddr, wait: u64) -> Request<Full<Bytes>> {
+pub fn encode_execution(query: &ForwardedQuery, server: SocketAddr, wait: u64) -> Request<Full<Bytes>> {
     let mut headers = query.headers.clone();
     headers.insert(HOST, host(server));
     headers.insert(headers::EXPIRES, HeaderValue::from(wait / 1000));
@@ -26,7 +26,7 @@
 }
 
 /// Asks a server for a sign of life, and for its load where the deployment has load reports.
-pub fn probe(server: SocketAddr, reports: bool) -> Request<Full<Bytes>> {
+pub fn encode_probe(server: SocketAddr, reports: bool) -> Request<Full<Bytes>> {
     let headers = HeaderMap::from_iter([(HOST, host(server))]);
     request(Method::GET, if reports { "/load" } else { "/healthz" }, headers, Bytes::new())
 }
@@ -51,7 +51,7 @@
     /// The load that the server reported with it.
     pub report: LoadReport,
     /// Only with `Outcome::Completed`.
-    pub served: Option<Served>,
+    pub response: Option<ServerResponse>,
 }
 
 impl Reply {
@@ -70,8 +70,8 @@
             _ => Outcome::Error,
         };
         let served = (outcome == Outcome::Completed)
-            .then(|| Served { headers: headers::end_to_end(&parts.headers, headers::LOAD), body });
-        Reply { outcome, report, served }
+            .then(|| ServerResponse { headers: headers::end_to_end(&parts.headers, headers::LOAD), body });
+        Reply { outcome, report, response: served }
     }
 
     /// What a probe tells: whether the server is well, and its load.
--- a/balancer/protocol/src/query.rs
+++ b/balancer/protocol/src/query.rs
@@ -7,7 +7,7 @@
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, StatusCode, Uri};
 use whinspindle::host::Effect;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 
 use crate::headers;
 
@@ -16,13 +16,13 @@
 
 /// A query without its body.
 #[derive(Debug)]
-pub struct Head {
+pub struct QueryHead {
     /// Index of its product.
     pub product: usize,
     /// A tenant that the settings don't name has the index after the last.
     pub tenant: usize,
     /// How long the client waits, in microseconds from the last byte.
-    pub patience: u64,
+    pub client_timeout_us: u64,
     trace: HeaderValue,
     method: Method,
     target: Uri,
@@ -31,7 +31,7 @@
 
 /// What goes on to the servers unchanged; kept for further executions.
 #[derive(Debug)]
-pub struct Forwarded {
+pub struct ForwardedQuery {
     /// Which query this is; no other one has the same while it is open.
     pub trace: HeaderValue,
     /// Its method.
@@ -46,39 +46,39 @@
 
 /// Why a query can't be taken.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Malformed {
+pub struct QueryError {
     /// The status of the refusal.
     pub status: StatusCode,
     /// The header or part at fault.
     pub field: &'static str,
     /// What is wrong with it.
-    pub fault: &'static str,
+    pub message: &'static str,
 }
 
-impl fmt::Display for Malformed {
+impl fmt::Display for QueryError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}: {}", self.field, self.fault)
+        write!(to, "{}: {}", self.field, self.message)
     }
 }
 
-fn malformed(field: &'static str, fault: &'static str) -> Malformed {
-    Malformed { status: StatusCode::BAD_REQUEST, field, fault }
+fn malformed(field: &'static str, fault: &'static str) -> QueryError {
+    QueryError { status: StatusCode::BAD_REQUEST, field, message: fault }
 }
 
-fn field<'a>(parts: &'a Parts, name: &'static str) -> Result<Option<&'a str>, Malformed> {
+fn field<'a>(parts: &'a Parts, name: &'static str) -> Result<Option<&'a str>, QueryError> {
     headers::single(&parts.headers, name).map_err(|fault| malformed(name, fault))
 }
 
 /// Why a query can't be taken while another one is open under its id.
-pub const DUPLICATE_TRACE: Malformed =
-    Malformed { status: StatusCode::CONFLICT, field: headers::TRACE, fault: "is that of an open query" };
+pub const DUPLICATE_TRACE: QueryError =
+    QueryError { status: StatusCode::CONFLICT, field: headers::TRACE, message: "is that of an open query" };
 
-impl Head {
+impl QueryHead {
     /// Reads and checks the head of a query.
-    pub fn decode(parts: &Parts, deployment: &Deployment) -> Result<Head, Malformed> {
+    pub fn decode(parts: &Parts, deployment: &Deployment) -> Result<QueryHead, QueryError> {
         if parts.method != Method::GET && parts.method != Method::POST {
             let status = StatusCode::METHOD_NOT_ALLOWED;
-            return Err(Malformed { status, field: "method", fault: "neither GET nor POST" });
+            return Err(QueryError { status, field: "method", message: "neither GET nor POST" });
         }
         if parts.uri.path_and_query().is_none() {
             return Err(malformed("target", "has no path"));
@@ -87,10 +87,10 @@
         // the body of another.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             let status = StatusCode::LENGTH_REQUIRED;
-            return Err(Malformed {
+            return Err(QueryError {
                 status,
                 field: "transfer-encoding",
-                fault: "instead of a content-length",
+                message: "instead of a content-length",
             });
         }
         if field(parts, headers::TRACE)?.is_none_or(str::is_empty) {
@@ -99,9 +99,9 @@
         let trace = parts.headers[headers::TRACE].clone();
         let product =
             field(parts, headers::PRODUCT)?.ok_or_else(|| malformed(headers::PRODUCT, "is missing"))?;
-        let product = index(&deployment.products, product)
+        let product = index_of(&deployment.products, product)
             .ok_or_else(|| malformed(headers::PRODUCT, "is not a known class"))?;
-        let effect = deployment.terms.products[product].effect;
+        let effect = deployment.balancer_settings.products[product].effect;
         if parts.method == Method::GET && effect != Effect::Idempotent {
             return Err(malformed("method", "GET for a class that is not safe to repeat"));
         }
@@ -110,8 +110,8 @@
         {
             return Err(malformed(headers::KEY, "is missing"));
         }
-        let tenant = field(parts, headers::TENANT)?.and_then(|name| index(&deployment.tenants, name));
-        let longest = deployment.statement_timeouts[product];
+        let tenant = field(parts, headers::TENANT)?.and_then(|name| index_of(&deployment.tenants, name));
+        let longest = deployment.statement_timeouts_us[product];
         let patience = match field(parts, headers::EXPIRES)? {
             None => longest,
             Some(ms) => ms
@@ -120,10 +120,10 @@
                 .saturating_mul(1000)
                 .min(longest),
         };
-        Ok(Head {
+        Ok(QueryHead {
             product,
             tenant: tenant.unwrap_or(deployment.tenants.len()),
-            patience,
+            client_timeout_us: patience,
             trace,
             method: parts.method.clone(),
             target: parts.uri.clone(),
@@ -132,8 +132,8 @@
     }
 
     /// The query with its complete body.
-    pub fn with(self, body: Bytes) -> Forwarded {
-        let Head { trace, method, target, headers, .. } = self;
-        Forwarded { trace, method, target, headers, body }
+    pub fn with_body(self, body: Bytes) -> ForwardedQuery {
+        let QueryHead { trace, method, target, headers, .. } = self;
+        ForwardedQuery { trace, method, target, headers, body }
     }
 }
--- a/balancer/protocol/tests/messages.rs
+++ b/balancer/protocol/tests/messages.rs
@@ -5,10 +5,10 @@
 use http_body_util::BodyExt;
 use whinspindle::host::{EndpointState, Outcome};
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_protocol::answer::{AbortReason, Answer, Served};
+use whinspindle_protocol::answer::{AbortReason, Answer, ServerResponse};
 use whinspindle_protocol::endpoints::EndpointUpdate;
 use whinspindle_protocol::execution::{self, Reply};
-use whinspindle_protocol::query::Head;
+use whinspindle_protocol::query::QueryHead;
 
 fn deployment() -> Deployment {
     let settings = r#"{"balancers": 1, "tier": 0, "membershipMode": "pushed", "tickNs": 1,
@@ -24,13 +24,13 @@
     whinspindle_deployment_settings::parse(settings.as_bytes()).expect("settings")
 }
 
-fn head(method: Method, headers: &[(&str, &str)]) -> Result<Head, (u16, String)> {
+fn head(method: Method, headers: &[(&str, &str)]) -> Result<QueryHead, (u16, String)> {
     let mut request = Request::builder().method(method).uri("/api?x=1");
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
     let (parts, ()) = request.body(()).expect("a request").into_parts();
-    Head::decode(&parts, &deployment()).map_err(|fault| (fault.status.as_u16(), fault.to_string()))
+    QueryHead::decode(&parts, &deployment()).map_err(|fault| (fault.status.as_u16(), fault.to_string()))
 }
 
 #[test]
@@ -45,7 +45,7 @@
         (Method::POST, &order, &[("x-expires-in-ms", "99999999999999999")], (1, 2, 2_000_000)),
     ] {
         let head = head(method, &[headers, more].concat()).expect("a query");
-        assert_eq!((head.product, head.tenant, head.patience), read, "{more:?}");
+        assert_eq!((head.product, head.tenant, head.client_timeout_us), read, "{more:?}");
     }
 }
 
@@ -103,8 +103,8 @@
         ("expect", "100-continue"),
         ("x-props", "a=1"),
     ];
-    let query = head(Method::POST, &headers).expect("a query").with(Bytes::from_static(b"body"));
-    let request = execution::encode(&query, server, 399_999);
+    let query = head(Method::POST, &headers).expect("a query").with_body(Bytes::from_static(b"body"));
+    let request = execution::encode_execution(&query, server, 399_999);
     assert_eq!((request.method(), request.uri().to_string().as_str()), (&Method::POST, "/api?x=1"));
     for (name, value) in [
         ("x-trace-id", Some("1")),
@@ -129,7 +129,10 @@
         for (name, value) in headers {
             response = response.header(*name, *value);
         }
-        Reply::decode(response.body(Bytes::from_static(b"x")).expect("a response"), &deployment().columns)
+        Reply::decode(
+            response.body(Bytes::from_static(b"x")).expect("a response"),
+            &deployment().load_columns,
+        )
     };
     let never_ran = [("x-never-ran", "1")];
     for (status, headers, outcome) in [
@@ -146,7 +149,7 @@
         (504, &never_ran, Outcome::Rejected),
     ] {
         let reply = reply(status, headers);
-        assert_eq!((reply.outcome, reply.served.is_some()), (outcome, status == 200), "{status}");
+        assert_eq!((reply.outcome, reply.response.is_some()), (outcome, status == 200), "{status}");
     }
     for (header, utilization, throughput) in [
         ("TEXT inflight=7, util=0.61, qps=12", Some(0.61), Some(12.0)),
@@ -174,14 +177,14 @@
     let reply = reply(200, &[("endpoint-load-metrics", "%%%"), ("endpoint-load-metrics", "TEXT qps=2")]);
     assert_eq!((reply.outcome, reply.report.throughput), (Outcome::Completed, Some(2.0)));
     let probed = Response::new(Bytes::from_static(b"TEXT util=0.5"));
-    assert_eq!(Reply::decode_probe(probed, &deployment().columns).1.utilization, Some(0.5));
+    assert_eq!(Reply::decode_probe(probed, &deployment().load_columns).1.utilization, Some(0.5));
 }
 
 #[test]
 fn answers_are_written() {
     let headers =
         http::HeaderMap::from_iter([("x-kept".parse().expect("a name"), "1".parse().expect("a value"))]);
-    let served = Served { headers, body: Bytes::from_static(b"body") };
+    let served = ServerResponse { headers, body: Bytes::from_static(b"body") };
     for (answer, status, retry_after, text) in [
         (Answer::Completed(served), StatusCode::OK, None, "body"),
         (Answer::Rejected(0), StatusCode::SERVICE_UNAVAILABLE, None, "rejected\n"),
@@ -194,7 +197,7 @@
             "aborted: out of time\n",
         ),
         (
-            Answer::Aborted(AbortReason::Silent),
+            Answer::Aborted(AbortReason::ServerUnresponsive),
             StatusCode::GATEWAY_TIMEOUT,
             None,
             "aborted: its server is silent\n",
@@ -241,16 +244,16 @@
         let line = format!(r#"{{"generation": 41, "reset": true, "instances": [{entry}, {good}]}}"#);
         let update = EndpointUpdate::decode(line.as_bytes()).expect("a list");
         assert_eq!(
-            (update.generation, update.complete, update.servers.last().map(|s| s.name.as_str())),
+            (update.generation, update.is_complete, update.servers.last().map(|s| s.name.as_str())),
             (41, true, Some("other"))
         );
         match read {
             Ok(read) => {
                 let server = &update.servers[0];
-                assert_eq!((server.state, server.size, server.started_at), read, "{entry}");
-                assert!(update.faults.is_empty());
+                assert_eq!((server.state, server.relative_capacity, server.started_at), read, "{entry}");
+                assert!(update.errors.is_empty());
             }
-            Err(fault) => assert_eq!(update.faults, [fault], "{entry}"),
+            Err(fault) => assert_eq!(update.errors, [fault], "{entry}"),
         }
     }
     for line in ["", "{}", "[]", r#"{"generation": 1}"#, r#"{"generation": -1, "instances": []}"#, "{\"gener"]
--- a/balancer/rate-limited-log/src/lib.rs
+++ b/balancer/rate-limited-log/src/lib.rs
@@ -44,7 +44,7 @@
 
 /// Guards against a log that nobody reads any more: a line that can't be written is lost, and nothing else. The
 /// printing macros panic there, which would end the task that was to say something.
-pub fn write(line: Arguments) {
+pub fn write_line(line: Arguments) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
@@ -54,8 +54,8 @@
     ($what:literal, $($text:tt)+) => {{
         static LIMITER: $crate::RateLimiter = $crate::RateLimiter::new();
         match LIMITER.admit() {
-            Some(0) => $crate::write(format_args!("whinspindle {}: {}", $what, format_args!($($text)+))),
-            Some(suppressed) => $crate::write(format_args!(
+            Some(0) => $crate::write_line(format_args!("whinspindle {}: {}", $what, format_args!($($text)+))),
+            Some(suppressed) => $crate::write_line(format_args!(
                 "whinspindle {}: {} ({suppressed} more)",
                 $what,
                 format_args!($($text)+)
--- a/balancer/upstream-pool/src/exchange.rs
+++ b/balancer/upstream-pool/src/exchange.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use whinspindle_metered_sockets::{Meter, MeteredSocket};
 
-use crate::failure::{Cause, Failure, Progress};
+use crate::failure::{Cause, ExchangeError, Progress};
 use crate::memory_budget::MemoryBudget;
 use crate::pool::PoolSettings;
 
@@ -38,8 +38,8 @@
     pub fn progress(&self) -> Progress {
         match &*self.0.borrow() {
             Some(written) if written.meter.bytes_written.get() >= written.end => Progress::Complete,
-            Some(written) if written.meter.bytes_written.get() > written.begin => Progress::Begun,
-            _ => Progress::Nothing,
+            Some(written) if written.meter.bytes_written.get() > written.begin => Progress::Partial,
+            _ => Progress::NotStarted,
         }
     }
 
@@ -48,8 +48,13 @@
         *self.0.borrow_mut() = Some(Written { meter: Rc::clone(meter), begin, end: begin + size });
     }
 
-    pub(crate) fn failure(&self, cause: Cause) -> Failure {
-        Failure { progress: self.progress(), cause, stale: false, answered: false }
+    pub(crate) fn failure(&self, cause: Cause) -> ExchangeError {
+        ExchangeError {
+            progress: self.progress(),
+            cause,
+            is_stale_connection: false,
+            response_started: false,
+        }
     }
 }
 
@@ -118,7 +123,7 @@
         mut request: Request<Full<Bytes>>,
         settings: &PoolSettings,
         progress: &ProgressHandle,
-    ) -> Result<Response<Bytes>, Failure> {
+    ) -> Result<Response<Bytes>, ExchangeError> {
         progress.begin(&self.meter, size(&request));
         self.meter.first_received_at.set(None);
         let monitor =
@@ -129,14 +134,18 @@
         });
         let end = tokio::select! {
             biased;
-            end = self.answer(request, &settings.memory) => end,
-            () = monitor.stalled(settings.stall_time_out) => Err(Cause::Stalled),
+            end = self.answer(request, &settings.memory_budget) => end,
+            () = monitor.stalled(settings.stall_timeout) => Err(Cause::Stalled),
         };
         let kept = std::mem::replace(&mut self.kept, true);
         end.map_err(|cause| {
             let answered = self.meter.first_received_at.get().is_some();
             let stale = kept && !answered && matches!(cause, Cause::Connection(_));
-            Failure { stale, answered, ..progress.failure(cause) }
+            ExchangeError {
+                is_stale_connection: stale,
+                response_started: answered,
+                ..progress.failure(cause)
+            }
         })
     }
 
@@ -158,14 +167,14 @@
         let mut allocation = memory.allocation();
         let announced = body.size_hint().lower();
         if !usize::try_from(announced).is_ok_and(|announced| allocation.grow_to(announced)) {
-            return Err(Cause::TooLong(announced));
+            return Err(Cause::ResponseTooLong(announced));
         }
         let mut complete = BytesMut::with_capacity(announced as usize);
         while let Some(frame) = self.drive(|_| body.frame()).await {
             let Ok(data) = frame.map_err(Cause::Connection)?.into_data() else { continue };
             let bytes = complete.len() + data.len();
             if !allocation.grow_to(bytes) {
-                return Err(Cause::TooLong(bytes as u64));
+                return Err(Cause::ResponseTooLong(bytes as u64));
             }
             complete.extend_from_slice(&data);
         }
--- a/balancer/upstream-pool/src/exchange/tests.rs
+++ b/balancer/upstream-pool/src/exchange/tests.rs
@@ -18,12 +18,12 @@
         read
     });
     let settings = PoolSettings {
-        max_open: 1,
-        idle_time: Duration::from_secs(60),
-        connect_time_out: Duration::from_secs(60),
-        stall_time_out: Duration::from_secs(60),
-        quiet_time: Duration::ZERO,
-        memory: MemoryBudget::new(1024, 1024),
+        max_connections: 1,
+        server_idle_timeout: Duration::from_secs(60),
+        connect_timeout: Duration::from_secs(60),
+        stall_timeout: Duration::from_secs(60),
+        reuse_delay: Duration::ZERO,
+        memory_budget: MemoryBudget::new(1024, 1024),
     };
     let request = Request::get("/").header("host", "a").body(Full::default()).expect("a request");
     let mut connection = ServerConnection::open(socket).await.expect("a connection");
--- a/balancer/upstream-pool/src/lib.rs
+++ b/balancer/upstream-pool/src/lib.rs
@@ -7,6 +7,6 @@
 mod pool;
 
 pub use exchange::ProgressHandle;
-pub use failure::{Failure, Progress};
+pub use failure::{ExchangeError, Progress};
 pub use memory_budget::MemoryBudget;
 pub use pool::{ConnectionPool, PoolSettings, Upstream};
--- a/balancer/upstream-pool/src/pool.rs
+++ b/balancer/upstream-pool/src/pool.rs
@@ -13,23 +13,23 @@
 use tokio::time::{Instant, timeout};
 
 use crate::exchange::{ProgressHandle, ServerConnection};
-use crate::failure::{Cause, Failure};
+use crate::failure::{Cause, ExchangeError};
 use crate::memory_budget::MemoryBudget;
 
 /// Limits and times of a pool.
 pub struct PoolSettings {
     /// Connections that may be open at once.
-    pub max_open: usize,
+    pub max_connections: usize,
     /// Servers close a connection that has stood idle for so long.
-    pub idle_time: Duration,
+    pub server_idle_timeout: Duration,
     /// How long a connection may take to come up.
-    pub connect_time_out: Duration,
+    pub connect_timeout: Duration,
     /// An answer that has begun and is silent for so long does not end any more.
-    pub stall_time_out: Duration,
+    pub stall_timeout: Duration,
     /// After an answer a connection carries nothing for so long.
-    pub quiet_time: Duration,
+    pub reuse_delay: Duration,
     /// Memory for long answers.
-    pub memory: MemoryBudget,
+    pub memory_budget: MemoryBudget,
 }
 
 /// One process of a server: another one at the same address gets connections of its own.
@@ -83,14 +83,14 @@
         server: Upstream,
         prepare: impl FnOnce() -> Option<Request<Full<Bytes>>>,
         progress: &ProgressHandle,
-    ) -> Result<Response<Bytes>, Failure> {
+    ) -> Result<Response<Bytes>, ExchangeError> {
         let mut lease = match self.take_idle(server).await {
             Some(lease) => lease,
             None => self.connect(server.address).await.map_err(|cause| progress.failure(cause))?,
         };
         let Some(request) = prepare() else {
             self.keep(server, lease).await;
-            return Err(progress.failure(Cause::NotWanted));
+            return Err(progress.failure(Cause::NotNeeded));
         };
         let response = lease.connection.exchange(request, &self.settings, progress).await?;
         self.keep(server, lease).await;
@@ -113,7 +113,7 @@
                 let mut all = self.idle.borrow_mut();
                 let connections = all.get_mut(&server)?;
                 let rested =
-                    connections.partition_point(|idle| idle.since.elapsed() >= self.settings.quiet_time);
+                    connections.partition_point(|idle| idle.since.elapsed() >= self.settings.reuse_delay);
                 connections.remove(rested.checked_sub(1)?)
             };
             if self.is_fresh(&idle) && idle.lease.connection.is_still_open().await {
@@ -123,16 +123,16 @@
     }
 
     fn is_fresh(&self, idle: &Idle) -> bool {
-        idle.since.elapsed() < self.settings.idle_time.mul_f64(IDLE_PART)
+        idle.since.elapsed() < self.settings.server_idle_timeout.mul_f64(IDLE_PART)
     }
 
     async fn connect(&self, server: SocketAddr) -> Result<Lease, Cause> {
-        if self.open.get() >= self.settings.max_open && !self.close_oldest_idle() {
+        if self.open.get() >= self.settings.max_connections && !self.close_oldest_idle() {
             return Err(Cause::PoolExhausted);
         }
         self.open.set(self.open.get() + 1);
         let permit = OpenPermit(Rc::clone(&self.open));
-        let socket = timeout(self.settings.connect_time_out, TcpStream::connect(server)).await;
+        let socket = timeout(self.settings.connect_timeout, TcpStream::connect(server)).await;
         let socket = socket.map_err(|_| Cause::ConnectTimeOut)?.map_err(Cause::Connect)?;
         Ok(Lease { connection: ServerConnection::open(socket).await?, _permit: permit })
     }
@@ -149,7 +149,7 @@
     }
 
     /// Drops what has stood idle for too long; to be called now and then.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|idle| self.is_fresh(idle));
             !connections.is_empty()
@@ -157,7 +157,7 @@
     }
 
     /// Connections that are open now, idle ones included.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 }
--- a/balancer/upstream-pool/tests/exchange.rs
+++ b/balancer/upstream-pool/tests/exchange.rs
@@ -10,7 +10,7 @@
 use http::{Request, Response};
 use http_body_util::Full;
 use whinspindle_upstream_pool::{
-    ConnectionPool, Failure, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
+    ConnectionPool, ExchangeError, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
 };
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
@@ -68,18 +68,22 @@
 }
 
 fn connections(max_open: usize, idle_time: Duration) -> ConnectionPool {
-    ConnectionPool::new(PoolSettings { max_open, idle_time, ..settings() })
+    ConnectionPool::new(PoolSettings {
+        max_connections: max_open,
+        server_idle_timeout: idle_time,
+        ..settings()
+    })
 }
 
 fn settings() -> PoolSettings {
     let connect_time_out = Duration::from_secs(5);
     PoolSettings {
-        max_open: 4,
-        idle_time: LONG_IDLE,
-        connect_time_out,
-        stall_time_out: Duration::from_millis(20),
-        quiet_time: Duration::ZERO,
-        memory: MemoryBudget::new(64, 0),
+        max_connections: 4,
+        server_idle_timeout: LONG_IDLE,
+        connect_timeout: connect_time_out,
+        stall_timeout: Duration::from_millis(20),
+        reuse_delay: Duration::ZERO,
+        memory_budget: MemoryBudget::new(64, 0),
     }
 }
 
@@ -90,7 +94,7 @@
     server: SocketAddr,
     wanted: bool,
     progress: &ProgressHandle,
-) -> Result<Response<Bytes>, Failure> {
+) -> Result<Response<Bytes>, ExchangeError> {
     let request = Request::post("/api?x=1").header("host", "upstream").header("content-length", 4);
     let request = request.body(Full::new(Bytes::from_static(b"body"))).expect("a request");
     let server = Upstream { address: server, process: 1 };
@@ -106,8 +110,8 @@
     // Nobody listens at a port that has just been given back.
     let refused = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
     for (reply, more, wanted, progress, says) in [
-        (None, false, true, Progress::Nothing, "connect: "),
-        (Some(OK), true, false, Progress::Nothing, "wanted no more"),
+        (None, false, true, Progress::NotStarted, "connect: "),
+        (Some(OK), true, false, Progress::NotStarted, "wanted no more"),
         (Some(""), false, true, Progress::Complete, "connection: "),
         (Some(CUT), false, true, Progress::Complete, "connection: "),
         (Some(BAD), true, true, Progress::Complete, "connection: "),
@@ -125,7 +129,7 @@
             let failure = failure.expect_err("a failure");
             assert_eq!((failure.progress, handle.progress()), (progress, progress), "{reply:?}");
             assert!(failure.to_string().starts_with(says), "{reply:?}: {failure}");
-            assert_eq!(failure.is_own(), !wanted);
+            assert_eq!(failure.is_local(), !wanted);
         });
     }
 }
@@ -149,8 +153,8 @@
             let response = exchange(&connections, address, true, &handle).await.expect("a response");
             assert_eq!((response.body().as_ref(), handle.progress()), (&b"hi"[..], Progress::Complete));
             if idle_time.is_zero() {
-                connections.sweep();
-                assert_eq!(connections.open(), 0);
+                connections.close_expired();
+                assert_eq!(connections.open_connections(), 0);
             }
             if !first.1 {
                 while !announced.recv().expect("news").ends_with("end") {}
@@ -209,7 +213,7 @@
                     });
                 }
             });
-            let connections = ConnectionPool::new(PoolSettings { quiet_time, ..settings() });
+            let connections = ConnectionPool::new(PoolSettings { reuse_delay: quiet_time, ..settings() });
             exchange(&connections, address, true, &ProgressHandle::default()).await.expect("a response");
             let response = exchange(&connections, address, true, &ProgressHandle::default()).await;
             assert_eq!(response.expect("a response").body(), body, "{quiet_time:?}");
@@ -235,7 +239,7 @@
             }
             let failure = exchange(&connections, address, true, &ProgressHandle::default()).await;
             let failure = failure.expect_err("a failure");
-            assert_eq!((failure.stale, failure.answered), announced, "{replies:?}");
+            assert_eq!((failure.is_stale_connection, failure.response_started), announced, "{replies:?}");
             assert_eq!(failure.progress, Progress::Complete);
         });
     }
@@ -247,7 +251,7 @@
         run(async {
             let (address, _told) = server(vec![(LONG, true)]);
             let connections =
-                ConnectionPool::new(PoolSettings { memory: MemoryBudget::new(64, all), ..settings() });
+                ConnectionPool::new(PoolSettings { memory_budget: MemoryBudget::new(64, all), ..settings() });
             let response = exchange(&connections, address, true, &ProgressHandle::default()).await;
             assert_eq!(response.map_or(0, |response| response.body().len()), if fits { 70 } else { 0 });
         });
@@ -300,7 +304,7 @@
                 assert!(step.is_err(), "no answer was written");
             }
         }
-        assert_eq!(connections.open(), 0);
+        assert_eq!(connections.open_connections(), 0);
         assert_eq!(announced.iter().nth(1).expect("news"), "0: end");
         assert_eq!(handle.progress(), Progress::Complete);
     });
@@ -314,13 +318,13 @@
         for (address, _) in &servers {
             exchange(&connections, *address, true, &ProgressHandle::default()).await.expect("a response");
         }
-        assert_eq!(connections.open(), 2);
+        assert_eq!(connections.open_connections(), 2);
         // The first, idle for longest, was closed; the others are used again.
         assert_eq!(servers[0].1.iter().nth(1).expect("news"), "0: end");
         exchange(&connections, servers[1].0, true, &ProgressHandle::default()).await.expect("a response");
-        let none = ConnectionPool::new(PoolSettings { max_open: 0, ..settings() });
+        let none = ConnectionPool::new(PoolSettings { max_connections: 0, ..settings() });
         let failure =
             exchange(&none, servers[2].0, true, &ProgressHandle::default()).await.expect_err("none free");
-        assert!(failure.is_own() && failure.progress == Progress::Nothing);
+        assert!(failure.is_local() && failure.progress == Progress::NotStarted);
     });
 }
--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -9,7 +9,7 @@
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand, ValueHint};
 use clap_complete::Shell;
 use serde_json::json;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 use whinspindle_operator_file::{Operator, RULES};
 use whinspindle_routes::{HedgePolicy, Lookup, Route, proof};
 
@@ -182,7 +182,7 @@
         whinspindle_operator_file::draw(&line.files.file.display().to_string(), &text, &faults)
     })?;
     let named = |names: &[String], name: &str, what: &str| {
-        index(names, name)
+        index_of(names, name)
             .ok_or_else(|| format!("the settings know no {what} {name:?}; {}", names.join(", ")))
     };
     let product = named(&deployment.products, &line.product, "product")?;
--- a/programs/balancer/src/fleet/environment.rs
+++ b/programs/balancer/src/fleet/environment.rs
@@ -133,6 +133,9 @@
 
     fn tell(&mut self, words: String) {
         // Not rate-limited, since steps of the fleet and changes of the right are rare.
-        whinspindle_rate_limited_log::write(format_args!("whinspindle fleet: member {}: {words}", self.me));
+        whinspindle_rate_limited_log::write_line(format_args!(
+            "whinspindle fleet: member {}: {words}",
+            self.me
+        ));
     }
 }
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -274,7 +274,7 @@
     ask: impl Fn(&Request) -> Result<Value, String>,
 ) -> Result<ExitCode, String> {
     let unit = unit(text)?;
-    let serial = whinspindle_deployment_settings::key(format!("{word} {text}").as_bytes());
+    let serial = whinspindle_deployment_settings::server_key(format!("{word} {text}").as_bytes());
     let until = Instant::now() + Duration::from_secs(wait.wait);
     loop {
         let answer = ask(&Request::Out { unit, serial, release })?;
--- a/programs/balancer/src/http_service.rs
+++ b/programs/balancer/src/http_service.rs
@@ -19,7 +19,7 @@
 use whinspindle::host::Arrival;
 use whinspindle_balancer_core::Ticket;
 use whinspindle_protocol::answer::{AbortReason, Answer, plain};
-use whinspindle_protocol::query::{DUPLICATE_TRACE, Head, MAX_BODY_BYTES};
+use whinspindle_protocol::query::{DUPLICATE_TRACE, MAX_BODY_BYTES, QueryHead};
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_routes::Lookup;
 
@@ -112,12 +112,12 @@
 impl Drop for OpenQuery<'_> {
     fn drop(&mut self) {
         self.node.open_queries.set(self.node.open_queries.get().saturating_sub(1));
-        self.node.core.borrow_mut().client_gone(self.node.clock.now(), self.ticket);
+        self.node.core.borrow_mut().client_disconnected(self.node.clock.now(), self.ticket);
     }
 }
 
 /// The index of the request's route, and the maximum body size in bytes that it allows.
-fn route_of(node: &Node, parts: &Parts, head: &Head) -> (Option<usize>, u64) {
+fn route_of(node: &Node, parts: &Parts, head: &QueryHead) -> (Option<usize>, u64) {
     let operator = node.operator.borrow();
     let found = operator.as_ref().and_then(|operator| {
         let target = parts.uri.path();
@@ -136,7 +136,7 @@
 ) -> Result<Response<Full<Bytes>>, BoxError> {
     let (parts, body) = request.into_parts();
     let body_deadline = parts.extensions.get().map_or_else(Instant::now, |BodyDeadline(at)| *at);
-    let head = match Head::decode(&parts, &node.deployment) {
+    let head = match QueryHead::decode(&parts, &node.deployment) {
         Ok(head) => head,
         Err(fault) => {
             log_line!("query", "turned down: {fault}");
@@ -168,12 +168,12 @@
         Err(_) => return Ok(plain(StatusCode::REQUEST_TIMEOUT, "body: not whole in time".to_string())),
     };
     let mut now = node.clock.now();
-    let deadline = now + node.shutdown.limit_patience(head.patience);
+    let deadline = now + node.shutdown.limit_patience(head.client_timeout_us);
     node.wait_for_endpoints().await;
     now = node.clock.now().max(now);
     let arrival = Arrival { product: head.product, tenant: head.tenant, deadline, route };
     let (caller, answer) = oneshot::channel();
-    let Some(ticket) = node.core.borrow_mut().query(now, arrival, head.with(body), caller) else {
+    let Some(ticket) = node.core.borrow_mut().submit_query(now, arrival, head.with_body(body), caller) else {
         log_line!("query", "turned down: {DUPLICATE_TRACE}");
         return Ok(DUPLICATE_TRACE.encode());
     };
@@ -194,7 +194,8 @@
     if node.fleet.is_none() {
         return;
     }
-    let late = node.deployment.terms.products.get(product).is_some_and(|row| spent > row.slo_time_us);
+    let late =
+        node.deployment.balancer_settings.products.get(product).is_some_and(|row| spent > row.slo_time_us);
     let (aborted, rejected) = (matches!(answer, Answer::Aborted(_)), matches!(answer, Answer::Rejected(_)));
     node.fleet_counts.borrow_mut().query(aborted, late, rejected);
 }
--- a/programs/balancer/src/listener.rs
+++ b/programs/balancer/src/listener.rs
@@ -194,7 +194,7 @@
     resource_limits: ResourceLimits,
 ) {
     let services = http_service::services(&node, resource_limits);
-    let idle_time = Duration::from_micros(node.deployment.idle_time);
+    let idle_time = Duration::from_micros(node.deployment.server_idle_timeout_us);
     let watched = Rc::clone(&connections);
     spawn_local(async move {
         loop {
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -138,7 +138,7 @@
     }
     // Discovery is asked for the whole list if the known one has faults or was only restored.
     let generation =
-        configuration.known_endpoints.as_ref().filter(|known| known.faults.is_empty() && !is_restored);
+        configuration.known_endpoints.as_ref().filter(|known| known.errors.is_empty() && !is_restored);
     let generation = generation.map(|known| known.generation);
     log_line!("start", "{} at {}, {resource_limits}", configuration.name, configuration.listen);
     let source = Rc::new(EndpointWatch::new(configuration.discovery, generation));
@@ -167,7 +167,7 @@
     spawn_local(upkeep(Rc::clone(&node), Rc::clone(&connections), endpoint_store, source));
     spawn_shutdown(&node, terminate, interrupt);
     listener::run(listener, Rc::clone(&node), connections, resource_limits).await;
-    log_line!("stop", "all is answered, {:?}", node.core.borrow().tally());
+    log_line!("stop", "all is answered, {:?}", node.core.borrow().query_counts());
     Ok(())
 }
 
@@ -179,11 +179,11 @@
     let followed = Rc::clone(source);
     spawn_local(restart_on_end("list", move || {
         let updated = Rc::clone(&updated);
-        whinspindle_discovery::follow(Rc::clone(&followed), move |update| updated.endpoints_updated(&update))
+        whinspindle_discovery::run(Rc::clone(&followed), move |update| updated.endpoints_updated(&update))
     }));
     let (waiting, tried) = (Rc::clone(node), Rc::clone(source));
     spawn_local(async move {
-        tried.first_attempted().await;
+        tried.wait_for_first_attempt().await;
         waiting.apply_known_endpoints();
     });
 }
@@ -237,7 +237,7 @@
                 if configuration.fixed_fields != fixed_fields {
                     log_line!("reload", "only discovery is taken over; the rest counts from the next start");
                 }
-                source.move_to(configuration.discovery);
+                source.set_address(configuration.discovery);
             }
             Err(fault) => log_line!("reload", "{fault}; all stays as it was"),
         }
@@ -268,7 +268,7 @@
 }
 
 fn second_summary(node: &Node) -> SecondSummary {
-    let tally = node.core.borrow().tally();
+    let tally = node.core.borrow().query_counts();
     SecondSummary {
         told: node.is_list_discovered.get(),
         settled: node.fleet.as_ref().is_none_or(Fleet::has_policy_right),
@@ -295,23 +295,23 @@
         {
             log_line!("start", "{words}");
         }
-        node.upstreams.sweep();
+        node.upstreams.close_expired();
         if let Some(endpoint_store) = &mut endpoint_store {
-            endpoint_store.save(node.core.borrow().complete_list(), node.clock.now());
+            endpoint_store.save(node.core.borrow().endpoint_list(), node.clock.now());
         }
         let has_list = node.is_list_discovered.get() && node.core.borrow().has_list();
         if let Some(fleet) = node.fleet.as_ref().filter(|_| has_list) {
-            let silent = source.silent_for().as_micros() as u64;
-            fleet.report_endpoints(node.core.borrow().complete_list(), silent);
+            let silent = source.time_since_message().as_micros() as u64;
+            fleet.report_endpoints(node.core.borrow().endpoint_list(), silent);
         }
-        let tally = node.core.borrow().tally();
+        let tally = node.core.borrow().query_counts();
         if second % 10 == 0 && tally != told {
             told = tally;
             log_line!(
                 "state",
                 "{tally:?}, clients {}, upstream {}",
                 connections.count(),
-                node.upstreams.open()
+                node.upstreams.open_connections()
             );
         }
     }
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -23,7 +23,7 @@
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_rollout::{Count, ObservedOutcomes, Place as Listed};
 use whinspindle_upstream_pool::{
-    ConnectionPool, Failure, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
+    ConnectionPool, ExchangeError, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
 };
 
 use crate::clock::Clock;
@@ -91,7 +91,7 @@
     ) -> Rc<Node> {
         let Configuration { deployment, known_endpoints: known, seed, .. } = configuration;
         let clock = Clock::start();
-        let shutdown = Shutdown::new(deployment.statement_timeouts.iter().copied().max().unwrap_or(0));
+        let shutdown = Shutdown::new(deployment.statement_timeouts_us.iter().copied().max().unwrap_or(0));
         let node = Rc::new_cyclic(|node| {
             let timers = Rc::new(Timers::default());
             let effects = NodeEffects { node: Weak::clone(node), timers: Rc::clone(&timers) };
@@ -99,13 +99,13 @@
                 clock,
                 core: RefCell::new(BalancerCore::new(effects, &deployment, seed, clock.now())),
                 upstreams: ConnectionPool::new(PoolSettings {
-                    max_open: resource_limits.upstream,
-                    idle_time: Duration::from_micros(deployment.idle_time),
-                    connect_time_out: Duration::from_micros(deployment.connect_time_out),
+                    max_connections: resource_limits.upstream,
+                    server_idle_timeout: Duration::from_micros(deployment.server_idle_timeout_us),
+                    connect_timeout: Duration::from_micros(deployment.connect_timeout_us),
                     // An answer that has begun should not pause for longer than connecting takes.
-                    stall_time_out: Duration::from_micros(deployment.connect_time_out),
-                    quiet_time: Duration::from_micros(deployment.connect_time_out / REST_PART),
-                    memory: MemoryBudget::new(MAX_BODY_BYTES, resource_limits.long_answers),
+                    stall_timeout: Duration::from_micros(deployment.connect_timeout_us),
+                    reuse_delay: Duration::from_micros(deployment.connect_timeout_us / REST_PART),
+                    memory_budget: MemoryBudget::new(MAX_BODY_BYTES, resource_limits.long_answers),
                 }),
                 deployment,
                 timers,
@@ -126,10 +126,10 @@
             }
         });
         if let Some(mut known) = known {
-            for fault in &known.faults {
+            for fault in &known.errors {
                 log_line!("list", "an entry of the known list is passed over: {fault}");
             }
-            known.complete = true;
+            known.is_complete = true;
             node.unconfirmed_list.replace(Some(known));
         }
         node
@@ -137,12 +137,12 @@
 
     /// Applies an update from discovery.
     pub fn endpoints_updated(&self, update: &EndpointUpdate) {
-        if !update.complete {
+        if !update.is_complete {
             self.apply_known_endpoints();
         }
         self.unconfirmed_list.take();
         self.is_list_discovered.set(true);
-        self.core.borrow_mut().list(self.clock.now(), update);
+        self.core.borrow_mut().apply_endpoint_update(self.clock.now(), update);
         self.first_list.notify_waiters();
     }
 
@@ -150,9 +150,9 @@
     /// reached.
     pub fn apply_known_endpoints(&self) {
         if let Some(known) = self.unconfirmed_list.take() {
-            self.core.borrow_mut().list(self.clock.now(), &known);
+            self.core.borrow_mut().apply_endpoint_update(self.clock.now(), &known);
             if let Some(fleet) = self.fleet.as_ref().filter(|_| self.is_list_discovered.get()) {
-                fleet.report_endpoints(self.core.borrow().complete_list(), 0);
+                fleet.report_endpoints(self.core.borrow().endpoint_list(), 0);
             }
         }
         self.first_list.notify_waiters();
@@ -170,12 +170,12 @@
     /// with the first list, so that it is not over before requests can be served.
     fn start_slowly(&self) {
         self.slow_start_pending.set(false);
-        let terms = &self.deployment.terms;
+        let terms = &self.deployment.balancer_settings;
         let slo_time = terms.products.iter().map(|row| row.slo_time_us).min().unwrap_or(0);
         // Bounded by the connect time-out, since for products that take minutes overload shows long before answers
         // do.
-        let step = (slo_time / 2).min(self.deployment.connect_time_out);
-        let servers = self.core.borrow().listed().len();
+        let step = (slo_time / 2).min(self.deployment.connect_timeout_us);
+        let servers = self.core.borrow().endpoints().len();
         self.startup_limit.replace(Some(StartupLimit::new(servers, terms.balancers, step, self.clock.now())));
     }
 
@@ -212,7 +212,7 @@
 
     /// Applies an operator file to requests that arrive from now on.
     pub fn apply_operator_file(&self, operator: Arc<Operator>) {
-        self.core.borrow_mut().routes(operator.rows(&self.deployment));
+        self.core.borrow_mut().set_routes(operator.rows(&self.deployment));
         self.operator.replace(Some(operator));
     }
 
@@ -236,7 +236,7 @@
     fn apply_taken_out_servers(&self, fleet: &Fleet) {
         if let Some((number, keys)) = fleet.taken_out_servers(self.taken_out_servers.get()) {
             self.taken_out_servers.set(number);
-            self.core.borrow_mut().taken_out(self.clock.now(), &keys);
+            self.core.borrow_mut().set_drained(self.clock.now(), &keys);
         }
     }
 
@@ -244,7 +244,7 @@
     /// and reports the servers' state to the fleet.
     pub async fn follow_fleet(self: Rc<Self>, connections: Rc<ClientConnections>) {
         let Some(fleet) = &self.fleet else { return };
-        let (terms, zones) = (&self.deployment.terms, &self.deployment.zones);
+        let (terms, zones) = (&self.deployment.balancer_settings, &self.deployment.zones);
         loop {
             sleep(FOLLOW).await;
             self.apply_taken_out_servers(fleet);
@@ -263,7 +263,7 @@
                 fleet.neighbour_list().filter(|(_, trust)| !self.is_list_discovered.get() && better(*trust));
             if let Some((update, trust)) = given {
                 self.list_trust.set(Some((trust, true)));
-                self.core.borrow_mut().list(now, &update);
+                self.core.borrow_mut().apply_endpoint_update(now, &update);
             }
             let place = |entry: &Endpoint| Listed {
                 key: entry.key,
@@ -272,7 +272,7 @@
                 full: entry.state == EndpointState::Ready
                     && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_duration_us),
             };
-            let listed = self.core.borrow().listed();
+            let listed = self.core.borrow().endpoints();
             let (servers, own) = self.fleet_counts.borrow_mut().take();
             let kinds = self.deployment.kinds.len().max(1);
             // Servers that are no longer listed are left out.
@@ -289,14 +289,14 @@
     pub fn begin_shutdown(&self) {
         self.shutdown.request();
         let now = self.clock.now();
-        self.core.borrow_mut().stopping(now, now + self.shutdown.limit_patience(u64::MAX));
+        self.core.borrow_mut().begin_shutdown(now, now + self.shutdown.limit_patience(u64::MAX));
     }
 
     /// Calls the core for each timer that fires; never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let label = self.timers.next().await;
-            self.core.borrow_mut().timer(self.clock.now(), label);
+            self.core.borrow_mut().timer_fired(self.clock.now(), label);
         }
     }
 
@@ -304,13 +304,13 @@
     async fn execute(&self, order: &Execution, cancelled: oneshot::Receiver<()>) -> (Outcome, Option<Reply>) {
         let progress = ProgressHandle::default();
         let address = order.process.address;
-        let until = self.clock.now() + order.time_out;
+        let until = self.clock.now() + order.timeout_us;
         let prepare = || {
             let now = self.clock.now();
             let left = until.saturating_sub(now);
             let wanted =
-                self.core.borrow_mut().may_begin(now, order.query_index, order.execution_index, order.server);
-            wanted.then(|| execution::encode(&order.query, address, left))
+                self.core.borrow_mut().may_send(now, order.query_index, order.execution_index, order.server);
+            wanted.then(|| execution::encode_execution(&order.query, address, left))
         };
         let exchange = self.upstreams.exchange(upstream(order.process), prepare, &progress);
         tokio::select! {
@@ -319,12 +319,12 @@
                 log_line!("upstream", "{address}: called off, request {:?}", progress.progress());
                 match progress.progress() {
                     Progress::Complete => (Outcome::Cancelled, None),
-                    Progress::Begun | Progress::Nothing => (Outcome::NeverSent, None),
+                    Progress::Partial | Progress::NotStarted => (Outcome::NeverSent, None),
                 }
             }
-            end = timeout(Duration::from_micros(order.time_out), exchange) => match end {
+            end = timeout(Duration::from_micros(order.timeout_us), exchange) => match end {
                 Ok(Ok(response)) => {
-                    let reply = Reply::decode(response, &self.deployment.columns);
+                    let reply = Reply::decode(response, &self.deployment.load_columns);
                     (reply.outcome, Some(reply))
                 }
                 Ok(Err(failure)) => {
@@ -342,12 +342,13 @@
         let progress = ProgressHandle::default();
         let prepare = || {
             let wanted = self.core.borrow().is_ready(server);
-            wanted.then(|| execution::probe(process.address, !self.deployment.columns.is_empty()))
+            wanted.then(|| execution::encode_probe(process.address, !self.deployment.load_columns.is_empty()))
         };
-        let longest = self.deployment.terms.products.iter().map(|row| row.slo_time_us).max().unwrap_or(0);
+        let longest =
+            self.deployment.balancer_settings.products.iter().map(|row| row.slo_time_us).max().unwrap_or(0);
         let exchange = self.upstreams.exchange(upstream(process), prepare, &progress);
         match timeout(Duration::from_micros(longest), exchange).await {
-            Ok(Ok(response)) => Reply::decode_probe(response, &self.deployment.columns),
+            Ok(Ok(response)) => Reply::decode_probe(response, &self.deployment.load_columns),
             _ => (false, LoadReport::default()),
         }
     }
@@ -358,13 +359,13 @@
 }
 
 /// Translates a failed exchange to the outcome that the core decides by.
-fn outcome(failure: &Failure) -> Outcome {
+fn outcome(failure: &ExchangeError) -> Outcome {
     match failure.progress {
-        _ if failure.is_own() => Outcome::NeverSent,
-        Progress::Complete if failure.stale => Outcome::StaleConnection,
-        Progress::Complete if failure.answered => Outcome::Malformed,
+        _ if failure.is_local() => Outcome::NeverSent,
+        Progress::Complete if failure.is_stale_connection => Outcome::StaleConnection,
+        Progress::Complete if failure.response_started => Outcome::Malformed,
         Progress::Complete => Outcome::Broken,
-        Progress::Begun | Progress::Nothing => Outcome::NotConnected,
+        Progress::Partial | Progress::NotStarted => Outcome::NotConnected,
     }
 }
 
@@ -392,10 +393,17 @@
             if node.fleet.is_some() {
                 node.fleet_counts.borrow_mut().execution(order.server, order.product, outcome, now - sent);
             }
-            let (report, served) = reply.map_or_else(Default::default, |reply| (reply.report, reply.served));
+            let (report, served) =
+                reply.map_or_else(Default::default, |reply| (reply.report, reply.response));
             let Execution { query_index, execution_index, .. } = order;
-            let ended =
-                EndedExecution { query_index, execution_index, outcome, spent: now - sent, report, served };
+            let ended = EndedExecution {
+                query_index,
+                execution_index,
+                outcome,
+                elapsed_us: now - sent,
+                report,
+                response: served,
+            };
             node.core.borrow_mut().execution_ended(now, ended);
         });
     }
@@ -414,7 +422,7 @@
         let _ = caller.send(answer);
     }
 
-    fn wake(&mut self, wait: u64, label: u32) {
+    fn set_timer(&mut self, wait: u64, label: u32) {
         self.timers.add(wait, label);
     }
 
@@ -423,7 +431,7 @@
         spawn_local(async move {
             let probe = AssertUnwindSafe(node.probe(server, process)).catch_unwind().await;
             let (answered, report) = probe.unwrap_or_default();
-            node.core.borrow_mut().probed(node.clock.now(), server, answered, report);
+            node.core.borrow_mut().probe_ended(node.clock.now(), server, answered, report);
         });
     }
 }
--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -121,7 +121,7 @@
         zone: format!("zone of {name}"),
         kind: format!("kind of {name}"),
         cell: 300,
-        size: 2.75,
+        relative_capacity: 2.75,
         started_at,
         state,
         address: Some(([192, 0, 2, 17], 8443).into()),
