--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -20,10 +20,10 @@
 use std::path::PathBuf;
 
 use whinspindle::host;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 use whinspindle_rollout::Limits;
 use whinspindle_routes::{Bounds, Conditions, RouteTable};
-use whinspindle_toml_config::Fault;
+use whinspindle_toml_config::ConfigError;
 
 pub use draw::draw;
 pub use fleet::FleetTerms;
@@ -71,23 +71,23 @@
     /// The routes as the balancer's core takes them: for each route a row of conditions for each product.
     pub fn rows(&self, deployment: &Deployment) -> Vec<Vec<host::RoutePolicy>> {
         let named = |names: &[String], known: &[String]| -> Vec<usize> {
-            names.iter().filter_map(|name| index(known, name)).collect()
+            names.iter().filter_map(|name| index_of(known, name)).collect()
         };
         let row = |c: &Conditions| host::RoutePolicy {
-            time: c.time,
-            execution_time: c.execution_time,
-            executions: c.executions,
+            timeout_us: c.time,
+            execution_timeout_us: c.execution_time,
+            max_executions: c.executions,
             retry_on: c.retry_on,
-            wait: c.wait,
-            spread: c.spread,
+            backoff_us: c.wait,
+            jitter: c.spread,
             hedge: c.hedge,
-            budget: c.budget,
+            retry_budget: c.budget,
             zones: named(&c.servers.zones, &deployment.zones),
             kinds: named(&c.servers.kinds, &deployment.kinds),
-            near: match (c.servers.repeats_in_zone, c.servers.repeats_in_pod) {
-                (_, true) => host::Group::Cell,
-                (true, false) => host::Group::Zone,
-                (false, false) => host::Group::All,
+            retry_scope: match (c.servers.repeats_in_zone, c.servers.repeats_in_pod) {
+                (_, true) => host::ServerScope::Cell,
+                (true, false) => host::ServerScope::Zone,
+                (false, false) => host::ServerScope::All,
             },
         };
         self.routes.routes().iter().map(|route| route.conditions.iter().map(row).collect()).collect()
@@ -111,25 +111,25 @@
 }
 
 /// Reads and proves a file for a deployment.
-pub fn read(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
-    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, true))
+pub fn read(text: &str, deployment: &Deployment) -> Result<Operator, Vec<ConfigError>> {
+    whinspindle_toml_config::parse(text, |table| read::operator(table, deployment, true))
 }
 
 /// Reads and proves the text of a fleet's policy: routes, limits, and what holds in a partition, but no setting of
 /// a single balancer.
-pub fn read_policy(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
-    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, false))
+pub fn read_policy(text: &str, deployment: &Deployment) -> Result<Operator, Vec<ConfigError>> {
+    whinspindle_toml_config::parse(text, |table| read::operator(table, deployment, false))
 }
 
 /// What the deployment allows and demands, as far as the proof needs it.
 pub fn bounds(deployment: &Deployment) -> Bounds {
-    let terms = &deployment.terms;
+    let terms = &deployment.balancer_settings;
     Bounds {
         executions: terms.max_executions,
         allow_hedging: terms.allow_hedging,
-        cancel: terms.cancel,
-        connect_time_out: deployment.connect_time_out,
-        tick: terms.tick,
+        cancel: terms.allow_cancel,
+        connect_time_out: deployment.connect_timeout_us,
+        tick: terms.clock_resolution_us,
         network: NETWORK_MARGIN,
         largest_body: LARGEST_BODY,
     }
--- a/dataplane/routing/src/region.rs
+++ b/dataplane/routing/src/region.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use whinspindle::pcg::Pcg;
-use whinspindle::samples::{LatencyFit, decayed, fit_rising, push, shares};
-use whinspindle::weights::{FLOOR_SHARE, Target, solve};
+use whinspindle::samples::{LatencyFit, decay_weighted, fit_increasing_line, normalize_shares, push_bounded};
+use whinspindle::weights::{MIN_SHARE, Target, solve};
 
 use crate::rate::RateCounter;
 
@@ -53,7 +53,7 @@
     }
 
     pub(crate) fn record_latency(&mut self, now: u64, load_per_instance: f64, latency_ms: f64) {
-        push(&mut self.samples, MAX_SAMPLES, (now, load_per_instance, latency_ms));
+        push_bounded(&mut self.samples, MAX_SAMPLES, (now, load_per_instance, latency_ms));
     }
 
     /// Root of the weighted mean square distance of the samples from the fit, in milliseconds.
@@ -62,13 +62,13 @@
         let square = |(weight, load, latency): (f64, f64, f64)| {
             weight * (latency - fit.base - fit.slope * load).powi(2)
         };
-        let squares: f64 = decayed(&self.samples, now, 2 * CHECK_INTERVAL_MS).map(square).sum();
+        let squares: f64 = decay_weighted(&self.samples, now, 2 * CHECK_INTERVAL_MS).map(square).sum();
         if fit.weight > 0.0 { (squares / fit.weight).sqrt() } else { 0.0 }
     }
 
     /// Current fit of the latency against the load per ready instance.
     pub(crate) fn fit(&self, now: u64) -> LatencyFit {
-        fit_rising(decayed(&self.samples, now, 2 * CHECK_INTERVAL_MS), MIN_SLOPE)
+        fit_increasing_line(decay_weighted(&self.samples, now, 2 * CHECK_INTERVAL_MS), MIN_SLOPE)
     }
 }
 
@@ -90,7 +90,7 @@
 /// floor.
 pub(crate) fn set_weights(regions: &mut [RegionModel], has_floor: bool) {
     let weights = regions.iter().map(|region| region.weight_per_instance * region.ready_instances).collect();
-    let floored = shares(weights, if has_floor { FLOOR_SHARE } else { 0.0 });
+    let floored = normalize_shares(weights, if has_floor { MIN_SHARE } else { 0.0 });
     regions.iter_mut().zip(floored).for_each(|(region, weight)| region.weight = weight);
 }
 
@@ -117,10 +117,10 @@
     *last_solution = LastSolution { rate: inputs.rate, checks_since: 0 };
     // Leaving the region has no cost here, since `crate::locality` decides which requests stay.
     let target = |(index, region): (usize, &RegionModel)| Target {
-        ready: region.ready_instances,
-        load: load(region) / region.ready_instances.max(1.0),
+        ready_servers: region.ready_instances,
+        load_per_server: load(region) / region.ready_instances.max(1.0),
         fit: fits[index],
-        crossing: 0.0,
+        crossing_cost: 0.0,
     };
     let targets: Vec<Target> = regions.iter().enumerate().map(target).collect();
     let weights: Vec<f64> = regions.iter().map(|region| region.weight).collect();
--- a/dataplane/routing/src/router/rejections.rs
+++ b/dataplane/routing/src/router/rejections.rs
@@ -54,7 +54,7 @@
     random: &mut Pcg,
 ) -> Choice {
     let max_wait_ms = (MAX_REMAINING_TIME_FRACTION * request.time_left_ms as f64).max(MIN_RETRY_AFTER_MS);
-    let jittered_ms = wait_ms * (JITTER_MIN_FACTOR + JITTER_RANGE * random.unit());
+    let jittered_ms = wait_ms * (JITTER_MIN_FACTOR + JITTER_RANGE * random.next_f64());
     let retry_after_ms = jittered_ms.clamp(MIN_RETRY_AFTER_MS, max_wait_ms) as u64;
     Choice::Reject(Rejection { reason, retry_after_ms })
 }
--- a/dataplane/routing/src/service.rs
+++ b/dataplane/routing/src/service.rs
@@ -131,7 +131,7 @@
             } else if let Some(pace) = &self.pace
                 && !instance.slow_start.is_active()
             {
-                instance.slow_start.start(now, pace, random.unit());
+                instance.slow_start.start(now, pace, random.next_f64());
             }
         }
         self.count_ready(now);
--- a/dataplane/routing/src/weighted_sampler.rs
+++ b/dataplane/routing/src/weighted_sampler.rs
@@ -19,7 +19,7 @@
 impl WeightedSampler {
     /// Creates a sampler with a random first point.
     pub(crate) fn with_random_start(random: &mut Pcg) -> Self {
-        WeightedSampler { point: random.unit() }
+        WeightedSampler { point: random.next_f64() }
     }
 
     /// Draws an index in proportion to its weight; `None` if no weight is positive.
