--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -40,7 +40,8 @@
         };
         self.highest_round = self.highest_round.max(self.memory.votes.promised.round) + 1;
         let epoch = self.record.epoch() + u64::from(is_bootstrap);
-        let ballot = Ballot { epoch, round: self.highest_round, member: self.settings.me, start: self.start };
+        let ballot =
+            Ballot { epoch, round: self.highest_round, member: self.settings.me, start_id: self.start };
         let mut round = Round::new(ballot, known);
         if self.memory.votes.prepare(ballot).is_err() || !self.persist() {
             return;
--- a/balancer/fleet-policy/tests/member.rs
+++ b/balancer/fleet-policy/tests/member.rs
@@ -144,7 +144,7 @@
 fn a_voter_whose_disk_fails_votes_and_grants_nothing_until_it_works() {
     let (mut member, environment) = leader();
     let now = 20 * SECOND + 1;
-    let ballot = Ballot { epoch: 1, round: 9, member: 1, start: 5 };
+    let ballot = Ballot { epoch: 1, round: 9, member: 1, start_id: 5 };
     let ask = Message::Ask {
         at: 7,
         incarnation: 101,
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -68,7 +68,7 @@
 const REQUEST_KINDS: u8 = 10;
 
 fn ballot(first: u64) -> Ballot {
-    Ballot { epoch: first, round: first + 1000, member: first as u16 + 2, start: first << 56 | 3 }
+    Ballot { epoch: first, round: first + 1000, member: first as u16 + 2, start_id: first << 56 | 3 }
 }
 
 fn ask(right: Right, readiness: Readiness) -> Message {
--- a/controlplane/controller/src/commands/records.rs
+++ b/controlplane/controller/src/commands/records.rs
@@ -53,7 +53,7 @@
 pub fn evacuated_zones(records: &Records) -> EvacuatedZones {
     let mut newest = 0;
     let mut zones = Vec::new();
-    for (key, record) in records.range(EVACUATION) {
+    for (key, record) in records.with_prefix(EVACUATION) {
         newest = newest.max(record.sequence);
         if record.value.as_slice() == ZONE_EVACUATED {
             zones.push(key[EVACUATION.len()..].to_owned());
@@ -74,7 +74,7 @@
 
 /// All departed instances with their departures.
 pub fn departures(records: &Records) -> impl Iterator<Item = (&str, Departure)> {
-    let records = records.range(DRAINED);
+    let records = records.with_prefix(DRAINED);
     records.map(|(key, record)| (&key[DRAINED.len()..], Departure::from_value(&record.value)))
 }
 
--- a/controlplane/controller/src/controller.rs
+++ b/controlplane/controller/src/controller.rs
@@ -176,14 +176,14 @@
 
     /// The addresses of all other known controllers.
     pub fn peers(&self) -> Vec<SocketAddr> {
-        let mut peers = self.replica.peers();
+        let mut peers = self.replica.peer_endpoints();
         peers.extend(self.known_peers.excluding(self.settings.address.endpoint, &peers));
         peers
     }
 
     /// Whether the departure of an instance is committed, as far as known here.
     pub fn has_departed(&self, instance: &str) -> bool {
-        records::departure_of(self.replica.committed(), instance).is_some()
+        records::departure_of(self.replica.committed_records(), instance).is_some()
     }
 
     /// Whether any caller waits for the outcome of a command.
--- a/controlplane/controller/src/controller/calls.rs
+++ b/controlplane/controller/src/controller/calls.rs
@@ -25,7 +25,7 @@
                 self.accept_command(now, id, CommandRequest::Replace { base, generation, body });
             }
             Call::Fetch if R::answers_reads_locally() => {
-                let record = self.replica.committed().get(records::CONFIGURATION);
+                let record = self.replica.committed_records().get(records::CONFIGURATION);
                 let body = record.map(|record| record.value.to_vec()).unwrap_or_default();
                 self.answer(id, configuration_response(body));
             }
@@ -92,7 +92,8 @@
     }
 
     fn depart(&mut self, now: u64, id: CallId, instance: String, departure: Departure) {
-        let is_committed = records::departure_of(self.replica.committed(), &instance) >= Some(departure);
+        let is_committed =
+            records::departure_of(self.replica.committed_records(), &instance) >= Some(departure);
         if R::confirms_departure(is_committed) {
             self.answer(id, Response::accepted());
         }
@@ -103,7 +104,7 @@
 
     fn resolve(&mut self, now: u64, id: CallId, host: &str, region: &str, zone: &str) {
         let region = self.settings.zones.get(zone).map_or(region, String::as_str);
-        let records = self.may_serve_records(now).then(|| self.replica.committed());
+        let records = self.may_serve_records(now).then(|| self.replica.committed_records());
         self.host_regions.refresh(records);
         let regions = self.host_regions.regions_of(host);
         let addresses = directory::addresses_for(&self.leases, now, ClientLocation { region, zone }, regions);
--- a/controlplane/controller/src/controller/gossip.rs
+++ b/controlplane/controller/src/controller/gossip.rs
@@ -55,7 +55,7 @@
         let is_empty = !self.registry.has_changes() && !self.leases.has_changes();
         let gossip = gossip_records::changes(now, &mut self.registry, &mut self.leases);
         let payload = Bytes::from(encode_gossip(&gossip));
-        let known = self.replica.peers();
+        let known = self.replica.peer_endpoints();
         let others = self.known_peers.excluding(self.settings.address.endpoint, &known);
         let known = known.into_iter().filter(|_| !is_empty);
         for to in known.chain(others) {
--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -103,7 +103,7 @@
     /// Takes over the committed records. Also without a quorum: a balancer is sent them only in place of older ones, or if
     /// it has none and they may be served to such a one ([`Controller::send_update`]).
     fn refresh_replicated(&mut self) {
-        let records = self.replica.committed();
+        let records = self.replica.committed_records();
         let published = self.publisher.versions();
         if let Some(record) = records.get(records::CONFIGURATION)
             && record.sequence > published.configured
--- a/controlplane/controller/src/controller/replication.rs
+++ b/controlplane/controller/src/controller/replication.rs
@@ -39,7 +39,7 @@
                 Output::Persist { token, write } => self.actions.push(Action::Persist { token, write }),
                 Output::Reply { ticket, result } => self.handle_reply(now, ticket, result),
                 Output::Committed { writes, .. } => self.committed(now, &writes),
-                Output::Replaced => self.replaced(now),
+                Output::RecordsReplaced => self.replaced(now),
             }
         }
     }
@@ -60,7 +60,7 @@
 
     /// Applies all committed departures to the registry, the newest last: these are sent to balancers for the longest.
     pub(super) fn take_departures(&mut self) {
-        let records = self.replica.committed();
+        let records = self.replica.committed_records();
         let sequence = |instance: &str| {
             records.get(&format!("{}{instance}", records::DRAINED)).map_or(0, |record| record.sequence)
         };
@@ -85,7 +85,7 @@
         if self.compacting {
             return;
         }
-        if let Some(state) = self.replica.checkpoint_due(log_bytes) {
+        if let Some(state) = self.replica.due_checkpoint(log_bytes) {
             self.compacting = true;
             self.actions.push(Action::Compact { state });
         }
@@ -94,7 +94,7 @@
     /// Hands the roles of this controller over to others.
     pub(super) fn shut_down(&mut self, now: u64) {
         self.shutting_down = true;
-        self.step(now, Input::Leave);
+        self.step(now, Input::Shutdown);
         self.send_links(now);
     }
 }
--- a/controlplane/controller/src/controller/submission.rs
+++ b/controlplane/controller/src/controller/submission.rs
@@ -54,8 +54,9 @@
     /// Submits a command to the chain.
     pub(super) fn submit(&mut self, now: u64, mut pending: PendingCommand) {
         if let CommandRequest::Evacuate { zone, .. } = &pending.request {
-            pending.observed_sequence =
-                pending.observed_sequence.max(records::evacuation_sequence(self.replica.committed(), zone));
+            pending.observed_sequence = pending
+                .observed_sequence
+                .max(records::evacuation_sequence(self.replica.committed_records(), zone));
         }
         let call = pending.call;
         let Ok(command) = pending.command().encode() else {
--- a/controlplane/controller/src/runtime/disk.rs
+++ b/controlplane/controller/src/runtime/disk.rs
@@ -9,7 +9,9 @@
 use spdlog::warn;
 use tokio::sync::{mpsc as reports, oneshot};
 use whinspindle_replica::DurableWrite;
-use whinspindle_storage::{FolderDirectory, FormatError, Journal, Recovered, StorageError, check_format};
+use whinspindle_storage::{
+    FolderDirectory, FormatError, Journal, RecoveredState, StorageError, check_format,
+};
 
 use super::prefixed_directory::PrefixedDirectory;
 
@@ -74,7 +76,7 @@
 /// The result of [`open`].
 pub struct OpenedDisk {
     pub disk: Disk,
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// The files of the disk were damaged and have been discarded.
     pub was_damaged: bool,
     pub reports: reports::UnboundedReceiver<DiskReport>,
@@ -136,7 +138,7 @@
 struct OpenedJournal {
     files: PrefixedDirectory,
     journal: Journal<PrefixedDirectory>,
-    recovered: Recovered,
+    recovered: RecoveredState,
     was_damaged: bool,
 }
 
@@ -187,7 +189,9 @@
     }
 }
 
-fn open_once(folder: &Path) -> Result<(PrefixedDirectory, Journal<PrefixedDirectory>, Recovered), OpenError> {
+fn open_once(
+    folder: &Path,
+) -> Result<(PrefixedDirectory, Journal<PrefixedDirectory>, RecoveredState), OpenError> {
     let mut files = PrefixedDirectory::new(FolderDirectory::open(folder).map_err(StorageError::from)?);
     check_format(&mut files, FORMAT_VERSION)?;
     let (journal, recovered) = Journal::open(files.clone())?;
--- a/controlplane/controller/src/runtime/process.rs
+++ b/controlplane/controller/src/runtime/process.rs
@@ -18,7 +18,7 @@
 use whinspindle_distribution::ControllerAddress;
 use whinspindle_metrics::MetricsEndpoint;
 use whinspindle_replica::{Output, Replica, ReplicaSettings, Timing, Tolerance};
-use whinspindle_storage::Recovered;
+use whinspindle_storage::RecoveredState;
 
 use super::clock::Clock;
 use super::disk::{self, DiskError, DiskReport, OpenedDisk};
@@ -143,7 +143,7 @@
 fn start_controller(
     settings: &Settings,
     bootstrap: bool,
-    recovered: Recovered,
+    recovered: RecoveredState,
     now: u64,
 ) -> (Controller, Vec<Action>) {
     let (replica, outputs) = start_replica(settings, bootstrap, recovered, now);
@@ -164,7 +164,7 @@
 fn start_replica(
     settings: &Settings,
     bootstrap: bool,
-    recovered: Recovered,
+    recovered: RecoveredState,
     now: u64,
 ) -> (Replica<CommandApplication>, Vec<Output>) {
     let mut replica_settings = ReplicaSettings {
@@ -174,7 +174,7 @@
         seeds: seed_endpoints(settings),
         bootstrap,
         incarnation: random(),
-        start: random(),
+        start_id: random(),
         tolerance: tolerance(settings),
         timing: Timing::default(),
     };
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -72,7 +72,7 @@
         ("orders_refused", orders_answered.refused),
         ("orders_unclear", orders_answered.unclear),
         ("committed_sequence", summary.replica.committed_sequence()),
-        ("generation", records::current_generation(summary.replica.committed())),
+        ("generation", records::current_generation(summary.replica.committed_records())),
         ("published_configuration", versions.configured),
         ("published_evacuations", versions.evacuations),
         ("published_instances", versions.instances),
@@ -94,13 +94,13 @@
     let endpoint = |voter: Voter| view.endpoint(voter);
     push_addresses(json, "chain", view.chain.iter().filter_map(|link| endpoint(link.voter)));
     push_addresses(json, "voters", view.voters().into_iter().filter_map(endpoint));
-    push_addresses(json, "peers", replica.peers());
+    push_addresses(json, "peers", replica.peer_endpoints());
     let fatal = replica.fatal_losses();
     push_list(json, "fatal_losses", fatal, |json, kind| push_json_string(json, kind.name()));
 }
 
 fn push_evacuations(json: &mut String, replica: &Replica<CommandApplication>) {
-    let zones = records::evacuated_zones(replica.committed()).zones;
+    let zones = records::evacuated_zones(replica.committed_records()).zones;
     push_list(json, "evacuated_zones", zones, |json, zone| push_json_string(json, &zone));
 }
 
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -202,8 +202,8 @@
         seeds: start.nodes.iter().copied().take(SEEDS).collect(),
         bootstrap: start.is_founding,
         incarnation: start.chance,
-        start: start.chance,
-        tolerance: Tolerance::of_machines(1),
+        start_id: start.chance,
+        tolerance: Tolerance::machines_only(1),
         timing: Timing::default(),
     };
     let (replica, outputs) = Replica::new(replica_settings, CommandApplication, start.recovered, start.now)
--- a/controlplane/controller/tests/common/mod.rs
+++ b/controlplane/controller/tests/common/mod.rs
@@ -63,8 +63,8 @@
             seeds: vec![endpoint],
             bootstrap: true,
             incarnation: 1,
-            start: 2,
-            tolerance: Tolerance::of_machines(0),
+            start_id: 2,
+            tolerance: Tolerance::machines_only(0),
             timing: Timing::default(),
         };
         let (replica, outputs) =
--- a/controlplane/controller/tests/folder_fixture.rs
+++ b/controlplane/controller/tests/folder_fixture.rs
@@ -23,7 +23,7 @@
 use whinspindle_replica::{
     ChainLink, DurableWrite, Member, Replica, ReplicaSettings, Timing, Tolerance, Voter,
 };
-use whinspindle_storage::{Directory, DirectoryError, FolderDirectory, Journal, Recovered};
+use whinspindle_storage::{Directory, DirectoryError, FolderDirectory, Journal, RecoveredState};
 
 /// The files of both journals.
 const FILES: [&str; 8] =
@@ -100,7 +100,7 @@
 }
 
 /// The journal of the replicated state, or that of the saved state.
-fn open(path: &Path, prefix: &'static str) -> (Journal<Prefixed>, Recovered) {
+fn open(path: &Path, prefix: &'static str) -> (Journal<Prefixed>, RecoveredState) {
     Journal::open(Prefixed::open(path, prefix)).expect("the journal can be read")
 }
 
@@ -110,8 +110,8 @@
 
 /// A replica that is its own quorum. Each start of a process has another number.
 fn start_replica(
-    recovered: Recovered,
-    start: u64,
+    recovered: RecoveredState,
+    start_id: u64,
 ) -> (Replica<CommandApplication>, Vec<whinspindle_replica::Output>) {
     let settings = ReplicaSettings {
         endpoint: endpoint(),
@@ -120,15 +120,15 @@
         seeds: vec![endpoint()],
         bootstrap: true,
         incarnation: 0x0102_0304_0506_0708,
-        start,
-        tolerance: Tolerance::of_machines(0),
+        start_id,
+        tolerance: Tolerance::machines_only(0),
         timing: Timing::default(),
     };
     let found = (recovered.checkpoint, recovered.log);
     Replica::new(settings, CommandApplication, found, START).expect("the state can be read")
 }
 
-fn start_controller(recovered: Recovered, start: u64) -> (Controller, Vec<Action>) {
+fn start_controller(recovered: RecoveredState, start: u64) -> (Controller, Vec<Action>) {
     let (replica, outputs) = start_replica(recovered, start);
     let address =
         ControllerAddress { endpoint: endpoint(), zone: "zone-a".to_owned(), region: "north".to_owned() };
@@ -258,7 +258,7 @@
 
 /// Keys, sequences and values of all records that are committed.
 fn committed(replica: &Replica<CommandApplication>) -> Vec<(String, u64, Vec<u8>)> {
-    let records = replica.committed().iter();
+    let records = replica.committed_records().iter();
     records.map(|(key, record)| (key.clone(), record.sequence, record.value.to_vec())).collect()
 }
 
@@ -282,7 +282,7 @@
     ];
     assert_eq!(committed(&replica), expected.map(|(key, sequence, value)| (key.to_owned(), sequence, value)));
     assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (7, 7));
-    let records = replica.committed();
+    let records = replica.committed_records();
     assert_eq!(records::current_generation(records), 7);
     let expected = EvacuatedZones { sequence: 6, zones: vec!["zone-b".to_owned()] };
     assert_eq!(records::evacuated_zones(records), expected);
@@ -296,8 +296,8 @@
         [Member { voter, endpoint: endpoint(), zone: String::new(), region: String::new() }]
     );
     assert_eq!(view.voter_sets, [[voter]]);
-    assert_eq!(view.chain, [ChainLink { voter, since: 1 }]);
-    assert_eq!(view.former, [[]; 0]);
+    assert_eq!(view.chain, [ChainLink { voter, since_view: 1 }]);
+    assert_eq!(view.former_chains, [[]; 0]);
     assert_eq!(view.next_member, 1);
 }
 
@@ -314,7 +314,7 @@
     let (_, recovered) = open(&folder.0, "");
     let (replica, _) = start_replica(recovered, SECOND_START);
     assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (4, 4));
-    assert_eq!(records::current_generation(replica.committed()), 3);
+    assert_eq!(records::current_generation(replica.committed_records()), 3);
     assert!(committed(&whole).len() > committed(&replica).len());
 }
 
@@ -376,6 +376,6 @@
     drop(written);
     let (_, recovered) = open(&folder.0, "");
     let (replica, _) = start_replica(recovered, SECOND_START);
-    assert_eq!(records::current_generation(replica.committed()), 8);
+    assert_eq!(records::current_generation(replica.committed_records()), 8);
     assert_eq!(replica.committed_sequence(), 8);
 }
--- a/coordination/consensus/src/ballot.rs
+++ b/coordination/consensus/src/ballot.rs
@@ -24,5 +24,5 @@
     /// The member that proposes.
     pub member: u16,
     /// Drawn at each start of the proposing process, so that a restart does not use a number again.
-    pub start: u64,
+    pub start_id: u64,
 }
--- a/coordination/consensus/src/lib.rs
+++ b/coordination/consensus/src/lib.rs
@@ -38,7 +38,7 @@
 //! let mut acceptors = vec![AcceptorState::<Register>::default(); 3];
 //! let first = Register { number: 0, voter_sets: vec![voters.clone()] };
 //!
-//! let ballot = Ballot { epoch: 1, round: 1, member: 0, start: 7 };
+//! let ballot = Ballot { epoch: 1, round: 1, member: 0, start_id: 7 };
 //! let mut round = Round::new(ballot, first);
 //! for (voter, acceptor) in voters.iter().zip(&mut acceptors) {
 //!     acceptor.prepare(ballot)?;
--- a/coordination/consensus/tests/lost_voters.rs
+++ b/coordination/consensus/tests/lost_voters.rs
@@ -143,7 +143,7 @@
 
     fn begin(&mut self, proposer: u8) {
         self.ballots += 1;
-        let ballot = Ballot { epoch: 1, round: self.ballots, member: proposer.into(), start: 1 };
+        let ballot = Ballot { epoch: 1, round: self.ballots, member: proposer.into(), start_id: 1 };
         let first = Value { number: 0, origin: Ballot::default(), voter_sets: vec![self.voters.clone()] };
         let known = self.known.get(&proposer).cloned().unwrap_or(first);
         self.rounds.insert(proposer, Round::new(ballot, known));
--- a/coordination/digests/examples/reconcile.rs
+++ b/coordination/digests/examples/reconcile.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::error::Error;
 
-use whinspindle_digests::{Change, Content, Reconciliation, answer};
+use whinspindle_digests::{Change, Reconciliation, VersionedRecord, answer_question};
 
 #[derive(Clone, Debug, PartialEq)]
 struct Record {
@@ -11,7 +11,7 @@
     value: Vec<u8>,
 }
 
-impl Content for Record {
+impl VersionedRecord for Record {
     fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -32,8 +32,8 @@
     replica.insert("key/04000".to_owned(), record(1));
     let mut reconciliation = Reconciliation::new();
     let mut rounds = 0;
-    while let Some(question) = reconciliation.question(&replica) {
-        let reply = answer(&source, &question);
+    while let Some(question) = reconciliation.next_question(&replica) {
+        let reply = answer_question(&source, &question);
         for change in reconciliation.apply(&replica, reply)? {
             match change {
                 Change::Write { key, record } => _ = replica.insert(key, record),
--- a/coordination/digests/src/digest.rs
+++ b/coordination/digests/src/digest.rs
@@ -13,7 +13,7 @@
 const DIGEST_BYTES: usize = 16;
 
 /// What a digest covers of a record.
-pub trait Content {
+pub trait VersionedRecord {
     /// The position in the history of the write that made the record.
     fn sequence(&self) -> u64;
 
@@ -34,7 +34,7 @@
     pub digest: Digest,
 }
 
-impl Content for (u64, Vec<u8>) {
+impl VersionedRecord for (u64, Vec<u8>) {
     fn sequence(&self) -> u64 {
         self.0
     }
@@ -58,19 +58,19 @@
 
 impl RangeDigest {
     /// The digest of a range of these records.
-    pub fn of<R: Content>(records: &BTreeMap<String, R>, range: KeyRange) -> Self {
+    pub fn compute<R: VersionedRecord>(records: &BTreeMap<String, R>, range: KeyRange) -> Self {
         let digest = digest(records, &range);
         RangeDigest { range, digest }
     }
 
     /// Whether these records have the same digest of the range.
-    pub fn matches<R: Content>(&self, records: &BTreeMap<String, R>) -> bool {
+    pub fn matches<R: VersionedRecord>(&self, records: &BTreeMap<String, R>) -> bool {
         digest(records, &self.range) == self.digest
     }
 }
 
 /// The digest of a range of these records.
-pub fn digest<R: Content>(records: &BTreeMap<String, R>, range: &KeyRange) -> Digest {
+pub fn digest<R: VersionedRecord>(records: &BTreeMap<String, R>, range: &KeyRange) -> Digest {
     let mut hasher = blake3::Hasher::new();
     for (key, record) in range.entries(records) {
         update_sized(&mut hasher, key.as_bytes());
@@ -89,29 +89,36 @@
 }
 
 /// Splits a range into parts of about the same number of records: at most [`FAN_OUT`], and at most one for each record.
-pub fn split<R: Content>(records: &BTreeMap<String, R>, range: &KeyRange) -> Vec<RangeDigest> {
+pub fn split<R: VersionedRecord>(records: &BTreeMap<String, R>, range: &KeyRange) -> Vec<RangeDigest> {
     split_into(records, range, FAN_OUT)
 }
 
 /// Splits all keys into at most `parts` ranges of about the same number of records.
-pub fn partition<R: Content>(records: &BTreeMap<String, R>, parts: usize) -> Vec<RangeDigest> {
+pub fn partition<R: VersionedRecord>(records: &BTreeMap<String, R>, parts: usize) -> Vec<RangeDigest> {
     split_into(records, &KeyRange::all(), parts)
 }
 
 /// The ranges among these whose digests differ from those of the local records.
-pub fn differing<R: Content>(records: &BTreeMap<String, R>, digests: &[RangeDigest]) -> Vec<KeyRange> {
+pub fn differing_ranges<R: VersionedRecord>(
+    records: &BTreeMap<String, R>,
+    digests: &[RangeDigest],
+) -> Vec<KeyRange> {
     let different = digests.iter().filter(|digest| !digest.matches(records));
     different.map(|digest| digest.range.clone()).collect()
 }
 
 /// Splits a range into at most `parts` parts.
-fn split_into<R: Content>(records: &BTreeMap<String, R>, range: &KeyRange, parts: usize) -> Vec<RangeDigest> {
+fn split_into<R: VersionedRecord>(
+    records: &BTreeMap<String, R>,
+    range: &KeyRange,
+    parts: usize,
+) -> Vec<RangeDigest> {
     let keys: Vec<&String> = range.entries(records).map(|(key, _)| key).collect();
     let parts = parts.min(keys.len()).max(1);
     // The first part begins with the range, not with its first key.
     let inner = (1..parts).map(|part| keys[part * keys.len() / parts].clone());
-    let starts: Vec<String> = std::iter::once(range.from.clone()).chain(inner).collect();
-    let ends = starts[1..].iter().cloned().map(Some).chain(std::iter::once(range.to.clone()));
-    let ranges = starts.iter().cloned().zip(ends).map(|(from, to)| KeyRange { from, to });
-    ranges.map(|range| RangeDigest::of(records, range)).collect()
+    let starts: Vec<String> = std::iter::once(range.start.clone()).chain(inner).collect();
+    let ends = starts[1..].iter().cloned().map(Some).chain(std::iter::once(range.end.clone()));
+    let ranges = starts.iter().cloned().zip(ends).map(|(start, end)| KeyRange { start, end });
+    ranges.map(|range| RangeDigest::compute(records, range)).collect()
 }
--- a/coordination/digests/src/reconciliation.rs
+++ b/coordination/digests/src/reconciliation.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::digest::{Content, RangeDigest, split};
+use crate::digest::{RangeDigest, VersionedRecord, split};
 use crate::range::KeyRange;
 
 /// The number of ranges in one question at most.
@@ -96,10 +96,11 @@
     }
 
     /// The next question; `None` once the records are equal. Without an answer, it may be asked again.
-    pub fn question<R: Content>(&mut self, records: &BTreeMap<String, R>) -> Option<Question> {
+    pub fn next_question<R: VersionedRecord>(&mut self, records: &BTreeMap<String, R>) -> Option<Question> {
         self.asked = self.open.len().min(MAX_QUESTION_RANGES);
         let asked = self.open.range(..self.asked);
-        let ranges: Vec<RangeDigest> = asked.map(|range| RangeDigest::of(records, range.clone())).collect();
+        let ranges: Vec<RangeDigest> =
+            asked.map(|range| RangeDigest::compute(records, range.clone())).collect();
         (!ranges.is_empty()).then_some(Question { ranges })
     }
 
@@ -108,7 +109,7 @@
     /// # Errors
     ///
     /// The answer does not match the question.
-    pub fn apply<R: Content + Clone + PartialEq>(
+    pub fn apply<R: VersionedRecord + Clone + PartialEq>(
         &mut self,
         records: &BTreeMap<String, R>,
         answer: Answer<R>,
@@ -156,10 +157,10 @@
 fn are_parts_of(parts: &[RangeDigest], range: &KeyRange) -> bool {
     let (Some(first), Some(last)) = (parts.first(), parts.last()) else { return false };
     let has_no_gap = parts.windows(2).all(|pair| {
-        let border = &pair[1].range.from;
-        pair[0].range.to.as_ref() == Some(border) && range.contains(border) && pair[0].range.from < *border
+        let border = &pair[1].range.start;
+        pair[0].range.end.as_ref() == Some(border) && range.contains(border) && pair[0].range.start < *border
     });
-    parts.len() >= 2 && first.range.from == range.from && last.range.to == range.to && has_no_gap
+    parts.len() >= 2 && first.range.start == range.start && last.range.end == range.end && has_no_gap
 }
 
 /// The changes that make the records of a range equal to the newer ones.
@@ -177,7 +178,10 @@
 }
 
 /// Answers a question of another replica, or the first ranges of it.
-pub fn answer<R: Content + Clone>(records: &BTreeMap<String, R>, question: &Question) -> Answer<R> {
+pub fn answer_question<R: VersionedRecord + Clone>(
+    records: &BTreeMap<String, R>,
+    question: &Question,
+) -> Answer<R> {
     let mut ranges = Vec::new();
     let mut bytes = 0;
     for asked in question.ranges.iter().take(MAX_QUESTION_RANGES) {
@@ -192,7 +196,10 @@
 }
 
 /// Answers about one range.
-fn answer_range<R: Content + Clone>(records: &BTreeMap<String, R>, asked: &RangeDigest) -> RangeAnswer<R> {
+fn answer_range<R: VersionedRecord + Clone>(
+    records: &BTreeMap<String, R>,
+    asked: &RangeDigest,
+) -> RangeAnswer<R> {
     if asked.matches(records) {
         return RangeAnswer::Same;
     }
@@ -206,7 +213,7 @@
     RangeAnswer::Parts(split(records, &asked.range))
 }
 
-impl<R: Content> RangeAnswer<R> {
+impl<R: VersionedRecord> RangeAnswer<R> {
     /// The size in bytes, which the limit of an answer is about.
     fn bytes(&self) -> usize {
         match self {
@@ -215,13 +222,13 @@
                 records.iter().map(|(key, record)| record_bytes(key, record)).sum()
             }
             RangeAnswer::Parts(parts) => {
-                parts.iter().map(|part| part.range.from.len() * 2 + size_of_val(part)).sum()
+                parts.iter().map(|part| part.range.start.len() * 2 + size_of_val(part)).sum()
             }
         }
     }
 }
 
 /// The size of a record in bytes.
-fn record_bytes<R: Content>(key: &str, record: &R) -> usize {
+fn record_bytes<R: VersionedRecord>(key: &str, record: &R) -> usize {
     key.len() + record.value().len()
 }
--- a/coordination/digests/tests/digests.rs
+++ b/coordination/digests/tests/digests.rs
@@ -5,7 +5,8 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 use whinspindle_digests::{
     Answer, Change, Digest, FAN_OUT, KeyRange, MAX_ANSWER_BYTES, MAX_QUESTION_RANGES, RangeAnswer,
-    RangeDigest, Reconciliation, UnexpectedAnswer, answer, differing, digest, partition, split,
+    RangeDigest, Reconciliation, UnexpectedAnswer, answer_question, differing_ranges, digest, partition,
+    split,
 };
 
 type Record = (u64, Vec<u8>);
@@ -19,7 +20,7 @@
 }
 
 fn range(from: &str, to: Option<&str>) -> KeyRange {
-    KeyRange { from: from.to_owned(), to: to.map(str::to_owned) }
+    KeyRange { start: from.to_owned(), end: to.map(str::to_owned) }
 }
 
 fn carry_out(records: &mut Records, changes: Vec<Change<Record>>) {
@@ -48,8 +49,8 @@
 fn reconcile(target: &mut Records, source: &Records) -> Effort {
     let mut effort = Effort::default();
     let mut reconciliation = Reconciliation::new();
-    while let Some(question) = reconciliation.question(target) {
-        let answer = answer(source, &question);
+    while let Some(question) = reconciliation.next_question(target) {
+        let answer = answer_question(source, &question);
         assert!(!answer.ranges.is_empty(), "a question without an answer");
         effort.rounds += 1;
         effort.largest_question = effort.largest_question.max(question.ranges.len());
@@ -181,12 +182,12 @@
 #[test]
 fn answers_that_do_not_match_are_rejected() {
     let target = numbered(0..100, 100);
-    let part = |from: &str, to: Option<&str>| RangeDigest::of(&target, range(from, to));
+    let part = |from: &str, to: Option<&str>| RangeDigest::compute(&target, range(from, to));
     let (start, end) = (part("", Some("m")), part("m", None));
     let outside = RangeAnswer::Records(vec![("a".to_owned(), (1, Vec::new()))]);
     let mut reconciliation = Reconciliation::new();
     let mut refuses = |ranges: Vec<RangeAnswer<Record>>| {
-        reconciliation.question(&target).expect("the records were not compared");
+        reconciliation.next_question(&target).expect("the records were not compared");
         assert_eq!(reconciliation.apply(&target, Answer { ranges }), Err(UnexpectedAnswer));
     };
     refuses(vec![RangeAnswer::Same, RangeAnswer::Same]);
@@ -197,17 +198,17 @@
     refuses(vec![RangeAnswer::Parts(vec![start.clone(), part("m", Some("n"))])]);
     refuses(vec![RangeAnswer::Parts(vec![part("", Some("m")), part("m", Some("a")), part("a", None)])]);
 
-    reconciliation.question(&target).expect("the records were not compared");
-    let parts = RangeAnswer::Parts(vec![start, RangeDigest::of(&Records::new(), end.range)]);
+    reconciliation.next_question(&target).expect("the records were not compared");
+    let parts = RangeAnswer::Parts(vec![start, RangeDigest::compute(&Records::new(), end.range)]);
     assert_eq!(reconciliation.apply(&target, Answer { ranges: vec![parts] }), Ok(Vec::new()));
-    let question = reconciliation.question(&target);
+    let question = reconciliation.next_question(&target);
     assert_eq!(question, None, "no record lies in the part that differs");
 
     let mut reconciliation = Reconciliation::new();
-    reconciliation.question(&target).expect("the records were not compared");
+    reconciliation.next_question(&target).expect("the records were not compared");
     let parts = vec![part("", Some("m")), RangeDigest { range: range("m", None), ..part("", Some("m")) }];
     assert!(reconciliation.apply(&target, Answer { ranges: vec![RangeAnswer::Parts(parts)] }).is_ok());
-    reconciliation.question(&target).expect("one part differs");
+    reconciliation.next_question(&target).expect("one part differs");
     assert_eq!(reconciliation.apply(&target, Answer { ranges: vec![outside] }), Err(UnexpectedAnswer));
 }
 
@@ -278,7 +279,7 @@
         if digests.len() > usize::from(parts).max(1) {
             return TestResult::error("too many parts");
         }
-        for range in differing(&source, &digests) {
+        for range in differing_ranges(&source, &digests) {
             target.retain(|key, _| !range.contains(key));
             target.extend(range.entries(&source).map(|(key, record)| (key.clone(), record.clone())));
         }
@@ -289,16 +290,16 @@
 
 #[test]
 fn the_parts_of_a_range_have_no_gap_and_no_overlap() {
-    fn property(records: BTreeMap<String, Record>, from: String, to: Option<String>) -> bool {
-        let range = KeyRange { from, to };
+    fn property(records: BTreeMap<String, Record>, start: String, end: Option<String>) -> bool {
+        let range = KeyRange { start, end };
         let parts = split(&records, &range);
         let borders_meet =
-            parts.windows(2).all(|pair| pair[0].range.to.as_ref() == Some(&pair[1].range.from));
+            parts.windows(2).all(|pair| pair[0].range.end.as_ref() == Some(&pair[1].range.start));
         let count: usize = parts.iter().map(|part| part.range.entries(&records).count()).sum();
         (1..=FAN_OUT).contains(&parts.len())
             && borders_meet
-            && parts[0].range.from == range.from
-            && parts[parts.len() - 1].range.to == range.to
+            && parts[0].range.start == range.start
+            && parts[parts.len() - 1].range.end == range.end
             && count == range.entries(&records).count()
             && parts.iter().all(|part| part.matches(&records))
     }
--- a/coordination/encoding/src/decode_error.rs
+++ b/coordination/encoding/src/decode_error.rs
@@ -8,13 +8,13 @@
 pub enum DecodeError {
     /// The bytes are not a Cap'n Proto message, or it is longer to read through than allowed.
     #[snafu(display("the message is broken"), context(false))]
-    Broken {
+    Malformed {
         /// The error of the decoder.
         source: capnp::Error,
     },
     /// A text is not UTF-8.
     #[snafu(display("a text of the message is not UTF-8"), context(false))]
-    Text {
+    InvalidUtf8 {
         /// Where the text is not UTF-8.
         source: std::str::Utf8Error,
     },
--- a/coordination/replica/examples/three_replicas.rs
+++ b/coordination/replica/examples/three_replicas.rs
@@ -33,8 +33,8 @@
         seeds: seeds.to_vec(),
         bootstrap: true,
         incarnation: u64::from(endpoint.port()),
-        start: 1,
-        tolerance: Tolerance::of_machines(1),
+        start_id: 1,
+        tolerance: Tolerance::machines_only(1),
         timing: Timing::default(),
     }
 }
@@ -55,7 +55,7 @@
                 }
                 Output::Persist { token, .. } => self.inputs.push_back((at, Input::Persisted { token })),
                 Output::Reply { ticket, result } => println!("ticket {ticket} at {at}: {result:?}"),
-                Output::Committed { .. } | Output::Replaced => {}
+                Output::Committed { .. } | Output::RecordsReplaced => {}
             }
         }
     }
--- a/coordination/replica/src/application.rs
+++ b/coordination/replica/src/application.rs
@@ -36,7 +36,7 @@
 
 impl Answer {
     /// The bytes of the answer, with these records.
-    pub fn value_in(&self, records: &Records) -> Vec<u8> {
+    pub fn resolve(&self, records: &Records) -> Vec<u8> {
         match self {
             Answer::Value(value) => value.clone(),
             Answer::Record(key) => records.get(key).map(|record| record.value.to_vec()).unwrap_or_default(),
--- a/coordination/replica/src/codec.rs
+++ b/coordination/replica/src/codec.rs
@@ -36,8 +36,8 @@
 fn write(message: &Message, to: wire::Builder) {
     match message {
         Message::Heartbeat(heartbeat) => heartbeat::write(heartbeat, to.init_heartbeat()),
-        Message::Prepare { voter, ballot, known } => {
-            agreement::write_prepare(*voter, *ballot, *known, to.init_prepare());
+        Message::Prepare { voter, ballot, known_view } => {
+            agreement::write_prepare(*voter, *ballot, *known_view, to.init_prepare());
         }
         Message::Promise { voter, ballot, accepted, report } => {
             agreement::write_promise(*voter, *ballot, accepted.as_deref(), report, to.init_promise());
@@ -54,8 +54,8 @@
         }
         Message::Decided(decided) => parts::write_decided(decided.ballot, &decided.view, to.init_decided()),
         Message::Submit { origin, command } => chain::write_submit(origin, command, to.init_submit()),
-        Message::Replied { start, ticket, sequence, answer } => {
-            chain::write_replied(*start, *ticket, *sequence, answer, to.init_replied());
+        Message::Replied { start_id, ticket, sequence, answer } => {
+            chain::write_replied(*start_id, *ticket, *sequence, answer, to.init_replied());
         }
         Message::Append { view, entries, reads } => {
             chain::write_append(*view, entries, reads, to.init_append());
--- a/coordination/replica/src/codec/agreement.rs
+++ b/coordination/replica/src/codec/agreement.rs
@@ -11,15 +11,15 @@
 use crate::replica_capnp as wire;
 use crate::view::View;
 
-pub fn write_prepare(voter: Voter, ballot: Ballot, known: u64, mut to: wire::prepare::Builder) {
+pub fn write_prepare(voter: Voter, ballot: Ballot, known_view: u64, mut to: wire::prepare::Builder) {
     write_voter(voter, to.reborrow().init_voter());
     write_ballot(ballot, to.reborrow().init_ballot());
-    to.set_known(known);
+    to.set_known(known_view);
 }
 
 pub fn read_prepare(from: wire::prepare::Reader) -> Result<Message, DecodeError> {
     let (voter, ballot) = (read_voter(from.get_voter()?), read_ballot(from.get_ballot()?));
-    Ok(Message::Prepare { voter, ballot, known: from.get_known() })
+    Ok(Message::Prepare { voter, ballot, known_view: from.get_known() })
 }
 
 pub fn write_promise(
--- a/coordination/replica/src/codec/chain.rs
+++ b/coordination/replica/src/codec/chain.rs
@@ -19,16 +19,22 @@
     Ok(Message::Submit { origin, command: from.get_command()?.to_vec() })
 }
 
-pub fn write_replied(start: u64, ticket: u64, sequence: u64, answer: &[u8], mut to: wire::replied::Builder) {
-    to.set_start(start);
+pub fn write_replied(
+    start_id: u64,
+    ticket: u64,
+    sequence: u64,
+    answer: &[u8],
+    mut to: wire::replied::Builder,
+) {
+    to.set_start(start_id);
     to.set_ticket(ticket);
     to.set_sequence(sequence);
     to.set_answer(answer);
 }
 
 pub fn read_replied(from: wire::replied::Reader) -> Result<Message, DecodeError> {
-    let (start, ticket, sequence) = (from.get_start(), from.get_ticket(), from.get_sequence());
-    Ok(Message::Replied { start, ticket, sequence, answer: from.get_answer()?.to_vec() })
+    let (start_id, ticket, sequence) = (from.get_start(), from.get_ticket(), from.get_sequence());
+    Ok(Message::Replied { start_id, ticket, sequence, answer: from.get_answer()?.to_vec() })
 }
 
 pub fn write_acknowledge(view: u64, last: u64, committed: u64, mut to: wire::acknowledge::Builder) {
--- a/coordination/replica/src/codec/heartbeat.rs
+++ b/coordination/replica/src/codec/heartbeat.rs
@@ -7,7 +7,7 @@
 
 pub fn write(heartbeat: &Heartbeat, mut to: wire::Builder) {
     to.set_birth(heartbeat.incarnation);
-    to.set_start(heartbeat.start);
+    to.set_start(heartbeat.start_id);
     to.set_zone(&heartbeat.zone);
     to.set_region(&heartbeat.region);
     to.set_view(heartbeat.view);
@@ -26,7 +26,7 @@
 pub fn read(from: wire::Reader) -> Result<Heartbeat, DecodeError> {
     Ok(Heartbeat {
         incarnation: from.get_birth(),
-        start: from.get_start(),
+        start_id: from.get_start(),
         zone: from.get_zone()?.to_string()?,
         region: from.get_region()?.to_string()?,
         view: from.get_view(),
@@ -41,7 +41,7 @@
 }
 
 fn write_received(received: &ReceivedHeartbeat, mut to: heard::Builder) {
-    to.set_start(received.start);
+    to.set_start(received.start_id);
     to.set_sent_at(received.sent_at);
     write_endpoint(received.endpoint, to.init_endpoint());
 }
@@ -49,7 +49,7 @@
 fn read_received(from: heard::Reader) -> Result<ReceivedHeartbeat, DecodeError> {
     Ok(ReceivedHeartbeat {
         endpoint: read_endpoint(from.get_endpoint()?)?,
-        start: from.get_start(),
+        start_id: from.get_start(),
         sent_at: from.get_sent_at(),
     })
 }
--- a/coordination/replica/src/codec/parts.rs
+++ b/coordination/replica/src/codec/parts.rs
@@ -49,7 +49,7 @@
     to.set_epoch(ballot.epoch);
     to.set_round(ballot.round);
     to.set_member(ballot.member);
-    to.set_start(ballot.start);
+    to.set_start(ballot.start_id);
 }
 
 pub fn read_ballot(from: wire::ballot::Reader) -> Ballot {
@@ -57,7 +57,7 @@
         epoch: from.get_epoch(),
         round: from.get_round(),
         member: from.get_member(),
-        start: from.get_start(),
+        start_id: from.get_start(),
     }
 }
 
@@ -85,16 +85,16 @@
         }
     }
     write_chain(&view.chain, to.reborrow().init_chain(length(&view.chain)));
-    let mut former = to.init_former(length(&view.former));
-    for (index, chain) in (0..).zip(&view.former) {
-        write_chain(chain, former.reborrow().init(index, length(chain)));
+    let mut former_chains = to.init_former(length(&view.former_chains));
+    for (index, chain) in (0..).zip(&view.former_chains) {
+        write_chain(chain, former_chains.reborrow().init(index, length(chain)));
     }
 }
 
 fn write_chain(chain: &[ChainLink], mut to: capnp::struct_list::Builder<wire::chain_link::Owned>) {
     for (index, link) in (0..).zip(chain) {
         let mut to = to.reborrow().get(index);
-        to.set_since(link.since);
+        to.set_since(link.since_view);
         write_voter(link.voter, to.init_voter());
     }
 }
@@ -106,12 +106,12 @@
         voter_sets.push(voter_set?.iter().map(read_voter).collect());
     }
     let chain = read_chain(from.get_chain()?)?;
-    let mut former = Vec::new();
+    let mut former_chains = Vec::new();
     for chain in from.get_former()?.iter() {
-        former.push(read_chain(chain?)?);
+        former_chains.push(read_chain(chain?)?);
     }
     let (number, next_member) = (from.get_number(), from.get_next_member());
-    Ok(View { number, members, voter_sets, chain, former, next_member })
+    Ok(View { number, members, voter_sets, chain, former_chains, next_member })
 }
 
 fn read_chain(
@@ -119,7 +119,7 @@
 ) -> Result<Vec<ChainLink>, DecodeError> {
     let mut chain = Vec::new();
     for link in from.iter() {
-        chain.push(ChainLink { voter: read_voter(link.get_voter()?), since: link.get_since() });
+        chain.push(ChainLink { voter: read_voter(link.get_voter()?), since_view: link.get_since() });
     }
     Ok(chain)
 }
@@ -151,13 +151,13 @@
 
 pub fn write_origin(origin: &Origin, mut to: wire::origin::Builder) {
     write_endpoint(origin.endpoint, to.reborrow().init_endpoint());
-    to.set_start(origin.start);
+    to.set_start(origin.start_id);
     to.set_ticket(origin.ticket);
 }
 
 pub fn read_origin(from: wire::origin::Reader) -> Result<Origin, DecodeError> {
     let endpoint = read_endpoint(from.get_endpoint()?)?;
-    Ok(Origin { endpoint, start: from.get_start(), ticket: from.get_ticket() })
+    Ok(Origin { endpoint, start_id: from.get_start(), ticket: from.get_ticket() })
 }
 
 pub fn write_answer(answer: &Answer, mut to: wire::answer::Builder) {
@@ -175,19 +175,19 @@
 }
 
 pub fn write_range(range: &KeyRange, mut to: wire::key_range::Builder) {
-    to.set_from(&range.from);
-    match &range.to {
+    to.set_from(&range.start);
+    match &range.end {
         Some(end) => to.set_to(end),
         None => to.set_open(()),
     }
 }
 
 pub fn read_range(from: wire::key_range::Reader) -> Result<KeyRange, DecodeError> {
-    let to = match from.which()? {
+    let end = match from.which()? {
         wire::key_range::Open(()) => None,
         wire::key_range::To(end) => Some(end?.to_string()?),
     };
-    Ok(KeyRange { from: from.get_from()?.to_string()?, to })
+    Ok(KeyRange { start: from.get_from()?.to_string()?, end })
 }
 
 pub fn write_digest(digest: &RangeDigest, mut to: wire::range_digest::Builder) {
--- a/coordination/replica/src/entry.rs
+++ b/coordination/replica/src/entry.rs
@@ -13,7 +13,7 @@
     /// The replica that it was submitted to.
     pub endpoint: SocketAddr,
     /// The start of the process there: tickets are used again after another start.
-    pub start: u64,
+    pub start_id: u64,
     /// The ticket that it was submitted with.
     pub ticket: u64,
 }
--- a/coordination/replica/src/input.rs
+++ b/coordination/replica/src/input.rs
@@ -39,5 +39,5 @@
         endpoints: Vec<SocketAddr>,
     },
     /// The process is shutting down.
-    Leave,
+    Shutdown,
 }
--- a/coordination/replica/src/lib.rs
+++ b/coordination/replica/src/lib.rs
@@ -31,8 +31,8 @@
 //! #     seeds: vec![endpoint],
 //! #     bootstrap: true,
 //! #     incarnation: 1,
-//! #     start: 1,
-//! #     tolerance: Tolerance::of_machines(0),
+//! #     start_id: 1,
+//! #     tolerance: Tolerance::machines_only(0),
 //! #     timing: Timing::default(),
 //! # };
 //!
@@ -96,9 +96,9 @@
 pub use output::{Output, Reply, SubmitError};
 pub use placement::{FailureDomain, LossKind, Tolerance};
 pub use protocol_rules::{ProtocolRules, StandardRules};
-pub use protocol_version::{FIRST_WITH_VOTER_LOST, PROTOCOL_VERSION};
+pub use protocol_version::{MIN_VERSION_FOR_VOTER_LOST, PROTOCOL_VERSION};
 pub use records::{Record, RecordWrite, Records};
-pub use replica::{ForcedReconfiguration, RefusedReconfiguration, Replica};
+pub use replica::{ForcedReconfiguration, ReconfigurationError, Replica};
 pub use settings::{ReplicaSettings, Timing};
 pub use view::{ChainLink, Member, View};
 pub use whinspindle_consensus::{ConsensusRules, StandardConsensusRules, Voter};
--- a/coordination/replica/src/message.rs
+++ b/coordination/replica/src/message.rs
@@ -23,7 +23,7 @@
         /// The ballot of the proposal.
         ballot: Ballot,
         /// The newest view known to the proposer.
-        known: u64,
+        known_view: u64,
     },
     /// The answer of a voter that promises.
     Promise {
@@ -79,7 +79,7 @@
     /// The answer to a command, sent to where it was submitted.
     Replied {
         /// The start of the process that it was submitted to.
-        start: u64,
+        start_id: u64,
         /// The ticket of the command.
         ticket: u64,
         /// The position in the history of the write, or of the state that was read.
@@ -143,7 +143,7 @@
     /// The replica that sent it.
     pub endpoint: SocketAddr,
     /// The start of its process.
-    pub start: u64,
+    pub start_id: u64,
     /// When it was sent, by the clock of that replica.
     pub sent_at: u64,
 }
@@ -154,7 +154,7 @@
     /// Identifies the durable state of the replica.
     pub incarnation: u64,
     /// Drawn at each start of the process.
-    pub start: u64,
+    pub start_id: u64,
     /// The zone of the replica.
     pub zone: String,
     /// The region of the replica.
--- a/coordination/replica/src/output.rs
+++ b/coordination/replica/src/output.rs
@@ -32,15 +32,15 @@
         /// Its answer.
         result: Result<Reply, SubmitError>,
     },
-    /// [`crate::Replica::committed`] has advanced by one command.
+    /// [`crate::Replica::committed_records`] has advanced by one command.
     Committed {
         /// The position of the command in the history.
         sequence: u64,
         /// What it has written.
         writes: Vec<RecordWrite>,
     },
-    /// [`crate::Replica::committed`] was replaced as a whole.
-    Replaced,
+    /// [`crate::Replica::committed_records`] was replaced as a whole.
+    RecordsReplaced,
 }
 
 /// The answer to a command.
@@ -60,5 +60,5 @@
     NoQuorum,
     /// The command was sent, and may have an effect.
     #[snafu(display("no answer came in time; the command may have an effect"))]
-    Unknown,
+    OutcomeUnknown,
 }
--- a/coordination/replica/src/peers.rs
+++ b/coordination/replica/src/peers.rs
@@ -36,7 +36,7 @@
     /// The endpoint of this replica.
     endpoint: SocketAddr,
     /// The start of this process.
-    start: u64,
+    start_id: u64,
     /// The time-outs.
     timing: Timing,
     /// The silence of a peer counts from here at the earliest.
@@ -47,8 +47,8 @@
 
 impl Peers {
     /// No peer is known yet.
-    pub fn new(endpoint: SocketAddr, start: u64, timing: Timing, now: u64) -> Peers {
-        Peers { endpoint, start, timing, since: now, known: BTreeMap::new() }
+    pub fn new(endpoint: SocketAddr, start_id: u64, timing: Timing, now: u64) -> Peers {
+        Peers { endpoint, start_id, timing, since: now, known: BTreeMap::new() }
     }
 
     /// Records a heartbeat. Returns whether the peer was restarted, or is new.
@@ -66,9 +66,9 @@
         let answered = heartbeat.received.iter().find(|received| self.is_own(received));
         let confirmed_at = answered.map(|received| contact(received.sent_at, now));
         let before = self.known.get(&from);
-        let is_new = before.is_none_or(|peer| peer.heartbeat.start != heartbeat.start);
+        let is_new = before.is_none_or(|peer| peer.heartbeat.start_id != heartbeat.start_id);
         let pause = before.map_or(u64::MAX, |peer| now.saturating_sub(peer.received_at));
-        let is_steady = !is_new && pause <= self.timing.suspicion;
+        let is_steady = !is_new && pause <= self.timing.suspicion_timeout_ms;
         let steady_since = before.filter(|_| is_steady).map_or(now, |peer| peer.steady_since);
         let acknowledged_before = before.filter(|_| !is_new).and_then(|peer| peer.acknowledged_at);
         let acknowledged_at = if acknowledges_us { Some(now) } else { acknowledged_before };
@@ -82,17 +82,18 @@
     /// Whether a newer heartbeat of the peer has arrived already: this one was delayed.
     pub fn is_overtaken(&self, from: SocketAddr, heartbeat: &Heartbeat) -> bool {
         let newest = self.get(from).map(|peer| &peer.heartbeat);
-        newest.is_some_and(|newest| newest.start == heartbeat.start && newest.sent_at > heartbeat.sent_at)
+        newest
+            .is_some_and(|newest| newest.start_id == heartbeat.start_id && newest.sent_at > heartbeat.sent_at)
     }
 
     /// Whether a heartbeat that a peer has received was sent by this process.
     fn is_own(&self, received: &ReceivedHeartbeat) -> bool {
-        received.endpoint == self.endpoint && received.start == self.start
+        received.endpoint == self.endpoint && received.start_id == self.start_id
     }
 
     /// Removes peers that have been silent for long.
     pub fn remove_silent(&mut self, now: u64) {
-        let longest = REMOVAL_SUSPICIONS * self.timing.suspicion;
+        let longest = REMOVAL_SUSPICIONS * self.timing.suspicion_timeout_ms;
         self.known.retain(|_, peer| now <= peer.received_at + longest);
     }
 
@@ -114,13 +115,14 @@
 
     /// Whether heartbeats arrive.
     pub fn is_live(&self, now: u64, endpoint: SocketAddr) -> bool {
-        self.get(endpoint).is_some() && self.silent_for(now, endpoint) <= self.timing.suspicion
+        self.get(endpoint).is_some() && self.silent_for(now, endpoint) <= self.timing.suspicion_timeout_ms
     }
 
     /// Whether heartbeats arrive in both directions.
     pub fn is_connected(&self, now: u64, endpoint: SocketAddr) -> bool {
         let acknowledged_at = self.get(endpoint).and_then(|peer| peer.acknowledged_at);
-        self.is_live(now, endpoint) && acknowledged_at.is_some_and(|at| now <= at + self.timing.suspicion)
+        self.is_live(now, endpoint)
+            && acknowledged_at.is_some_and(|at| now <= at + self.timing.suspicion_timeout_ms)
     }
 
     /// Whether the newest heartbeat answers one that this replica sent a short time ago.
@@ -128,17 +130,17 @@
     /// What was delayed by a partition, or while this process did not run, proves nothing.
     pub fn is_confirmed(&self, now: u64, endpoint: SocketAddr) -> bool {
         let confirmed_at = self.get(endpoint).and_then(|peer| peer.confirmed_at);
-        confirmed_at.is_some_and(|at| now <= at + self.timing.contact)
+        confirmed_at.is_some_and(|at| now <= at + self.timing.contact_lifetime_ms)
     }
 
     /// Whether the peer has failed, as far as can be told: it is silent, or does not receive heartbeats.
     pub fn is_suspected(&self, now: u64, endpoint: SocketAddr) -> bool {
-        if self.silent_for(now, endpoint) > self.timing.suspicion {
+        if self.silent_for(now, endpoint) > self.timing.suspicion_timeout_ms {
             return true;
         }
         let Some(peer) = self.get(endpoint) else { return false };
         let waits_since = peer.acknowledged_at.unwrap_or(peer.steady_since.max(self.since));
-        now > waits_since + self.timing.suspicion
+        now > waits_since + self.timing.suspicion_timeout_ms
     }
 
     /// The newest heartbeats of the live peers.
@@ -146,7 +148,7 @@
         let live = self.known.iter().filter(|(endpoint, _)| self.is_live(now, **endpoint));
         let newest = live.map(|(endpoint, peer)| ReceivedHeartbeat {
             endpoint: *endpoint,
-            start: peer.heartbeat.start,
+            start_id: peer.heartbeat.start_id,
             sent_at: peer.heartbeat.sent_at,
         });
         newest.collect()
--- a/coordination/replica/src/placement.rs
+++ b/coordination/replica/src/placement.rs
@@ -15,7 +15,7 @@
 
 impl Tolerance {
     /// Tolerance of lost machines; zones and regions are not considered.
-    pub fn of_machines(machines: usize) -> Tolerance {
+    pub fn machines_only(machines: usize) -> Tolerance {
         Tolerance { machines, zones: 0, regions: 0 }
     }
 
--- a/coordination/replica/src/planning.rs
+++ b/coordination/replica/src/planning.rs
@@ -90,7 +90,7 @@
     plan.choose_chain(prepared)?;
     plan.remove_former_members();
     plan.update_failure_domains();
-    plan.next.takes_writes(input.tolerance.machines).then_some(plan.next)
+    plan.next.accepts_writes(input.tolerance.machines).then_some(plan.next)
 }
 
 /// The next view while it is planned.
@@ -122,7 +122,7 @@
 
     /// Whether the log of a chain member holds all that was committed.
     fn is_complete(&self, link: &ChainLink) -> bool {
-        self.present.get(&link.voter).is_some_and(|state| state.complete >= link.since)
+        self.present.get(&link.voter).is_some_and(|state| state.complete >= link.since_view)
     }
 
     /// Whether a voter is shutting down.
--- a/coordination/replica/src/planning/chain.rs
+++ b/coordination/replica/src/planning/chain.rs
@@ -34,14 +34,14 @@
             }
             let last = chain.last()?.voter;
             let is_ready = state.committed + SMALL_LAG >= newest && !self.are_disconnected(last, voter);
-            let link = ChainLink { voter, since: self.next.number };
+            let link = ChainLink { voter, since_view: self.next.number };
             if is_ready {
                 chain.push(link);
             } else {
                 late.push(link);
             }
         }
-        let required = self.next.required_chain(self.input.tolerance.machines);
+        let required = self.next.required_chain_length(self.input.tolerance.machines);
         self.drop_shutting_down(&mut chain, required);
         let lacking = required.saturating_sub(chain.len());
         chain.extend(late.into_iter().take(lacking));
@@ -51,7 +51,7 @@
 
     /// Records the chain of the prepared view as the newest former one.
     fn record_former_chain(&mut self, prepared: &View) {
-        self.next.former.push(prepared.chain.clone());
+        self.next.former_chains.push(prepared.chain.clone());
     }
 
     /// A member of a former chain that holds all that was committed, where no member of the present chain does; the
@@ -60,20 +60,20 @@
     /// In a view with a member that has promised without a complete log, nothing was or will be committed: that takes
     /// complete logs of all members, and this one will not have one any more. So the chain before it counts, and so on.
     fn former_leader(&mut self, voters: &[Voter]) -> Option<ChainLink> {
-        while let Some(chain) = self.next.former.last() {
+        while let Some(chain) = self.next.former_chains.last() {
             let promised: Vec<(&ChainLink, u64)> =
                 chain.iter().filter_map(|link| Some((link, self.promised_complete(link.voter)?))).collect();
             let may_lead = |(link, complete): &&(&ChainLink, u64)| {
-                let holds_all = *complete >= link.since || !self.input.requires_complete_leader;
+                let holds_all = *complete >= link.since_view || !self.input.requires_complete_leader;
                 holds_all && voters.contains(&link.voter)
             };
             if let Some((link, complete)) = promised.iter().find(may_lead) {
-                return Some(ChainLink { voter: link.voter, since: link.since.min(*complete) });
+                return Some(ChainLink { voter: link.voter, since_view: link.since_view.min(*complete) });
             }
-            if promised.iter().all(|(link, complete)| *complete >= link.since) {
+            if promised.iter().all(|(link, complete)| *complete >= link.since_view) {
                 return None;
             }
-            self.next.former.pop();
+            self.next.former_chains.pop();
         }
         None
     }
@@ -85,7 +85,7 @@
         };
         let present = self.present.iter().filter(takes_part);
         let (voter, state) = present.max_by_key(|(_, state)| (state.complete, state.committed))?;
-        Some(ChainLink { voter: *voter, since: state.complete })
+        Some(ChainLink { voter: *voter, since_view: state.complete })
     }
 
     /// The last view in which a voter's log was complete, by the report with its promise.
@@ -97,11 +97,11 @@
     /// Drops the chains before the newest one whose members all have complete logs, and those beyond the maximum.
     fn trim_former_chains(&mut self) {
         let holds_all = |link: &ChainLink| {
-            self.promised_complete(link.voter).is_some_and(|complete| complete >= link.since)
+            self.promised_complete(link.voter).is_some_and(|complete| complete >= link.since_view)
         };
-        let first_needed = self.next.former.iter().rposition(|chain| chain.iter().all(holds_all));
-        let excess = self.next.former.len().saturating_sub(MAX_FORMER_CHAINS);
-        self.next.former.drain(..first_needed.unwrap_or(0).max(excess));
+        let first_needed = self.next.former_chains.iter().rposition(|chain| chain.iter().all(holds_all));
+        let excess = self.next.former_chains.len().saturating_sub(MAX_FORMER_CHAINS);
+        self.next.former_chains.drain(..first_needed.unwrap_or(0).max(excess));
     }
 
     /// Whether two voters do not receive heartbeats from each other.
@@ -114,7 +114,7 @@
     /// Voters that are not in the chain but can be, the most advanced first.
     fn joiners(&self, prepared: &View, voters: &[Voter]) -> Vec<(Voter, VoterState)> {
         let is_outside =
-            |voter: &Voter| prepared.position(*voter).is_none() && !self.is_shutting_down(*voter);
+            |voter: &Voter| prepared.chain_position(*voter).is_none() && !self.is_shutting_down(*voter);
         let outside = voters.iter().copied().filter(is_outside);
         let mut joiners: Vec<(Voter, VoterState)> =
             outside.filter_map(|voter| self.present.get(&voter).map(|state| (voter, *state))).collect();
--- a/coordination/replica/src/planning/voters.rs
+++ b/coordination/replica/src/planning/voters.rs
@@ -144,7 +144,7 @@
         mut voters: Vec<(Voter, FailureDomain)>,
         candidates: &[Candidate],
     ) -> Option<(Voter, Candidate)> {
-        voters.sort_by_key(|(voter, _)| std::cmp::Reverse(self.next.position(*voter)));
+        voters.sort_by_key(|(voter, _)| std::cmp::Reverse(self.next.chain_position(*voter)));
         let mut best =
             Crowding::of(&voters.iter().map(|(_, domain)| domain).collect::<Vec<&FailureDomain>>());
         let mut exchange = None;
@@ -164,7 +164,7 @@
 
     /// Whether a voter is in the chain with a complete log, and not shutting down.
     fn is_stable_member(&self, voter: Voter) -> bool {
-        let link = self.next.link(voter);
+        let link = self.next.chain_link(voter);
         link.is_some_and(|link| self.is_complete(link)) && !self.is_shutting_down(voter)
     }
 
--- a/coordination/replica/src/protocol_rules.rs
+++ b/coordination/replica/src/protocol_rules.rs
@@ -39,7 +39,7 @@
 
     /// The last view in which the log of a member counts as complete, by the one `recorded` on its disk and the view since
     /// which it is in the chain.
-    fn complete(recorded: u64, _since: u64) -> u64 {
+    fn complete_view(recorded: u64, _since: u64) -> u64 {
         recorded
     }
 
@@ -76,24 +76,24 @@
 
     /// Whether a member that is left out of the chain keeps entries of which it is unknown whether they are committed, until
     /// it knows those that are.
-    fn keeps_entries() -> bool {
+    fn keeps_uncertain_entries() -> bool {
         true
     }
 
     /// Whether one of two voters answers a read alone although its log goes on after the committed entries, given whether
     /// the answer is the same with more of them.
-    fn answers_alone(is_certain: bool) -> bool {
+    fn may_answer_alone(is_certain: bool) -> bool {
         is_certain
     }
 
     /// From when contact with a peer counts, by the times at which a heartbeat to it was sent and its answer arrived.
-    fn contact(sent_at: u64, _arrived_at: u64) -> u64 {
+    fn contact_time(sent_at: u64, _arrived_at: u64) -> u64 {
         sent_at
     }
 
     /// The start of the process, which separates its tickets from those of earlier starts.
-    fn start(settings: &ReplicaSettings) -> u64 {
-        settings.start
+    fn start_id(settings: &ReplicaSettings) -> u64 {
+        settings.start_id
     }
 }
 
--- a/coordination/replica/src/protocol_version.rs
+++ b/coordination/replica/src/protocol_version.rs
@@ -7,4 +7,4 @@
 pub const PROTOCOL_VERSION: u16 = 1;
 
 /// The first version that reads [`crate::Message::VoterLost`].
-pub const FIRST_WITH_VOTER_LOST: u16 = 1;
+pub const MIN_VERSION_FOR_VOTER_LOST: u16 = 1;
--- a/coordination/replica/src/records.rs
+++ b/coordination/replica/src/records.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use whinspindle_digests::Content;
+use whinspindle_digests::VersionedRecord;
 
 /// A write of one record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -26,7 +26,7 @@
     pub value: Arc<Vec<u8>>,
 }
 
-impl Content for Record {
+impl VersionedRecord for Record {
     fn sequence(&self) -> u64 {
         self.sequence
     }
@@ -49,7 +49,7 @@
     }
 
     /// The records whose keys start with the prefix, in the order of their keys.
-    pub fn range<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Record)> {
+    pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Record)> {
         let from = (Bound::Included(prefix), Bound::Unbounded);
         let matching = self.by_key.range::<str, _>(from).take_while(move |(key, _)| key.starts_with(prefix));
         matching.map(|(key, record)| (key.as_str(), record))
--- a/coordination/replica/src/replica.rs
+++ b/coordination/replica/src/replica.rs
@@ -24,7 +24,7 @@
 
 use whinspindle_consensus::Voter;
 
-pub use self::forced_reconfiguration::{ForcedReconfiguration, RefusedReconfiguration};
+pub use self::forced_reconfiguration::{ForcedReconfiguration, ReconfigurationError};
 use crate::application::Application;
 use crate::catch_up::CatchUpState;
 use crate::disk::Disk;
@@ -106,7 +106,7 @@
 impl<A: Application> Replica<A> {
     /// Starts with what the disk holds: the checkpoint and the records of the log after it.
     ///
-    /// What is committed by then is in [`Replica::committed`], and not reported by [`Output::Committed`].
+    /// What is committed by then is in [`Replica::committed_records`], and not reported by [`Output::Committed`].
     ///
     /// # Errors
     ///
@@ -142,14 +142,14 @@
             disk: Disk::new(log_bytes, checkpoint.as_ref().map_or(0, Vec::len)),
             durable_last: state.last(),
             durable_complete: state.complete,
-            peers: Peers::new(settings.endpoint, settings.start, settings.timing, now),
+            peers: Peers::new(settings.endpoint, settings.start_id, settings.timing, now),
             session: None,
             acknowledgement_due: false,
             recent_entries: RecentEntries::default(),
             catch_up: CatchUpState::default(),
             view_change: ViewChange::default(),
             declared_lost: BTreeSet::new(),
-            jitter: Jitter::new(settings.start),
+            jitter: Jitter::new(settings.start_id),
             is_shutting_down: false,
             heartbeat_due: now,
             outputs: Vec::new(),
@@ -179,7 +179,7 @@
     }
 
     /// The committed records.
-    pub fn committed(&self) -> &Records {
+    pub fn committed_records(&self) -> &Records {
         &self.state.records
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// The endpoints that messages may be sent to.
-    pub fn peers(&self) -> Vec<SocketAddr> {
+    pub fn peer_endpoints(&self) -> Vec<SocketAddr> {
         let members = self.view().members.iter().map(|member| member.endpoint);
         let peer_endpoints = self.peers.iter().map(|(endpoint, _)| *endpoint);
         let seeds = self.settings.seeds.iter().copied().filter(|_| !self.has_majority_contact);
@@ -240,7 +240,7 @@
     ///
     /// The replica requests checkpoints itself ([`crate::DurableWrite::Checkpoint`]); this is for callers that append to the
     /// same log more than the replica's records.
-    pub fn checkpoint_due(&self, log_bytes: usize) -> Option<Vec<u8>> {
+    pub fn due_checkpoint(&self, log_bytes: usize) -> Option<Vec<u8>> {
         let longest = LONGEST_LOG.max(4 * self.disk.checkpoint_bytes());
         (log_bytes > longest && self.disk.is_idle()).then(|| self.state.encode())
     }
--- a/coordination/replica/src/replica/acceptor.rs
+++ b/coordination/replica/src/replica/acceptor.rs
@@ -10,7 +10,7 @@
 use crate::durable::DurableRecord;
 use crate::message::Message;
 use crate::protocol_rules::ProtocolRules;
-use crate::protocol_version::FIRST_WITH_VOTER_LOST;
+use crate::protocol_version::MIN_VERSION_FOR_VOTER_LOST;
 use crate::view::View;
 
 impl<A: Application, L: ProtocolRules> Replica<A, L> {
@@ -21,10 +21,10 @@
         from: SocketAddr,
         voter: Voter,
         ballot: Ballot,
-        known: u64,
+        known_view: u64,
     ) {
         self.view_change.highest_round = self.view_change.highest_round.max(ballot.round);
-        if self.view().number > known {
+        if self.view().number > known_view {
             let decided = self.state.decided.clone();
             self.send(from, Message::Decided(decided));
             return;
@@ -87,7 +87,7 @@
 
     /// Whether a replica speaks a version of the protocol that has [`Message::VoterLost`].
     fn reads_voter_lost(&self, endpoint: SocketAddr) -> bool {
-        let is_recent = |protocol: u16| protocol >= FIRST_WITH_VOTER_LOST;
+        let is_recent = |protocol: u16| protocol >= MIN_VERSION_FOR_VOTER_LOST;
         endpoint == self.settings.endpoint
             || self.peers.get(endpoint).is_some_and(|peer| is_recent(peer.heartbeat.protocol))
     }
--- a/coordination/replica/src/replica/chain.rs
+++ b/coordination/replica/src/replica/chain.rs
@@ -16,9 +16,10 @@
     /// Begins the session of the view that was adopted or recovered, if this replica is in its chain.
     pub(super) fn begin_session(&mut self, now: u64) {
         let view = &self.state.decided.view;
-        let link = self.me().and_then(|me| view.link(me).copied());
-        let is_recorded = link.is_some_and(|link| L::complete(self.state.complete, link.since) >= link.since);
-        if !is_recorded && !L::keeps_entries() {
+        let link = self.me().and_then(|me| view.chain_link(me).copied());
+        let is_recorded = link
+            .is_some_and(|link| L::complete_view(self.state.complete, link.since_view) >= link.since_view);
+        if !is_recorded && !L::keeps_uncertain_entries() {
             self.truncate(self.state.committed);
         }
         let view = &self.state.decided.view;
@@ -32,10 +33,11 @@
         let is_head = view.head() == Some(link.voter);
         self.session = Some(Session {
             view: view.number,
-            since: link.since,
+            since: link.since_view,
             predecessor: predecessor.map(Predecessor::new),
             successor: successor.map(|endpoint| Successor::new(endpoint, now)),
-            is_complete: is_recorded && L::complete(self.durable_complete, link.since) >= link.since,
+            is_complete: is_recorded
+                && L::complete_view(self.durable_complete, link.since_view) >= link.since_view,
             newest: None,
             reads: VecDeque::new(),
         });
--- a/coordination/replica/src/replica/chain_commit.rs
+++ b/coordination/replica/src/replica/chain_commit.rs
@@ -13,7 +13,7 @@
 impl<A: Application, L: ProtocolRules> Replica<A, L> {
     /// Commits at the tail: what is durable here is durable at all members.
     pub(super) fn commit_at_tail(&mut self) {
-        if self.state.decided.view.takes_writes(self.settings.tolerance.machines) {
+        if self.state.decided.view.accepts_writes(self.settings.tolerance.machines) {
             self.commit_up_to(self.durable_position());
         }
     }
@@ -63,8 +63,8 @@
 
     /// Sends an answer to where the command was submitted.
     pub(super) fn reply(&mut self, origin: Origin, sequence: u64, answer: &Answer) {
-        let answer = answer.value_in(&self.state.records);
-        let Origin { endpoint, start, ticket } = origin;
-        self.send(endpoint, Message::Replied { start, ticket, sequence, answer });
+        let answer = answer.resolve(&self.state.records);
+        let Origin { endpoint, start_id, ticket } = origin;
+        self.send(endpoint, Message::Replied { start_id, ticket, sequence, answer });
     }
 }
--- a/coordination/replica/src/replica/chain_forwarding.rs
+++ b/coordination/replica/src/replica/chain_forwarding.rs
@@ -86,7 +86,7 @@
     /// Sends the successor the durable entries that it has not been sent, and the reads evaluated on no later ones.
     pub(super) fn forward_entries(&mut self, now: u64) {
         let durable = self.durable_position();
-        let resend = self.settings.timing.resend;
+        let resend = self.settings.timing.resend_interval_ms;
         let Some(session) = &mut self.session else { return };
         let view = session.view;
         let Some(successor) = &mut session.successor else { return };
@@ -136,7 +136,7 @@
         if view.endpoint(voter) != Some(successor.endpoint) {
             return false;
         }
-        let stall = self.settings.timing.chain_stall;
+        let stall = self.settings.timing.chain_stall_timeout_ms;
         let patience = if successor.is_ready { stall } else { JOINING_STALL_FACTOR * stall };
         successor.awaiting_since.is_some_and(|since| now > since + patience)
     }
--- a/coordination/replica/src/replica/chain_head.rs
+++ b/coordination/replica/src/replica/chain_head.rs
@@ -36,7 +36,7 @@
             && is_complete
             && self.is_chain_active()
             && !self.is_one_of_two_alone()
-            && view.takes_writes(self.settings.tolerance.machines)
+            && view.accepts_writes(self.settings.tolerance.machines)
     }
 
     /// The size of the entries that are not committed, in bytes.
--- a/coordination/replica/src/replica/dispatch.rs
+++ b/coordination/replica/src/replica/dispatch.rs
@@ -22,7 +22,7 @@
             Input::Persisted { token } => self.persisted(now, token),
             Input::PersistFailed { token } => self.disk.failed(now, token),
             Input::DeclareLost { endpoints } => self.declare_lost(now, &endpoints),
-            Input::Leave => {
+            Input::Shutdown => {
                 self.is_shutting_down = true;
                 self.send_heartbeats(now);
             }
@@ -76,7 +76,9 @@
         }
         match message {
             Message::Heartbeat(heartbeat) => self.on_heartbeat(now, from, heartbeat),
-            Message::Prepare { voter, ballot, known } => self.on_prepare(now, from, voter, ballot, known),
+            Message::Prepare { voter, ballot, known_view } => {
+                self.on_prepare(now, from, voter, ballot, known_view)
+            }
             Message::Promise { voter, ballot, accepted, report } => {
                 self.on_promise(now, voter, ballot, accepted.map(|accepted| *accepted), report);
             }
@@ -89,8 +91,8 @@
                 self.send_submissions(now);
             }
             Message::Submit { origin, command } => self.on_submit(origin, &command),
-            Message::Replied { start, ticket, sequence, answer } => {
-                self.on_replied(start, ticket, Reply { sequence, answer });
+            Message::Replied { start_id, ticket, sequence, answer } => {
+                self.on_replied(start_id, ticket, Reply { sequence, answer });
             }
             Message::Append { view, entries, reads } => self.on_append(now, from, view, entries, reads),
             Message::Acknowledge { view, last, committed } => {
--- a/coordination/replica/src/replica/durability.rs
+++ b/coordination/replica/src/replica/durability.rs
@@ -47,6 +47,6 @@
 
     /// Whether the disk does not answer in time.
     pub(super) fn is_disk_stalled(&self, now: u64) -> bool {
-        self.disk.is_stalled(now, self.settings.timing.disk_stall)
+        self.disk.is_stalled(now, self.settings.timing.disk_stall_timeout_ms)
     }
 }
--- a/coordination/replica/src/replica/forced_reconfiguration.rs
+++ b/coordination/replica/src/replica/forced_reconfiguration.rs
@@ -23,10 +23,10 @@
 
 /// Why a reconfiguration is not forced.
 #[derive(Debug, PartialEq, Eq, Snafu)]
-pub enum RefusedReconfiguration {
+pub enum ReconfigurationError {
     /// No voter has this endpoint.
     #[snafu(display("{endpoint} is no voter"))]
-    NoVoter {
+    NotAVoter {
         /// The endpoint.
         endpoint: SocketAddr,
     },
@@ -41,13 +41,13 @@
     NotNeeded,
     /// A voter is neither there nor declared lost.
     #[snafu(display("{endpoint} is neither there nor among the lost ones: bring it back, or name it too"))]
-    Absent {
+    Unreachable {
         /// Its endpoint.
         endpoint: SocketAddr,
     },
     /// Too few replicas are there for a chain that takes commands.
     #[snafu(display("too few controllers are there: start others in the place of the lost ones first"))]
-    TooFew,
+    TooFewReplicas,
 }
 
 impl<A: Application, L: ProtocolRules> Replica<A, L> {
@@ -60,10 +60,10 @@
         &self,
         now: u64,
         lost: &[SocketAddr],
-    ) -> Result<ForcedReconfiguration, RefusedReconfiguration> {
+    ) -> Result<ForcedReconfiguration, ReconfigurationError> {
         let view = self.view();
         for endpoint in lost {
-            ensure!(!self.voters_at(*endpoint).is_empty(), NoVoterSnafu { endpoint: *endpoint });
+            ensure!(!self.voters_at(*endpoint).is_empty(), NotAVoterSnafu { endpoint: *endpoint });
             let is_here = *endpoint == self.settings.endpoint;
             let has_voter = |voter: &Voter| self.peers.healthy_heartbeat(now, view, *voter).is_some();
             let is_alive = is_here || self.voters_at(*endpoint).iter().any(has_voter);
@@ -75,9 +75,9 @@
         let is_lost = |voter: Voter| declared.contains(&voter) || self.is_replaced(now, voter);
         let absent = view.voters().into_iter().find(|voter| !is_there(*voter) && !is_lost(*voter));
         if let Some(endpoint) = absent.and_then(|voter| view.endpoint(voter)) {
-            return AbsentSnafu { endpoint }.fail();
+            return UnreachableSnafu { endpoint }.fail();
         }
-        ensure!(self.plans_view_without(now, &declared), TooFewSnafu);
+        ensure!(self.plans_view_without(now, &declared), TooFewReplicasSnafu);
         let may_lose_commands = !view.has_quorum::<L::Consensus>(is_there, is_lost);
         Ok(ForcedReconfiguration { view: view.number, may_lose_commands })
     }
--- a/coordination/replica/src/replica/heartbeats.rs
+++ b/coordination/replica/src/replica/heartbeats.rs
@@ -11,9 +11,9 @@
 impl<A: Application, L: ProtocolRules> Replica<A, L> {
     /// Sends a heartbeat to all peers.
     pub(super) fn send_heartbeats(&mut self, now: u64) {
-        self.heartbeat_due = now + self.settings.timing.heartbeat;
+        self.heartbeat_due = now + self.settings.timing.heartbeat_interval_ms;
         let heartbeat = self.heartbeat(now);
-        for to in self.peers() {
+        for to in self.peer_endpoints() {
             self.send(to, Message::Heartbeat(heartbeat.clone()));
         }
     }
@@ -22,7 +22,7 @@
     fn heartbeat(&self, now: u64) -> Heartbeat {
         Heartbeat {
             incarnation: self.state.incarnation,
-            start: self.settings.start,
+            start_id: self.settings.start_id,
             zone: self.settings.zone.clone(),
             region: self.settings.region.clone(),
             view: self.view().number,
@@ -47,7 +47,7 @@
             // An acknowledgement may have been lost. What was committed up to this view is in a complete log.
             self.commit_up_to(heartbeat.report.committed);
         }
-        let has_started = self.peers.record_heartbeat(now, from, heartbeat, L::contact);
+        let has_started = self.peers.record_heartbeat(now, from, heartbeat, L::contact_time);
         if knows_less {
             let decided = self.state.decided.clone();
             self.send(from, Message::Decided(decided));
--- a/coordination/replica/src/replica/learner.rs
+++ b/coordination/replica/src/replica/learner.rs
@@ -37,7 +37,7 @@
     fn learners(&self) -> Vec<SocketAddr> {
         let view = self.view();
         let is_in_chain = |endpoint: SocketAddr| {
-            view.member_at(endpoint).is_some_and(|member| view.position(member.voter).is_some())
+            view.member_at(endpoint).is_some_and(|member| view.chain_position(member.voter).is_some())
         };
         self.peers.iter().map(|(endpoint, _)| *endpoint).filter(|endpoint| !is_in_chain(*endpoint)).collect()
     }
@@ -85,7 +85,8 @@
             return;
         }
         let since = *self.catch_up.behind_since.get_or_insert(now);
-        let is_asked = self.catch_up.requested_at.is_some_and(|at| now < at + self.settings.timing.resend);
+        let is_asked =
+            self.catch_up.requested_at.is_some_and(|at| now < at + self.settings.timing.resend_interval_ms);
         let is_new = self.state.committed == 0;
         if !is_asked && (is_new || now >= since + CATCH_UP_DELAY) {
             self.catch_up.requested_at = Some(now);
--- a/coordination/replica/src/replica/proposer.rs
+++ b/coordination/replica/src/replica/proposer.rs
@@ -28,7 +28,7 @@
         let Some(me) = self.me() else { return };
         self.view_change.highest_round += 1;
         let round = self.view_change.highest_round;
-        let ballot = Ballot { epoch: EPOCH, round, member: me.member, start: self.settings.start };
+        let ballot = Ballot { epoch: EPOCH, round, member: me.member, start_id: self.settings.start_id };
         let mut round = Round::new(ballot, self.view().clone());
         self.declared_lost.iter().for_each(|voter| round.record_lost(*voter));
         if self.is_forced() {
@@ -49,10 +49,10 @@
     fn send_prepares(&mut self) {
         let Some(proposal) = &self.view_change.proposal else { return };
         let ballot = proposal.round.ballot;
-        let known = self.view().number;
+        let known_view = self.view().number;
         for voter in proposal.round.awaiting_promise::<L::Consensus>() {
             if let Some(to) = self.endpoint_of(voter) {
-                self.send(to, Message::Prepare { voter, ballot, known });
+                self.send(to, Message::Prepare { voter, ballot, known_view });
             }
         }
     }
@@ -80,13 +80,13 @@
     /// Sends requests again, and abandons a proposal that takes too long.
     pub(super) fn continue_proposal(&mut self, now: u64) {
         let timing = self.settings.timing;
-        let limit = self.view_change.with_backoff(timing.round);
+        let limit = self.view_change.with_backoff(timing.round_timeout_ms);
         let Some(proposal) = &mut self.view_change.proposal else { return };
         if now >= proposal.started_at + limit {
             self.abandon_proposal(now);
             return;
         }
-        if now >= proposal.requested_at + timing.resend / 2 {
+        if now >= proposal.requested_at + timing.resend_interval_ms / 2 {
             proposal.requested_at = now;
             if proposal.round.is_proposing() {
                 self.send_accepts();
@@ -160,7 +160,8 @@
         prepared: &View,
         reports: &BTreeMap<Voter, Report>,
     ) -> Vec<(Voter, VoterState)> {
-        let is_silent = |voter: &Voter| prepared.position(*voter).is_none() && !reports.contains_key(voter);
+        let is_silent =
+            |voter: &Voter| prepared.chain_position(*voter).is_none() && !reports.contains_key(voter);
         let me = self.me();
         let state = |voter: Voter| {
             if me == Some(voter) {
@@ -181,8 +182,8 @@
         let is_own = endpoint == Some(self.settings.endpoint);
         let is_shutting_down =
             if is_own { self.is_shutting_down } else { heartbeat.is_some_and(|peer| peer.is_shutting_down) };
-        let since = prepared.link(voter).map_or(0, |link| link.since);
-        let complete = L::complete(report.complete, since);
+        let since = prepared.chain_link(voter).map_or(0, |link| link.since_view);
+        let complete = L::complete_view(report.complete, since);
         VoterState::promised(Report { complete, ..report }, is_shutting_down)
     }
 
--- a/coordination/replica/src/replica/replica_survey.rs
+++ b/coordination/replica/src/replica/replica_survey.rs
@@ -41,7 +41,7 @@
         if self.peers.has_new_incarnation(member) || heartbeat.is_some_and(|heartbeat| heartbeat.is_stalled) {
             return None;
         }
-        let Some(link) = view.link(voter) else {
+        let Some(link) = view.chain_link(voter) else {
             let heartbeat = self.peers.healthy_heartbeat(now, view, voter)?;
             let is_steady = self.peers.get(member.endpoint)?.steady_since + STEADY_CONTACT <= now;
             return is_steady.then(|| VoterState::promised(heartbeat.report, heartbeat.is_shutting_down));
@@ -52,8 +52,12 @@
         if is_suspected || self.is_acknowledgement_overdue(now, voter) {
             return None;
         }
-        let not_received =
-            VoterState { complete: link.since, committed: 0, is_shutting_down: false, has_promised: true };
+        let not_received = VoterState {
+            complete: link.since_view,
+            committed: 0,
+            is_shutting_down: false,
+            has_promised: true,
+        };
         Some(heartbeat.map_or(not_received, |heartbeat| {
             VoterState::promised(heartbeat.report, heartbeat.is_shutting_down)
         }))
@@ -114,7 +118,8 @@
     /// Whether a voter may be replaced: its durable state is gone, or nobody has received its heartbeats for long.
     fn is_lost(&self, now: u64, view: &View, voter: Voter) -> bool {
         let Some(member) = view.member(voter) else { return false };
-        let is_silent = self.peers.silent_for(now, member.endpoint) > self.settings.timing.replacement;
+        let is_silent =
+            self.peers.silent_for(now, member.endpoint) > self.settings.timing.replacement_timeout_ms;
         let is_gone = is_silent && !self.peers.is_live_at_another(now, member.endpoint);
         let is_gone =
             is_gone || self.declared_lost.contains(&voter) || self.peers.has_new_incarnation(member);
--- a/coordination/replica/src/replica/state_transfer.rs
+++ b/coordination/replica/src/replica/state_transfer.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use whinspindle_digests::{RangeDigest, differing, partition};
+use whinspindle_digests::{RangeDigest, differing_ranges, partition};
 
 use super::Replica;
 use crate::application::Application;
@@ -26,8 +26,8 @@
 }
 
 /// The local contents of all ranges whose digest differs at the other replica.
-fn differing_ranges(records: &Records, digests: &[RangeDigest]) -> Vec<RangeContents> {
-    let differing = differing(records.by_key(), digests);
+fn differing_contents(records: &Records, digests: &[RangeDigest]) -> Vec<RangeContents> {
+    let differing = differing_ranges(records.by_key(), digests);
     differing.into_iter().map(|range| RangeContents::copy(records, range)).collect()
 }
 
@@ -104,7 +104,7 @@
         match self.recent_entries.after(base, committed) {
             Some(entries) => transfer.entries = entries,
             None => {
-                transfer.ranges = differing_ranges(&self.state.records, digests);
+                transfer.ranges = differing_contents(&self.state.records, digests);
                 transfer.position = committed;
                 if L::transfers_outcomes() {
                     transfer.outcomes = self.state.outcomes.iter().cloned().collect();
@@ -163,7 +163,7 @@
         self.recent_entries.clear();
         self.record(DurableRecord::Replace { position, ranges, outcomes }, true);
         self.durable_last = self.durable_last.max(position);
-        self.outputs.push(Output::Replaced);
+        self.outputs.push(Output::RecordsReplaced);
     }
 
     /// Adds entries to the log. An entry of the log that differs from one of them, and all after it, was never committed:
--- a/coordination/replica/src/replica/submission.rs
+++ b/coordination/replica/src/replica/submission.rs
@@ -24,10 +24,10 @@
         if !self.is_started || self.is_chain_fenced(head) {
             return;
         }
-        let (endpoint, start) = (self.settings.endpoint, L::start(&self.settings));
+        let (endpoint, start_id) = (self.settings.endpoint, L::start_id(&self.settings));
         let number = view.number;
         for (ticket, command) in self.submissions.due(now, number, &self.settings.timing) {
-            let origin = Origin { endpoint, start, ticket };
+            let origin = Origin { endpoint, start_id, ticket };
             if L::tail_answers_reads() && self.answer_at_tail(origin, &command) {
                 continue;
             }
@@ -56,12 +56,12 @@
         if !is_complete || self.state.has_accepted_another_view() {
             return;
         }
-        let (endpoint, start) = (self.settings.endpoint, L::start(&self.settings));
+        let (endpoint, start_id) = (self.settings.endpoint, L::start_id(&self.settings));
         let committed = self.state.committed;
         let answer = |(ticket, command)| Some((ticket, self.answer_in_all_states(command)?));
         let answers: Vec<(u64, Vec<u8>)> = self.submissions.unsent().filter_map(answer).collect();
         for (ticket, answer) in answers {
-            self.reply(Origin { endpoint, start, ticket }, committed, &Answer::Value(answer));
+            self.reply(Origin { endpoint, start_id, ticket }, committed, &Answer::Value(answer));
         }
     }
 
@@ -72,7 +72,7 @@
         let answer = self.answer_in(&records, command)?;
         for entry in &self.state.log {
             records.apply(entry.sequence, &entry.writes);
-            if !L::answers_alone(self.answer_in(&records, command).as_ref() == Some(&answer)) {
+            if !L::may_answer_alone(self.answer_in(&records, command).as_ref() == Some(&answer)) {
                 return None;
             }
         }
@@ -82,7 +82,7 @@
     /// The answer to a command in this state; `None` if it writes.
     fn answer_in(&self, records: &Records, command: &[u8]) -> Option<Vec<u8>> {
         let evaluation = self.application.evaluate(records, command);
-        evaluation.writes.is_empty().then(|| evaluation.answer.value_in(records))
+        evaluation.writes.is_empty().then(|| evaluation.answer.resolve(records))
     }
 
     /// Whether the chain of the present view is fenced, as far as the votes of this replica and of the head are known.
@@ -97,8 +97,8 @@
     }
 
     /// The answer to a command that was submitted here.
-    pub(super) fn on_replied(&mut self, start: u64, ticket: u64, reply: Reply) {
-        if start == L::start(&self.settings) && self.submissions.answered(ticket) {
+    pub(super) fn on_replied(&mut self, start_id: u64, ticket: u64, reply: Reply) {
+        if start_id == L::start_id(&self.settings) && self.submissions.answered(ticket) {
             self.outputs.push(Output::Reply { ticket, result: Ok(reply) });
         }
     }
--- a/coordination/replica/src/replica/view_change.rs
+++ b/coordination/replica/src/replica/view_change.rs
@@ -64,24 +64,24 @@
             });
         }
         let next = next_view(view, &self.expected_planning_input(now, me))?;
-        if self.is_shutting_down || next.is_alike(view) {
+        if self.is_shutting_down || next.has_same_voters_and_chain(view) {
             return None;
         }
-        let loses_one = view.chain.iter().any(|link| next.position(link.voter).is_none());
+        let loses_one = view.chain.iter().any(|link| next.chain_position(link.voter).is_none());
         Some(if loses_one { rank } else { PLANNED_DELAY + rank })
     }
 
     /// Whether the promise that fences this voter was given to its own proposal, which no other voter will complete.
     fn is_fenced_by_own_proposal(&self, me: Voter) -> bool {
         let promised = self.state.votes.promised;
-        promised.member == me.member && promised.start == self.settings.start
+        promised.member == me.member && promised.start_id == self.settings.start_id
     }
 
     /// How many healthy voters rank before this one: first the chain, then the other voters.
     fn rank(&self, now: u64, me: Voter) -> u64 {
         let view = self.view();
         let chain = view.chain.iter().map(|link| link.voter);
-        let others = view.voters().into_iter().filter(|voter| view.position(*voter).is_none());
+        let others = view.voters().into_iter().filter(|voter| view.chain_position(*voter).is_none());
         let before = chain.chain(others).take_while(|voter| *voter != me);
         before
             .filter(|voter| {
--- a/coordination/replica/src/submissions.rs
+++ b/coordination/replica/src/submissions.rs
@@ -51,12 +51,13 @@
 
     /// Removes the commands that were not answered in time, and returns why.
     pub fn expired(&mut self, now: u64, timing: &Timing) -> Vec<(u64, SubmitError)> {
-        let is_over = |waiting: &Waiting| now >= waiting.submitted_at + timing.submit;
+        let is_over = |waiting: &Waiting| now >= waiting.submitted_at + timing.submit_timeout_ms;
         let over: Vec<u64> =
             self.by_ticket.iter().filter(|(_, w)| is_over(w)).map(|(ticket, _)| *ticket).collect();
         let take = |ticket: u64| {
             let waiting = self.by_ticket.remove(&ticket)?;
-            let error = if waiting.sent.is_some() { SubmitError::Unknown } else { SubmitError::NoQuorum };
+            let error =
+                if waiting.sent.is_some() { SubmitError::OutcomeUnknown } else { SubmitError::NoQuorum };
             Some((ticket, error))
         };
         over.into_iter().filter_map(take).collect()
@@ -66,7 +67,9 @@
     pub fn due(&mut self, now: u64, view: u64, timing: &Timing) -> Vec<(u64, Vec<u8>)> {
         let mut due = Vec::new();
         for (ticket, waiting) in &mut self.by_ticket {
-            let is_sent = waiting.sent.is_some_and(|sent| sent.view == view && now < sent.at + timing.resend);
+            let is_sent = waiting
+                .sent
+                .is_some_and(|sent| sent.view == view && now < sent.at + timing.resend_interval_ms);
             if !is_sent {
                 waiting.sent = Some(Sent { at: now, view });
                 due.push((*ticket, waiting.command.clone()));
--- a/coordination/replica/src/transfer.rs
+++ b/coordination/replica/src/transfer.rs
@@ -26,8 +26,8 @@
     /// Replaces all records in the range by these.
     pub fn replace_in(self, records: &mut Records) {
         let map = records.by_key_mut();
-        let mut above = map.split_off(&self.range.from);
-        if let Some(to) = self.range.to {
+        let mut above = map.split_off(&self.range.start);
+        if let Some(to) = self.range.end {
             map.append(&mut above.split_off(&to));
         }
         map.extend(self.records);
--- a/coordination/replica/src/view.rs
+++ b/coordination/replica/src/view.rs
@@ -33,7 +33,7 @@
     /// Its identity as a voter.
     pub voter: Voter,
     /// The view since which it has been in the chain without a break.
-    pub since: u64,
+    pub since_view: u64,
 }
 
 /// A membership view: the value of the register that the voters agree on.
@@ -49,7 +49,7 @@
     pub chain: Vec<ChainLink>,
     /// Chains of earlier views, oldest first. One of their members leads if no member of the present chain holds all that was
     /// committed.
-    pub former: Vec<Vec<ChainLink>>,
+    pub former_chains: Vec<Vec<ChainLink>>,
     /// The number of the next new member.
     pub next_member: u16,
 }
@@ -82,11 +82,11 @@
         };
         let members: Vec<Member> = endpoints.iter().enumerate().map(member).collect();
         let voters: Vec<Voter> = members.iter().map(|member| member.voter).collect();
-        let link = |voter: &Voter| ChainLink { voter: *voter, since: BOOTSTRAP_VIEW };
+        let link = |voter: &Voter| ChainLink { voter: *voter, since_view: BOOTSTRAP_VIEW };
         View {
             number: BOOTSTRAP_VIEW,
             chain: voters.iter().map(link).collect(),
-            former: Vec::new(),
+            former_chains: Vec::new(),
             next_member: voters.len() as u16,
             voter_sets: vec![voters],
             members,
@@ -120,12 +120,12 @@
     }
 
     /// The position in the chain, 0 at the head.
-    pub fn position(&self, voter: Voter) -> Option<usize> {
+    pub fn chain_position(&self, voter: Voter) -> Option<usize> {
         self.chain.iter().position(|link| link.voter == voter)
     }
 
     /// The chain link of a voter.
-    pub fn link(&self, voter: Voter) -> Option<&ChainLink> {
+    pub fn chain_link(&self, voter: Voter) -> Option<&ChainLink> {
         self.chain.iter().find(|link| link.voter == voter)
     }
 
@@ -141,13 +141,13 @@
 
     /// The member before this one in the chain.
     pub fn predecessor(&self, voter: Voter) -> Option<Voter> {
-        let position = self.position(voter)?.checked_sub(1)?;
+        let position = self.chain_position(voter)?.checked_sub(1)?;
         Some(self.chain[position].voter)
     }
 
     /// The member after this one in the chain.
     pub fn successor(&self, voter: Voter) -> Option<Voter> {
-        let position = self.position(voter)?;
+        let position = self.chain_position(voter)?;
         self.chain.get(position + 1).map(|link| link.voter)
     }
 
@@ -186,25 +186,25 @@
     ///
     /// Where there are too few voters for the tolerated losses, a majority of them suffices: the missing ones are lost
     /// already.
-    pub fn required_chain(&self, tolerated_losses: usize) -> usize {
+    pub fn required_chain_length(&self, tolerated_losses: usize) -> usize {
         let voters = self.voter_sets.iter().map(Vec::len).max().unwrap_or(0);
         (tolerated_losses + 1).min(voters / 2 + 1).max(voters.div_ceil(2))
     }
 
     /// Whether the chain may take writes: it survives the tolerated losses, and no majority can decide on another view
     /// without a member of the chain.
-    pub fn takes_writes(&self, tolerated_losses: usize) -> bool {
+    pub fn accepts_writes(&self, tolerated_losses: usize) -> bool {
         let meets_all_majorities = |voter_set: &Vec<Voter>| {
-            let inside = voter_set.iter().filter(|voter| self.position(**voter).is_some()).count();
+            let inside = voter_set.iter().filter(|voter| self.chain_position(**voter).is_some()).count();
             let majority = voter_set.len() / 2 + 1;
             inside + majority > voter_set.len()
         };
-        let is_long_enough = self.chain.len() >= self.required_chain(tolerated_losses);
+        let is_long_enough = self.chain.len() >= self.required_chain_length(tolerated_losses);
         is_long_enough && self.voter_sets.iter().any(meets_all_majorities)
     }
 
     /// Whether voters and chain are the same as in another view.
-    pub fn is_alike(&self, other: &View) -> bool {
+    pub fn has_same_voters_and_chain(&self, other: &View) -> bool {
         let chain = |view: &View| view.chain.iter().map(|link| link.voter).collect::<Vec<Voter>>();
         self.voter_sets == other.voter_sets && chain(self) == chain(other)
     }
--- a/coordination/replica/tests/chain_length.rs
+++ b/coordination/replica/tests/chain_length.rs
@@ -44,7 +44,7 @@
 }
 
 fn view(voter_sets: &[Vec<Voter>], chain: &[Voter]) -> View {
-    let link = |voter: &Voter| ChainLink { voter: *voter, since: 1 };
+    let link = |voter: &Voter| ChainLink { voter: *voter, since_view: 1 };
     View {
         number: 1,
         voter_sets: voter_sets.to_vec(),
@@ -60,7 +60,7 @@
         let chains = all_sets().filter(move |chain| chain.iter().all(|voter| voters.contains(voter)));
         chains.map(move |chain| view(&voter_sets, &chain)).collect::<Vec<View>>()
     });
-    views.filter(move |view| view.takes_writes(losses))
+    views.filter(move |view| view.accepts_writes(losses))
 }
 
 /// Whatever is lost, and however much: either no majority is left that could agree on a view, or one of its voters
@@ -71,7 +71,7 @@
         for view in views_that_take_writes(losses) {
             for left in all_sets() {
                 let has_majority = view.has_majority(|voter| left.contains(&voter));
-                let has_disk = left.iter().any(|voter| view.position(*voter).is_some());
+                let has_disk = left.iter().any(|voter| view.chain_position(*voter).is_some());
                 assert!(!has_majority || has_disk, "{left:?} left of {view:?}");
             }
         }
--- a/coordination/replica/tests/common/changes.rs
+++ b/coordination/replica/tests/common/changes.rs
@@ -209,18 +209,19 @@
     pub fn is_caught_up(&self, at: SocketAddr) -> bool {
         let Some(node) = self.cluster.process(at) else { return false };
         let view = node.replica.view();
-        let member = view.member_at(at).and_then(|member| view.position(member.voter));
+        let member = view.member_at(at).and_then(|member| view.chain_position(member.voter));
         member.is_some()
             && view.number == self.newest_view.number
             && node.replica.is_in_quorum(self.cluster.now())
-            && newest_change(node.replica.committed()) >= self.acknowledged
+            && newest_change(node.replica.committed_records()) >= self.acknowledged
     }
 
     /// The replicas that are no members of the chain of the newest view.
     pub fn outside_of_the_chain(&self) -> Vec<SocketAddr> {
         let view = &self.newest_view;
-        let is_inside =
-            |at: &SocketAddr| view.member_at(*at).is_some_and(|member| view.position(member.voter).is_some());
+        let is_inside = |at: &SocketAddr| {
+            view.member_at(*at).is_some_and(|member| view.chain_position(member.voter).is_some())
+        };
         self.cluster.endpoints().into_iter().filter(|at| !is_inside(at)).collect()
     }
 
@@ -235,21 +236,21 @@
     /// Whether a replica, in the chain or not, has all that was acknowledged.
     pub fn follows(&self, at: SocketAddr) -> bool {
         let Some(node) = self.cluster.process(at) else { return false };
-        newest_change(node.replica.committed()) >= self.acknowledged
+        newest_change(node.replica.committed_records()) >= self.acknowledged
     }
 
     /// Nothing that was acknowledged is lost, and what replaced it is whole.
     pub fn check_nothing_lost(&self) {
         for at in self.cluster.endpoints() {
             let node = self.cluster.process(at).expect("all run");
-            let records = node.replica.committed();
+            let records = node.replica.committed_records();
             let newest = newest_change(records);
             assert!(newest >= self.acknowledged, "{at} has {newest} of {}", self.acknowledged);
             assert!(remembers_change(records, self.acknowledged) || self.acknowledged == 0);
             let body = records.get(CONFIGURATION).map(|record| record.value.to_vec()).unwrap_or_default();
             assert_eq!(String::from_utf8_lossy(&body), self.body(newest), "at {at}");
             let other = self.cluster.process(self.cluster.endpoints()[0]).expect("all run");
-            assert_eq!(records, other.replica.committed(), "{at}");
+            assert_eq!(records, other.replica.committed_records(), "{at}");
         }
     }
 
@@ -287,7 +288,11 @@
         let now = self.cluster.now();
         let line = |at: SocketAddr| match self.cluster.process(at) {
             Some(node) => {
-                format!("{at}: {} change {}", node.describe(now), newest_change(node.replica.committed()))
+                format!(
+                    "{at}: {} change {}",
+                    node.describe(now),
+                    newest_change(node.replica.committed_records())
+                )
             }
             None => format!("{at}: down"),
         };
--- a/coordination/replica/tests/common/faulty.rs
+++ b/coordination/replica/tests/common/faulty.rs
@@ -64,7 +64,7 @@
 impl ProtocolRules for ReusesTickets {
     type Consensus = StandardConsensusRules;
 
-    fn start(_settings: &ReplicaSettings) -> u64 {
+    fn start_id(_settings: &ReplicaSettings) -> u64 {
         0
     }
 }
@@ -75,7 +75,7 @@
 impl ProtocolRules for CompletesTooEarly {
     type Consensus = StandardConsensusRules;
 
-    fn complete(recorded: u64, since: u64) -> u64 {
+    fn complete_view(recorded: u64, since: u64) -> u64 {
         recorded.max(since)
     }
 }
@@ -108,7 +108,7 @@
 impl ProtocolRules for CountsContactFromArrival {
     type Consensus = StandardConsensusRules;
 
-    fn contact(_sent_at: u64, arrived_at: u64) -> u64 {
+    fn contact_time(_sent_at: u64, arrived_at: u64) -> u64 {
         arrived_at
     }
 }
@@ -177,7 +177,7 @@
 impl ProtocolRules for AnswersAloneTooEarly {
     type Consensus = StandardConsensusRules;
 
-    fn answers_alone(_knows_all_committed: bool) -> bool {
+    fn may_answer_alone(_knows_all_committed: bool) -> bool {
         true
     }
 }
@@ -199,7 +199,7 @@
 impl ProtocolRules for DropsEntriesWhenLeftOut {
     type Consensus = StandardConsensusRules;
 
-    fn keeps_entries() -> bool {
+    fn keeps_uncertain_entries() -> bool {
         false
     }
 }
--- a/coordination/replica/tests/common/node.rs
+++ b/coordination/replica/tests/common/node.rs
@@ -77,8 +77,8 @@
         write(GENERATION.to_string(), &number.to_string()),
         write(format!("{HISTORY}{number:020}"), &"h".repeat(32)),
     ];
-    if records.range(HISTORY).count() >= KEPT_CHANGES {
-        let oldest = records.range(HISTORY).next();
+    if records.with_prefix(HISTORY).count() >= KEPT_CHANGES {
+        let oldest = records.with_prefix(HISTORY).next();
         writes.extend(oldest.map(|(key, _)| RecordWrite { key: key.to_string(), value: None }));
     }
     Evaluation { writes, answer: answer("done") }
@@ -86,8 +86,8 @@
 
 fn drain(records: &Records, name: &str) -> Evaluation {
     let mut writes = vec![RecordWrite { key: format!("{DRAINED}{name}"), value: Some(b"draining".to_vec()) }];
-    if records.range(DRAINED).count() >= KEPT_DRAINED {
-        let oldest = records.range(DRAINED).min_by_key(|(_, record)| record.sequence);
+    if records.with_prefix(DRAINED).count() >= KEPT_DRAINED {
+        let oldest = records.with_prefix(DRAINED).min_by_key(|(_, record)| record.sequence);
         writes.extend(oldest.map(|(key, _)| RecordWrite { key: key.to_string(), value: None }));
     }
     Evaluation { writes, answer: Answer::Value(b"done".to_vec()) }
@@ -207,7 +207,7 @@
 
 impl<L: ProtocolRules> Node<L> {
     pub fn start(settings: ReplicaSettings, start: Start) -> (Self, Vec<Effect<Self>>) {
-        let number = settings.start;
+        let number = settings.start_id;
         let (replica, outputs) = Replica::with_rules(settings, Registers, start.recovered, start.now)
             .expect("the disk is readable");
         let mut node = Node {
@@ -257,7 +257,7 @@
                     assert!(follows, "commits are told one by one");
                     self.committed = Some(sequence);
                 }
-                Output::Replaced => self.committed = None,
+                Output::RecordsReplaced => self.committed = None,
             }
         }
         self.committed.get_or_insert(self.replica.committed_sequence());
@@ -280,10 +280,10 @@
             Event::Command(Command::Submit { ticket, command }) => {
                 Input::Submit { ticket, command: command.into_bytes() }
             }
-            Event::Command(Command::Leave) => Input::Leave,
+            Event::Command(Command::Leave) => Input::Shutdown,
             Event::Command(Command::DeclareLost(endpoints)) => Input::DeclareLost { endpoints },
             Event::Command(Command::Checkpoint) => {
-                let state = self.replica.checkpoint_due(usize::MAX);
+                let state = self.replica.due_checkpoint(usize::MAX);
                 return state
                     .map(|state| Effect::Checkpoint { token: SHELL_TOKEN, state })
                     .into_iter()
@@ -336,7 +336,7 @@
     disks: DiskTiming,
 ) -> Cluster<Node<L>> {
     let own = |number: usize| failure_domain(&format!("zone-{number}"), &format!("region-{number}"));
-    start_cluster(seed, count, Tolerance::of_machines(tolerated_losses), network, disks, own)
+    start_cluster(seed, count, Tolerance::machines_only(tolerated_losses), network, disks, own)
 }
 
 pub fn failure_domain(zone: &str, region: &str) -> FailureDomain {
@@ -376,7 +376,7 @@
             },
             bootstrap: start.is_founding,
             incarnation: start.chance >> 1 | 1,
-            start: start.chance,
+            start_id: start.chance,
             tolerance,
             timing: Timing::default(),
         };
@@ -394,7 +394,7 @@
     /// One line for the message of a failed test.
     pub fn describe(&self, now: u64) -> String {
         let view = self.replica.view();
-        let link = |link: &ChainLink| format!("{}/{}", link.voter.member, link.since);
+        let link = |link: &ChainLink| format!("{}/{}", link.voter.member, link.since_view);
         let chain: Vec<String> = view.chain.iter().map(link).collect();
         let voter_set = |voter_set: &Vec<Voter>| voter_set.iter().map(|voter| voter.member).collect();
         let voter_sets: Vec<Vec<u16>> = view.voter_sets.iter().map(voter_set).collect();
--- a/coordination/replica/tests/common/schedule.rs
+++ b/coordination/replica/tests/common/schedule.rs
@@ -501,7 +501,8 @@
         let endpoints = self.cluster.endpoints();
         let nodes: Vec<&Node<L>> = endpoints.iter().filter_map(|at| self.cluster.process(*at)).collect();
         let first = &nodes[0].replica;
-        let are_alike = nodes.iter().all(|node| node.replica.committed() == first.committed());
+        let are_alike =
+            nodes.iter().all(|node| node.replica.committed_records() == first.committed_records());
         let is_full =
             first.view().chain.len() == first.view().voters().len() && first.view().voter_sets.len() == 1;
         let are_in = nodes.iter().all(|node| node.replica.is_in_quorum(self.cluster.now()));
--- a/coordination/replica/tests/exhaustive/initial_states.rs
+++ b/coordination/replica/tests/exhaustive/initial_states.rs
@@ -88,7 +88,7 @@
 
 /// Goes on until a view of two is voted for; nobody is told of what was committed.
 fn go_on_untaught<L: ProtocolRules>(mut model: Model<L>) -> Model<L> {
-    let is_voted_for = |message: &Message| matches!(message, Message::Accept { view, .. } if view.chain.iter().any(|link| link.since == view.number));
+    let is_voted_for = |message: &Message| matches!(message, Message::Accept { view, .. } if view.chain.iter().any(|link| link.since_view == view.number));
     while !model.carries(is_voted_for) {
         let next = match model.ordinary() {
             Action::Deliver(link)
--- a/coordination/replica/tests/exhaustive/model.rs
+++ b/coordination/replica/tests/exhaustive/model.rs
@@ -37,15 +37,15 @@
 
 /// Spans that suit the coarse clock.
 const TIMING: Timing = Timing {
-    heartbeat: 1,
-    suspicion: 400,
-    contact: 1_000,
-    disk_stall: 700,
-    chain_stall: 700,
-    replacement: 1_000,
-    round: 700,
-    submit: 1_000_000,
-    resend: 200,
+    heartbeat_interval_ms: 1,
+    suspicion_timeout_ms: 400,
+    contact_lifetime_ms: 1_000,
+    disk_stall_timeout_ms: 700,
+    chain_stall_timeout_ms: 700,
+    replacement_timeout_ms: 1_000,
+    round_timeout_ms: 700,
+    submit_timeout_ms: 1_000_000,
+    resend_interval_ms: 200,
 };
 
 /// A direction of a link, by the numbers of the machines.
@@ -245,8 +245,8 @@
             seeds: (0..members).map(endpoint).collect(),
             bootstrap: number < members && machine.starts == 1,
             incarnation: drawn,
-            start: drawn,
-            tolerance: Tolerance::of_machines(losses),
+            start_id: drawn,
+            tolerance: Tolerance::machines_only(losses),
             timing: TIMING,
         };
         let (replica, outputs) = Replica::with_rules(settings, Registers, machine.disk.clone(), now)
@@ -324,12 +324,12 @@
                 Output::Reply { ticket, result: Ok(reply) } => {
                     self.observer.answered(self.steps, ticket, &reply)?;
                 }
-                Output::Reply { .. } | Output::Replaced => {}
+                Output::Reply { .. } | Output::RecordsReplaced => {}
                 Output::Committed { sequence, writes } => self.observer.committed(sequence, writes)?,
             }
         }
         if let Some(replica) = &self.machines[number].replica {
-            self.observer.stands_at(replica.committed_sequence(), replica.committed())?;
+            self.observer.stands_at(replica.committed_sequence(), replica.committed_records())?;
             self.observer.adopted(replica.view())?;
         }
         for (to, message) in heartbeats {
--- a/coordination/replica/tests/faults.rs
+++ b/coordination/replica/tests/faults.rs
@@ -66,7 +66,12 @@
         let replica = &node.replica;
         assert_eq!(replica.view().chain.len(), length, "{name}\n{}", describe(cluster));
         assert_eq!(replica.view().voter_sets.len(), 1, "{name}\n{}", describe(cluster));
-        assert_eq!(replica.committed(), running[0].replica.committed(), "{name}\n{}", describe(cluster));
+        assert_eq!(
+            replica.committed_records(),
+            running[0].replica.committed_records(),
+            "{name}\n{}",
+            describe(cluster)
+        );
         assert!(replica.is_in_quorum(cluster.now()), "{name}\n{}", describe(cluster));
     }
 }
--- a/coordination/replica/tests/fence.rs
+++ b/coordination/replica/tests/fence.rs
@@ -22,7 +22,7 @@
     assert!(clients.write_within(&mut cluster, head, 1_000).is_some());
     let until = cluster.now() + 500;
     clients.run_until(&mut cluster, until);
-    let before = cluster.process(head).unwrap().replica.committed().clone();
+    let before = cluster.process(head).unwrap().replica.committed_records().clone();
 
     let taught = Rc::new(Cell::new(0));
     let counter = Rc::clone(&taught);
@@ -44,14 +44,14 @@
     let replica = &cluster.process(head).unwrap().replica;
     assert!(replica.newest_sequence() > replica.committed_sequence(), "its own entry waits in its log");
     assert_eq!(replica.view().number, 1, "it knows no other view");
-    assert_eq!(*replica.committed(), before, "what it can't place is not taken in");
+    assert_eq!(*replica.committed_records(), before, "what it can't place is not taken in");
 
     cluster.network().withhold_nothing();
     let until = cluster.now() + 6_000;
     clients.run_until(&mut cluster, until);
-    let others = cluster.process(endpoint(1)).unwrap().replica.committed().clone();
+    let others = cluster.process(endpoint(1)).unwrap().replica.committed_records().clone();
     let replica = &cluster.process(head).unwrap().replica;
     assert!(replica.view().number > 1);
-    assert_eq!(*replica.committed(), others);
+    assert_eq!(*replica.committed_records(), others);
     check(&clients.history()).unwrap();
 }
--- a/coordination/replica/tests/forced_reconfiguration.rs
+++ b/coordination/replica/tests/forced_reconfiguration.rs
@@ -8,7 +8,7 @@
 use common::history::{Asked, check};
 use common::node::{Command, Node, cluster, endpoint};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
-use whinspindle_replica::{ForcedReconfiguration, RefusedReconfiguration, StandardRules};
+use whinspindle_replica::{ForcedReconfiguration, ReconfigurationError, StandardRules};
 
 /// All replicas that are to vote do so by then, in milliseconds.
 const GROWN: u64 = 8_000;
@@ -53,7 +53,7 @@
     }
 
     /// What it would do at the replica of this number.
-    fn asks(&self, at: usize, lost: &[usize]) -> Result<ForcedReconfiguration, RefusedReconfiguration> {
+    fn asks(&self, at: usize, lost: &[usize]) -> Result<ForcedReconfiguration, ReconfigurationError> {
         let node = self.cluster.process(endpoint(at)).expect("it runs");
         node.replica.forced_reconfiguration(self.cluster.now(), &endpoints(lost))
     }
@@ -129,16 +129,16 @@
 fn a_reconfiguration_that_is_not_needed_or_not_possible_is_refused() {
     let mut play = Play::begin(1, 3, 1);
     let (first, last) = (endpoint(0), endpoint(2));
-    assert_eq!(play.asks(0, &[7]), Err(RefusedReconfiguration::NoVoter { endpoint: endpoint(7) }));
-    assert_eq!(play.asks(0, &[2]), Err(RefusedReconfiguration::Alive { endpoint: last }));
-    assert_eq!(play.asks(0, &[0]), Err(RefusedReconfiguration::Alive { endpoint: first }));
+    assert_eq!(play.asks(0, &[7]), Err(ReconfigurationError::NotAVoter { endpoint: endpoint(7) }));
+    assert_eq!(play.asks(0, &[2]), Err(ReconfigurationError::Alive { endpoint: last }));
+    assert_eq!(play.asks(0, &[0]), Err(ReconfigurationError::Alive { endpoint: first }));
     play.cluster.stop(last);
     play.pass(NOTICED);
-    assert_eq!(play.asks(0, &[2]), Err(RefusedReconfiguration::NotNeeded));
+    assert_eq!(play.asks(0, &[2]), Err(ReconfigurationError::NotNeeded));
     play.cluster.stop(endpoint(1));
     play.pass(NOTICED);
-    assert_eq!(play.asks(0, &[2]), Err(RefusedReconfiguration::Absent { endpoint: endpoint(1) }));
-    assert_eq!(play.asks(0, &[1, 2]), Err(RefusedReconfiguration::TooFew));
+    assert_eq!(play.asks(0, &[2]), Err(ReconfigurationError::Unreachable { endpoint: endpoint(1) }));
+    assert_eq!(play.asks(0, &[1, 2]), Err(ReconfigurationError::TooFewReplicas));
     // A declaration that is refused has no effect.
     play.declares(0, &[1, 2]);
     play.declares(0, &[2]);
--- a/coordination/replica/tests/repair.rs
+++ b/coordination/replica/tests/repair.rs
@@ -141,7 +141,7 @@
             let zone = number % zones;
             failure_domain(&format!("zone-{zone}"), &format!("region-{zone}"))
         };
-        let tolerance = Tolerance::of_machines(case.tolerated_losses);
+        let tolerance = Tolerance::machines_only(case.tolerated_losses);
         let mut play = Play {
             cluster: cluster_at(case.seed, case.count, tolerance, network, failure_domain),
             clients: Clients::default(),
--- a/coordination/replica/tests/small_cores.rs
+++ b/coordination/replica/tests/small_cores.rs
@@ -150,7 +150,7 @@
         let play = Play::<StandardRules>::begin(1, core);
         let view = play.cluster.process(endpoint(0)).unwrap().replica.view().clone();
         assert_eq!(view.voters().len(), core.machines, "{}", play.describe());
-        assert!(view.required_chain(core.losses) > core.losses);
+        assert!(view.required_chain_length(core.losses) > core.losses);
     }
 }
 
@@ -325,8 +325,8 @@
         seeds: vec![endpoint(0), endpoint(1)],
         bootstrap,
         incarnation: 71 + number as u64,
-        start: 81 + number as u64,
-        tolerance: Tolerance::of_machines(1),
+        start_id: 81 + number as u64,
+        tolerance: Tolerance::machines_only(1),
         timing: Timing::default(),
     }
 }
@@ -366,9 +366,9 @@
 
 /// Whether a replica says that this voter, which had its endpoint, is lost.
 fn reports_as_lost<L: ProtocolRules>(replica: &mut Replica<Registers, L>, voter: Voter) -> bool {
-    let ballot = Ballot { epoch: 1, round: 9, member: 0, start: 9 };
-    let known = replica.view().number;
-    let message = Message::Prepare { voter, ballot, known };
+    let ballot = Ballot { epoch: 1, round: 9, member: 0, start_id: 9 };
+    let known_view = replica.view().number;
+    let message = Message::Prepare { voter, ballot, known_view };
     let outputs = replica.handle(3, Input::Message { from: endpoint(0), message });
     let is_report = |output: &Output| matches!(output, Output::Send { message: Message::VoterLost { voter: lost, .. }, .. } if *lost == voter);
     outputs.iter().any(is_report)
@@ -377,7 +377,7 @@
 /// A disk that is back after another one took its place says nothing of its successor, which may run on elsewhere.
 #[test]
 fn an_old_disk_that_is_back_does_not_report_its_successor_as_lost() {
-    let disk = started::<StandardRules>(1, None).checkpoint_due(usize::MAX).expect("nothing is under way");
+    let disk = started::<StandardRules>(1, None).due_checkpoint(usize::MAX).expect("nothing is under way");
     let successor = Voter { member: 2, incarnation: 999 };
     assert!(!reports_as_lost(&mut started::<StandardRules>(1, Some(disk.clone())), successor));
     assert!(reports_as_lost(&mut started::<ReportsSuccessorAsLost>(1, Some(disk)), successor));
--- a/coordination/replica/tests/tickets.rs
+++ b/coordination/replica/tests/tickets.rs
@@ -25,11 +25,11 @@
 
 impl Driven {
     /// The replica at endpoint 0, whose chain has these members.
-    fn start(members: usize, start: u64) -> Driven {
-        Driven::recover(members, start, (None, Vec::new()))
+    fn start(members: usize, start_id: u64) -> Driven {
+        Driven::recover(members, start_id, (None, Vec::new()))
     }
 
-    fn recover(members: usize, start: u64, recovered: (Option<Vec<u8>>, Vec<Vec<u8>>)) -> Driven {
+    fn recover(members: usize, start_id: u64, recovered: (Option<Vec<u8>>, Vec<Vec<u8>>)) -> Driven {
         let settings = ReplicaSettings {
             endpoint: endpoint(0),
             zone: "zone-0".to_owned(),
@@ -37,8 +37,8 @@
             seeds: (0..members).map(endpoint).collect(),
             bootstrap: true,
             incarnation: 1,
-            start,
-            tolerance: Tolerance::of_machines(0),
+            start_id,
+            tolerance: Tolerance::machines_only(0),
             timing: Timing::default(),
         };
         let (checkpoint, log) = recovered.clone();
@@ -49,8 +49,8 @@
     }
 
     /// The process ends, and another begins with the same disk.
-    fn restart(self, members: usize, start: u64) -> Driven {
-        Driven::recover(members, start, (self.checkpoint, self.log))
+    fn restart(self, members: usize, start_id: u64) -> Driven {
+        Driven::recover(members, start_id, (self.checkpoint, self.log))
     }
 
     /// Gives an input and returns what it brings, with what follows from its writes.
@@ -98,14 +98,14 @@
     }
 
     /// A command of a caller elsewhere; returns the sequence that it is answered with, at which start.
-    fn command(&mut self, start: u64, ticket: u64, command: &str) -> Vec<(u64, u64)> {
-        let origin = Origin { endpoint: endpoint(CALLER), start, ticket };
+    fn command(&mut self, start_id: u64, ticket: u64, command: &str) -> Vec<(u64, u64)> {
+        let origin = Origin { endpoint: endpoint(CALLER), start_id, ticket };
         let command = command.as_bytes().to_vec();
         let told = self.deliver(endpoint(CALLER), Message::Submit { origin, command });
         let answers = told.into_iter().filter_map(|output| match output {
-            Output::Send { to, message: Message::Replied { start, ticket: answered, sequence, .. } } => {
+            Output::Send { to, message: Message::Replied { start_id, ticket: answered, sequence, .. } } => {
                 assert_eq!((to, answered), (endpoint(CALLER), ticket));
-                Some((start, sequence))
+                Some((start_id, sequence))
             }
             _ => None,
         });
@@ -113,12 +113,12 @@
     }
 
     fn value(&self, key: &str) -> Option<Vec<u8>> {
-        self.replica.committed().get(key).map(|record| record.value.to_vec())
+        self.replica.committed_records().get(key).map(|record| record.value.to_vec())
     }
 }
 
-fn replied(start: u64, ticket: u64) -> Message {
-    Message::Replied { start, ticket, sequence: 3, answer: b"done".to_vec() }
+fn replied(start_id: u64, ticket: u64) -> Message {
+    Message::Replied { start_id, ticket, sequence: 3, answer: b"done".to_vec() }
 }
 
 fn replies(outputs: Vec<Output>) -> Vec<(u64, Result<Reply, SubmitError>)> {
@@ -148,7 +148,7 @@
     assert_eq!(replies(driven.deliver(endpoint(2), replied(PRESENT_START, 1))), []);
     assert_eq!(replies(driven.deliver(endpoint(1), replied(PRESENT_START, 2))), [], "never given out");
     driven.submit(2, "put a 2");
-    assert_eq!(replies(driven.pass(Timing::default().submit + 50)).len(), 1, "its time is over");
+    assert_eq!(replies(driven.pass(Timing::default().submit_timeout_ms + 50)).len(), 1, "its time is over");
     assert_eq!(replies(driven.deliver(endpoint(1), replied(PRESENT_START, 2))), []);
 }
 
--- a/coordination/replica/tests/wire_fixtures.rs
+++ b/coordination/replica/tests/wire_fixtures.rs
@@ -50,11 +50,11 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { epoch: 3, round, member: 0x0201, start: 0x0807_0605_0403_0201 }
+    Ballot { epoch: 3, round, member: 0x0201, start_id: 0x0807_0605_0403_0201 }
 }
 
-fn link(member: u16, since: u64) -> ChainLink {
-    ChainLink { voter: voter(member), since }
+fn link(member: u16, since_view: u64) -> ChainLink {
+    ChainLink { voter: voter(member), since_view }
 }
 
 fn view() -> View {
@@ -73,13 +73,13 @@
         ],
         voter_sets: vec![vec![voter(1), voter(2), voter(3)], vec![voter(2)]],
         chain: vec![link(2, 40), link(1, 17)],
-        former: vec![vec![link(1, 16), link(3, 15)], vec![], vec![link(3, 14)]],
+        former_chains: vec![vec![link(1, 16), link(3, 15)], vec![], vec![link(3, 14)]],
         next_member: 4,
     }
 }
 
 fn origin(ticket: u64) -> Origin {
-    Origin { endpoint: if ticket.is_multiple_of(2) { v6() } else { v4() }, start: 0xfedc_ba98, ticket }
+    Origin { endpoint: if ticket.is_multiple_of(2) { v6() } else { v4() }, start_id: 0xfedc_ba98, ticket }
 }
 
 fn write(key: &str, value: Option<&[u8]>) -> RecordWrite {
@@ -107,8 +107,8 @@
 }
 
 fn ranges() -> Vec<RangeFields> {
-    let bounded = KeyRange { from: "key/a".to_string(), to: Some("key/m".to_string()) };
-    let open = KeyRange { from: "key/m".to_string(), to: None };
+    let bounded = KeyRange { start: "key/a".to_string(), end: Some("key/m".to_string()) };
+    let open = KeyRange { start: "key/m".to_string(), end: None };
     let records = vec![("key/b".to_string(), record(7, b"seven")), ("key/c".to_string(), record(8, b""))];
     vec![(bounded, records), (open, vec![])]
 }
@@ -142,7 +142,7 @@
     let mut message = running_heartbeat();
     let Message::Heartbeat(heartbeat) = &mut message else { unreachable!("it was found as one") };
     heartbeat.incarnation = 0x0102_0304_0506_0708;
-    heartbeat.start = 0x1112_1314_1516_1718;
+    heartbeat.start_id = 0x1112_1314_1516_1718;
     heartbeat.zone = "zone-a".to_string();
     heartbeat.region = "north".to_string();
     heartbeat.view = 41;
@@ -155,8 +155,8 @@
     // Releases before the field send nothing.
     heartbeat.protocol = 0;
     let (mut first, mut second) = (heartbeat.received[0], heartbeat.received[0]);
-    (first.endpoint, first.start, first.sent_at) = (v4(), 0x21, 0x22);
-    (second.endpoint, second.start, second.sent_at) = (v6(), 0x31, 0x32);
+    (first.endpoint, first.start_id, first.sent_at) = (v4(), 0x21, 0x22);
+    (second.endpoint, second.start_id, second.sent_at) = (v6(), 0x31, 0x32);
     heartbeat.received = vec![first, second];
     message
 }
@@ -239,7 +239,7 @@
         ("heartbeat", heartbeat()),
         ("heartbeat-hears-nobody", other_heartbeat()),
         ("heartbeat-protocol", heartbeat_with_protocol()),
-        ("prepare", Message::Prepare { voter: voter(1), ballot: ballot(4), known: 39 }),
+        ("prepare", Message::Prepare { voter: voter(1), ballot: ballot(4), known_view: 39 }),
         ("promise", promise(accepted)),
         ("promise-nothing-accepted", promise(None)),
         ("accept", Message::Accept { voter: voter(2), ballot: ballot(7), view: view() }),
@@ -247,7 +247,10 @@
         ("rejected", Message::Rejected { ballot: ballot(9), promised: ballot(10) }),
         ("decided", decided()),
         ("submit", Message::Submit { origin: origin(73), command: b"a command \x00\xff".to_vec() }),
-        ("replied", Message::Replied { start: 51, ticket: 52, sequence: 53, answer: b"an answer".to_vec() }),
+        (
+            "replied",
+            Message::Replied { start_id: 51, ticket: 52, sequence: 53, answer: b"an answer".to_vec() },
+        ),
         ("append", append()),
         ("acknowledge", Message::Acknowledge { view: 41, last: 902, committed: 901 }),
         ("resume", resume()),
@@ -265,14 +268,14 @@
 fn kind(message: &Message) -> usize {
     match message {
         Message::Heartbeat(_) => 0,
-        Message::Prepare { voter: _, ballot: _, known: _ } => 1,
+        Message::Prepare { voter: _, ballot: _, known_view: _ } => 1,
         Message::Promise { voter: _, ballot: _, accepted: _, report: _ } => 2,
         Message::Accept { voter: _, ballot: _, view: _ } => 3,
         Message::Accepted { voter: _, ballot: _ } => 4,
         Message::Rejected { ballot: _, promised: _ } => 5,
         Message::Decided(_) => 6,
         Message::Submit { origin: _, command: _ } => 7,
-        Message::Replied { start: _, ticket: _, sequence: _, answer: _ } => 8,
+        Message::Replied { start_id: _, ticket: _, sequence: _, answer: _ } => 8,
         Message::Append { view: _, entries: _, reads: _ } => 9,
         Message::Acknowledge { view: _, last: _, committed: _ } => 10,
         Message::Resume { view: _, state: _ } => 11,
@@ -308,8 +311,8 @@
         seeds: vec![v4()],
         bootstrap: false,
         incarnation: 5,
-        start: 6,
-        tolerance: Tolerance::of_machines(1),
+        start_id: 6,
+        tolerance: Tolerance::machines_only(1),
         timing: Timing::default(),
     }
 }
@@ -330,7 +333,7 @@
         1_000,
     )
     .expect("it can be read");
-    replica.checkpoint_due(usize::MAX).expect("nothing waits for the disk")
+    replica.due_checkpoint(usize::MAX).expect("nothing waits for the disk")
 }
 
 #[test]
@@ -342,7 +345,7 @@
     let (replica, _) = Replica::new(settings(), Registers, recovered, 1_000).expect("it can be read");
     assert_eq!(replica.view(), &view());
     assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (900, 902));
-    assert_eq!(replica.committed(), &state().4);
+    assert_eq!(replica.committed_records(), &state().4);
 }
 
 /// Each kind of durable record as its number and fields, and what it makes of [`state`].
--- a/coordination/storage/examples/counter.rs
+++ b/coordination/storage/examples/counter.rs
@@ -2,12 +2,12 @@
 
 use std::error::Error;
 
-use whinspindle_storage::{FolderDirectory, Journal, Recovered};
+use whinspindle_storage::{FolderDirectory, Journal, RecoveredState};
 
 /// A log longer than this is replaced by a checkpoint.
 const LONGEST_LOG_BYTES: usize = 1024;
 
-fn count(recovered: &Recovered) -> u64 {
+fn count(recovered: &RecoveredState) -> u64 {
     let checkpoint = recovered.checkpoint.as_deref().and_then(|bytes| bytes.try_into().ok());
     checkpoint.map_or(0, u64::from_le_bytes) + recovered.log.len() as u64
 }
--- a/coordination/storage/src/directory.rs
+++ b/coordination/storage/src/directory.rs
@@ -38,7 +38,7 @@
 
     /// Another process holds the lock of the folder.
     #[snafu(display("another process uses `{name}`"))]
-    Taken {
+    Locked {
         /// The folder.
         name: String,
     },
--- a/coordination/storage/src/error.rs
+++ b/coordination/storage/src/error.rs
@@ -17,7 +17,7 @@
 
     /// Another process uses the folder.
     #[snafu(display("the folder is in use: {source}"))]
-    Taken {
+    Locked {
         /// The operation that failed.
         source: DirectoryError,
     },
@@ -55,7 +55,7 @@
     fn from(source: DirectoryError) -> Self {
         match source {
             DirectoryError::Full { .. } => StorageError::Full { source },
-            DirectoryError::Taken { .. } => StorageError::Taken { source },
+            DirectoryError::Locked { .. } => StorageError::Locked { source },
             DirectoryError::Removed { .. } => StorageError::Removed { source },
             DirectoryError::Io { .. } => StorageError::Disk { source },
         }
--- a/coordination/storage/src/folder.rs
+++ b/coordination/storage/src/folder.rs
@@ -8,7 +8,7 @@
 
 use snafu::{ResultExt, ensure};
 
-use crate::directory::{Directory, DirectoryError, FullSnafu, IoSnafu, RemovedSnafu, TakenSnafu};
+use crate::directory::{Directory, DirectoryError, FullSnafu, IoSnafu, LockedSnafu, RemovedSnafu};
 
 /// The file whose lock keeps other processes out.
 const LOCK_FILE: &str = "lock";
@@ -35,7 +35,7 @@
         fs::create_dir_all(path).context(IoSnafu { name: &name })?;
         let lock = open_file(&path.join(LOCK_FILE), true).context(IoSnafu { name: LOCK_FILE })?;
         match lock.try_lock() {
-            Err(TryLockError::WouldBlock) => return TakenSnafu { name }.fail(),
+            Err(TryLockError::WouldBlock) => return LockedSnafu { name }.fail(),
             // On a file system without locks, the operator has to keep other processes out.
             Ok(()) | Err(TryLockError::Error(_)) => {}
         }
--- a/coordination/storage/src/format.rs
+++ b/coordination/storage/src/format.rs
@@ -17,7 +17,7 @@
     #[snafu(display(
         "the folder has format {found}, and this release reads up to {supported}: start the later release again"
     ))]
-    Newer {
+    UnsupportedVersion {
         /// The version of the folder.
         found: u32,
         /// The newest version that can be read.
@@ -25,7 +25,7 @@
     },
     /// The file holds something else than a version.
     #[snafu(display("the file `{FORMAT_FILE}` holds no version"))]
-    NoVersion,
+    InvalidVersion,
     /// An operation of the folder failed.
     #[snafu(display("{source}"))]
     Disk {
@@ -43,7 +43,7 @@
 pub fn check_format<D: Directory>(directory: &mut D, present: u32) -> Result<(), FormatError> {
     let content = directory.read(FORMAT_FILE).context(DiskSnafu)?.unwrap_or_default();
     match version_of(&content)? {
-        Some(found) if found > present => NewerSnafu { found, supported: present }.fail(),
+        Some(found) if found > present => UnsupportedVersionSnafu { found, supported: present }.fail(),
         Some(found) if found == present => Ok(()),
         _ => record(directory, present).context(DiskSnafu),
     }
@@ -57,7 +57,7 @@
     }
     let text = std::str::from_utf8(content).ok();
     let version = text.and_then(|text| text.trim_end_matches(['\n', '\0']).parse().ok());
-    version.map(Some).ok_or(FormatError::NoVersion)
+    version.map(Some).ok_or(FormatError::InvalidVersion)
 }
 
 fn record<D: Directory>(directory: &mut D, version: u32) -> Result<(), DirectoryError> {
--- a/coordination/storage/src/journal.rs
+++ b/coordination/storage/src/journal.rs
@@ -32,7 +32,7 @@
 
 /// What a journal holds when it is opened.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Recovered {
+pub struct RecoveredState {
     /// The state of the newest checkpoint.
     pub checkpoint: Option<Vec<u8>>,
     /// The records appended after the checkpoint, oldest first.
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// The files are damaged, or an operation of the folder failed.
-    pub fn open(mut directory: D) -> Result<(Self, Recovered), StorageError> {
+    pub fn open(mut directory: D) -> Result<(Self, RecoveredState), StorageError> {
         prepare_files(&mut directory)?;
         let checkpoint = read_newest_checkpoint(&mut directory)?;
         let generation = checkpoint.as_ref().map_or(0, |checkpoint| checkpoint.generation);
@@ -62,7 +62,7 @@
             tail_is_dirty: scan.has_more,
         };
         log.extend(scan.records);
-        Ok((journal, Recovered { checkpoint: checkpoint.map(|checkpoint| checkpoint.state), log }))
+        Ok((journal, RecoveredState { checkpoint: checkpoint.map(|checkpoint| checkpoint.state), log }))
     }
 
     /// Empties the files of a journal that cannot be opened ([`StorageError::Damaged`]), and leaves all others alone.
--- a/coordination/storage/src/lib.rs
+++ b/coordination/storage/src/lib.rs
@@ -30,4 +30,4 @@
 pub use error::StorageError;
 pub use folder::FolderDirectory;
 pub use format::{FormatError, check_format};
-pub use journal::{Journal, Recovered};
+pub use journal::{Journal, RecoveredState};
--- a/coordination/storage/tests/folder.rs
+++ b/coordination/storage/tests/folder.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::{env, fs, process};
 
-use whinspindle_storage::{DirectoryError, FolderDirectory, Journal, Recovered, StorageError};
+use whinspindle_storage::{DirectoryError, FolderDirectory, Journal, RecoveredState, StorageError};
 
 /// A folder that is removed at the end of the test.
 struct TemporaryFolder(PathBuf);
@@ -20,7 +20,7 @@
     }
 }
 
-fn open(path: &Path) -> (Journal<FolderDirectory>, Recovered) {
+fn open(path: &Path) -> (Journal<FolderDirectory>, RecoveredState) {
     let directory = FolderDirectory::open(path).expect("the folder can be used");
     Journal::open(directory).expect("the journal can be read")
 }
@@ -32,8 +32,11 @@
     for round in 0..5_u8 {
         let (mut journal, recovered) = open(&path);
         let expected = match round {
-            0 => Recovered::default(),
-            _ => Recovered { checkpoint: Some(vec![round - 1; 100]), log: vec![vec![round - 1; 10], vec![]] },
+            0 => RecoveredState::default(),
+            _ => RecoveredState {
+                checkpoint: Some(vec![round - 1; 100]),
+                log: vec![vec![round - 1; 10], vec![]],
+            },
         };
         assert_eq!(recovered, expected);
         journal.append(&[vec![round; 1000]]).expect("the folder can be written");
@@ -47,7 +50,7 @@
     let folder = TemporaryFolder::new("taken");
     let first = FolderDirectory::open(&folder.0).expect("the folder can be used");
     let error = FolderDirectory::open(&folder.0).expect_err("the folder is taken");
-    assert!(matches!(error, DirectoryError::Taken { .. }), "{error}");
+    assert!(matches!(error, DirectoryError::Locked { .. }), "{error}");
     drop(first);
     FolderDirectory::open(&folder.0).expect("the folder is free again");
 }
@@ -77,7 +80,7 @@
     Journal::discard(&mut directory).expect("the folder can be written");
     drop(directory);
     let (_, recovered) = open(path);
-    assert_eq!(recovered, Recovered::default());
+    assert_eq!(recovered, RecoveredState::default());
     assert_eq!(fs::read(path.join("notes")).expect("it is there"), b"of another");
 }
 
@@ -98,7 +101,7 @@
         }
         drop(successor);
         if is_replaced {
-            assert_eq!(open(&folder.0).1, Recovered::default(), "nothing was written for the successor");
+            assert_eq!(open(&folder.0).1, RecoveredState::default(), "nothing was written for the successor");
         }
     }
 }
--- a/coordination/storage/tests/format.rs
+++ b/coordination/storage/tests/format.rs
@@ -58,7 +58,7 @@
     folder.check(12).unwrap();
     assert_eq!(folder.content(), b"12\n");
     let error = folder.check(PRESENT).unwrap_err();
-    assert!(matches!(error, FormatError::Newer { found: 12, supported: PRESENT }), "{error}");
+    assert!(matches!(error, FormatError::UnsupportedVersion { found: 12, supported: PRESENT }), "{error}");
     assert_eq!(folder.content(), b"12\n");
     let (_, recovered) = Journal::open(FolderDirectory::open(&folder.0).unwrap()).unwrap();
     assert_eq!(recovered.log, [b"kept".to_vec()]);
@@ -69,7 +69,7 @@
     for content in [&b"one\n"[..], b"-1\n", b"1.5\n", b"99999999999\n", b"\xff\n", b"1 2\n"] {
         let folder = TemporaryFolder::new("garbled");
         fs::write(folder.0.join("format"), content).expect("it can be written");
-        assert!(matches!(folder.check(PRESENT), Err(FormatError::NoVersion)), "{content:?}");
+        assert!(matches!(folder.check(PRESENT), Err(FormatError::InvalidVersion)), "{content:?}");
         assert_eq!(folder.content(), content);
     }
 }
--- a/coordination/storage/tests/journal.rs
+++ b/coordination/storage/tests/journal.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use simulation::{Fault, Files, SimulatedDirectory};
-use whinspindle_storage::{Directory, Journal, Recovered, StorageError};
+use whinspindle_storage::{Directory, Journal, RecoveredState, StorageError};
 
 /// The state of the tests: all records ever appended, by their numbers.
 type History = Vec<u32>;
@@ -27,7 +27,7 @@
     history.iter().flat_map(|number| number.to_le_bytes()).collect()
 }
 
-fn history_of(recovered: &Recovered) -> History {
+fn history_of(recovered: &RecoveredState) -> History {
     let checkpoint = recovered.checkpoint.as_deref().unwrap_or_default();
     checkpoint.chunks(4).map(number_of).chain(recovered.log.iter().map(|record| number_of(record))).collect()
 }
@@ -95,7 +95,7 @@
 fn an_empty_folder_has_no_state() {
     let directory = SimulatedDirectory::default();
     let (journal, recovered) = Journal::open(directory).expect("the disk works");
-    assert_eq!(recovered, Recovered::default());
+    assert_eq!(recovered, RecoveredState::default());
     assert_eq!(journal.log_bytes(), 0);
 }
 
@@ -114,7 +114,10 @@
     assert_eq!(journal.log_bytes(), 0);
     journal.append(&[b"four".to_vec()]).expect("the disk works");
     let (_, recovered) = Journal::open(directory).expect("the disk works");
-    assert_eq!(recovered, Recovered { checkpoint: Some(b"state".to_vec()), log: vec![b"four".to_vec()] });
+    assert_eq!(
+        recovered,
+        RecoveredState { checkpoint: Some(b"state".to_vec()), log: vec![b"four".to_vec()] }
+    );
 }
 
 #[test]
@@ -436,7 +439,7 @@
                 journal.append(&[b"more".to_vec()]).expect("the disk works");
                 let (_, again) = Journal::open(directory).expect("it was opened before");
                 let log = [recovered.log, vec![b"more".to_vec()]].concat();
-                again == Recovered { checkpoint: recovered.checkpoint, log }
+                again == RecoveredState { checkpoint: recovered.checkpoint, log }
             }
             Err(error) => matches!(error, StorageError::Damaged { .. }),
         }
--- a/lab/model-checker/src/register.rs
+++ b/lab/model-checker/src/register.rs
@@ -112,7 +112,7 @@
                 let mut s = self.clone();
                 s.left[proposer] -= 1;
                 let round = u64::from(self.rounds_begun(proposer)) * 2 + proposer as u64 + 1;
-                let ballot = Ballot { epoch: 1, round, member: proposer as u16, start: 0 };
+                let ballot = Ballot { epoch: 1, round, member: proposer as u16, start_id: 0 };
                 let begun = Round::new(ballot, State::known());
                 for asked in begun.awaiting_promise::<L>() {
                     s.sent.insert(Sent::Prepare(ballot, asked.member));
--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -54,11 +54,11 @@
     let first = DurableState { incarnation: 23, votes: Default::default(), record: before_bootstrap() };
     let mut second =
         DurableState { incarnation: 0xfeed_0000_0000_0001, votes: Default::default(), record: record() };
-    second.votes.promised = Ballot { epoch: 2, round: 303, member: 300, start: 0xa1a2_a3a4_a5a6_a7a9 };
+    second.votes.promised = Ballot { epoch: 2, round: 303, member: 300, start_id: 0xa1a2_a3a4_a5a6_a7a9 };
     let mut accepted = record();
     (accepted.version, accepted.halted, accepted.next) = (302, None, None);
     second.votes.accepted =
-        Some((Ballot { epoch: 1, round: 302, member: 4, start: 0xb1b2_b3b4_b5b6_b7b9 }, accepted));
+        Some((Ballot { epoch: 1, round: 302, member: 4, start_id: 0xb1b2_b3b4_b5b6_b7b9 }, accepted));
     [first, second]
 }
 
