--- a/coordination/consensus/src/acceptor.rs
+++ b/coordination/consensus/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor: the state of one voter.
+//! The acceptor: the state and the decisions of one voter.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,12 +6,12 @@
 use crate::register::RegisterValue;
 use crate::rules::ConsensusRules;
 
-/// The durable state of a voter. Its owner makes it durable before the answer is sent.
+/// The durable state of a voter. The caller must make it durable before sending the answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorState<V> {
-    /// The highest ballot that was promised; proposals of a lower one are rejected.
+    /// The highest promised ballot. Proposals with a lower ballot are rejected.
     pub promised: Ballot,
-    /// The newest value that was accepted, with the ballot of its proposal.
+    /// The newest accepted value and the ballot of its proposal.
     pub accepted: Option<(Ballot, V)>,
 }
 
@@ -22,11 +22,11 @@
 }
 
 impl<V: RegisterValue> AcceptorState<V> {
-    /// Phase 1: promises to accept no proposal of a lower ballot.
+    /// Phase 1: promises to reject proposals with a lower ballot.
     ///
     /// # Errors
     ///
-    /// The ballot that was promised already, if it is higher.
+    /// Returns the ballot promised earlier if it is higher.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<(), Ballot> {
         if ballot < self.promised {
             return Err(self.promised);
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     ///
-    /// The ballot that was promised already, if it is higher.
+    /// Returns the ballot promised earlier if it is higher.
     pub fn accept<Rules: ConsensusRules>(&mut self, ballot: Ballot, value: V) -> Result<(), Ballot> {
         if !Rules::may_vote(self.promised, ballot) {
             return Err(self.promised);
--- a/coordination/consensus/src/lib.rs
+++ b/coordination/consensus/src/lib.rs
@@ -1,23 +1,27 @@
 //! CASPaxos: a single replicated register that a set of voters changes by consensus.
 //!
-//! Implements the register of D. Rystsov, "CASPaxos: Replicated State Machines without logs", arXiv:1802.07000,
-//! section 2.2, which is single-decree Paxos (L. Lamport, "Paxos Made Simple", 2001, section 2.2) whose proposer writes
-//! a change of the value that its prepare phase returned. Voters are replaced through joint consensus (D. Ongaro and
-//! J. Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014, section 6): while two voter sets stand,
-//! a majority of each is required.
+//! Implements the register of D. Rystsov, "CASPaxos: Replicated State Machines without logs",
+//! arXiv:1802.07000, section 2.2, which is single-decree Paxos (L. Lamport, "Paxos Made Simple", 2001,
+//! section 2.2) whose proposer writes a change of the value that its prepare phase returned. Voters are
+//! replaced through joint consensus (D. Ongaro and J. Ousterhout, "In Search of an Understandable Consensus
+//! Algorithm", 2014, section 6): while there are two voter sets, a majority of each is required.
 //!
-//! A process that votes keeps an [`AcceptorState`], which it makes durable before it answers. A process that wants to
-//! change the value drives one [`Round`]:
+//! A voter keeps an [`AcceptorState`] and makes it durable before it answers. A proposer changes the value
+//! with a [`Round`]:
 //!
-//! 1. [`Round::new`] with a [`Ballot`] that was never used before; send it to [`Round::awaiting_promise`].
-//! 2. Pass each promise to [`Round::record_promise`] until [`Round::prepared_value`] returns the value to start from.
-//! 3. [`Round::propose`] the changed value and send it to the voters that are returned.
+//! 1. Create a [`Round`] with an unused [`Ballot`], and send the ballot to the voters in
+//!    [`Round::awaiting_promise`].
+//! 2. Pass each promise to [`Round::record_promise`] until [`Round::prepared_value`] returns the value to
+//!    change.
+//! 3. Pass the changed value to [`Round::propose`], and send it to the voters that it returns.
 //! 4. Pass each acceptance to [`Round::record_vote`], which returns the value once it is chosen.
 //!
 //! ```
-//! use whinspindle_consensus::{AcceptorState, Ballot, RegisterValue, Round, StandardConsensusRules as Rules, Voter};
+//! use whinspindle_consensus::{
+//!     AcceptorState, Ballot, RegisterValue, Round, StandardConsensusRules as Rules, Voter,
+//! };
 //!
-//! /// A number, and the one voter set that decides on it.
+//! /// A number and the voter set that decides on it.
 //! #[derive(Clone, Debug, PartialEq)]
 //! struct Register {
 //!     number: u64,
@@ -36,10 +40,10 @@
 //!
 //! let voters: Vec<Voter> = (0..3).map(|member| Voter { member, incarnation: 1 }).collect();
 //! let mut acceptors = vec![AcceptorState::<Register>::default(); 3];
-//! let first = Register { number: 0, voter_sets: vec![voters.clone()] };
+//! let initial = Register { number: 0, voter_sets: vec![voters.clone()] };
 //!
 //! let ballot = Ballot { epoch: 1, round: 1, member: 0, start_id: 7 };
-//! let mut round = Round::new(ballot, first);
+//! let mut round = Round::new(ballot, initial);
 //! for (voter, acceptor) in voters.iter().zip(&mut acceptors) {
 //!     acceptor.prepare(ballot)?;
 //!     round.record_promise(*voter, acceptor.accepted.clone());
@@ -57,10 +61,10 @@
 //! # Ok::<(), Ballot>(())
 //! ```
 //!
-//! A voter whose durable state is lost for good is passed to [`Round::record_lost`]: half of an even number of voters
-//! decides once all others are lost ([`ConsensusRules::is_quorum`]).
+//! Pass a voter whose durable state is permanently lost to [`Round::record_lost`]. Half of an even number
+//! of voters is a quorum once all the others are lost ([`ConsensusRules::is_quorum`]).
 //!
-//! The crate does no I/O, reads no clock and draws no random numbers: the caller carries the messages.
+//! The crate has no I/O, clock or random source. The caller transports the messages.
 
 mod acceptor;
 mod ballot;
--- a/coordination/consensus/tests/lost_voters.rs
+++ b/coordination/consensus/tests/lost_voters.rs
@@ -1,5 +1,5 @@
-//! Voters that lose their durable state for good: whatever the order of events, at most one value is chosen for each
-//! number as long as no more than half of the voters are lost, and planted faults are found.
+//! Random schedules with voters that permanently lose their durable state. At most one value may be chosen
+//! for each number while at most half of the voters are lost. Injected faults must be detected.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,24 +8,24 @@
     AcceptorState, Ballot, ConsensusRules, RegisterValue, Round, StandardConsensusRules, Voter,
 };
 
-/// Schedules in an ordinary run; more are drawn if this variable says so.
-const ORDINARY_SCHEDULES: u64 = 4_000;
+/// Number of schedules unless the environment variable sets another one.
+const DEFAULT_SCHEDULES: u64 = 4_000;
 const SCHEDULES_VARIABLE: &str = "WHINSPINDLE_SCHEDULES";
-/// Planted faults are to be found among so many.
-const SCHEDULES_WITH_FAULT: u64 = 400_000;
-/// The schedules that are drawn.
+/// Injected faults must be detected within this number of schedules.
+const MAX_SCHEDULES_WITH_FAULT: u64 = 400_000;
+/// The seed of the schedules.
 const SEED: u64 = 57;
 /// Bounds the length of schedules.
 const SIZE: usize = 90;
-/// Voters that a schedule names; they are counted modulo the size of the core.
-const MOST_VOTERS: u8 = 4;
+/// Voter numbers in a schedule are below this. They are taken modulo the number of voters.
+const MAX_VOTERS: u8 = 4;
 const PROPOSERS: u8 = 2;
 
-/// A value that names the one it was made from.
+/// A value with the ballot of its proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Value {
     number: u64,
-    /// The ballot that it was proposed with.
+    /// The ballot of the proposal.
     origin: Ballot,
     voter_sets: Vec<Vec<Voter>>,
 }
@@ -40,43 +40,43 @@
     }
 }
 
-/// What goes wrong beside the rules.
+/// A fault outside of the consensus rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
-    Nothing,
-    /// A voter with an empty disk answers as if it were the one that was lost.
+enum InjectedFault {
+    None,
+    /// A voter with an empty disk answers in place of the lost voter.
     EmptyAcceptorVotes,
-    /// A voter is reported as lost while it runs on.
-    OldIncarnationRunsOn,
+    /// A voter is reported as lost while it is still running.
+    OldIncarnationKeepsRunning,
 }
 
-/// Any number of voters decides once all others are lost.
+/// Faulty rule: any number of voters is a quorum once all others are lost.
 #[derive(Clone, Debug)]
-struct FewDecide;
-impl ConsensusRules for FewDecide {
-    fn is_quorum(votes: usize, lost: usize, of: usize) -> bool {
-        Self::is_majority(votes, of) || (votes > 0 && votes + lost == of)
+struct MinorityDecides;
+impl ConsensusRules for MinorityDecides {
+    fn is_quorum(votes: usize, lost: usize, voters: usize) -> bool {
+        Self::is_majority(votes, voters) || (votes > 0 && votes + lost == voters)
     }
 }
 
-/// Half of the voters decides, whatever became of the others.
+/// Faulty rule: half of the voters is a quorum even if the others are not lost.
 #[derive(Clone, Debug)]
 struct HalfDecides;
 impl ConsensusRules for HalfDecides {
-    fn is_quorum(votes: usize, _lost: usize, of: usize) -> bool {
-        2 * votes >= of
+    fn is_quorum(votes: usize, _lost: usize, voters: usize) -> bool {
+        2 * votes >= voters
     }
 }
 
-/// Something that happens. Voters and proposers are counted modulo their numbers.
+/// One event of a schedule. The fields are the numbers of voters and proposers.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Begin(u8),
-    /// The voter answers the proposer's request of the present phase.
+    /// The voter answers the proposer's request of the current phase.
     Answer(u8, u8),
     /// The proposer learns that the voter is lost, if it is.
-    Report(u8, u8),
-    /// The proposer begins the second phase, if it can.
+    ReportLost(u8, u8),
+    /// The proposer begins the second phase, if it has a prepared value.
     Propose(u8),
     /// The voter loses its durable state.
     Lose(u8),
@@ -84,23 +84,23 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let (voter, proposer) = (u8::arbitrary(g) % MOST_VOTERS, u8::arbitrary(g) % PROPOSERS);
+        let (voter, proposer) = (u8::arbitrary(g) % MAX_VOTERS, u8::arbitrary(g) % PROPOSERS);
         match u8::arbitrary(g) % 16 {
             0 | 1 => Step::Begin(proposer),
             2..=4 => Step::Propose(proposer),
             5 => Step::Lose(voter),
-            6 | 7 => Step::Report(voter, proposer),
+            6 | 7 => Step::ReportLost(voter, proposer),
             _ => Step::Answer(voter, proposer),
         }
     }
 }
 
-struct Play<Rules> {
+struct Simulation<Rules> {
     voters: Vec<Voter>,
     acceptors: BTreeMap<Voter, AcceptorState<Value>>,
     lost: BTreeSet<Voter>,
     losses_left: usize,
-    planted: Planted,
+    fault: InjectedFault,
     rounds: BTreeMap<u8, Round<Value>>,
     /// The newest value that each proposer knows to be chosen.
     known: BTreeMap<u8, Value>,
@@ -109,14 +109,14 @@
     rules: std::marker::PhantomData<Rules>,
 }
 
-impl<Rules: ConsensusRules> Play<Rules> {
-    fn new(count: u16, losses: usize, planted: Planted) -> Play<Rules> {
-        let voters: Vec<Voter> = (0..count).map(|member| Voter { member, incarnation: 1 }).collect();
-        Play {
+impl<Rules: ConsensusRules> Simulation<Rules> {
+    fn new(voter_count: u16, max_losses: usize, fault: InjectedFault) -> Simulation<Rules> {
+        let voters: Vec<Voter> = (0..voter_count).map(|member| Voter { member, incarnation: 1 }).collect();
+        Simulation {
             acceptors: voters.iter().map(|voter| (*voter, AcceptorState::default())).collect(),
             lost: BTreeSet::new(),
-            losses_left: losses,
-            planted,
+            losses_left: max_losses,
+            fault,
             rounds: BTreeMap::new(),
             known: BTreeMap::new(),
             ballots: 0,
@@ -130,11 +130,11 @@
         self.voters[usize::from(number) % self.voters.len()]
     }
 
-    fn take(&mut self, step: Step) -> Result<(), String> {
+    fn run_step(&mut self, step: Step) -> Result<(), String> {
         match step {
             Step::Begin(proposer) => self.begin(proposer),
             Step::Answer(number, proposer) => return self.answer(self.voter(number), proposer),
-            Step::Report(number, proposer) => self.report(self.voter(number), proposer),
+            Step::ReportLost(number, proposer) => self.report_lost(self.voter(number), proposer),
             Step::Propose(proposer) => self.propose(proposer),
             Step::Lose(number) => self.lose(self.voter(number)),
         }
@@ -144,22 +144,22 @@
     fn begin(&mut self, proposer: u8) {
         self.ballots += 1;
         let ballot = Ballot { epoch: 1, round: self.ballots, member: proposer.into(), start_id: 1 };
-        let first = Value { number: 0, origin: Ballot::default(), voter_sets: vec![self.voters.clone()] };
-        let known = self.known.get(&proposer).cloned().unwrap_or(first);
+        let initial = Value { number: 0, origin: Ballot::default(), voter_sets: vec![self.voters.clone()] };
+        let known = self.known.get(&proposer).cloned().unwrap_or(initial);
         self.rounds.insert(proposer, Round::new(ballot, known));
     }
 
-    fn report(&mut self, voter: Voter, proposer: u8) {
+    fn report_lost(&mut self, voter: Voter, proposer: u8) {
         let Some(round) = self.rounds.get_mut(&proposer) else { return };
         if self.lost.contains(&voter) && !round.is_proposing() {
             round.record_lost(voter);
         }
     }
 
-    /// A voter that has lost its state answers no more, unless a fault is planted.
+    /// A voter that has lost its state does not answer, unless a fault is injected.
     fn answer(&mut self, voter: Voter, proposer: u8) -> Result<(), String> {
         let Some(round) = self.rounds.get_mut(&proposer) else { return Ok(()) };
-        if self.planted == Planted::Nothing && self.lost.contains(&voter) {
+        if self.fault == InjectedFault::None && self.lost.contains(&voter) {
             return Ok(());
         }
         let ballot = round.ballot;
@@ -175,13 +175,13 @@
             return Ok(());
         }
         let Some(chosen) = round.record_vote::<Rules>(voter).cloned() else { return Ok(()) };
-        self.choose(proposer, chosen)
+        self.record_chosen(proposer, chosen)
     }
 
-    fn choose(&mut self, proposer: u8, value: Value) -> Result<(), String> {
+    fn record_chosen(&mut self, proposer: u8, value: Value) -> Result<(), String> {
         self.known.insert(proposer, value.clone());
-        let first = self.chosen.entry(value.number).or_insert_with(|| value.clone());
-        if *first == value { Ok(()) } else { Err(format!("two values: {first:?} and {value:?}")) }
+        let chosen = self.chosen.entry(value.number).or_insert_with(|| value.clone());
+        if *chosen == value { Ok(()) } else { Err(format!("two values: {chosen:?} and {value:?}")) }
     }
 
     fn propose(&mut self, proposer: u8) {
@@ -198,71 +198,76 @@
             return;
         }
         self.losses_left -= 1;
-        if self.planted != Planted::OldIncarnationRunsOn {
+        if self.fault != InjectedFault::OldIncarnationKeepsRunning {
             self.acceptors.insert(voter, AcceptorState::default());
         }
     }
 }
 
-/// Plays the steps in a core of so many voters, of which so many lose their state.
-fn play<Rules: ConsensusRules>(
+/// Runs the steps with `voter_count` voters, of which at most `max_losses` lose their state.
+fn simulate<Rules: ConsensusRules>(
     steps: &[Step],
-    count: u16,
-    losses: usize,
-    planted: Planted,
+    voter_count: u16,
+    max_losses: usize,
+    fault: InjectedFault,
 ) -> Result<(), String> {
-    let mut play = Play::<Rules>::new(count, losses, planted);
-    steps.iter().try_for_each(|step| play.take(*step))
+    let mut simulation = Simulation::<Rules>::new(voter_count, max_losses, fault);
+    steps.iter().try_for_each(|step| simulation.run_step(*step))
 }
 
-fn holds(steps: Vec<Step>, count: u16) -> TestResult {
-    let losses = usize::from(count) / 2;
-    match play::<StandardConsensusRules>(&steps, count, losses, Planted::Nothing) {
+fn chooses_one_value_per_number(steps: Vec<Step>, voter_count: u16) -> TestResult {
+    let max_losses = usize::from(voter_count) / 2;
+    match simulate::<StandardConsensusRules>(&steps, voter_count, max_losses, InjectedFault::None) {
         Ok(()) => TestResult::passed(),
-        Err(fault) => TestResult::error(fault),
+        Err(violation) => TestResult::error(violation),
     }
 }
 
-fn search(property: fn(Vec<Step>) -> TestResult) {
+fn check_schedules(property: fn(Vec<Step>) -> TestResult) {
     let count = std::env::var(SCHEDULES_VARIABLE).ok().and_then(|text| text.parse().ok());
     let random = Gen::from_size_and_seed(SIZE, SEED);
-    QuickCheck::new().tests(count.unwrap_or(ORDINARY_SCHEDULES)).rng(random).quickcheck(property);
+    QuickCheck::new().tests(count.unwrap_or(DEFAULT_SCHEDULES)).rng(random).quickcheck(property);
 }
 
 #[test]
 fn one_value_is_chosen_for_each_number_by_two_voters() {
-    search(|steps| holds(steps, 2));
+    check_schedules(|steps| chooses_one_value_per_number(steps, 2));
 }
 
 #[test]
 fn one_value_is_chosen_for_each_number_by_three_voters() {
-    search(|steps| holds(steps, 3));
+    check_schedules(|steps| chooses_one_value_per_number(steps, 3));
 }
 
 #[test]
 fn one_value_is_chosen_for_each_number_by_four_voters() {
-    search(|steps| holds(steps, 4));
+    check_schedules(|steps| chooses_one_value_per_number(steps, 4));
 }
 
-/// The number of the first schedule in which two values are chosen for one number.
-fn found<Rules: ConsensusRules>(count: u16, losses: usize, planted: Planted) -> Option<u64> {
+/// The index of the first schedule in which two values are chosen for one number.
+fn find_violation<Rules: ConsensusRules>(
+    voter_count: u16,
+    max_losses: usize,
+    fault: InjectedFault,
+) -> Option<u64> {
     let mut random = Gen::from_size_and_seed(SIZE, SEED);
-    (0..SCHEDULES_WITH_FAULT).find(|_| {
+    (0..MAX_SCHEDULES_WITH_FAULT).find(|_| {
         let steps = Vec::<Step>::arbitrary(&mut random);
-        play::<Rules>(&steps, count, losses, planted).is_err()
+        simulate::<Rules>(&steps, voter_count, max_losses, fault).is_err()
     })
 }
 
 #[test]
 fn an_empty_acceptor_that_votes_at_once_is_detected() {
-    assert!(found::<StandardConsensusRules>(3, 1, Planted::EmptyAcceptorVotes).is_some());
-    assert!(found::<StandardConsensusRules>(4, 2, Planted::EmptyAcceptorVotes).is_some());
+    assert!(find_violation::<StandardConsensusRules>(3, 1, InjectedFault::EmptyAcceptorVotes).is_some());
+    assert!(find_violation::<StandardConsensusRules>(4, 2, InjectedFault::EmptyAcceptorVotes).is_some());
 }
 
-/// A proposer asks these voters in both phases, after it has learned that those are lost.
-fn round(proposer: u8, asked: &[u8], lost: &[u8]) -> Vec<Step> {
-    let answers = || asked.iter().map(move |voter| Step::Answer(*voter, proposer));
-    let reports = lost.iter().map(|voter| Step::Report(*voter, proposer));
+/// The steps of a proposer that learns of the lost voters, and then gets answers of `answering` in both
+/// phases.
+fn round(proposer: u8, answering: &[u8], lost: &[u8]) -> Vec<Step> {
+    let answers = || answering.iter().map(move |voter| Step::Answer(*voter, proposer));
+    let reports = lost.iter().map(|voter| Step::ReportLost(*voter, proposer));
     let mut steps = vec![Step::Begin(proposer)];
     steps.extend(reports.chain(answers()));
     steps.push(Step::Propose(proposer));
@@ -270,49 +275,60 @@
     steps
 }
 
-fn all_lose(voters: &[u8]) -> Vec<Step> {
+fn lose_all(voters: &[u8]) -> Vec<Step> {
     voters.iter().map(|voter| Step::Lose(*voter)).collect()
 }
 
-/// Both halves take each other for lost.
+/// Each half of the voters assumes that the other half is lost.
 #[test]
-fn old_incarnations_that_run_on_are_detected() {
-    let two = [all_lose(&[0, 1]), round(0, &[0], &[1]), round(1, &[1], &[0])].concat();
-    assert!(play::<StandardConsensusRules>(&two, 2, 2, Planted::OldIncarnationRunsOn).is_err());
-    assert!(play::<StandardConsensusRules>(&two, 2, 2, Planted::Nothing).is_ok());
-    let four = [all_lose(&[0, 1, 2, 3]), round(0, &[0, 1], &[2, 3]), round(1, &[2, 3], &[0, 1])].concat();
-    assert!(play::<StandardConsensusRules>(&four, 4, 4, Planted::OldIncarnationRunsOn).is_err());
-    assert!(play::<StandardConsensusRules>(&four, 4, 4, Planted::Nothing).is_ok());
+fn old_incarnations_that_keep_running_are_detected() {
+    let two = [lose_all(&[0, 1]), round(0, &[0], &[1]), round(1, &[1], &[0])].concat();
+    assert!(
+        simulate::<StandardConsensusRules>(&two, 2, 2, InjectedFault::OldIncarnationKeepsRunning).is_err()
+    );
+    assert!(simulate::<StandardConsensusRules>(&two, 2, 2, InjectedFault::None).is_ok());
+    let four = [lose_all(&[0, 1, 2, 3]), round(0, &[0, 1], &[2, 3]), round(1, &[2, 3], &[0, 1])].concat();
+    assert!(
+        simulate::<StandardConsensusRules>(&four, 4, 4, InjectedFault::OldIncarnationKeepsRunning).is_err()
+    );
+    assert!(simulate::<StandardConsensusRules>(&four, 4, 4, InjectedFault::None).is_ok());
 }
 
-/// Half of the voters that are said to be lost while they run on do no harm: the other half takes part in whatever is
-/// decided.
+/// A half of the voters that is wrongly reported as lost is harmless, because every decision includes the
+/// other half.
 #[test]
-fn half_of_the_voters_may_run_on_although_they_are_said_to_be_lost() {
-    assert_eq!(found::<StandardConsensusRules>(2, 1, Planted::OldIncarnationRunsOn), None);
-    assert_eq!(found::<StandardConsensusRules>(4, 2, Planted::OldIncarnationRunsOn), None);
+fn half_of_the_voters_may_keep_running_although_reported_as_lost() {
+    assert_eq!(
+        find_violation::<StandardConsensusRules>(2, 1, InjectedFault::OldIncarnationKeepsRunning),
+        None
+    );
+    assert_eq!(
+        find_violation::<StandardConsensusRules>(4, 2, InjectedFault::OldIncarnationKeepsRunning),
+        None
+    );
 }
 
 #[test]
-fn a_half_that_does_not_ask_for_the_other_is_detected() {
-    assert!(found::<HalfDecides>(2, 0, Planted::Nothing).is_some());
-    assert!(found::<HalfDecides>(4, 0, Planted::Nothing).is_some());
+fn a_half_that_decides_without_the_other_is_detected() {
+    assert!(find_violation::<HalfDecides>(2, 0, InjectedFault::None).is_some());
+    assert!(find_violation::<HalfDecides>(4, 0, InjectedFault::None).is_some());
 }
 
-/// More are lost than half: one that was left out of all that was chosen goes on alone.
+/// More than half of the voters are lost. The remaining voter took no part in the earlier decision and
+/// decides alone.
 #[test]
-fn fewer_than_half_that_go_on_are_detected() {
-    let three = [round(0, &[0, 1], &[]), all_lose(&[0, 1]), round(1, &[2], &[0, 1])].concat();
-    assert!(play::<FewDecide>(&three, 3, 2, Planted::Nothing).is_err());
-    assert!(play::<StandardConsensusRules>(&three, 3, 2, Planted::Nothing).is_ok());
-    let four = [round(0, &[0, 1, 2], &[]), all_lose(&[0, 1, 2]), round(1, &[3], &[0, 1, 2])].concat();
-    assert!(play::<FewDecide>(&four, 4, 3, Planted::Nothing).is_err());
-    assert!(play::<StandardConsensusRules>(&four, 4, 3, Planted::Nothing).is_ok());
+fn a_minority_that_decides_is_detected() {
+    let three = [round(0, &[0, 1], &[]), lose_all(&[0, 1]), round(1, &[2], &[0, 1])].concat();
+    assert!(simulate::<MinorityDecides>(&three, 3, 2, InjectedFault::None).is_err());
+    assert!(simulate::<StandardConsensusRules>(&three, 3, 2, InjectedFault::None).is_ok());
+    let four = [round(0, &[0, 1, 2], &[]), lose_all(&[0, 1, 2]), round(1, &[3], &[0, 1, 2])].concat();
+    assert!(simulate::<MinorityDecides>(&four, 4, 3, InjectedFault::None).is_err());
+    assert!(simulate::<StandardConsensusRules>(&four, 4, 3, InjectedFault::None).is_ok());
 }
 
-/// Whatever is lost, no other value is chosen.
+/// Even with more losses, no second value is chosen for a number.
 #[test]
-fn more_losses_than_half_choose_nothing_else() {
-    assert_eq!(found::<StandardConsensusRules>(4, 3, Planted::Nothing), None);
-    assert_eq!(found::<StandardConsensusRules>(3, 2, Planted::Nothing), None);
+fn losing_more_than_half_chooses_no_second_value() {
+    assert_eq!(find_violation::<StandardConsensusRules>(4, 3, InjectedFault::None), None);
+    assert_eq!(find_violation::<StandardConsensusRules>(3, 2, InjectedFault::None), None);
 }
