--- a/controlplane/controller/src/controller/calls.rs
+++ b/controlplane/controller/src/controller/calls.rs
@@ -103,7 +103,7 @@
 
     fn resolve(&mut self, now: u64, id: CallId, host: &str, region: &str, zone: &str) {
         let region = self.settings.zones.get(zone).map_or(region, String::as_str);
-        let records = self.may_serve_records(now).then(|| self.replica.committed());
+        let records = self.may_serve_records(now).then(|| self.replica.committed_records());
         self.host_regions.refresh(records);
         let regions = self.host_regions.regions_of(host);
         let addresses = directory::addresses_for(&self.leases, now, ClientLocation { region, zone }, regions);
