--- a/controlplane/controller/src/commands/application.rs
+++ b/controlplane/controller/src/commands/application.rs
@@ -68,10 +68,10 @@
 
 /// The lowest generation whose fate the history still holds; 0 while it holds all.
 fn oldest_known_generation(records: &Records) -> u64 {
-    if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
+    if records.with_prefix(HISTORY_PREFIX).count() < MAX_HISTORY {
         return 0;
     }
-    let oldest = records.range(HISTORY_PREFIX).next();
+    let oldest = records.with_prefix(HISTORY_PREFIX).next();
     oldest.and_then(|(key, _)| key[HISTORY_PREFIX.len()..].parse().ok()).unwrap_or(0)
 }
 
@@ -82,10 +82,13 @@
 /// The write that removes the oldest entry of a full history. Generations rise and their keys sort alike, so the first
 /// entry is the oldest.
 fn oldest_of_full_history(records: &Records) -> Option<RecordWrite> {
-    if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
+    if records.with_prefix(HISTORY_PREFIX).count() < MAX_HISTORY {
         return None;
     }
-    records.range(HISTORY_PREFIX).next().map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
+    records
+        .with_prefix(HISTORY_PREFIX)
+        .next()
+        .map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
 }
 
 /// Writes the record also if the zone is in that state already: the new sequence voids every copy of an earlier command.
@@ -112,10 +115,10 @@
 }
 
 fn oldest_of_full_drained(records: &Records) -> Option<RecordWrite> {
-    if records.range(DRAINED_PREFIX).count() < MAX_DRAINED {
+    if records.with_prefix(DRAINED_PREFIX).count() < MAX_DRAINED {
         return None;
     }
-    let oldest = records.range(DRAINED_PREFIX).min_by_key(|(_, record)| record.sequence);
+    let oldest = records.with_prefix(DRAINED_PREFIX).min_by_key(|(_, record)| record.sequence);
     oldest.map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
 }
 
--- a/controlplane/controller/src/commands/records.rs
+++ b/controlplane/controller/src/commands/records.rs
@@ -53,7 +53,7 @@
 pub fn evacuated_zones(records: &Records) -> EvacuatedZones {
     let mut newest = 0;
     let mut zones = Vec::new();
-    for (key, record) in records.range(EVACUATION_PREFIX) {
+    for (key, record) in records.with_prefix(EVACUATION_PREFIX) {
         newest = newest.max(record.sequence);
         if record.value.as_slice() == ZONE_EVACUATED {
             zones.push(key[EVACUATION_PREFIX.len()..].to_owned());
@@ -74,7 +74,7 @@
 
 /// All departed instances with their departures.
 pub fn departures(records: &Records) -> impl Iterator<Item = (&str, Departure)> {
-    let records = records.range(DRAINED_PREFIX);
+    let records = records.with_prefix(DRAINED_PREFIX);
     records.map(|(key, record)| (&key[DRAINED_PREFIX.len()..], Departure::from_value(&record.value)))
 }
 
--- a/controlplane/controller/src/controller/calls.rs
+++ b/controlplane/controller/src/controller/calls.rs
@@ -25,7 +25,7 @@
                 self.accept_command(now, id, CommandRequest::Replace { base, generation, body });
             }
             Call::Fetch if R::should_answer_reads_locally() => {
-                let record = self.replica.committed().get(records::CONFIGURATION_KEY);
+                let record = self.replica.committed_records().get(records::CONFIGURATION_KEY);
                 let body = record.map(|record| record.value.to_vec()).unwrap_or_default();
                 self.answer(id, configuration_response(body));
             }
@@ -92,7 +92,8 @@
     }
 
     fn depart(&mut self, now: u64, id: CallId, instance: String, departure: Departure) {
-        let is_committed = records::departure_of(self.replica.committed(), &instance) >= Some(departure);
+        let is_committed =
+            records::departure_of(self.replica.committed_records(), &instance) >= Some(departure);
         if R::should_confirm_departure(is_committed) {
             self.answer(id, Response::accepted());
         }
