--- a/dataplane/routing/src/router/evidence.rs
+++ b/dataplane/routing/src/router/evidence.rs
@@ -30,7 +30,7 @@
             if is_failing {
                 instance.avoided_until = now + SHARED_FAILURE_TTL_MS;
             } else if instance.is_reported_failing {
-                instance.avoided_until = now + (MAX_RETURN_DELAY_MS * self.random.unit()) as u64;
+                instance.avoided_until = now + (MAX_RETURN_DELAY_MS * self.random.next_f64()) as u64;
             }
             instance.is_reported_failing = is_failing;
         }
--- a/dataplane/routing/src/service/selection.rs
+++ b/dataplane/routing/src/service/selection.rs
@@ -112,7 +112,7 @@
         );
         let zone_stay_probability =
             self.stay_probability(context, self.ready_in_own_zone, context.zone_count);
-        let stays_in_zone = random.unit() * region_stay_probability < zone_stay_probability;
+        let stays_in_zone = random.next_f64() * region_stay_probability < zone_stay_probability;
         let instances = &self.instances;
         self.candidates.retain(|&index| instances[index].in_own_zone == stays_in_zone);
     }
@@ -129,11 +129,11 @@
             self.weights.get(context.own_region).is_some_and(|&weight| weight > 0.0);
         if own_region_has_candidates && self.has(Mechanism::OwnRegionFirst) {
             let ready = self.regions[context.own_region].ready_instances;
-            if random.unit() < self.stay_probability(context, ready, context.region_count) {
+            if random.next_f64() < self.stay_probability(context, ready, context.region_count) {
                 return Some(context.own_region);
             }
         }
-        random.pick(&self.weights)
+        random.pick_weighted(&self.weights)
     }
 
     /// Probability that a request stays in the own failure domain (region or zone). The domain has `ready`
@@ -181,7 +181,7 @@
                 continue;
             }
             ties = if excess < least_excess { 1 } else { ties + 1 };
-            if random.below(ties) == 0 {
+            if random.next_below(ties) == 0 {
                 chosen = Some((excess, index));
             }
         }
--- a/lab/scenario/src/lib.rs
+++ b/lab/scenario/src/lib.rs
@@ -4,12 +4,12 @@
 #![allow(missing_docs, reason = "not every public item is documented yet")]
 #![allow(clippy::too_many_lines, reason = "functions from before the limit, to be split")]
 
-use whinspindle_toml_config::Fault;
+use whinspindle_toml_config::ConfigError;
 
 pub mod change;
 mod read;
 
-pub use whinspindle::host::{Effect, Group};
+pub use whinspindle::host::{Effect, ServerScope};
 
 /// Servers of a zone that make up a pod.
 const CELL: usize = 4;
@@ -388,8 +388,8 @@
 
 impl Scenario {
     /// Reads and checks a scenario file.
-    pub fn read(text: &str) -> Result<Scenario, Vec<Fault>> {
-        whinspindle_toml_config::read(text, read::scenario)
+    pub fn read(text: &str) -> Result<Scenario, Vec<ConfigError>> {
+        whinspindle_toml_config::parse(text, read::scenario)
     }
 
     /// Servers of a tier, by kind and zone, in the order of their numbers.
