--- a/dataplane/agent/src/metrics.rs
+++ b/dataplane/agent/src/metrics.rs
@@ -26,38 +26,38 @@
 /// Renders the current metrics as OpenMetrics text.
 pub fn render<R: ProtocolRules>(agent: &Agent<R>, now: u64) -> String {
     let metrics = agent.metrics(now);
-    let mut figures = MetricsSnapshot::default();
+    let mut snapshot = MetricsSnapshot::default();
     let flags = [
         ("agent_linked", "1 while a controller is linked", metrics.has_link),
         ("agent_in_quorum", "1 while the link's controller is in a quorum", metrics.in_quorum),
         ("agent_proxy_connected", "1 while the proxy is connected", metrics.is_proxy_connected),
     ];
     for (name, help, flag) in flags {
-        figures.add_gauge(name, help, [([].as_slice(), if flag { 1.0 } else { 0.0 })]);
+        snapshot.add_gauge(name, help, [([].as_slice(), if flag { 1.0 } else { 0.0 })]);
     }
     let received_s = metrics.received_ms_ago.map(|ms| ([].as_slice(), ms as f64 / 1_000.0));
-    figures.add_gauge("agent_heard_seconds", "Time since a controller was last heard", received_s);
+    snapshot.add_gauge("agent_heard_seconds", "Time since a controller was last heard", received_s);
     add_versions(
-        &mut figures,
+        &mut snapshot,
         "agent_held",
         "Newest versions that the agent holds",
         metrics.section_versions,
     );
     add_versions(
-        &mut figures,
+        &mut snapshot,
         "agent_applied",
         "Versions that the proxy has in force",
         metrics.applied_versions,
     );
-    figures.into_text()
+    snapshot.into_text()
 }
 
-fn add_versions(figures: &mut MetricsSnapshot, name: &str, help: &str, versions: Versions) {
+fn add_versions(snapshot: &mut MetricsSnapshot, name: &str, help: &str, versions: Versions) {
     let rows: [([(&str, &str); 1], u64); 4] = [
         ([("section", "configuration")], versions.configured),
         ([("section", "evacuations")], versions.evacuations),
         ([("section", "instances")], versions.instances),
         ([("section", "fleet")], versions.fleet),
     ];
-    figures.add_gauge(name, help, rows.iter().map(|(labels, version)| (labels.as_slice(), *version as f64)));
+    snapshot.add_gauge(name, help, rows.iter().map(|(labels, version)| (labels.as_slice(), *version as f64)));
 }
