--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -14,7 +14,7 @@
 use whinspindle::host::EndpointState;
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 
-pub use neighbours::{NeighbourMessage, Neighbours};
+pub use neighbours::{NeighbourExchange, NeighbourMessage};
 pub use recovery::{RecoveryTracker, SecondSummary};
 pub use startup_limit::StartupLimit;
 
@@ -25,11 +25,11 @@
 
 /// Between which ages, in microseconds, a list is believed how far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ages {
+pub struct AgeLimits {
     /// Up to this age it is taken as told.
-    pub fresh: u64,
+    pub fresh_us: u64,
     /// Up to this age its servers are expected to be there, cold; beyond they are addresses to try.
-    pub old: u64,
+    pub old_us: u64,
 }
 
 /// What is believed further comes first.
@@ -94,12 +94,12 @@
 }
 
 /// What was saved, as a list to begin with; none if the bytes are no list of this format, or an empty one.
-pub fn restore(bytes: &[u8], now: u64, ages: &Ages) -> Option<(EndpointUpdate, Trust)> {
+pub fn restore(bytes: &[u8], now: u64, ages: &AgeLimits) -> Option<(EndpointUpdate, Trust)> {
     let saved = read(bytes)?;
     // Guards against a clock that was set back: a list of tomorrow has no age that can be known.
     let trust = match now.checked_sub(saved.at) {
-        Some(age) if age <= ages.fresh => Trust::Full,
-        Some(age) if age <= ages.old => Trust::Doubted,
+        Some(age) if age <= ages.fresh_us => Trust::Full,
+        Some(age) if age <= ages.old_us => Trust::Doubted,
         _ => Trust::Unverified,
     };
     Some((list(saved, trust, now), trust))
--- a/balancer/endpoint-cache/src/neighbours.rs
+++ b/balancer/endpoint-cache/src/neighbours.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 
-use crate::{Ages, Trust, decode, encode};
+use crate::{AgeLimits, Trust, decode, encode};
 
 /// Members asked at a time, and after how much time others are, in microseconds.
 const MEMBERS_ASKED: usize = 3;
@@ -38,20 +38,20 @@
     /// What list do you have by discovery's word?
     Ask,
     /// This one, told so many microseconds ago.
-    Has {
+    Offer {
         /// The list's name.
         name: Name,
         /// Its length in bytes.
         length: u32,
         /// Time since discovery confirmed it, in microseconds.
-        age: u64,
+        age_us: u64,
     },
     /// Pieces of it, from this one on.
     Fetch {
         /// The list's name.
         name: Name,
         /// Number of the first chunk.
-        from: u16,
+        first_chunk: u16,
     },
     /// One chunk of a list.
     Chunk {
@@ -88,10 +88,10 @@
 }
 
 /// The exchange of endpoint lists with the other balancers.
-pub struct Neighbours {
+pub struct NeighbourExchange {
     me: u16,
     members: u16,
-    ages: Ages,
+    ages: AgeLimits,
     own: Option<Own>,
     /// Discovery has told this process a list.
     discovered: bool,
@@ -113,10 +113,10 @@
     name
 }
 
-impl Neighbours {
+impl NeighbourExchange {
     /// `seed` spreads whom those that return at once ask first.
-    pub fn new(me: u16, members: u16, ages: Ages, seed: u64, now: u64) -> Neighbours {
-        Neighbours {
+    pub fn new(me: u16, members: u16, ages: AgeLimits, seed: u64, now: u64) -> NeighbourExchange {
+        NeighbourExchange {
             me,
             members,
             ages,
@@ -133,7 +133,7 @@
     }
 
     /// The list as discovery has told it; it has confirmed it last at this time.
-    pub fn told(&mut self, at: u64, servers: &[ListedServer]) {
+    pub fn record_discovered(&mut self, at: u64, servers: &[ListedServer]) {
         self.discovered = true;
         match &mut self.own {
             Some(own) if own.servers == servers => own.at = at,
@@ -183,7 +183,7 @@
         }
         let best = alike.into_iter().max_by_key(|(_, (_, at, count))| ((*count).min(2), *at));
         let (name, (length, at, count)) = best?;
-        let surely = count > 1 && now.saturating_sub(at) <= self.ages.fresh;
+        let surely = count > 1 && now.saturating_sub(at) <= self.ages.fresh_us;
         (surely || now >= self.began + SINGLE_SOURCE_WAIT).then_some((name, length, at, count))
     }
 
@@ -206,7 +206,7 @@
         let have: Vec<u16> =
             self.has.iter().filter(|(_, (of, ..))| *of == name).map(|(member, _)| *member).collect();
         let of = have.get((now / (ASK_INTERVAL / 4)) as usize % have.len().max(1))?;
-        Some((*of, NeighbourMessage::Fetch { name, from: from as u16 }))
+        Some((*of, NeighbourMessage::Fetch { name, first_chunk: from as u16 }))
     }
 
     /// A member says something; what is answered.
@@ -214,20 +214,20 @@
         let Ok(message) = postcard::from_bytes::<NeighbourMessage>(bytes) else { return Vec::new() };
         match message {
             NeighbourMessage::Ask => {
-                let has = |own: &Own| NeighbourMessage::Has {
+                let has = |own: &Own| NeighbourMessage::Offer {
                     name: own.name,
                     length: own.bytes.len() as u32,
-                    age: now.saturating_sub(own.at),
+                    age_us: now.saturating_sub(own.at),
                 };
                 self.own.iter().map(has).collect()
             }
-            NeighbourMessage::Has { name, length, age } => {
+            NeighbourMessage::Offer { name, length, age_us: age } => {
                 if from != self.me && from < self.members && length > 0 && length <= MAX_LIST_BYTES {
                     self.has.insert(from, (name, length, now.saturating_sub(age)));
                 }
                 Vec::new()
             }
-            NeighbourMessage::Fetch { name, from: first } => self.give(now, name, first),
+            NeighbourMessage::Fetch { name, first_chunk: first } => self.give(now, name, first),
             NeighbourMessage::Chunk { name, chunk, bytes } => {
                 if let Some(download) = self.download.as_mut().filter(|download| download.name == name)
                     && bytes.len() <= CHUNK_BYTES
@@ -272,12 +272,12 @@
 
     /// A list to go by, once one is whole, and how far it is believed; better ones may follow. `unix` is the
     /// time by which starts are told, in microseconds.
-    pub fn take(&mut self, now: u64, unix: u64) -> Option<(EndpointUpdate, Trust)> {
+    pub fn take_list(&mut self, now: u64, unix: u64) -> Option<(EndpointUpdate, Trust)> {
         let (name, _, at, count) = self.best(now)?;
         let age = now.saturating_sub(at);
         let trust = match (count, age) {
-            (2.., age) if age <= self.ages.old => Trust::Full,
-            (_, age) if age <= self.ages.old => Trust::Doubted,
+            (2.., age) if age <= self.ages.old_us => Trust::Full,
+            (_, age) if age <= self.ages.old_us => Trust::Doubted,
             _ => Trust::Unverified,
         };
         // What was taken before gives way to what is believed further, or was told later and is believed as
--- a/balancer/endpoint-cache/src/recovery.rs
+++ b/balancer/endpoint-cache/src/recovery.rs
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SecondSummary {
     /// The list is discovery's word, or the platform's.
-    pub told: bool,
+    pub is_list_authoritative: bool,
     /// It decides by a policy of its fleet, or is in none.
-    pub settled: bool,
+    pub has_policy: bool,
     /// It takes all queries.
-    pub takes_all: bool,
+    pub admits_all: bool,
     /// Since the start.
     pub completed: u64,
     /// Queries answered in any way since the start.
@@ -39,7 +39,7 @@
 
     /// Called at the end of each second; tells once that the process is whole, and what it waited for until
     /// then.
-    pub fn second(&mut self, now: u64, of: SecondSummary) -> Option<String> {
+    pub fn record_second(&mut self, now: u64, of: SecondSummary) -> Option<String> {
         if self.is_recovered {
             return None;
         }
@@ -47,10 +47,16 @@
         let answered = of.answered.saturating_sub(self.before.1);
         self.before = (of.completed, of.answered);
         let serves = completed as f64 >= FULL * answered as f64;
-        for (waits, holds) in self.waits.iter_mut().zip([of.told, of.settled, of.takes_all, serves]) {
+        for (waits, holds) in
+            self.waits.iter_mut().zip([of.is_list_authoritative, of.has_policy, of.admits_all, serves])
+        {
             *waits += u32::from(!holds);
         }
-        self.full = if of.told && of.settled && of.takes_all && serves { self.full + 1 } else { 0 };
+        self.full = if of.is_list_authoritative && of.has_policy && of.admits_all && serves {
+            self.full + 1
+        } else {
+            0
+        };
         if self.full < SECONDS {
             return None;
         }
--- a/balancer/endpoint-cache/src/startup_limit.rs
+++ b/balancer/endpoint-cache/src/startup_limit.rs
@@ -61,8 +61,8 @@
 
     /// Whether one more may be taken beside so many open ones; if not, after how many microseconds its client
     /// had best come back. `chance` from 0 to 1 spreads those.
-    pub fn take(&mut self, now: u64, open: usize, chance: f64) -> Result<(), u64> {
-        self.look(now);
+    pub fn try_admit(&mut self, now: u64, open: usize, chance: f64) -> Result<(), u64> {
+        self.advance(now);
         if self.over || (open as f64) < self.allowed {
             return Ok(());
         }
@@ -72,7 +72,7 @@
     }
 
     /// A query was completed after so many microseconds.
-    pub fn completed(&mut self, spent: u64) {
+    pub fn record_completion(&mut self, spent: u64) {
         if self.last.len() == LAST {
             self.last.remove(0);
         }
@@ -80,7 +80,7 @@
     }
 
     /// Time has passed.
-    pub fn look(&mut self, now: u64) {
+    pub fn advance(&mut self, now: u64) {
         while !self.over && now >= self.next {
             self.next += self.step;
             self.steps += 1;
--- a/balancer/endpoint-cache/tests/neighbours.rs
+++ b/balancer/endpoint-cache/tests/neighbours.rs
@@ -4,12 +4,12 @@
 
 use whinspindle::host::EndpointState;
 use whinspindle_endpoint_cache::{
-    Ages, NeighbourMessage, Neighbours, RecoveryTracker, SecondSummary, StartupLimit, Trust,
+    AgeLimits, NeighbourExchange, NeighbourMessage, RecoveryTracker, SecondSummary, StartupLimit, Trust,
 };
 use whinspindle_protocol::endpoints::ListedServer;
 
 const SECOND: u64 = 1_000_000;
-const AGES: Ages = Ages { fresh: 10 * SECOND, old: 100 * SECOND };
+const AGES: AgeLimits = AgeLimits { fresh_us: 10 * SECOND, old_us: 100 * SECOND };
 const MEMBERS: u16 = 5;
 const NOW: u64 = 1_000 * SECOND;
 
@@ -30,14 +30,14 @@
 /// Member 0 comes back; each other was told so many servers so many seconds ago, or knows nothing. Of the
 /// messages nearly a third is lost. What it takes in the end, and how many messages that took.
 fn back(others: [Option<(usize, u64)>; 4]) -> (Option<(usize, Trust, u64)>, usize) {
-    let mut members: Vec<Neighbours> =
-        (0..MEMBERS).map(|me| Neighbours::new(me, MEMBERS, AGES, u64::from(me), NOW)).collect();
+    let mut members: Vec<NeighbourExchange> =
+        (0..MEMBERS).map(|me| NeighbourExchange::new(me, MEMBERS, AGES, u64::from(me), NOW)).collect();
     for (other, told) in others.iter().enumerate() {
         if let Some((count, ago)) = told {
             let mut servers = list(*count);
             // In whatever order discovery told them.
             servers.rotate_left(other % count);
-            members[other + 1].told(NOW - ago * SECOND, &servers);
+            members[other + 1].record_discovered(NOW - ago * SECOND, &servers);
         }
     }
     let (mut taken, mut messages) = (None, 0);
@@ -53,7 +53,7 @@
             let answers = members[to as usize].receive(now, from, &message.to_bytes());
             queue.extend(answers.into_iter().map(|message| (to, from, message)));
         }
-        if let Some((update, trust)) = members[0].take(now, 7 * SECOND) {
+        if let Some((update, trust)) = members[0].take_list(now, 7 * SECOND) {
             assert!(update.complete && update.servers.iter().any(|s| s.state == EndpointState::Draining));
             taken = Some((update.servers.len(), trust, update.servers[0].started_at / SECOND));
         }
@@ -82,25 +82,25 @@
 
 #[test]
 fn those_that_return_do_not_push_a_member_over_and_garbage_is_nothing() {
-    let mut member = Neighbours::new(0, MEMBERS, AGES, 0, NOW);
-    member.told(NOW, &list(3_000));
-    let NeighbourMessage::Has { name, length, .. } =
+    let mut member = NeighbourExchange::new(0, MEMBERS, AGES, 0, NOW);
+    member.record_discovered(NOW, &list(3_000));
+    let NeighbourMessage::Offer { name, length, .. } =
         member.receive(NOW, 1, &NeighbourMessage::Ask.to_bytes()).remove(0)
     else {
         panic!("it has a list");
     };
     assert!(length > 50_000, "{length}");
     let given: usize = (0..1_000)
-        .map(|_| member.receive(NOW, 1, &NeighbourMessage::Fetch { name, from: 0 }.to_bytes()).len())
+        .map(|_| member.receive(NOW, 1, &NeighbourMessage::Fetch { name, first_chunk: 0 }.to_bytes()).len())
         .sum();
     assert_eq!(given, 4_000, "in one second");
     assert!(member.tick(NOW).is_empty(), "discovery has answered");
-    let mut asks = Neighbours::new(1, MEMBERS, AGES, 0, NOW);
+    let mut asks = NeighbourExchange::new(1, MEMBERS, AGES, 0, NOW);
     for bytes in [&[][..], &[9; 300], &[1; 5]] {
         assert!(asks.receive(NOW, 2, bytes).is_empty());
     }
     // Pieces under the name of another list are thrown away, and the list is asked for anew.
-    asks.receive(NOW, 2, &NeighbourMessage::Has { name: [7; 16], length: 10, age: 0 }.to_bytes());
+    asks.receive(NOW, 2, &NeighbourMessage::Offer { name: [7; 16], length: 10, age_us: 0 }.to_bytes());
     let later = NOW + SECOND;
     assert!(
         asks.tick(later)
@@ -112,7 +112,7 @@
         2,
         &NeighbourMessage::Chunk { name: [7; 16], chunk: 0, bytes: vec![1; 10] }.to_bytes(),
     );
-    assert!(asks.take(later, 0).is_none());
+    assert!(asks.take_list(later, 0).is_none());
 }
 
 #[test]
@@ -126,18 +126,18 @@
             now += 150_000;
             steps += 1;
             while steps < over_by - 20
-                && startup_limit.take(now, open, 0.5).is_err() == (open > 200)
+                && startup_limit.try_admit(now, open, 0.5).is_err() == (open > 200)
                 && open <= 200
             {
                 open += 1;
             }
             most = most.max(open);
             // What is turned away is told when to come back, spread out.
-            if let Err(wait) = startup_limit.take(now, usize::MAX - 1, 0.5) {
+            if let Err(wait) = startup_limit.try_admit(now, usize::MAX - 1, 0.5) {
                 assert!((150_000..=600_000).contains(&wait));
             }
             let spent = 20_000 * (open / room).max(1) as u64;
-            (0..open.min(16)).for_each(|_| startup_limit.completed(spent));
+            (0..open.min(16)).for_each(|_| startup_limit.record_completion(spent));
             open = 0;
             assert!(steps <= 100, "it ends");
         }
@@ -152,13 +152,13 @@
     // Four seconds by a kept list, of which two without a policy; then a second in which half is rejected.
     for second in 1..=12_u64 {
         let of = SecondSummary {
-            told: second > 4,
-            settled: second > 2,
-            takes_all: second > 3,
+            is_list_authoritative: second > 4,
+            has_policy: second > 2,
+            admits_all: second > 3,
             completed: second * 100 - if second >= 6 { 50 } else { 0 },
             answered: second * 100,
         };
-        told.extend(whole.second(second * SECOND, of).map(|words| (second, words)));
+        told.extend(whole.record_second(second * SECOND, of).map(|words| (second, words)));
     }
     assert_eq!(told.len(), 1, "{told:?}");
     assert_eq!(told[0].0, 9);
--- a/balancer/endpoint-cache/tests/restore.rs
+++ b/balancer/endpoint-cache/tests/restore.rs
@@ -1,12 +1,12 @@
 //! How far a saved list is believed.
 
 use whinspindle::host::EndpointState::{self, Draining, Gone, Ready};
-use whinspindle_endpoint_cache::{Ages, Trust, encode, restore};
+use whinspindle_endpoint_cache::{AgeLimits, Trust, encode, restore};
 use whinspindle_protocol::endpoints::ListedServer;
 
 const SECOND: u64 = 1_000_000;
 const NOW: u64 = 1_800_000_000 * SECOND;
-const AGES: Ages = Ages { fresh: 10 * SECOND, old: 3600 * SECOND };
+const AGES: AgeLimits = AgeLimits { fresh_us: 10 * SECOND, old_us: 3600 * SECOND };
 
 fn listed(name: &str, state: EndpointState, started_at: u64) -> ListedServer {
     ListedServer {
--- a/balancer/endpoint-cache/tests/stored_fixtures.rs
+++ b/balancer/endpoint-cache/tests/stored_fixtures.rs
@@ -8,10 +8,10 @@
 
 use fixtures::fixture;
 use whinspindle::host::EndpointState;
-use whinspindle_endpoint_cache::{Ages, NeighbourMessage, Neighbours, Trust, encode, restore};
+use whinspindle_endpoint_cache::{AgeLimits, NeighbourExchange, NeighbourMessage, Trust, encode, restore};
 use whinspindle_protocol::endpoints::ListedServer;
 
-const AGES: Ages = Ages { fresh: 10_000_000, old: 3_600_000_000 };
+const AGES: AgeLimits = AgeLimits { fresh_us: 10_000_000, old_us: 3_600_000_000 };
 const AT: u64 = 1_800_000_000_123_456;
 const GENERATION: u64 = 41_000;
 
@@ -70,10 +70,10 @@
     let bytes = fixture("list.bin", &encode(&told(), GENERATION, AT));
     assert_eq!(head(&bytes), [1, AT, GENERATION, 2], "format, time, generation, servers");
     for (age, trust) in [
-        (AGES.fresh, Trust::Full),
-        (AGES.fresh + 1, Trust::Doubted),
-        (AGES.old, Trust::Doubted),
-        (AGES.old + 1, Trust::Unverified),
+        (AGES.fresh_us, Trust::Full),
+        (AGES.fresh_us + 1, Trust::Doubted),
+        (AGES.old_us, Trust::Doubted),
+        (AGES.old_us + 1, Trust::Unverified),
     ] {
         let (update, told) = restore(&bytes, AT + age, &AGES).expect("a list");
         assert_eq!((told, update.generation, update.complete, update.faults.len()), (trust, 0, true, 0));
@@ -90,13 +90,14 @@
 
 #[test]
 fn a_list_is_told_to_neighbours_as_the_same_bytes_and_taken_from_them() {
-    let mut has = Neighbours::new(1, 2, AGES, 0, 0);
-    has.told(0, &told());
-    let ask = |has: &mut Neighbours, message: &NeighbourMessage| has.receive(0, 0, &message.to_bytes());
-    let [NeighbourMessage::Has { name, length, .. }] = ask(&mut has, &NeighbourMessage::Ask)[..] else {
+    let mut has = NeighbourExchange::new(1, 2, AGES, 0, 0);
+    has.record_discovered(0, &told());
+    let ask =
+        |has: &mut NeighbourExchange, message: &NeighbourMessage| has.receive(0, 0, &message.to_bytes());
+    let [NeighbourMessage::Offer { name, length, .. }] = ask(&mut has, &NeighbourMessage::Ask)[..] else {
         panic!("it has a list")
     };
-    let chunks = ask(&mut has, &NeighbourMessage::Fetch { name, from: 0 });
+    let chunks = ask(&mut has, &NeighbourMessage::Fetch { name, first_chunk: 0 });
     let chunks = chunks.into_iter().flat_map(|message| match message {
         NeighbourMessage::Chunk { bytes, .. } => bytes,
         other => panic!("{other:?} is no chunk"),
--- a/balancer/endpoint-cache/tests/wire_fixtures.rs
+++ b/balancer/endpoint-cache/tests/wire_fixtures.rs
@@ -14,7 +14,7 @@
 fn kind(message: &NeighbourMessage) -> &'static str {
     match message {
         NeighbourMessage::Ask => "ask",
-        NeighbourMessage::Has { .. } => "has",
+        NeighbourMessage::Offer { .. } => "has",
         NeighbourMessage::Fetch { .. } => "fetch",
         NeighbourMessage::Chunk { .. } => "piece",
     }
@@ -27,8 +27,8 @@
     let name = |first: u8| std::array::from_fn(|at| first + at as u8);
     [
         NeighbourMessage::Ask,
-        NeighbourMessage::Has { name: name(0x10), length: 262_144, age: 3_600_000_001 },
-        NeighbourMessage::Fetch { name: name(0x20), from: 300 },
+        NeighbourMessage::Offer { name: name(0x10), length: 262_144, age_us: 3_600_000_001 },
+        NeighbourMessage::Fetch { name: name(0x20), first_chunk: 300 },
         NeighbourMessage::Chunk { name: name(0x30), chunk: 301, bytes: (0..160).rev().collect() },
     ]
 }
--- a/balancer/fleet-policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use whinspindle_rollout::{Direction, Evidence, Next, ObservationRow, Progress, RestartRefusal, Unit};
+use whinspindle_rollout::{BuildTest, Direction, NextPhase, ObservationRow, Progress, RestartRefusal, Unit};
 
 use super::{Environment, Member, MemberRules};
 use crate::message::{Message, RequestKind};
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct ReleaseTest {
     pub(super) release: u64,
-    pub(super) evidence: Evidence,
+    pub(super) evidence: BuildTest,
     /// When the present window began.
     pub(super) opened: u64,
     /// How long a window lasts at least.
@@ -58,21 +58,25 @@
             Unit::Server(key) => !self.environment.is_full(*key),
         }));
         let (wave, changed) = (release.wave as usize, &release.changed);
-        Some(see(&Progress { plan: &plan, way: release.way, wave, changed, out: &out }))
+        Some(see(&Progress { plan: &plan, direction: release.way, wave, changed, out_of_service: &out }))
     }
 
     /// The part of the release `of` that a unit would restart for, or why it may not. Guards against a request
     /// for a release that is over: it must not be granted as one for another cause.
     pub fn part_of(&self, now: u64, unit: Unit, of: Option<u64>) -> Result<Option<Part>, RestartRefusal> {
         let Some(number) = of else { return Ok(None) };
-        let release =
-            self.record.release.as_ref().filter(|on| on.number == number).ok_or(RestartRefusal::NoRelease)?;
+        let release = self
+            .record
+            .release
+            .as_ref()
+            .filter(|on| on.number == number)
+            .ok_or(RestartRefusal::ReleaseNotUnderWay)?;
         let of = |progress: &Progress| {
-            let place = progress.plan.place_of(unit).ok_or(RestartRefusal::NotInPlan)?;
+            let place = progress.plan.index_of(unit).ok_or(RestartRefusal::NotInPlan)?;
             L::may_go_by(progress, place)?;
             Ok(Some(Part { release: release.number, place: place as u16, way: release.way }))
         };
-        self.progress(now, of).unwrap_or(Err(RestartRefusal::NoPlan))
+        self.progress(now, of).unwrap_or(Err(RestartRefusal::PlanUnknown))
     }
 
     pub(super) fn record_wave(&mut self, now: u64) {
@@ -106,7 +110,7 @@
             .filter(|release_test| now >= release_test.opened + release_test.window);
         let Some(release_test) = due else { return };
         release_test.opened = now;
-        if let Some(why) = release_test.evidence.close()
+        if let Some(why) = release_test.evidence.close_window()
             && release_test.against.is_none()
         {
             release_test.against = Some((why, self.start ^ now));
@@ -131,7 +135,7 @@
             else {
                 return;
             };
-            let (evidence, window) = (Evidence::new(plan.error), plan.window());
+            let (evidence, window) = (BuildTest::new(plan.false_halt_probability), plan.window_us());
             let taken = BTreeMap::new();
             self.release_test =
                 Some(ReleaseTest { release, evidence, opened: now, window, taken, against: None });
@@ -142,7 +146,7 @@
             release_test.taken.extend(before.map(|before| (from, before)));
             return;
         }
-        rows.into_iter().for_each(|row| release_test.evidence.take(from, row));
+        rows.into_iter().for_each(|row| release_test.evidence.add_row(from, row));
     }
 
     /// For how many milliseconds the present wave has been complete; none if it is not.
@@ -151,7 +155,7 @@
     }
 
     /// The state of this voter's test of the build of the release under way.
-    pub fn evidence(&self) -> Option<&Evidence> {
+    pub fn evidence(&self) -> Option<&BuildTest> {
         self.release_test.as_ref().map(|release_test| &release_test.evidence)
     }
 
@@ -195,8 +199,8 @@
                     && (known.release, known.wave, known.way) == (number, release.wave, release.way)
             })?;
             Some(match self.progress(now, |progress| L::next_of(progress, now - since))?? {
-                Next::Wave(to) => Step::Wave { number, from: release.wave, to: to as u16 },
-                Next::Over => {
+                NextPhase::Wave(to) => Step::Wave { number, from: release.wave, to: to as u16 },
+                NextPhase::Complete => {
                     let close =
                         if release.way == Direction::Rollout { Close::Done } else { Close::TakenBack };
                     Step::Close { number, close, request_id: None }
--- a/balancer/fleet-policy/src/member/rules.rs
+++ b/balancer/fleet-policy/src/member/rules.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use whinspindle_consensus::StandardConsensusRules;
-use whinspindle_rollout::{Next, Progress, RestartRefusal};
+use whinspindle_rollout::{NextPhase, Progress, RestartRefusal};
 
 use super::MemberSettings;
 use crate::record::{Record, RequestId};
@@ -48,12 +48,12 @@
 
     /// Whether the unit at this index of the plan may restart by the release under way.
     fn may_go_by(progress: &Progress, place: usize) -> Result<(), RestartRefusal> {
-        progress.may_go(place)
+        progress.check_restart(place)
     }
 
     /// What follows the present wave, which has been complete and watched for `watched` microseconds.
-    fn next_of(progress: &Progress, watched: u64) -> Option<Next> {
-        progress.next(watched)
+    fn next_of(progress: &Progress, watched: u64) -> Option<NextPhase> {
+        progress.next_phase(watched)
     }
 }
 
--- a/balancer/fleet-policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 use whinspindle_consensus::{RegisterValue, Voter};
-use whinspindle_rollout::{Direction, Places, Unit};
+use whinspindle_rollout::{Direction, Unit, UnitSet};
 
 pub use step::Step;
 
@@ -134,7 +134,7 @@
     /// The wave whose units may restart now, from 0.
     pub wave: u16,
     /// Units that run the new build, by their indices in the plan.
-    pub changed: Places,
+    pub changed: UnitSet,
 }
 
 /// How a release ended.
--- a/balancer/fleet-policy/src/record/step.rs
+++ b/balancer/fleet-policy/src/record/step.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 use whinspindle_consensus::Voter;
-use whinspindle_rollout::{Direction, Places, Unit};
+use whinspindle_rollout::{Direction, Unit, UnitSet};
 
 use super::{
     Change, ChangeOutcome, Close, Halt, Hash, Out, Past, PastRelease, Policy, Record, Release, RequestId,
@@ -234,7 +234,7 @@
             request_id,
             way: Direction::Rollout,
             wave: 0,
-            changed: Places::default(),
+            changed: UnitSet::default(),
         });
         Some(())
     }
--- a/balancer/fleet-policy/tests/common/records.rs
+++ b/balancer/fleet-policy/tests/common/records.rs
@@ -4,7 +4,7 @@
     Change, ChangeOutcome, Close, Direction, Halt, Hash, Out, Part, Past, PastRelease, Policy, Record,
     Release, RequestId, Unit, Voter,
 };
-use whinspindle_rollout::Places;
+use whinspindle_rollout::UnitSet;
 
 pub const fn hash(first: u8) -> Hash {
     let mut bytes = [0; 16];
@@ -30,7 +30,7 @@
         close,
         changed,
     };
-    let mut changed = Places::default();
+    let mut changed = UnitSet::default();
     [0, 3, 63, 64, 130].into_iter().for_each(|place| changed.set(place, true));
     Record {
         bootstrap_id: 2 << 48 | 0x1234_5678_9abc,
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -16,7 +16,7 @@
     RequestKind, Right, Unit, Voter,
 };
 use whinspindle_peer_transport::{DroppedDatagrams, MAX_DATAGRAM_BYTES, PeerTransport};
-use whinspindle_rollout::{Count, OF_BALANCERS};
+use whinspindle_rollout::{BALANCER_STRATUM, OutcomeCounts};
 
 const FROM: u16 = 2;
 const TO: u16 = 1;
@@ -99,14 +99,14 @@
         ObservationRow {
             stratum: 7,
             changed: true,
-            count: Count { executions: 100_001, bad: [11, 222, 3333] },
-            most: [4, 55, 666],
+            count: OutcomeCounts { executions: 100_001, bad: [11, 222, 3333] },
+            max_bad_per_unit: [4, 55, 666],
         },
         ObservationRow {
-            stratum: OF_BALANCERS,
+            stratum: BALANCER_STRATUM,
             changed: false,
-            count: Count { executions: u32::MAX, bad: [1, 2, 3] },
-            most: [7, 8, 9],
+            count: OutcomeCounts { executions: u32::MAX, bad: [1, 2, 3] },
+            max_bad_per_unit: [7, 8, 9],
         },
     ];
     vec![
@@ -159,7 +159,7 @@
     let mut names = BTreeSet::new();
     for (of, message) in messages() {
         let name = format!("message-{}{of}.bin", kind(&message));
-        let datagrams = peers(FROM).datagrams(TO, &message);
+        let datagrams = peers(FROM).encode(TO, &message);
         assert!(datagrams.iter().all(|datagram| datagram.len() <= MAX_DATAGRAM_BYTES), "{name}");
         // Each datagram but the last has the largest size, so that they can be split again.
         let (last, full) = datagrams.split_last().expect("a datagram");
@@ -171,7 +171,7 @@
         let mut to = peers(TO);
         let received: Vec<(u16, Message)> = bytes
             .chunks(MAX_DATAGRAM_BYTES)
-            .filter_map(|datagram| to.take(0, Some(FROM), datagram))
+            .filter_map(|datagram| to.receive(0, Some(FROM), datagram))
             .collect();
         assert_eq!(received, [(FROM, message)], "{name}");
         assert_eq!(to.dropped, DroppedDatagrams::default(), "{name}");
@@ -185,14 +185,14 @@
 
 /// Whether these are the first bytes of some message whose other bytes are zeros.
 fn is_received(first: [u8; 2]) -> bool {
-    let datagrams = peers(FROM).datagrams(TO, &(first, [0u8; 32], [0u8; 32]));
-    peers(TO).take::<Message>(0, Some(FROM), &datagrams[0]).is_some()
+    let datagrams = peers(FROM).encode(TO, &(first, [0u8; 32], [0u8; 32]));
+    peers(TO).receive::<Message>(0, Some(FROM), &datagrams[0]).is_some()
 }
 
 #[test]
 fn every_message_and_request_number_has_a_fixture() {
     // The first byte of a message is the number of its kind; that of a request follows it.
-    let payload = |message: &Message| peers(FROM).datagrams(TO, message)[0][17..19].to_vec();
+    let payload = |message: &Message| peers(FROM).encode(TO, message)[0][17..19].to_vec();
     let known: BTreeSet<u8> = messages().iter().map(|(_, message)| payload(message)[0]).collect();
     assert_eq!(known, (0..MESSAGE_KINDS).collect());
     let requests =
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -22,7 +22,7 @@
 use whinspindle::host;
 use whinspindle_deployment_settings::{Deployment, index};
 use whinspindle_rollout::Limits;
-use whinspindle_routes::{Bounds, Conditions, RouteTable};
+use whinspindle_routes::{Conditions, DeploymentLimits, RouteTable};
 use whinspindle_toml_config::Fault;
 
 pub use draw::draw;
@@ -74,17 +74,17 @@
             names.iter().filter_map(|name| index(known, name)).collect()
         };
         let row = |c: &Conditions| host::RoutePolicy {
-            time: c.time,
-            execution_time: c.execution_time,
-            executions: c.executions,
+            time: c.timeout_us,
+            execution_time: c.execution_timeout_us,
+            executions: c.max_executions,
             retry_on: c.retry_on,
-            wait: c.wait,
-            spread: c.spread,
+            wait: c.retry_delay_us,
+            spread: c.retry_jitter,
             hedge: c.hedge,
-            budget: c.budget,
+            budget: c.retry_budget,
             zones: named(&c.servers.zones, &deployment.zones),
             kinds: named(&c.servers.kinds, &deployment.kinds),
-            near: match (c.servers.repeats_in_zone, c.servers.repeats_in_pod) {
+            near: match (c.servers.retries_in_zone, c.servers.retries_in_pod) {
                 (_, true) => host::Group::Cell,
                 (true, false) => host::Group::Zone,
                 (false, false) => host::Group::All,
@@ -122,16 +122,16 @@
 }
 
 /// What the deployment allows and demands, as far as the proof needs it.
-pub fn bounds(deployment: &Deployment) -> Bounds {
+pub fn bounds(deployment: &Deployment) -> DeploymentLimits {
     let terms = &deployment.terms;
-    Bounds {
-        executions: terms.max_executions,
+    DeploymentLimits {
+        max_executions: terms.max_executions,
         allow_hedging: terms.allow_hedging,
-        cancel: terms.cancel,
-        connect_time_out: deployment.connect_time_out,
-        tick: terms.tick,
-        network: NETWORK_MARGIN,
-        largest_body: LARGEST_BODY,
+        can_cancel: terms.cancel,
+        connect_timeout_us: deployment.connect_time_out,
+        tick_us: terms.tick,
+        network_delay_us: NETWORK_MARGIN,
+        max_body_bytes: LARGEST_BODY,
     }
 }
 
--- a/balancer/operator-file/src/plan.rs
+++ b/balancer/operator-file/src/plan.rs
@@ -1,6 +1,6 @@
 //! The reader of a release's plan.
 
-use whinspindle_rollout::{MOST_UNITS, Plan, Unit};
+use whinspindle_rollout::{MAX_UNITS, Plan, Unit};
 use whinspindle_toml_config::{Fault, Place, Table};
 
 /// How long a wave may be watched, in microseconds: in less nothing is seen, and more than a day is forgotten.
@@ -15,8 +15,8 @@
 fn plan(t: &Table, balancers: Option<usize>) -> Plan {
     let names = unit_names(t);
     let units = units(t, &names, balancers);
-    if units.is_empty() || units.len() > MOST_UNITS {
-        let way_out = format!("1 to {MOST_UNITS}; more in several releases");
+    if units.is_empty() || units.len() > MAX_UNITS {
+        let way_out = format!("1 to {MAX_UNITS}; more in several releases");
         t.fault(&t.place_of("units"), format!("{} units", units.len()), way_out);
     }
     let watch = t.time("watch", Some(DEFAULT_WATCH));
@@ -25,11 +25,11 @@
     }
     Plan {
         name: t.text("name", None),
-        names: names.into_iter().map(|(name, _)| name).collect(),
-        waves: waves(t, units.len()),
+        unit_names: names.into_iter().map(|(name, _)| name).collect(),
+        wave_ends: waves(t, units.len()),
         units,
-        watch,
-        error: t.number("error", (1e-6, 0.2), Some(0.01)),
+        watch_us: watch,
+        false_halt_probability: t.number("error", (1e-6, 0.2), Some(0.01)),
         build: t.holds("build").then(|| t.text("build", None)),
     }
 }
--- a/balancer/operator-file/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -66,9 +66,9 @@
     let limits = Limits {
         balancers: most("balancers"),
         servers: most("servers"),
-        servers_by_zone: most("servers-by-zone"),
-        servers_by_cell: most("servers-by-pod"),
-        servers_part: t.holds("servers-part").then(|| t.number("servers-part", (0.001, 0.9), None)),
+        servers_per_zone: most("servers-by-zone"),
+        servers_per_pod: most("servers-by-pod"),
+        servers_fraction: t.holds("servers-part").then(|| t.number("servers-part", (0.001, 0.9), None)),
     };
     let all = deployment.terms.balancers;
     if limits.balancers.is_some_and(|most| most >= all) {
@@ -76,7 +76,7 @@
         t.fault(&t.place_of("balancers"), format!("all {all} balancers could be out at once"), way_out);
     }
     for (key, inner) in
-        [("servers-by-zone", limits.servers_by_zone), ("servers-by-pod", limits.servers_by_cell)]
+        [("servers-by-zone", limits.servers_per_zone), ("servers-by-pod", limits.servers_per_pod)]
     {
         if let (Some(inner), Some(most)) = (inner, limits.servers)
             && inner > most
@@ -84,7 +84,7 @@
             let fault = format!("{inner} of one while {most} in all may be out");
             t.fault(&t.place_of(key), fault, "no more than servers");
         }
-        if inner.is_some() && limits.servers.is_none() && limits.servers_part.is_none() {
+        if inner.is_some() && limits.servers.is_none() && limits.servers_fraction.is_none() {
             t.fault(&t.place_of(key), "nothing says how many in all may be out", "servers, or servers-part");
         }
     }
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -5,7 +5,9 @@
 use whinspindle_deployment_settings::{Deployment, index};
 use whinspindle_routes::pattern::Pattern;
 use whinspindle_routes::proof::{self, Field};
-use whinspindle_routes::{Conditions, HedgePolicy, Matches, ProductRow, RetryOn, Route, RouteTable, Servers};
+use whinspindle_routes::{
+    Conditions, HedgePolicy, ProductSettings, RetryOn, Route, RouteMatch, RouteTable, ServerSelection,
+};
 use whinspindle_toml_config::units::Unit;
 use whinspindle_toml_config::{Place, Table, units};
 
@@ -73,10 +75,10 @@
 
 fn route(t: &Table, deployment: &Deployment) -> (Route, RoutePlaces) {
     let text = t.text("path", Some("/*"));
-    let path = Pattern::read(&text).unwrap_or_else(|fault| {
+    let path = Pattern::parse(&text).unwrap_or_else(|fault| {
         let way_out = "as in \"/orders\", \"/orders/{id}/items\" or \"/orders/*\"";
         t.fault(&t.place_of("path"), fault.to_string(), way_out);
-        Pattern { segments: Vec::new(), below: true }
+        Pattern { segments: Vec::new(), is_prefix: true }
     });
     let methods = [("GET", "GET"), ("POST", "POST")];
     let method = t.holds("method").then(|| t.one_of("method", &methods, None).to_string());
@@ -87,20 +89,20 @@
         let fault = "no query can reach it: GET is only for products that are safe to repeat";
         t.fault(&t.place_of("method"), fault, "method = \"POST\", or another product");
     }
-    let matches = Matches { method, path, product, tenant };
+    let matches = RouteMatch { method, path, product, tenant };
     let (shared, given) = conditions(t, deployment);
     let place_of = |key: &str| t.place_of(key);
     let places = RoutePlaces {
         route: t.place(),
         fields: vec![
-            (Field::Time, place_of("time")),
-            (Field::ExecutionTime, place_of("execution-time")),
-            (Field::Executions, place_of("executions")),
+            (Field::Timeout, place_of("time")),
+            (Field::ExecutionTimeout, place_of("execution-time")),
+            (Field::MaxExecutions, place_of("executions")),
             (Field::RetryOn, place_of("repeat-after")),
-            (Field::Wait, place_of("wait")),
-            (Field::HedgePolicy, place_of("second-copy")),
-            (Field::Budget, place_of("budget")),
-            (Field::LargestBody, place_of("largest-body")),
+            (Field::RetryDelay, place_of("wait")),
+            (Field::Hedge, place_of("second-copy")),
+            (Field::RetryBudget, place_of("budget")),
+            (Field::MaxBody, place_of("largest-body")),
             (Field::Servers, place_of("servers")),
         ],
     };
@@ -109,7 +111,11 @@
     let mut reported: Vec<(Field, String)> = Vec::new();
     for (number, product) in deployment.terms.products.iter().enumerate() {
         let statement_timeout = deployment.statement_timeouts[number];
-        let row = ProductRow { effect: product.effect, memory_span: product.memory_span, statement_timeout };
+        let row = ProductSettings {
+            effect: product.effect,
+            deduplication_us: product.memory_span,
+            statement_timeout_us: statement_timeout,
+        };
         let conditions = given.fill(&shared, &row, deployment);
         let meant = matches.product.is_none_or(|only| only == number)
             && (matches.method.as_deref() != Some("GET") || product.effect == Effect::Idempotent);
@@ -123,7 +129,7 @@
                 let fault = format!("{rule}{} (product {of:?})", refusal.fault);
                 // A fault that all products have is reported once.
                 if !reported.contains(&(refusal.field, refusal.fault.clone())) {
-                    t.fault(places.of(refusal.field), fault, refusal.way_out.clone());
+                    t.fault(places.of(refusal.field), fault, refusal.suggestion.clone());
                     reported.push((refusal.field, refusal.fault));
                 }
             }
@@ -152,10 +158,10 @@
 
 impl Given {
     /// The conditions for one product, with the balancer's defaults where nothing is set.
-    fn fill(&self, shared: &Conditions, row: &ProductRow, deployment: &Deployment) -> Conditions {
+    fn fill(&self, shared: &Conditions, row: &ProductSettings, deployment: &Deployment) -> Conditions {
         use whinspindle::host::Group;
         let tick = deployment.terms.tick;
-        let time = self.time.unwrap_or(row.statement_timeout.saturating_sub(tick));
+        let time = self.time.unwrap_or(row.statement_timeout_us.saturating_sub(tick));
         let ever = row.effect != Effect::NonIdempotent;
         let by_effect = RetryOn { never_ran: true, error: ever, broken: ever, timed_out: ever };
         let executions = self.executions.unwrap_or(deployment.terms.max_executions);
@@ -171,13 +177,13 @@
             _ => RetryScope::Anywhere,
         });
         let mut filled = Conditions {
-            time,
-            execution_time: self.execution_time.unwrap_or(time),
-            executions,
+            timeout_us: time,
+            execution_timeout_us: self.execution_time.unwrap_or(time),
+            max_executions: executions,
             retry_on,
-            servers: Servers {
-                repeats_in_zone: retry_scope == RetryScope::Zone,
-                repeats_in_pod: retry_scope == RetryScope::Pod,
+            servers: ServerSelection {
+                retries_in_zone: retry_scope == RetryScope::Zone,
+                retries_in_pod: retry_scope == RetryScope::Pod,
                 ..shared.servers.clone()
             },
             ..shared.clone()
@@ -186,14 +192,14 @@
             // As many as there is time for, and as the servers deduplicate: the file sets no number.
             let bounds = crate::bounds(deployment);
             let fits = |n: usize| {
-                let tried = Conditions { executions: n, ..filled.clone() };
-                let worst = proof::worst(&tried, &bounds);
-                let known =
-                    !matches!(row.effect, Effect::Deduplicated(_)) || worst.last_arrival < row.memory_span;
-                n == 1 || (worst.sends.len() >= n && known)
+                let tried = Conditions { max_executions: n, ..filled.clone() };
+                let worst = proof::worst_schedule(&tried, &bounds);
+                let known = !matches!(row.effect, Effect::Deduplicated(_))
+                    || worst.last_arrival_us < row.deduplication_us;
+                n == 1 || (worst.send_times_us.len() >= n && known)
             };
-            filled.executions = (1..=executions).rev().find(|&n| fits(n)).unwrap_or(1);
-            if filled.executions == 1 && self.retry_on.is_none() {
+            filled.max_executions = (1..=executions).rev().find(|&n| fits(n)).unwrap_or(1);
+            if filled.max_executions == 1 && self.retry_on.is_none() {
                 filled.retry_on = RetryOn::NOTHING;
             }
         }
@@ -221,19 +227,19 @@
     let scopes = [("anywhere", RetryScope::Anywhere), ("zone", RetryScope::Zone), ("pod", RetryScope::Pod)];
     let retry_scope = servers.holds("repeats").then(|| servers.one_of("repeats", &scopes, None));
     let shared = Conditions {
-        time: 0,
-        execution_time: 0,
-        executions: 1,
+        timeout_us: 0,
+        execution_timeout_us: 0,
+        max_executions: 1,
         retry_on: RetryOn::NOTHING,
-        wait: t.time("wait", Some(0)),
-        spread: t.number("spread", (0.0, 10.0), Some(0.0)),
+        retry_delay_us: t.time("wait", Some(0)),
+        retry_jitter: t.number("spread", (0.0, 10.0), Some(0.0)),
         hedge: hedge(t),
-        budget: t.number("budget", (0.0, 100.0), Some(100.0)),
-        largest_body: t.size("largest-body", Some(LARGEST_BODY)),
-        servers: Servers {
+        retry_budget: t.number("budget", (0.0, 100.0), Some(100.0)),
+        max_body_bytes: t.size("largest-body", Some(LARGEST_BODY)),
+        servers: ServerSelection {
             zones: names(&servers, "zones", &deployment.zones),
             kinds: names(&servers, "kinds", &deployment.kinds),
-            ..Servers::default()
+            ..ServerSelection::default()
         },
     };
     (shared, Given { retry_scope, ..given })
--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -161,7 +161,7 @@
     let own = |text: &str| read(text, &deployment);
     let policy = |text: &str| read_policy(text, &deployment);
     assert!(own(FLEET).is_ok_and(|own| own.fleet.is_some_and(|fleet| fleet.pace == 2_000_000)));
-    assert!(policy(LIMITS).is_ok_and(|policy| policy.limits.servers_by_zone == Some(2)));
+    assert!(policy(LIMITS).is_ok_and(|policy| policy.limits.servers_per_zone == Some(2)));
     let rejects = policy("[cut-off]\nqueries = \"reject\"\n").expect("good");
     assert!(matches!(rejects.cut_off, CutOff::Rejects));
     type Read<'a> = &'a dyn Fn(&str) -> Result<Operator, Vec<Fault>>;
@@ -235,9 +235,9 @@
         [(0, 1, RetryOn::NOTHING, false), (2, 1, RetryOn::NOTHING, false)]
     {
         let row = &rows[product];
-        assert_eq!((row.executions, row.retry_on), (executions, after), "product {product}");
+        assert_eq!((row.max_executions, row.retry_on), (executions, after), "product {product}");
         assert_eq!(
-            (row.servers.repeats_in_pod, row.largest_body),
+            (row.servers.retries_in_pod, row.max_body_bytes),
             (in_pod, LARGEST_BODY),
             "product {product}"
         );
@@ -248,8 +248,8 @@
     let wanted = [(0, 4, all, false), (1, 4, all, true), (2, 4, never_ran, false), (3, 2, all, false)];
     for (product, executions, after, in_pod) in wanted {
         let row = &rows[product];
-        assert_eq!((row.executions, row.retry_on), (executions, after), "product {product}");
-        assert_eq!(row.servers.repeats_in_pod, in_pod, "product {product}");
+        assert_eq!((row.max_executions, row.retry_on), (executions, after), "product {product}");
+        assert_eq!(row.servers.retries_in_pod, in_pod, "product {product}");
     }
 }
 
--- a/balancer/peer-transport/src/lib.rs
+++ b/balancer/peer-transport/src/lib.rs
@@ -106,7 +106,7 @@
     }
 
     /// The datagrams that carry a message; none if it is longer than any may be.
-    pub fn datagrams(&mut self, to: u16, message: &impl Serialize) -> Vec<Vec<u8>> {
+    pub fn encode(&mut self, to: u16, message: &impl Serialize) -> Vec<Vec<u8>> {
         let Ok(bytes) = postcard::to_stdvec(message) else { return Vec::new() };
         let parts = bytes.len().div_ceil(self.part_bytes).max(1);
         if parts > MAX_PARTS {
@@ -134,19 +134,19 @@
     }
 
     /// Whom a datagram says it is from, before anything of it is believed.
-    pub fn sender(datagram: &[u8]) -> Option<u16> {
+    pub fn claimed_sender(datagram: &[u8]) -> Option<u16> {
         (datagram.len() >= HEADER_BYTES + TAG_BYTES).then(|| u16::from_le_bytes(number(datagram, 7)))
     }
 
     /// Takes a datagram that came from the address of `from`; a message once it is complete. `second` counts seconds
     /// of the process's own clock.
-    pub fn take<M: DeserializeOwned>(
+    pub fn receive<M: DeserializeOwned>(
         &mut self,
         second: u64,
         from: Option<u16>,
         datagram: &[u8],
     ) -> Option<(u16, M)> {
-        let said = Self::sender(datagram);
+        let said = Self::claimed_sender(datagram);
         if said.is_none() || datagram[0] != VERSION {
             self.dropped.garbled += 1;
             return None;
--- a/balancer/peer-transport/src/tests.rs
+++ b/balancer/peer-transport/src/tests.rs
@@ -8,8 +8,8 @@
     );
     from.next = u32::MAX - MAX_PARTS as u32 - 3;
     for second in 0..10 {
-        let datagram = from.datagrams(0, &7u8).remove(0);
-        assert_eq!(to.take::<u8>(second, Some(1), &datagram), Some((1, 7)));
+        let datagram = from.encode(0, &7u8).remove(0);
+        assert_eq!(to.receive::<u8>(second, Some(1), &datagram), Some((1, 7)));
     }
     assert_eq!((from.start, from.next), (0, 6));
 }
--- a/balancer/peer-transport/tests/wire_fixtures.rs
+++ b/balancer/peer-transport/tests/wire_fixtures.rs
@@ -32,7 +32,7 @@
     let long: Vec<u32> = (0..400).collect();
     for (name, secret) in [("keyed", "a secret of members"), ("unkeyed", "")] {
         let mut from = PeerTransport::new(FROM, MEMBERS, "fixtures", secret, START, MAX_DATAGRAM_BYTES);
-        let written = [from.datagrams(TO, &short), from.datagrams(TO, &long)];
+        let written = [from.encode(TO, &short), from.encode(TO, &long)];
         let bytes = written.each_ref().map(|datagrams| datagrams.concat());
         let one = fixture(&format!("datagram-{name}.bin"), &bytes[0]);
         let several = fixture(&format!("datagrams-{name}-in-parts.bin"), &bytes[1]);
@@ -54,15 +54,15 @@
         let payload = &one[HEADER_BYTES..one.len() - TAG_BYTES];
         assert_eq!(payload, [4, 0, 127, 128, 1, 255, 255, 255, 255, 15], "{name}");
         let mut to = PeerTransport::new(TO, MEMBERS, "fixtures", secret, 1, MAX_DATAGRAM_BYTES);
-        assert_eq!(PeerTransport::sender(&one), Some(FROM));
-        assert_eq!(to.take(0, Some(FROM), &one), Some((FROM, short.clone())), "{name}");
+        assert_eq!(PeerTransport::claimed_sender(&one), Some(FROM));
+        assert_eq!(to.receive(0, Some(FROM), &one), Some((FROM, short.clone())), "{name}");
         let (last, first) = parts.split_last().expect("parts");
-        assert!(first.iter().all(|part| to.take::<Vec<u32>>(0, Some(FROM), part).is_none()), "{name}");
-        assert_eq!(to.take(0, Some(FROM), last), Some((FROM, long.clone())), "{name}");
+        assert!(first.iter().all(|part| to.receive::<Vec<u32>>(0, Some(FROM), part).is_none()), "{name}");
+        assert_eq!(to.receive(0, Some(FROM), last), Some((FROM, long.clone())), "{name}");
         assert_eq!(to.dropped, DroppedDatagrams::default(), "{name}");
         // Each is for one member alone.
         let mut other = PeerTransport::new(TO + 1, MEMBERS, "fixtures", secret, 1, MAX_DATAGRAM_BYTES);
-        assert_eq!(other.take::<Vec<u32>>(0, Some(FROM), &one), None, "{name}");
+        assert_eq!(other.receive::<Vec<u32>>(0, Some(FROM), &one), None, "{name}");
         assert_eq!(
             other.dropped,
             DroppedDatagrams { wrong_mark: 1, ..DroppedDatagrams::default() },
--- a/balancer/rollout/src/lib.rs
+++ b/balancer/rollout/src/lib.rs
@@ -2,7 +2,7 @@
 //! order they restart, and whether the new build does worse than the old one.
 //!
 //! A unit is out while it is not in full service: granted leave, draining, deregistered, warming up, or not
-//! received from. `RestartCheck::may_go` holds the limits of the policy, `Progress` the waves of a `Plan`, and `Evidence`
+//! received from. `RestartCheck` applies the limits of the policy, `Progress` the waves of a `Plan`, and `BuildTest`
 //! the sequential test by which a release is halted. No I/O; `docs/fleet-design.md` has the guarantees.
 //!
 //! ```
@@ -11,9 +11,9 @@
 //!
 //! let limits = Limits { balancers: Some(1), ..Limits::default() };
 //! let absent = BTreeSet::from([2]);
-//! let scene = RestartCheck { limits: &limits, granted: &[], away: &absent, balancers: 3, servers: &[] };
-//! assert!(scene.may_go(Unit::Balancer(2)).is_ok());
-//! assert!(scene.may_go(Unit::Balancer(0)).is_err());
+//! let check = RestartCheck { limits: &limits, granted: &[], absent: &absent, balancer_count: 3, servers: &[] };
+//! assert!(check.check(Unit::Balancer(2)).is_ok());
+//! assert!(check.check(Unit::Balancer(0)).is_err());
 //! ```
 
 mod observed_outcomes;
@@ -27,9 +27,9 @@
 use serde::{Deserialize, Serialize};
 
 pub use observed_outcomes::ObservedOutcomes;
-pub use plan::{Direction, MOST_UNITS, Next, Places, Plan, Progress};
-pub use slow::Lines;
-pub use verdict::{Count, Evidence, OF_BALANCERS, ObservationRow, SIGNS, rows};
+pub use plan::{Direction, MAX_UNITS, NextPhase, Plan, Progress, UnitSet};
+pub use slow::SlowThresholds;
+pub use verdict::{BALANCER_STRATUM, BuildTest, ObservationRow, OutcomeCounts, SYMPTOMS, observation_rows};
 
 /// A process that a rollout restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -42,15 +42,15 @@
 
 /// A server in the endpoint list of the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct ServerStatus {
     /// The key of its id: see `Unit::Server`.
     pub key: u64,
     /// The name of its zone.
     pub zone: String,
     /// The number of its pod.
-    pub cell: usize,
+    pub pod: usize,
     /// Whether it is listed as ready, and warm.
-    pub full: bool,
+    pub is_in_service: bool,
 }
 
 /// How many units the policy allows out of service at once; none where it sets no limit.
@@ -61,11 +61,11 @@
     /// Servers in all.
     pub servers: Option<usize>,
     /// Servers of one zone.
-    pub servers_by_zone: Option<usize>,
+    pub servers_per_zone: Option<usize>,
     /// Servers of one pod.
-    pub servers_by_cell: Option<usize>,
+    pub servers_per_pod: Option<usize>,
     /// Servers as a part (0 to 1) of all that are listed.
-    pub servers_part: Option<f64>,
+    pub servers_fraction: Option<f64>,
 }
 
 /// What is known when a unit asks for leave.
@@ -76,11 +76,11 @@
     /// Units that were granted leave and have not returned.
     pub granted: &'a [Unit],
     /// The numbers of balancers that are not in full service.
-    pub away: &'a BTreeSet<u16>,
+    pub absent: &'a BTreeSet<u16>,
     /// How many balancers there are.
-    pub balancers: usize,
+    pub balancer_count: usize,
     /// The servers listed.
-    pub servers: &'a [Place],
+    pub servers: &'a [ServerStatus],
 }
 
 /// Why a unit may not leave service now.
@@ -89,30 +89,30 @@
     /// The policy sets no limit for this kind of unit: without one none may leave.
     NoLimit,
     /// No such unit is known.
-    Unknown,
+    UnknownUnit,
     /// The unit belongs to a wave of the release that has not begun.
-    Later {
+    WaveNotBegun {
         /// The present wave, from 0.
         wave: usize,
     },
     /// The unit has the release's build already.
-    Changed,
+    AlreadyChanged,
     /// In a rollback: the unit has the old build.
-    Unchanged,
+    NotChanged,
     /// The plan of the release under way is not known here yet.
-    NoPlan,
+    PlanUnknown,
     /// That release is not under way.
-    NoRelease,
+    ReleaseNotUnderWay,
     /// The plan of the release does not name the unit.
     NotInPlan,
     /// A limit is reached.
-    Full {
+    LimitReached {
         /// The units that the limit counts, for operators.
-        what: &'static str,
+        units: &'static str,
         /// How many are out.
         out: usize,
         /// The limit.
-        most: usize,
+        limit: usize,
     },
 }
 
@@ -120,25 +120,29 @@
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
             RestartRefusal::NoLimit => write!(to, "the policy in force sets no limit for this kind of unit"),
-            RestartRefusal::Unknown => write!(to, "no such unit is known"),
-            RestartRefusal::Later { wave } => {
+            RestartRefusal::UnknownUnit => write!(to, "no such unit is known"),
+            RestartRefusal::WaveNotBegun { wave } => {
                 write!(to, "the release is at wave {}, to which it does not belong", wave + 1)
             }
-            RestartRefusal::Changed => write!(to, "the release has changed it already"),
-            RestartRefusal::Unchanged => {
+            RestartRefusal::AlreadyChanged => write!(to, "the release has changed it already"),
+            RestartRefusal::NotChanged => {
                 write!(to, "the release has not changed it, or has taken it back already")
             }
-            RestartRefusal::NoPlan => write!(to, "the plan of the release under way is not known here yet"),
-            RestartRefusal::NoRelease => write!(to, "that release is not under way"),
+            RestartRefusal::PlanUnknown => {
+                write!(to, "the plan of the release under way is not known here yet")
+            }
+            RestartRefusal::ReleaseNotUnderWay => write!(to, "that release is not under way"),
             RestartRefusal::NotInPlan => write!(to, "the release does not name it"),
-            RestartRefusal::Full { what, out, most } => write!(to, "{out} {what} are out, {most} may be"),
+            RestartRefusal::LimitReached { units: what, out, limit: most } => {
+                write!(to, "{out} {what} are out, {most} may be")
+            }
         }
     }
 }
 
 impl RestartCheck<'_> {
     /// Whether the unit may leave service. It doesn't count itself, in case it is out already.
-    pub fn may_go(&self, unit: Unit) -> Result<(), RestartRefusal> {
+    pub fn check(&self, unit: Unit) -> Result<(), RestartRefusal> {
         match unit {
             Unit::Balancer(number) => self.balancer(number),
             Unit::Server(key) => self.server(key),
@@ -147,10 +151,10 @@
 
     fn balancer(&self, number: u16) -> Result<(), RestartRefusal> {
         let most = self.limits.balancers.ok_or(RestartRefusal::NoLimit)?;
-        if number as usize >= self.balancers {
-            return Err(RestartRefusal::Unknown);
+        if number as usize >= self.balancer_count {
+            return Err(RestartRefusal::UnknownUnit);
         }
-        let mut out = self.away.clone();
+        let mut out = self.absent.clone();
         out.extend(self.granted.iter().filter_map(|unit| match unit {
             Unit::Balancer(number) => Some(*number),
             Unit::Server(_) => None,
@@ -160,12 +164,20 @@
     }
 
     fn server(&self, key: u64) -> Result<(), RestartRefusal> {
-        let Limits { servers, servers_by_zone, servers_by_cell, servers_part, .. } = *self.limits;
+        let Limits {
+            servers,
+            servers_per_zone: servers_by_zone,
+            servers_per_pod: servers_by_cell,
+            servers_fraction: servers_part,
+            ..
+        } = *self.limits;
         if servers.is_none() && servers_part.is_none() {
             return Err(RestartRefusal::NoLimit);
         }
-        let server = self.servers.iter().find(|server| server.key == key).ok_or(RestartRefusal::Unknown)?;
-        let is_out = |other: &&Place| !other.full || self.granted.contains(&Unit::Server(other.key));
+        let server =
+            self.servers.iter().find(|server| server.key == key).ok_or(RestartRefusal::UnknownUnit)?;
+        let is_out =
+            |other: &&ServerStatus| !other.is_in_service || self.granted.contains(&Unit::Server(other.key));
         let out = || self.servers.iter().filter(|other| other.key != key).filter(is_out);
         // A server that was granted leave and is no longer listed is out all the same.
         let unlisted = self.granted.iter().filter(|unit| match unit {
@@ -185,7 +197,7 @@
         )?;
         check_limit(
             "servers of its pod",
-            out().filter(|other| other.cell == server.cell).count(),
+            out().filter(|other| other.pod == server.pod).count(),
             servers_by_cell,
         )
     }
@@ -193,7 +205,7 @@
 
 fn check_limit(what: &'static str, out: usize, most: Option<usize>) -> Result<(), RestartRefusal> {
     match most {
-        Some(most) if out >= most => Err(RestartRefusal::Full { what, out, most }),
+        Some(most) if out >= most => Err(RestartRefusal::LimitReached { units: what, out, limit: most }),
         _ => Ok(()),
     }
 }
--- a/balancer/rollout/src/observed_outcomes.rs
+++ b/balancer/rollout/src/observed_outcomes.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Count, Lines, SIGNS};
+use crate::{OutcomeCounts, SYMPTOMS, SlowThresholds};
 use whinspindle::host::Outcome;
 
-/// Indices into `SIGNS`.
+/// Indices into `SYMPTOMS`.
 const FAILED: usize = 0;
 const SLOW: usize = 1;
 const REJECTED: usize = 2;
@@ -14,19 +14,19 @@
 /// The observations since they were last collected.
 #[derive(Default)]
 pub struct ObservedOutcomes {
-    thresholds: Lines,
-    servers: BTreeMap<usize, Count>,
-    own: Count,
+    thresholds: SlowThresholds,
+    servers: BTreeMap<usize, OutcomeCounts>,
+    own: OutcomeCounts,
 }
 
-fn count(bad: [bool; SIGNS.len()]) -> Count {
-    Count { executions: 1, bad: bad.map(u32::from) }
+fn count(bad: [bool; SYMPTOMS.len()]) -> OutcomeCounts {
+    OutcomeCounts { executions: 1, bad: bad.map(u32::from) }
 }
 
 impl ObservedOutcomes {
     /// Counts an execution that ended at a server after `spent` microseconds.
-    pub fn execution(&mut self, server: usize, product: usize, outcome: Outcome, spent: u64) {
-        let mut bad = [false; SIGNS.len()];
+    pub fn record_execution(&mut self, server: usize, product: usize, outcome: Outcome, spent: u64) {
+        let mut bad = [false; SYMPTOMS.len()];
         match outcome {
             Outcome::Completed => bad[SLOW] = self.thresholds.is_slow(product, spent),
             Outcome::Rejected => bad[REJECTED] = true,
@@ -38,14 +38,14 @@
     }
 
     /// Counts a client's request that has its final answer, for this process itself.
-    pub fn query(&mut self, aborted: bool, tardy: bool, rejected: bool) {
-        let mut bad = [false; SIGNS.len()];
+    pub fn record_request(&mut self, aborted: bool, tardy: bool, rejected: bool) {
+        let mut bad = [false; SYMPTOMS.len()];
         (bad[FAILED], bad[SLOW], bad[REJECTED]) = (aborted, tardy, rejected);
         self.own.add(count(bad));
     }
 
     /// The counts since the last call: by server, and of the process itself.
-    pub fn take(&mut self) -> (BTreeMap<usize, Count>, Count) {
+    pub fn take(&mut self) -> (BTreeMap<usize, OutcomeCounts>, OutcomeCounts) {
         (std::mem::take(&mut self.servers), std::mem::take(&mut self.own))
     }
 }
--- a/balancer/rollout/src/slow.rs
+++ b/balancer/rollout/src/slow.rs
@@ -18,9 +18,9 @@
 
 /// The thresholds, by product.
 #[derive(Clone, Debug, Default)]
-pub struct Lines(Vec<Threshold>);
+pub struct SlowThresholds(Vec<Threshold>);
 
-impl Lines {
+impl SlowThresholds {
     /// Whether an answer that took `spent` microseconds is slow; none is until there were enough answers.
     pub fn is_slow(&mut self, product: usize, spent: u64) -> bool {
         if self.0.len() <= product {
--- a/balancer/rollout/src/verdict.rs
+++ b/balancer/rollout/src/verdict.rs
@@ -21,104 +21,106 @@
 /// The odds ratios that are tested for. A build that is worse by less than the first is not found, by design.
 const FACTORS: [f64; 3] = [1.5, 3.0, 9.0];
 /// What can be bad about an execution, each tested with its part of the error.
-pub const SIGNS: [&str; 3] = ["fail", "are slow", "are turned away"];
+pub const SYMPTOMS: [&str; 3] = ["fail", "are slow", "are turned away"];
 /// The largest value of a sum or factor, so that their product stays finite.
 const MAX_RATIO: f64 = 1e100;
 
 /// Executions, and the bad ones of each sign.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Count {
+pub struct OutcomeCounts {
     /// All executions.
     pub executions: u32,
     /// Those that were bad, by sign.
     pub bad: [u32; 3],
 }
 
-impl Count {
+impl OutcomeCounts {
     /// Adds another count.
-    pub fn add(&mut self, other: Count) {
+    pub fn add(&mut self, other: OutcomeCounts) {
         self.executions = self.executions.saturating_add(other.executions);
         self.bad.iter_mut().zip(other.bad).for_each(|(bad, more)| *bad = bad.saturating_add(more));
     }
 }
 
 /// The stratum of balancers: each reports on itself.
-pub const OF_BALANCERS: u16 = u16::MAX;
+pub const BALANCER_STRATUM: u16 = u16::MAX;
 
 /// What one member has observed of one side of one stratum since its last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ObservationRow {
-    /// The zone and kind of the units, as a number; or `OF_BALANCERS`.
+    /// The zone and kind of the units, as a number; or `BALANCER_STRATUM`.
     pub stratum: u16,
     /// Whether they have the new build.
     pub changed: bool,
     /// Their counts together.
-    pub count: Count,
+    pub count: OutcomeCounts,
     /// The most bad outcomes of each sign that one unit has.
-    pub most: [u32; 3],
+    pub max_bad_per_unit: [u32; 3],
 }
 
 /// The rows of one member's report. Takes for each unit its stratum, whether it is changed, and its counts.
-pub fn rows(units: impl Iterator<Item = (u16, bool, Count)>) -> Vec<ObservationRow> {
+pub fn observation_rows(units: impl Iterator<Item = (u16, bool, OutcomeCounts)>) -> Vec<ObservationRow> {
     let mut rows: BTreeMap<(u16, bool), ObservationRow> = BTreeMap::new();
     for (stratum, changed, count) in units.filter(|(_, _, count)| count.executions > 0) {
-        let none = ObservationRow { stratum, changed, count: Count::default(), most: [0; 3] };
+        let none =
+            ObservationRow { stratum, changed, count: OutcomeCounts::default(), max_bad_per_unit: [0; 3] };
         let row = rows.entry((stratum, changed)).or_insert(none);
         row.count.add(count);
-        row.most.iter_mut().zip(count.bad).for_each(|(most, bad)| *most = (*most).max(bad));
+        row.max_bad_per_unit.iter_mut().zip(count.bad).for_each(|(most, bad)| *most = (*most).max(bad));
     }
     rows.into_values().collect()
 }
 
 /// The test of a build, run by a voter on the reports of all members.
 #[derive(Clone, Debug)]
-pub struct Evidence {
+pub struct BuildTest {
     error: f64,
     window: u64,
     /// The counts of this window by member and stratum: of unchanged and of changed units.
-    strata: BTreeMap<(u16, u16), [Count; 2]>,
+    strata: BTreeMap<(u16, u16), [OutcomeCounts; 2]>,
     /// By stratum and side: an upper bound of one unit's bad outcomes over all members.
     most: BTreeMap<(u16, bool), [u32; 3]>,
     /// The sums of likelihood ratios, by sign and factor.
     sums: [[f64; 3]; 3],
     /// What was counted at changed units.
-    pub changed: Count,
+    pub changed: OutcomeCounts,
     /// What was counted at unchanged units.
-    pub unchanged: Count,
+    pub unchanged: OutcomeCounts,
 }
 
-impl Evidence {
+impl BuildTest {
     /// A test with this chance of a false halt over the whole release.
-    pub fn new(error: f64) -> Evidence {
-        Evidence {
+    pub fn new(error: f64) -> BuildTest {
+        BuildTest {
             error,
             window: 0,
             strata: BTreeMap::new(),
             most: BTreeMap::new(),
             sums: [[0.0; 3]; 3],
-            changed: Count::default(),
-            unchanged: Count::default(),
+            changed: OutcomeCounts::default(),
+            unchanged: OutcomeCounts::default(),
         }
     }
 
     /// Takes a row of a member's report. Servers are compared only within one member's observations of one
     /// window, so that differences of members' clients, zones or time don't look like those of builds; balancers
     /// are compared with one another.
-    pub fn take(&mut self, from: u16, row: ObservationRow) {
-        let member = if row.stratum == OF_BALANCERS { u16::MAX } else { from };
-        let count = Count { bad: row.count.bad.map(|bad| bad.min(row.count.executions)), ..row.count };
+    pub fn add_row(&mut self, from: u16, row: ObservationRow) {
+        let member = if row.stratum == BALANCER_STRATUM { u16::MAX } else { from };
+        let count =
+            OutcomeCounts { bad: row.count.bad.map(|bad| bad.min(row.count.executions)), ..row.count };
         let most = self.most.entry((row.stratum, row.changed)).or_default();
-        for ((known, more), bad) in most.iter_mut().zip(row.most).zip(row.count.bad) {
+        for ((known, more), bad) in most.iter_mut().zip(row.max_bad_per_unit).zip(row.count.bad) {
             // All members observe the same servers, but each balancer is a unit of its own.
             let more = more.min(bad);
             *known =
-                if row.stratum == OF_BALANCERS { (*known).max(more) } else { known.saturating_add(more) };
+                if row.stratum == BALANCER_STRATUM { (*known).max(more) } else { known.saturating_add(more) };
         }
         self.strata.entry((member, row.stratum)).or_default()[usize::from(row.changed)].add(count);
     }
 
     /// Closes the window and evaluates the test: the finding against the build for operators, if there is one.
-    pub fn close(&mut self) -> Option<String> {
+    pub fn close_window(&mut self) -> Option<String> {
         self.window += 1;
         let mut logs = [[0.0; 3]; 3];
         // Each window counts for itself, however few executions it has. Guards against comparing different times:
@@ -152,17 +154,19 @@
                 *sum = sum.min(MAX_RATIO);
             }
             let mean = sums.iter().sum::<f64>() / FACTORS.len() as f64;
-            if mean >= SIGNS.len() as f64 / self.error && against.is_none() {
+            if mean >= SYMPTOMS.len() as f64 / self.error && against.is_none() {
                 against = Some(sign);
             }
         }
         against.map(|sign| {
-            let part = |count: Count| 100.0 * f64::from(count.bad[sign]) / f64::from(count.executions.max(1));
+            let part = |count: OutcomeCounts| {
+                100.0 * f64::from(count.bad[sign]) / f64::from(count.executions.max(1))
+            };
             format!(
                 "{:.1}% of {} executions at changed units {}, {:.1}% of {} at the others",
                 part(self.changed),
                 self.changed.executions,
-                SIGNS[sign],
+                SYMPTOMS[sign],
                 part(self.unchanged),
                 self.unchanged.executions
             )
--- a/balancer/rollout/tests/release.rs
+++ b/balancer/rollout/tests/release.rs
@@ -1,7 +1,7 @@
 //! Tables of cases: which units may leave service, and how waves follow one another.
 
 use whinspindle_rollout::{
-    Direction, Limits, Next, Place, Places, Plan, Progress, RestartCheck, RestartRefusal, Unit,
+    Direction, Limits, NextPhase, Plan, Progress, RestartCheck, RestartRefusal, ServerStatus, Unit, UnitSet,
 };
 
 use Unit::{Balancer, Server};
@@ -11,16 +11,16 @@
     let limits = Limits {
         balancers: Some(2),
         servers: Some(3),
-        servers_by_zone: Some(2),
-        servers_by_cell: Some(1),
-        servers_part: Some(0.5),
+        servers_per_zone: Some(2),
+        servers_per_pod: Some(1),
+        servers_fraction: Some(0.5),
     };
     // Keys 0 to 7: zones a and b by halves, pods of two; 9 is not listed.
     let place = |key: u64, full| {
         let zone = if key < 4 { "a" } else { "b" }.to_string();
-        Place { key, zone, cell: key as usize / 2, full }
+        ServerStatus { key, zone, pod: key as usize / 2, is_in_service: full }
     };
-    let full = |what, out, most| Err(RestartRefusal::Full { what, out, most });
+    let full = |what, out, most| Err(RestartRefusal::LimitReached { units: what, out, limit: most });
     for (unit, granted, away, cold, may) in [
         (Balancer(0), &[][..], &[][..], &[][..], Ok(())),
         (Balancer(0), &[Balancer(1)], &[], &[], Ok(())),
@@ -28,9 +28,9 @@
         // One that is granted and unheard of counts once, and its own going adds nothing.
         (Balancer(0), &[Balancer(1)], &[1], &[], Ok(())),
         (Balancer(0), &[Balancer(1)], &[0], &[], Ok(())),
-        (Balancer(5), &[], &[], &[], Err(RestartRefusal::Unknown)),
+        (Balancer(5), &[], &[], &[], Err(RestartRefusal::UnknownUnit)),
         (Server(0), &[], &[], &[], Ok(())),
-        (Server(9), &[], &[], &[], Err(RestartRefusal::Unknown)),
+        (Server(9), &[], &[], &[], Err(RestartRefusal::UnknownUnit)),
         (Server(0), &[Server(1)], &[], &[], full("servers of its pod", 1, 1)),
         (Server(0), &[], &[], &[1], full("servers of its pod", 1, 1)),
         (Server(0), &[Server(2)], &[], &[6], Ok(())),
@@ -40,15 +40,16 @@
         (Server(0), &[Server(4), Server(4)], &[], &[4], Ok(())),
     ] {
         let away = away.iter().copied().collect();
-        let servers: Vec<Place> = (0..8).map(|key| place(key, !cold.contains(&key))).collect();
-        let scene = RestartCheck { limits: &limits, granted, away: &away, balancers: 3, servers: &servers };
-        assert_eq!(scene.may_go(unit), may, "{unit:?} {granted:?} {away:?} {cold:?}");
+        let servers: Vec<ServerStatus> = (0..8).map(|key| place(key, !cold.contains(&key))).collect();
+        let scene =
+            RestartCheck { limits: &limits, granted, absent: &away, balancer_count: 3, servers: &servers };
+        assert_eq!(scene.check(unit), may, "{unit:?} {granted:?} {away:?} {cold:?}");
     }
     let none = Limits::default();
     let away = Default::default();
-    let scene = RestartCheck { limits: &none, granted: &[], away: &away, balancers: 3, servers: &[] };
+    let scene = RestartCheck { limits: &none, granted: &[], absent: &away, balancer_count: 3, servers: &[] };
     assert_eq!(
-        [scene.may_go(Balancer(0)), scene.may_go(Server(0))],
+        [scene.check(Balancer(0)), scene.check(Server(0))],
         [Err(RestartRefusal::NoLimit), Err(RestartRefusal::NoLimit)]
     );
 }
@@ -58,15 +59,15 @@
     let plan = Plan {
         name: "p".to_string(),
         units: (0..4).map(Server).collect(),
-        names: Vec::new(),
-        waves: vec![1, 3, 4],
-        watch: 10,
-        error: 0.01,
+        unit_names: Vec::new(),
+        wave_ends: vec![1, 3, 4],
+        watch_us: 10,
+        false_halt_probability: 0.01,
         build: None,
     };
     // Direction, wave, which are changed, which are out; which may go, what follows when watched too short and long enough.
-    let (forth, back, over) = (Direction::Rollout, Direction::Rollback, Some(Next::Over));
-    let wave = |number| Some(Next::Wave(number));
+    let (forth, back, over) = (Direction::Rollout, Direction::Rollback, Some(NextPhase::Complete));
+    let wave = |number| Some(NextPhase::Wave(number));
     for (way, at, changed, out, may, early, late) in [
         (forth, 0, &[][..], &[][..], &[0][..], None, None),
         (forth, 0, &[0], &[], &[], None, wave(1)),
@@ -82,13 +83,14 @@
         (back, 0, &[0], &[], &[0], None, None),
         (back, 0, &[], &[], &[], over, over),
     ] {
-        let mut places = Places::default();
+        let mut places = UnitSet::default();
         changed.iter().for_each(|place| places.set(*place, true));
         let out: Vec<Unit> = out.iter().copied().map(Server).collect();
-        let progress = Progress { plan: &plan, way, wave: at, changed: &places, out: &out };
-        let may_go: Vec<usize> = (0..4).filter(|place| progress.may_go(*place).is_ok()).collect();
+        let progress =
+            Progress { plan: &plan, direction: way, wave: at, changed: &places, out_of_service: &out };
+        let may_go: Vec<usize> = (0..4).filter(|place| progress.check_restart(*place).is_ok()).collect();
         assert_eq!(
-            (may_go.as_slice(), progress.next(9), progress.next(10)),
+            (may_go.as_slice(), progress.next_phase(9), progress.next_phase(10)),
             (may, early, late),
             "{way:?} {at} {changed:?}"
         );
--- a/balancer/routes/examples/lookup.rs
+++ b/balancer/routes/examples/lookup.rs
@@ -5,14 +5,14 @@
 use std::time::Instant;
 
 use whinspindle_routes::pattern::Pattern;
-use whinspindle_routes::{Lookup, Matches, Route, RouteTable};
+use whinspindle_routes::{Lookup, Route, RouteMatch, RouteTable};
 
 const LOOKUPS: usize = 1_000_000;
 
 fn table(count: usize) -> RouteTable {
     let route = |n: usize| {
-        let path = Pattern::read(&format!("/s{}/{{id}}/p{n}/*", n % 50)).expect("a path");
-        let matches = Matches { method: None, path, product: None, tenant: None };
+        let path = Pattern::parse(&format!("/s{}/{{id}}/p{n}/*", n % 50)).expect("a path");
+        let matches = RouteMatch { method: None, path, product: None, tenant: None };
         Route { name: n.to_string(), matches, conditions: Vec::new() }
     };
     RouteTable::new((0..count).map(route).collect())
--- a/balancer/routes/src/lib.rs
+++ b/balancer/routes/src/lib.rs
@@ -4,9 +4,9 @@
 //! ```
 //! use whinspindle_routes::pattern::Pattern;
 //!
-//! let pattern = Pattern::read("/orders/{id}/*").expect("a pattern");
-//! assert!(pattern.holds("/orders/7/items"));
-//! assert!(!pattern.holds("/orders"));
+//! let pattern = Pattern::parse("/orders/{id}/*").expect("a pattern");
+//! assert!(pattern.matches("/orders/7/items"));
+//! assert!(!pattern.matches("/orders"));
 //! ```
 
 pub mod pattern;
@@ -21,45 +21,45 @@
 
 /// The servers that may take a route's requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Servers {
+pub struct ServerSelection {
     /// The names of their zones; empty for any.
     pub zones: Vec<String>,
     /// The names of their kinds; empty for any.
     pub kinds: Vec<String>,
     /// Retries stay in the zone of the first execution.
-    pub repeats_in_zone: bool,
+    pub retries_in_zone: bool,
     /// Retries stay in the pod of the first execution.
-    pub repeats_in_pod: bool,
+    pub retries_in_pod: bool,
 }
 
 /// What a route sets for its requests. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conditions {
     /// The time-out of a request, from when it was taken to its final answer.
-    pub time: u64,
+    pub timeout_us: u64,
     /// The time-out of one execution, from its send to its end.
-    pub execution_time: u64,
+    pub execution_timeout_us: u64,
     /// The most executions of a request, the first among them.
-    pub executions: usize,
+    pub max_executions: usize,
     /// The outcomes after which a request is retried.
     pub retry_on: RetryOn,
     /// The wait before a retry.
-    pub wait: u64,
-    /// The random part of the wait, as a part of `wait` that is added at most.
-    pub spread: f64,
+    pub retry_delay_us: u64,
+    /// The random part of the wait, as a part of `retry_delay_us` that is added at most.
+    pub retry_jitter: f64,
     /// When a hedged request is sent.
     pub hedge: HedgePolicy,
     /// The retry budget, as a part of the route's requests.
-    pub budget: f64,
+    pub retry_budget: f64,
     /// The largest body of a request, in bytes.
-    pub largest_body: u64,
+    pub max_body_bytes: u64,
     /// The servers that may take it.
-    pub servers: Servers,
+    pub servers: ServerSelection,
 }
 
 /// The requests that a route is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Matches {
+pub struct RouteMatch {
     /// The method; none for any.
     pub method: Option<String>,
     /// The paths.
@@ -76,44 +76,44 @@
     /// Its name, unique in its file.
     pub name: String,
     /// The requests that it is for.
-    pub matches: Matches,
+    pub matches: RouteMatch,
     /// By product of the settings; they differ only in the defaults that depend on the product.
     pub conditions: Vec<Conditions>,
 }
 
 impl Route {
     /// Whether requests of a product can take this route.
-    pub fn is_for(&self, product: usize) -> bool {
+    pub fn applies_to(&self, product: usize) -> bool {
         self.matches.product.is_none_or(|only| only == product)
     }
 }
 
 /// The settings of a product that the proof needs. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ProductRow {
+pub struct ProductSettings {
     /// Whether its requests may run more than once.
     pub effect: Effect,
     /// How long servers remember a request for deduplication.
-    pub memory_span: u64,
+    pub deduplication_us: u64,
     /// How long its clients wait for the final answer.
-    pub statement_timeout: u64,
+    pub statement_timeout_us: u64,
 }
 
 /// The limits of the deployment that the proof needs. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct DeploymentLimits {
     /// The most executions of a request.
-    pub executions: usize,
+    pub max_executions: usize,
     /// Whether two executions of a request may be in flight together.
     pub allow_hedging: bool,
     /// Whether servers can cancel an execution.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// The time-out for a connection to a server.
-    pub connect_time_out: u64,
+    pub connect_timeout_us: u64,
     /// How late timers fire at most.
-    pub tick: u64,
+    pub tick_us: u64,
     /// What the network may take to a server beside the connect time-out.
-    pub network: u64,
+    pub network_delay_us: u64,
     /// The largest body of a request, in bytes.
-    pub largest_body: u64,
+    pub max_body_bytes: u64,
 }
--- a/balancer/routes/src/pattern.rs
+++ b/balancer/routes/src/pattern.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// The most segments of a pattern.
-pub const MOST_SEGMENTS: usize = 32;
+pub const MAX_SEGMENTS: usize = 32;
 
 /// A segment of a pattern. The variants are ordered from the most specific on.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -12,7 +12,7 @@
     /// This very segment.
     Literal(String),
     /// Any segment; with the parameter's name.
-    Any(String),
+    Parameter(String),
 }
 
 /// The paths that a route is for.
@@ -21,12 +21,12 @@
     /// Its segments, without a star at the end.
     pub segments: Vec<Segment>,
     /// Whether all paths below match too: the star at the end.
-    pub below: bool,
+    pub is_prefix: bool,
 }
 
 /// Why a text is no pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum PatternError {
     /// It doesn't begin with a slash.
     NoSlash,
     /// It has an empty segment.
@@ -38,21 +38,21 @@
     /// It has braces that don't enclose a whole segment's name.
     Braces,
     /// It has a star before its end.
-    StarWithin,
-    /// It has more than `MOST_SEGMENTS` segments.
+    MisplacedStar,
+    /// It has more than `MAX_SEGMENTS` segments.
     TooLong,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for PatternError {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Fault::NoSlash => write!(to, "does not begin with a slash"),
-            Fault::EmptySegment => write!(to, "has an empty segment"),
-            Fault::DotSegment => write!(to, "has a segment of dots, which no query's path keeps"),
-            Fault::Character(c) => write!(to, "has {c:?}, which is no plain character of a path"),
-            Fault::Braces => write!(to, "has braces that do not hold a whole segment's name"),
-            Fault::StarWithin => write!(to, "has a star that is not its last segment"),
-            Fault::TooLong => write!(to, "has over {MOST_SEGMENTS} segments"),
+            PatternError::NoSlash => write!(to, "does not begin with a slash"),
+            PatternError::EmptySegment => write!(to, "has an empty segment"),
+            PatternError::DotSegment => write!(to, "has a segment of dots, which no query's path keeps"),
+            PatternError::Character(c) => write!(to, "has {c:?}, which is no plain character of a path"),
+            PatternError::Braces => write!(to, "has braces that do not hold a whole segment's name"),
+            PatternError::MisplacedStar => write!(to, "has a star that is not its last segment"),
+            PatternError::TooLong => write!(to, "has over {MAX_SEGMENTS} segments"),
         }
     }
 }
@@ -63,22 +63,22 @@
 
 impl Pattern {
     /// Parses a pattern.
-    pub fn read(text: &str) -> Result<Pattern, Fault> {
-        let rest = text.strip_prefix('/').ok_or(Fault::NoSlash)?;
-        let mut pattern = Pattern { segments: Vec::new(), below: false };
+    pub fn parse(text: &str) -> Result<Pattern, PatternError> {
+        let rest = text.strip_prefix('/').ok_or(PatternError::NoSlash)?;
+        let mut pattern = Pattern { segments: Vec::new(), is_prefix: false };
         if rest.is_empty() {
             return Ok(pattern);
         }
         let parts: Vec<&str> = rest.split('/').collect();
-        if parts.len() > MOST_SEGMENTS {
-            return Err(Fault::TooLong);
+        if parts.len() > MAX_SEGMENTS {
+            return Err(PatternError::TooLong);
         }
         for (n, part) in parts.iter().enumerate() {
             if *part == "*" {
                 if n + 1 < parts.len() {
-                    return Err(Fault::StarWithin);
+                    return Err(PatternError::MisplacedStar);
                 }
-                pattern.below = true;
+                pattern.is_prefix = true;
                 continue;
             }
             pattern.segments.push(segment(part)?);
@@ -88,57 +88,60 @@
 
     /// Whether the path of a request target matches. Segments with an escape never match a literal: servers and
     /// balancers may decode them differently.
-    pub fn holds(&self, path: &str) -> bool {
-        let Some(parts) = split(path) else { return false };
-        let enough =
-            if self.below { parts.len() >= self.segments.len() } else { parts.len() == self.segments.len() };
+    pub fn matches(&self, path: &str) -> bool {
+        let Some(parts) = split_target(path) else { return false };
+        let enough = if self.is_prefix {
+            parts.len() >= self.segments.len()
+        } else {
+            parts.len() == self.segments.len()
+        };
         enough
             && self.segments.iter().zip(&parts).all(|(segment, part)| match segment {
                 Segment::Literal(literal) => literal == part,
-                Segment::Any(_) => true,
+                Segment::Parameter(_) => true,
             })
     }
 
     /// Whether both match the same paths: they are equal but for the names of parameters.
-    pub fn same_paths(&self, other: &Pattern) -> bool {
+    pub fn has_same_paths(&self, other: &Pattern) -> bool {
         let alike = |a: &Segment, b: &Segment| match (a, b) {
             (Segment::Literal(a), Segment::Literal(b)) => a == b,
-            (Segment::Any(_), Segment::Any(_)) => true,
+            (Segment::Parameter(_), Segment::Parameter(_)) => true,
             _ => false,
         };
-        self.below == other.below
+        self.is_prefix == other.is_prefix
             && self.segments.len() == other.segments.len()
             && self.segments.iter().zip(&other.segments).all(|(a, b)| alike(a, b))
     }
 }
 
-fn segment(part: &str) -> Result<Segment, Fault> {
+fn segment(part: &str) -> Result<Segment, PatternError> {
     if part.is_empty() {
-        return Err(Fault::EmptySegment);
+        return Err(PatternError::EmptySegment);
     }
     if part == "." || part == ".." {
-        return Err(Fault::DotSegment);
+        return Err(PatternError::DotSegment);
     }
     if let Some(name) = part.strip_prefix('{').and_then(|part| part.strip_suffix('}')) {
         let named =
             !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_' || c == '-');
-        return if named { Ok(Segment::Any(name.to_string())) } else { Err(Fault::Braces) };
+        return if named { Ok(Segment::Parameter(name.to_string())) } else { Err(PatternError::Braces) };
     }
     if part.contains(['{', '}']) {
-        return Err(Fault::Braces);
+        return Err(PatternError::Braces);
     }
     if part.contains('*') {
-        return Err(Fault::StarWithin);
+        return Err(PatternError::MisplacedStar);
     }
     match part.chars().find(|c| !plain(*c)) {
-        Some(c) => Err(Fault::Character(c)),
+        Some(c) => Err(PatternError::Character(c)),
         None => Ok(Segment::Literal(part.to_string())),
     }
 }
 
 /// The segments of a request target's path, without its query; none for a path that others may resolve to another
 /// one: with segments of dots, plain or escaped.
-pub fn split(target: &str) -> Option<Vec<&str>> {
+pub fn split_target(target: &str) -> Option<Vec<&str>> {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let rest = path.strip_prefix('/')?;
     if rest.is_empty() {
@@ -157,10 +160,10 @@
         for segment in &self.segments {
             match segment {
                 Segment::Literal(literal) => write!(to, "/{literal}")?,
-                Segment::Any(name) => write!(to, "/{{{name}}}")?,
+                Segment::Parameter(name) => write!(to, "/{{{name}}}")?,
             }
         }
-        match (self.below, self.segments.is_empty()) {
+        match (self.is_prefix, self.segments.is_empty()) {
             (true, _) => write!(to, "/*"),
             (false, true) => write!(to, "/"),
             (false, false) => Ok(()),
--- a/balancer/routes/src/proof.rs
+++ b/balancer/routes/src/proof.rs
@@ -8,29 +8,29 @@
 
 use std::fmt;
 
-use crate::{Bounds, Conditions, ProductRow};
+use crate::{Conditions, DeploymentLimits, ProductSettings};
 
-pub use schedule::{Schedule, worst};
+pub use schedule::{Schedule, worst_schedule};
 
 /// The value of a route that a refusal is about: see `Conditions`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// `time`.
-    Time,
-    /// `execution_time`.
-    ExecutionTime,
-    /// `executions`.
-    Executions,
+    /// `timeout_us`.
+    Timeout,
+    /// `execution_timeout_us`.
+    ExecutionTimeout,
+    /// `max_executions`.
+    MaxExecutions,
     /// `retry_on`.
     RetryOn,
-    /// `wait`.
-    Wait,
+    /// `retry_delay_us`.
+    RetryDelay,
     /// `hedge`.
-    HedgePolicy,
-    /// `budget`.
-    Budget,
-    /// `largest_body`.
-    LargestBody,
+    Hedge,
+    /// `retry_budget`.
+    RetryBudget,
+    /// `max_body_bytes`.
+    MaxBody,
     /// `servers`.
     Servers,
 }
@@ -39,45 +39,49 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
     /// An answer after the product's statement timeout.
-    AnswerInTime,
+    AnswerTimeout,
     /// An execution that lasts longer than its request.
-    ExecutionInTime,
+    ExecutionTimeout,
     /// More executions than the deployment allows.
-    Executions,
+    ExecutionCount,
     /// A second execution of a non-idempotent request.
     NonIdempotent,
     /// A retry after the servers' deduplication has forgotten the first execution.
-    Memory,
+    DeduplicationSpan,
     /// A retry at servers that don't deduplicate with those of the first execution.
-    Scope,
+    DeduplicationScope,
     /// Two executions in flight together.
     Overlap,
     /// A body larger than the deployment takes.
-    Body,
+    BodySize,
     /// Retries that no execution is left for, or executions that there is no time for.
-    Sense,
+    Feasibility,
 }
 
 /// All checks, in the order of the proof.
-pub const CHECKS: [Check; 9] = [
-    Check::AnswerInTime,
-    Check::ExecutionInTime,
-    Check::Executions,
+pub const ALL_CHECKS: [Check; 9] = [
+    Check::AnswerTimeout,
+    Check::ExecutionTimeout,
+    Check::ExecutionCount,
     Check::NonIdempotent,
-    Check::Memory,
-    Check::Scope,
+    Check::DeduplicationSpan,
+    Check::DeduplicationScope,
     Check::Overlap,
-    Check::Body,
-    Check::Sense,
+    Check::BodySize,
+    Check::Feasibility,
 ];
 
 impl Check {
     /// The number of the rule that a refused route could break; 0 if it is only senseless or too large.
     pub fn rule(self) -> u8 {
         match self {
-            Check::AnswerInTime | Check::ExecutionInTime => 1,
-            Check::Executions | Check::NonIdempotent | Check::Memory | Check::Scope | Check::Overlap => 2,
-            Check::Body | Check::Sense => 0,
+            Check::AnswerTimeout | Check::ExecutionTimeout => 1,
+            Check::ExecutionCount
+            | Check::NonIdempotent
+            | Check::DeduplicationSpan
+            | Check::DeduplicationScope
+            | Check::Overlap => 2,
+            Check::BodySize | Check::Feasibility => 0,
         }
     }
 }
@@ -92,26 +96,26 @@
     /// What is wrong, with the calculation where there is one.
     pub fault: String,
     /// The nearest value that would pass.
-    pub way_out: String,
+    pub suggestion: String,
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}; {}", self.fault, self.way_out)
+        write!(to, "{}; {}", self.fault, self.suggestion)
     }
 }
 
 /// Checks the conditions of a route for the requests of one product.
-pub fn prove(conditions: &Conditions, product: &ProductRow, bounds: &Bounds) -> Vec<Refusal> {
-    CHECKS.iter().flat_map(|&check| prove_by(check, conditions, product, bounds)).collect()
+pub fn prove(conditions: &Conditions, product: &ProductSettings, bounds: &DeploymentLimits) -> Vec<Refusal> {
+    ALL_CHECKS.iter().flat_map(|&check| run_check(check, conditions, product, bounds)).collect()
 }
 
 /// The same by one check alone.
-pub fn prove_by(
+pub fn run_check(
     check: Check,
     conditions: &Conditions,
-    product: &ProductRow,
-    bounds: &Bounds,
+    product: &ProductSettings,
+    bounds: &DeploymentLimits,
 ) -> Vec<Refusal> {
     checks::refusals(check, conditions, product, bounds)
 }
--- a/balancer/routes/src/proof/checks.rs
+++ b/balancer/routes/src/proof/checks.rs
@@ -2,36 +2,36 @@
 
 use whinspindle::host::{Effect, Group};
 
-use super::{Check, Field, Refusal, Schedule, worst};
-use crate::{Bounds, Conditions, HedgePolicy, ProductRow, RetryOn};
+use super::{Check, Field, Refusal, Schedule, worst_schedule};
+use crate::{Conditions, DeploymentLimits, HedgePolicy, ProductSettings, RetryOn};
 
 /// The refusals of one check.
 pub fn refusals(
     check: Check,
     conditions: &Conditions,
-    product: &ProductRow,
-    bounds: &Bounds,
+    product: &ProductSettings,
+    bounds: &DeploymentLimits,
 ) -> Vec<Refusal> {
     let mut proof = Proof {
         check,
         conditions,
         product,
         bounds,
-        schedule: worst(conditions, bounds),
-        retries: conditions.executions > 1 && conditions.retry_on.may_have_run(),
+        schedule: worst_schedule(conditions, bounds),
+        retries: conditions.max_executions > 1 && conditions.retry_on.may_have_run(),
         hedges: conditions.hedge != HedgePolicy::Never,
         refusals: Vec::new(),
     };
     match check {
-        Check::AnswerInTime => proof.answer_in_time(),
-        Check::ExecutionInTime => proof.execution_in_time(),
-        Check::Executions => proof.executions(),
+        Check::AnswerTimeout => proof.answer_in_time(),
+        Check::ExecutionTimeout => proof.execution_in_time(),
+        Check::ExecutionCount => proof.executions(),
         Check::NonIdempotent => proof.non_idempotent(),
-        Check::Memory => proof.memory(),
-        Check::Scope => proof.scope(),
+        Check::DeduplicationSpan => proof.memory(),
+        Check::DeduplicationScope => proof.scope(),
         Check::Overlap => proof.overlap(),
-        Check::Body => proof.body(),
-        Check::Sense => proof.sense(),
+        Check::BodySize => proof.body(),
+        Check::Feasibility => proof.sense(),
     }
     proof.refusals
 }
@@ -40,8 +40,8 @@
 struct Proof<'a> {
     check: Check,
     conditions: &'a Conditions,
-    product: &'a ProductRow,
-    bounds: &'a Bounds,
+    product: &'a ProductSettings,
+    bounds: &'a DeploymentLimits,
     schedule: Schedule,
     /// Whether a request may be retried after an execution that may have run.
     retries: bool,
@@ -56,34 +56,34 @@
             check: self.check,
             field,
             fault: fault.into(),
-            way_out: way_out.into(),
+            suggestion: way_out.into(),
         });
     }
 
     fn answer_in_time(&mut self) {
-        let (time, tick) = (self.conditions.time, self.bounds.tick);
-        let statement_timeout = self.product.statement_timeout;
+        let (time, tick) = (self.conditions.timeout_us, self.bounds.tick_us);
+        let statement_timeout = self.product.statement_timeout_us;
         if time + tick > statement_timeout {
             let sum = format!("time {} and a tick of {}", ms(time), ms(tick));
             let owed = format!("is answered after the {} that clients wait", ms(statement_timeout));
             let most = statement_timeout.saturating_sub(tick);
-            self.refuse(Field::Time, format!("{sum}: {owed}"), format!("at most {}", ms(most)));
+            self.refuse(Field::Timeout, format!("{sum}: {owed}"), format!("at most {}", ms(most)));
         }
     }
 
     fn execution_in_time(&mut self) {
-        let Conditions { time, execution_time, .. } = *self.conditions;
+        let Conditions { timeout_us: time, execution_timeout_us: execution_time, .. } = *self.conditions;
         if execution_time > time {
             let fault = format!("an execution of {} outlives its query of {}", ms(execution_time), ms(time));
-            self.refuse(Field::ExecutionTime, fault, format!("at most {}", ms(time)));
+            self.refuse(Field::ExecutionTimeout, fault, format!("at most {}", ms(time)));
         }
     }
 
     fn executions(&mut self) {
-        let (executions, allowed) = (self.conditions.executions, self.bounds.executions);
+        let (executions, allowed) = (self.conditions.max_executions, self.bounds.max_executions);
         if executions > allowed {
             let fault = format!("{executions} executions where the deployment allows {allowed}");
-            self.refuse(Field::Executions, fault, format!("at most {allowed}"));
+            self.refuse(Field::MaxExecutions, fault, format!("at most {allowed}"));
         }
     }
 
@@ -97,7 +97,7 @@
         }
         if self.hedges {
             let fault = "a non-idempotent query has a second copy";
-            self.refuse(Field::HedgePolicy, fault, "leave it out");
+            self.refuse(Field::Hedge, fault, "leave it out");
         }
     }
 
@@ -105,25 +105,25 @@
         // The servers' memory counts from the send of the first execution; the last must arrive before it ends.
         let deduplicated =
             matches!(self.product.effect, Effect::Deduplicated(_)) && (self.retries || self.hedges);
-        if deduplicated && self.schedule.last_arrival >= self.product.memory_span {
-            let last_send = self.schedule.sends.last().copied().unwrap_or(0);
+        if deduplicated && self.schedule.last_arrival_us >= self.product.deduplication_us {
+            let last_send = self.schedule.send_times_us.last().copied().unwrap_or(0);
             let fault = format!(
                 "execution {} goes out at {} and arrives by {}, where repeats are forgotten after {}",
-                self.schedule.sends.len(),
+                self.schedule.send_times_us.len(),
                 ms(last_send),
-                ms(self.schedule.last_arrival),
-                ms(self.product.memory_span)
+                ms(self.schedule.last_arrival_us),
+                ms(self.product.deduplication_us)
             );
             let way_out = nearest_execution_time(self.conditions, self.product, self.bounds);
-            self.refuse(Field::ExecutionTime, fault, way_out);
+            self.refuse(Field::ExecutionTimeout, fault, way_out);
         }
     }
 
     fn scope(&mut self) {
         let servers = &self.conditions.servers;
         let (scope, inside) = match self.product.effect {
-            Effect::Deduplicated(Group::Zone) => ("zone", servers.repeats_in_zone || servers.repeats_in_pod),
-            Effect::Deduplicated(Group::Cell) => ("pod", servers.repeats_in_pod),
+            Effect::Deduplicated(Group::Zone) => ("zone", servers.retries_in_zone || servers.retries_in_pod),
+            Effect::Deduplicated(Group::Cell) => ("pod", servers.retries_in_pod),
             _ => return,
         };
         if (self.retries || self.hedges) && !inside {
@@ -138,34 +138,34 @@
         }
         if self.hedges {
             let fault = "second copies are not allowed by the deployment";
-            self.refuse(Field::HedgePolicy, fault, "leave it out");
+            self.refuse(Field::Hedge, fault, "leave it out");
         }
-        let retries_time_outs = self.conditions.retry_on.timed_out && self.conditions.executions > 1;
-        if retries_time_outs && !self.bounds.cancel {
+        let retries_time_outs = self.conditions.retry_on.timed_out && self.conditions.max_executions > 1;
+        if retries_time_outs && !self.bounds.can_cancel {
             let fault = "an execution that has timed out is still out, as the deployment can't call it off";
             self.refuse(Field::RetryOn, fault, "not after \"timed-out\"");
         }
     }
 
     fn body(&mut self) {
-        let (largest, taken) = (self.conditions.largest_body, self.bounds.largest_body);
+        let (largest, taken) = (self.conditions.max_body_bytes, self.bounds.max_body_bytes);
         if largest > taken {
             let fault = format!("{largest} bytes, where the deployment takes {taken}");
-            self.refuse(Field::LargestBody, fault, format!("at most {taken} B"));
+            self.refuse(Field::MaxBody, fault, format!("at most {taken} B"));
         }
     }
 
     fn sense(&mut self) {
-        let executions = self.conditions.executions;
+        let executions = self.conditions.max_executions;
         if executions == 1 && (self.conditions.retry_on != RetryOn::NOTHING || self.hedges) {
             let fault = "repeats are set, but no execution is left for them";
-            self.refuse(Field::Executions, fault, "at least 2");
+            self.refuse(Field::MaxExecutions, fault, "at least 2");
         }
-        let possible = self.schedule.sends.len();
+        let possible = self.schedule.send_times_us.len();
         if executions > possible {
-            let time = ms(self.conditions.time);
+            let time = ms(self.conditions.timeout_us);
             let fault = format!("of {executions} executions only {possible} can go out within {time}");
-            self.refuse(Field::Executions, fault, format!("at most {possible}"));
+            self.refuse(Field::MaxExecutions, fault, format!("at most {possible}"));
         }
     }
 }
@@ -175,20 +175,24 @@
 }
 
 /// The longest execution time with which the last retry still arrives while the first execution is remembered.
-fn nearest_execution_time(conditions: &Conditions, product: &ProductRow, bounds: &Bounds) -> String {
+fn nearest_execution_time(
+    conditions: &Conditions,
+    product: &ProductSettings,
+    bounds: &DeploymentLimits,
+) -> String {
     let passes = |execution_time: u64| {
-        let tried = Conditions { execution_time, ..conditions.clone() };
-        worst(&tried, bounds).last_arrival < product.memory_span
+        let tried = Conditions { execution_timeout_us: execution_time, ..conditions.clone() };
+        worst_schedule(&tried, bounds).last_arrival_us < product.deduplication_us
     };
     if !passes(1) {
         return "fewer executions, or a shorter wait".to_string();
     }
     // The values that pass need not be contiguous, since fewer executions fit with longer ones; bisection finds
     // a value that passes where the next one doesn't.
-    let (mut low, mut high) = (1, conditions.execution_time);
+    let (mut low, mut high) = (1, conditions.execution_timeout_us);
     while high - low > 1 {
         let middle = low + (high - low) / 2;
         if passes(middle) { low = middle } else { high = middle }
     }
-    format!("at most {} with {} executions", ms(low), conditions.executions)
+    format!("at most {} with {} executions", ms(low), conditions.max_executions)
 }
--- a/balancer/routes/src/table.rs
+++ b/balancer/routes/src/table.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 use crate::pattern::{self, Segment};
-use crate::{Matches, Route};
+use crate::{Route, RouteMatch};
 
 /// A node of the tree of segments; children are indices of nodes.
 #[derive(Default)]
@@ -50,7 +50,7 @@
 }
 
 /// How specific a route is among those of one path; the larger is the more specific.
-fn rank(matches: &Matches) -> (bool, bool, bool) {
+fn rank(matches: &RouteMatch) -> (bool, bool, bool) {
     (matches.method.is_some(), matches.product.is_some(), matches.tenant.is_some())
 }
 
@@ -65,7 +65,7 @@
                 at = table.child(at, segment);
             }
             let node = &mut table.nodes[at];
-            if pattern.below { node.below.push(number) } else { node.here.push(number) }
+            if pattern.is_prefix { node.below.push(number) } else { node.here.push(number) }
         }
         let routes = &table.routes;
         for node in &mut table.nodes {
@@ -83,7 +83,7 @@
         let node = &mut self.nodes[at];
         let next = match segment {
             Segment::Literal(literal) => *node.literals.entry(literal.clone()).or_insert(new),
-            Segment::Any(_) => *node.any.get_or_insert(new),
+            Segment::Parameter(_) => *node.any.get_or_insert(new),
         };
         if next == new {
             self.nodes.push(Node::default());
@@ -97,9 +97,9 @@
     }
 
     /// The index of a request's route; none if no route matches, or if others may resolve its path to another one
-    /// (see `pattern::split`).
+    /// (see `pattern::split_target`).
     pub fn find(&self, query: &Lookup) -> Option<usize> {
-        let parts = pattern::split(query.target)?;
+        let parts = pattern::split_target(query.target)?;
         self.search(0, &parts, query)
     }
 
--- a/balancer/routes/tests/common/mod.rs
+++ b/balancer/routes/tests/common/mod.rs
@@ -2,7 +2,9 @@
 
 use whinspindle::host::{Effect, Group};
 use whinspindle_routes::pattern::Pattern;
-use whinspindle_routes::{Bounds, Conditions, HedgePolicy, Matches, ProductRow, RetryOn, Route, Servers};
+use whinspindle_routes::{
+    Conditions, DeploymentLimits, HedgePolicy, ProductSettings, RetryOn, Route, RouteMatch, ServerSelection,
+};
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 pub const MS: u64 = 1_000;
@@ -10,35 +12,39 @@
 pub const S: u64 = 1_000_000;
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
-pub fn bounds() -> Bounds {
-    Bounds {
-        executions: 4,
+pub fn bounds() -> DeploymentLimits {
+    DeploymentLimits {
+        max_executions: 4,
         allow_hedging: false,
-        cancel: true,
-        connect_time_out: 250 * MS,
-        tick: 5 * MS,
-        network: 50 * MS,
-        largest_body: 64 * 1024,
+        can_cancel: true,
+        connect_timeout_us: 250 * MS,
+        tick_us: 5 * MS,
+        network_delay_us: 50 * MS,
+        max_body_bytes: 64 * 1024,
     }
 }
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
-pub fn order() -> ProductRow {
-    ProductRow { effect: Effect::Deduplicated(Group::All), memory_span: 5 * S, statement_timeout: 3 * S }
+pub fn order() -> ProductSettings {
+    ProductSettings {
+        effect: Effect::Deduplicated(Group::All),
+        deduplication_us: 5 * S,
+        statement_timeout_us: 3 * S,
+    }
 }
 
 pub fn conditions() -> Conditions {
     Conditions {
-        time: 2 * S,
-        execution_time: 500 * MS,
-        executions: 3,
+        timeout_us: 2 * S,
+        execution_timeout_us: 500 * MS,
+        max_executions: 3,
         retry_on: RetryOn { never_ran: true, error: true, broken: true, timed_out: true },
-        wait: 20 * MS,
-        spread: 0.5,
+        retry_delay_us: 20 * MS,
+        retry_jitter: 0.5,
         hedge: HedgePolicy::Never,
-        budget: 0.2,
-        largest_body: 1024,
-        servers: Servers::default(),
+        retry_budget: 0.2,
+        max_body_bytes: 1024,
+        servers: ServerSelection::default(),
     }
 }
 
@@ -50,11 +56,11 @@
     product: Option<usize>,
     tenant: Option<usize>,
 ) -> Route {
-    let path = Pattern::read(path).unwrap_or_else(|fault| panic!("{path}: {fault}"));
+    let path = Pattern::parse(path).unwrap_or_else(|fault| panic!("{path}: {fault}"));
     let method = method.map(str::to_string);
     Route {
         name: name.to_string(),
-        matches: Matches { method, path, product, tenant },
+        matches: RouteMatch { method, path, product, tenant },
         conditions: vec![conditions()],
     }
 }
--- a/balancer/routes/tests/proof.rs
+++ b/balancer/routes/tests/proof.rs
@@ -4,24 +4,30 @@
 
 use common::{MS, S, bounds, conditions, order};
 use whinspindle::host::{Effect, Group};
-use whinspindle_routes::proof::{CHECKS, Check, prove, prove_by, worst};
-use whinspindle_routes::{Bounds, Conditions, HedgePolicy, ProductRow, RetryOn, Servers};
+use whinspindle_routes::proof::{ALL_CHECKS, Check, prove, run_check, worst_schedule};
+use whinspindle_routes::{
+    Conditions, DeploymentLimits, HedgePolicy, ProductSettings, RetryOn, ServerSelection,
+};
 
-type Change = fn(&mut Conditions, &mut ProductRow, &mut Bounds);
+type Change = fn(&mut Conditions, &mut ProductSettings, &mut DeploymentLimits);
 
 /// The name of a case, the one check that refuses it (or none), and its change of the valid route.
 const CASES: &[(&str, Option<Check>, Change)] = &[
     ("as it is", None, |_, _, _| {}),
-    ("time up to the last tick", None, |c, _, _| c.time = 3 * S - 5 * MS),
-    ("a microsecond more", Some(Check::AnswerInTime), |c, _, _| c.time = 3 * S - 5 * MS + 1),
+    ("time up to the last tick", None, |c, _, _| c.timeout_us = 3 * S - 5 * MS),
+    ("a microsecond more", Some(Check::AnswerTimeout), |c, _, _| c.timeout_us = 3 * S - 5 * MS + 1),
     ("an execution as long as its query", None, |c, _, _| {
-        (c.execution_time, c.executions, c.retry_on) = (2 * S, 1, RetryOn::NOTHING);
+        (c.execution_timeout_us, c.max_executions, c.retry_on) = (2 * S, 1, RetryOn::NOTHING);
     }),
-    ("a microsecond longer", Some(Check::ExecutionInTime), |c, _, _| {
-        (c.execution_time, c.executions, c.retry_on) = (2 * S + 1, 1, RetryOn::NOTHING);
+    ("a microsecond longer", Some(Check::ExecutionTimeout), |c, _, _| {
+        (c.execution_timeout_us, c.max_executions, c.retry_on) = (2 * S + 1, 1, RetryOn::NOTHING);
+    }),
+    ("as many executions as are allowed", None, |c, _, _| {
+        (c.max_executions, c.execution_timeout_us) = (4, 300 * MS)
+    }),
+    ("one more", Some(Check::ExecutionCount), |c, _, _| {
+        (c.max_executions, c.execution_timeout_us) = (5, 300 * MS)
     }),
-    ("as many executions as are allowed", None, |c, _, _| (c.executions, c.execution_time) = (4, 300 * MS)),
-    ("one more", Some(Check::Executions), |c, _, _| (c.executions, c.execution_time) = (5, 300 * MS)),
     ("non-idempotent, sent again where it never ran", None, |c, p, _| {
         p.effect = Effect::NonIdempotent;
         c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
@@ -41,33 +47,35 @@
         b.allow_hedging = true;
     }),
     // Sends at 0, 540 and 1080 ms; 250 ms to connect and 50 ms on the way: there by 1380 ms.
-    ("remembered for a microsecond longer than needed", None, |_, p, _| p.memory_span = 1_380 * MS + 1),
-    ("forgotten at that very moment", Some(Check::Memory), |_, p, _| p.memory_span = 1_380 * MS),
+    ("remembered for a microsecond longer than needed", None, |_, p, _| p.deduplication_us = 1_380 * MS + 1),
+    ("forgotten at that very moment", Some(Check::DeduplicationSpan), |_, p, _| {
+        p.deduplication_us = 1_380 * MS
+    }),
     ("forgotten, but nothing is sent again", None, |c, p, _| {
-        p.memory_span = 1;
-        (c.executions, c.retry_on) = (1, RetryOn::NOTHING);
+        p.deduplication_us = 1;
+        (c.max_executions, c.retry_on) = (1, RetryOn::NOTHING);
     }),
     ("forgotten, but sent again only where it never ran", None, |c, p, _| {
-        p.memory_span = 1;
+        p.deduplication_us = 1;
         c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
     }),
-    ("waits that grow past the memory", Some(Check::Memory), |c, p, _| {
-        (p.memory_span, c.wait) = (1_500 * MS, 100 * MS);
+    ("waits that grow past the memory", Some(Check::DeduplicationSpan), |c, p, _| {
+        (p.deduplication_us, c.retry_delay_us) = (1_500 * MS, 100 * MS);
     }),
     ("repeats known in the zone, kept there", None, |c, p, _| {
         p.effect = Effect::Deduplicated(Group::Zone);
-        c.servers = Servers { repeats_in_zone: true, ..Servers::default() };
+        c.servers = ServerSelection { retries_in_zone: true, ..ServerSelection::default() };
     }),
-    ("repeats known in the zone, sent anywhere", Some(Check::Scope), |_, p, _| {
+    ("repeats known in the zone, sent anywhere", Some(Check::DeduplicationScope), |_, p, _| {
         p.effect = Effect::Deduplicated(Group::Zone);
     }),
-    ("repeats known in the pod, kept in the zone", Some(Check::Scope), |c, p, _| {
+    ("repeats known in the pod, kept in the zone", Some(Check::DeduplicationScope), |c, p, _| {
         p.effect = Effect::Deduplicated(Group::Cell);
-        c.servers = Servers { repeats_in_zone: true, ..Servers::default() };
+        c.servers = ServerSelection { retries_in_zone: true, ..ServerSelection::default() };
     }),
     ("repeats known in the pod, kept there", None, |c, p, _| {
         p.effect = Effect::Deduplicated(Group::Cell);
-        c.servers = Servers { repeats_in_pod: true, ..Servers::default() };
+        c.servers = ServerSelection { retries_in_pod: true, ..ServerSelection::default() };
     }),
     ("a second copy where none is allowed", Some(Check::Overlap), |c, _, _| {
         c.hedge = HedgePolicy::After(100 * MS);
@@ -75,14 +83,14 @@
     ("a second copy where it is", None, |c, _, b| {
         (c.hedge, b.allow_hedging) = (HedgePolicy::After(100 * MS), true);
     }),
-    ("again after a time-out that can't be called off", Some(Check::Overlap), |_, _, b| b.cancel = false),
-    ("the largest body", None, |c, _, _| c.largest_body = 64 * 1024),
-    ("a byte more", Some(Check::Body), |c, _, _| c.largest_body = 64 * 1024 + 1),
-    ("repeats with no execution for them", Some(Check::Sense), |c, _, _| c.executions = 1),
-    ("executions for which there is no time", Some(Check::Sense), |c, _, _| c.time = 1_000 * MS),
+    ("again after a time-out that can't be called off", Some(Check::Overlap), |_, _, b| b.can_cancel = false),
+    ("the largest body", None, |c, _, _| c.max_body_bytes = 64 * 1024),
+    ("a byte more", Some(Check::BodySize), |c, _, _| c.max_body_bytes = 64 * 1024 + 1),
+    ("repeats with no execution for them", Some(Check::Feasibility), |c, _, _| c.max_executions = 1),
+    ("executions for which there is no time", Some(Check::Feasibility), |c, _, _| c.timeout_us = 1_000 * MS),
 ];
 
-fn case(change: Change) -> (Conditions, ProductRow, Bounds) {
+fn case(change: Change) -> (Conditions, ProductSettings, DeploymentLimits) {
     let (mut c, mut p, mut b) = (conditions(), order(), bounds());
     change(&mut c, &mut p, &mut b);
     (c, p, b)
@@ -95,17 +103,17 @@
         let refusals = prove(&c, &p, &b);
         let checks: Vec<Check> = refusals.iter().map(|refusal| refusal.check).collect();
         assert_eq!(checks, expected.iter().copied().collect::<Vec<_>>(), "{name}: {refusals:?}");
-        assert!(refusals.iter().all(|refusal| !refusal.way_out.is_empty()), "{name}");
+        assert!(refusals.iter().all(|refusal| !refusal.suggestion.is_empty()), "{name}");
     }
 }
 
 #[test]
 fn without_any_one_check_a_wrong_route_passes() {
-    for left_out in CHECKS {
+    for left_out in ALL_CHECKS {
         let passes = CASES.iter().any(|(_, expected, change)| {
             let (c, p, b) = case(*change);
-            let others = CHECKS.iter().filter(|check| **check != left_out);
-            expected.is_some() && others.flat_map(|&check| prove_by(check, &c, &p, &b)).next().is_none()
+            let others = ALL_CHECKS.iter().filter(|check| **check != left_out);
+            expected.is_some() && others.flat_map(|&check| run_check(check, &c, &p, &b)).next().is_none()
         });
         assert!(passes, "{left_out:?} refuses nothing that the others let pass");
     }
@@ -113,20 +121,20 @@
 
 #[test]
 fn the_worst_schedule_is_the_sum_of_its_parts() {
-    let schedule = worst(&conditions(), &bounds());
-    assert_eq!(schedule.sends, [0, 540 * MS, 1_080 * MS]);
-    assert_eq!(schedule.last_arrival, 1_380 * MS);
-    assert_eq!(schedule.last_end, 1_585 * MS);
-    assert_eq!(schedule.answer, 2_005 * MS);
+    let schedule = worst_schedule(&conditions(), &bounds());
+    assert_eq!(schedule.send_times_us, [0, 540 * MS, 1_080 * MS]);
+    assert_eq!(schedule.last_arrival_us, 1_380 * MS);
+    assert_eq!(schedule.last_end_us, 1_585 * MS);
+    assert_eq!(schedule.answer_us, 2_005 * MS);
 }
 
 #[test]
 fn the_suggested_value_passes_and_a_microsecond_more_does_not() {
-    let (c, p) = (conditions(), ProductRow { memory_span: 1_200 * MS, ..order() });
+    let (c, p) = (conditions(), ProductSettings { deduplication_us: 1_200 * MS, ..order() });
     let refusal = prove(&c, &p, &bounds()).remove(0);
-    assert_eq!(refusal.way_out, "at most 409.999 ms with 3 executions");
+    assert_eq!(refusal.suggestion, "at most 409.999 ms with 3 executions");
     for (execution_time, passes) in [(409_999, true), (410_000, false)] {
-        let tried = Conditions { execution_time, ..c.clone() };
+        let tried = Conditions { execution_timeout_us: execution_time, ..c.clone() };
         assert_eq!(prove(&tried, &p, &bounds()).is_empty(), passes, "{execution_time}");
     }
 }
--- a/balancer/routes/tests/table.rs
+++ b/balancer/routes/tests/table.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::route;
-use whinspindle_routes::pattern::{Fault, Pattern};
+use whinspindle_routes::pattern::{Pattern, PatternError};
 use whinspindle_routes::{Lookup, Route, RouteTable, Tie};
 
 fn routes() -> Vec<Route> {
@@ -105,26 +105,26 @@
         ("/*", Ok("/*")),
         ("/a/{id}/b", Ok("/a/{id}/b")),
         ("/a/b/*", Ok("/a/b/*")),
-        ("a", Err(Fault::NoSlash)),
-        ("", Err(Fault::NoSlash)),
-        ("/a//b", Err(Fault::EmptySegment)),
-        ("/a/", Err(Fault::EmptySegment)),
-        ("/a/../b", Err(Fault::DotSegment)),
-        ("/a/%2e", Err(Fault::Character('%'))),
-        ("/a?b", Err(Fault::Character('?'))),
-        ("/a b", Err(Fault::Character(' '))),
-        ("/ä", Err(Fault::Character('ä'))),
-        ("/{}", Err(Fault::Braces)),
-        ("/a{id}", Err(Fault::Braces)),
-        ("/{i d}", Err(Fault::Braces)),
-        ("/*/a", Err(Fault::StarWithin)),
-        ("/a*", Err(Fault::StarWithin)),
+        ("a", Err(PatternError::NoSlash)),
+        ("", Err(PatternError::NoSlash)),
+        ("/a//b", Err(PatternError::EmptySegment)),
+        ("/a/", Err(PatternError::EmptySegment)),
+        ("/a/../b", Err(PatternError::DotSegment)),
+        ("/a/%2e", Err(PatternError::Character('%'))),
+        ("/a?b", Err(PatternError::Character('?'))),
+        ("/a b", Err(PatternError::Character(' '))),
+        ("/ä", Err(PatternError::Character('ä'))),
+        ("/{}", Err(PatternError::Braces)),
+        ("/a{id}", Err(PatternError::Braces)),
+        ("/{i d}", Err(PatternError::Braces)),
+        ("/*/a", Err(PatternError::MisplacedStar)),
+        ("/a*", Err(PatternError::MisplacedStar)),
     ];
     for (text, wanted) in cases {
-        let read = Pattern::read(text).map(|pattern| pattern.to_string());
+        let read = Pattern::parse(text).map(|pattern| pattern.to_string());
         assert_eq!(read, wanted.map(str::to_string), "{text}");
     }
-    assert_eq!(Pattern::read(&"/a".repeat(33)), Err(Fault::TooLong));
+    assert_eq!(Pattern::parse(&"/a".repeat(33)), Err(PatternError::TooLong));
 }
 
 #[test]
@@ -153,7 +153,7 @@
         let lookup = Lookup { method, target: &target, product, tenant: 0 };
         let found = table.find(&lookup);
         let fits = |route: &Route| {
-            route.matches.path.holds(&target)
+            route.matches.path.matches(&target)
                 && route.matches.method.as_deref().is_none_or(|m| m == method)
                 && route.matches.product.is_none_or(|p| p == product)
         };
--- a/lab/model-checker/src/members/judge.rs
+++ b/lab/model-checker/src/members/judge.rs
@@ -47,7 +47,7 @@
         }
         let Some(before) = self.records.get(&(bootstrap_id, version - 1)) else { return Ok(()) };
         let halted = before.halted.is_some();
-        let has_changed = record.release.as_ref().is_some_and(|release| release.changed.has(0));
+        let has_changed = record.release.as_ref().is_some_and(|release| release.changed.contains(0));
         let step = self.written.get(&hash_of(record)).copied().unwrap_or(step);
         if has_changed && self.changed.is_none() {
             self.changed = Some(step);
@@ -69,7 +69,7 @@
                 return Err(format!("member {number} is let out twice, {way:?}"));
             }
             let changed = |place: u16| {
-                before.release.as_ref().is_some_and(|release| release.changed.has(place as usize))
+                before.release.as_ref().is_some_and(|release| release.changed.contains(place as usize))
             };
             // The leader's clock is fast by a quarter.
             let watched = self.changed.is_some_and(|at| 5 * (step + 1 - at.min(step)) >= 4 * WATCHED);
--- a/lab/model-checker/src/members/schedule.rs
+++ b/lab/model-checker/src/members/schedule.rs
@@ -73,10 +73,10 @@
     Release {
         name: "r".to_string(),
         units: vec![Unit::Balancer(3), Unit::Balancer(4)],
-        names: vec!["balancer:3".to_string(), "balancer:4".to_string()],
-        waves: vec![1, 2],
-        watch: WATCHED * STEP,
-        error: 0.01,
+        unit_names: vec!["balancer:3".to_string(), "balancer:4".to_string()],
+        wave_ends: vec![1, 2],
+        watch_us: WATCHED * STEP,
+        false_halt_probability: 0.01,
         build: None,
     }
 }
--- a/lab/model-checker/src/net.rs
+++ b/lab/model-checker/src/net.rs
@@ -55,7 +55,14 @@
         let granted: Vec<Unit> = record.out.iter().map(|out| out.unit).collect();
         let limits = Limits { balancers: Some(1), ..Limits::default() };
         let balancers = usize::from(u16::MAX);
-        RestartCheck { limits: &limits, granted: &granted, away, balancers, servers: &[] }.may_go(unit)
+        RestartCheck {
+            limits: &limits,
+            granted: &granted,
+            absent: away,
+            balancer_count: balancers,
+            servers: &[],
+        }
+        .check(unit)
     }
     fn tell(&mut self, _: String) {}
 }
--- a/lab/model-checker/src/plants.rs
+++ b/lab/model-checker/src/plants.rs
@@ -4,7 +4,7 @@
 
 use whinspindle_consensus::{Ballot, ConsensusRules as Counting, RegisterValue, Voter};
 use whinspindle_fleet_policy::{MemberRules, MemberSettings, Record, RequestId, RestartRefusal};
-use whinspindle_rollout::{Next, Progress};
+use whinspindle_rollout::{NextPhase, Progress};
 
 macro_rules! plant {
     ($(#[$what:meta])* $name:ident, counting { $($counting:item)* }, member { $($member:item)* }) => {
@@ -115,8 +115,8 @@
 plant! {
     /// The next wave begins as soon as the last unit is back.
     WaveUnwatched, counting {}, member {
-        fn next_of(progress: &Progress, _: u64) -> Option<Next> {
-            progress.next(u64::MAX)
+        fn next_of(progress: &Progress, _: u64) -> Option<NextPhase> {
+            progress.next_phase(u64::MAX)
         }
     }
 }
--- a/lab/model-checker/src/sizes.rs
+++ b/lab/model-checker/src/sizes.rs
@@ -212,7 +212,7 @@
             let proved = !out.to_prove.is_empty();
             for (to, message) in out.sent {
                 let place = &mut self.places[me as usize];
-                let datagrams = place.peers.datagrams(to, &message);
+                let datagrams = place.peers.encode(to, &message);
                 place.sent.0 += datagrams.len() as u64;
                 place.sent.1 += datagrams.iter().map(|datagram| datagram.len() as u64).sum::<u64>();
                 // With one part the message is lost.
--- a/lab/model-checker/src/verdicts.rs
+++ b/lab/model-checker/src/verdicts.rs
@@ -3,7 +3,9 @@
 //! drawn; what is judged is the evidence as it ships. Simulated.
 
 use whinspindle_lab_model::random::{Concern, RandomGenerator};
-use whinspindle_rollout::{Count, Direction, Evidence, Places, Plan, Progress, Unit, rows};
+use whinspindle_rollout::{
+    BuildTest, Direction, OutcomeCounts, Plan, Progress, Unit, UnitSet, observation_rows,
+};
 
 /// What is wrong with a build.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -75,15 +77,15 @@
     let plan = Plan {
         name: String::new(),
         units: (0..all as u64).map(Unit::Server).collect(),
-        names: Vec::new(),
-        waves,
-        watch: (WATCH * 1e6) as u64,
-        error: fleet.error,
+        unit_names: Vec::new(),
+        wave_ends: waves,
+        watch_us: (WATCH * 1e6) as u64,
+        false_halt_probability: fleet.error,
         build: None,
     };
     let own: Vec<f64> = (0..all).map(|_| fleet.own.powf(2.0 * random.unit() - 1.0)).collect();
-    let mut evidence = Evidence::new(fleet.error);
-    let (mut changed, mut wave, mut watched) = (Places::default(), 0, 0.0);
+    let mut evidence = BuildTest::new(fleet.error);
+    let (mut changed, mut wave, mut watched) = (UnitSet::default(), 0, 0.0);
     let mut since: Vec<Option<f64>> = vec![None; all];
     let mut out: Vec<(usize, f64)> = Vec::new();
     let (mut now, mut first) = (0.0, None);
@@ -101,7 +103,7 @@
             if out_now.contains(&plan.units[unit]) {
                 continue;
             }
-            let is_new = changed.has(unit);
+            let is_new = changed.contains(unit);
             let age = since[unit].map_or(0.0, |since| now - since);
             let bad = is_new && build != Build::Good;
             let fails = match build {
@@ -119,15 +121,17 @@
                 let executions = poisson(&mut random, fleet.rate * load * WINDOW / f64::from(fleet.members));
                 let bad = [of(&mut random, executions, fails), of(&mut random, executions, slow), 0];
                 let stratum = (unit % fleet.zones) as u16;
-                seen[usize::from(member)].push((stratum, is_new, Count { executions, bad }));
+                seen[usize::from(member)].push((stratum, is_new, OutcomeCounts { executions, bad }));
             }
         }
         for (member, units) in seen.into_iter().enumerate() {
-            rows(units.into_iter()).into_iter().for_each(|row| evidence.take(member as u16, row));
+            observation_rows(units.into_iter())
+                .into_iter()
+                .for_each(|row| evidence.add_row(member as u16, row));
         }
         let touched = changed.count();
         let after = first.map_or(0.0, |first| now - first);
-        if evidence.close().is_some() {
+        if evidence.close_window().is_some() {
             return End { halted: true, touched, after };
         }
         out.retain(|&(unit, until)| {
@@ -139,19 +143,24 @@
             now < until
         });
         let out_now: Vec<Unit> = out.iter().map(|(unit, _)| plan.units[*unit]).collect();
-        let progress =
-            Progress { plan: &plan, way: Direction::Rollout, wave, changed: &changed, out: &out_now };
-        watched = if progress.next(u64::MAX).is_some() { watched + WINDOW } else { 0.0 };
-        match progress.next((watched * 1e6) as u64) {
-            Some(whinspindle_rollout::Next::Wave(next)) => (wave, watched) = (next, 0.0),
-            Some(whinspindle_rollout::Next::Over) => {
+        let progress = Progress {
+            plan: &plan,
+            direction: Direction::Rollout,
+            wave,
+            changed: &changed,
+            out_of_service: &out_now,
+        };
+        watched = if progress.next_phase(u64::MAX).is_some() { watched + WINDOW } else { 0.0 };
+        match progress.next_phase((watched * 1e6) as u64) {
+            Some(whinspindle_rollout::NextPhase::Wave(next)) => (wave, watched) = (next, 0.0),
+            Some(whinspindle_rollout::NextPhase::Complete) => {
                 return End { halted: false, touched: all, after };
             }
             None => {}
         }
         // A tenth may be out at once.
         for place in 0..all {
-            let waits = out.iter().all(|(unit, _)| *unit != place) && progress.may_go(place).is_ok();
+            let waits = out.iter().all(|(unit, _)| *unit != place) && progress.check_restart(place).is_ok();
             if waits && out.len() < all.div_ceil(10) {
                 out.push((place, now + OUT));
             }
--- a/lab/simulation/src/release.rs
+++ b/lab/simulation/src/release.rs
@@ -7,8 +7,8 @@
 use whinspindle::host::Outcome;
 use whinspindle_lab_scenario::{How, Release};
 use whinspindle_rollout::{
-    Count, Direction, Evidence, Limits, Next, ObservedOutcomes, Place, Places, Plan, Progress, RestartCheck,
-    Unit, rows,
+    BuildTest, Direction, Limits, NextPhase, ObservedOutcomes, OutcomeCounts, Plan, Progress, RestartCheck,
+    ServerStatus, Unit, UnitSet, observation_rows,
 };
 
 use crate::play::{BEGUN, Event, Fleet, Step};
@@ -24,14 +24,14 @@
     plan: Plan,
     way: Direction,
     wave: usize,
-    changed: Places,
+    changed: UnitSet,
     /// Units that have gone and are not yet in full service again, and whether each has been started anew.
     out: BTreeMap<usize, bool>,
     /// How many have gone by the other ways, which don't look.
     gone: usize,
     next_batch: u64,
     complete: Option<u64>,
-    evidence: Evidence,
+    evidence: BuildTest,
     window: u64,
     /// What each balancer has seen since the window began.
     seen: Vec<ObservedOutcomes>,
@@ -49,11 +49,11 @@
         waves.dedup();
         let plan = Plan {
             name: String::new(),
-            names: Vec::new(),
+            unit_names: Vec::new(),
             units,
-            waves,
-            watch: terms.watch,
-            error: 0.01,
+            wave_ends: waves,
+            watch_us: terms.watch,
+            false_halt_probability: 0.01,
             build: None,
         };
         self.supervised = Some(Supervised {
@@ -63,12 +63,12 @@
             plan,
             way: Direction::Rollout,
             wave: 0,
-            changed: Places::default(),
+            changed: UnitSet::default(),
             out: BTreeMap::new(),
             gone: 0,
             next_batch: self.now,
             complete: None,
-            evidence: Evidence::new(0.01),
+            evidence: BuildTest::new(0.01),
             window: self.now,
             seen: (0..self.nodes.len()).map(|_| ObservedOutcomes::default()).collect(),
             halted: None,
@@ -88,7 +88,7 @@
         spent: u64,
     ) {
         if let Some(on) = self.supervised.as_mut().filter(|on| on.tier == tier && on.halted.is_none()) {
-            on.seen[node].execution(place, product, outcome, spent);
+            on.seen[node].record_execution(place, product, outcome, spent);
         }
     }
 
@@ -128,30 +128,33 @@
     }
 
     fn judge(&mut self, on: &mut Supervised) {
-        if self.now < on.window + on.plan.window() {
+        if self.now < on.window + on.plan.window_us() {
             return;
         }
         on.window = self.now;
-        let seen: Vec<BTreeMap<usize, Count>> = on.seen.iter_mut().map(|seen| seen.take().0).collect();
+        let seen: Vec<BTreeMap<usize, OutcomeCounts>> =
+            on.seen.iter_mut().map(|seen| seen.take().0).collect();
         if on.terms.how != How::Agreed || on.way == Direction::Rollback {
             return;
         }
-        let mut of: BTreeMap<usize, Vec<(u16, bool, Count)>> = BTreeMap::new();
+        let mut of: BTreeMap<usize, Vec<(u16, bool, OutcomeCounts)>> = BTreeMap::new();
         let seen = seen.into_iter().enumerate();
         for (node, (place, count)) in seen.flat_map(|(node, of)| of.into_iter().map(move |one| (node, one))) {
             let host = &self.tiers[on.tier].hosts[place];
-            let number = on.plan.place_of(Unit::Server(place as u64));
+            let number = on.plan.index_of(Unit::Server(place as u64));
             let is_out = number.is_some_and(|number| on.out.contains_key(&number));
             if !is_out && self.is_full(on.tier, Unit::Server(place as u64)) {
                 let stratum = (host.zone * self.scenario.kinds.len() + host.kind) as u16;
-                let changed = number.is_some_and(|number| on.changed.has(number));
+                let changed = number.is_some_and(|number| on.changed.contains(number));
                 of.entry(node).or_default().push((stratum, changed, count));
             }
         }
         for (node, units) in of {
-            rows(units.into_iter()).into_iter().for_each(|row| on.evidence.take(node as u16, row));
+            observation_rows(units.into_iter())
+                .into_iter()
+                .for_each(|row| on.evidence.add_row(node as u16, row));
         }
-        if let Some(why) = on.evidence.close()
+        if let Some(why) = on.evidence.close_window()
             && on.halted.is_none()
         {
             on.halted = Some(self.now);
@@ -175,14 +178,21 @@
             return all && over(on, self.now, "all changed");
         }
         let out: Vec<Unit> = on.out.keys().map(|place| on.plan.units[*place]).collect();
-        let progress =
-            Progress { plan: &on.plan, way: on.way, wave: on.wave, changed: &on.changed, out: &out };
-        let since = progress.next(u64::MAX).map(|_| on.complete.unwrap_or(self.now));
+        let progress = Progress {
+            plan: &on.plan,
+            direction: on.way,
+            wave: on.wave,
+            changed: &on.changed,
+            out_of_service: &out,
+        };
+        let since = progress.next_phase(u64::MAX).map(|_| on.complete.unwrap_or(self.now));
         on.complete = since;
-        match since.and_then(|since| progress.next(self.now - since)) {
-            Some(Next::Wave(wave)) => (on.wave, on.complete) = (wave, None),
-            Some(Next::Over) if on.way == Direction::Rollout => return over(on, self.now, "all changed"),
-            Some(Next::Over) => return over(on, self.now, "all taken back"),
+        match since.and_then(|since| progress.next_phase(self.now - since)) {
+            Some(NextPhase::Wave(wave)) => (on.wave, on.complete) = (wave, None),
+            Some(NextPhase::Complete) if on.way == Direction::Rollout => {
+                return over(on, self.now, "all changed");
+            }
+            Some(NextPhase::Complete) => return over(on, self.now, "all taken back"),
             None => {}
         }
         false
@@ -198,8 +208,10 @@
                     }
                     let out: Vec<Unit> = on.out.keys().map(|place| on.plan.units[*place]).collect();
                     let (wave, changed) = (on.wave, &on.changed);
-                    let progress = Progress { plan: &on.plan, way: on.way, wave, changed, out: &out };
-                    if progress.may_go(place).is_ok() && self.has_room(on, &out, on.plan.units[place]) {
+                    let progress =
+                        Progress { plan: &on.plan, direction: on.way, wave, changed, out_of_service: &out };
+                    if progress.check_restart(place).is_ok() && self.has_room(on, &out, on.plan.units[place])
+                    {
                         self.go(on, place);
                     }
                 }
@@ -237,21 +249,27 @@
             ..Limits::default()
         };
         let hosts = self.tiers[on.tier].hosts.iter().enumerate();
-        let places: Vec<Place> = hosts
-            .map(|(place, host)| Place {
+        let places: Vec<ServerStatus> = hosts
+            .map(|(place, host)| ServerStatus {
                 key: place as u64,
                 zone: self.scenario.zones[host.zone].clone(),
-                cell: host.cell,
-                full: self.is_full(on.tier, Unit::Server(place as u64)),
+                pod: host.cell,
+                is_in_service: self.is_full(on.tier, Unit::Server(place as u64)),
             })
             .collect();
         let fronts = 0..self.scenario.tiers[0].balancers as u16;
         let away: BTreeSet<u16> =
             fronts.filter(|node| !self.is_full(on.tier, Unit::Balancer(*node))).collect();
         let balancers = self.scenario.tiers[0].balancers;
-        RestartCheck { limits: &limits, granted: out, away: &away, balancers, servers: &places }
-            .may_go(unit)
-            .is_ok()
+        RestartCheck {
+            limits: &limits,
+            granted: out,
+            absent: &away,
+            balancer_count: balancers,
+            servers: &places,
+        }
+        .check(unit)
+        .is_ok()
     }
 
     fn go(&mut self, on: &mut Supervised, place: usize) {
--- a/lab/simulation/tests/routes.rs
+++ b/lab/simulation/tests/routes.rs
@@ -8,7 +8,7 @@
 use whinspindle::pcg::Pcg;
 use whinspindle_lab_scenario::{Route, Scenario};
 use whinspindle_lab_simulation::{Fleet, Policy};
-use whinspindle_routes::{Bounds, Conditions, ProductRow, Servers, proof};
+use whinspindle_routes::{Conditions, DeploymentLimits, ProductSettings, ServerSelection, proof};
 
 const ROUTES: u64 = 20_000;
 const THREADS: u64 = 8;
@@ -41,35 +41,35 @@
 
 /// What the proof says of it, held against the scenario's deployment.
 fn is_accepted(scenario: &Scenario, route: &Route) -> bool {
-    let bounds = Bounds {
-        executions: scenario.allowed.executions,
+    let bounds = DeploymentLimits {
+        max_executions: scenario.allowed.executions,
         allow_hedging: scenario.allowed.allow_hedging,
-        cancel: scenario.allowed.cancel,
-        connect_time_out: scenario.tiers[0].connections.time_out,
-        tick: TICK,
-        network: scenario.network.far + scenario.network.resend,
-        largest_body: u64::MAX,
+        can_cancel: scenario.allowed.cancel,
+        connect_timeout_us: scenario.tiers[0].connections.time_out,
+        tick_us: TICK,
+        network_delay_us: scenario.network.far + scenario.network.resend,
+        max_body_bytes: u64::MAX,
     };
     scenario.products.iter().all(|product| {
         let time = route.time.unwrap_or(product.statement_timeout);
         let executions = route.executions.unwrap_or(1);
         let after = RetryOn { never_ran: true, error: true, broken: true, timed_out: true };
         let conditions = Conditions {
-            time,
-            execution_time: route.execution_time.unwrap_or(time),
-            executions,
+            timeout_us: time,
+            execution_timeout_us: route.execution_time.unwrap_or(time),
+            max_executions: executions,
             retry_on: if executions > 1 { after } else { RetryOn::NOTHING },
-            wait: route.wait,
-            spread: route.spread,
+            retry_delay_us: route.wait,
+            retry_jitter: route.spread,
             hedge: route.hedge.map_or(HedgePolicy::Never, HedgePolicy::After),
-            budget: route.budget,
-            largest_body: 0,
-            servers: Servers::default(),
+            retry_budget: route.budget,
+            max_body_bytes: 0,
+            servers: ServerSelection::default(),
         };
-        let row = ProductRow {
+        let row = ProductSettings {
             effect: product.effect,
-            memory_span: product.memory,
-            statement_timeout: product.statement_timeout,
+            deduplication_us: product.memory,
+            statement_timeout_us: product.statement_timeout,
         };
         proof::prove(&conditions, &row, &bounds).is_empty()
     })
--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -230,17 +230,17 @@
         let _ = writeln!(text, "  more particular than {}", others.join(", "));
     }
     let c = &route.conditions[lookup.product];
-    let schedule = proof::worst(c, &whinspindle_operator_file::bounds(deployment));
+    let schedule = proof::worst_schedule(c, &whinspindle_operator_file::bounds(deployment));
     text.push_str("  the worst schedule that it allows:\n");
     let at = |text: &mut String, us: u64, what: &str| {
         let _ = writeln!(text, "  {:>12.3} ms  {what}", us as f64 / 1e3);
     };
-    for (n, send) in schedule.sends.iter().enumerate() {
+    for (n, send) in schedule.send_times_us.iter().enumerate() {
         at(&mut text, *send, &format!("execution {} goes out", n + 1));
     }
-    at(&mut text, schedule.last_arrival, "the last has reached its server");
-    at(&mut text, schedule.last_end, "the last is over");
-    at(&mut text, schedule.answer, "the client has its answer");
+    at(&mut text, schedule.last_arrival_us, "the last has reached its server");
+    at(&mut text, schedule.last_end_us, "the last is over");
+    at(&mut text, schedule.answer_us, "the client has its answer");
     match c.hedge {
         HedgePolicy::Never => {}
         HedgePolicy::After(us) => at(&mut text, us, "a second copy goes out beside the first"),
@@ -253,9 +253,9 @@
 }
 
 fn matches(route: &Route, lookup: &Lookup) -> bool {
-    route.matches.path.holds(lookup.target)
+    route.matches.path.matches(lookup.target)
         && route.matches.method.as_deref().is_none_or(|method| method == lookup.method)
-        && route.is_for(lookup.product)
+        && route.applies_to(lookup.product)
         && route.matches.tenant.is_none_or(|tenant| tenant == lookup.tenant)
 }
 
--- a/programs/balancer/src/endpoint_store.rs
+++ b/programs/balancer/src/endpoint_store.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use whinspindle_endpoint_cache::{Ages, Trust};
+use whinspindle_endpoint_cache::{AgeLimits, Trust};
 use whinspindle_operator_file::Keep;
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_rate_limited_log::log_line;
@@ -37,7 +37,7 @@
             return (None, None);
         }
     };
-    let ages = Ages { fresh: keep.fresh, old: keep.old };
+    let ages = AgeLimits { fresh_us: keep.fresh, old_us: keep.old };
     let restored =
         store.read(LIST_RECORD).and_then(|bytes| whinspindle_endpoint_cache::restore(&bytes, now, &ages));
     let known = restored.map(|(update, trust)| {
--- a/programs/balancer/src/fleet.rs
+++ b/programs/balancer/src/fleet.rs
@@ -20,7 +20,7 @@
 use whinspindle_operator_file::{CutOff, FleetTerms, Operator};
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_record_store::RecordStore;
-use whinspindle_rollout::{Count, Place};
+use whinspindle_rollout::{OutcomeCounts, ServerStatus};
 
 use crate::configuration::Configuration;
 use crate::control::{Answer, Request};
@@ -87,7 +87,12 @@
 
     /// Reports the servers listed here, which decide whether a unit may be taken out, and what was counted since the
     /// last report: for each server key and stratum, and for the process itself.
-    pub fn report_servers(&self, places: Vec<Place>, counts: Vec<(u64, u16, Count)>, own: Count) {
+    pub fn report_servers(
+        &self,
+        places: Vec<ServerStatus>,
+        counts: Vec<(u64, u16, OutcomeCounts)>,
+        own: OutcomeCounts,
+    ) {
         let mut published = lock(&self.published);
         published.listed_servers = places;
         published.own.add(own);
@@ -141,7 +146,7 @@
             neighbour_list: None,
             listed_servers: Vec::new(),
             counts: BTreeMap::new(),
-            own: Count::default(),
+            own: OutcomeCounts::default(),
         }));
         let deployment = configuration.deployment.clone();
         let build = build_of_this_program();
--- a/programs/balancer/src/fleet/environment.rs
+++ b/programs/balancer/src/fleet/environment.rs
@@ -10,7 +10,9 @@
 use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_record_store::RecordStore;
-use whinspindle_rollout::{Count, Limits, OF_BALANCERS, ObservationRow, Place, Plan, RestartCheck};
+use whinspindle_rollout::{
+    BALANCER_STRATUM, Limits, ObservationRow, OutcomeCounts, Plan, RestartCheck, ServerStatus,
+};
 
 /// Implements the member's [`Environment`].
 pub(super) struct ProcessEnvironment {
@@ -31,15 +33,15 @@
     /// Limits of the known policies, by policy number.
     pub(super) limits: Vec<(u64, Limits)>,
     /// The servers listed by this balancer.
-    pub(super) listed_servers: Vec<Place>,
+    pub(super) listed_servers: Vec<ServerStatus>,
     /// Plan of the present release, with the hash of its text.
     pub(super) plan: Option<(Hash, Rc<Plan>)>,
     /// Identifier of this build.
     pub(super) build: String,
     /// Counts since the last report, by server key and stratum.
-    pub(super) counts: BTreeMap<(u64, u16), Count>,
+    pub(super) counts: BTreeMap<(u64, u16), OutcomeCounts>,
     /// Counts of this process since the last report.
-    pub(super) own: Count,
+    pub(super) own: OutcomeCounts,
     /// Messages received for the exchange of endpoint lists, with their senders.
     pub(super) neighbour_messages: Vec<(u16, Vec<u8>)>,
 }
@@ -53,7 +55,7 @@
 impl Environment for ProcessEnvironment {
     fn send(&mut self, to: u16, message: Message) {
         let Some(address) = self.addresses.get(to as usize) else { return };
-        for datagram in self.peers.datagrams(to, &message) {
+        for datagram in self.peers.encode(to, &message) {
             self.sent += 1;
             // Datagrams may be lost anyway; the member retries.
             let _ = self.socket.send_to(&datagram, address);
@@ -78,7 +80,8 @@
         let limits = of.map(|(_, limits)| *limits).unwrap_or_default();
         let granted: Vec<Unit> = record.out.iter().map(|out| out.unit).collect();
         let (balancers, servers) = (self.addresses.len(), self.listed_servers.as_slice());
-        RestartCheck { limits: &limits, granted: &granted, away, balancers, servers }.may_go(unit)
+        RestartCheck { limits: &limits, granted: &granted, absent: away, balancer_count: balancers, servers }
+            .check(unit)
     }
 
     fn plan(&self, hash: Hash) -> Option<Rc<Plan>> {
@@ -95,7 +98,7 @@
                     log_line!("store", "{fault}");
                 }
                 self.plan = Some((hash, Rc::new(plan)));
-                (self.counts, self.own) = (BTreeMap::new(), Count::default());
+                (self.counts, self.own) = (BTreeMap::new(), OutcomeCounts::default());
             }
             _ => log_line!("fleet", "the plan {hash} of the release can't be read here"),
         }
@@ -106,7 +109,7 @@
     }
 
     fn is_full(&self, key: u64) -> bool {
-        self.listed_servers.iter().any(|place| place.key == key && place.full)
+        self.listed_servers.iter().any(|place| place.key == key && place.is_in_service)
     }
 
     fn build(&self) -> String {
@@ -118,7 +121,8 @@
         let own = std::mem::take(&mut self.own);
         let Some(release) = &record.release else { return Vec::new() };
         let Some(plan) = self.plan(release.hash) else { return Vec::new() };
-        let is_changed = |unit: Unit| plan.place_of(unit).is_some_and(|place| release.changed.has(place));
+        let is_changed =
+            |unit: Unit| plan.index_of(unit).is_some_and(|place| release.changed.contains(place));
         // Counts of a server that is taken out or in its slow start say nothing about its build.
         let servers = counts
             .into_iter()
@@ -126,9 +130,9 @@
         let me = Unit::Balancer(self.me);
         let has_balancers = plan.units.iter().any(|unit| matches!(unit, Unit::Balancer(_)));
         let own =
-            (has_balancers && record.out_as(me).is_none()).then_some((OF_BALANCERS, is_changed(me), own));
+            (has_balancers && record.out_as(me).is_none()).then_some((BALANCER_STRATUM, is_changed(me), own));
         let servers = servers.map(|((key, stratum), count)| (stratum, is_changed(Unit::Server(key)), count));
-        whinspindle_rollout::rows(servers.chain(own))
+        whinspindle_rollout::observation_rows(servers.chain(own))
     }
 
     fn tell(&mut self, words: String) {
--- a/programs/balancer/src/fleet/published.rs
+++ b/programs/balancer/src/fleet/published.rs
@@ -8,7 +8,7 @@
 use whinspindle_fleet_policy::Right;
 use whinspindle_operator_file::Operator;
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
-use whinspindle_rollout::{Count, Place};
+use whinspindle_rollout::{OutcomeCounts, ServerStatus};
 
 /// The shared state.
 pub(super) struct Published {
@@ -29,11 +29,11 @@
     /// A list received from other balancers, and how far it is trusted.
     pub(super) neighbour_list: Option<(EndpointUpdate, Trust)>,
     /// The servers listed by this balancer.
-    pub(super) listed_servers: Vec<Place>,
+    pub(super) listed_servers: Vec<ServerStatus>,
     /// Counts since the thread last took them, by server key and stratum.
-    pub(super) counts: BTreeMap<(u64, u16), Count>,
+    pub(super) counts: BTreeMap<(u64, u16), OutcomeCounts>,
     /// Counts of this process since the thread last took them.
-    pub(super) own: Count,
+    pub(super) own: OutcomeCounts,
 }
 
 /// Locks the shared state. A poisoned lock is used all the same, since every field is replaced as a whole.
--- a/programs/balancer/src/fleet/requests.rs
+++ b/programs/balancer/src/fleet/requests.rs
@@ -149,7 +149,7 @@
         }
         if let Err(no) = self.member.part_of(now, unit, release) {
             return match no {
-                RestartRefusal::Later { .. } | RestartRefusal::NoPlan => {
+                RestartRefusal::WaveNotBegun { .. } | RestartRefusal::PlanUnknown => {
                     self.member.submit(now, RequestKind::Out { unit, release }, serial);
                     Ok(json!({"granted": false, "waits": no.to_string()}))
                 }
@@ -158,7 +158,7 @@
         }
         // The leader decides; the local view gives the likely reason for the wait.
         let waits = match self.member.environment.may_go(record, unit, &BTreeSet::new()) {
-            Err(no @ (RestartRefusal::NoLimit | RestartRefusal::Unknown)) => return Err(no.to_string()),
+            Err(no @ (RestartRefusal::NoLimit | RestartRefusal::UnknownUnit)) => return Err(no.to_string()),
             Err(no) => no.to_string(),
             Ok(()) => "the voters have not said so yet".to_string(),
         };
@@ -183,10 +183,10 @@
         })?;
         // A release that could never begin is rejected at once.
         for unit in &plan.units {
-            if let Err(no @ (RestartRefusal::NoLimit | RestartRefusal::Unknown)) =
+            if let Err(no @ (RestartRefusal::NoLimit | RestartRefusal::UnknownUnit)) =
                 self.member.environment.may_go(record, *unit, &BTreeSet::new())
             {
-                let name = plan.place_of(*unit).map_or("", |place| plan.names[place].as_str());
+                let name = plan.index_of(*unit).map_or("", |place| plan.unit_names[place].as_str());
                 return Err(format!("{name}: {no}"));
             }
         }
--- a/programs/balancer/src/fleet/status.rs
+++ b/programs/balancer/src/fleet/status.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 use whinspindle_fleet_policy::{ChangeOutcome, Environment, Policy, Readiness, Right, Unit};
-use whinspindle_rollout::{Count, Direction};
+use whinspindle_rollout::{Direction, OutcomeCounts};
 
 use super::worker::Worker;
 
@@ -10,21 +10,21 @@
     /// The present and the past releases.
     fn release_status(&self, now: u64) -> Value {
         let record = self.member.record();
-        let side = |count: Count| json!({"executions": count.executions, "bad": count.bad});
+        let side = |count: OutcomeCounts| json!({"executions": count.executions, "bad": count.bad});
         let release = record.release.as_ref().map(|release| {
             let plan = self.member.environment.plan(release.hash);
-            let places = plan.iter().flat_map(|plan| plan.names.iter().enumerate());
+            let places = plan.iter().flat_map(|plan| plan.unit_names.iter().enumerate());
             let units: Vec<Value> = places
                 .map(|(place, name)| {
                     let unit = plan.as_ref().and_then(|plan| plan.units.get(place)).copied();
                     let out = unit.is_some_and(|unit| record.out_as(unit).is_some());
-                    json!({"unit": name, "changed": release.changed.has(place), "out": out})
+                    json!({"unit": name, "changed": release.changed.contains(place), "out": out})
                 })
                 .collect();
             json!({"number": release.number, "by": release.request_id.by, "serial": release.request_id.serial,
                 "way": if release.way == Direction::Rollout { "forth" } else { "back" }, "wave": release.wave + 1,
                 "name": plan.as_ref().map(|plan| plan.name.clone()),
-                "waves": plan.map(|plan| plan.waves.clone()),
+                "waves": plan.map(|plan| plan.wave_ends.clone()),
                 "changed": release.changed.count(), "units": units, "watchedMs": self.member.watched_for(now),
                 "seen": self.member.evidence().map(|seen| json!([side(seen.unchanged), side(seen.changed)]))})
         });
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_endpoint_cache::{Ages, Neighbours};
+use whinspindle_endpoint_cache::{AgeLimits, NeighbourExchange};
 use whinspindle_fleet_policy::{
     DurableState, Environment, Member, MemberSettings, Message, Objection, Right, Unit,
 };
@@ -17,7 +17,7 @@
 use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_record_store::RecordStore;
-use whinspindle_rollout::Count;
+use whinspindle_rollout::OutcomeCounts;
 
 use super::environment::ProcessEnvironment;
 use super::published::{FleetClock, Published, lock};
@@ -31,7 +31,7 @@
 const MAX_OBJECTION_LENGTH: usize = 120;
 
 /// Ages in microseconds up to which a list is trusted if `[keep]` is not configured.
-const DEFAULT_AGES: Ages = Ages { fresh: 10_000_000, old: 3_600_000_000 };
+const DEFAULT_AGES: AgeLimits = AgeLimits { fresh_us: 10_000_000, old_us: 3_600_000_000 };
 
 /// State of the thread.
 pub(super) struct Worker {
@@ -50,7 +50,7 @@
     /// Number of datagrams received.
     pub(super) received: u64,
     /// Exchange of endpoint lists with other balancers for processes that restart; none if disabled.
-    neighbours: Option<Neighbours>,
+    neighbours: Option<NeighbourExchange>,
 }
 
 impl Worker {
@@ -93,11 +93,14 @@
             plan: None,
             build,
             counts: BTreeMap::new(),
-            own: Count::default(),
+            own: OutcomeCounts::default(),
             neighbour_messages: Vec::new(),
         };
         let asks = terms.neighbours;
-        let ages = own.keep.as_ref().map_or(DEFAULT_AGES, |keep| Ages { fresh: keep.fresh, old: keep.old });
+        let ages = own
+            .keep
+            .as_ref()
+            .map_or(DEFAULT_AGES, |keep| AgeLimits { fresh_us: keep.fresh, old_us: keep.old });
         let terms = MemberSettings {
             me,
             members,
@@ -113,7 +116,7 @@
         let start = rand::random::<u64>() | 1;
         let mut member = Member::new(environment, terms, memory, start, clock.now());
         texts.iter().for_each(|text| member.hold(text));
-        let neighbours = asks.then(|| Neighbours::new(me, members, ages, start, clock.now()));
+        let neighbours = asks.then(|| NeighbourExchange::new(me, members, ages, start, clock.now()));
         Worker { member, deployment, clock, published, operators: Vec::new(), own, received: 0, neighbours }
     }
 
@@ -155,10 +158,10 @@
         let Some(neighbours) = &mut self.neighbours else { return };
         let discovered = lock(&self.published).discovered_list.take();
         if let Some((servers, silent)) = discovered {
-            neighbours.told(now.saturating_sub(silent), &servers);
+            neighbours.record_discovered(now.saturating_sub(silent), &servers);
         }
         let unix = crate::clock::Clock::start().now();
-        if let Some((update, trust)) = neighbours.take(now, unix) {
+        if let Some((update, trust)) = neighbours.take_list(now, unix) {
             log_line!("fleet", "neighbours tell {} servers, {trust}", update.servers.len());
             lock(&self.published).neighbour_list = Some((update, trust));
         }
@@ -184,10 +187,10 @@
         let now = self.clock.now();
         self.received += 1;
         let environment = &mut self.member.environment;
-        let said = PeerTransport::sender(datagram);
+        let said = PeerTransport::claimed_sender(datagram);
         let known = said.filter(|said| environment.addresses.get(*said as usize) == Some(&from));
         let before = environment.peers.dropped;
-        match environment.peers.take::<Message>(now / 1_000_000, known, datagram) {
+        match environment.peers.receive::<Message>(now / 1_000_000, known, datagram) {
             Some((from, message)) => self.member.received(now, from, message),
             None if environment.peers.dropped != before => {
                 log_line!("peers", "a datagram from {from} is passed over: {:?}", environment.peers.dropped);
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -340,12 +340,12 @@
         Err(faults) => return Err(draw(&file.display().to_string(), &text, &faults)),
     };
     let mut from = 0;
-    for (wave, to) in plan.waves.iter().enumerate() {
+    for (wave, to) in plan.wave_ends.iter().enumerate() {
         println!(
             "wave {}: {}, then watched for {} s",
             wave + 1,
-            plan.names[from..*to].join(" "),
-            plan.watch / 1_000_000
+            plan.unit_names[from..*to].join(" "),
+            plan.watch_us / 1_000_000
         );
         from = *to;
     }
--- a/programs/balancer/src/http_service.rs
+++ b/programs/balancer/src/http_service.rs
@@ -124,7 +124,7 @@
         let lookup =
             Lookup { method: parts.method.as_str(), target, product: head.product, tenant: head.tenant };
         let number = operator.routes.find(&lookup)?;
-        Some((number, operator.routes.routes()[number].conditions[head.product].largest_body))
+        Some((number, operator.routes.routes()[number].conditions[head.product].max_body_bytes))
     });
     found.map_or((None, u64::MAX), |(number, largest)| (Some(number), largest))
 }
@@ -183,7 +183,7 @@
     if let Some(startup_limit) =
         node.startup_limit.borrow_mut().as_mut().filter(|_| matches!(answer, Answer::Completed(_)))
     {
-        startup_limit.completed(node.clock.now() - now);
+        startup_limit.record_completion(node.clock.now() - now);
     }
     count_for_fleet(&node, arrival.product, &answer, node.clock.now() - now);
     Ok(answer.encode())
@@ -196,5 +196,5 @@
     }
     let late = node.deployment.terms.products.get(product).is_some_and(|row| spent > row.slo_time);
     let (aborted, rejected) = (matches!(answer, Answer::Aborted(_)), matches!(answer, Answer::Rejected(_)));
-    node.fleet_counts.borrow_mut().query(aborted, late, rejected);
+    node.fleet_counts.borrow_mut().record_request(aborted, late, rejected);
 }
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -270,9 +270,9 @@
 fn second_summary(node: &Node) -> SecondSummary {
     let tally = node.core.borrow().tally();
     SecondSummary {
-        told: node.is_list_discovered.get(),
-        settled: node.fleet.as_ref().is_none_or(Fleet::has_policy_right),
-        takes_all: node.accepts_all(),
+        is_list_authoritative: node.is_list_discovered.get(),
+        has_policy: node.fleet.as_ref().is_none_or(Fleet::has_policy_right),
+        admits_all: node.accepts_all(),
         completed: tally.completed,
         answered: tally.completed + tally.rejected + tally.aborted,
     }
@@ -291,7 +291,7 @@
     for second in 1_u64.. {
         sleep(Duration::from_secs(1)).await;
         if let Some(recovery) = &mut recovery
-            && let Some(words) = recovery.second(node.clock.now(), second_summary(&node))
+            && let Some(words) = recovery.record_second(node.clock.now(), second_summary(&node))
         {
             log_line!("start", "{words}");
         }
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -21,7 +21,7 @@
 use whinspindle_protocol::execution::{self, Reply};
 use whinspindle_protocol::query::MAX_BODY_BYTES;
 use whinspindle_rate_limited_log::log_line;
-use whinspindle_rollout::{Count, ObservedOutcomes, Place as Listed};
+use whinspindle_rollout::{ObservedOutcomes, OutcomeCounts, ServerStatus as Listed};
 use whinspindle_upstream_pool::{
     ConnectionPool, Failure, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
 };
@@ -186,7 +186,7 @@
         }
         let mut held = self.startup_limit.borrow_mut();
         let Some(startup_limit) = held.as_mut() else { return !self.slow_start_pending.get() };
-        startup_limit.look(self.clock.now());
+        startup_limit.advance(self.clock.now());
         if startup_limit.is_over() {
             log_line!(
                 "start",
@@ -206,7 +206,7 @@
         }
         let mut held = self.startup_limit.borrow_mut();
         held.as_mut().map_or(Ok(()), |startup_limit| {
-            startup_limit.take(self.clock.now(), self.open_queries.get(), rand::random())
+            startup_limit.try_admit(self.clock.now(), self.open_queries.get(), rand::random())
         })
     }
 
@@ -268,8 +268,8 @@
             let place = |entry: &Endpoint| Listed {
                 key: entry.key,
                 zone: zones.get(entry.zone).cloned().unwrap_or_default(),
-                cell: entry.cell,
-                full: entry.state == EndpointState::Ready
+                pod: entry.cell,
+                is_in_service: entry.state == EndpointState::Ready
                     && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_time),
             };
             let listed = self.core.borrow().listed();
@@ -280,7 +280,7 @@
                 let count = servers.get(&entry.server)?;
                 Some((entry.key, (entry.zone * kinds + entry.kind) as u16, *count))
             };
-            let counts: Vec<(u64, u16, Count)> = listed.iter().filter_map(count).collect();
+            let counts: Vec<(u64, u16, OutcomeCounts)> = listed.iter().filter_map(count).collect();
             fleet.report_servers(listed.iter().map(place).collect(), counts, own);
         }
     }
@@ -390,7 +390,12 @@
             node.cancellations.borrow_mut().remove(&(order.query_index, order.execution_index));
             let now = node.clock.now();
             if node.fleet.is_some() {
-                node.fleet_counts.borrow_mut().execution(order.server, order.product, outcome, now - sent);
+                node.fleet_counts.borrow_mut().record_execution(
+                    order.server,
+                    order.product,
+                    outcome,
+                    now - sent,
+                );
             }
             let (report, served) = reply.map_or_else(Default::default, |reply| (reply.report, reply.served));
             let Execution { query_index, execution_index, .. } = order;
--- a/programs/balancer/tests/program.rs
+++ b/programs/balancer/tests/program.rs
@@ -345,7 +345,7 @@
     let _ = balancer.program.wait();
     let saved = kept().expect("a list");
     let later = |seconds: u64| {
-        let ages = whinspindle_endpoint_cache::Ages { fresh: 0, old: 1 };
+        let ages = whinspindle_endpoint_cache::AgeLimits { fresh_us: 0, old_us: 1 };
         let (update, _) = whinspindle_endpoint_cache::restore(&saved, u64::MAX, &ages).expect("a list");
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
         whinspindle_endpoint_cache::encode(&update.servers, 0, now.as_micros() as u64 - seconds * 1_000_000)
--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -13,7 +13,7 @@
 use records::{before_bootstrap, record};
 use serde_json::json;
 use whinspindle::host::EndpointState;
-use whinspindle_endpoint_cache::{Ages, Trust};
+use whinspindle_endpoint_cache::{AgeLimits, Trust};
 use whinspindle_fleet_policy::{Ballot, DurableState, Plan, Unit};
 use whinspindle_lab_fault_proxies::Stand;
 use whinspindle_protocol::endpoints::ListedServer;
@@ -101,10 +101,10 @@
     let expected = Plan {
         name: of("größer"),
         units: vec![Unit::Balancer(1), Unit::Balancer(2), Unit::Server(SERVER_17), Unit::Balancer(300)],
-        names: vec![of("balancer:1"), of("balancer:2"), of("server:s-17"), of("balancer:300")],
-        waves: vec![1, 2, 4],
-        watch: 90_000_000,
-        error: 0.05,
+        unit_names: vec![of("balancer:1"), of("balancer:2"), of("server:s-17"), of("balancer:300")],
+        wave_ends: vec![1, 2, 4],
+        watch_us: 90_000_000,
+        false_halt_probability: 0.05,
         build: Some(of("0123456789ab")),
     };
     assert_eq!(plan.ok(), Some(expected));
@@ -131,7 +131,7 @@
     let encoded = [(&before[..], AT - 5_000_000), (&now, AT)]
         .map(|(of, at)| whinspindle_endpoint_cache::encode(of, 0, at));
     let read = stored("list", &[("list", encoded.to_vec())]);
-    let ages = Ages { fresh: 10, old: 20 };
+    let ages = AgeLimits { fresh_us: 10, old_us: 20 };
     let (update, trust) = whinspindle_endpoint_cache::restore(&read[0], AT + 10, &ages).expect("a list");
     assert_eq!((update.servers.as_slice(), trust), (now.as_slice(), Trust::Full));
     assert_eq!(whinspindle_endpoint_cache::encode(&update.servers, 0, AT), read[0]);
