--- a/balancer/fleet-policy/src/lib.rs
+++ b/balancer/fleet-policy/src/lib.rs
@@ -9,8 +9,8 @@
 //! ```text
 //! let mut member: Member<_> = Member::new(environment, settings, stored_state, start_number, clock.now());
 //! member.tick(clock.now());
-//! member.received(clock.now(), sender, message);
-//! if let Right::Policy(number) = member.right(clock.now()) {
+//! member.receive(clock.now(), sender, message);
+//! if let LeaseState::Policy(number) = member.lease_state(clock.now()) {
 //!     // decide by the policy with this number
 //! }
 //! ```
@@ -21,10 +21,10 @@
 mod texts;
 
 pub use member::{DurableState, Environment, Member, MemberRules, MemberSettings, PeerReport};
-pub use message::{Message, Objection, Readiness, RequestKind, Right};
+pub use message::{LeaseState, Message, Objection, Readiness, RequestKind};
 pub use record::{
-    Change, ChangeOutcome, Close, Halt, Hash, MAX_TEXT_BYTES, Out, Part, Past, PastRelease, Policy, Record,
-    Release, RequestId, Step,
+    Change, ChangeOutcome, Halt, Hash, MAX_TEXT_BYTES, PastChange, PastRelease, Policy, Record, Release,
+    ReleaseOutcome, ReleasePart, RequestId, RestartGrant, Step,
 };
 pub use texts::CHUNK_BYTES;
 pub use whinspindle_consensus::{Ballot, StandardConsensusRules, Voter};
--- a/balancer/fleet-policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -1,5 +1,5 @@
 //! One process of the fleet: as a follower it holds a lease that expires, as a voter it grants leases and agrees
-//! on each step. `Member` is a state machine: it takes events (`tick`, `received`, `proved`, operators' requests)
+//! on each step. `Member` is a state machine: it takes events (`tick`, `receive`, `proved`, operators' requests)
 //! and acts through `Environment`; each module below has one part of it.
 
 mod acceptor;
@@ -29,7 +29,7 @@
 pub use rules::MemberRules;
 pub use timing::MemberSettings;
 
-use crate::message::{Message, Objection, Right};
+use crate::message::{LeaseState, Message, Objection};
 use crate::record::{Hash, Record};
 use crate::texts::Texts;
 
@@ -55,7 +55,7 @@
     previous_lease: Option<Lease>,
     had_lease: bool,
     /// What the log was told last.
-    logged_right: Right,
+    logged_right: LeaseState,
     verdicts: BTreeMap<u64, Result<(), Objection>>,
     proving: BTreeSet<u64>,
     texts: Texts,
@@ -108,13 +108,13 @@
             lease: Lease::of(&record),
             previous_lease: None,
             had_lease: false,
-            logged_right: Right::Learning,
+            logged_right: LeaseState::Learning,
             learned: now,
             next_since: now,
             verdicts: BTreeMap::new(),
             proving: BTreeSet::new(),
             texts: Texts::default(),
-            received: vec![None; settings.members as usize],
+            received: vec![None; settings.member_count as usize],
             requests: Vec::new(),
             pending_bootstrap: None,
             release_test: None,
@@ -128,7 +128,7 @@
             again: 0,
             next_fetch: now,
             fetching: None,
-            fetches: settings.me as usize,
+            fetches: settings.member as usize,
             source: None,
             rules: PhantomData,
             memory,
@@ -141,10 +141,10 @@
 
     /// Makes the memory durable; false where the disk fails.
     fn persist(&mut self) -> bool {
-        self.is_durable = self.environment.keep(&self.memory);
+        self.is_durable = self.environment.persist(&self.memory);
         if !self.is_durable {
             self.environment
-                .tell("what it has voted for can't be kept: it votes no more until it can".to_string());
+                .log("what it has voted for can't be kept: it votes no more until it can".to_string());
         }
         self.is_durable
     }
@@ -160,13 +160,13 @@
     }
 
     /// What it must not forget over a restart.
-    pub fn memory(&self) -> &DurableState {
+    pub fn durable_state(&self) -> &DurableState {
         &self.memory
     }
 
     /// How it counts as a voter: its number, and the incarnation of its memory.
     pub fn voter(&self) -> Voter {
-        Voter { member: self.settings.me, incarnation: self.memory.incarnation }
+        Voter { member: self.settings.member, incarnation: self.memory.incarnation }
     }
 
     /// What this member last received of each member; only voters receive reports.
@@ -179,7 +179,7 @@
         self.record.is_voter(self.voter())
     }
 
-    /// Does what is due; to be called several times within `MemberSettings::pace`.
+    /// Does what is due; to be called several times within `MemberSettings::renewal_interval_us`.
     pub fn tick(&mut self, now: u64) {
         if !self.is_durable {
             self.persist();
@@ -198,17 +198,32 @@
     }
 
     /// Handles a message of another member.
-    pub fn received(&mut self, now: u64, from: u16, message: Message) {
-        if from >= self.settings.members {
+    pub fn receive(&mut self, now: u64, from: u16, message: Message) {
+        if from >= self.settings.member_count {
             return;
         }
         match message {
-            Message::Ask { at, incarnation, start, bootstrap_id, version, right, readiness } => {
-                let received =
-                    PeerReport { at: now, incarnation, start, bootstrap_id, version, right, readiness };
+            Message::RenewLease {
+                asked_at: at,
+                incarnation,
+                start,
+                bootstrap_id,
+                version,
+                lease_state: right,
+                readiness,
+            } => {
+                let received = PeerReport {
+                    received_at: now,
+                    incarnation,
+                    start,
+                    bootstrap_id,
+                    version,
+                    lease_state: right,
+                    readiness,
+                };
                 self.answer(now, from, at, received);
             }
-            Message::Grant { at, start, voter, voter_set_version, number } => {
+            Message::GrantLease { asked_at: at, start, voter, voter_set_version, number } => {
                 // Guards against a late answer to a request of an earlier start: that start's clock began at
                 // another moment, and the lease would count from a time after its grant.
                 if start == self.start {
@@ -222,7 +237,7 @@
             Message::Observations { release, start, serial, rows } => {
                 self.receive_observations(now, from, release, start, serial, rows);
             }
-            Message::Aside { bytes } => self.environment.opaque_message(from, bytes),
+            Message::Opaque { bytes } => self.environment.opaque_message(from, bytes),
             Message::Prepare { ballot } => self.prepare(from, ballot),
             Message::Accept { ballot, record } => self.accept(from, ballot, record),
             Message::Promise { ballot, voter, accepted } => self.promised(now, ballot, voter, accepted),
--- a/balancer/fleet-policy/src/member/acceptor.rs
+++ b/balancer/fleet-policy/src/member/acceptor.rs
@@ -3,14 +3,14 @@
 use whinspindle_consensus::Ballot;
 
 use super::{Environment, Member, MemberRules};
-use crate::message::{Message, Readiness, Right};
+use crate::message::{LeaseState, Message, Readiness};
 use crate::record::Record;
 
-/// What a voter last received of a member, by its `Message::Ask`.
+/// What a voter last received of a member, by its `Message::RenewLease`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerReport {
     /// When it arrived, by the voter's clock in microseconds.
-    pub at: u64,
+    pub received_at: u64,
     /// Of the member's durable state.
     pub incarnation: u64,
     /// The start number of the member's process.
@@ -20,7 +20,7 @@
     /// Of the record that the member knows.
     pub version: u64,
     /// What the member decides by.
-    pub right: Right,
+    pub lease_state: LeaseState,
     /// How far it is with the change under way.
     pub readiness: Readiness,
 }
@@ -30,12 +30,12 @@
         let (order, start) = ((received.bootstrap_id, received.version), received.start);
         self.received[from as usize] = Some(received);
         // A member with a newer record sends it when it is asked; it may be that no voter has it.
-        if order > self.record.order() && from != self.settings.me {
+        if order > self.record.order() && from != self.settings.member {
             let ask = self.question(now);
             self.environment.send(from, ask);
         }
         if order < self.record.order() {
-            if from != self.settings.me {
+            if from != self.settings.member {
                 self.environment.send(from, Message::Update { record: self.record.clone() });
             }
             return;
@@ -50,10 +50,11 @@
         }
         let (voter, voter_set_version, number) =
             (self.voter(), self.record.voter_set_version, self.record.policy.number);
-        if from == self.settings.me {
+        if from == self.settings.member {
             self.granted(now, at, voter, (voter_set_version, number));
         } else {
-            self.environment.send(from, Message::Grant { at, start, voter, voter_set_version, number });
+            self.environment
+                .send(from, Message::GrantLease { asked_at: at, start, voter, voter_set_version, number });
         }
     }
 
--- a/balancer/fleet-policy/src/member/environment.rs
+++ b/balancer/fleet-policy/src/member/environment.rs
@@ -28,7 +28,7 @@
     fn send(&mut self, to: u16, message: Message);
     /// Makes the state durable before it returns; true on success. Where it fails, the member votes and grants
     /// nothing until it succeeds.
-    fn keep(&mut self, memory: &DurableState) -> bool;
+    fn persist(&mut self, memory: &DurableState) -> bool;
     /// Proves a policy against the process's own settings; the process calls `Member::proved` with the result.
     fn prove(&mut self, policy: Policy, text: Rc<[u8]>);
     /// The plan with this hash, once it has been read.
@@ -36,15 +36,15 @@
         None
     }
     /// Called when the text of a plan is complete.
-    fn plan_came(&mut self, _: Hash, _: Rc<[u8]>) {}
+    fn plan_received(&mut self, _: Hash, _: Rc<[u8]>) {}
     /// What this process has observed of the units of the release under way since the last call.
     fn observations(&mut self, _: &Record) -> Vec<ObservationRow> {
         Vec::new()
     }
-    /// Passes a message on to another part of the process: `Message::Aside`.
+    /// Passes a message on to another part of the process: `Message::Opaque`.
     fn opaque_message(&mut self, _: u16, _: Vec<u8>) {}
     /// Whether the server with this key is listed as ready, and warm.
-    fn is_full(&self, _: u64) -> bool {
+    fn is_server_in_service(&self, _: u64) -> bool {
         true
     }
     /// The build of this process, as plans name it.
@@ -52,7 +52,7 @@
         String::new()
     }
     /// Whether the limits of the policy in force allow one more unit out of service, with these balancers away.
-    fn may_go(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), RestartRefusal>;
+    fn check_restart(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), RestartRefusal>;
     /// Writes one line to the log.
-    fn tell(&mut self, line: String);
+    fn log(&mut self, line: String);
 }
--- a/balancer/fleet-policy/src/member/leader.rs
+++ b/balancer/fleet-policy/src/member/leader.rs
@@ -11,7 +11,7 @@
 impl<O: Environment, L: MemberRules> Member<O, L> {
     pub(super) fn is_here(&self, now: u64, member: u16) -> bool {
         let received = self.received.get(member as usize).and_then(Option::as_ref);
-        received.is_some_and(|received| now < received.at + self.settings.absent)
+        received.is_some_and(|received| now < received.received_at + self.settings.absence_timeout_us)
     }
 
     /// The leader is the voter with the lowest number among those that are not absent. Two that both take
@@ -35,7 +35,7 @@
         self.pending_bootstrap
             .take_if(|wanted| bootstrap_id >= *wanted || self.record.epoch() + 1 != *wanted >> 48);
         if let Some(OngoingRound { began, .. }) = self.round {
-            if now < began + 4 * self.settings.pace {
+            if now < began + 4 * self.settings.renewal_interval_us {
                 if now > began {
                     self.retry_round();
                 }
@@ -63,7 +63,7 @@
             return Some(Step::Finish);
         }
         if self.record.voter_sets.len() > 1 {
-            return Some(Step::Settle);
+            return Some(Step::SettleVoters);
         }
         let has_new_incarnation = |voter: &&Voter| {
             let received =
@@ -73,7 +73,7 @@
         if let Some(old) = self.record.voter_sets.iter().flatten().find(has_new_incarnation) {
             let incarnation =
                 self.received[old.member as usize].as_ref().map_or(0, |received| received.incarnation);
-            return Some(Step::Replace {
+            return Some(Step::ReplaceVoter {
                 old: *old,
                 new: Voter { member: old.member, incarnation },
                 request_id: None,
@@ -88,9 +88,9 @@
 
     /// The next step of the change of policy: one begins if none is under way, or the one under way ends.
     fn change_step(&self, now: u64) -> Option<Step> {
-        let Some(change) = self.record.next else {
+        let Some(change) = self.record.pending_change else {
             return self.requests.iter().find_map(|wanted| match wanted.request {
-                RequestKind::Propose { hash, length } if !self.record.knows(wanted.request_id) => {
+                RequestKind::Propose { hash, length } if !self.record.has_applied(wanted.request_id) => {
                     Some(Step::Propose { hash, length, request_id: wanted.request_id })
                 }
                 _ => None,
@@ -98,40 +98,40 @@
         };
         let number = change.policy.number;
         let withdrawn = |wanted: &PendingRequest| wanted.request == RequestKind::Withdraw { number };
-        let end = |outcome| Some(Step::End { number, outcome });
+        let end = |outcome| Some(Step::EndChange { number, outcome });
         if self.requests.iter().any(withdrawn) {
             return end(ChangeOutcome::Withdrawn);
         }
-        let here = |member: &u16| *member == self.settings.me || self.is_here(now, *member);
+        let here = |member: &u16| *member == self.settings.member || self.is_here(now, *member);
         let mut all_ready = true;
-        for member in (0..self.settings.members).filter(here) {
+        for member in (0..self.settings.member_count).filter(here) {
             let readiness = match &self.received[member as usize] {
-                _ if member == self.settings.me => &self.readiness(),
+                _ if member == self.settings.member => &self.readiness(),
                 Some(received) => &received.readiness,
                 None => continue,
             };
             match readiness {
-                Readiness::Objects(of, _) if *of == number => return end(ChangeOutcome::Refused(member)),
+                Readiness::Objected(of, _) if *of == number => return end(ChangeOutcome::Refused(member)),
                 Readiness::Ready(of) if *of == number => {}
                 _ => all_ready = false,
             }
         }
         // A leader that has just started can't know who is absent.
-        let knows = now >= self.began + self.settings.absent;
-        if all_ready && knows && now >= L::next_after(self.learned, &self.settings) {
+        let knows = now >= self.began + self.settings.absence_timeout_us;
+        if all_ready && knows && now >= L::earliest_activation(self.learned, &self.settings) {
             return end(ChangeOutcome::InForce);
         }
-        (now >= self.next_since + self.settings.give_up)
-            .then_some(Step::End { number, outcome: ChangeOutcome::GivenUp })
+        (now >= self.next_since + self.settings.change_timeout_us)
+            .then_some(Step::EndChange { number, outcome: ChangeOutcome::GivenUp })
     }
 
     /// Replaces a voter by another member, if an operator asks for it and the new one is not absent. It votes
     /// from then on with its present incarnation.
     pub(super) fn replace_voter(&self, now: u64) -> Option<Step> {
         let voter_of = |member: u16| self.record.voter_sets[0].iter().find(|voter| voter.member == member);
-        self.requests.iter().filter(|wanted| !self.record.knows(wanted.request_id)).find_map(|wanted| {
-            let RequestKind::Voters { old, new } = wanted.request else { return None };
-            let incarnation = match new == self.settings.me {
+        self.requests.iter().filter(|wanted| !self.record.has_applied(wanted.request_id)).find_map(|wanted| {
+            let RequestKind::ReplaceVoter { old, new } = wanted.request else { return None };
+            let incarnation = match new == self.settings.member {
                 true => self.memory.incarnation,
                 false => {
                     self.received.get(new as usize)?.as_ref().filter(|_| self.is_here(now, new))?.incarnation
@@ -139,7 +139,7 @@
             };
             let new = Voter { member: new, incarnation };
             voter_of(new.member).is_none().then_some(())?;
-            Some(Step::Replace { old: *voter_of(old)?, new, request_id: Some(wanted.request_id) })
+            Some(Step::ReplaceVoter { old: *voter_of(old)?, new, request_id: Some(wanted.request_id) })
         })
     }
 }
--- a/balancer/fleet-policy/src/member/lease.rs
+++ b/balancer/fleet-policy/src/member/lease.rs
@@ -6,7 +6,7 @@
 use whinspindle_consensus::Voter;
 
 use super::{Environment, Member, MemberRules};
-use crate::message::{Message, Right};
+use crate::message::{LeaseState, Message};
 use crate::record::Record;
 
 /// How often in a pace voters that have not answered are asked again.
@@ -36,7 +36,7 @@
     pub(super) fn until<L: MemberRules>(&self) -> u64 {
         let grant = |voter: &Voter| {
             let (until, granted) = self.grants.get(voter)?;
-            L::is_for(*granted, self.voter_set_version, self.number).then_some(*until)
+            L::is_grant_current(*granted, self.voter_set_version, self.number).then_some(*until)
         };
         let of_voter_set = |voter_set: &Vec<Voter>| {
             let mut ends: Vec<u64> = voter_set.iter().filter_map(grant).collect();
@@ -51,20 +51,20 @@
 impl<O: Environment, L: MemberRules> Member<O, L> {
     /// What a request that is taken now is decided by. To be called for each request: a process that was
     /// suspended finds its lease expired before it acts by it.
-    pub fn right(&self, now: u64) -> Right {
-        self.right_until(now).0
+    pub fn lease_state(&self, now: u64) -> LeaseState {
+        self.lease_state_until(now).0
     }
 
     /// The same, and when it ends if nothing more is received.
-    pub fn right_until(&self, now: u64) -> (Right, u64) {
+    pub fn lease_state_until(&self, now: u64) -> (LeaseState, u64) {
         let proved = |number: u64| number == 0 || matches!(self.verdicts.get(&number), Some(Ok(())));
         let held = [Some(&self.lease), self.previous_lease.as_ref()];
         let usable = held.into_iter().flatten().find(|h| proved(h.number) && now < h.until::<L>());
-        let learned = self.began + self.settings.learn;
+        let learned = self.began + self.settings.startup_timeout_us;
         match usable {
-            Some(holding) => (Right::Policy(holding.number), holding.until::<L>()),
-            None if !self.had_lease && now < learned => (Right::Learning, learned),
-            None => (Right::CutOff, u64::MAX),
+            Some(holding) => (LeaseState::Policy(holding.number), holding.until::<L>()),
+            None if !self.had_lease && now < learned => (LeaseState::Learning, learned),
+            None => (LeaseState::CutOff, u64::MAX),
         }
     }
 
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn ask(&mut self, now: u64) {
-        self.next_ask = now + self.settings.pace;
+        self.next_ask = now + self.settings.renewal_interval_us;
         (self.asked, self.again) = (now, 0);
         self.ask_those(now, self.voters());
     }
@@ -86,14 +86,17 @@
     /// Guards against lost datagrams in large fleets, where the pace is long against the lease: while the voters
     /// that answered are no majority, the others are asked again, `RETRIES` times at most.
     pub(super) fn retry_ask(&mut self, now: u64) {
-        let due = self.asked + self.settings.pace / 4 * (self.again + 1);
-        if self.again == RETRIES || now < due || self.lease.until::<L>() >= self.asked + self.settings.right {
+        let due = self.asked + self.settings.renewal_interval_us / 4 * (self.again + 1);
+        if self.again == RETRIES
+            || now < due
+            || self.lease.until::<L>() >= self.asked + self.settings.lease_us
+        {
             return;
         }
         self.again += 1;
         let answered = |voter: &u16| {
             let grants = self.lease.grants.iter().filter(|(of, _)| of.member == *voter);
-            grants.into_iter().any(|(_, (until, _))| *until >= self.asked + self.settings.right)
+            grants.into_iter().any(|(_, (until, _))| *until >= self.asked + self.settings.lease_us)
         };
         let silent = self.voters().into_iter().filter(|voter| !answered(voter)).collect();
         self.ask_those(now, silent);
@@ -102,8 +105,8 @@
     pub(super) fn ask_those(&mut self, now: u64, voters: BTreeSet<u16>) {
         for voter in voters {
             let question = self.question(now);
-            if voter == self.settings.me {
-                self.received(now, voter, question);
+            if voter == self.settings.member {
+                self.receive(now, voter, question);
             } else {
                 self.environment.send(voter, question);
             }
@@ -111,19 +114,19 @@
     }
 
     pub(super) fn question(&self, now: u64) -> Message {
-        Message::Ask {
-            at: now,
+        Message::RenewLease {
+            asked_at: now,
             incarnation: self.memory.incarnation,
             start: self.start,
             bootstrap_id: self.record.bootstrap_id,
             version: self.record.version,
-            right: self.right(now),
+            lease_state: self.lease_state(now),
             readiness: self.readiness(),
         }
     }
 
     pub(super) fn granted(&mut self, now: u64, at: u64, voter: Voter, granted: (u64, u64)) {
-        let until = L::right_until(at, now, &self.settings);
+        let until = L::lease_expiry(at, now, &self.settings);
         for held in [Some(&mut self.lease), self.previous_lease.as_mut()].into_iter().flatten() {
             let known = held.grants.entry(voter).or_insert((until, granted));
             if until > known.0 {
@@ -135,18 +138,18 @@
 
     /// Notes a change of the lease. Once there is a lease for the present record, the previous one is dropped.
     pub(super) fn record_lease(&mut self, now: u64) {
-        let right = self.right(now);
-        if right == Right::Policy(self.lease.number) {
+        let right = self.lease_state(now);
+        if right == LeaseState::Policy(self.lease.number) {
             self.previous_lease = None;
         }
-        self.had_lease |= matches!(right, Right::Policy(_));
+        self.had_lease |= matches!(right, LeaseState::Policy(_));
         if right != self.logged_right {
             let line = match right {
-                Right::Learning => "learns what holds".to_string(),
-                Right::Policy(number) => format!("decides by policy {number}"),
-                Right::CutOff => format!("is cut off: {}", self.cut_off_reason(now)),
+                LeaseState::Learning => "learns what holds".to_string(),
+                LeaseState::Policy(number) => format!("decides by policy {number}"),
+                LeaseState::CutOff => format!("is cut off: {}", self.cut_off_reason(now)),
             };
-            self.environment.tell(line);
+            self.environment.log(line);
             self.logged_right = right;
         }
     }
@@ -161,7 +164,7 @@
             return format!("no majority of the voters grants policy {number}");
         }
         match self.verdicts.get(&number) {
-            Some(Err(no)) => format!("policy {number} can't be proved here: line {}: {}", no.line, no.words),
+            Some(Err(no)) => format!("policy {number} can't be proved here: line {}: {}", no.line, no.reason),
             _ => format!("the text of policy {number} is not whole yet"),
         }
     }
--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -25,7 +25,7 @@
         let known = if is_bootstrap {
             let incarnation = |member: &u16| {
                 let received = self.received.get(*member as usize)?.as_ref();
-                let own = (*member == self.settings.me).then_some(self.memory.incarnation);
+                let own = (*member == self.settings.member).then_some(self.memory.incarnation);
                 Some(Voter {
                     member: *member,
                     incarnation: own.or(received.map(|received| received.incarnation))?,
@@ -40,7 +40,8 @@
         };
         self.highest_round = self.highest_round.max(self.memory.votes.promised.round) + 1;
         let epoch = self.record.epoch() + u64::from(is_bootstrap);
-        let ballot = Ballot { epoch, round: self.highest_round, member: self.settings.me, start: self.start };
+        let ballot =
+            Ballot { epoch, round: self.highest_round, member: self.settings.member, start: self.start };
         let mut round = Round::new(ballot, known);
         if self.memory.votes.prepare(ballot).is_err() || !self.persist() {
             return;
@@ -68,7 +69,7 @@
                 round.awaiting_promise::<L>().into_iter().map(prepare).collect()
             }
         };
-        let me = self.settings.me;
+        let me = self.settings.member;
         for (to, message) in again.into_iter().filter(|(to, _)| *to != me) {
             self.environment.send(to, message);
         }
@@ -88,7 +89,7 @@
         // Guards against a step that was decided on for another record, by whose limits and times it was
         // checked. What has been agreed or begun since is only completed.
         let is_known = found.order() == *based_on || found.bootstrap_id == 0;
-        let next = found.after(step).filter(|_| is_known && due.as_ref() == Some(step));
+        let next = found.apply_step(step).filter(|_| is_known && due.as_ref() == Some(step));
         let Some(record) = next.or((found.order() > self.record.order()).then_some(found)) else {
             self.round = None;
             return;
@@ -115,7 +116,7 @@
         let members = self.received.iter().enumerate().filter(|(_, received)| received.is_some());
         let members: BTreeSet<u16> = members.map(|(member, _)| member as u16).collect();
         for member in members.into_iter().chain(self.voters()).collect::<BTreeSet<u16>>() {
-            if member != self.settings.me {
+            if member != self.settings.member {
                 self.environment.send(member, Message::Update { record: self.record.clone() });
             }
         }
@@ -146,7 +147,8 @@
         self.highest_round = self.highest_round.max(promised.round);
         if self.round.take_if(|on| on.round.ballot == ballot).is_some() {
             // Proposers that outbid one another wait for different times.
-            self.quiet_until = now + self.settings.pace * (1 + u64::from(self.settings.me)) / 4;
+            self.quiet_until =
+                now + self.settings.renewal_interval_us * (1 + u64::from(self.settings.member)) / 4;
         }
     }
 }
--- a/balancer/fleet-policy/src/member/record_update.rs
+++ b/balancer/fleet-policy/src/member/record_update.rs
@@ -13,11 +13,11 @@
         if record.order() <= self.record.order() {
             return;
         }
-        if record.next.is_some_and(|change| self.record.next != Some(change)) {
+        if record.pending_change.is_some_and(|change| self.record.pending_change != Some(change)) {
             self.next_since = now;
         }
         for line in describe_changes(&self.record, &record) {
-            self.environment.tell(line);
+            self.environment.log(line);
         }
         let (old, new) = (&self.record, &record);
         if old.policy.number != new.policy.number || old.bootstrap_id != new.bootstrap_id {
@@ -35,9 +35,13 @@
         self.memory.record = self.record.clone();
         self.persist();
         let plan = self.record.release.as_ref().map(|release| release.hash);
-        let used = [Some(self.record.policy.hash), self.record.next.map(|change| change.policy.hash), plan];
+        let used = [
+            Some(self.record.policy.hash),
+            self.record.pending_change.map(|change| change.policy.hash),
+            plan,
+        ];
         if self.release_test.as_ref().is_some_and(|release_test| {
-            Some(release_test.release) != self.watched() || self.record.halted.is_some()
+            Some(release_test.release) != self.watched_release() || self.record.halt.is_some()
         }) {
             self.release_test = None;
         }
@@ -57,10 +61,10 @@
     describe_policies(old, new, &mut lines);
     describe_units(old, new, &mut lines);
     describe_releases(old, new, &mut lines);
-    match (&old.halted, &new.halted) {
+    match (&old.halt, &new.halt) {
         (None, Some(halt)) => {
-            let by = halt.request_id.by;
-            lines.push(format!("nothing is let out any more, by member {by}: {}", halt.why));
+            let by = halt.request_id.member;
+            lines.push(format!("nothing is let out any more, by member {by}: {}", halt.reason));
         }
         (Some(_), None) => lines.push("units may be let out again".to_string()),
         _ => {}
@@ -72,7 +76,7 @@
 }
 
 fn describe_policies(old: &Record, new: &Record, lines: &mut Vec<String>) {
-    for past in new.past.iter().filter(|past| !old.past.contains(past)) {
+    for past in new.past_changes.iter().filter(|past| !old.past_changes.contains(past)) {
         let number = past.change.policy.number;
         lines.push(match past.outcome {
             ChangeOutcome::InForce => format!("policy {number} is in force"),
@@ -81,17 +85,19 @@
             ChangeOutcome::GivenUp => format!("policy {number} is given up: not proved everywhere in time"),
         });
     }
-    if let Some(Change { policy, request_id }) = new.next.filter(|change| old.next != Some(*change)) {
+    if let Some(Change { policy, request_id }) =
+        new.pending_change.filter(|change| old.pending_change != Some(*change))
+    {
         let Policy { number, hash, .. } = policy;
-        lines.push(format!("policy {number} ({hash}) is proposed by member {}", request_id.by));
+        lines.push(format!("policy {number} ({hash}) is proposed by member {}", request_id.member));
     }
 }
 
 fn describe_units(old: &Record, new: &Record, lines: &mut Vec<String>) {
-    for out in new.out.iter().filter(|out| !old.out.contains(out)) {
-        lines.push(format!("{:?} is let out, asked for at member {}", out.unit, out.request_id.by));
+    for out in new.grants.iter().filter(|out| !old.grants.contains(out)) {
+        lines.push(format!("{:?} is let out, asked for at member {}", out.unit, out.request_id.member));
     }
-    for out in old.out.iter().filter(|out| !new.out.contains(out)) {
+    for out in old.grants.iter().filter(|out| !new.grants.contains(out)) {
         lines.push(format!("{:?} is back", out.unit));
     }
 }
@@ -99,17 +105,17 @@
 fn describe_releases(old: &Record, new: &Record, lines: &mut Vec<String>) {
     match (&old.release, &new.release) {
         (None, Some(release)) => {
-            let by = release.request_id.by;
+            let by = release.request_id.member;
             lines.push(format!("release {} begins, by member {by}", release.number));
         }
-        (Some(old), Some(new)) if (old.wave, old.way) != (new.wave, new.way) => {
-            let way = if new.way == Direction::Rollout { "goes on" } else { "goes back" };
+        (Some(old), Some(new)) if (old.wave, old.direction) != (new.wave, new.direction) => {
+            let way = if new.direction == Direction::Rollout { "goes on" } else { "goes back" };
             lines.push(format!("release {} {way}, wave {}", new.number, new.wave + 1));
         }
         _ => {}
     }
     for past in new.past_releases.iter().filter(|past| !old.past_releases.contains(past)) {
-        let PastRelease { number, close, changed, .. } = past;
+        let PastRelease { number, outcome: close, changed, .. } = past;
         lines.push(format!("release {number} is over: {close:?}, {changed} units changed"));
     }
 }
--- a/balancer/fleet-policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -6,7 +6,7 @@
 
 use super::{Environment, Member, MemberRules};
 use crate::message::{Message, RequestKind};
-use crate::record::{Close, Halt, Part, RequestId, Step};
+use crate::record::{Halt, ReleaseOutcome, ReleasePart, RequestId, Step};
 
 /// A wave whose units all have the release's build and are in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -36,8 +36,8 @@
 
 impl<O: Environment, L: MemberRules> Member<O, L> {
     /// The release whose units are watched now.
-    pub fn watched(&self) -> Option<u64> {
-        let forth = self.record.release.as_ref().filter(|release| release.way == Direction::Rollout);
+    pub fn watched_release(&self) -> Option<u64> {
+        let forth = self.record.release.as_ref().filter(|release| release.direction == Direction::Rollout);
         forth.map(|release| release.number)
     }
 
@@ -47,23 +47,34 @@
         let plan = self.environment.plan(release.hash)?;
         // A rollback waits only for units that this release has taken out of service: one that it never
         // touched, and that is down for another cause, must not delay it.
-        let forth = release.way == Direction::Rollout;
-        let mine = |part: Option<Part>| part.is_some_and(|part| part.release == release.number);
-        let out = self.record.out.iter().filter(|out| forth || mine(out.part));
+        let forth = release.direction == Direction::Rollout;
+        let mine = |part: Option<ReleasePart>| part.is_some_and(|part| part.release == release.number);
+        let out = self.record.grants.iter().filter(|out| forth || mine(out.release_part));
         let mut out: Vec<Unit> = out.map(|out| out.unit).collect();
         let away = self.away(now);
         out.extend(plan.units.iter().filter(|unit| match unit {
             _ if !forth => false,
             Unit::Balancer(number) => away.contains(number),
-            Unit::Server(key) => !self.environment.is_full(*key),
+            Unit::Server(key) => !self.environment.is_server_in_service(*key),
         }));
         let (wave, changed) = (release.wave as usize, &release.changed);
-        Some(see(&Progress { plan: &plan, direction: release.way, wave, changed, out_of_service: &out }))
+        Some(see(&Progress {
+            plan: &plan,
+            direction: release.direction,
+            wave,
+            changed,
+            out_of_service: &out,
+        }))
     }
 
     /// The part of the release `of` that a unit would restart for, or why it may not. Guards against a request
     /// for a release that is over: it must not be granted as one for another cause.
-    pub fn part_of(&self, now: u64, unit: Unit, of: Option<u64>) -> Result<Option<Part>, RestartRefusal> {
+    pub fn release_part(
+        &self,
+        now: u64,
+        unit: Unit,
+        of: Option<u64>,
+    ) -> Result<Option<ReleasePart>, RestartRefusal> {
         let Some(number) = of else { return Ok(None) };
         let release = self
             .record
@@ -73,16 +84,20 @@
             .ok_or(RestartRefusal::ReleaseNotUnderWay)?;
         let of = |progress: &Progress| {
             let place = progress.plan.index_of(unit).ok_or(RestartRefusal::NotInPlan)?;
-            L::may_go_by(progress, place)?;
-            Ok(Some(Part { release: release.number, place: place as u16, way: release.way }))
+            L::check_release_order(progress, place)?;
+            Ok(Some(ReleasePart {
+                release: release.number,
+                unit_index: place as u16,
+                direction: release.direction,
+            }))
         };
         self.progress(now, of).unwrap_or(Err(RestartRefusal::PlanUnknown))
     }
 
     pub(super) fn record_wave(&mut self, now: u64) {
-        let complete = self.progress(now, |progress| L::next_of(progress, u64::MAX).is_some());
+        let complete = self.progress(now, |progress| L::next_phase(progress, u64::MAX).is_some());
         let known = self.record.release.as_ref().filter(|_| complete == Some(true));
-        let known = known.map(|release| (release.number, release.wave, release.way));
+        let known = known.map(|release| (release.number, release.wave, release.direction));
         let same = |before: &CompleteWave| known == Some((before.release, before.wave, before.way));
         if !self.complete.as_ref().is_some_and(same) {
             self.complete = known.map(|(release, wave, way)| CompleteWave { release, wave, way, since: now });
@@ -90,15 +105,15 @@
     }
 
     pub(super) fn send_observations(&mut self, now: u64) {
-        let Some(release) = self.watched() else { return };
+        let Some(release) = self.watched_release() else { return };
         let rows = self.environment.observations(&self.record);
         if !rows.is_empty() {
             self.serial += 1;
             let (start, serial) = (self.start, self.serial);
             for voter in self.voters() {
                 let figures = Message::Observations { release, start, serial, rows: rows.clone() };
-                if voter == self.settings.me {
-                    self.received(now, voter, figures);
+                if voter == self.settings.member {
+                    self.receive(now, voter, figures);
                 } else {
                     self.environment.send(voter, figures);
                 }
@@ -126,8 +141,8 @@
         serial: u32,
         rows: Vec<ObservationRow>,
     ) {
-        let halted = self.record.halted.is_some();
-        if Some(release) != self.watched() || !self.is_voter() || halted {
+        let halted = self.record.halt.is_some();
+        if Some(release) != self.watched_release() || !self.is_voter() || halted {
             return;
         }
         if self.release_test.is_none() {
@@ -150,60 +165,67 @@
     }
 
     /// For how many milliseconds the present wave has been complete; none if it is not.
-    pub fn watched_for(&self, now: u64) -> Option<u64> {
+    pub fn watch_time_ms(&self, now: u64) -> Option<u64> {
         self.complete.map(|complete| now.saturating_sub(complete.since) / 1000)
     }
 
     /// The state of this voter's test of the build of the release under way.
-    pub fn evidence(&self) -> Option<&BuildTest> {
+    pub fn build_test(&self) -> Option<&BuildTest> {
         self.release_test.as_ref().map(|release_test| &release_test.evidence)
     }
 
     /// A release whose changed units do worse is halted.
     pub(super) fn halt_for_cause(&self) -> Option<Step> {
         let (why, serial) = self.release_test.as_ref()?.against.as_ref()?;
-        let request_id = RequestId { by: self.settings.me, serial: *serial };
-        let new = self.record.halted.is_none() && !self.record.knows(request_id);
-        new.then(|| Step::Halt { halt: Halt { request_id, why: why.clone() } })
+        let request_id = RequestId { member: self.settings.member, serial: *serial };
+        let new = self.record.halt.is_none() && !self.record.has_applied(request_id);
+        new.then(|| Step::Halt { halt: Halt { request_id, reason: why.clone() } })
     }
 
     /// The next step of the release: an operator's request goes before its next wave.
     pub(super) fn release(&self, now: u64) -> Option<Step> {
-        let new = || self.requests.iter().filter(|wanted| !self.record.knows(wanted.request_id));
+        let new = || self.requests.iter().filter(|wanted| !self.record.has_applied(wanted.request_id));
         let Some(release) = &self.record.release else {
             return new().find_map(|wanted| match wanted.request {
-                RequestKind::Release { hash, length } => {
-                    Some(Step::Release { hash, length, request_id: wanted.request_id })
+                RequestKind::BeginRelease { hash, length } => {
+                    Some(Step::BeginRelease { hash, length, request_id: wanted.request_id })
                 }
                 _ => None,
             });
         };
         let number = release.number;
         let requested = new().find_map(|wanted| match wanted.request {
-            RequestKind::Leave { number: of } if of == number => {
-                Some(Step::Close { number, close: Close::Left, request_id: Some(wanted.request_id) })
-            }
-            RequestKind::Turn { number: of } if of == number && release.way == Direction::Rollout => {
-                Some(Step::Turn { number, request_id: wanted.request_id })
+            RequestKind::EndRelease { number: of } if of == number => Some(Step::EndRelease {
+                number,
+                outcome: ReleaseOutcome::Left,
+                request_id: Some(wanted.request_id),
+            }),
+            RequestKind::RollBack { number: of }
+                if of == number && release.direction == Direction::Rollout =>
+            {
+                Some(Step::RollBack { number, request_id: wanted.request_id })
             }
             _ => None,
         });
         // During a halt no wave begins. A rollback has no halt of its own.
-        let halted = self.record.halted.is_some();
+        let halted = self.record.halt.is_some();
         // A leader that has just started can't know who is absent.
-        let knows = now >= self.began + self.settings.absent;
+        let knows = now >= self.began + self.settings.absence_timeout_us;
         requested.or_else(|| {
             let CompleteWave { since, .. } = self.complete.filter(|known| {
                 !halted
                     && knows
-                    && (known.release, known.wave, known.way) == (number, release.wave, release.way)
+                    && (known.release, known.wave, known.way) == (number, release.wave, release.direction)
             })?;
-            Some(match self.progress(now, |progress| L::next_of(progress, now - since))?? {
-                NextPhase::Wave(to) => Step::Wave { number, from: release.wave, to: to as u16 },
+            Some(match self.progress(now, |progress| L::next_phase(progress, now - since))?? {
+                NextPhase::Wave(to) => Step::AdvanceWave { number, from: release.wave, to: to as u16 },
                 NextPhase::Complete => {
-                    let close =
-                        if release.way == Direction::Rollout { Close::Done } else { Close::TakenBack };
-                    Step::Close { number, close, request_id: None }
+                    let close = if release.direction == Direction::Rollout {
+                        ReleaseOutcome::Done
+                    } else {
+                        ReleaseOutcome::TakenBack
+                    };
+                    Step::EndRelease { number, outcome: close, request_id: None }
                 }
             })
         })
--- a/balancer/fleet-policy/src/member/rules.rs
+++ b/balancer/fleet-policy/src/member/rules.rs
@@ -12,8 +12,8 @@
 /// The protocol rules of a member, beside those of counting votes; tests replace one by a fault.
 pub trait MemberRules: whinspindle_consensus::ConsensusRules {
     /// When a lease expires that was asked for at `asked` and whose grant arrived at `now`.
-    fn right_until(asked: u64, _now: u64, settings: &MemberSettings) -> u64 {
-        asked + settings.right
+    fn lease_expiry(asked: u64, _now: u64, settings: &MemberSettings) -> u64 {
+        asked + settings.lease_us
     }
 
     /// Whether a voter may grant leases by the record it knows as agreed, when it has accepted `voted`. Guards
@@ -27,32 +27,32 @@
     }
 
     /// Whether a grant, by its voter set version and policy number, counts for the record known now.
-    fn is_for(granted: (u64, u64), voter_set_version: u64, number: u64) -> bool {
+    fn is_grant_current(granted: (u64, u64), voter_set_version: u64, number: u64) -> bool {
         granted == (voter_set_version, number)
     }
 
     /// When the next policy may come into force, if the present one was learned of at `learned`.
-    fn next_after(learned: u64, settings: &MemberSettings) -> u64 {
-        learned + settings.window()
+    fn earliest_activation(learned: u64, settings: &MemberSettings) -> u64 {
+        learned + settings.expiry_window_us()
     }
 
     /// The request id that a grant is recorded under: that of the request, so that it is carried out once.
-    fn wish_of(wanted: RequestId, _agreed: &Record) -> RequestId {
+    fn recorded_request_id(wanted: RequestId, _agreed: &Record) -> RequestId {
         wanted
     }
 
     /// The balancers that count as out of service without a grant: those that are away.
-    fn out_without(away: BTreeSet<u16>) -> BTreeSet<u16> {
+    fn out_without_grant(away: BTreeSet<u16>) -> BTreeSet<u16> {
         away
     }
 
     /// Whether the unit at this index of the plan may restart by the release under way.
-    fn may_go_by(progress: &Progress, place: usize) -> Result<(), RestartRefusal> {
+    fn check_release_order(progress: &Progress, place: usize) -> Result<(), RestartRefusal> {
         progress.check_restart(place)
     }
 
     /// What follows the present wave, which has been complete and watched for `watched` microseconds.
-    fn next_of(progress: &Progress, watched: u64) -> Option<NextPhase> {
+    fn next_phase(progress: &Progress, watched: u64) -> Option<NextPhase> {
         progress.next_phase(watched)
     }
 }
--- a/balancer/fleet-policy/src/member/texts.rs
+++ b/balancer/fleet-policy/src/member/texts.rs
@@ -24,17 +24,17 @@
 
     /// How far this member is with the change under way.
     pub fn readiness(&self) -> Readiness {
-        let Some(change) = self.record.next else { return Readiness::Nothing };
+        let Some(change) = self.record.pending_change else { return Readiness::NoChange };
         let number = change.policy.number;
         match self.verdicts.get(&number) {
             Some(Ok(())) => Readiness::Ready(number),
-            Some(Err(objection)) => Readiness::Objects(number, objection.clone()),
-            None => Readiness::Lacks(self.texts.lacks(change.policy.hash)),
+            Some(Err(objection)) => Readiness::Objected(number, objection.clone()),
+            None => Readiness::MissingChunks(self.texts.lacks(change.policy.hash)),
         }
     }
 
     /// Takes a text that the process has on its own disk.
-    pub fn hold(&mut self, text: &[u8]) {
+    pub fn add_text(&mut self, text: &[u8]) {
         self.texts.put(text);
         self.prove();
     }
@@ -43,10 +43,10 @@
     pub fn proved(&mut self, now: u64, number: u64, verdict: Result<(), Objection>) {
         self.proving.remove(&number);
         match &verdict {
-            Ok(()) => self.environment.tell(format!("policy {number} is proved")),
+            Ok(()) => self.environment.log(format!("policy {number} is proved")),
             Err(objection) => {
-                let Objection { line, words } = objection;
-                self.environment.tell(format!("policy {number} can't be proved: line {line}: {words}"));
+                let Objection { line, reason: words } = objection;
+                self.environment.log(format!("policy {number} can't be proved: line {line}: {words}"));
             }
         }
         self.verdicts.insert(number, verdict);
@@ -59,7 +59,7 @@
 
     /// The policies that have to be proved.
     pub(super) fn policies_to_prove(&self) -> impl Iterator<Item = Policy> + use<O, L> {
-        let next = self.record.next.map(|change| change.policy);
+        let next = self.record.pending_change.map(|change| change.policy);
         let wanted = [Some(self.record.policy), next].into_iter().flatten();
         wanted.filter(|policy| policy.number > 0).collect::<Vec<_>>().into_iter()
     }
@@ -73,7 +73,7 @@
         }
         let Some(hash) = self.record.release.as_ref().map(|release| release.hash) else { return };
         if let Some(text) = self.texts.get(hash).filter(|_| self.environment.plan(hash).is_none()) {
-            self.environment.plan_came(hash, text);
+            self.environment.plan_received(hash, text);
         }
     }
 
@@ -82,20 +82,20 @@
         if now < self.next_fetch {
             return;
         }
-        let next = self.record.next;
+        let next = self.record.pending_change;
         let release = self.record.release.as_ref();
         let by = next
-            .map(|change| change.request_id.by)
+            .map(|change| change.request_id.member)
             .into_iter()
-            .chain(release.map(|release| release.request_id.by));
+            .chain(release.map(|release| release.request_id.member));
         let sources: BTreeSet<u16> = self.voters().into_iter().chain(by).collect();
         let mut sources: Vec<u16> =
-            sources.into_iter().filter(|source| *source != self.settings.me).collect();
+            sources.into_iter().filter(|source| *source != self.settings.member).collect();
         // Guards against a text that no voter has any more: now and then another member is asked for it.
         if self.fetches % 4 == 3 && self.source.is_none() {
-            let all = usize::from(self.settings.members);
+            let all = usize::from(self.settings.member_count);
             sources = vec![(self.fetches / 4 % all) as u16];
-            sources.retain(|source| *source != self.settings.me);
+            sources.retain(|source| *source != self.settings.member);
         }
         let plan = release.map(|release| (release.hash, release.length));
         let texts: Vec<(Hash, u32)> =
@@ -107,7 +107,7 @@
                 return;
             }
             let source = self.source.take().unwrap_or(sources[self.fetches % sources.len()]);
-            self.next_fetch = now + self.settings.pace / 4;
+            self.next_fetch = now + self.settings.renewal_interval_us / 4;
             self.fetching = Some((hash, chunk, missing));
             self.environment.send(source, Message::Fetch { hash, chunk, missing });
             return;
--- a/balancer/fleet-policy/src/message.rs
+++ b/balancer/fleet-policy/src/message.rs
@@ -11,8 +11,8 @@
 pub struct Objection {
     /// Line of the policy's text, from 1; 0 for the text as a whole.
     pub line: u32,
-    /// The fault, for operators.
-    pub words: String,
+    /// What is wrong, as a message for operators.
+    pub reason: String,
 }
 
 /// How far a member is with the change under way.
@@ -20,18 +20,18 @@
 pub enum Readiness {
     /// No change is under way.
     #[default]
-    Nothing,
+    NoChange,
     /// So many chunks of its text are missing.
-    Lacks(u64),
+    MissingChunks(u64),
     /// It has proved the policy with this number.
     Ready(u64),
     /// It can't prove the policy with this number.
-    Objects(u64, Objection),
+    Objected(u64, Objection),
 }
 
 /// What a member decides by now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Right {
+pub enum LeaseState {
     /// It has just started and doesn't know yet what is in force.
     #[default]
     Learning,
@@ -45,9 +45,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// A follower asks a voter to renew its lease.
-    Ask {
+    RenewLease {
         /// The follower's clock in microseconds, from which the lease counts.
-        at: u64,
+        asked_at: u64,
         /// Of the follower's durable state.
         incarnation: u64,
         /// The start number of the follower's process.
@@ -57,14 +57,14 @@
         /// Of the record it knows.
         version: u64,
         /// What it decides by.
-        right: Right,
+        lease_state: LeaseState,
         /// How far it is with the change under way.
         readiness: Readiness,
     },
     /// A voter grants a lease.
-    Grant {
+    GrantLease {
         /// From the request: the follower's clock, from which the lease counts.
-        at: u64,
+        asked_at: u64,
         /// From the request: the start number of the follower's process.
         start: u64,
         /// Who grants it.
@@ -146,7 +146,7 @@
         rows: Vec<ObservationRow>,
     },
     /// A message of another part of the process, which the member passes through unread.
-    Aside {
+    Opaque {
         /// Its encoding.
         bytes: Vec<u8>,
     },
@@ -175,45 +175,45 @@
         number: u64,
     },
     /// Leave for a unit to restart.
-    Out {
+    TakeOut {
         /// The unit.
         unit: Unit,
         /// The number of the release that it restarts for; none for another cause.
         release: Option<u64>,
     },
     /// A unit has returned to service.
-    Back {
+    Return {
         /// The unit.
         unit: Unit,
         /// Whether it has the build that it was restarted for.
         done: bool,
     },
     /// A new release.
-    Release {
+    BeginRelease {
         /// Of its plan's text.
         hash: Hash,
         /// Of its plan's text, in bytes.
         length: u32,
     },
     /// The release is rolled back.
-    Turn {
+    RollBack {
         /// The number of the release.
         number: u64,
     },
     /// The release ends as it stands.
-    Leave {
+    EndRelease {
         /// The number of the release.
         number: u64,
     },
     /// No unit gets leave to restart any more.
     Halt {
         /// The cause, for operators.
-        why: String,
+        reason: String,
     },
     /// Units get leave again.
     Resume,
     /// A voter is replaced by another member.
-    Voters {
+    ReplaceVoter {
         /// The member that votes now.
         old: u16,
         /// The member that votes in its place.
--- a/balancer/fleet-policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// The member that the operator asked.
-    pub by: u16,
+    pub member: u16,
     /// A random number.
     pub serial: u64,
 }
@@ -87,7 +87,7 @@
 
 /// A change that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Past {
+pub struct PastChange {
     /// The change.
     pub change: Change,
     /// How it ended.
@@ -96,26 +96,26 @@
 
 /// A unit that was granted leave to restart and has not returned to service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Out {
+pub struct RestartGrant {
     /// The balancer or server.
     pub unit: Unit,
     /// The request; its serial number is chosen by the supervisor, so that asking again is harmless.
     pub request_id: RequestId,
     /// Of a balancer: the start number of its process at the grant. A process with another one has restarted.
-    pub start: u64,
+    pub process_start: u64,
     /// The part of a release that it restarts for; none if it restarts for another cause.
-    pub part: Option<Part>,
+    pub release_part: Option<ReleasePart>,
 }
 
 /// One unit's part in a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Part {
+pub struct ReleasePart {
     /// The number of the release.
     pub release: u64,
     /// The unit's index in the plan.
-    pub place: u16,
+    pub unit_index: u16,
     /// Whether the unit gets the new build or the old one back.
-    pub way: Direction,
+    pub direction: Direction,
 }
 
 /// A release under way; its plan is a text that members fetch in chunks as they do a policy's.
@@ -130,7 +130,7 @@
     /// The request that began it.
     pub request_id: RequestId,
     /// Whether units get the new build or the old one back.
-    pub way: Direction,
+    pub direction: Direction,
     /// The wave whose units may restart now, from 0.
     pub wave: u16,
     /// Units that run the new build, by their indices in the plan.
@@ -139,7 +139,7 @@
 
 /// How a release ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Close {
+pub enum ReleaseOutcome {
     /// All its units run the new build.
     Done,
     /// Units that had changed run the old build again.
@@ -158,7 +158,7 @@
     /// The request that began it.
     pub request_id: RequestId,
     /// How it ended.
-    pub close: Close,
+    pub outcome: ReleaseOutcome,
     /// How many units ran the new build at its end.
     pub changed: u16,
 }
@@ -169,7 +169,7 @@
     /// The request: an operator's, or of a member whose release test found the new build worse.
     pub request_id: RequestId,
     /// The cause, for operators.
-    pub why: String,
+    pub reason: String,
 }
 
 /// What the fleet agrees on: the value of its consensus register.
@@ -186,24 +186,24 @@
     /// The policy in force.
     pub policy: Policy,
     /// The change under way.
-    pub next: Option<Change>,
+    pub pending_change: Option<Change>,
     /// The last changes that ended, the newest at the end.
-    pub past: Vec<Past>,
+    pub past_changes: Vec<PastChange>,
     /// Units that are out of service by grants.
-    pub out: Vec<Out>,
+    pub grants: Vec<RestartGrant>,
     /// The halt of grants that stands.
-    pub halted: Option<Halt>,
+    pub halt: Option<Halt>,
     /// The release under way.
     pub release: Option<Release>,
     /// The number of the last release.
-    pub releases: u64,
+    pub last_release_number: u64,
     /// The last releases that ended, the newest at the end.
     pub past_releases: Vec<PastRelease>,
     /// The last requests about units, releases and voters that were carried out. Guards against one that is
     /// still on its way, or kept by a voter, when another has undone it: it must not be carried out again.
-    pub done: Vec<RequestId>,
+    pub completed_requests: Vec<RequestId>,
     /// The highest number that a change ever had.
-    pub highest: u64,
+    pub highest_policy_number: u64,
 }
 
 impl RegisterValue for Record {
@@ -244,18 +244,19 @@
     }
 
     /// Whether the record has room for a grant of the unit; the limits are another matter.
-    pub fn may_take_out(&self, unit: Unit) -> bool {
-        self.halted.is_none() && self.out_as(unit).is_none() && self.out.len() < MAX_UNITS_OUT
+    pub fn can_grant(&self, unit: Unit) -> bool {
+        self.halt.is_none() && self.grant_of(unit).is_none() && self.grants.len() < MAX_UNITS_OUT
     }
 
     /// The grant by which a unit is out of service.
-    pub fn out_as(&self, unit: Unit) -> Option<&Out> {
-        self.out.iter().find(|out| out.unit == unit)
+    pub fn grant_of(&self, unit: Unit) -> Option<&RestartGrant> {
+        self.grants.iter().find(|out| out.unit == unit)
     }
 
     /// Whether this request has led to a change already.
-    pub fn knows(&self, request_id: RequestId) -> bool {
-        let past = self.past.iter().map(|past| past.change);
-        self.done.contains(&request_id) || past.chain(self.next).any(|change| change.request_id == request_id)
+    pub fn has_applied(&self, request_id: RequestId) -> bool {
+        let past = self.past_changes.iter().map(|past| past.change);
+        self.completed_requests.contains(&request_id)
+            || past.chain(self.pending_change).any(|change| change.request_id == request_id)
     }
 }
--- a/balancer/fleet-policy/src/record/step.rs
+++ b/balancer/fleet-policy/src/record/step.rs
@@ -1,4 +1,4 @@
-//! The transitions of the record. A voter proposes a `Step`; `Record::after` applies it, or answers that it no
+//! The transitions of the record. A voter proposes a `Step`; `Record::apply_step` applies it, or answers that it no
 //! longer applies.
 
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,8 @@
 use whinspindle_rollout::{Direction, Unit, UnitSet};
 
 use super::{
-    Change, ChangeOutcome, Close, Halt, Hash, Out, Past, PastRelease, Policy, Record, Release, RequestId,
+    Change, ChangeOutcome, Halt, Hash, PastChange, PastRelease, Policy, Record, Release, ReleaseOutcome,
+    RequestId, RestartGrant,
 };
 
 /// Requests about units, releases and voters that are remembered as carried out.
@@ -40,7 +41,7 @@
         request_id: RequestId,
     },
     /// The change under way ends.
-    End {
+    EndChange {
         /// The number of its policy.
         number: u64,
         /// How it ends.
@@ -49,10 +50,10 @@
     /// A unit may leave service to be restarted.
     Grant {
         /// The unit and the request for it.
-        out: Out,
+        grant: RestartGrant,
     },
     /// A unit is in service again.
-    Back {
+    Return {
         /// The unit.
         unit: Unit,
         /// The request that says so.
@@ -61,7 +62,7 @@
         done: bool,
     },
     /// A release begins.
-    Release {
+    BeginRelease {
         /// Of the plan's text.
         hash: Hash,
         /// Of the plan's text, in bytes.
@@ -70,7 +71,7 @@
         request_id: RequestId,
     },
     /// The release goes on to another wave.
-    Wave {
+    AdvanceWave {
         /// The number of the release.
         number: u64,
         /// The wave that is complete.
@@ -79,18 +80,18 @@
         to: u16,
     },
     /// The release is rolled back.
-    Turn {
+    RollBack {
         /// The number of the release.
         number: u64,
         /// The request for it.
         request_id: RequestId,
     },
     /// The release ends.
-    Close {
+    EndRelease {
         /// The number of the release.
         number: u64,
         /// How it ends.
-        close: Close,
+        outcome: ReleaseOutcome,
         /// The request for it; none where its last wave is complete.
         request_id: Option<RequestId>,
     },
@@ -104,8 +105,8 @@
         /// The request for it.
         request_id: RequestId,
     },
-    /// One voter is replaced by another; both voter sets vote until `Settle`.
-    Replace {
+    /// One voter is replaced by another; both voter sets vote until `SettleVoters`.
+    ReplaceVoter {
         /// The voter that leaves.
         old: Voter,
         /// The voter that takes its seat.
@@ -114,12 +115,12 @@
         request_id: Option<RequestId>,
     },
     /// The replacement is complete: only the new voter set votes.
-    Settle,
+    SettleVoters,
 }
 
 impl Record {
     /// The record after a step; none where the step doesn't apply (any more).
-    pub fn after(&self, step: &Step) -> Option<Record> {
+    pub fn apply_step(&self, step: &Step) -> Option<Record> {
         let mut next = Record { version: self.version + 1, ..self.clone() };
         next.apply(step)?;
         (next.bootstrap_id != 0).then_some(next)
@@ -130,32 +131,34 @@
             Step::Finish => None,
             Step::Bootstrap { bootstrap_id, ref base } => self.bootstrap(bootstrap_id, base),
             Step::Propose { hash, length, request_id } => self.propose(hash, length, request_id),
-            Step::End { number, outcome } => self.end_change(number, outcome),
-            Step::Grant { out } => self.grant(out),
-            Step::Back { unit, request_id, done } => self.return_unit(unit, request_id, done),
-            Step::Release { hash, length, request_id } => self.begin_release(hash, length, request_id),
-            Step::Wave { number, from, to } => {
+            Step::EndChange { number, outcome } => self.end_change(number, outcome),
+            Step::Grant { grant: out } => self.grant(out),
+            Step::Return { unit, request_id, done } => self.return_unit(unit, request_id, done),
+            Step::BeginRelease { hash, length, request_id } => self.begin_release(hash, length, request_id),
+            Step::AdvanceWave { number, from, to } => {
                 let release = self.release.as_mut().filter(|on| on.number == number && on.wave == from)?;
                 release.wave = to;
                 Some(())
             }
-            Step::Turn { number, request_id } => self.roll_back_release(number, request_id),
-            Step::Close { number, close, request_id } => self.close_release(number, close, request_id),
+            Step::RollBack { number, request_id } => self.roll_back_release(number, request_id),
+            Step::EndRelease { number, outcome: close, request_id } => {
+                self.close_release(number, close, request_id)
+            }
             Step::Halt { ref halt } => self.halt(halt),
             Step::Resume { request_id } => self.resume(request_id),
-            Step::Replace { old, new, request_id } => self.replace_voter(old, new, request_id),
-            Step::Settle => self.settle_voters(),
+            Step::ReplaceVoter { old, new, request_id } => self.replace_voter(old, new, request_id),
+            Step::SettleVoters => self.settle_voters(),
         }
     }
 
     /// Marks a request as carried out; none if it was before.
     fn do_once(&mut self, request_id: RequestId) -> Option<()> {
-        if self.done.contains(&request_id) {
+        if self.completed_requests.contains(&request_id) {
             return None;
         }
-        self.done.push(request_id);
-        let over = self.done.len().saturating_sub(MAX_DONE_REQUESTS);
-        self.done.drain(..over);
+        self.completed_requests.push(request_id);
+        let over = self.completed_requests.len().saturating_sub(MAX_DONE_REQUESTS);
+        self.completed_requests.drain(..over);
         Some(())
     }
 
@@ -168,55 +171,56 @@
             version: base.version + 1,
             voter_set_version: base.voter_set_version + 1,
             voter_sets: std::mem::take(&mut self.voter_sets),
-            next: None,
+            pending_change: None,
             ..base.clone()
         };
         if base.bootstrap_id != 0 {
             // Numbers that only lost voters know of must not be given to other policies.
-            self.highest = (base.highest / NUMBERS_PER_BOOTSTRAP + 1) * NUMBERS_PER_BOOTSTRAP;
+            self.highest_policy_number =
+                (base.highest_policy_number / NUMBERS_PER_BOOTSTRAP + 1) * NUMBERS_PER_BOOTSTRAP;
         }
         Some(())
     }
 
     fn propose(&mut self, hash: Hash, length: u32, request_id: RequestId) -> Option<()> {
-        if self.next.is_some() || self.knows(request_id) {
+        if self.pending_change.is_some() || self.has_applied(request_id) {
             return None;
         }
-        self.highest += 1;
-        let policy = Policy { number: self.highest, hash, length };
-        self.next = Some(Change { policy, request_id });
+        self.highest_policy_number += 1;
+        let policy = Policy { number: self.highest_policy_number, hash, length };
+        self.pending_change = Some(Change { policy, request_id });
         Some(())
     }
 
     fn end_change(&mut self, number: u64, outcome: ChangeOutcome) -> Option<()> {
-        let change = self.next.take_if(|change| change.policy.number == number)?;
+        let change = self.pending_change.take_if(|change| change.policy.number == number)?;
         if outcome == ChangeOutcome::InForce {
             self.policy = change.policy;
         }
-        self.past.push(Past { change, outcome });
-        let over = self.past.len().saturating_sub(MAX_PAST_CHANGES);
-        self.past.drain(..over);
+        self.past_changes.push(PastChange { change, outcome });
+        let over = self.past_changes.len().saturating_sub(MAX_PAST_CHANGES);
+        self.past_changes.drain(..over);
         Some(())
     }
 
-    fn grant(&mut self, out: Out) -> Option<()> {
-        if !self.may_take_out(out.unit) {
+    fn grant(&mut self, out: RestartGrant) -> Option<()> {
+        if !self.can_grant(out.unit) {
             return None;
         }
         self.do_once(out.request_id)?;
-        self.out.push(out);
+        self.grants.push(out);
         Some(())
     }
 
     fn return_unit(&mut self, unit: Unit, request_id: RequestId, done: bool) -> Option<()> {
         self.do_once(request_id)?;
-        let index = self.out.iter().position(|out| out.unit == unit)?;
-        let out = self.out.remove(index);
-        if let (Some(release), Some(part)) = (&mut self.release, out.part)
+        let index = self.grants.iter().position(|out| out.unit == unit)?;
+        let out = self.grants.remove(index);
+        if let (Some(release), Some(part)) = (&mut self.release, out.release_part)
             && done
             && part.release == release.number
         {
-            release.changed.set(part.place as usize, part.way == Direction::Rollout);
+            release.changed.set(part.unit_index as usize, part.direction == Direction::Rollout);
         }
         Some(())
     }
@@ -226,13 +230,13 @@
             return None;
         }
         self.do_once(request_id)?;
-        self.releases += 1;
+        self.last_release_number += 1;
         self.release = Some(Release {
-            number: self.releases,
+            number: self.last_release_number,
             hash,
             length,
             request_id,
-            way: Direction::Rollout,
+            direction: Direction::Rollout,
             wave: 0,
             changed: UnitSet::default(),
         });
@@ -242,39 +246,44 @@
     fn roll_back_release(&mut self, number: u64, request_id: RequestId) -> Option<()> {
         self.do_once(request_id)?;
         let release =
-            self.release.as_mut().filter(|on| on.number == number && on.way == Direction::Rollout)?;
-        release.way = Direction::Rollback;
+            self.release.as_mut().filter(|on| on.number == number && on.direction == Direction::Rollout)?;
+        release.direction = Direction::Rollback;
         // After a halt an operator wants the rollback to proceed.
-        self.halted = None;
+        self.halt = None;
         Some(())
     }
 
-    fn close_release(&mut self, number: u64, close: Close, request_id: Option<RequestId>) -> Option<()> {
+    fn close_release(
+        &mut self,
+        number: u64,
+        close: ReleaseOutcome,
+        request_id: Option<RequestId>,
+    ) -> Option<()> {
         if let Some(request_id) = request_id {
             self.do_once(request_id)?;
         }
         let Release { hash, request_id, changed, .. } =
             self.release.take_if(|release| release.number == number)?;
         let changed = changed.count() as u16;
-        self.past_releases.push(PastRelease { number, hash, request_id, close, changed });
+        self.past_releases.push(PastRelease { number, hash, request_id, outcome: close, changed });
         let over = self.past_releases.len().saturating_sub(MAX_PAST_RELEASES);
         self.past_releases.drain(..over);
         Some(())
     }
 
     fn halt(&mut self, halt: &Halt) -> Option<()> {
-        if self.halted.is_some() {
+        if self.halt.is_some() {
             return None;
         }
         self.do_once(halt.request_id)?;
-        self.halted = Some(halt.clone());
+        self.halt = Some(halt.clone());
         Some(())
     }
 
     fn resume(&mut self, request_id: RequestId) -> Option<()> {
-        self.halted.as_ref()?;
+        self.halt.as_ref()?;
         self.do_once(request_id)?;
-        self.halted = None;
+        self.halt = None;
         Some(())
     }
 
--- a/balancer/fleet-policy/tests/common/records.rs
+++ b/balancer/fleet-policy/tests/common/records.rs
@@ -1,8 +1,8 @@
 //! Records for the fixtures: one with a value in each field and every variant of its enums, and an empty one.
 
 use whinspindle_fleet_policy::{
-    Change, ChangeOutcome, Close, Direction, Halt, Hash, Out, Part, Past, PastRelease, Policy, Record,
-    Release, RequestId, Unit, Voter,
+    Change, ChangeOutcome, Direction, Halt, Hash, PastChange, PastRelease, Policy, Record, Release,
+    ReleaseOutcome, ReleasePart, RequestId, RestartGrant, Unit, Voter,
 };
 use whinspindle_rollout::UnitSet;
 
@@ -21,13 +21,16 @@
 pub fn record() -> Record {
     let past = |number, by, outcome| {
         let policy = Policy { number, hash: hash(number as u8), length: 1000 + number as u32 };
-        Past { change: Change { policy, request_id: RequestId { by, serial: 70_000 + number } }, outcome }
+        PastChange {
+            change: Change { policy, request_id: RequestId { member: by, serial: 70_000 + number } },
+            outcome,
+        }
     };
     let closed = |number, by, close, changed| PastRelease {
         number,
         hash: hash(0x40 + number as u8),
-        request_id: RequestId { by, serial: 90_000 + number },
-        close,
+        request_id: RequestId { member: by, serial: 90_000 + number },
+        outcome: close,
         changed,
     };
     let mut changed = UnitSet::default();
@@ -49,57 +52,64 @@
             ],
         ],
         policy: Policy { number: 1007, hash: hash(0x10), length: 65_536 },
-        next: Some(Change {
+        pending_change: Some(Change {
             policy: Policy { number: 1008, hash: hash(0x20), length: 177 },
-            request_id: RequestId { by: 3, serial: 0xdead_beef_0000_0001 },
+            request_id: RequestId { member: 3, serial: 0xdead_beef_0000_0001 },
         }),
-        past: vec![
+        past_changes: vec![
             past(4, 1, ChangeOutcome::InForce),
             past(5, 2, ChangeOutcome::Withdrawn),
             past(6, 3, ChangeOutcome::Refused(513)),
             past(7, 4, ChangeOutcome::GivenUp),
         ],
-        out: vec![
-            Out {
+        grants: vec![
+            RestartGrant {
                 unit: Unit::Balancer(5),
-                request_id: RequestId { by: 6, serial: 600 },
-                start: 0x7000_0000_0000_0007,
-                part: Some(Part { release: 12, place: 300, way: Direction::Rollback }),
+                request_id: RequestId { member: 6, serial: 600 },
+                process_start: 0x7000_0000_0000_0007,
+                release_part: Some(ReleasePart {
+                    release: 12,
+                    unit_index: 300,
+                    direction: Direction::Rollback,
+                }),
             },
-            Out {
+            RestartGrant {
                 unit: Unit::Server(0xabcd_ef01_2345_6789),
-                request_id: RequestId { by: 8, serial: 800 },
-                start: 0,
-                part: Some(Part { release: 11, place: 2, way: Direction::Rollout }),
+                request_id: RequestId { member: 8, serial: 800 },
+                process_start: 0,
+                release_part: Some(ReleasePart { release: 11, unit_index: 2, direction: Direction::Rollout }),
             },
-            Out {
+            RestartGrant {
                 unit: Unit::Server(9),
-                request_id: RequestId { by: 10, serial: 1000 },
-                start: 1,
-                part: None,
+                request_id: RequestId { member: 10, serial: 1000 },
+                process_start: 1,
+                release_part: None,
             },
         ],
-        halted: Some(Halt {
-            request_id: RequestId { by: 11, serial: 1100 },
-            why: "more fail: größer".to_string(),
+        halt: Some(Halt {
+            request_id: RequestId { member: 11, serial: 1100 },
+            reason: "more fail: größer".to_string(),
         }),
         release: Some(Release {
             number: 12,
             hash: hash(0x30),
             length: 412,
-            request_id: RequestId { by: 12, serial: 1200 },
-            way: Direction::Rollback,
+            request_id: RequestId { member: 12, serial: 1200 },
+            direction: Direction::Rollback,
             wave: 258,
             changed,
         }),
-        releases: 13,
+        last_release_number: 13,
         past_releases: vec![
-            closed(1, 13, Close::Done, 2048),
-            closed(2, 14, Close::TakenBack, 0),
-            closed(3, 15, Close::Left, 128),
+            closed(1, 13, ReleaseOutcome::Done, 2048),
+            closed(2, 14, ReleaseOutcome::TakenBack, 0),
+            closed(3, 15, ReleaseOutcome::Left, 128),
         ],
-        done: vec![RequestId { by: 16, serial: 1600 }, RequestId { by: 65_535, serial: u64::MAX }],
-        highest: 1009,
+        completed_requests: vec![
+            RequestId { member: 16, serial: 1600 },
+            RequestId { member: 65_535, serial: u64::MAX },
+        ],
+        highest_policy_number: 1009,
     }
 }
 
--- a/balancer/fleet-policy/tests/member.rs
+++ b/balancer/fleet-policy/tests/member.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use whinspindle_fleet_policy::{
-    Ballot, DurableState, Environment, Member, MemberSettings, Message, Out, Policy, Readiness, Record,
-    RequestId, RequestKind, RestartRefusal, Right, Unit, Voter,
+    Ballot, DurableState, Environment, LeaseState, Member, MemberSettings, Message, Policy, Readiness,
+    Record, RequestId, RequestKind, RestartGrant, RestartRefusal, Unit, Voter,
 };
 
 const SECOND: u64 = 1_000_000;
@@ -21,27 +21,27 @@
     fn send(&mut self, to: u16, message: Message) {
         self.sent.borrow_mut().push((to, message));
     }
-    fn keep(&mut self, _: &DurableState) -> bool {
+    fn persist(&mut self, _: &DurableState) -> bool {
         !*self.disk_fails.borrow()
     }
     fn prove(&mut self, _: Policy, _: Rc<[u8]>) {}
-    fn may_go(&self, record: &Record, _: Unit, _: &BTreeSet<u16>) -> Result<(), RestartRefusal> {
-        if record.out.is_empty() { Ok(()) } else { Err(RestartRefusal::NoLimit) }
+    fn check_restart(&self, record: &Record, _: Unit, _: &BTreeSet<u16>) -> Result<(), RestartRefusal> {
+        if record.grants.is_empty() { Ok(()) } else { Err(RestartRefusal::NoLimit) }
     }
-    fn tell(&mut self, _: String) {}
+    fn log(&mut self, _: String) {}
 }
 
 fn settings() -> MemberSettings {
     MemberSettings {
-        me: 0,
-        members: 3,
+        member: 0,
+        member_count: 3,
         voters: vec![0, 1, 2],
-        right: 10 * SECOND,
-        drift: 10_000,
-        pace: 2 * SECOND,
-        absent: 10 * SECOND,
-        give_up: 60 * SECOND,
-        learn: 2 * SECOND,
+        lease_us: 10 * SECOND,
+        clock_drift_ppm: 10_000,
+        renewal_interval_us: 2 * SECOND,
+        absence_timeout_us: 10 * SECOND,
+        change_timeout_us: 60 * SECOND,
+        startup_timeout_us: 2 * SECOND,
     }
 }
 
@@ -60,21 +60,21 @@
         member.tick(now);
         for other in [1, 2] {
             let record = bootstrapped();
-            let ask = Message::Ask {
-                at: 1,
+            let ask = Message::RenewLease {
+                asked_at: 1,
                 incarnation: 100 + u64::from(other),
                 start: 1,
                 bootstrap_id: record.bootstrap_id,
                 version: record.version,
-                right: Right::Policy(0),
-                readiness: Readiness::Nothing,
+                lease_state: LeaseState::Policy(0),
+                readiness: Readiness::NoChange,
             };
-            member.received(now, other, ask);
+            member.receive(now, other, ask);
             let voter = Voter { member: other, incarnation: 100 + u64::from(other) };
-            member.received(
+            member.receive(
                 now,
                 other,
-                Message::Grant { at: now, start: 9, voter, voter_set_version: 0, number: 0 },
+                Message::GrantLease { asked_at: now, start: 9, voter, voter_set_version: 0, number: 0 },
             );
         }
     }
@@ -97,25 +97,27 @@
     for other_went_first in [false, true] {
         let (mut member, environment) = leader();
         let now = 20 * SECOND + 1;
-        assert_eq!(member.right(now), Right::Policy(0));
-        member.submit(now, RequestKind::Out { unit: Unit::Balancer(1), release: None }, 3);
+        assert_eq!(member.lease_state(now), LeaseState::Policy(0));
+        member.submit(now, RequestKind::TakeOut { unit: Unit::Balancer(1), release: None }, 3);
         let prepared = environment.sent.take().into_iter().find_map(|(_, message)| match message {
             Message::Prepare { ballot } => Some(ballot),
             _ => None,
         });
         let ballot = prepared.expect("a ballot");
-        let request_id = RequestId { by: 2, serial: 4 };
-        let out = vec![Out { unit: Unit::Balancer(2), request_id, start: 1, part: None }];
-        let other_record = Record { version: 6, out, done: vec![request_id], ..bootstrapped() };
+        let request_id = RequestId { member: 2, serial: 4 };
+        let out =
+            vec![RestartGrant { unit: Unit::Balancer(2), request_id, process_start: 1, release_part: None }];
+        let other_record =
+            Record { version: 6, grants: out, completed_requests: vec![request_id], ..bootstrapped() };
         let earlier = Ballot { round: 0, ..ballot };
         let accepted = other_went_first.then(|| (earlier, other_record.clone()));
         if other_went_first {
-            member.received(now, 1, Message::Update { record: other_record });
+            member.receive(now, 1, Message::Update { record: other_record });
         }
         let voter = Voter { member: 1, incarnation: 101 };
-        member.received(now, 1, Message::Promise { ballot, voter, accepted });
+        member.receive(now, 1, Message::Promise { ballot, voter, accepted });
         let proposed = proposed_records(environment.sent.take());
-        assert!(proposed.iter().all(|record| record.out.len() <= 1), "{proposed:?}");
+        assert!(proposed.iter().all(|record| record.grants.len() <= 1), "{proposed:?}");
         assert_eq!(proposed.is_empty(), other_went_first);
     }
 }
@@ -124,19 +126,19 @@
 /// and the lease would count from a moment at which nobody had granted anything.
 #[test]
 fn a_grant_to_an_earlier_start_is_no_lease() {
-    for (start, right) in [(8, Right::CutOff), (9, Right::Policy(0))] {
+    for (start, right) in [(8, LeaseState::CutOff), (9, LeaseState::Policy(0))] {
         let (mut member, _) = leader();
         let now = 31 * SECOND;
-        assert_eq!(member.right(now), Right::CutOff);
+        assert_eq!(member.lease_state(now), LeaseState::CutOff);
         for other in [1, 2] {
             let voter = Voter { member: other, incarnation: 100 + u64::from(other) };
-            member.received(
+            member.receive(
                 now,
                 other,
-                Message::Grant { at: 30 * SECOND, start, voter, voter_set_version: 0, number: 0 },
+                Message::GrantLease { asked_at: 30 * SECOND, start, voter, voter_set_version: 0, number: 0 },
             );
         }
-        assert_eq!(member.right(now), right, "{start}");
+        assert_eq!(member.lease_state(now), right, "{start}");
     }
 }
 
@@ -145,24 +147,24 @@
     let (mut member, environment) = leader();
     let now = 20 * SECOND + 1;
     let ballot = Ballot { epoch: 1, round: 9, member: 1, start: 5 };
-    let ask = Message::Ask {
-        at: 7,
+    let ask = Message::RenewLease {
+        asked_at: 7,
         incarnation: 101,
         start: 1,
         bootstrap_id: bootstrapped().bootstrap_id,
         version: 5,
-        right: Right::Policy(0),
-        readiness: Readiness::Nothing,
+        lease_state: LeaseState::Policy(0),
+        readiness: Readiness::NoChange,
     };
     let answers = |member: &mut Member<RecordingEnvironment>| {
-        member.received(now, 1, Message::Prepare { ballot });
-        member.received(now, 1, Message::Accept { ballot, record: Record { version: 6, ..bootstrapped() } });
-        member.received(now, 1, ask.clone());
+        member.receive(now, 1, Message::Prepare { ballot });
+        member.receive(now, 1, Message::Accept { ballot, record: Record { version: 6, ..bootstrapped() } });
+        member.receive(now, 1, ask.clone());
         let answers_to_asker = environment.sent.take().into_iter().filter(|(to, _)| *to == 1);
         let kinds = answers_to_asker.map(|(_, message)| match message {
             Message::Promise { .. } => "promise",
             Message::Accepted { .. } => "vote",
-            Message::Grant { .. } => "grant",
+            Message::GrantLease { .. } => "grant",
             _ => "other",
         });
         kinds.collect::<Vec<_>>()
@@ -178,7 +180,7 @@
     for (right, drift, window) in
         [(10 * SECOND, 0, 10 * SECOND), (10 * SECOND, 10_000, 10_202_021), (SECOND, 200_000, 1_500_000)]
     {
-        let settings = MemberSettings { right, drift, ..settings() };
-        assert_eq!(settings.window(), window);
+        let settings = MemberSettings { lease_us: right, clock_drift_ppm: drift, ..settings() };
+        assert_eq!(settings.expiry_window_us(), window);
     }
 }
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -12,8 +12,8 @@
 use common::records::{before_bootstrap, hash, record};
 use fixtures::fixture;
 use whinspindle_fleet_policy::{
-    Ballot, ChangeOutcome, Close, Direction, Message, Objection, ObservationRow, Readiness, RequestId,
-    RequestKind, Right, Unit, Voter,
+    Ballot, ChangeOutcome, Direction, LeaseState, Message, Objection, ObservationRow, Readiness,
+    ReleaseOutcome, RequestId, RequestKind, Unit, Voter,
 };
 use whinspindle_peer_transport::{DroppedDatagrams, MAX_DATAGRAM_BYTES, PeerTransport};
 use whinspindle_rollout::{BALANCER_STRATUM, OutcomeCounts};
@@ -36,29 +36,29 @@
 /// below, and its file.
 fn kind(message: &Message) -> &'static str {
     match message {
-        Message::Ask { .. } => "ask",
-        Message::Grant { .. } => "grant",
+        Message::RenewLease { .. } => "ask",
+        Message::GrantLease { .. } => "grant",
         Message::Update { .. } => "news",
         Message::Fetch { .. } => "fetch",
         Message::Chunk { .. } => "piece",
         Message::OperatorRequest { request, .. } => match request {
             RequestKind::Propose { .. } => "wanted-propose",
             RequestKind::Withdraw { .. } => "wanted-withdraw",
-            RequestKind::Out { .. } => "wanted-out",
-            RequestKind::Back { .. } => "wanted-back",
-            RequestKind::Release { .. } => "wanted-release",
-            RequestKind::Turn { .. } => "wanted-turn",
-            RequestKind::Leave { .. } => "wanted-leave",
+            RequestKind::TakeOut { .. } => "wanted-out",
+            RequestKind::Return { .. } => "wanted-back",
+            RequestKind::BeginRelease { .. } => "wanted-release",
+            RequestKind::RollBack { .. } => "wanted-turn",
+            RequestKind::EndRelease { .. } => "wanted-leave",
             RequestKind::Halt { .. } => "wanted-halt",
             RequestKind::Resume => "wanted-resume",
-            RequestKind::Voters { .. } => "wanted-voters",
+            RequestKind::ReplaceVoter { .. } => "wanted-voters",
         },
         Message::Prepare { .. } => "prepare",
         Message::Promise { .. } => "promise",
         Message::Accept { .. } => "accept",
         Message::Accepted { .. } => "accepted",
         Message::Observations { .. } => "figures",
-        Message::Aside { .. } => "aside",
+        Message::Opaque { .. } => "aside",
         Message::Refuse { .. } => "refuse",
     }
 }
@@ -71,14 +71,14 @@
     Ballot { epoch: first, round: first + 1000, member: first as u16 + 2, start: first << 56 | 3 }
 }
 
-fn ask(right: Right, readiness: Readiness) -> Message {
-    Message::Ask {
-        at: 1_800_000_000_000_001,
+fn ask(right: LeaseState, readiness: Readiness) -> Message {
+    Message::RenewLease {
+        asked_at: 1_800_000_000_000_001,
         incarnation: 0xb1b2_b3b4_b5b6_b7b8,
         start: 0xc1c2_c3c4_c5c6_c7c9,
         bootstrap_id: 1 << 48 | 77,
         version: 300,
-        right,
+        lease_state: right,
         readiness,
     }
 }
@@ -86,13 +86,13 @@
 fn request(by: u16, request: RequestKind) -> Message {
     Message::OperatorRequest {
         request,
-        request_id: RequestId { by, serial: 0x5000_0000_0000_0000 + u64::from(by) },
+        request_id: RequestId { member: by, serial: 0x5000_0000_0000_0000 + u64::from(by) },
     }
 }
 
 /// The messages, by what follows the kind in the fixture's name.
 fn messages() -> Vec<(&'static str, Message)> {
-    let objection = Objection { line: 40_000, words: "routes[2].to: no such zone: \"nörd\"".to_string() };
+    let objection = Objection { line: 40_000, reason: "routes[2].to: no such zone: \"nörd\"".to_string() };
     let (voter, other) =
         (Voter { member: 4, incarnation: 0xd1d2_d3d4 }, Voter { member: 3, incarnation: 0xe1e2 });
     let rows = vec![
@@ -110,14 +110,14 @@
         },
     ];
     vec![
-        ("-learning", ask(Right::Learning, Readiness::Nothing)),
-        ("-policy", ask(Right::Policy(1007), Readiness::Lacks(373))),
-        ("-ready", ask(Right::Policy(1008), Readiness::Ready(1009))),
-        ("-cut-off", ask(Right::CutOff, Readiness::Objects(1010, objection))),
+        ("-learning", ask(LeaseState::Learning, Readiness::NoChange)),
+        ("-policy", ask(LeaseState::Policy(1007), Readiness::MissingChunks(373))),
+        ("-ready", ask(LeaseState::Policy(1008), Readiness::Ready(1009))),
+        ("-cut-off", ask(LeaseState::CutOff, Readiness::Objected(1010, objection))),
         (
             "",
-            Message::Grant {
-                at: 5_000_000_001,
+            Message::GrantLease {
+                asked_at: 5_000_000_001,
                 start: 0xa1a2_a3a4_a5a6_a7a9,
                 voter,
                 voter_set_version: 9,
@@ -133,23 +133,26 @@
         ),
         ("", request(1, RequestKind::Propose { hash: hash(0x70), length: 40_001 })),
         ("", request(2, RequestKind::Withdraw { number: 1011 })),
-        ("", request(3, RequestKind::Out { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) })),
-        ("-for-a-cause", request(4, RequestKind::Out { unit: Unit::Balancer(258), release: None })),
-        ("", request(5, RequestKind::Back { unit: Unit::Balancer(259), done: true })),
-        ("-undone", request(6, RequestKind::Back { unit: Unit::Server(260), done: false })),
-        ("", request(7, RequestKind::Release { hash: hash(0x80), length: 40_002 })),
-        ("", request(8, RequestKind::Turn { number: 1012 })),
-        ("", request(9, RequestKind::Leave { number: 1013 })),
-        ("", request(10, RequestKind::Halt { why: "by hand: größer".to_string() })),
+        (
+            "",
+            request(3, RequestKind::TakeOut { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) }),
+        ),
+        ("-for-a-cause", request(4, RequestKind::TakeOut { unit: Unit::Balancer(258), release: None })),
+        ("", request(5, RequestKind::Return { unit: Unit::Balancer(259), done: true })),
+        ("-undone", request(6, RequestKind::Return { unit: Unit::Server(260), done: false })),
+        ("", request(7, RequestKind::BeginRelease { hash: hash(0x80), length: 40_002 })),
+        ("", request(8, RequestKind::RollBack { number: 1012 })),
+        ("", request(9, RequestKind::EndRelease { number: 1013 })),
+        ("", request(10, RequestKind::Halt { reason: "by hand: größer".to_string() })),
         ("", request(11, RequestKind::Resume)),
-        ("", request(12, RequestKind::Voters { old: 261, new: 262 })),
+        ("", request(12, RequestKind::ReplaceVoter { old: 261, new: 262 })),
         ("", Message::Prepare { ballot: ballot(1) }),
         ("", Message::Promise { ballot: ballot(2), voter, accepted: Some((ballot(3), record())) }),
         ("-of-nothing", Message::Promise { ballot: ballot(4), voter: other, accepted: None }),
         ("", Message::Accept { ballot: ballot(5), record: record() }),
         ("", Message::Accepted { ballot: ballot(6), voter: other }),
         ("", Message::Observations { release: 15, start: 0xf1f2_f3f4_f5f6_f7f9, serial: 0x0a0b_0c0d, rows }),
-        ("", Message::Aside { bytes: vec![0, 255, 128, 127, 1] }),
+        ("", Message::Opaque { bytes: vec![0, 255, 128, 127, 1] }),
         ("", Message::Refuse { ballot: ballot(7), promised: ballot(8) }),
     ]
 }
@@ -225,31 +228,31 @@
         ChangeOutcome::Refused(_) => 2,
         ChangeOutcome::GivenUp => 3,
     };
-    let close = |close: Close| match close {
-        Close::Done => 0,
-        Close::TakenBack => 1,
-        Close::Left => 2,
+    let close = |close: ReleaseOutcome| match close {
+        ReleaseOutcome::Done => 0,
+        ReleaseOutcome::TakenBack => 1,
+        ReleaseOutcome::Left => 2,
     };
-    let right = |right: Right| match right {
-        Right::Learning => 0,
-        Right::Policy(_) => 1,
-        Right::CutOff => 2,
+    let right = |right: LeaseState| match right {
+        LeaseState::Learning => 0,
+        LeaseState::Policy(_) => 1,
+        LeaseState::CutOff => 2,
     };
     let readiness = |readiness: Readiness| match readiness {
-        Readiness::Nothing => 0,
-        Readiness::Lacks(_) => 1,
+        Readiness::NoChange => 0,
+        Readiness::MissingChunks(_) => 1,
         Readiness::Ready(_) => 2,
-        Readiness::Objects(..) => 3,
+        Readiness::Objected(..) => 3,
     };
     let all = |count: usize| -> BTreeSet<usize> { (0..count).collect() };
     let known = record();
-    assert_eq!(known.out.iter().map(|out| unit(out.unit)).collect::<BTreeSet<_>>(), all(2));
-    let ways = known.out.iter().filter_map(|out| out.part).map(|part| way(part.way));
+    assert_eq!(known.grants.iter().map(|out| unit(out.unit)).collect::<BTreeSet<_>>(), all(2));
+    let ways = known.grants.iter().filter_map(|out| out.release_part).map(|part| way(part.direction));
     assert_eq!(ways.collect::<BTreeSet<_>>(), all(2));
-    assert_eq!(known.past.iter().map(|past| outcome(past.outcome)).collect::<BTreeSet<_>>(), all(4));
-    assert_eq!(known.past_releases.iter().map(|past| close(past.close)).collect::<BTreeSet<_>>(), all(3));
+    assert_eq!(known.past_changes.iter().map(|past| outcome(past.outcome)).collect::<BTreeSet<_>>(), all(4));
+    assert_eq!(known.past_releases.iter().map(|past| close(past.outcome)).collect::<BTreeSet<_>>(), all(3));
     let asks = messages().into_iter().filter_map(|(_, message)| match message {
-        Message::Ask { right, readiness, .. } => Some((right, readiness)),
+        Message::RenewLease { lease_state: right, readiness, .. } => Some((right, readiness)),
         _ => None,
     });
     let (rights, states): (BTreeSet<_>, BTreeSet<_>) =
--- a/balancer/operator-file/src/draw.rs
+++ b/balancer/operator-file/src/draw.rs
@@ -7,7 +7,7 @@
 const MAX_DRAWN_LINE: usize = 500;
 
 /// The faults of a text as messages for a terminal; `file` is the name that they show.
-pub fn draw(file: &str, text: &str, faults: &[Fault]) -> String {
+pub fn render_faults(file: &str, text: &str, faults: &[Fault]) -> String {
     let renderer = Renderer::plain();
     let mut drawn = String::new();
     for fault in faults {
--- a/balancer/operator-file/src/fleet.rs
+++ b/balancer/operator-file/src/fleet.rs
@@ -20,7 +20,7 @@
 
 /// The table `[fleet]`. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetTerms {
+pub struct FleetSettings {
     /// The fleet's name: members of other fleets are ignored.
     pub name: String,
     /// The members' shared secret.
@@ -32,31 +32,31 @@
     /// The members that vote from the bootstrap on.
     pub voters: Vec<u16>,
     /// How many members the fleet has.
-    pub members: u16,
+    pub member_count: u16,
     /// The number of this member, from 0.
-    pub me: u16,
+    pub member: u16,
     /// How long a lease lasts.
-    pub right: u64,
+    pub lease_us: u64,
     /// The largest deviation of a clock's rate, in millionths.
-    pub drift: u64,
+    pub clock_drift_ppm: u64,
     /// Time between two requests for the lease.
-    pub pace: u64,
+    pub renewal_interval_us: u64,
     /// A member from which nothing was received for so long is taken to be away.
-    pub absent: u64,
+    pub absence_timeout_us: u64,
     /// A change that isn't proved everywhere within this time is given up.
-    pub give_up: u64,
+    pub change_timeout_us: u64,
     /// How long a process that has just started waits for its first lease.
-    pub learn: u64,
+    pub startup_timeout_us: u64,
     /// The largest datagram, in bytes.
-    pub datagram: usize,
+    pub max_datagram_bytes: usize,
     /// Whether neighbours are asked for their endpoint list until discovery has sent one.
-    pub neighbours: bool,
+    pub asks_neighbours: bool,
     /// Whether few requests are taken at a time when the process starts.
-    pub begin_slowly: bool,
+    pub slow_start: bool,
 }
 
 /// Reads the table; none if there is none.
-pub fn fleet(table: &Table, deployment: &Deployment) -> Option<FleetTerms> {
+pub fn fleet(table: &Table, deployment: &Deployment) -> Option<FleetSettings> {
     let t = table.table("fleet")?;
     let members = deployment.terms.balancers.min(u16::MAX as usize) as u16;
     let me = deployment.terms.rank.min(u16::MAX as usize) as u16;
@@ -67,23 +67,23 @@
     let voters = voters(&t, members);
     let Times { right, pace, absent } = times(&t, members);
     let datagram = datagram(&t);
-    Some(FleetTerms {
+    Some(FleetSettings {
         name: t.text("name", None),
         secret: t.text("secret", Some("")),
         socket: PathBuf::from(t.text("socket", None)),
         store: PathBuf::from(t.text("store", None)),
         voters,
-        members,
-        me,
-        right,
-        drift: (t.number("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
-        pace: pace.max(1),
-        absent,
-        give_up: t.time("give-up", Some(60 * SECOND)),
-        learn: t.time("learn", Some(2 * SECOND)),
-        datagram,
-        neighbours: t.flag("neighbours", true),
-        begin_slowly: t.flag("begin-slowly", true),
+        member_count: members,
+        member: me,
+        lease_us: right,
+        clock_drift_ppm: (t.number("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
+        renewal_interval_us: pace.max(1),
+        absence_timeout_us: absent,
+        change_timeout_us: t.time("give-up", Some(60 * SECOND)),
+        startup_timeout_us: t.time("learn", Some(2 * SECOND)),
+        max_datagram_bytes: datagram,
+        asks_neighbours: t.flag("neighbours", true),
+        slow_start: t.flag("begin-slowly", true),
     })
 }
 
@@ -108,7 +108,7 @@
     voters
 }
 
-/// The times of the lease protocol: see `FleetTerms`.
+/// The times of the lease protocol: see `FleetSettings`.
 struct Times {
     right: u64,
     pace: u64,
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -1,14 +1,14 @@
 //! The operator's file: what an installation sets beside the platform's configuration, in TOML, each part in a
 //! table of its own that is absent by default.
 //!
-//! `read` takes a balancer's own file, `read_policy` the policy of a fleet and `read_plan` the plan of a release.
+//! `parse` reads a balancer's own file, `parse_policy` the policy of a fleet and `parse_plan` the plan of a release.
 //! Each is checked against the deployment's settings, and its routes are proved against the rules; all faults are
-//! reported at once, and `draw` shows them at their lines.
+//! reported at once, and `render_faults` shows them at their lines.
 //!
 //! ```text
-//! match whinspindle_operator_file::read(&text, &deployment) {
+//! match whinspindle_operator_file::parse(&text, &deployment) {
 //!     Ok(operator) => serve(operator),
-//!     Err(faults) => eprintln!("{}", whinspindle_operator_file::draw(path, &text, &faults)),
+//!     Err(faults) => eprintln!("{}", whinspindle_operator_file::render_faults(path, &text, &faults)),
 //! }
 //! ```
 
@@ -25,51 +25,51 @@
 use whinspindle_routes::{Conditions, DeploymentLimits, RouteTable};
 use whinspindle_toml_config::Fault;
 
-pub use draw::draw;
-pub use fleet::FleetTerms;
-pub use plan::{read_plan, unit};
+pub use draw::render_faults;
+pub use fleet::FleetSettings;
+pub use plan::{parse_plan, parse_unit};
 
 /// What the network may take from here to a server beside the connect time-out, in microseconds.
 const NETWORK_MARGIN: u64 = 50_000;
 /// Longest request body that the program takes, in bytes.
-pub const LARGEST_BODY: u64 = 64 * 1024;
+pub const MAX_BODY_BYTES: u64 = 64 * 1024;
 
 /// The contents of the file.
-pub struct Operator {
+pub struct OperatorConfig {
     /// The routes.
     pub routes: RouteTable,
     /// What a balancer decides by in a partition, without a lease of its fleet.
-    pub cut_off: CutOff,
+    pub partition_policy: PartitionPolicy,
     /// How many units of the fleet may be out of service at once.
     pub limits: Limits,
     /// The membership of a fleet.
-    pub fleet: Option<FleetTerms>,
+    pub fleet: Option<FleetSettings>,
     /// The endpoint cache.
-    pub keep: Option<Keep>,
+    pub endpoint_cache: Option<EndpointCacheSettings>,
 }
 
 /// The endpoint cache: where the list of servers is persisted, and how far it is trusted by its age.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Keep {
+pub struct EndpointCacheSettings {
     /// The folder of the file.
     pub folder: PathBuf,
     /// Up to this age a list is fresh, in microseconds.
-    pub fresh: u64,
+    pub fresh_us: u64,
     /// From this age on a list is old, in microseconds.
-    pub old: u64,
+    pub old_us: u64,
 }
 
 /// What a balancer does that may not know which policy is in force.
-pub enum CutOff {
+pub enum PartitionPolicy {
     /// Requests are rejected, with a time to come back.
-    Rejects,
+    Reject,
     /// Requests take these routes; without any, the defaults hold as without a file.
     Routes(RouteTable),
 }
 
-impl Operator {
+impl OperatorConfig {
     /// The routes as the balancer's core takes them: for each route a row of conditions for each product.
-    pub fn rows(&self, deployment: &Deployment) -> Vec<Vec<host::RoutePolicy>> {
+    pub fn route_policies(&self, deployment: &Deployment) -> Vec<Vec<host::RoutePolicy>> {
         let named = |names: &[String], known: &[String]| -> Vec<usize> {
             names.iter().filter_map(|name| index(known, name)).collect()
         };
@@ -94,35 +94,35 @@
     }
 
     /// Whether the process takes few requests at a time when it starts.
-    pub fn begins_slowly(&self) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| fleet.begin_slowly)
+    pub fn has_slow_start(&self) -> bool {
+        self.fleet.as_ref().is_some_and(|fleet| fleet.slow_start)
     }
 
     /// The contents of an absent file: no routes.
-    pub fn none() -> Operator {
-        Operator {
+    pub fn empty() -> OperatorConfig {
+        OperatorConfig {
             routes: RouteTable::new(Vec::new()),
-            cut_off: CutOff::Routes(RouteTable::new(Vec::new())),
+            partition_policy: PartitionPolicy::Routes(RouteTable::new(Vec::new())),
             limits: Limits::default(),
             fleet: None,
-            keep: None,
+            endpoint_cache: None,
         }
     }
 }
 
 /// Reads and proves a file for a deployment.
-pub fn read(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
+pub fn parse(text: &str, deployment: &Deployment) -> Result<OperatorConfig, Vec<Fault>> {
     whinspindle_toml_config::read(text, |table| read::operator(table, deployment, true))
 }
 
 /// Reads and proves the text of a fleet's policy: routes, limits, and what holds in a partition, but no setting of
 /// a single balancer.
-pub fn read_policy(text: &str, deployment: &Deployment) -> Result<Operator, Vec<Fault>> {
+pub fn parse_policy(text: &str, deployment: &Deployment) -> Result<OperatorConfig, Vec<Fault>> {
     whinspindle_toml_config::read(text, |table| read::operator(table, deployment, false))
 }
 
 /// What the deployment allows and demands, as far as the proof needs it.
-pub fn bounds(deployment: &Deployment) -> DeploymentLimits {
+pub fn deployment_limits(deployment: &Deployment) -> DeploymentLimits {
     let terms = &deployment.terms;
     DeploymentLimits {
         max_executions: terms.max_executions,
@@ -131,7 +131,7 @@
         connect_timeout_us: deployment.connect_time_out,
         tick_us: terms.tick,
         network_delay_us: NETWORK_MARGIN,
-        max_body_bytes: LARGEST_BODY,
+        max_body_bytes: MAX_BODY_BYTES,
     }
 }
 
--- a/balancer/operator-file/src/plan.rs
+++ b/balancer/operator-file/src/plan.rs
@@ -8,7 +8,7 @@
 const DEFAULT_WATCH: u64 = 60_000_000;
 
 /// Reads and checks a plan; `balancers` is how many the fleet has, if that is known.
-pub fn read_plan(text: &str, balancers: Option<usize>) -> Result<Plan, Vec<Fault>> {
+pub fn parse_plan(text: &str, balancers: Option<usize>) -> Result<Plan, Vec<Fault>> {
     whinspindle_toml_config::read(text, |table| plan(table, balancers))
 }
 
@@ -55,7 +55,7 @@
 fn units(t: &Table, names: &[(String, Place)], balancers: Option<usize>) -> Vec<Unit> {
     let mut units: Vec<Unit> = Vec::new();
     for (name, place) in names {
-        let Some(unit) = unit(name) else {
+        let Some(unit) = parse_unit(name) else {
             t.fault(place, format!("{name:?} is no unit"), "balancer:NUMBER, balancer:FROM-TO or server:ID");
             continue;
         };
@@ -111,7 +111,7 @@
 }
 
 /// A unit by its name: `balancer:NUMBER` or `server:ID`.
-pub fn unit(name: &str) -> Option<Unit> {
+pub fn parse_unit(name: &str) -> Option<Unit> {
     match name.split_once(':') {
         Some(("balancer", number)) => number.parse().ok().map(Unit::Balancer),
         Some(("server", id)) if !id.is_empty() => {
--- a/balancer/operator-file/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -8,7 +8,7 @@
 use whinspindle_routes::RouteTable;
 use whinspindle_toml_config::Table;
 
-use crate::{CutOff, Keep, Operator};
+use crate::{EndpointCacheSettings, OperatorConfig, PartitionPolicy};
 
 mod route;
 
@@ -16,7 +16,7 @@
 const SECOND: u64 = 1_000_000;
 
 /// Reads the file: a balancer's own if `own` is set, which may name its fleet; else the policy of a fleet.
-pub fn operator(table: &Table, deployment: &Deployment, own: bool) -> Operator {
+pub fn operator(table: &Table, deployment: &Deployment, own: bool) -> OperatorConfig {
     let fleet = own.then(|| crate::fleet::fleet(table, deployment)).flatten();
     if table.is_empty() {
         let way_out = "a table at the least, [cut-off] for one; a file that is only being written looks like this, so \
@@ -29,27 +29,33 @@
         table.fault(&table.place_of("route"), "routes are agreed on by the fleet", way_out);
     }
     let cut_off = match table.table("cut-off") {
-        None => CutOff::Routes(RouteTable::new(Vec::new())),
+        None => PartitionPolicy::Routes(RouteTable::new(Vec::new())),
         Some(t) => {
             let rejects = t.one_of("queries", &[("reject", true), ("take", false)], Some(false));
             if rejects && t.holds("route") {
                 t.fault(&t.place_of("route"), "no query comes to a route here", "queries = \"take\"");
             }
             let routes = route::routes(&t, "route", deployment);
-            if rejects { CutOff::Rejects } else { CutOff::Routes(routes) }
+            if rejects { PartitionPolicy::Reject } else { PartitionPolicy::Routes(routes) }
         }
     };
     let limits = table.table("limits").and_then(|t| t.table("out")).map(|t| limits(&t, deployment, own));
     let keep = own.then(|| table.table("keep")).flatten().map(|t| keep(&t));
-    Operator { routes, cut_off, limits: limits.unwrap_or_default(), fleet, keep }
+    OperatorConfig {
+        routes,
+        partition_policy: cut_off,
+        limits: limits.unwrap_or_default(),
+        fleet,
+        endpoint_cache: keep,
+    }
 }
 
-fn keep(t: &Table) -> Keep {
+fn keep(t: &Table) -> EndpointCacheSettings {
     let (fresh, old) = (t.time("fresh", Some(10 * SECOND)), t.time("old", Some(3600 * SECOND)));
     if fresh >= old {
         t.fault(&t.place_of("fresh"), "a list would be old before it is fresh no more", "less than old");
     }
-    Keep { folder: PathBuf::from(t.text("folder", None)), fresh, old }
+    EndpointCacheSettings { folder: PathBuf::from(t.text("folder", None)), fresh_us: fresh, old_us: old }
 }
 
 /// How many units may be out of service at once. Limits that allow none or all, or contradict one another, are
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -11,7 +11,7 @@
 use whinspindle_toml_config::units::Unit;
 use whinspindle_toml_config::{Place, Table, units};
 
-use crate::{LARGEST_BODY, bounds};
+use crate::{MAX_BODY_BYTES, deployment_limits};
 
 /// The most routes of a table: a person maintains the file.
 const MAX_ROUTES: usize = 10_000;
@@ -106,7 +106,7 @@
             (Field::Servers, place_of("servers")),
         ],
     };
-    let bounds = bounds(deployment);
+    let bounds = deployment_limits(deployment);
     let mut rows = Vec::new();
     let mut reported: Vec<(Field, String)> = Vec::new();
     for (number, product) in deployment.terms.products.iter().enumerate() {
@@ -190,7 +190,7 @@
         };
         if self.executions.is_none() {
             // As many as there is time for, and as the servers deduplicate: the file sets no number.
-            let bounds = crate::bounds(deployment);
+            let bounds = crate::deployment_limits(deployment);
             let fits = |n: usize| {
                 let tried = Conditions { max_executions: n, ..filled.clone() };
                 let worst = proof::worst_schedule(&tried, &bounds);
@@ -235,7 +235,7 @@
         retry_jitter: t.number("spread", (0.0, 10.0), Some(0.0)),
         hedge: hedge(t),
         retry_budget: t.number("budget", (0.0, 100.0), Some(100.0)),
-        max_body_bytes: t.size("largest-body", Some(LARGEST_BODY)),
+        max_body_bytes: t.size("largest-body", Some(MAX_BODY_BYTES)),
         servers: ServerSelection {
             zones: names(&servers, "zones", &deployment.zones),
             kinds: names(&servers, "kinds", &deployment.kinds),
--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -3,12 +3,14 @@
 mod common;
 
 use common::deployment;
-use whinspindle_operator_file::{CutOff, LARGEST_BODY, Operator, draw, read, read_policy};
+use whinspindle_operator_file::{
+    MAX_BODY_BYTES, OperatorConfig, PartitionPolicy, parse, parse_policy, render_faults,
+};
 use whinspindle_routes::RetryOn;
 use whinspindle_toml_config::Fault;
 
 fn faults(text: &str) -> Vec<Fault> {
-    read(text, &deployment()).err().unwrap_or_default()
+    parse(text, &deployment()).err().unwrap_or_default()
 }
 
 /// The lines of a route, the line that is refused (the first is 2, its name), the field, words of the fault.
@@ -129,7 +131,7 @@
         let fits = |f: &&Fault| f.line == *line && f.field == field && f.fault.contains(words);
         let fault = found.iter().find(fits);
         assert!(fault.is_some(), "{lines}: line {line}, {field}, {words} in {told:?}");
-        let drawn = draw("operator.toml", &text, &found);
+        let drawn = render_faults("operator.toml", &text, &found);
         assert!(drawn.contains("error: ") && drawn.contains(&format!("operator.toml:{line}:")), "{drawn}");
     }
 }
@@ -158,13 +160,15 @@
 #[test]
 fn invalid_fleet_settings_are_refused_at_their_lines() {
     let deployment = deployment();
-    let own = |text: &str| read(text, &deployment);
-    let policy = |text: &str| read_policy(text, &deployment);
-    assert!(own(FLEET).is_ok_and(|own| own.fleet.is_some_and(|fleet| fleet.pace == 2_000_000)));
+    let own = |text: &str| parse(text, &deployment);
+    let policy = |text: &str| parse_policy(text, &deployment);
+    assert!(
+        own(FLEET).is_ok_and(|own| own.fleet.is_some_and(|fleet| fleet.renewal_interval_us == 2_000_000))
+    );
     assert!(policy(LIMITS).is_ok_and(|policy| policy.limits.servers_per_zone == Some(2)));
     let rejects = policy("[cut-off]\nqueries = \"reject\"\n").expect("good");
-    assert!(matches!(rejects.cut_off, CutOff::Rejects));
-    type Read<'a> = &'a dyn Fn(&str) -> Result<Operator, Vec<Fault>>;
+    assert!(matches!(rejects.partition_policy, PartitionPolicy::Reject));
+    type Read<'a> = &'a dyn Fn(&str) -> Result<OperatorConfig, Vec<Fault>>;
     let cases: [(Read, &str, &str, &str, usize, &str); 22] = [
         (&own, "", "", "", 1, "the file is empty"),
         (&policy, "# being written", "", "", 1, "the file is empty"),
@@ -221,8 +225,9 @@
     assert_eq!(lines, [3, 7]);
 }
 
-fn valid(text: &str) -> Operator {
-    read(text, &deployment()).unwrap_or_else(|faults| panic!("{}", draw("operator.toml", text, &faults)))
+fn valid(text: &str) -> OperatorConfig {
+    parse(text, &deployment())
+        .unwrap_or_else(|faults| panic!("{}", render_faults("operator.toml", text, &faults)))
 }
 
 #[test]
@@ -238,7 +243,7 @@
         assert_eq!((row.max_executions, row.retry_on), (executions, after), "product {product}");
         assert_eq!(
             (row.servers.retries_in_pod, row.max_body_bytes),
-            (in_pod, LARGEST_BODY),
+            (in_pod, MAX_BODY_BYTES),
             "product {product}"
         );
     }
@@ -262,11 +267,11 @@
     let deployment =
         whinspindle_deployment_settings::parse(settings.unwrap_or_default().as_bytes()).expect("settings");
     let text = std::fs::read_to_string(root.join("deploy/operator.toml")).expect("an example");
-    let read = read(&text, &deployment);
+    let read = parse(&text, &deployment);
     assert!(
         read.is_ok(),
         "{}",
-        read.err().map(|faults| draw("operator.toml", &text, &faults)).unwrap_or_default()
+        read.err().map(|faults| render_faults("operator.toml", &text, &faults)).unwrap_or_default()
     );
 }
 
@@ -327,8 +332,10 @@
             text.push_str(if bits & 1 << 20 == 0 { " " } else { "\n" });
         }
         let found = faults(&text);
-        draw("operator.toml", &text, &found);
+        render_faults("operator.toml", &text, &found);
     }
     let long = format!("name = \"{}\"", "x".repeat(1 << 20));
-    assert!(!faults(&long).is_empty() && draw("operator.toml", &long, &faults(&long)).len() < 10_000);
+    assert!(
+        !faults(&long).is_empty() && render_faults("operator.toml", &long, &faults(&long)).len() < 10_000
+    );
 }
--- a/balancer/operator-file/tests/random.rs
+++ b/balancer/operator-file/tests/random.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use whinspindle_operator_file::{draw, read};
+use whinspindle_operator_file::{parse, render_faults};
 
 mod common;
 
@@ -110,10 +110,10 @@
     let refused = std::cell::Cell::new(0);
     let text = prop::collection::vec(line(), 0..14).prop_map(|lines| lines.join("\n"));
     let checked = runner(3_000).run(&text, |text| {
-        if let Err(faults) = read(&text, &deployment) {
+        if let Err(faults) = parse(&text, &deployment) {
             refused.set(refused.get() + 1);
             prop_assert!(!faults.is_empty() && faults.len() <= 8 * (text.lines().count() + 1), "{}", text);
-            prop_assert!(!draw("drawn.toml", &text, &faults).is_empty());
+            prop_assert!(!render_faults("drawn.toml", &text, &faults).is_empty());
         }
         Ok(())
     });
@@ -127,12 +127,12 @@
     let (accepted, refused) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
     let text = prop::collection::vec(route(), 1..4).prop_map(|routes| routes.concat());
     let checked = runner(3_000).run(&text, |text| {
-        let Ok(operator) = read(&text, &deployment) else {
+        let Ok(operator) = parse(&text, &deployment) else {
             refused.set(refused.get() + 1);
             return Ok(());
         };
         accepted.set(accepted.get() + 1);
-        for rows in operator.rows(&deployment) {
+        for rows in operator.route_policies(&deployment) {
             prop_assert_eq!(rows.len(), deployment.terms.products.len());
             for (row, most) in rows.iter().zip(&deployment.statement_timeouts) {
                 prop_assert!(
--- a/lab/model-checker/src/members/judge.rs
+++ b/lab/model-checker/src/members/judge.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use whinspindle_fleet_policy::{Direction, MemberRules, Record, Right, Unit};
+use whinspindle_fleet_policy::{Direction, LeaseState, MemberRules, Record, Unit};
 
 use super::schedule::{DRIFT, RIGHT, STEP, WATCHED, clock};
 use super::world::{Place, World};
@@ -46,13 +46,13 @@
             return Ok(());
         }
         let Some(before) = self.records.get(&(bootstrap_id, version - 1)) else { return Ok(()) };
-        let halted = before.halted.is_some();
+        let halted = before.halt.is_some();
         let has_changed = record.release.as_ref().is_some_and(|release| release.changed.contains(0));
         let step = self.written.get(&hash_of(record)).copied().unwrap_or(step);
         if has_changed && self.changed.is_none() {
             self.changed = Some(step);
         }
-        for out in record.out.iter().filter(|out| !before.out.contains(out)) {
+        for out in record.grants.iter().filter(|out| !before.grants.contains(out)) {
             let Unit::Balancer(number) = out.unit else { continue };
             // The leader needs this long to miss one, and what it says to be seen.
             let missed = |place: &Place<L>| place.down_since.saturating_add(absent + 3) < step;
@@ -61,10 +61,10 @@
             if let Some(down) = down {
                 return Err(format!("member {number} is let out while member {down} is down"));
             }
-            if record.out.len() > 1 || halted {
+            if record.grants.len() > 1 || halted {
                 return Err(format!("member {number} is let out as one too many, or after a halt"));
             }
-            let way = out.part.map(|part| part.way);
+            let way = out.release_part.map(|part| part.direction);
             if !self.let_out.insert((out.unit, way)) {
                 return Err(format!("member {number} is let out twice, {way:?}"));
             }
@@ -73,7 +73,7 @@
             };
             // The leader's clock is fast by a quarter.
             let watched = self.changed.is_some_and(|at| 5 * (step + 1 - at.min(step)) >= 4 * WATCHED);
-            match out.part.map(|part| (part.way, part.place)) {
+            match out.release_part.map(|part| (part.direction, part.unit_index)) {
                 Some((Direction::Rollout, place)) if place > 0 && !(changed(place - 1) && watched) => {
                     return Err(format!("member {number} is let out before its wave"));
                 }
@@ -103,7 +103,9 @@
             if known != record {
                 return Err(format!("member {me} knows another record of version {}", record.version));
             }
-            let Right::Policy(number) = member.right(clock(me, self.step - place.began)) else { continue };
+            let LeaseState::Policy(number) = member.lease_state(clock(me, self.step - place.began)) else {
+                continue;
+            };
             used.insert(number, me);
             self.judge.first.entry(number).or_insert(time);
             let highest = self.judge.highest.entry(me).or_insert(number);
--- a/lab/model-checker/src/members/outcome.rs
+++ b/lab/model-checker/src/members/outcome.rs
@@ -1,6 +1,6 @@
 //! What became of a schedule: questions that tests ask of its end.
 
-use whinspindle_fleet_policy::{Member, MemberRules, Record, Right};
+use whinspindle_fleet_policy::{LeaseState, Member, MemberRules, Record};
 
 use super::schedule::{VOTERS, clock};
 use super::world::{Place, World};
@@ -16,7 +16,7 @@
     /// Whether units may be let out in the end, and how many steps the record has made.
     pub fn halted(&self) -> Vec<(bool, u64)> {
         let members = self.places.iter().filter_map(|place| place.member.as_ref());
-        members.map(|member| (member.record().halted.is_some(), member.record().version)).collect()
+        members.map(|member| (member.record().halt.is_some(), member.record().version)).collect()
     }
 
     /// How many deliveries there were.
@@ -46,8 +46,8 @@
         let members = self.places.iter().filter_map(|place| place.member.as_ref());
         let told = |member: &Member<Net, L>| {
             let record = member.record();
-            let past = record.past_releases.iter().map(|past| format!("{:?} {}", past.close, past.changed));
-            let on = record.release.iter().map(|on| format!("{:?} {}", on.way, on.changed.count()));
+            let past = record.past_releases.iter().map(|past| format!("{:?} {}", past.outcome, past.changed));
+            let on = record.release.iter().map(|on| format!("{:?} {}", on.direction, on.changed.count()));
             past.chain(on).collect::<Vec<_>>().join(" ")
         };
         members.map(told).collect()
@@ -59,9 +59,9 @@
     }
 
     /// By what each running member decides in the end.
-    pub fn rights(&self) -> Vec<Option<Right>> {
+    pub fn rights(&self) -> Vec<Option<LeaseState>> {
         let right = |(me, place): (usize, &Place<L>)| {
-            place.member.as_ref().map(|member| member.right(clock(me as u16, self.step - place.began)))
+            place.member.as_ref().map(|member| member.lease_state(clock(me as u16, self.step - place.began)))
         };
         self.places.iter().enumerate().map(right).collect()
     }
--- a/lab/model-checker/src/members/schedule.rs
+++ b/lab/model-checker/src/members/schedule.rs
@@ -101,15 +101,15 @@
 
 pub(super) fn terms(me: u16, absent: u64) -> MemberSettings {
     MemberSettings {
-        me,
-        members: MEMBERS,
+        member: me,
+        member_count: MEMBERS,
         voters: (0..VOTERS).collect(),
-        right: RIGHT,
-        drift: DRIFT,
-        pace: STEP,
-        absent: absent * STEP,
-        give_up: 12 * STEP,
-        learn: 3 * STEP,
+        lease_us: RIGHT,
+        clock_drift_ppm: DRIFT,
+        renewal_interval_us: STEP,
+        absence_timeout_us: absent * STEP,
+        change_timeout_us: 12 * STEP,
+        startup_timeout_us: 3 * STEP,
     }
 }
 
--- a/lab/model-checker/src/members/world.rs
+++ b/lab/model-checker/src/members/world.rs
@@ -115,7 +115,7 @@
             for (policy, _) in out.to_prove {
                 // The second text is the longer one.
                 let second = policy.length > 1;
-                let no = Objection { line: 1, words: "no".to_string() };
+                let no = Objection { line: 1, reason: "no".to_string() };
                 let verdict = if second && self.plan.objects == Some(me) { Err(no) } else { Ok(()) };
                 if let Some(member) = &mut self.places[me as usize].member {
                     member.proved(now, policy.number, verdict);
@@ -133,7 +133,7 @@
         let Some(member) = place.member.as_mut().filter(|_| step >= place.stopped) else { return };
         let now = clock(me, step - place.began);
         if me == 0 && member.record().bootstrap_id == 0 && step >= 1 {
-            member.found(now, 77);
+            member.bootstrap(now, 77);
         }
         if me >= VOTERS && step == plan.proposed[(me - VOTERS) as usize] {
             let text: &[u8] = if me == VOTERS { b"a" } else { b"bb" };
@@ -143,25 +143,25 @@
         {
             let first = step == halts[0] && me == VOTERS;
             let request =
-                if first { RequestKind::Halt { why: "no".to_string() } } else { RequestKind::Resume };
+                if first { RequestKind::Halt { reason: "no".to_string() } } else { RequestKind::Resume };
             member.submit(now, request, 2000 + u64::from(me));
         }
         if me == VOTERS && plan.moves == Some(step) {
-            member.submit(now, RequestKind::Voters { old: 2, new: 4 }, 4000);
+            member.submit(now, RequestKind::ReplaceVoter { old: 2, new: 4 }, 4000);
         }
         if let Some([begins, turns]) = plan.release {
             if me == VOTERS && step == begins {
                 let text = b"plan";
-                member.hold(text);
-                let request = RequestKind::Release { hash: Name::of(text), length: text.len() as u32 };
+                member.add_text(text);
+                let request = RequestKind::BeginRelease { hash: Name::of(text), length: text.len() as u32 };
                 member.submit(now, request, 5000);
             }
             if me == VOTERS + 1 && step == turns {
-                member.submit(now, RequestKind::Turn { number: 1 }, 6000);
+                member.submit(now, RequestKind::RollBack { number: 1 }, 6000);
             }
         }
         let is_back =
-            member.record().release.as_ref().is_some_and(|release| release.way == Direction::Rollback);
+            member.record().release.as_ref().is_some_and(|release| release.direction == Direction::Rollback);
         let due = plan.outs.is_some_and(|outs| me >= VOTERS && step >= outs[(me - VOTERS) as usize]);
         if due && (place.released == 0 || is_back) {
             if member.is_taken_out() {
@@ -172,7 +172,7 @@
             }
             let serial = 3000 + 100 * u64::from(is_back) + u64::from(me);
             let release = plan.release.map(|_| 1);
-            member.submit(now, RequestKind::Out { unit: Unit::Balancer(me), release }, serial);
+            member.submit(now, RequestKind::TakeOut { unit: Unit::Balancer(me), release }, serial);
         }
         member.tick(now);
         self.settle(me);
@@ -194,7 +194,7 @@
         }
         let now = self.clock(mail.to);
         if let Some(member) = &mut self.places[mail.to as usize].member {
-            member.received(now, mail.from, mail.message);
+            member.receive(now, mail.from, mail.message);
             self.settle(mail.to);
         }
     }
--- a/lab/model-checker/src/net.rs
+++ b/lab/model-checker/src/net.rs
@@ -38,7 +38,7 @@
     fn send(&mut self, to: u16, message: Message) {
         self.0.borrow_mut().sent.push((to, message));
     }
-    fn keep(&mut self, memory: &DurableState) -> bool {
+    fn persist(&mut self, memory: &DurableState) -> bool {
         self.0.borrow_mut().kept = Some(memory.clone());
         true
     }
@@ -48,11 +48,11 @@
     fn plan(&self, hash: Hash) -> Option<Rc<Plan>> {
         self.0.borrow().plan.as_ref().filter(|(known, _)| *known == hash).map(|(_, plan)| Rc::clone(plan))
     }
-    fn plan_came(&mut self, hash: Hash, _: Rc<[u8]>) {
+    fn plan_received(&mut self, hash: Hash, _: Rc<[u8]>) {
         self.0.borrow_mut().plan = Some((hash, Rc::new(crate::members::release())));
     }
-    fn may_go(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), RestartRefusal> {
-        let granted: Vec<Unit> = record.out.iter().map(|out| out.unit).collect();
+    fn check_restart(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), RestartRefusal> {
+        let granted: Vec<Unit> = record.grants.iter().map(|out| out.unit).collect();
         let limits = Limits { balancers: Some(1), ..Limits::default() };
         let balancers = usize::from(u16::MAX);
         RestartCheck {
@@ -64,5 +64,5 @@
         }
         .check(unit)
     }
-    fn tell(&mut self, _: String) {}
+    fn log(&mut self, _: String) {}
 }
--- a/lab/model-checker/src/plants.rs
+++ b/lab/model-checker/src/plants.rs
@@ -59,23 +59,23 @@
 plant! {
     /// A right counts from when its grant came, not from when it was asked for.
     RightFromItsComing, counting {}, member {
-        fn right_until(_: u64, now: u64, terms: &MemberSettings) -> u64 {
-            now + terms.right
+        fn lease_expiry(_: u64, now: u64, terms: &MemberSettings) -> u64 {
+            now + terms.lease_us
         }
     }
 }
 plant! {
     /// A right is held for twice its time.
     RightHeldTooLong, counting {}, member {
-        fn right_until(asked: u64, _: u64, terms: &MemberSettings) -> u64 {
-            asked + 2 * terms.right
+        fn lease_expiry(asked: u64, _: u64, terms: &MemberSettings) -> u64 {
+            asked + 2 * terms.lease_us
         }
     }
 }
 plant! {
     /// A right that was granted for one number is used for another.
     AnyRightWillDo, counting {}, member {
-        fn is_for(_: (u64, u64), _: u64, _: u64) -> bool {
+        fn is_grant_current(_: (u64, u64), _: u64, _: u64) -> bool {
             true
         }
     }
@@ -83,7 +83,7 @@
 plant! {
     /// The next policy comes into force while rights to the one before the last may still be held.
     NoWindow, counting {}, member {
-        fn next_after(learned: u64, _: &MemberSettings) -> u64 {
+        fn earliest_activation(learned: u64, _: &MemberSettings) -> u64 {
             learned
         }
     }
@@ -91,7 +91,7 @@
 plant! {
     /// A request that was done is not known again.
     WishesForgotten, counting {}, member {
-        fn wish_of(wanted: RequestId, agreed: &Record) -> RequestId {
+        fn recorded_request_id(wanted: RequestId, agreed: &Record) -> RequestId {
             RequestId { serial: wanted.serial + 100_000 * agreed.version, ..wanted }
         }
     }
@@ -99,7 +99,7 @@
 plant! {
     /// Only balancers that were let out count as out.
     AwayNotCounted, counting {}, member {
-        fn out_without(_: BTreeSet<u16>) -> BTreeSet<u16> {
+        fn out_without_grant(_: BTreeSet<u16>) -> BTreeSet<u16> {
             BTreeSet::new()
         }
     }
@@ -107,7 +107,7 @@
 plant! {
     /// A unit goes by a release that has changed it, or has not come to it.
     AnyUnitMayGo, counting {}, member {
-        fn may_go_by(_: &Progress, _: usize) -> Result<(), RestartRefusal> {
+        fn check_release_order(_: &Progress, _: usize) -> Result<(), RestartRefusal> {
             Ok(())
         }
     }
@@ -115,7 +115,7 @@
 plant! {
     /// The next wave begins as soon as the last unit is back.
     WaveUnwatched, counting {}, member {
-        fn next_of(progress: &Progress, _: u64) -> Option<NextPhase> {
+        fn next_phase(progress: &Progress, _: u64) -> Option<NextPhase> {
             progress.next_phase(u64::MAX)
         }
     }
--- a/lab/model-checker/src/sizes.rs
+++ b/lab/model-checker/src/sizes.rs
@@ -8,7 +8,8 @@
 use std::time::Instant;
 
 use whinspindle_fleet_policy::{
-    ChangeOutcome, DurableState, Member, MemberSettings, Message, Objection, Right, StandardConsensusRules,
+    ChangeOutcome, DurableState, LeaseState, Member, MemberSettings, Message, Objection,
+    StandardConsensusRules,
 };
 use whinspindle_lab_model::random::{Concern, RandomGenerator};
 use whinspindle_peer_transport::{MAX_DATAGRAM_BYTES, PeerTransport};
@@ -57,15 +58,15 @@
     fn terms(&self, me: u16) -> MemberSettings {
         let pace = (RIGHT / 5).max(u64::from(self.members) * SECOND / 200);
         MemberSettings {
-            me,
-            members: self.members,
+            member: me,
+            member_count: self.members,
             voters: (0..self.voters).collect(),
-            right: RIGHT,
-            drift: DRIFT,
-            pace,
-            absent: RIGHT,
-            give_up: 60 * SECOND,
-            learn: 2 * SECOND,
+            lease_us: RIGHT,
+            clock_drift_ppm: DRIFT,
+            renewal_interval_us: pace,
+            absence_timeout_us: RIGHT,
+            change_timeout_us: 60 * SECOND,
+            startup_timeout_us: 2 * SECOND,
         }
     }
 }
@@ -187,7 +188,7 @@
         place.starts += 1;
         let start = (u64::from(me) + 1) << 20 | place.starts;
         let mut member = Member::new(Net::default(), terms, place.disk.clone(), start, now);
-        place.texts.clone().iter().for_each(|text| member.hold(text));
+        place.texts.clone().iter().for_each(|text| member.add_text(text));
         place.member = Some(member);
     }
 
@@ -205,7 +206,7 @@
                 place.texts.push(Rc::clone(text));
                 let over = place.texts.len().saturating_sub(4);
                 place.texts.drain(..over);
-                let no = Objection { line: 3, words: "no".to_string() };
+                let no = Objection { line: 3, reason: "no".to_string() };
                 let verdict = if self.fleet.objects == Some(me) { Err(no) } else { Ok(()) };
                 member.proved(now, policy.number, verdict);
             }
@@ -251,14 +252,14 @@
             }
             let now = self.clock(to);
             if matches!(what, What::Tick) {
-                let pace = self.fleet.terms(to).pace / 8;
+                let pace = self.fleet.terms(to).renewal_interval_us / 8;
                 self.at(at + pace.min(100_000), to, What::Tick);
             }
             let began = Instant::now();
             if let Some(member) = &mut self.places[to as usize].member {
                 match what {
                     What::Tick => member.tick(now),
-                    What::Mail(from, message) => member.received(now, from, *message),
+                    What::Mail(from, message) => member.receive(now, from, *message),
                 }
             }
             self.core += began.elapsed();
@@ -280,7 +281,7 @@
         if *self.records.entry(record.order()).or_insert(print) != print {
             self.broken = Some(format!("member {me} knows another record of version {}", record.version));
         }
-        let Right::Policy(number) = member.right(self.clock(me)) else { return };
+        let LeaseState::Policy(number) = member.lease_state(self.clock(me)) else { return };
         self.first.entry(number).or_insert(self.now);
         let highest = self.places[me as usize].highest;
         if number < highest {
@@ -307,7 +308,7 @@
         }
         let now = self.clock(0);
         if let Some(member) = &mut self.places[0].member {
-            member.found(now, 77);
+            member.bootstrap(now, 77);
         }
         self.settle(0);
     }
@@ -329,7 +330,7 @@
         (0..self.fleet.members).all(|me| {
             let place = &self.places[me as usize];
             let by = |member: &Member<Net, StandardConsensusRules>| {
-                member.right(self.clock(me)) == Right::Policy(number)
+                member.lease_state(self.clock(me)) == LeaseState::Policy(number)
             };
             !self.is_there(place) || place.member.as_ref().is_some_and(by)
         })
@@ -378,7 +379,7 @@
         return Err("somebody decides by what was refused".to_string());
     }
     let record = world.places[0].member.as_ref().map(|member| member.record().clone());
-    Ok(record.and_then(|record| record.past.last().map(|past| past.outcome)))
+    Ok(record.and_then(|record| record.past_changes.last().map(|past| past.outcome)))
 }
 
 /// A fleet is founded, rests, and one policy is proposed by its last member that is there.
@@ -467,7 +468,7 @@
     if world.broken.is_none() && world.can_decide() && !world.all_decide_by(last) {
         let by = |me: u16| {
             let member = world.places[me as usize].member.as_ref();
-            member.map(|member| (member.right(world.clock(me)), member.record().policy.number))
+            member.map(|member| (member.lease_state(world.clock(me)), member.record().policy.number))
         };
         let by: Vec<_> = (0..members).map(by).collect();
         world.broken = Some(format!("all faults are over, and the members decide by {by:?}"));
--- a/lab/model-checker/tests/members.rs
+++ b/lab/model-checker/tests/members.rs
@@ -1,6 +1,6 @@
 //! Whole members, with departures from the plain schedule at every delivery, and the faults that these find.
 
-use whinspindle_fleet_policy::{MemberRules, Right, StandardConsensusRules};
+use whinspindle_fleet_policy::{LeaseState, MemberRules, StandardConsensusRules};
 use whinspindle_lab_model_checker::members::{Fault, PLAIN, Plan, World, hunt, search};
 use whinspindle_lab_model_checker::plants::*;
 
@@ -17,7 +17,7 @@
         let end = World::<StandardConsensusRules>::new(plan, false).play(&[]).expect("nothing is broken");
         assert_eq!(end.in_force(), vec![Some(number); 5], "{plan:?}");
         assert_eq!(end.released(), if plan.outs.is_some() { 2 } else { 0 }, "{plan:?}");
-        assert_eq!(end.rights(), vec![Some(Right::Policy(number)); 5], "{plan:?}");
+        assert_eq!(end.rights(), vec![Some(LeaseState::Policy(number)); 5], "{plan:?}");
     }
 }
 
@@ -72,8 +72,9 @@
                 .expect("nothing is broken");
             // A proposer that dies before its request is heard takes it with it.
             let rights = end.rights();
-            let same =
-                rights.iter().all(|right| *right == rights[0] && matches!(right, Some(Right::Policy(_))));
+            let same = rights
+                .iter()
+                .all(|right| *right == rights[0] && matches!(right, Some(LeaseState::Policy(_))));
             assert!(same, "{fault:?} at {at}: {rights:?}");
             let voters = end.voters();
             assert!(voters.iter().all(|voters| *voters == [0, 1, 2]), "{fault:?} at {at}: {voters:?}");
--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -10,7 +10,7 @@
 use clap_complete::Shell;
 use serde_json::json;
 use whinspindle_deployment_settings::{Deployment, index};
-use whinspindle_operator_file::{Operator, RULES};
+use whinspindle_operator_file::{OperatorConfig, RULES};
 use whinspindle_routes::{HedgePolicy, Lookup, Route, proof};
 
 use crate::configuration;
@@ -153,7 +153,7 @@
     let deployment = deployment(line.files.config.as_deref())?;
     let text = text(&line.files.file)?;
     let name = line.files.file.display().to_string();
-    let (routes, faults) = match whinspindle_operator_file::read(&text, &deployment) {
+    let (routes, faults) = match whinspindle_operator_file::parse(&text, &deployment) {
         Ok(operator) => (operator.routes.routes().len(), Vec::new()),
         Err(faults) => (0, faults),
     };
@@ -169,7 +169,7 @@
     } else if faults.is_empty() {
         println!("{name}: good, {routes} routes");
     } else {
-        eprint!("{}", whinspindle_operator_file::draw(&name, &text, &faults));
+        eprint!("{}", whinspindle_operator_file::render_faults(&name, &text, &faults));
         eprintln!("{name}: {} faults", faults.len());
     }
     Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -178,8 +178,8 @@
 fn route(line: &RouteArguments) -> Result<ExitCode, String> {
     let deployment = deployment(line.files.config.as_deref())?;
     let text = text(&line.files.file)?;
-    let operator = whinspindle_operator_file::read(&text, &deployment).map_err(|faults| {
-        whinspindle_operator_file::draw(&line.files.file.display().to_string(), &text, &faults)
+    let operator = whinspindle_operator_file::parse(&text, &deployment).map_err(|faults| {
+        whinspindle_operator_file::render_faults(&line.files.file.display().to_string(), &text, &faults)
     })?;
     let named = |names: &[String], name: &str, what: &str| {
         index(names, name)
@@ -205,7 +205,7 @@
 }
 
 /// Describes which route matches and why, and its worst-case schedule.
-fn why(operator: &Operator, route: &Route, lookup: &Lookup, deployment: &Deployment) -> String {
+fn why(operator: &OperatorConfig, route: &Route, lookup: &Lookup, deployment: &Deployment) -> String {
     let mut text = format!("route {:?}: {}", route.name, route.matches.path);
     let m = &route.matches;
     let named = [
@@ -230,7 +230,7 @@
         let _ = writeln!(text, "  more particular than {}", others.join(", "));
     }
     let c = &route.conditions[lookup.product];
-    let schedule = proof::worst_schedule(c, &whinspindle_operator_file::bounds(deployment));
+    let schedule = proof::worst_schedule(c, &whinspindle_operator_file::deployment_limits(deployment));
     text.push_str("  the worst schedule that it allows:\n");
     let at = |text: &mut String, us: u64, what: &str| {
         let _ = writeln!(text, "  {:>12.3} ms  {what}", us as f64 / 1e3);
--- a/programs/balancer/src/endpoint_store.rs
+++ b/programs/balancer/src/endpoint_store.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use whinspindle_endpoint_cache::{AgeLimits, Trust};
-use whinspindle_operator_file::Keep;
+use whinspindle_operator_file::EndpointCacheSettings;
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_record_store::RecordStore;
@@ -29,7 +29,10 @@
 
 /// Opens the store and restores the list, for a process that starts at `now` (Unix microseconds). If the store
 /// cannot be opened, that is logged and the balancer runs without it.
-pub fn open(keep: &Keep, now: u64) -> (Option<EndpointStore>, Option<(EndpointUpdate, Trust)>) {
+pub fn open(
+    keep: &EndpointCacheSettings,
+    now: u64,
+) -> (Option<EndpointStore>, Option<(EndpointUpdate, Trust)>) {
     let store = match RecordStore::open(&keep.folder) {
         Ok(store) => store,
         Err(fault) => {
@@ -37,7 +40,7 @@
             return (None, None);
         }
     };
-    let ages = AgeLimits { fresh_us: keep.fresh, old_us: keep.old };
+    let ages = AgeLimits { fresh_us: keep.fresh_us, old_us: keep.old_us };
     let restored =
         store.read(LIST_RECORD).and_then(|bytes| whinspindle_endpoint_cache::restore(&bytes, now, &ages));
     let known = restored.map(|(update, trust)| {
@@ -50,7 +53,7 @@
         log_line!("keep", "the list is not kept: {fault}");
         return (None, known);
     }
-    (Some(EndpointStore { bytes, last: None, renewal_interval: keep.fresh / 2 }), known)
+    (Some(EndpointStore { bytes, last: None, renewal_interval: keep.fresh_us / 2 }), known)
 }
 
 /// Writes each received list, until the sender is gone.
--- a/programs/balancer/src/fleet.rs
+++ b/programs/balancer/src/fleet.rs
@@ -16,8 +16,8 @@
 use std::time::{Duration, Instant};
 
 use whinspindle_endpoint_cache::Trust;
-use whinspindle_fleet_policy::Right;
-use whinspindle_operator_file::{CutOff, FleetTerms, Operator};
+use whinspindle_fleet_policy::LeaseState;
+use whinspindle_operator_file::{FleetSettings, OperatorConfig, PartitionPolicy};
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_record_store::RecordStore;
 use whinspindle_rollout::{OutcomeCounts, ServerStatus};
@@ -40,7 +40,7 @@
 pub enum ActivePolicy {
     /// The operator file to apply, with a number that differs for each file: one already applied need not be applied
     /// again.
-    Policy(u64, Arc<Operator>),
+    Policy(u64, Arc<OperatorConfig>),
     /// The process may not know the policy in force, and its last policy says to reject requests then.
     Unknown,
 }
@@ -59,15 +59,15 @@
     /// since a process that was suspended may wake up after its right has expired.
     pub fn active_policy(&self) -> ActivePolicy {
         let published = lock(&self.published);
-        if let (Some((number, operator)), Right::Policy(right)) = (&published.policy, published.right)
+        if let (Some((number, operator)), LeaseState::Policy(right)) = (&published.policy, published.right)
             && *number == right
             && self.clock.now() < published.until
         {
             return ActivePolicy::Policy(*number, Arc::clone(operator));
         }
-        match published.cut_off.cut_off {
-            CutOff::Rejects => ActivePolicy::Unknown,
-            CutOff::Routes(_) => {
+        match published.cut_off.partition_policy {
+            PartitionPolicy::Reject => ActivePolicy::Unknown,
+            PartitionPolicy::Routes(_) => {
                 let number = published.policy.as_ref().map_or(0, |(number, _)| *number);
                 ActivePolicy::Policy(ISOLATED_POLICY_BASE + number, Arc::clone(&published.cut_off))
             }
@@ -104,13 +104,13 @@
     /// Whether the process has learned the policy in force, or has given up learning it.
     pub fn has_decided(&self) -> bool {
         let published = lock(&self.published);
-        published.right != Right::Learning || self.clock.now() >= published.until
+        published.right != LeaseState::Learning || self.clock.now() >= published.until
     }
 
     /// Whether the process holds an unexpired right to decide by a policy.
     pub fn has_policy_right(&self) -> bool {
         let published = lock(&self.published);
-        matches!(published.right, Right::Policy(_)) && self.clock.now() < published.until
+        matches!(published.right, LeaseState::Policy(_)) && self.clock.now() < published.until
     }
 
     /// Reports the endpoint list from discovery, and for how many microseconds discovery has been silent since.
@@ -124,7 +124,7 @@
     }
 
     /// Starts the thread of the fleet member, and the one that listens on the control socket.
-    pub fn start(configuration: &Configuration, operator: Operator) -> Result<Fleet, FleetStartError> {
+    pub fn start(configuration: &Configuration, operator: OperatorConfig) -> Result<Fleet, FleetStartError> {
         let Some(terms) = operator.fleet.clone() else { return Err(FleetStartError::NoTable) };
         let (listen, peers) = addresses(configuration, &terms)?;
         let store = RecordStore::open(&terms.store).map_err(FleetStartError::Store)?;
@@ -136,8 +136,8 @@
         let clock = FleetClock(Instant::now());
         let cut_off = Arc::new(operator);
         let published = Arc::new(Mutex::new(Published {
-            right: Right::Learning,
-            until: terms.learn,
+            right: LeaseState::Learning,
+            until: terms.startup_timeout_us,
             policy: None,
             cut_off: Arc::clone(&cut_off),
             taken_out_servers: (0, BTreeSet::new()),
@@ -165,14 +165,14 @@
 
 fn addresses(
     configuration: &Configuration,
-    terms: &FleetTerms,
+    terms: &FleetSettings,
 ) -> Result<(SocketAddr, Vec<SocketAddr>), FleetStartError> {
     let peers = configuration.peers.clone();
     let Some(listen) = configuration.peer_listen else {
         return Err(FleetStartError::NoAddress);
     };
-    if peers.len() != terms.members as usize {
-        return Err(FleetStartError::PeerCount { addresses: peers.len(), members: terms.members });
+    if peers.len() != terms.member_count as usize {
+        return Err(FleetStartError::PeerCount { addresses: peers.len(), members: terms.member_count });
     }
     Ok((listen, peers))
 }
--- a/programs/balancer/src/fleet/environment.rs
+++ b/programs/balancer/src/fleet/environment.rs
@@ -62,7 +62,7 @@
         }
     }
 
-    fn keep(&mut self, memory: &DurableState) -> bool {
+    fn persist(&mut self, memory: &DurableState) -> bool {
         let written = postcard::to_stdvec(memory).map_err(|fault| fault.to_string());
         let written = written.and_then(|bytes| self.store.write("votes", &bytes).map_err(|f| f.to_string()));
         if let Err(fault) = &written {
@@ -75,10 +75,10 @@
         self.unchecked_policies.push((policy, text));
     }
 
-    fn may_go(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), RestartRefusal> {
+    fn check_restart(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), RestartRefusal> {
         let of = self.limits.iter().rev().find(|(number, _)| *number == record.policy.number);
         let limits = of.map(|(_, limits)| *limits).unwrap_or_default();
-        let granted: Vec<Unit> = record.out.iter().map(|out| out.unit).collect();
+        let granted: Vec<Unit> = record.grants.iter().map(|out| out.unit).collect();
         let (balancers, servers) = (self.addresses.len(), self.listed_servers.as_slice());
         RestartCheck { limits: &limits, granted: &granted, absent: away, balancer_count: balancers, servers }
             .check(unit)
@@ -88,9 +88,9 @@
         self.plan.as_ref().filter(|(known, _)| *known == hash).map(|(_, plan)| Rc::clone(plan))
     }
 
-    fn plan_came(&mut self, hash: Hash, text: Rc<[u8]>) {
+    fn plan_received(&mut self, hash: Hash, text: Rc<[u8]>) {
         let read =
-            std::str::from_utf8(&text).ok().map(|text| whinspindle_operator_file::read_plan(text, None));
+            std::str::from_utf8(&text).ok().map(|text| whinspindle_operator_file::parse_plan(text, None));
         match read {
             Some(Ok(plan)) => {
                 // Stored, since a release cannot continue without its plan after all members restart.
@@ -108,7 +108,7 @@
         self.neighbour_messages.push((from, bytes));
     }
 
-    fn is_full(&self, key: u64) -> bool {
+    fn is_server_in_service(&self, key: u64) -> bool {
         self.listed_servers.iter().any(|place| place.key == key && place.is_in_service)
     }
 
@@ -124,18 +124,21 @@
         let is_changed =
             |unit: Unit| plan.index_of(unit).is_some_and(|place| release.changed.contains(place));
         // Counts of a server that is taken out or in its slow start say nothing about its build.
-        let servers = counts
-            .into_iter()
-            .filter(|((key, _), _)| record.out_as(Unit::Server(*key)).is_none() && self.is_full(*key));
+        let servers = counts.into_iter().filter(|((key, _), _)| {
+            record.grant_of(Unit::Server(*key)).is_none() && self.is_server_in_service(*key)
+        });
         let me = Unit::Balancer(self.me);
         let has_balancers = plan.units.iter().any(|unit| matches!(unit, Unit::Balancer(_)));
-        let own =
-            (has_balancers && record.out_as(me).is_none()).then_some((BALANCER_STRATUM, is_changed(me), own));
+        let own = (has_balancers && record.grant_of(me).is_none()).then_some((
+            BALANCER_STRATUM,
+            is_changed(me),
+            own,
+        ));
         let servers = servers.map(|((key, stratum), count)| (stratum, is_changed(Unit::Server(key)), count));
         whinspindle_rollout::observation_rows(servers.chain(own))
     }
 
-    fn tell(&mut self, words: String) {
+    fn log(&mut self, words: String) {
         // Not rate-limited, since steps of the fleet and changes of the right are rare.
         whinspindle_rate_limited_log::write(format_args!("whinspindle fleet: member {}: {words}", self.me));
     }
--- a/programs/balancer/src/fleet/published.rs
+++ b/programs/balancer/src/fleet/published.rs
@@ -5,21 +5,21 @@
 use std::time::Instant;
 
 use whinspindle_endpoint_cache::Trust;
-use whinspindle_fleet_policy::Right;
-use whinspindle_operator_file::Operator;
+use whinspindle_fleet_policy::LeaseState;
+use whinspindle_operator_file::OperatorConfig;
 use whinspindle_protocol::endpoints::{EndpointUpdate, ListedServer};
 use whinspindle_rollout::{OutcomeCounts, ServerStatus};
 
 /// The shared state.
 pub(super) struct Published {
     /// The right of this process to decide by a policy.
-    pub(super) right: Right,
+    pub(super) right: LeaseState,
     /// When the right expires, by the [`FleetClock`].
     pub(super) until: u64,
     /// The policy last in force, with its number.
-    pub(super) policy: Option<(u64, Arc<Operator>)>,
+    pub(super) policy: Option<(u64, Arc<OperatorConfig>)>,
     /// The file whose rules apply while the process is isolated.
-    pub(super) cut_off: Arc<Operator>,
+    pub(super) cut_off: Arc<OperatorConfig>,
     /// Version and keys of the servers taken out.
     pub(super) taken_out_servers: (u64, BTreeSet<u64>),
     /// Whether this balancer is taken out.
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -11,9 +11,9 @@
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_endpoint_cache::{AgeLimits, NeighbourExchange};
 use whinspindle_fleet_policy::{
-    DurableState, Environment, Member, MemberSettings, Message, Objection, Right, Unit,
+    DurableState, Environment, LeaseState, Member, MemberSettings, Message, Objection, Unit,
 };
-use whinspindle_operator_file::{FleetTerms, Operator};
+use whinspindle_operator_file::{FleetSettings, OperatorConfig};
 use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_record_store::RecordStore;
@@ -44,9 +44,9 @@
     /// State shared with requests.
     published: Arc<Mutex<Published>>,
     /// The validated policies, by number.
-    operators: Vec<(u64, Arc<Operator>)>,
+    operators: Vec<(u64, Arc<OperatorConfig>)>,
     /// The process's own file, whose rules apply while no policy is known.
-    own: Arc<Operator>,
+    own: Arc<OperatorConfig>,
     /// Number of datagrams received.
     pub(super) received: u64,
     /// Exchange of endpoint lists with other balancers for processes that restart; none if disabled.
@@ -57,17 +57,24 @@
     /// Restores the member from the store, or starts a new one.
     #[expect(clippy::too_many_arguments, reason = "each is a part of the process that is handed over once")]
     pub(super) fn new(
-        terms: FleetTerms,
+        terms: FleetSettings,
         socket: UdpSocket,
         addresses: Vec<SocketAddr>,
         store: RecordStore,
         deployment: Deployment,
         clock: FleetClock,
         published: Arc<Mutex<Published>>,
-        own: Arc<Operator>,
+        own: Arc<OperatorConfig>,
         build: String,
     ) -> Worker {
-        let FleetTerms { me, members, ref name, ref secret, datagram, .. } = terms;
+        let FleetSettings {
+            member: me,
+            member_count: members,
+            ref name,
+            ref secret,
+            max_datagram_bytes: datagram,
+            ..
+        } = terms;
         let peers = PeerTransport::new(me, members, name, secret, rand::random(), datagram);
         let store = Rc::new(store);
         let memory = store.read("votes").and_then(|bytes| postcard::from_bytes::<DurableState>(&bytes).ok());
@@ -96,26 +103,26 @@
             own: OutcomeCounts::default(),
             neighbour_messages: Vec::new(),
         };
-        let asks = terms.neighbours;
+        let asks = terms.asks_neighbours;
         let ages = own
-            .keep
+            .endpoint_cache
             .as_ref()
-            .map_or(DEFAULT_AGES, |keep| AgeLimits { fresh_us: keep.fresh, old_us: keep.old });
+            .map_or(DEFAULT_AGES, |keep| AgeLimits { fresh_us: keep.fresh_us, old_us: keep.old_us });
         let terms = MemberSettings {
-            me,
-            members,
+            member: me,
+            member_count: members,
             voters: terms.voters,
-            right: terms.right,
-            drift: terms.drift,
-            pace: terms.pace,
-            absent: terms.absent,
-            give_up: terms.give_up,
-            learn: terms.learn,
+            lease_us: terms.lease_us,
+            clock_drift_ppm: terms.clock_drift_ppm,
+            renewal_interval_us: terms.renewal_interval_us,
+            absence_timeout_us: terms.absence_timeout_us,
+            change_timeout_us: terms.change_timeout_us,
+            startup_timeout_us: terms.startup_timeout_us,
         };
         // A incarnation of 0 would pass for none.
         let start = rand::random::<u64>() | 1;
         let mut member = Member::new(environment, terms, memory, start, clock.now());
-        texts.iter().for_each(|text| member.hold(text));
+        texts.iter().for_each(|text| member.add_text(text));
         let neighbours = asks.then(|| NeighbourExchange::new(me, members, ages, start, clock.now()));
         Worker { member, deployment, clock, published, operators: Vec::new(), own, received: 0, neighbours }
     }
@@ -145,7 +152,7 @@
             if now >= next_tick {
                 self.member.tick(now);
                 self.ask_neighbours(now);
-                next_tick = now + (self.member.settings().pace / 8).min(100_000);
+                next_tick = now + (self.member.settings().renewal_interval_us / 8).min(100_000);
             }
             self.prove();
             self.receive_from_neighbours();
@@ -166,7 +173,7 @@
             lock(&self.published).neighbour_list = Some((update, trust));
         }
         for (to, word) in neighbours.tick(now) {
-            self.member.environment.send(to, Message::Aside { bytes: word.to_bytes() });
+            self.member.environment.send(to, Message::Opaque { bytes: word.to_bytes() });
         }
     }
 
@@ -177,7 +184,7 @@
         let now = self.clock.now();
         for (from, bytes) in neighbour_messages {
             for word in neighbours.receive(now, from, &bytes) {
-                self.member.environment.send(from, Message::Aside { bytes: word.to_bytes() });
+                self.member.environment.send(from, Message::Opaque { bytes: word.to_bytes() });
             }
         }
     }
@@ -191,7 +198,7 @@
         let known = said.filter(|said| environment.addresses.get(*said as usize) == Some(&from));
         let before = environment.peers.dropped;
         match environment.peers.receive::<Message>(now / 1_000_000, known, datagram) {
-            Some((from, message)) => self.member.received(now, from, message),
+            Some((from, message)) => self.member.receive(now, from, message),
             None if environment.peers.dropped != before => {
                 log_line!("peers", "a datagram from {from} is passed over: {:?}", environment.peers.dropped);
             }
@@ -224,30 +231,30 @@
     }
 
     /// Validates the text of a policy against this process's settings.
-    fn check_policy(&self, text: &[u8]) -> Result<Operator, Objection> {
+    fn check_policy(&self, text: &[u8]) -> Result<OperatorConfig, Objection> {
         let Ok(text) = std::str::from_utf8(text) else {
-            return Err(Objection { line: 0, words: "is not UTF-8 text".to_string() });
+            return Err(Objection { line: 0, reason: "is not UTF-8 text".to_string() });
         };
-        whinspindle_operator_file::read_policy(text, &self.deployment).map_err(|faults| {
+        whinspindle_operator_file::parse_policy(text, &self.deployment).map_err(|faults| {
             let first = faults.first();
             let words = first.map_or(String::new(), |fault| {
                 format!("{}: {} ({} faults)", fault.field, fault.fault, faults.len())
             });
-            Objection { line: first.map_or(0, |fault| fault.line as u32), words: truncated(words) }
+            Objection { line: first.map_or(0, |fault| fault.line as u32), reason: truncated(words) }
         })
     }
 
     /// Publishes the state of the member and takes the counts of the requests.
     fn publish(&mut self) {
-        let (right, until) = self.member.right_until(self.clock.now());
+        let (right, until) = self.member.lease_state_until(self.clock.now());
         let of = |number: u64| match number {
-            0 => Some(Arc::new(Operator::none())),
+            0 => Some(Arc::new(OperatorConfig::empty())),
             _ => {
                 self.operators.iter().find(|(known, _)| *known == number).map(|(_, known)| Arc::clone(known))
             }
         };
         let mut published = lock(&self.published);
-        if let Right::Policy(number) = right
+        if let LeaseState::Policy(number) = right
             && published.policy.as_ref().is_none_or(|(known, _)| *known != number)
             && let Some(operator) = of(number)
         {
@@ -256,7 +263,7 @@
             published.policy = Some((number, operator));
         }
         (published.right, published.until) = (right, until);
-        let servers = self.member.record().out.iter().filter_map(|out| match out.unit {
+        let servers = self.member.record().grants.iter().filter_map(|out| match out.unit {
             Unit::Server(key) => Some(key),
             Unit::Balancer(_) => None,
         });
@@ -265,7 +272,7 @@
             published.taken_out_servers = (published.taken_out_servers.0 + 1, servers);
         }
         published.is_taken_out = self.member.is_taken_out();
-        let watches = self.member.watched().is_some();
+        let watches = self.member.watched_release().is_some();
         let environment = &mut self.member.environment;
         environment.listed_servers.clone_from(&published.listed_servers);
         let (counts, own) = (std::mem::take(&mut published.counts), std::mem::take(&mut published.own));
--- a/programs/balancer/src/fleet_command.rs
+++ b/programs/balancer/src/fleet_command.rs
@@ -9,7 +9,7 @@
 use clap::{Args, Subcommand, ValueHint};
 use serde_json::Value;
 use whinspindle_fleet_policy::{Hash, Unit};
-use whinspindle_operator_file::{draw, read_plan};
+use whinspindle_operator_file::{parse_plan, render_faults};
 
 use crate::command;
 use crate::control::{self, Request};
@@ -261,7 +261,7 @@
 }
 
 fn unit(text: &str) -> Result<Unit, String> {
-    whinspindle_operator_file::unit(text)
+    whinspindle_operator_file::parse_unit(text)
         .ok_or_else(|| format!("{text:?} is no unit: balancer:NUMBER or server:ID"))
 }
 
@@ -335,9 +335,9 @@
 /// Shows what a plan would do.
 fn show_plan(file: &Path) -> Result<ExitCode, String> {
     let text = command::text(file)?;
-    let plan = match read_plan(&text, None) {
+    let plan = match parse_plan(&text, None) {
         Ok(plan) => plan,
-        Err(faults) => return Err(draw(&file.display().to_string(), &text, &faults)),
+        Err(faults) => return Err(render_faults(&file.display().to_string(), &text, &faults)),
     };
     let mut from = 0;
     for (wave, to) in plan.wave_ends.iter().enumerate() {
--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -33,7 +33,7 @@
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_discovery::EndpointWatch;
 use whinspindle_endpoint_cache::{RecoveryTracker, SecondSummary};
-use whinspindle_operator_file::Operator;
+use whinspindle_operator_file::OperatorConfig;
 use whinspindle_rate_limited_log::log_line;
 
 use crate::clock::Clock;
@@ -82,11 +82,11 @@
 }
 
 /// Reads the operator file; the error shows every fault in its text.
-fn operator(file: &Path, deployment: &Deployment) -> Result<Operator, StartError> {
+fn operator(file: &Path, deployment: &Deployment) -> Result<OperatorConfig, StartError> {
     let text = command::text(file).map_err(StartError::OperatorFile)?;
-    whinspindle_operator_file::read(&text, deployment).map_err(|faults| {
+    whinspindle_operator_file::parse(&text, deployment).map_err(|faults| {
         let name = file.display().to_string();
-        let drawn = whinspindle_operator_file::draw(&name, &text, &faults);
+        let drawn = whinspindle_operator_file::render_faults(&name, &text, &faults);
         StartError::OperatorFile(format!("{name}: {} faults\n{drawn}", faults.len()))
     })
 }
@@ -111,7 +111,7 @@
 
 async fn run(
     mut configuration: Configuration,
-    operator_file: Option<(PathBuf, Operator)>,
+    operator_file: Option<(PathBuf, OperatorConfig)>,
     signals: Signals,
 ) -> Result<(), StartError> {
     let resource_limits = ResourceLimits::divide(configuration.limits);
@@ -127,8 +127,8 @@
         () = stopped_early => return Ok(()),
     };
     let listener = listener.map_err(|fault| StartError::Listen { address: configuration.listen, fault })?;
-    let keep = operator_file.as_ref().and_then(|(_, operator)| operator.keep.clone());
-    let starts_slowly = operator_file.as_ref().is_some_and(|(_, operator)| operator.begins_slowly());
+    let keep = operator_file.as_ref().and_then(|(_, operator)| operator.endpoint_cache.clone());
+    let starts_slowly = operator_file.as_ref().is_some_and(|(_, operator)| operator.has_slow_start());
     let (endpoint_store, restored) =
         keep.map_or((None, None), |keep| endpoint_store::open(&keep, Clock::start().now()));
     let is_restored = configuration.known_endpoints.is_none() && restored.is_some();
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -15,7 +15,7 @@
 use whinspindle_balancer_core::{BalancerCore, Effects, EndedExecution, Execution, ServerProcess};
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_endpoint_cache::{StartupLimit, Trust};
-use whinspindle_operator_file::Operator;
+use whinspindle_operator_file::OperatorConfig;
 use whinspindle_protocol::answer::Answer;
 use whinspindle_protocol::endpoints::EndpointUpdate;
 use whinspindle_protocol::execution::{self, Reply};
@@ -55,7 +55,7 @@
     /// State of the graceful shutdown.
     pub shutdown: Shutdown,
     /// The operator file in force: the process's own, or the policy of the fleet.
-    pub operator: RefCell<Option<Arc<Operator>>>,
+    pub operator: RefCell<Option<Arc<OperatorConfig>>>,
     /// The fleet this process is a member of.
     pub fleet: Option<Fleet>,
     /// Number of the fleet policy that was applied last.
@@ -211,8 +211,8 @@
     }
 
     /// Applies an operator file to requests that arrive from now on.
-    pub fn apply_operator_file(&self, operator: Arc<Operator>) {
-        self.core.borrow_mut().routes(operator.rows(&self.deployment));
+    pub fn apply_operator_file(&self, operator: Arc<OperatorConfig>) {
+        self.core.borrow_mut().routes(operator.route_policies(&self.deployment));
         self.operator.replace(Some(operator));
     }
 
--- a/programs/balancer/tests/stored_fixtures.rs
+++ b/programs/balancer/tests/stored_fixtures.rs
@@ -56,7 +56,7 @@
         DurableState { incarnation: 0xfeed_0000_0000_0001, votes: Default::default(), record: record() };
     second.votes.promised = Ballot { epoch: 2, round: 303, member: 300, start: 0xa1a2_a3a4_a5a6_a7a9 };
     let mut accepted = record();
-    (accepted.version, accepted.halted, accepted.next) = (302, None, None);
+    (accepted.version, accepted.halt, accepted.pending_change) = (302, None, None);
     second.votes.accepted =
         Some((Ballot { epoch: 1, round: 302, member: 4, start: 0xb1b2_b3b4_b5b6_b7b9 }, accepted));
     [first, second]
@@ -96,7 +96,7 @@
     let read = stored("texts", &records);
     assert_eq!(read[..4], texts);
     assert_eq!(read[4], PLAN.as_bytes());
-    let plan = whinspindle_operator_file::read_plan(std::str::from_utf8(&read[4]).expect("UTF-8"), None);
+    let plan = whinspindle_operator_file::parse_plan(std::str::from_utf8(&read[4]).expect("UTF-8"), None);
     let of = |name: &str| name.to_string();
     let expected = Plan {
         name: of("größer"),
