--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -1,7 +1,8 @@
-//! The list of servers as a balancer had it last, and how far it is believed when the process starts again.
-//! No I/O and no clock: bytes and times in, a list out. A list a few seconds old is taken nearly as told;
-//! with an older one every server counts as cold until its answers and discovery say otherwise; what was
-//! draining when it was saved gets nothing from either.
+//! The stored copy of a balancer's endpoint list, and how far a restarted process trusts it.
+//!
+//! A list a few seconds old is used almost as it was. With an older list every server starts as cold until
+//! discovery or the server's own answers report its state. A server that was draining when the list was saved
+//! receives no new requests from either. The crate does no I/O and reads no clock.
 
 mod neighbours;
 mod recovery;
@@ -18,28 +19,30 @@
 pub use recovery::{RecoveryTracker, SecondSummary};
 pub use startup_limit::StartupLimit;
 
-/// Another number is another format, which is not read.
-const FORMAT: u8 = 1;
-/// More servers than this are not saved: the bytes are bounded.
+/// The format version. A stored list with another version is ignored.
+const FORMAT_VERSION: u8 = 1;
+/// The largest number of servers that are stored, which bounds the size of the encoding.
 pub const MAX_SERVERS: usize = 20_000;
 
-/// Between which ages, in microseconds, a list is believed how far.
+/// The ages, in microseconds, that decide how far a stored list is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgeLimits {
-    /// Up to this age it is taken as told.
+    /// Up to this age a list is used as it was saved.
     pub fresh_us: u64,
-    /// Up to this age its servers are expected to be there, cold; beyond they are addresses to try.
+    /// Up to this age the listed servers are expected to exist but count as cold. Beyond it they are only
+    /// addresses to try.
     pub old_us: u64,
 }
 
-/// What is believed further comes first.
+/// How far a list is trusted, the highest trust first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trust {
-    /// It is taken as it was listed.
+    /// The list is used as it was saved.
     Full,
-    /// All of it counts as cold.
+    /// Every listed server counts as cold.
     Doubted,
-    /// The same, and few of it may be left: nothing is to be concluded from one that does not answer.
+    /// Every listed server counts as cold and may no longer exist, so a server that doesn't answer says nothing
+    /// about the others.
     Unverified,
 }
 
@@ -53,81 +56,86 @@
     }
 }
 
+/// The stored form of an endpoint list.
 #[derive(Serialize, Deserialize)]
-struct Saved {
-    format: u8,
-    /// Unix microseconds.
-    at: u64,
+struct StoredList {
+    format_version: u8,
+    /// When the list was saved, in Unix microseconds.
+    saved_at_us: u64,
     generation: u64,
-    servers: Vec<SavedServer>,
+    servers: Vec<StoredServer>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct SavedServer {
+struct StoredServer {
     name: String,
     zone: String,
     kind: String,
-    cell: u64,
+    pod: u64,
     size: f64,
     started_at: u64,
-    draining: bool,
+    is_draining: bool,
     address: SocketAddr,
 }
 
-/// What is kept of a list: those with an address that are not gone.
-pub fn encode(servers: &[ListedServer], generation: u64, at: u64) -> Vec<u8> {
-    let kept = servers.iter().filter(|listed| listed.state != EndpointState::Gone).take(MAX_SERVERS);
-    let servers = kept.filter_map(|listed| {
-        Some(SavedServer {
+/// Encodes the servers of a list that have an address and are not gone.
+pub fn encode(servers: &[ListedServer], generation: u64, saved_at_us: u64) -> Vec<u8> {
+    let stored = servers.iter().filter(|listed| listed.state != EndpointState::Gone).take(MAX_SERVERS);
+    let servers = stored.filter_map(|listed| {
+        Some(StoredServer {
             name: listed.name.clone(),
             zone: listed.zone.clone(),
             kind: listed.kind.clone(),
-            cell: listed.cell as u64,
+            pod: listed.cell as u64,
             size: listed.size,
             started_at: listed.started_at,
-            draining: listed.state == EndpointState::Draining,
+            is_draining: listed.state == EndpointState::Draining,
             address: listed.address?,
         })
     });
-    let saved = Saved { format: FORMAT, at, generation, servers: servers.collect() };
-    postcard::to_stdvec(&saved).unwrap_or_default()
+    let list =
+        StoredList { format_version: FORMAT_VERSION, saved_at_us, generation, servers: servers.collect() };
+    postcard::to_stdvec(&list).unwrap_or_default()
 }
 
-/// What was saved, as a list to begin with; none if the bytes are no list of this format, or an empty one.
-pub fn restore(bytes: &[u8], now: u64, ages: &AgeLimits) -> Option<(EndpointUpdate, Trust)> {
-    let saved = read(bytes)?;
-    // Guards against a clock that was set back: a list of tomorrow has no age that can be known.
-    let trust = match now.checked_sub(saved.at) {
-        Some(age) if age <= ages.fresh_us => Trust::Full,
-        Some(age) if age <= ages.old_us => Trust::Doubted,
+/// Decodes a stored list for a process that starts at `now`, and decides how far it is trusted. Returns `None` if
+/// the bytes are not a list of this format, or the list is empty.
+pub fn restore(bytes: &[u8], now: u64, limits: &AgeLimits) -> Option<(EndpointUpdate, Trust)> {
+    let list = decode(bytes)?;
+    // Guards against a clock that was set back: the age of a list from the future is unknown.
+    let trust = match now.checked_sub(list.saved_at_us) {
+        Some(age) if age <= limits.fresh_us => Trust::Full,
+        Some(age) if age <= limits.old_us => Trust::Doubted,
         _ => Trust::Unverified,
     };
-    Some((list(saved, trust, now), trust))
+    Some((to_update(list, trust, now), trust))
 }
 
-/// What `encode` made, believed so far.
-fn decode(bytes: &[u8], trust: Trust, now: u64) -> Option<EndpointUpdate> {
-    Some(list(read(bytes)?, trust, now))
+/// Decodes a list received from another balancer, with the given trust.
+fn decode_update(bytes: &[u8], trust: Trust, now: u64) -> Option<EndpointUpdate> {
+    Some(to_update(decode(bytes)?, trust, now))
 }
 
-fn read(bytes: &[u8]) -> Option<Saved> {
-    let saved: Saved = postcard::from_bytes(bytes).ok()?;
-    let well = saved.format == FORMAT && !saved.servers.is_empty() && saved.servers.len() <= MAX_SERVERS;
-    well.then_some(saved)
+fn decode(bytes: &[u8]) -> Option<StoredList> {
+    let list: StoredList = postcard::from_bytes(bytes).ok()?;
+    let is_valid = list.format_version == FORMAT_VERSION
+        && !list.servers.is_empty()
+        && list.servers.len() <= MAX_SERVERS;
+    is_valid.then_some(list)
 }
 
-fn list(saved: Saved, trust: Trust, now: u64) -> EndpointUpdate {
-    let servers = saved.servers.into_iter().map(|kept| ListedServer {
-        name: kept.name,
-        zone: kept.zone,
-        kind: kept.kind,
-        cell: kept.cell as usize,
-        size: kept.size,
-        started_at: if trust == Trust::Full { kept.started_at } else { now },
-        state: if kept.draining { EndpointState::Draining } else { EndpointState::Ready },
-        address: Some(kept.address),
+fn to_update(list: StoredList, trust: Trust, now: u64) -> EndpointUpdate {
+    let servers = list.servers.into_iter().map(|stored| ListedServer {
+        name: stored.name,
+        zone: stored.zone,
+        kind: stored.kind,
+        cell: stored.pod as usize,
+        size: stored.size,
+        started_at: if trust == Trust::Full { stored.started_at } else { now },
+        state: if stored.is_draining { EndpointState::Draining } else { EndpointState::Ready },
+        address: Some(stored.address),
     });
     let servers = servers.collect();
-    // Discovery is asked for the whole list, whatever generation this one had.
+    // Generation 0 makes discovery send the whole list, whatever the generation of the stored one.
     EndpointUpdate { generation: 0, complete: true, servers, faults: Vec::new() }
 }
--- a/balancer/endpoint-cache/src/recovery.rs
+++ b/balancer/endpoint-cache/src/recovery.rs
@@ -1,73 +1,85 @@
-//! When a process that has started counts itself whole again, so that its log tells how long its return took
-//! and what it went by meanwhile. No I/O and no clock.
+//! Detects when a started process serves fully again, so that its log reports how long the recovery took and what
+//! delayed it. The module does no I/O and reads no clock.
 
-/// Of the queries answered within a second so many are completed in full service.
-const FULL: f64 = 0.98;
-/// For so many seconds on end.
-const SECONDS: u32 = 3;
+/// The fraction of the answered requests that are completed in full service.
+const MIN_COMPLETED_FRACTION: f64 = 0.98;
+/// Seconds in a row that full service must last.
+const SECONDS_IN_FULL_SERVICE: u32 = 3;
 
-/// What holds at the end of a second.
+/// The state of the process at the end of a second.
 #[derive(Clone, Copy, Debug)]
 pub struct SecondSummary {
-    /// The list is discovery's word, or the platform's.
+    /// Whether the endpoint list comes from discovery or the platform, not from the cache or a neighbour.
     pub is_list_authoritative: bool,
-    /// It decides by a policy of its fleet, or is in none.
+    /// Whether the process holds a lease for a policy, or belongs to no fleet.
     pub has_policy: bool,
-    /// It takes all queries.
+    /// Whether the process admits all requests.
     pub admits_all: bool,
-    /// Since the start.
+    /// Requests completed since the start.
     pub completed: u64,
-    /// Queries answered in any way since the start.
+    /// Requests answered in any way since the start.
     pub answered: u64,
 }
 
-/// Tells once when the process serves fully again.
+/// Reports once when the process serves fully again.
 #[derive(Debug)]
 pub struct RecoveryTracker {
-    began: u64,
-    before: (u64, u64),
-    full: u32,
-    waits: [u32; 4],
+    started_at_us: u64,
+    /// The counts of completed and answered requests at the last call.
+    previous_counts: (u64, u64),
+    full_seconds: u32,
+    /// Seconds spent without each condition of full service, in the order of `record_second`.
+    delays: [u32; 4],
     is_recovered: bool,
 }
 
 impl RecoveryTracker {
-    /// A process that began at this time, in microseconds.
-    pub fn new(began: u64) -> RecoveryTracker {
-        RecoveryTracker { began, before: (0, 0), full: 0, waits: [0; 4], is_recovered: false }
+    /// Creates a tracker for a process that started at this time, in microseconds.
+    pub fn new(started_at_us: u64) -> RecoveryTracker {
+        RecoveryTracker {
+            started_at_us,
+            previous_counts: (0, 0),
+            full_seconds: 0,
+            delays: [0; 4],
+            is_recovered: false,
+        }
     }
 
-    /// Called at the end of each second; tells once that the process is whole, and what it waited for until
-    /// then.
-    pub fn record_second(&mut self, now: u64, of: SecondSummary) -> Option<String> {
+    /// Records a second that has ended. Returns the log line about the recovery once the process serves fully.
+    pub fn record_second(&mut self, now: u64, summary: SecondSummary) -> Option<String> {
         if self.is_recovered {
             return None;
         }
-        let completed = of.completed.saturating_sub(self.before.0);
-        let answered = of.answered.saturating_sub(self.before.1);
-        self.before = (of.completed, of.answered);
-        let serves = completed as f64 >= FULL * answered as f64;
-        for (waits, holds) in
-            self.waits.iter_mut().zip([of.is_list_authoritative, of.has_policy, of.admits_all, serves])
-        {
-            *waits += u32::from(!holds);
+        let completed = summary.completed.saturating_sub(self.previous_counts.0);
+        let answered = summary.answered.saturating_sub(self.previous_counts.1);
+        self.previous_counts = (summary.completed, summary.answered);
+        let completes = completed as f64 >= MIN_COMPLETED_FRACTION * answered as f64;
+        for (delay, is_met) in self.delays.iter_mut().zip([
+            summary.is_list_authoritative,
+            summary.has_policy,
+            summary.admits_all,
+            completes,
+        ]) {
+            *delay += u32::from(!is_met);
         }
-        self.full = if of.is_list_authoritative && of.has_policy && of.admits_all && serves {
-            self.full + 1
-        } else {
-            0
-        };
-        if self.full < SECONDS {
+        self.full_seconds =
+            if summary.is_list_authoritative && summary.has_policy && summary.admits_all && completes {
+                self.full_seconds + 1
+            } else {
+                0
+            };
+        if self.full_seconds < SECONDS_IN_FULL_SERVICE {
             return None;
         }
         self.is_recovered = true;
-        let [told, settled, takes_all, serves] = self.waits;
-        // Recovered since the first of the full seconds.
-        let after = (now.saturating_sub(self.began) / 1_000_000).saturating_sub(u64::from(SECONDS));
+        let [list, policy, admission, completion] = self.delays;
+        // The process has been recovered since the first of the seconds in full service.
+        let recovery_s = (now.saturating_sub(self.started_at_us) / 1_000_000)
+            .saturating_sub(u64::from(SECONDS_IN_FULL_SERVICE));
         Some(format!(
-            "whole after {after} s: {told} s without discovery's list, {settled} s without a policy, {takes_all} s \
-             of taking few, {serves} s under {}% completed",
-            FULL * 100.0
+            "whole after {recovery_s} s: {list} s without discovery's list, {policy} s without a policy, \
+             {admission} s with limited admission, {completion} s under {}% completed",
+            MIN_COMPLETED_FRACTION * 100.0
         ))
     }
 }
--- a/balancer/endpoint-cache/src/startup_limit.rs
+++ b/balancer/endpoint-cache/src/startup_limit.rs
@@ -1,99 +1,104 @@
-//! The first seconds of a process that comes back, perhaps with all others: it takes few queries at a time,
-//! and more as long as answers stay as fast as the fastest. Guards against the clients of a whole outage, who
-//! all come to the first that is up, and against servers that are jammed by the sum of all that return. No
-//! I/O and no clock.
+//! Admission control for the first seconds of a process, which may restart together with all others. It admits few
+//! requests at a time at first, and more while answers stay about as fast as the fastest ones. Guards against a
+//! rush of clients to the first balancer that is up after an outage, and against servers overloaded by all
+//! balancers that return at once. The module does no I/O and reads no clock.
 
-/// Answers by which it is seen whether servers are jammed.
-const LAST: usize = 16;
-/// So many queries at once for each server listed, shared out over the members of the fleet, to begin with.
-const BEGIN: f64 = 2.0;
-/// By how much more or less is taken after each step, and how much slower answers may be.
-const MORE: f64 = 1.5;
-const LESS: f64 = 0.7;
-const SLOWER: f64 = 2.0;
-/// Steps without a query turned away after which it is over, and the most in all.
-const CALM: u32 = 8;
-const MOST: u32 = 80;
+/// The most recent answers by which overload of the servers is detected.
+const MAX_RECENT_ANSWERS: usize = 16;
+/// Requests in flight at first for each listed server, shared out over the members of the fleet.
+const INITIAL_REQUESTS_PER_SERVER: f64 = 2.0;
+/// The factor on the limit after a step with fast answers.
+const INCREASE: f64 = 1.5;
+/// The factor on the limit after a step with slow answers.
+const DECREASE: f64 = 0.7;
+/// Answers are slow if their median exceeds the fastest median by more than this factor.
+const SLOW_FACTOR: f64 = 2.0;
+/// The limit is lifted after this many steps without a rejected request.
+const STEPS_WITHOUT_REJECTION: u32 = 8;
+/// The limit is lifted after this many steps in any case.
+const MAX_STEPS: u32 = 80;
 
-/// A limit on queries in flight that grows while answers stay fast.
+/// A limit on the requests in flight that grows while answers stay fast.
 pub struct StartupLimit {
-    /// Between two steps, in microseconds.
-    step: u64,
-    next: u64,
+    step_us: u64,
+    next_step_at_us: u64,
     steps: u32,
-    calm: u32,
-    allowed: f64,
-    least: f64,
-    last: Vec<u64>,
-    fastest: Option<u64>,
+    steps_without_rejection: u32,
+    max_in_flight: f64,
+    min_in_flight: f64,
+    /// The latest answer times since the last step, in microseconds.
+    recent_answers_us: Vec<u64>,
+    fastest_median_us: Option<u64>,
     rejected: u64,
-    over: bool,
+    is_over: bool,
 }
 
 impl StartupLimit {
-    /// `step` in microseconds is what clients of all products wait for gladly.
-    pub fn new(servers: usize, members: usize, step: u64, now: u64) -> StartupLimit {
-        let step = step.max(1);
-        let least = (BEGIN * servers as f64 / members.max(1) as f64).max(1.0);
+    /// Creates a limit for a process that starts at `now`. `step_us` is the time between two steps in
+    /// microseconds, an answer time that is acceptable to the clients of every product.
+    pub fn new(servers: usize, members: usize, step_us: u64, now: u64) -> StartupLimit {
+        let step_us = step_us.max(1);
+        let min_in_flight = (INITIAL_REQUESTS_PER_SERVER * servers as f64 / members.max(1) as f64).max(1.0);
         StartupLimit {
-            step,
-            next: now + step,
+            step_us,
+            next_step_at_us: now + step_us,
             steps: 0,
-            calm: 0,
-            allowed: least,
-            least,
-            last: Vec::new(),
-            fastest: None,
+            steps_without_rejection: 0,
+            max_in_flight: min_in_flight,
+            min_in_flight,
+            recent_answers_us: Vec::new(),
+            fastest_median_us: None,
             rejected: 0,
-            over: false,
+            is_over: false,
         }
     }
 
-    /// Whether it takes everything from now on.
+    /// Whether the limit is lifted, so that all requests are admitted.
     pub fn is_over(&self) -> bool {
-        self.over
+        self.is_over
     }
 
-    /// Queries turned away by it.
+    /// The number of requests that the limit has rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Whether one more may be taken beside so many open ones; if not, after how many microseconds its client
-    /// had best come back. `chance` from 0 to 1 spreads those.
+    /// Admits a request beside `open` others in flight, or returns after how many microseconds its client should
+    /// retry. `chance`, from 0 to 1, spreads the retries of many clients.
     pub fn try_admit(&mut self, now: u64, open: usize, chance: f64) -> Result<(), u64> {
         self.advance(now);
-        if self.over || (open as f64) < self.allowed {
+        if self.is_over || (open as f64) < self.max_in_flight {
             return Ok(());
         }
         self.rejected += 1;
-        self.calm = 0;
-        Err(((1.0 + 3.0 * chance) * self.step as f64) as u64)
+        self.steps_without_rejection = 0;
+        Err(((1.0 + 3.0 * chance) * self.step_us as f64) as u64)
     }
 
-    /// A query was completed after so many microseconds.
+    /// Records a request that was completed after `spent` microseconds.
     pub fn record_completion(&mut self, spent: u64) {
-        if self.last.len() == LAST {
-            self.last.remove(0);
+        if self.recent_answers_us.len() == MAX_RECENT_ANSWERS {
+            self.recent_answers_us.remove(0);
         }
-        self.last.push(spent);
+        self.recent_answers_us.push(spent);
     }
 
-    /// Time has passed.
+    /// Takes the steps that are due, each of which adjusts the limit by the answers since the last one.
     pub fn advance(&mut self, now: u64) {
-        while !self.over && now >= self.next {
-            self.next += self.step;
+        while !self.is_over && now >= self.next_step_at_us {
+            self.next_step_at_us += self.step_us;
             self.steps += 1;
-            self.calm += 1;
-            let mut last = std::mem::take(&mut self.last);
-            last.sort_unstable();
-            if let Some(median) = last.get(last.len() / 2).copied() {
-                let fastest = self.fastest.map_or(median, |fastest| fastest.min(median));
-                self.fastest = Some(fastest);
-                let jammed = median as f64 > SLOWER * fastest as f64;
-                self.allowed = (self.allowed * if jammed { LESS } else { MORE }).max(self.least);
+            self.steps_without_rejection += 1;
+            let mut answers = std::mem::take(&mut self.recent_answers_us);
+            answers.sort_unstable();
+            if let Some(median) = answers.get(answers.len() / 2).copied() {
+                let fastest = self.fastest_median_us.map_or(median, |fastest| fastest.min(median));
+                self.fastest_median_us = Some(fastest);
+                let is_overloaded = median as f64 > SLOW_FACTOR * fastest as f64;
+                self.max_in_flight = (self.max_in_flight * if is_overloaded { DECREASE } else { INCREASE })
+                    .max(self.min_in_flight);
             }
-            self.over = self.calm >= CALM || self.steps >= MOST;
+            self.is_over = self.steps_without_rejection >= STEPS_WITHOUT_REJECTION || self.steps >= MAX_STEPS;
         }
     }
 }
--- a/balancer/endpoint-cache/tests/neighbours.rs
+++ b/balancer/endpoint-cache/tests/neighbours.rs
@@ -1,4 +1,4 @@
-//! What is taken of what neighbours say, and how far; and the first seconds of a process that comes back.
+//! The exchange of endpoint lists between neighbours, the startup limit, and the report of a recovery.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use whinspindle_protocol::endpoints::ListedServer;
 
 const SECOND: u64 = 1_000_000;
-const AGES: AgeLimits = AgeLimits { fresh_us: 10 * SECOND, old_us: 100 * SECOND };
+const AGE_LIMITS: AgeLimits = AgeLimits { fresh_us: 10 * SECOND, old_us: 100 * SECOND };
 const MEMBERS: u16 = 5;
 const NOW: u64 = 1_000 * SECOND;
 
@@ -27,17 +27,18 @@
     (0..count).map(server).collect()
 }
 
-/// Member 0 comes back; each other was told so many servers so many seconds ago, or knows nothing. Of the
-/// messages nearly a third is lost. What it takes in the end, and how many messages that took.
-fn back(others: [Option<(usize, u64)>; 4]) -> (Option<(usize, Trust, u64)>, usize) {
-    let mut members: Vec<NeighbourExchange> =
-        (0..MEMBERS).map(|me| NeighbourExchange::new(me, MEMBERS, AGES, u64::from(me), NOW)).collect();
-    for (other, told) in others.iter().enumerate() {
-        if let Some((count, ago)) = told {
+/// Restarts member 0 beside four others, each with a list of some length and age in seconds, or none. Nearly a
+/// third of the messages is lost. Returns the list that member 0 ends up with, and the number of messages.
+fn restart_member(others: [Option<(usize, u64)>; 4]) -> (Option<(usize, Trust, u64)>, usize) {
+    let mut members: Vec<NeighbourExchange> = (0..MEMBERS)
+        .map(|member| NeighbourExchange::new(member, MEMBERS, AGE_LIMITS, u64::from(member), NOW))
+        .collect();
+    for (other, list_and_age) in others.iter().enumerate() {
+        if let Some((count, age)) = list_and_age {
             let mut servers = list(*count);
-            // In whatever order discovery told them.
+            // The order of the servers must not matter.
             servers.rotate_left(other % count);
-            members[other + 1].record_discovered(NOW - ago * SECOND, &servers);
+            members[other + 1].record_discovered(NOW - age * SECOND, &servers);
         }
     }
     let (mut taken, mut messages) = (None, 0);
@@ -62,81 +63,82 @@
 }
 
 #[test]
-fn two_that_agree_are_believed_one_is_doubted_and_nobody_makes_anything_up() {
+fn lists_are_trusted_by_age_and_by_how_many_neighbours_agree() {
     use Trust::{Doubted, Full, Unverified};
-    for (what, others, wanted) in [
+    for (case, others, expected) in [
         ("two alike", [Some((300, 2)), Some((300, 3)), None, None], Some((300, Full, 5))),
         ("two alike, long ago", [Some((9, 50)), Some((9, 60)), None, None], Some((9, Full, 5))),
         ("two alike, too long ago", [Some((9, 500)), Some((9, 600)), None, None], Some((9, Unverified, 7))),
         ("one alone", [None, Some((30, 1)), None, None], Some((30, Doubted, 7))),
         ("a wrong one beside two", [Some((8, 1)), Some((9, 2)), Some((9, 2)), None], Some((9, Full, 5))),
-        // A zone is back from a cut and has the list of before; the others were told last.
+        // The members of a zone return from a partition with their earlier list; the others have a later one.
         ("two from a cut", [Some((8, 90)), Some((8, 95)), Some((9, 1)), Some((9, 1))], Some((9, Full, 5))),
         ("all are new", [None, None, None, None], None),
     ] {
-        let (taken, messages) = back(others);
-        assert_eq!(taken, wanted, "{what}");
-        assert!(messages < 1_500, "{what}: {messages} messages");
+        let (taken, messages) = restart_member(others);
+        assert_eq!(taken, expected, "{case}");
+        assert!(messages < 1_500, "{case}: {messages} messages");
     }
 }
 
 #[test]
-fn those_that_return_do_not_push_a_member_over_and_garbage_is_nothing() {
-    let mut member = NeighbourExchange::new(0, MEMBERS, AGES, 0, NOW);
+fn chunk_rate_is_limited_and_invalid_messages_are_ignored() {
+    let mut member = NeighbourExchange::new(0, MEMBERS, AGE_LIMITS, 0, NOW);
     member.record_discovered(NOW, &list(3_000));
-    let NeighbourMessage::Offer { name, length, .. } =
+    let NeighbourMessage::Offer { hash, length, .. } =
         member.receive(NOW, 1, &NeighbourMessage::Ask.to_bytes()).remove(0)
     else {
         panic!("it has a list");
     };
     assert!(length > 50_000, "{length}");
-    let given: usize = (0..1_000)
-        .map(|_| member.receive(NOW, 1, &NeighbourMessage::Fetch { name, first_chunk: 0 }.to_bytes()).len())
+    let sent_chunks: usize = (0..1_000)
+        .map(|_| member.receive(NOW, 1, &NeighbourMessage::Fetch { hash, first_chunk: 0 }.to_bytes()).len())
         .sum();
-    assert_eq!(given, 4_000, "in one second");
+    assert_eq!(sent_chunks, 4_000, "in one second");
     assert!(member.tick(NOW).is_empty(), "discovery has answered");
-    let mut asks = NeighbourExchange::new(1, MEMBERS, AGES, 0, NOW);
+    let mut asker = NeighbourExchange::new(1, MEMBERS, AGE_LIMITS, 0, NOW);
     for bytes in [&[][..], &[9; 300], &[1; 5]] {
-        assert!(asks.receive(NOW, 2, bytes).is_empty());
+        assert!(asker.receive(NOW, 2, bytes).is_empty());
     }
-    // Pieces under the name of another list are thrown away, and the list is asked for anew.
-    asks.receive(NOW, 2, &NeighbourMessage::Offer { name: [7; 16], length: 10, age_us: 0 }.to_bytes());
+    // Chunks that don't match the hash of their list are dropped, and the download starts over.
+    asker.receive(NOW, 2, &NeighbourMessage::Offer { hash: [7; 16], length: 10, age_us: 0 }.to_bytes());
     let later = NOW + SECOND;
     assert!(
-        asks.tick(later)
+        asker
+            .tick(later)
             .iter()
             .any(|(to, message)| *to == 2 && matches!(message, NeighbourMessage::Fetch { .. }))
     );
-    asks.receive(
+    asker.receive(
         later,
         2,
-        &NeighbourMessage::Chunk { name: [7; 16], chunk: 0, bytes: vec![1; 10] }.to_bytes(),
+        &NeighbourMessage::Chunk { hash: [7; 16], chunk: 0, bytes: vec![1; 10] }.to_bytes(),
     );
-    assert!(asks.take_list(later, 0).is_none());
+    assert!(asker.take_list(later, 0).is_none());
 }
 
 #[test]
-fn a_beginning_takes_more_as_long_as_answers_stay_fast() {
-    // Servers that hold so many at once and answer the slower the more they hold; clients always want more.
-    for (servers, room, over_by) in [(12, 60, 40), (12, 6, 80), (1, 1000, 40)] {
+fn startup_limit_is_lifted_and_spreads_retries() {
+    // The servers answer slower once they have more requests than their capacity; clients always send more.
+    for (servers, capacity, max_steps) in [(12, 60, 40), (12, 6, 80), (1, 1000, 40)] {
         let mut startup_limit = StartupLimit::new(servers, 3, 150_000, 0);
         let (mut open, mut most, mut now) = (0_usize, 0, 0);
         let mut steps = 0;
         while !startup_limit.is_over() {
             now += 150_000;
             steps += 1;
-            while steps < over_by - 20
+            while steps < max_steps - 20
                 && startup_limit.try_admit(now, open, 0.5).is_err() == (open > 200)
                 && open <= 200
             {
                 open += 1;
             }
             most = most.max(open);
-            // What is turned away is told when to come back, spread out.
+            // Rejected clients are told when to retry.
             if let Err(wait) = startup_limit.try_admit(now, usize::MAX - 1, 0.5) {
                 assert!((150_000..=600_000).contains(&wait));
             }
-            let spent = 20_000 * (open / room).max(1) as u64;
+            let spent = 20_000 * (open / capacity).max(1) as u64;
             (0..open.min(16)).for_each(|_| startup_limit.record_completion(spent));
             open = 0;
             assert!(steps <= 100, "it ends");
@@ -146,24 +148,25 @@
 }
 
 #[test]
-fn a_process_is_whole_once_and_tells_what_it_waited_for() {
-    let mut whole = RecoveryTracker::new(0);
-    let mut told = Vec::new();
-    // Four seconds by a kept list, of which two without a policy; then a second in which half is rejected.
+fn recovery_is_reported_once_with_its_delays() {
+    let mut tracker = RecoveryTracker::new(0);
+    let mut reports = Vec::new();
+    // Four seconds with a cached list, two of them without a policy; later a second with half of the requests
+    // rejected.
     for second in 1..=12_u64 {
-        let of = SecondSummary {
+        let summary = SecondSummary {
             is_list_authoritative: second > 4,
             has_policy: second > 2,
             admits_all: second > 3,
             completed: second * 100 - if second >= 6 { 50 } else { 0 },
             answered: second * 100,
         };
-        told.extend(whole.record_second(second * SECOND, of).map(|words| (second, words)));
+        reports.extend(tracker.record_second(second * SECOND, summary).map(|line| (second, line)));
     }
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert_eq!(told[0].0, 9);
+    assert_eq!(reports.len(), 1, "{reports:?}");
+    assert_eq!(reports[0].0, 9);
     assert!(
-        told[0].1.starts_with("whole after 6 s: 4 s without discovery's list, 2 s without a policy"),
-        "{told:?}"
+        reports[0].1.starts_with("whole after 6 s: 4 s without discovery's list, 2 s without a policy"),
+        "{reports:?}"
     );
 }
--- a/balancer/endpoint-cache/tests/restore.rs
+++ b/balancer/endpoint-cache/tests/restore.rs
@@ -1,4 +1,4 @@
-//! How far a saved list is believed.
+//! How far a stored list is trusted after a restart.
 
 use whinspindle::host::EndpointState::{self, Draining, Gone, Ready};
 use whinspindle_endpoint_cache::{AgeLimits, Trust, encode, restore};
@@ -6,7 +6,7 @@
 
 const SECOND: u64 = 1_000_000;
 const NOW: u64 = 1_800_000_000 * SECOND;
-const AGES: AgeLimits = AgeLimits { fresh_us: 10 * SECOND, old_us: 3600 * SECOND };
+const AGE_LIMITS: AgeLimits = AgeLimits { fresh_us: 10 * SECOND, old_us: 3600 * SECOND };
 
 fn listed(name: &str, state: EndpointState, started_at: u64) -> ListedServer {
     ListedServer {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn the_older_a_list_the_less_of_it_is_believed_and_what_drained_stays_so() {
+fn trust_decreases_with_age_and_draining_servers_stay_draining() {
     let servers =
         [listed("r", Ready, 5), listed("d", Draining, 6), listed("g", Gone, 7), listed("lost", Ready, 8)];
     let day = 24 * 3600;
@@ -36,26 +36,27 @@
         (-day, Trust::Unverified, NOW),
     ] {
         let bytes = encode(&servers, 41, (NOW as i64 - age * SECOND as i64) as u64);
-        let (update, told) = restore(&bytes, NOW, &AGES).expect("a list");
-        assert_eq!((told, update.complete, update.generation), (trust, true, 0), "{age}");
-        let kept: Vec<_> = update.servers.iter().map(|s| (s.name.as_str(), s.state, s.started_at)).collect();
-        let drained = if trust == Trust::Full { 6 } else { NOW };
-        assert_eq!(kept, [("r", Ready, started_at), ("d", Draining, drained)], "{age}");
+        let (update, restored_trust) = restore(&bytes, NOW, &AGE_LIMITS).expect("a list");
+        assert_eq!((restored_trust, update.complete, update.generation), (trust, true, 0), "{age}");
+        let restored: Vec<_> =
+            update.servers.iter().map(|s| (s.name.as_str(), s.state, s.started_at)).collect();
+        let draining_start = if trust == Trust::Full { 6 } else { NOW };
+        assert_eq!(restored, [("r", Ready, started_at), ("d", Draining, draining_start)], "{age}");
     }
 }
 
 #[test]
-fn bytes_that_are_no_list_bring_nothing_and_end_nobody() {
-    let whole = encode(&[listed("r", Ready, 5), listed("d", Draining, 6)], 41, NOW);
-    for length in 0..whole.len() {
-        assert!(restore(&whole[..length], NOW, &AGES).is_none(), "cut at {length}");
+fn corrupt_bytes_are_rejected_without_a_panic() {
+    let complete = encode(&[listed("r", Ready, 5), listed("d", Draining, 6)], 41, NOW);
+    for length in 0..complete.len() {
+        assert!(restore(&complete[..length], NOW, &AGE_LIMITS).is_none(), "cut at {length}");
     }
-    assert!(restore(&encode(&[], 1, NOW), NOW, &AGES).is_none());
-    for at in 0..whole.len() {
+    assert!(restore(&encode(&[], 1, NOW), NOW, &AGE_LIMITS).is_none());
+    for at in 0..complete.len() {
         for bit in 0..8 {
-            let mut spoilt = whole.clone();
-            spoilt[at] ^= 1 << bit;
-            let _ = restore(&spoilt, NOW, &AGES);
+            let mut corrupt = complete.clone();
+            corrupt[at] ^= 1 << bit;
+            let _ = restore(&corrupt, NOW, &AGE_LIMITS);
         }
     }
 }
--- a/balancer/endpoint-cache/tests/stored_fixtures.rs
+++ b/balancer/endpoint-cache/tests/stored_fixtures.rs
@@ -1,5 +1,5 @@
-//! The list of servers as it is kept on disk and told to neighbours: read, compared by every field, and written
-//! as the same bytes again.
+//! Fixtures of the endpoint list as it is stored on disk and sent to neighbours. Each is decoded, compared by every
+//! field, and encoded to the same bytes again.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
@@ -11,12 +11,12 @@
 use whinspindle_endpoint_cache::{AgeLimits, NeighbourExchange, NeighbourMessage, Trust, encode, restore};
 use whinspindle_protocol::endpoints::ListedServer;
 
-const AGES: AgeLimits = AgeLimits { fresh_us: 10_000_000, old_us: 3_600_000_000 };
-const AT: u64 = 1_800_000_000_123_456;
+const AGE_LIMITS: AgeLimits = AgeLimits { fresh_us: 10_000_000, old_us: 3_600_000_000 };
+const SAVED_AT_US: u64 = 1_800_000_000_123_456;
 const GENERATION: u64 = 41_000;
 
-/// What is kept: servers that are not gone and have an address.
-fn kept() -> [ListedServer; 2] {
+/// The servers that are stored: those that have an address and are not gone.
+fn stored_servers() -> [ListedServer; 2] {
     let six = Ipv6Addr::new(0x2001, 0xdb8, 0, 0, 0, 0, 0, 0x17);
     [
         ListedServer {
@@ -42,15 +42,15 @@
     ]
 }
 
-fn told() -> Vec<ListedServer> {
-    let [first, second] = kept();
+fn listed_servers() -> Vec<ListedServer> {
+    let [first, second] = stored_servers();
     let gone = ListedServer { name: "gone".to_string(), state: EndpointState::Gone, ..first.clone() };
     let lost = ListedServer { name: "lost".to_string(), address: None, ..second.clone() };
     vec![first, gone, second, lost]
 }
 
-/// Form, time, generation and how many servers there are, as numbers of seven bits to a byte, the lowest first.
-fn head(bytes: &[u8]) -> [u64; 4] {
+/// Reads the format version, time, generation and number of servers, which are encoded as varints.
+fn header(bytes: &[u8]) -> [u64; 4] {
     let mut bytes = bytes.iter();
     let mut number = || {
         let mut number = 0;
@@ -66,48 +66,53 @@
 }
 
 #[test]
-fn a_kept_list_is_read_and_written_as_the_same_bytes() {
-    let bytes = fixture("list.bin", &encode(&told(), GENERATION, AT));
-    assert_eq!(head(&bytes), [1, AT, GENERATION, 2], "format, time, generation, servers");
+fn stored_list_round_trips_through_its_fixture() {
+    let bytes = fixture("list.bin", &encode(&listed_servers(), GENERATION, SAVED_AT_US));
+    assert_eq!(header(&bytes), [1, SAVED_AT_US, GENERATION, 2], "format, time, generation, servers");
     for (age, trust) in [
-        (AGES.fresh_us, Trust::Full),
-        (AGES.fresh_us + 1, Trust::Doubted),
-        (AGES.old_us, Trust::Doubted),
-        (AGES.old_us + 1, Trust::Unverified),
+        (AGE_LIMITS.fresh_us, Trust::Full),
+        (AGE_LIMITS.fresh_us + 1, Trust::Doubted),
+        (AGE_LIMITS.old_us, Trust::Doubted),
+        (AGE_LIMITS.old_us + 1, Trust::Unverified),
     ] {
-        let (update, told) = restore(&bytes, AT + age, &AGES).expect("a list");
-        assert_eq!((told, update.generation, update.complete, update.faults.len()), (trust, 0, true, 0));
-        let expected = kept().map(|server| match trust {
+        let (update, restored_trust) = restore(&bytes, SAVED_AT_US + age, &AGE_LIMITS).expect("a list");
+        assert_eq!(
+            (restored_trust, update.generation, update.complete, update.faults.len()),
+            (trust, 0, true, 0)
+        );
+        let expected = stored_servers().map(|server| match trust {
             Trust::Full => server,
-            Trust::Doubted | Trust::Unverified => ListedServer { started_at: AT + age, ..server },
+            Trust::Doubted | Trust::Unverified => ListedServer { started_at: SAVED_AT_US + age, ..server },
         });
         assert_eq!(update.servers, expected, "{age}");
         if trust == Trust::Full {
-            assert_eq!(encode(&update.servers, GENERATION, AT), bytes);
+            assert_eq!(encode(&update.servers, GENERATION, SAVED_AT_US), bytes);
         }
     }
 }
 
 #[test]
-fn a_list_is_told_to_neighbours_as_the_same_bytes_and_taken_from_them() {
-    let mut has = NeighbourExchange::new(1, 2, AGES, 0, 0);
-    has.record_discovered(0, &told());
-    let ask =
-        |has: &mut NeighbourExchange, message: &NeighbourMessage| has.receive(0, 0, &message.to_bytes());
-    let [NeighbourMessage::Offer { name, length, .. }] = ask(&mut has, &NeighbourMessage::Ask)[..] else {
+fn exchanged_list_round_trips_through_its_fixture() {
+    let mut exchange = NeighbourExchange::new(1, 2, AGE_LIMITS, 0, 0);
+    exchange.record_discovered(0, &listed_servers());
+    let ask = |exchange: &mut NeighbourExchange, message: &NeighbourMessage| {
+        exchange.receive(0, 0, &message.to_bytes())
+    };
+    let [NeighbourMessage::Offer { hash, length, .. }] = ask(&mut exchange, &NeighbourMessage::Ask)[..]
+    else {
         panic!("it has a list")
     };
-    let chunks = ask(&mut has, &NeighbourMessage::Fetch { name, first_chunk: 0 });
+    let chunks = ask(&mut exchange, &NeighbourMessage::Fetch { hash, first_chunk: 0 });
     let chunks = chunks.into_iter().flat_map(|message| match message {
         NeighbourMessage::Chunk { bytes, .. } => bytes,
         other => panic!("{other:?} is no chunk"),
     });
     let bytes = fixture("list-of-neighbours.bin", &chunks.collect::<Vec<u8>>());
-    // Without its time and generation, in the order of the names.
-    assert_eq!(head(&bytes), [1, 0, 0, 2], "format, time, generation, servers");
+    // A list for neighbours has neither time nor generation, and its servers are sorted by name.
+    assert_eq!(header(&bytes), [1, 0, 0, 2], "format, time, generation, servers");
     assert_eq!(length as usize, bytes.len());
-    assert_eq!(name, blake3::hash(&bytes).as_bytes()[..16]);
-    let (update, _) = restore(&bytes, 0, &AGES).expect("a list");
-    let [first, second] = kept();
+    assert_eq!(hash, blake3::hash(&bytes).as_bytes()[..16]);
+    let (update, _) = restore(&bytes, 0, &AGE_LIMITS).expect("a list");
+    let [first, second] = stored_servers();
     assert_eq!(update.servers, [second, first]);
 }
