--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -41,8 +41,8 @@
     Full,
     /// Every listed server counts as cold.
     Doubted,
-    /// Every listed server counts as cold and may no longer exist, so a server that doesn't answer says nothing
-    /// about the others.
+    /// Every listed server counts as cold and may no longer exist, so a server that doesn't answer says
+    /// nothing about the others.
     Unverified,
 }
 
@@ -98,8 +98,8 @@
     postcard::to_stdvec(&list).unwrap_or_default()
 }
 
-/// Decodes a stored list for a process that starts at `now`, and decides how far it is trusted. Returns `None` if
-/// the bytes are not a list of this format, or the list is empty.
+/// Decodes a stored list for a process that starts at `now`, and decides how far it is trusted. Returns
+/// `None` if the bytes are not a list of this format, or the list is empty.
 pub fn restore(bytes: &[u8], now: u64, limits: &AgeLimits) -> Option<(EndpointUpdate, Trust)> {
     let list = decode(bytes)?;
     // Guards against a clock that was set back: the age of a list from the future is unknown.
--- a/balancer/endpoint-cache/src/neighbours.rs
+++ b/balancer/endpoint-cache/src/neighbours.rs
@@ -1,9 +1,10 @@
-//! The exchange of endpoint lists between balancers, for a balancer that restarts while discovery doesn't answer.
+//! The exchange of endpoint lists between balancers, for a balancer that restarts while discovery doesn't
+//! answer.
 //!
-//! A list that two neighbours hold in the same form is trusted fully while it is not old; a list from a single
-//! neighbour is doubted whatever its age. Of several lists that two neighbours hold, the one that discovery
-//! confirmed last is taken, so that members that return from a long partition don't outvote the others. A process
-//! asks only until discovery has answered. The module does no I/O and reads no clock.
+//! A list that two neighbours hold in the same form is trusted fully while it is not old; a list from a
+//! single neighbour is doubted whatever its age. Of several lists that two neighbours hold, the one that
+//! discovery confirmed last is taken, so that members that return from a long partition don't outvote the
+//! others. A process asks only until discovery has answered. The module does no I/O and reads no clock.
 
 use std::collections::BTreeMap;
 
@@ -100,7 +101,8 @@
     next_ask_at_us: u64,
     /// The member that was asked last.
     last_asked: u16,
-    /// The list that each member offers: its hash, its length, and when it was confirmed by this member's clock.
+    /// The list that each member offers: its hash, its length, and when it was confirmed by this member's
+    /// clock.
     offers: BTreeMap<u16, (ListHash, u32, u64)>,
     download: Option<Download>,
     /// The list that was taken last, its trust, and when it was confirmed.
@@ -184,8 +186,8 @@
         messages
     }
 
-    /// The best list on offer: its hash, its length, when it was confirmed, and how many members offer it. A list
-    /// that two members offer is preferred, and then the one that was confirmed last.
+    /// The best list on offer: its hash, its length, when it was confirmed, and how many members offer it. A
+    /// list that two members offer is preferred, and then the one that was confirmed last.
     fn best_offer(&self, now: u64) -> Option<(ListHash, u32, u64, usize)> {
         let mut by_hash: BTreeMap<ListHash, (u32, u64, usize)> = BTreeMap::new();
         for (hash, length, at) in self.offers.values() {
@@ -282,8 +284,8 @@
         messages
     }
 
-    /// Returns a list and its trust once a download is complete; better lists may follow. `unix` is the wall clock
-    /// in microseconds, from which the start times of servers are taken.
+    /// Returns a list and its trust once a download is complete; better lists may follow. `unix` is the wall
+    /// clock in microseconds, from which the start times of servers are taken.
     pub fn take_list(&mut self, now: u64, unix: u64) -> Option<(EndpointUpdate, Trust)> {
         let (hash, _, at, count) = self.best_offer(now)?;
         let age = now.saturating_sub(at);
@@ -292,8 +294,8 @@
             (_, age) if age <= self.age_limits.old_us => Trust::Doubted,
             _ => Trust::Unverified,
         };
-        // The list that was taken before is replaced by one with more trust, or by one with the same trust that
-        // was confirmed later.
+        // The list that was taken before is replaced by one with more trust, or by one with the same trust
+        // that was confirmed later.
         let is_worse =
             |(taken, taken_trust, taken_at): (ListHash, Trust, u64)| match (taken_trust == trust, trust) {
                 (true, _) => taken != hash && at > taken_at,
--- a/balancer/endpoint-cache/src/recovery.rs
+++ b/balancer/endpoint-cache/src/recovery.rs
@@ -1,5 +1,5 @@
-//! Detects when a started process serves fully again, so that its log reports how long the recovery took and what
-//! delayed it. The module does no I/O and reads no clock.
+//! Detects when a started process serves fully again, so that its log reports how long the recovery took and
+//! what delayed it. The module does no I/O and reads no clock.
 
 /// The fraction of the answered requests that are completed in full service.
 const MIN_COMPLETED_FRACTION: f64 = 0.98;
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Records a second that has ended. Returns the log line about the recovery once the process serves fully.
+    /// Records a second that has ended. Returns the log line about the recovery once the process serves
+    /// fully.
     pub fn record_second(&mut self, now: u64, summary: SecondSummary) -> Option<String> {
         if self.is_recovered {
             return None;
--- a/balancer/endpoint-cache/src/startup_limit.rs
+++ b/balancer/endpoint-cache/src/startup_limit.rs
@@ -1,7 +1,7 @@
-//! Admission control for the first seconds of a process, which may restart together with all others. It admits few
-//! requests at a time at first, and more while answers stay about as fast as the fastest ones. Guards against a
-//! rush of clients to the first balancer that is up after an outage, and against servers overloaded by all
-//! balancers that return at once. The module does no I/O and reads no clock.
+//! Admission control for the first seconds of a process, which may restart together with all others. It
+//! admits few requests at a time at first, and more while answers stay about as fast as the fastest ones.
+//! Guards against a rush of clients to the first balancer that is up after an outage, and against servers
+//! overloaded by all balancers that return at once. The module does no I/O and reads no clock.
 
 /// The most recent answers by which overload of the servers is detected.
 const MAX_RECENT_ANSWERS: usize = 16;
@@ -63,8 +63,8 @@
         self.rejected
     }
 
-    /// Admits a request beside `open` others in flight, or returns after how many microseconds its client should
-    /// retry. `chance`, from 0 to 1, spreads the retries of many clients.
+    /// Admits a request beside `open` others in flight, or returns after how many microseconds its client
+    /// should retry. `chance`, from 0 to 1, spreads the retries of many clients.
     pub fn try_admit(&mut self, now: u64, open: usize, chance: f64) -> Result<(), u64> {
         self.advance(now);
         if self.is_over || (open as f64) < self.max_in_flight {
--- a/balancer/endpoint-cache/tests/neighbours.rs
+++ b/balancer/endpoint-cache/tests/neighbours.rs
@@ -27,8 +27,8 @@
     (0..count).map(server).collect()
 }
 
-/// Restarts member 0 beside four others, each with a list of some length and age in seconds, or none. Nearly a
-/// third of the messages is lost. Returns the list that member 0 ends up with, and the number of messages.
+/// Restarts member 0 beside four others, each with a list of some length and age in seconds, or none. Nearly
+/// a third of the messages is lost. Returns the list that member 0 ends up with, and the number of messages.
 fn restart_member(others: [Option<(usize, u64)>; 4]) -> (Option<(usize, Trust, u64)>, usize) {
     let mut members: Vec<NeighbourExchange> = (0..MEMBERS)
         .map(|member| NeighbourExchange::new(member, MEMBERS, AGE_LIMITS, u64::from(member), NOW))
--- a/balancer/endpoint-cache/tests/stored_fixtures.rs
+++ b/balancer/endpoint-cache/tests/stored_fixtures.rs
@@ -1,5 +1,5 @@
-//! Fixtures of the endpoint list as it is stored on disk and sent to neighbours. Each is decoded, compared by every
-//! field, and encoded to the same bytes again.
+//! Fixtures of the endpoint list as it is stored on disk and sent to neighbours. Each is decoded, compared by
+//! every field, and encoded to the same bytes again.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
--- a/balancer/endpoint-cache/tests/wire_fixtures.rs
+++ b/balancer/endpoint-cache/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! Fixtures of each message about endpoint lists. Each is decoded, compared by every field, and encoded to the same
-//! bytes again. On the network they are the payload of the fleet policy's `Message::Opaque`.
+//! Fixtures of each message about endpoint lists. Each is decoded, compared by every field, and encoded to
+//! the same bytes again. On the network they are the payload of the fleet policy's `Message::Opaque`.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
@@ -9,8 +9,8 @@
 use fixtures::fixture;
 use whinspindle_endpoint_cache::NeighbourMessage;
 
-/// The name of a kind's fixture. A new kind doesn't compile here until it has a name; it also needs a message in
-/// the list below, and its file.
+/// The name of a kind's fixture. A new kind doesn't compile here until it has a name; it also needs a message
+/// in the list below, and its file.
 fn kind(message: &NeighbourMessage) -> &'static str {
     match message {
         NeighbourMessage::Ask => "ask",
@@ -44,8 +44,8 @@
         assert_eq!(read.to_bytes(), bytes, "{name}");
         numbers.insert(bytes[0]);
     }
-    // The first byte is the number of the kind. Followed by zeros, each known number decodes to a message, and the
-    // next number does not.
+    // The first byte is the number of the kind. Followed by zeros, each known number decodes to a message,
+    // and the next number does not.
     assert_eq!(numbers, (0..KIND_COUNT).collect());
     let zeros = |kind: u8| [&[kind], [0u8; 64].as_slice()].concat();
     assert!((0..KIND_COUNT).all(|kind| postcard::take_from_bytes::<NeighbourMessage>(&zeros(kind)).is_ok()));
