--- a/balancer/endpoint-cache/tests/wire_fixtures.rs
+++ b/balancer/endpoint-cache/tests/wire_fixtures.rs
@@ -14,9 +14,9 @@
 fn kind(message: &NeighbourMessage) -> &'static str {
     match message {
         NeighbourMessage::Ask => "ask",
-        NeighbourMessage::Offer { .. } => "has",
+        NeighbourMessage::Offer { .. } => "offer",
         NeighbourMessage::Fetch { .. } => "fetch",
-        NeighbourMessage::Chunk { .. } => "piece",
+        NeighbourMessage::Chunk { .. } => "chunk",
     }
 }
 
@@ -37,7 +37,7 @@
 fn each_message_round_trips_through_its_fixture() {
     let mut numbers = BTreeSet::new();
     for message in messages() {
-        let name = format!("word-{}.bin", kind(&message));
+        let name = format!("message-{}.bin", kind(&message));
         let bytes = fixture(&name, &message.to_bytes());
         let (read, rest) = postcard::take_from_bytes::<NeighbourMessage>(&bytes).expect("a message");
         assert_eq!((&read, rest.len()), (&message, 0), "{name}");
--- a/balancer/fleet-policy/src/member/environment.rs
+++ b/balancer/fleet-policy/src/member/environment.rs
@@ -1,4 +1,4 @@
-//! What a member needs from the process around it: network, disk, proofs of policies, and observations of
+//! The interface of a member to its process: the network, the disk, proofs of policies, and observations of
 //! servers and balancers.
 
 use std::collections::BTreeSet;
@@ -11,25 +11,26 @@
 use crate::message::Message;
 use crate::record::{Hash, Policy, Record};
 
-/// What a member must not forget over a restart.
+/// The state of a member that must survive a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DurableState {
-    /// Drawn when this state was first written; a voter that lost its disk returns with another.
+    /// A number drawn when this state is first written; a voter that lost its disk returns with another one.
     pub incarnation: u64,
-    /// What it has promised and accepted as a voter.
+    /// The member's promises and votes as a voter.
     pub votes: AcceptorState<Record>,
-    /// What is known to be agreed.
+    /// The latest agreed record that the member knows.
     pub record: Record,
 }
 
-/// The process around a member: what it acts through. Tests and the model checker implement it in memory.
+/// The process around a member. Tests and the model checker implement it in memory.
 pub trait Environment {
-    /// Sends a message to another member; it may be lost, late, duplicated or reordered.
+    /// Sends a message to another member. The message may be lost, delayed, duplicated or reordered.
     fn send(&mut self, to: u16, message: Message);
-    /// Makes the state durable before it returns; true on success. Where it fails, the member votes and grants
-    /// nothing until it succeeds.
-    fn persist(&mut self, memory: &DurableState) -> bool;
-    /// Proves a policy against the process's own settings; the process calls `Member::proved` with the result.
+    /// Makes the state durable before it returns; returns whether that succeeded. After a failure the member
+    /// neither votes nor grants leases until a later call succeeds.
+    fn persist(&mut self, state: &DurableState) -> bool;
+    /// Proves a policy against the process's own settings; the process calls `Member::proved` with the
+    /// result.
     fn prove(&mut self, policy: Policy, text: Rc<[u8]>);
     /// The plan with this hash, once it has been read.
     fn plan(&self, _: Hash) -> Option<Rc<Plan>> {
@@ -37,13 +38,13 @@
     }
     /// Called when the text of a plan is complete.
     fn plan_received(&mut self, _: Hash, _: Rc<[u8]>) {}
-    /// What this process has observed of the units of the release under way since the last call.
+    /// The observations of this process, since the last call, of the units of the release under way.
     fn observations(&mut self, _: &Record) -> Vec<ObservationRow> {
         Vec::new()
     }
-    /// Passes a message on to another part of the process: `Message::Opaque`.
+    /// Passes the content of a `Message::Opaque` on to another part of the process.
     fn opaque_message(&mut self, _: u16, _: Vec<u8>) {}
-    /// Whether the server with this key is listed as ready, and warm.
+    /// Whether the server with this key is listed as ready, and is warm.
     fn is_server_in_service(&self, _: u64) -> bool {
         true
     }
@@ -51,8 +52,14 @@
     fn build(&self) -> String {
         String::new()
     }
-    /// Whether the limits of the policy in force allow one more unit out of service, with these balancers away.
-    fn check_restart(&self, record: &Record, unit: Unit, away: &BTreeSet<u16>) -> Result<(), RestartRefusal>;
+    /// Checks that the limits of the policy in force allow the unit to leave service while these balancers
+    /// are absent.
+    fn check_restart(
+        &self,
+        record: &Record,
+        unit: Unit,
+        absent: &BTreeSet<u16>,
+    ) -> Result<(), RestartRefusal>;
     /// Writes one line to the log.
     fn log(&mut self, line: String);
 }
--- a/balancer/fleet-policy/src/member/lease.rs
+++ b/balancer/fleet-policy/src/member/lease.rs
@@ -1,5 +1,5 @@
-//! The lease by which a follower decides: renewed with the voters, granted by a majority of each voter set, and
-//! expired by the follower's own clock when it isn't renewed.
+//! The lease of a follower, which the voters renew: it is held while a majority of each voter set grants it,
+//! and expires by the follower's own clock.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,61 +9,67 @@
 use crate::message::{LeaseState, Message};
 use crate::record::Record;
 
-/// How often in a pace voters that have not answered are asked again.
-const RETRIES: u64 = 2;
+/// How often voters that haven't answered are asked again within one renewal interval.
+const RENEWAL_RETRIES: u64 = 2;
 
-/// The grants of the voters for one policy by one voter set: a lease once a majority of each voter set has granted it.
+/// The voters' grants for one policy. They are a lease once a majority of each voter set has granted it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Lease {
-    pub(super) number: u64,
+    pub(super) policy_number: u64,
     pub(super) voter_set_version: u64,
     pub(super) voter_sets: Vec<Vec<Voter>>,
-    /// Until when, and for which voter set and number.
+    /// By voter: when its grant expires, and the voter set version and policy number that it is for.
     pub(super) grants: BTreeMap<Voter, (u64, (u64, u64))>,
 }
 
 impl Lease {
-    pub(super) fn of(record: &Record) -> Lease {
+    /// A lease for the policy and voters of a record, without grants yet.
+    pub(super) fn for_record(record: &Record) -> Lease {
         Lease {
-            number: record.policy.number,
+            policy_number: record.policy.number,
             voter_set_version: record.voter_set_version,
             voter_sets: record.voter_sets.clone(),
             grants: BTreeMap::new(),
         }
     }
 
-    /// When the lease expires: it lasts as long as a majority of each voter set grants it.
-    pub(super) fn until<L: MemberRules>(&self) -> u64 {
-        let grant = |voter: &Voter| {
-            let (until, granted) = self.grants.get(voter)?;
-            L::is_grant_current(*granted, self.voter_set_version, self.number).then_some(*until)
+    /// When the lease expires: it lasts while a majority of each voter set grants it.
+    pub(super) fn expires_at<R: MemberRules>(&self) -> u64 {
+        let expiry_of = |voter: &Voter| {
+            let (expiry, granted) = self.grants.get(voter)?;
+            R::is_grant_current(*granted, self.voter_set_version, self.policy_number).then_some(*expiry)
         };
-        let of_voter_set = |voter_set: &Vec<Voter>| {
-            let mut ends: Vec<u64> = voter_set.iter().filter_map(grant).collect();
-            ends.sort_unstable();
-            let needed = (0..=voter_set.len()).find(|votes| L::is_majority(*votes, voter_set.len()));
-            needed.and_then(|needed| ends.len().checked_sub(needed)).map_or(0, |index| ends[index])
+        let expiry_by_voter_set = |voter_set: &Vec<Voter>| {
+            let mut expiries: Vec<u64> = voter_set.iter().filter_map(expiry_of).collect();
+            expiries.sort_unstable();
+            let majority = (0..=voter_set.len()).find(|votes| R::is_majority(*votes, voter_set.len()));
+            majority
+                .and_then(|majority| expiries.len().checked_sub(majority))
+                .map_or(0, |index| expiries[index])
         };
-        self.voter_sets.iter().map(of_voter_set).min().unwrap_or(0)
+        self.voter_sets.iter().map(expiry_by_voter_set).min().unwrap_or(0)
     }
 }
 
-impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// What a request that is taken now is decided by. To be called for each request: a process that was
-    /// suspended finds its lease expired before it acts by it.
+impl<E: Environment, R: MemberRules> Member<E, R> {
+    /// The state of the lease, which decides the policy for a request. To be called for each request, so that
+    /// a process that was suspended finds its lease expired before it acts by it.
     pub fn lease_state(&self, now: u64) -> LeaseState {
         self.lease_state_until(now).0
     }
 
-    /// The same, and when it ends if nothing more is received.
+    /// The state of the lease, and until when it lasts if no more messages are received.
     pub fn lease_state_until(&self, now: u64) -> (LeaseState, u64) {
-        let proved = |number: u64| number == 0 || matches!(self.verdicts.get(&number), Some(Ok(())));
-        let held = [Some(&self.lease), self.previous_lease.as_ref()];
-        let usable = held.into_iter().flatten().find(|h| proved(h.number) && now < h.until::<L>());
-        let learned = self.began + self.settings.startup_timeout_us;
+        let is_proved = |number: u64| number == 0 || matches!(self.verdicts.get(&number), Some(Ok(())));
+        let leases = [Some(&self.lease), self.previous_lease.as_ref()];
+        let usable = leases
+            .into_iter()
+            .flatten()
+            .find(|lease| is_proved(lease.policy_number) && now < lease.expires_at::<R>());
+        let learning_until = self.started_at + self.settings.startup_timeout_us;
         match usable {
-            Some(holding) => (LeaseState::Policy(holding.number), holding.until::<L>()),
-            None if !self.had_lease && now < learned => (LeaseState::Learning, learned),
+            Some(lease) => (LeaseState::Policy(lease.policy_number), lease.expires_at::<R>()),
+            None if !self.had_lease && now < learning_until => (LeaseState::Learning, learning_until),
             None => (LeaseState::CutOff, u64::MAX),
         }
     }
@@ -77,47 +83,51 @@
         }
     }
 
-    pub(super) fn ask(&mut self, now: u64) {
-        self.next_ask = now + self.settings.renewal_interval_us;
-        (self.asked, self.again) = (now, 0);
-        self.ask_those(now, self.voters());
+    pub(super) fn renew_lease(&mut self, now: u64) {
+        self.next_renewal_at = now + self.settings.renewal_interval_us;
+        (self.renewal_asked_at, self.renewal_retries) = (now, 0);
+        self.ask_voters(now, self.voters());
     }
 
-    /// Guards against lost datagrams in large fleets, where the pace is long against the lease: while the voters
-    /// that answered are no majority, the others are asked again, `RETRIES` times at most.
-    pub(super) fn retry_ask(&mut self, now: u64) {
-        let due = self.asked + self.settings.renewal_interval_us / 4 * (self.again + 1);
-        if self.again == RETRIES
-            || now < due
-            || self.lease.until::<L>() >= self.asked + self.settings.lease_us
+    /// Asks the voters that haven't answered again, `RENEWAL_RETRIES` times at most, while those that have
+    /// are no majority. Guards against lost datagrams in large fleets, whose renewal interval is long against
+    /// the lease.
+    pub(super) fn retry_renewal(&mut self, now: u64) {
+        let due_at =
+            self.renewal_asked_at + self.settings.renewal_interval_us / 4 * (self.renewal_retries + 1);
+        if self.renewal_retries == RENEWAL_RETRIES
+            || now < due_at
+            || self.lease.expires_at::<R>() >= self.renewal_asked_at + self.settings.lease_us
         {
             return;
         }
-        self.again += 1;
-        let answered = |voter: &u16| {
-            let grants = self.lease.grants.iter().filter(|(of, _)| of.member == *voter);
-            grants.into_iter().any(|(_, (until, _))| *until >= self.asked + self.settings.lease_us)
+        self.renewal_retries += 1;
+        let has_answered = |voter: &u16| {
+            let grants = self.lease.grants.iter().filter(|(granter, _)| granter.member == *voter);
+            grants
+                .into_iter()
+                .any(|(_, (expiry, _))| *expiry >= self.renewal_asked_at + self.settings.lease_us)
         };
-        let silent = self.voters().into_iter().filter(|voter| !answered(voter)).collect();
-        self.ask_those(now, silent);
+        let silent = self.voters().into_iter().filter(|voter| !has_answered(voter)).collect();
+        self.ask_voters(now, silent);
     }
 
-    pub(super) fn ask_those(&mut self, now: u64, voters: BTreeSet<u16>) {
+    pub(super) fn ask_voters(&mut self, now: u64, voters: BTreeSet<u16>) {
         for voter in voters {
-            let question = self.question(now);
+            let renewal = self.renewal_message(now);
             if voter == self.settings.member {
-                self.receive(now, voter, question);
+                self.receive(now, voter, renewal);
             } else {
-                self.environment.send(voter, question);
+                self.environment.send(voter, renewal);
             }
         }
     }
 
-    pub(super) fn question(&self, now: u64) -> Message {
+    pub(super) fn renewal_message(&self, now: u64) -> Message {
         Message::RenewLease {
             asked_at: now,
-            incarnation: self.memory.incarnation,
-            start: self.start,
+            incarnation: self.durable_state.incarnation,
+            start: self.process_start,
             bootstrap_id: self.record.bootstrap_id,
             version: self.record.version,
             lease_state: self.lease_state(now),
@@ -125,47 +135,51 @@
         }
     }
 
-    pub(super) fn granted(&mut self, now: u64, at: u64, voter: Voter, granted: (u64, u64)) {
-        let until = L::lease_expiry(at, now, &self.settings);
-        for held in [Some(&mut self.lease), self.previous_lease.as_mut()].into_iter().flatten() {
-            let known = held.grants.entry(voter).or_insert((until, granted));
-            if until > known.0 {
-                *known = (until, granted);
+    /// Records a voter's grant, made for the voter set version and policy number `granted`.
+    pub(super) fn receive_grant(&mut self, now: u64, asked_at: u64, voter: Voter, granted: (u64, u64)) {
+        let expiry = R::lease_expiry(asked_at, now, &self.settings);
+        for lease in [Some(&mut self.lease), self.previous_lease.as_mut()].into_iter().flatten() {
+            let known = lease.grants.entry(voter).or_insert((expiry, granted));
+            if expiry > known.0 {
+                *known = (expiry, granted);
             }
         }
-        self.record_lease(now);
+        self.update_lease_state(now);
     }
 
-    /// Notes a change of the lease. Once there is a lease for the present record, the previous one is dropped.
-    pub(super) fn record_lease(&mut self, now: u64) {
-        let right = self.lease_state(now);
-        if right == LeaseState::Policy(self.lease.number) {
+    /// Logs a change of the lease's state, and drops the previous lease once there is one for the present
+    /// record.
+    pub(super) fn update_lease_state(&mut self, now: u64) {
+        let state = self.lease_state(now);
+        if state == LeaseState::Policy(self.lease.policy_number) {
             self.previous_lease = None;
         }
-        self.had_lease |= matches!(right, LeaseState::Policy(_));
-        if right != self.logged_right {
-            let line = match right {
-                LeaseState::Learning => "learns what holds".to_string(),
+        self.had_lease |= matches!(state, LeaseState::Policy(_));
+        if state != self.logged_lease_state {
+            let line = match state {
+                LeaseState::Learning => "waits for its first lease".to_string(),
                 LeaseState::Policy(number) => format!("decides by policy {number}"),
                 LeaseState::CutOff => format!("is cut off: {}", self.cut_off_reason(now)),
             };
             self.environment.log(line);
-            self.logged_right = right;
+            self.logged_lease_state = state;
         }
     }
 
-    /// Why it holds no lease, for the log and for operators.
+    /// Why the member holds no lease, for the log and for operators.
     pub fn cut_off_reason(&self, now: u64) -> String {
-        let number = self.lease.number;
+        let number = self.lease.policy_number;
         if self.record.bootstrap_id == 0 {
             return "the fleet is not founded, or no voter answers".to_string();
         }
-        if now >= self.lease.until::<L>() {
+        if now >= self.lease.expires_at::<R>() {
             return format!("no majority of the voters grants policy {number}");
         }
         match self.verdicts.get(&number) {
-            Some(Err(no)) => format!("policy {number} can't be proved here: line {}: {}", no.line, no.reason),
-            _ => format!("the text of policy {number} is not whole yet"),
+            Some(Err(objection)) => {
+                format!("policy {number} can't be proved here: line {}: {}", objection.line, objection.reason)
+            }
+            _ => format!("the text of policy {number} is not complete yet"),
         }
     }
 }
--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -1,5 +1,5 @@
-//! The rounds that this member begins: a step is prepared, written and counted until a majority of each voter set
-//! has voted for it.
+//! The rounds that this member begins. A step is prepared and proposed until a majority of each voter set has
+//! voted for it.
 
 use std::collections::BTreeSet;
 
@@ -14,51 +14,52 @@
 pub(super) struct OngoingRound {
     pub(super) round: Round<Record>,
     pub(super) step: Step,
-    pub(super) began: u64,
-    /// The order of the record that the step was decided on for.
+    pub(super) begun_at: u64,
+    /// The order of the record that the step was chosen for.
     pub(super) based_on: (u64, u64),
 }
 
-impl<O: Environment, L: MemberRules> Member<O, L> {
-    pub(super) fn begin(&mut self, now: u64, step: Step) {
+impl<E: Environment, R: MemberRules> Member<E, R> {
+    pub(super) fn begin_round(&mut self, now: u64, step: Step) {
         let is_bootstrap = matches!(step, Step::Bootstrap { .. });
         let known = if is_bootstrap {
-            let incarnation = |member: &u16| {
-                let received = self.received.get(*member as usize)?.as_ref();
-                let own = (*member == self.settings.member).then_some(self.memory.incarnation);
-                Some(Voter {
-                    member: *member,
-                    incarnation: own.or(received.map(|received| received.incarnation))?,
-                })
+            let voter_of = |member: &u16| {
+                let report = self.peer_reports.get(*member as usize)?.as_ref();
+                let own = (*member == self.settings.member).then_some(self.durable_state.incarnation);
+                Some(Voter { member: *member, incarnation: own.or(report.map(|report| report.incarnation))? })
             };
             // A bootstrap needs every voter of the settings.
-            let voters: Option<Vec<Voter>> = self.settings.voters.iter().map(incarnation).collect();
+            let voters: Option<Vec<Voter>> = self.settings.voters.iter().map(voter_of).collect();
             let Some(voters) = voters else { return };
             Record::before_bootstrap(voters)
         } else {
             self.record.clone()
         };
-        self.highest_round = self.highest_round.max(self.memory.votes.promised.round) + 1;
+        self.highest_round = self.highest_round.max(self.durable_state.votes.promised.round) + 1;
         let epoch = self.record.epoch() + u64::from(is_bootstrap);
-        let ballot =
-            Ballot { epoch, round: self.highest_round, member: self.settings.member, start: self.start };
+        let ballot = Ballot {
+            epoch,
+            round: self.highest_round,
+            member: self.settings.member,
+            start: self.process_start,
+        };
         let mut round = Round::new(ballot, known);
-        if self.memory.votes.prepare(ballot).is_err() || !self.persist() {
+        if self.durable_state.votes.prepare(ballot).is_err() || !self.persist() {
             return;
         }
-        round.record_promise(self.voter(), self.memory.votes.accepted.clone());
-        for voter in round.awaiting_promise::<L>() {
+        round.record_promise(self.voter(), self.durable_state.votes.accepted.clone());
+        for voter in round.awaiting_promise::<R>() {
             self.environment.send(voter.member, Message::Prepare { ballot });
         }
-        self.round = Some(OngoingRound { round, step, began: now, based_on: self.record.order() });
-        self.write(now);
+        self.round = Some(OngoingRound { round, step, begun_at: now, based_on: self.record.order() });
+        self.propose_value(now);
     }
 
-    /// Sends the messages of the present phase again to those that haven't answered.
+    /// Repeats the messages of the present phase to the voters that haven't answered.
     pub(super) fn retry_round(&mut self) {
         let Some(OngoingRound { round, .. }) = &self.round else { return };
         let ballot = round.ballot;
-        let again: Vec<(u16, Message)> = match round.awaiting_vote() {
+        let messages: Vec<(u16, Message)> = match round.awaiting_vote() {
             Some((record, voters)) => {
                 let accept =
                     |voter: Voter| (voter.member, Message::Accept { ballot, record: record.clone() });
@@ -66,88 +67,88 @@
             }
             None => {
                 let prepare = |voter: Voter| (voter.member, Message::Prepare { ballot });
-                round.awaiting_promise::<L>().into_iter().map(prepare).collect()
+                round.awaiting_promise::<R>().into_iter().map(prepare).collect()
             }
         };
-        let me = self.settings.member;
-        for (to, message) in again.into_iter().filter(|(to, _)| *to != me) {
+        let own_number = self.settings.member;
+        for (to, message) in messages.into_iter().filter(|(to, _)| *to != own_number) {
             self.environment.send(to, message);
         }
     }
 
-    /// Once a quorum has promised, applies the step to the prepared value and proposes the result, or completes
-    /// the prepared value.
-    pub(super) fn write(&mut self, now: u64) {
+    /// Once a quorum has promised, applies the step to the prepared value and proposes the result, or
+    /// proposes the prepared value itself to complete it.
+    pub(super) fn propose_value(&mut self, now: u64) {
         // Guards against a step that is no longer due: since the ballot began the process may have been
         // suspended, and balancers may have failed or objected.
-        let due = self.next_step(now);
+        let due_step = self.next_step(now);
         let Some(OngoingRound { round, step, based_on, .. }) = &mut self.round else { return };
         if round.is_proposing() {
             return;
         }
-        let Some(found) = round.prepared_value::<L>().cloned() else { return };
-        // Guards against a step that was decided on for another record, by whose limits and times it was
-        // checked. What has been agreed or begun since is only completed.
-        let is_known = found.order() == *based_on || found.bootstrap_id == 0;
-        let next = found.apply_step(step).filter(|_| is_known && due.as_ref() == Some(step));
-        let Some(record) = next.or((found.order() > self.record.order()).then_some(found)) else {
+        let Some(prepared) = round.prepared_value::<R>().cloned() else { return };
+        // Guards against a step that was checked against the limits and times of another record. A record
+        // that was agreed or proposed since is only completed.
+        let is_base = prepared.order() == *based_on || prepared.bootstrap_id == 0;
+        let next = prepared.apply_step(step).filter(|_| is_base && due_step.as_ref() == Some(step));
+        let Some(record) = next.or((prepared.order() > self.record.order()).then_some(prepared)) else {
             self.round = None;
             return;
         };
         let ballot = round.ballot;
-        let voters = round.propose::<L>(record.clone());
-        let me = self.voter();
-        if self.memory.votes.accept::<L>(ballot, record.clone()).is_err() || !self.persist() {
+        let voters = round.propose::<R>(record.clone());
+        let own_voter = self.voter();
+        if self.durable_state.votes.accept::<R>(ballot, record.clone()).is_err() || !self.persist() {
             self.round = None;
             return;
         }
-        for voter in voters.into_iter().filter(|voter| *voter != me) {
+        for voter in voters.into_iter().filter(|voter| *voter != own_voter) {
             self.environment.send(voter.member, Message::Accept { ballot, record: record.clone() });
         }
-        self.voted(now, me);
+        self.record_vote(now, own_voter);
     }
 
-    pub(super) fn voted(&mut self, now: u64, voter: Voter) {
+    pub(super) fn record_vote(&mut self, now: u64, voter: Voter) {
         let Some(OngoingRound { round, .. }) = &mut self.round else { return };
-        let Some(record) = round.record_vote::<L>(voter).cloned() else { return };
+        let Some(record) = round.record_vote::<R>(voter).cloned() else { return };
         self.round = None;
         self.update_record(now, record);
-        // Without this the others would learn of it only by their next request for the lease.
-        let members = self.received.iter().enumerate().filter(|(_, received)| received.is_some());
+        // Otherwise the other members would learn of the record only at their next lease renewal.
+        let members = self.peer_reports.iter().enumerate().filter(|(_, report)| report.is_some());
         let members: BTreeSet<u16> = members.map(|(member, _)| member as u16).collect();
         for member in members.into_iter().chain(self.voters()).collect::<BTreeSet<u16>>() {
             if member != self.settings.member {
                 self.environment.send(member, Message::Update { record: self.record.clone() });
             }
         }
-        self.lead(now);
+        self.drive_ballot(now);
     }
 
-    pub(super) fn promised(
+    pub(super) fn receive_promise(
         &mut self,
         now: u64,
         ballot: Ballot,
         voter: Voter,
         accepted: Option<(Ballot, Record)>,
     ) {
-        if let Some(ongoing) = self.round.as_mut().filter(|on| on.round.ballot == ballot) {
+        if let Some(ongoing) = self.round.as_mut().filter(|ongoing| ongoing.round.ballot == ballot) {
             ongoing.round.record_promise(voter, accepted);
-            self.write(now);
+            self.propose_value(now);
         }
     }
 
-    pub(super) fn accepted(&mut self, now: u64, ballot: Ballot, voter: Voter) {
-        if self.round.as_ref().is_some_and(|on| on.round.ballot == ballot) {
-            self.voted(now, voter);
+    pub(super) fn receive_accepted(&mut self, now: u64, ballot: Ballot, voter: Voter) {
+        if self.round.as_ref().is_some_and(|ongoing| ongoing.round.ballot == ballot) {
+            self.record_vote(now, voter);
         }
     }
 
     /// A voter has promised a higher ballot than that of this member's round.
-    pub(super) fn refused(&mut self, now: u64, ballot: Ballot, promised: Ballot) {
+    pub(super) fn receive_refusal(&mut self, now: u64, ballot: Ballot, promised: Ballot) {
         self.highest_round = self.highest_round.max(promised.round);
-        if self.round.take_if(|on| on.round.ballot == ballot).is_some() {
-            // Proposers that outbid one another wait for different times.
-            self.quiet_until =
+        if self.round.take_if(|ongoing| ongoing.round.ballot == ballot).is_some() {
+            // The wait differs by member, so that competing proposers don't outbid one another for ever.
+            self.backoff_until =
                 now + self.settings.renewal_interval_us * (1 + u64::from(self.settings.member)) / 4;
         }
     }
--- a/balancer/fleet-policy/src/member/record_update.rs
+++ b/balancer/fleet-policy/src/member/record_update.rs
@@ -1,5 +1,5 @@
-//! A newer record replaces the known one: the lease, the texts and the proofs follow it, and the log has a line
-//! for each change.
+//! The replacement of the known record by a newer one: the lease, the texts and the proofs follow it, and
+//! each change is logged.
 
 use whinspindle_rollout::Direction;
 
@@ -7,32 +7,33 @@
 use super::{Environment, Member, MemberRules};
 use crate::record::{Change, ChangeOutcome, PastRelease, Policy, Record};
 
-impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// Takes an agreed record, received from another member or agreed by this member's own ballot.
+impl<E: Environment, R: MemberRules> Member<E, R> {
+    /// Takes over an agreed record, received from another member or agreed by this member's own ballot.
     pub(super) fn update_record(&mut self, now: u64, record: Record) {
         if record.order() <= self.record.order() {
             return;
         }
         if record.pending_change.is_some_and(|change| self.record.pending_change != Some(change)) {
-            self.next_since = now;
+            self.change_learned_at = now;
         }
         for line in describe_changes(&self.record, &record) {
             self.environment.log(line);
         }
         let (old, new) = (&self.record, &record);
         if old.policy.number != new.policy.number || old.bootstrap_id != new.bootstrap_id {
-            self.learned = now;
+            self.policy_learned_at = now;
         }
-        let of = |record: &Record| (record.bootstrap_id, record.policy.number, record.voter_set_version);
-        if of(old) != of(new) {
-            let held = std::mem::replace(&mut self.lease, Lease::of(&record));
+        let lease_key =
+            |record: &Record| (record.bootstrap_id, record.policy.number, record.voter_set_version);
+        if lease_key(old) != lease_key(new) {
+            let replaced = std::mem::replace(&mut self.lease, Lease::for_record(&record));
             // If neither lease is for the new record, only an unexpired one is of use.
-            if now < held.until::<L>() || self.previous_lease.is_none() {
-                self.previous_lease = Some(held);
+            if now < replaced.expires_at::<R>() || self.previous_lease.is_none() {
+                self.previous_lease = Some(replaced);
             }
         }
         self.record = record;
-        self.memory.record = self.record.clone();
+        self.durable_state.record = self.record.clone();
         self.persist();
         let plan = self.record.release.as_ref().map(|release| release.hash);
         let used = [
@@ -46,13 +47,13 @@
             self.release_test = None;
         }
         self.texts.evict(&used.into_iter().flatten().collect::<Vec<_>>());
-        self.prove();
-        self.next_fetch = now;
-        self.ask(now);
+        self.begin_proofs();
+        self.next_fetch_at = now;
+        self.renew_lease(now);
     }
 }
 
-/// The log lines about what a newer record changes.
+/// The log lines for the changes of a newer record.
 fn describe_changes(old: &Record, new: &Record) -> Vec<String> {
     let mut lines = Vec::new();
     if old.bootstrap_id != new.bootstrap_id {
@@ -63,14 +64,14 @@
     describe_releases(old, new, &mut lines);
     match (&old.halt, &new.halt) {
         (None, Some(halt)) => {
-            let by = halt.request_id.member;
-            lines.push(format!("nothing is let out any more, by member {by}: {}", halt.reason));
+            let member = halt.request_id.member;
+            lines.push(format!("restarts are halted by member {member}: {}", halt.reason));
         }
-        (Some(_), None) => lines.push("units may be let out again".to_string()),
+        (Some(_), None) => lines.push("restarts are resumed".to_string()),
         _ => {}
     }
     if old.bootstrap_id == new.bootstrap_id && old.voter_set_version != new.voter_set_version {
-        lines.push(format!("the voters change, board {}", new.voter_set_version));
+        lines.push(format!("the voters change, voter set version {}", new.voter_set_version));
     }
     lines
 }
@@ -81,7 +82,7 @@
         lines.push(match past.outcome {
             ChangeOutcome::InForce => format!("policy {number} is in force"),
             ChangeOutcome::Withdrawn => format!("policy {number} is withdrawn"),
-            ChangeOutcome::Refused(by) => format!("policy {number} is refused by member {by}"),
+            ChangeOutcome::Refused(member) => format!("policy {number} is refused by member {member}"),
             ChangeOutcome::GivenUp => format!("policy {number} is given up: not proved everywhere in time"),
         });
     }
@@ -94,28 +95,28 @@
 }
 
 fn describe_units(old: &Record, new: &Record, lines: &mut Vec<String>) {
-    for out in new.grants.iter().filter(|out| !old.grants.contains(out)) {
-        lines.push(format!("{:?} is let out, asked for at member {}", out.unit, out.request_id.member));
+    for grant in new.grants.iter().filter(|grant| !old.grants.contains(grant)) {
+        lines.push(format!("{:?} may restart, requested at member {}", grant.unit, grant.request_id.member));
     }
-    for out in old.grants.iter().filter(|out| !new.grants.contains(out)) {
-        lines.push(format!("{:?} is back", out.unit));
+    for grant in old.grants.iter().filter(|grant| !new.grants.contains(grant)) {
+        lines.push(format!("{:?} is back in service", grant.unit));
     }
 }
 
 fn describe_releases(old: &Record, new: &Record, lines: &mut Vec<String>) {
     match (&old.release, &new.release) {
         (None, Some(release)) => {
-            let by = release.request_id.member;
-            lines.push(format!("release {} begins, by member {by}", release.number));
+            let member = release.request_id.member;
+            lines.push(format!("release {} begins, requested at member {member}", release.number));
         }
         (Some(old), Some(new)) if (old.wave, old.direction) != (new.wave, new.direction) => {
-            let way = if new.direction == Direction::Rollout { "goes on" } else { "goes back" };
-            lines.push(format!("release {} {way}, wave {}", new.number, new.wave + 1));
+            let direction = if new.direction == Direction::Rollout { "rolls out" } else { "rolls back" };
+            lines.push(format!("release {} {direction}, wave {}", new.number, new.wave + 1));
         }
         _ => {}
     }
     for past in new.past_releases.iter().filter(|past| !old.past_releases.contains(past)) {
-        let PastRelease { number, outcome: close, changed, .. } = past;
-        lines.push(format!("release {number} is over: {close:?}, {changed} units changed"));
+        let PastRelease { number, outcome, changed, .. } = past;
+        lines.push(format!("release {number} ends: {outcome:?}, {changed} units changed"));
     }
 }
--- a/balancer/fleet-policy/src/member/releases.rs
+++ b/balancer/fleet-policy/src/member/releases.rs
@@ -14,93 +14,103 @@
     /// The number of the release.
     pub(super) release: u64,
     pub(super) wave: u16,
-    pub(super) way: Direction,
-    /// When this member learned that it is complete.
-    pub(super) since: u64,
+    pub(super) direction: Direction,
+    /// When this member learned that the wave is complete.
+    pub(super) complete_since: u64,
 }
 
-/// The running test of a release's build at a voter.
+/// A voter's running test of a release's build.
 #[derive(Clone, Debug)]
 pub(super) struct ReleaseTest {
+    /// The number of the release.
     pub(super) release: u64,
-    pub(super) evidence: BuildTest,
+    pub(super) build_test: BuildTest,
     /// When the present window began.
-    pub(super) opened: u64,
-    /// How long a window lasts at least.
-    pub(super) window: u64,
+    pub(super) window_begun_at: u64,
+    /// The shortest duration of a window.
+    pub(super) window_us: u64,
     /// The start and serial number of each member's last observations, so that duplicates count once.
-    pub(super) taken: BTreeMap<u16, (u64, u32)>,
-    /// Why the release has to be halted, and the serial number of that request.
-    pub(super) against: Option<(String, u64)>,
+    pub(super) last_observations: BTreeMap<u16, (u64, u32)>,
+    /// Why the release has to be halted, and the serial number of the request for it.
+    pub(super) halt_reason: Option<(String, u64)>,
 }
 
-impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// The release whose units are watched now.
+impl<E: Environment, R: MemberRules> Member<E, R> {
+    /// The number of the release whose units are observed now.
     pub fn watched_release(&self) -> Option<u64> {
-        let forth = self.record.release.as_ref().filter(|release| release.direction == Direction::Rollout);
-        forth.map(|release| release.number)
+        let rollout = self.record.release.as_ref().filter(|release| release.direction == Direction::Rollout);
+        rollout.map(|release| release.number)
     }
 
-    /// Calls `see` with the progress of the release under way, with all its units that are not in full service.
-    pub fn progress<T>(&self, now: u64, see: impl FnOnce(&Progress) -> T) -> Option<T> {
+    /// Calls `use_progress` with the progress of the release under way. Returns `None` without a release, or
+    /// while its plan is unknown.
+    pub fn progress<T>(&self, now: u64, use_progress: impl FnOnce(&Progress) -> T) -> Option<T> {
         let release = self.record.release.as_ref()?;
         let plan = self.environment.plan(release.hash)?;
-        // A rollback waits only for units that this release has taken out of service: one that it never
-        // touched, and that is down for another cause, must not delay it.
-        let forth = release.direction == Direction::Rollout;
-        let mine = |part: Option<ReleasePart>| part.is_some_and(|part| part.release == release.number);
-        let out = self.record.grants.iter().filter(|out| forth || mine(out.release_part));
-        let mut out: Vec<Unit> = out.map(|out| out.unit).collect();
-        let away = self.away(now);
-        out.extend(plan.units.iter().filter(|unit| match unit {
-            _ if !forth => false,
-            Unit::Balancer(number) => away.contains(number),
+        // A rollback waits only for units that this release has taken out of service: a unit that the release
+        // never changed, and that is down for another cause, must not delay it.
+        let is_rollout = release.direction == Direction::Rollout;
+        let is_of_release =
+            |part: Option<ReleasePart>| part.is_some_and(|part| part.release == release.number);
+        let grants =
+            self.record.grants.iter().filter(|grant| is_rollout || is_of_release(grant.release_part));
+        let mut out_of_service: Vec<Unit> = grants.map(|grant| grant.unit).collect();
+        let absent = self.absent_balancers(now);
+        out_of_service.extend(plan.units.iter().filter(|unit| match unit {
+            _ if !is_rollout => false,
+            Unit::Balancer(number) => absent.contains(number),
             Unit::Server(key) => !self.environment.is_server_in_service(*key),
         }));
         let (wave, changed) = (release.wave as usize, &release.changed);
-        Some(see(&Progress {
+        Some(use_progress(&Progress {
             plan: &plan,
             direction: release.direction,
             wave,
             changed,
-            out_of_service: &out,
+            out_of_service: &out_of_service,
         }))
     }
 
-    /// The part of the release `of` that a unit would restart for, or why it may not. Guards against a request
-    /// for a release that is over: it must not be granted as one for another cause.
+    /// The part that a unit would have in the release with this number if it restarted now, or why it may
+    /// not. Guards against a request for a release that has ended: it must not be granted as one without a
+    /// release.
     pub fn release_part(
         &self,
         now: u64,
         unit: Unit,
-        of: Option<u64>,
+        release_number: Option<u64>,
     ) -> Result<Option<ReleasePart>, RestartRefusal> {
-        let Some(number) = of else { return Ok(None) };
+        let Some(number) = release_number else { return Ok(None) };
         let release = self
             .record
             .release
             .as_ref()
-            .filter(|on| on.number == number)
+            .filter(|release| release.number == number)
             .ok_or(RestartRefusal::ReleaseNotUnderWay)?;
-        let of = |progress: &Progress| {
-            let place = progress.plan.index_of(unit).ok_or(RestartRefusal::NotInPlan)?;
-            L::check_release_order(progress, place)?;
+        let part_in = |progress: &Progress| {
+            let unit_index = progress.plan.index_of(unit).ok_or(RestartRefusal::NotInPlan)?;
+            R::check_release_order(progress, unit_index)?;
             Ok(Some(ReleasePart {
                 release: release.number,
-                unit_index: place as u16,
+                unit_index: unit_index as u16,
                 direction: release.direction,
             }))
         };
-        self.progress(now, of).unwrap_or(Err(RestartRefusal::PlanUnknown))
+        self.progress(now, part_in).unwrap_or(Err(RestartRefusal::PlanUnknown))
     }
 
-    pub(super) fn record_wave(&mut self, now: u64) {
-        let complete = self.progress(now, |progress| L::next_phase(progress, u64::MAX).is_some());
-        let known = self.record.release.as_ref().filter(|_| complete == Some(true));
-        let known = known.map(|release| (release.number, release.wave, release.direction));
-        let same = |before: &CompleteWave| known == Some((before.release, before.wave, before.way));
-        if !self.complete.as_ref().is_some_and(same) {
-            self.complete = known.map(|(release, wave, way)| CompleteWave { release, wave, way, since: now });
+    pub(super) fn update_complete_wave(&mut self, now: u64) {
+        let is_complete = self.progress(now, |progress| R::next_phase(progress, u64::MAX).is_some());
+        let complete = self.record.release.as_ref().filter(|_| is_complete == Some(true));
+        let complete = complete.map(|release| (release.number, release.wave, release.direction));
+        let is_same = |known: &CompleteWave| complete == Some((known.release, known.wave, known.direction));
+        if !self.complete_wave.as_ref().is_some_and(is_same) {
+            self.complete_wave = complete.map(|(release, wave, direction)| CompleteWave {
+                release,
+                wave,
+                direction,
+                complete_since: now,
+            });
         }
     }
 
@@ -108,27 +118,27 @@
         let Some(release) = self.watched_release() else { return };
         let rows = self.environment.observations(&self.record);
         if !rows.is_empty() {
-            self.serial += 1;
-            let (start, serial) = (self.start, self.serial);
+            self.observations_serial += 1;
+            let (start, serial) = (self.process_start, self.observations_serial);
             for voter in self.voters() {
-                let figures = Message::Observations { release, start, serial, rows: rows.clone() };
+                let observations = Message::Observations { release, start, serial, rows: rows.clone() };
                 if voter == self.settings.member {
-                    self.receive(now, voter, figures);
+                    self.receive(now, voter, observations);
                 } else {
-                    self.environment.send(voter, figures);
+                    self.environment.send(voter, observations);
                 }
             }
         }
         let due = self
             .release_test
             .as_mut()
-            .filter(|release_test| now >= release_test.opened + release_test.window);
+            .filter(|release_test| now >= release_test.window_begun_at + release_test.window_us);
         let Some(release_test) = due else { return };
-        release_test.opened = now;
-        if let Some(why) = release_test.evidence.close_window()
-            && release_test.against.is_none()
+        release_test.window_begun_at = now;
+        if let Some(reason) = release_test.build_test.close_window()
+            && release_test.halt_reason.is_none()
         {
-            release_test.against = Some((why, self.start ^ now));
+            release_test.halt_reason = Some((reason, self.process_start ^ now));
         }
     }
 
@@ -141,91 +151,102 @@
         serial: u32,
         rows: Vec<ObservationRow>,
     ) {
-        let halted = self.record.halt.is_some();
-        if Some(release) != self.watched_release() || !self.is_voter() || halted {
+        let is_halted = self.record.halt.is_some();
+        if Some(release) != self.watched_release() || !self.is_voter() || is_halted {
             return;
         }
         if self.release_test.is_none() {
-            let Some(plan) = self.record.release.as_ref().and_then(|on| self.environment.plan(on.hash))
+            let Some(plan) =
+                self.record.release.as_ref().and_then(|release| self.environment.plan(release.hash))
             else {
                 return;
             };
-            let (evidence, window) = (BuildTest::new(plan.false_halt_probability), plan.window_us());
-            let taken = BTreeMap::new();
-            self.release_test =
-                Some(ReleaseTest { release, evidence, opened: now, window, taken, against: None });
+            let (build_test, window_us) = (BuildTest::new(plan.false_halt_probability), plan.window_us());
+            let last_observations = BTreeMap::new();
+            self.release_test = Some(ReleaseTest {
+                release,
+                build_test,
+                window_begun_at: now,
+                window_us,
+                last_observations,
+                halt_reason: None,
+            });
         }
         let Some(release_test) = &mut self.release_test else { return };
-        let before = release_test.taken.insert(from, (start, serial));
-        if before.is_some_and(|(known, last)| known == start && serial <= last) {
-            release_test.taken.extend(before.map(|before| (from, before)));
+        let previous = release_test.last_observations.insert(from, (start, serial));
+        if previous.is_some_and(|(previous_start, previous_serial)| {
+            previous_start == start && serial <= previous_serial
+        }) {
+            release_test.last_observations.extend(previous.map(|previous| (from, previous)));
             return;
         }
-        rows.into_iter().for_each(|row| release_test.evidence.add_row(from, row));
+        rows.into_iter().for_each(|row| release_test.build_test.add_row(from, row));
     }
 
-    /// For how many milliseconds the present wave has been complete; none if it is not.
+    /// For how many milliseconds the present wave has been complete; none if it is not complete.
     pub fn watch_time_ms(&self, now: u64) -> Option<u64> {
-        self.complete.map(|complete| now.saturating_sub(complete.since) / 1000)
+        self.complete_wave.map(|wave| now.saturating_sub(wave.complete_since) / 1000)
     }
 
-    /// The state of this voter's test of the build of the release under way.
+    /// This voter's test of the build of the release under way.
     pub fn build_test(&self) -> Option<&BuildTest> {
-        self.release_test.as_ref().map(|release_test| &release_test.evidence)
+        self.release_test.as_ref().map(|release_test| &release_test.build_test)
     }
 
-    /// A release whose changed units do worse is halted.
-    pub(super) fn halt_for_cause(&self) -> Option<Step> {
-        let (why, serial) = self.release_test.as_ref()?.against.as_ref()?;
+    /// The halt of a release whose changed units do worse than the others.
+    pub(super) fn halt_step(&self) -> Option<Step> {
+        let (reason, serial) = self.release_test.as_ref()?.halt_reason.as_ref()?;
         let request_id = RequestId { member: self.settings.member, serial: *serial };
-        let new = self.record.halt.is_none() && !self.record.has_applied(request_id);
-        new.then(|| Step::Halt { halt: Halt { request_id, reason: why.clone() } })
+        let is_new = self.record.halt.is_none() && !self.record.has_applied(request_id);
+        is_new.then(|| Step::Halt { halt: Halt { request_id, reason: reason.clone() } })
     }
 
-    /// The next step of the release: an operator's request goes before its next wave.
-    pub(super) fn release(&self, now: u64) -> Option<Step> {
-        let new = || self.requests.iter().filter(|wanted| !self.record.has_applied(wanted.request_id));
+    /// The next step of the release. An operator's request has priority over the next wave.
+    pub(super) fn release_step(&self, now: u64) -> Option<Step> {
+        let new_requests =
+            || self.requests.iter().filter(|pending| !self.record.has_applied(pending.request_id));
         let Some(release) = &self.record.release else {
-            return new().find_map(|wanted| match wanted.request {
+            return new_requests().find_map(|pending| match pending.request {
                 RequestKind::BeginRelease { hash, length } => {
-                    Some(Step::BeginRelease { hash, length, request_id: wanted.request_id })
+                    Some(Step::BeginRelease { hash, length, request_id: pending.request_id })
                 }
                 _ => None,
             });
         };
         let number = release.number;
-        let requested = new().find_map(|wanted| match wanted.request {
+        let requested = new_requests().find_map(|pending| match pending.request {
             RequestKind::EndRelease { number: of } if of == number => Some(Step::EndRelease {
                 number,
                 outcome: ReleaseOutcome::Left,
-                request_id: Some(wanted.request_id),
+                request_id: Some(pending.request_id),
             }),
             RequestKind::RollBack { number: of }
                 if of == number && release.direction == Direction::Rollout =>
             {
-                Some(Step::RollBack { number, request_id: wanted.request_id })
+                Some(Step::RollBack { number, request_id: pending.request_id })
             }
             _ => None,
         });
         // During a halt no wave begins. A rollback has no halt of its own.
-        let halted = self.record.halt.is_some();
-        // A leader that has just started can't know who is absent.
-        let knows = now >= self.began + self.settings.absence_timeout_us;
+        let is_halted = self.record.halt.is_some();
+        // A leader that has just started can't know which members are absent.
+        let knows_absent = now >= self.started_at + self.settings.absence_timeout_us;
         requested.or_else(|| {
-            let CompleteWave { since, .. } = self.complete.filter(|known| {
-                !halted
-                    && knows
-                    && (known.release, known.wave, known.way) == (number, release.wave, release.direction)
+            let CompleteWave { complete_since, .. } = self.complete_wave.filter(|known| {
+                !is_halted
+                    && knows_absent
+                    && (known.release, known.wave, known.direction)
+                        == (number, release.wave, release.direction)
             })?;
-            Some(match self.progress(now, |progress| L::next_phase(progress, now - since))?? {
+            Some(match self.progress(now, |progress| R::next_phase(progress, now - complete_since))?? {
                 NextPhase::Wave(to) => Step::AdvanceWave { number, from: release.wave, to: to as u16 },
                 NextPhase::Complete => {
-                    let close = if release.direction == Direction::Rollout {
+                    let outcome = if release.direction == Direction::Rollout {
                         ReleaseOutcome::Done
                     } else {
                         ReleaseOutcome::TakenBack
                     };
-                    Step::EndRelease { number, outcome: close, request_id: None }
+                    Step::EndRelease { number, outcome, request_id: None }
                 }
             })
         })
--- a/balancer/fleet-policy/src/member/restarts.rs
+++ b/balancer/fleet-policy/src/member/restarts.rs
@@ -1,4 +1,5 @@
-//! Units that leave service to be restarted: which may do so now, and how a balancer reports its return.
+//! Units that leave service to be restarted: the choice of the next one, and a balancer's report of its
+//! return.
 
 use std::collections::BTreeSet;
 
@@ -9,80 +10,83 @@
 use crate::message::{LeaseState, RequestKind};
 use crate::record::{Halt, ReleasePart, RestartGrant, Step};
 
-impl<O: Environment, L: MemberRules> Member<O, L> {
-    /// Balancers that are not in full service, by what this leader has received of them.
-    pub(super) fn away(&self, now: u64) -> BTreeSet<u16> {
-        let serves = |member: &u16| match &self.received[*member as usize] {
+impl<E: Environment, R: MemberRules> Member<E, R> {
+    /// The balancers that are not in full service, by the reports that this member has received.
+    pub(super) fn absent_balancers(&self, now: u64) -> BTreeSet<u16> {
+        let serves = |member: &u16| match &self.peer_reports[*member as usize] {
             _ if *member == self.settings.member => matches!(self.lease_state(now), LeaseState::Policy(_)),
-            Some(received) => {
-                self.is_here(now, *member) && matches!(received.lease_state, LeaseState::Policy(_))
+            Some(report) => {
+                self.is_present(now, *member) && matches!(report.lease_state, LeaseState::Policy(_))
             }
             None => false,
         };
         (0..self.settings.member_count).filter(|member| !serves(member)).collect()
     }
 
-    /// The next step about units: a halt, a return or the end of a halt goes before a grant.
-    pub(super) fn units(&self, now: u64) -> Option<Step> {
+    /// The next step about units. A halt, a return or the end of a halt has priority over a grant.
+    pub(super) fn unit_step(&self, now: u64) -> Option<Step> {
         let record = &self.record;
-        let new = || self.requests.iter().filter(|wanted| !record.has_applied(wanted.request_id));
-        let halt = new().find_map(|wanted| match &wanted.request {
-            RequestKind::Halt { reason: why } if record.halt.is_none() => {
-                Some(Step::Halt { halt: Halt { request_id: wanted.request_id, reason: why.clone() } })
+        let new_requests = || self.requests.iter().filter(|pending| !record.has_applied(pending.request_id));
+        let urgent = new_requests().find_map(|pending| match &pending.request {
+            RequestKind::Halt { reason } if record.halt.is_none() => {
+                Some(Step::Halt { halt: Halt { request_id: pending.request_id, reason: reason.clone() } })
             }
             RequestKind::Return { unit, done } if record.grant_of(*unit).is_some() => {
-                Some(Step::Return { unit: *unit, request_id: wanted.request_id, done: *done })
+                Some(Step::Return { unit: *unit, request_id: pending.request_id, done: *done })
             }
             RequestKind::Resume if record.halt.is_some() => {
-                Some(Step::Resume { request_id: wanted.request_id })
+                Some(Step::Resume { request_id: pending.request_id })
             }
             _ => None,
         });
-        let knows = now >= self.began + self.settings.absence_timeout_us;
-        halt.or_else(|| {
-            let away = L::out_without_grant(self.away(now));
-            new().filter(|_| knows).find_map(|wanted| {
-                let RequestKind::TakeOut { unit, release } = wanted.request else { return None };
-                let start = match unit {
-                    Unit::Balancer(number) if number == self.settings.member => self.start,
-                    Unit::Balancer(number) => self.received.get(number as usize)?.as_ref()?.start,
+        let knows_absent = now >= self.started_at + self.settings.absence_timeout_us;
+        urgent.or_else(|| {
+            let absent = R::out_without_grant(self.absent_balancers(now));
+            new_requests().filter(|_| knows_absent).find_map(|pending| {
+                let RequestKind::TakeOut { unit, release } = pending.request else { return None };
+                let process_start = match unit {
+                    Unit::Balancer(number) if number == self.settings.member => self.process_start,
+                    Unit::Balancer(number) => self.peer_reports.get(number as usize)?.as_ref()?.start,
                     Unit::Server(_) => 0,
                 };
-                let may =
-                    record.can_grant(unit) && self.environment.check_restart(record, unit, &away).is_ok();
-                let part = self.release_part(now, unit, release).ok().filter(|_| may)?;
-                let request_id = L::recorded_request_id(wanted.request_id, record);
-                Some(Step::Grant {
-                    grant: RestartGrant { unit, request_id, process_start: start, release_part: part },
-                })
+                let is_allowed =
+                    record.can_grant(unit) && self.environment.check_restart(record, unit, &absent).is_ok();
+                let release_part = self.release_part(now, unit, release).ok().filter(|_| is_allowed)?;
+                let request_id = R::recorded_request_id(pending.request_id, record);
+                Some(Step::Grant { grant: RestartGrant { unit, request_id, process_start, release_part } })
             })
         })
     }
 
-    /// Whether this balancer has to leave service: it was granted leave in this start of its process.
+    /// Whether this balancer has to leave service, since it was granted a restart in this start of its
+    /// process.
     pub fn is_taken_out(&self) -> bool {
         self.record
             .grant_of(Unit::Balancer(self.settings.member))
-            .is_some_and(|out| out.process_start == self.start)
+            .is_some_and(|grant| grant.process_start == self.process_start)
     }
 
-    /// A balancer that was granted leave and has restarted since reports its return, once it serves.
+    /// Reports the return of this balancer, if it was granted a restart, has restarted since and serves
+    /// again.
     pub(super) fn report_return(&mut self, now: u64) {
         let unit = Unit::Balancer(self.settings.member);
-        let Some(out) = self.record.grant_of(unit).filter(|out| out.process_start != self.start) else {
+        let Some(grant) =
+            self.record.grant_of(unit).filter(|grant| grant.process_start != self.process_start)
+        else {
             return;
         };
-        let is_return = |wanted: &PendingRequest| matches!(wanted.request, RequestKind::Return { unit: back, .. } if back == unit);
+        let is_return = |pending: &PendingRequest| matches!(pending.request, RequestKind::Return { unit: other, .. } if other == unit);
         if !matches!(self.lease_state(now), LeaseState::Policy(_)) || self.requests.iter().any(is_return) {
             return;
         }
-        let Some(done) = self.carries(out.release_part) else { return };
-        self.submit(now, RequestKind::Return { unit, done }, self.start);
+        let Some(done) = self.has_expected_build(grant.release_part) else { return };
+        self.submit(now, RequestKind::Return { unit, done }, self.process_start);
     }
 
-    /// Whether this process has the build that it was restarted for; none while the plan that names it is not
-    /// here. Guards against a restart with the old build: the unit has to restart again.
-    pub(super) fn carries(&self, part: Option<ReleasePart>) -> Option<bool> {
+    /// Whether this process has the build that it was restarted for; none while the plan that names the build
+    /// is unknown here. Guards against a restart with the old build, after which the unit has to restart
+    /// again.
+    pub(super) fn has_expected_build(&self, part: Option<ReleasePart>) -> Option<bool> {
         let release = self.record.release.as_ref();
         let Some((part, release)) =
             part.zip(release).filter(|(part, release)| part.release == release.number)
--- a/balancer/fleet-policy/src/message.rs
+++ b/balancer/fleet-policy/src/message.rs
@@ -15,29 +15,30 @@
     pub reason: String,
 }
 
-/// How far a member is with the change under way.
+/// A member's progress with the change under way.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Readiness {
     /// No change is under way.
     #[default]
     NoChange,
-    /// So many chunks of its text are missing.
+    /// This number of chunks of the policy's text are missing.
     MissingChunks(u64),
-    /// It has proved the policy with this number.
+    /// The member has proved the policy with this number.
     Ready(u64),
-    /// It can't prove the policy with this number.
+    /// The member can't prove the policy with this number.
     Objected(u64, Objection),
 }
 
-/// What a member decides by now.
+/// The state of a member's lease, which decides the policy that the member serves by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum LeaseState {
-    /// It has just started and doesn't know yet what is in force.
+    /// The member has just started and doesn't know the policy in force yet.
     #[default]
     Learning,
-    /// It holds a lease for the policy with this number.
+    /// The member holds a lease for the policy with this number.
     Policy(u64),
-    /// Its lease has expired, and it may not know the policy in force: by the settings for a partition.
+    /// The member's lease has expired, so it may not know the policy in force and follows the settings for a
+    /// partition.
     CutOff,
 }
 
@@ -48,17 +49,17 @@
     RenewLease {
         /// The follower's clock in microseconds, from which the lease counts.
         asked_at: u64,
-        /// Of the follower's durable state.
+        /// The incarnation of the follower's durable state.
         incarnation: u64,
         /// The start number of the follower's process.
         start: u64,
-        /// Of the record it knows.
+        /// The bootstrap id of the record that the follower knows.
         bootstrap_id: u64,
-        /// Of the record it knows.
+        /// The version of the record that the follower knows.
         version: u64,
-        /// What it decides by.
+        /// The state of the follower's lease.
         lease_state: LeaseState,
-        /// How far it is with the change under way.
+        /// The follower's progress with the change under way.
         readiness: Readiness,
     },
     /// A voter grants a lease.
@@ -67,43 +68,43 @@
         asked_at: u64,
         /// From the request: the start number of the follower's process.
         start: u64,
-        /// Who grants it.
+        /// The voter that grants the lease.
         voter: Voter,
-        /// The voter sets that the grant counts in.
+        /// The version of the voter sets that the grant counts for.
         voter_set_version: u64,
         /// The policy in force.
         number: u64,
     },
     /// The record, to a member that has an older one.
     Update {
-        /// What is agreed.
+        /// The agreed record.
         record: Record,
     },
-    /// Asks for chunks of a text.
+    /// Requests chunks of a text.
     Fetch {
-        /// Of the text.
+        /// The hash of the text.
         hash: Hash,
-        /// The first chunk asked for.
+        /// The first requested chunk.
         chunk: u16,
-        /// A bit for each of the 64 chunks from `chunk` on, set if it is asked for.
+        /// A bit for each of the 64 chunks from `chunk` on, set if the chunk is requested.
         missing: u64,
     },
     /// A chunk of a text.
     Chunk {
-        /// Of the text.
+        /// The hash of the text.
         hash: Hash,
         /// The chunk's index.
         chunk: u16,
-        /// Of the whole text, in bytes.
+        /// The length of the whole text in bytes.
         length: u32,
-        /// The chunk.
+        /// The bytes of the chunk.
         bytes: Vec<u8>,
     },
-    /// An operator's request, passed on to the voters.
+    /// An operator's request, forwarded to the voters.
     OperatorRequest {
-        /// What is asked for.
+        /// The request.
         request: RequestKind,
-        /// The same each time it is sent.
+        /// The id of the request, the same each time it is sent.
         request_id: RequestId,
     },
     /// First phase of a ballot.
@@ -113,11 +114,11 @@
     },
     /// The answer to `Prepare`.
     Promise {
-        /// The ballot that is promised.
+        /// The promised ballot.
         ballot: Ballot,
-        /// Who promises.
+        /// The voter that promises.
         voter: Voter,
-        /// What it has accepted last.
+        /// The ballot and record that the voter accepted last.
         accepted: Option<(Ballot, Record)>,
     },
     /// Second phase of a ballot.
@@ -129,92 +130,92 @@
     },
     /// The answer to `Accept`.
     Accepted {
-        /// The ballot that is accepted.
+        /// The accepted ballot.
         ballot: Ballot,
-        /// Who accepts.
+        /// The voter that accepts.
         voter: Voter,
     },
-    /// What a member has observed of a release's units since its last such message.
+    /// A member's observations of a release's units since its last message of this kind.
     Observations {
         /// The number of the release.
         release: u64,
         /// The start number of the member's process.
         start: u64,
-        /// Grows with each message of a start, so that one that arrives twice counts once.
+        /// A number that grows with each message of a start, so that duplicates count once.
         serial: u32,
         /// The counts.
         rows: Vec<ObservationRow>,
     },
-    /// A message of another part of the process, which the member passes through unread.
+    /// A message of another part of the process, which the member passes on without decoding it.
     Opaque {
-        /// Its encoding.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// A voter rejects a ballot, as it has promised a higher one.
+    /// The answer of a voter that rejects a ballot, since it has promised a higher one.
     Refuse {
         /// The rejected ballot.
         ballot: Ballot,
-        /// The ballot that it has promised.
+        /// The ballot that the voter has promised.
         promised: Ballot,
     },
 }
 
-/// What an operator or a supervisor asks for.
+/// A request of an operator or a supervisor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RequestKind {
-    /// A new policy.
+    /// Propose a new policy.
     Propose {
-        /// Of its text.
+        /// The hash of the policy's text.
         hash: Hash,
-        /// Of its text, in bytes.
+        /// The length of the policy's text in bytes.
         length: u32,
     },
-    /// The end of the change under way.
+    /// Withdraw the change under way.
     Withdraw {
-        /// The number of its policy.
+        /// The number of the proposed policy.
         number: u64,
     },
-    /// Leave for a unit to restart.
+    /// Take a unit out of service to restart it.
     TakeOut {
         /// The unit.
         unit: Unit,
-        /// The number of the release that it restarts for; none for another cause.
+        /// The number of the release that the unit restarts for; none if it restarts for another cause.
         release: Option<u64>,
     },
-    /// A unit has returned to service.
+    /// Report that a unit has returned to service.
     Return {
         /// The unit.
         unit: Unit,
-        /// Whether it has the build that it was restarted for.
+        /// Whether the unit has the build that it was restarted for.
         done: bool,
     },
-    /// A new release.
+    /// Begin a new release.
     BeginRelease {
-        /// Of its plan's text.
+        /// The hash of the plan's text.
         hash: Hash,
-        /// Of its plan's text, in bytes.
+        /// The length of the plan's text in bytes.
         length: u32,
     },
-    /// The release is rolled back.
+    /// Roll the release back.
     RollBack {
         /// The number of the release.
         number: u64,
     },
-    /// The release ends as it stands.
+    /// End the release as it stands.
     EndRelease {
         /// The number of the release.
         number: u64,
     },
-    /// No unit gets leave to restart any more.
+    /// Stop granting restarts.
     Halt {
         /// The cause, for operators.
         reason: String,
     },
-    /// Units get leave again.
+    /// Grant restarts again.
     Resume,
-    /// A voter is replaced by another member.
+    /// Replace a voter by another member.
     ReplaceVoter {
-        /// The member that votes now.
+        /// The member that votes at present.
         old: u16,
         /// The member that votes in its place.
         new: u16,
--- a/balancer/fleet-policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -1,5 +1,5 @@
-//! The replicated record of a fleet: policies, units out of service, releases and voters. `step` has the
-//! transitions by which it changes.
+//! The replicated record of a fleet: its policies, units out of service, releases and voters. The module
+//! `step` implements the transitions of the record.
 
 mod step;
 
@@ -11,11 +11,11 @@
 
 pub use step::Step;
 
-/// Units that grants may take out of service at once, whatever the limits say, so that the record stays small.
-const MAX_UNITS_OUT: usize = 256;
-/// The lower bits of a bootstrap id, which are random; those above count the bootstraps.
+/// The most units with a grant at once, whatever the limits of the policy, so that the record stays small.
+const MAX_GRANTS: usize = 256;
+/// The number of random lower bits of a bootstrap id. The bits above count the bootstraps.
 const RANDOM_BITS: u32 = 48;
-/// Longest text of a policy, in bytes.
+/// The longest text of a policy or plan, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
 
 /// The first half of a text's BLAKE3 hash.
@@ -25,9 +25,9 @@
 impl Hash {
     /// Hashes a text.
     pub fn of(text: &[u8]) -> Hash {
-        let mut half = [0; 16];
-        half.copy_from_slice(&blake3::hash(text).as_bytes()[..16]);
-        Hash(half)
+        let mut first_half = [0; 16];
+        first_half.copy_from_slice(&blake3::hash(text).as_bytes()[..16]);
+        Hash(first_half)
     }
 }
 
@@ -43,18 +43,19 @@
     }
 }
 
-/// A policy by its number and the hash and length of its text; number 0 stands for no policy: no routes.
+/// A policy, identified by its number and by the hash and length of its text. Number 0 stands for no policy,
+/// which has no routes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
-    /// Grows with each proposed policy, from 1.
+    /// The number, which grows with each proposed policy, from 1.
     pub number: u64,
-    /// Of its text.
+    /// The hash of the text.
     pub hash: Hash,
-    /// Of its text, in bytes.
+    /// The length of the text in bytes.
     pub length: u32,
 }
 
-/// Identifies an operator's request, so that one that is repeated is carried out once.
+/// Identifies an operator's request, so that a repeated request is carried out once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     /// The member that the operator asked.
@@ -63,7 +64,7 @@
     pub serial: u64,
 }
 
-/// A change of policy under way: every process that is not absent has to prove it.
+/// A change of policy under way, which every process that is not absent has to prove.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     /// The proposed policy.
@@ -75,13 +76,13 @@
 /// How a change ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeOutcome {
-    /// Its policy came into force.
+    /// The proposed policy came into force.
     InForce,
-    /// An operator withdrew it.
+    /// An operator withdrew the change.
     Withdrawn,
-    /// This member could not prove it.
+    /// This member could not prove the policy.
     Refused(u16),
-    /// It was not proved everywhere in time.
+    /// The policy was not proved everywhere in time.
     GivenUp,
 }
 
@@ -90,20 +91,21 @@
 pub struct PastChange {
     /// The change.
     pub change: Change,
-    /// How it ended.
+    /// How the change ended.
     pub outcome: ChangeOutcome,
 }
 
-/// A unit that was granted leave to restart and has not returned to service.
+/// The grant of a restart to a unit that has not returned to service yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RestartGrant {
     /// The balancer or server.
     pub unit: Unit,
-    /// The request; its serial number is chosen by the supervisor, so that asking again is harmless.
+    /// The request. The supervisor chooses its serial number, so that repeating the request is harmless.
     pub request_id: RequestId,
-    /// Of a balancer: the start number of its process at the grant. A process with another one has restarted.
+    /// The start number of a balancer's process at the time of the grant; a process with another one has
+    /// restarted. 0 for a server.
     pub process_start: u64,
-    /// The part of a release that it restarts for; none if it restarts for another cause.
+    /// The part of a release that the unit restarts for; none if it restarts for another cause.
     pub release_part: Option<ReleasePart>,
 }
 
@@ -118,70 +120,71 @@
     pub direction: Direction,
 }
 
-/// A release under way; its plan is a text that members fetch in chunks as they do a policy's.
+/// A release under way. Members fetch the text of its plan in chunks, like that of a policy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Release {
-    /// Grows with each release, from 1.
+    /// The number, which grows with each release, from 1.
     pub number: u64,
-    /// Of the plan's text.
+    /// The hash of the plan's text.
     pub hash: Hash,
-    /// Of the plan's text, in bytes.
+    /// The length of the plan's text in bytes.
     pub length: u32,
-    /// The request that began it.
+    /// The request that began the release.
     pub request_id: RequestId,
     /// Whether units get the new build or the old one back.
     pub direction: Direction,
     /// The wave whose units may restart now, from 0.
     pub wave: u16,
-    /// Units that run the new build, by their indices in the plan.
+    /// The units that run the new build, by their indices in the plan.
     pub changed: UnitSet,
 }
 
 /// How a release ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReleaseOutcome {
-    /// All its units run the new build.
+    /// All units run the new build.
     Done,
-    /// Units that had changed run the old build again.
+    /// The units that had changed run the old build again.
     TakenBack,
-    /// An operator ended it as it stood.
+    /// An operator ended the release as it stood.
     Left,
 }
 
 /// A release that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PastRelease {
-    /// Its number.
+    /// The number of the release.
     pub number: u64,
-    /// Of the plan's text.
+    /// The hash of the plan's text.
     pub hash: Hash,
-    /// The request that began it.
+    /// The request that began the release.
     pub request_id: RequestId,
-    /// How it ended.
+    /// How the release ended.
     pub outcome: ReleaseOutcome,
-    /// How many units ran the new build at its end.
+    /// The number of units that ran the new build at the end.
     pub changed: u16,
 }
 
 /// A stop of all grants until an operator resumes them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Halt {
-    /// The request: an operator's, or of a member whose release test found the new build worse.
+    /// The request of an operator, or of a member whose release test found the new build worse.
     pub request_id: RequestId,
     /// The cause, for operators.
     pub reason: String,
 }
 
-/// What the fleet agrees on: the value of its consensus register.
+/// The value of the fleet's consensus register, on which all members agree.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// The count of bootstraps in the upper bits, and a random number; 0 before the first.
+    /// The id of the last bootstrap: the count of bootstraps in the upper bits, and a random number. 0 before
+    /// the first bootstrap.
     pub bootstrap_id: u64,
-    /// Grows by one with each step.
+    /// The version, which grows by one with each step.
     pub version: u64,
-    /// Grows with each change of the voters.
+    /// The version of the voter sets, which grows with each change of the voters.
     pub voter_set_version: u64,
-    /// One set of voters, or two while a voter is replaced: then a majority of each is needed.
+    /// The set of voters, or two sets while a voter is replaced. A majority of each is needed.
     pub voter_sets: Vec<Vec<Voter>>,
     /// The policy in force.
     pub policy: Policy,
@@ -189,9 +192,9 @@
     pub pending_change: Option<Change>,
     /// The last changes that ended, the newest at the end.
     pub past_changes: Vec<PastChange>,
-    /// Units that are out of service by grants.
+    /// The grants of units that are out of service.
     pub grants: Vec<RestartGrant>,
-    /// The halt of grants that stands.
+    /// The halt in effect, during which no restart is granted.
     pub halt: Option<Halt>,
     /// The release under way.
     pub release: Option<Release>,
@@ -199,10 +202,10 @@
     pub last_release_number: u64,
     /// The last releases that ended, the newest at the end.
     pub past_releases: Vec<PastRelease>,
-    /// The last requests about units, releases and voters that were carried out. Guards against one that is
-    /// still on its way, or kept by a voter, when another has undone it: it must not be carried out again.
+    /// The last requests about units, releases and voters that were carried out. Guards against carrying out
+    /// a request again that is still in flight, or kept by a voter, after another request has undone it.
     pub completed_requests: Vec<RequestId>,
-    /// The highest number that a change ever had.
+    /// The highest number that a proposed policy ever had.
     pub highest_policy_number: u64,
 }
 
@@ -217,18 +220,18 @@
 }
 
 impl Record {
-    /// The order in which records were agreed: the larger is the later.
+    /// The position in the order in which records were agreed; a later record has a larger one.
     pub fn order(&self) -> (u64, u64) {
         (self.bootstrap_id, self.version)
     }
 
-    /// The record before the bootstrap of these voters.
+    /// The record before a bootstrap with these voters.
     pub fn before_bootstrap(mut voters: Vec<Voter>) -> Record {
         voters.sort_unstable();
         Record { voter_sets: vec![voters], ..Record::default() }
     }
 
-    /// How often the fleet was bootstrapped.
+    /// The number of bootstraps of the fleet.
     pub fn epoch(&self) -> u64 {
         self.bootstrap_id >> RANDOM_BITS
     }
@@ -238,25 +241,25 @@
         (self.epoch() + 1) << RANDOM_BITS | nonce & ((1 << RANDOM_BITS) - 1)
     }
 
-    /// Whether it is in one of the voter sets.
+    /// Whether the voter is in one of the voter sets.
     pub fn is_voter(&self, voter: Voter) -> bool {
         self.voter_sets.iter().flatten().any(|known| *known == voter)
     }
 
-    /// Whether the record has room for a grant of the unit; the limits are another matter.
+    /// Whether the record allows a grant for the unit. The limits of the policy are checked elsewhere.
     pub fn can_grant(&self, unit: Unit) -> bool {
-        self.halt.is_none() && self.grant_of(unit).is_none() && self.grants.len() < MAX_UNITS_OUT
+        self.halt.is_none() && self.grant_of(unit).is_none() && self.grants.len() < MAX_GRANTS
     }
 
     /// The grant by which a unit is out of service.
     pub fn grant_of(&self, unit: Unit) -> Option<&RestartGrant> {
-        self.grants.iter().find(|out| out.unit == unit)
+        self.grants.iter().find(|grant| grant.unit == unit)
     }
 
-    /// Whether this request has led to a change already.
+    /// Whether this request has changed the record already.
     pub fn has_applied(&self, request_id: RequestId) -> bool {
-        let past = self.past_changes.iter().map(|past| past.change);
+        let changes = self.past_changes.iter().map(|past| past.change);
         self.completed_requests.contains(&request_id)
-            || past.chain(self.pending_change).any(|change| change.request_id == request_id)
+            || changes.chain(self.pending_change).any(|change| change.request_id == request_id)
     }
 }
--- a/balancer/fleet-policy/src/record/step.rs
+++ b/balancer/fleet-policy/src/record/step.rs
@@ -1,5 +1,5 @@
-//! The transitions of the record. A voter proposes a `Step`; `Record::apply_step` applies it, or answers that it no
-//! longer applies.
+//! The transitions of the record. A voter proposes a `Step`, and `Record::apply_step` applies it to the
+//! record unless it no longer applies.
 
 use serde::{Deserialize, Serialize};
 use whinspindle_consensus::Voter;
@@ -10,67 +10,67 @@
     RequestId, RestartGrant,
 };
 
-/// Requests about units, releases and voters that are remembered as carried out.
-const MAX_DONE_REQUESTS: usize = 32;
-/// How many ended changes the record keeps.
+/// The number of requests about units, releases and voters that are remembered as carried out.
+const MAX_COMPLETED_REQUESTS: usize = 32;
+/// The number of ended changes that the record keeps.
 const MAX_PAST_CHANGES: usize = 8;
-/// How many ended releases it keeps.
+/// The number of ended releases that the record keeps.
 const MAX_PAST_RELEASES: usize = 4;
-/// After a bootstrap from an older record, policy numbers go on at the next multiple of this.
-const NUMBERS_PER_BOOTSTRAP: u64 = 1000;
+/// After a bootstrap from an older record, policy numbers continue at the next multiple of this.
+const POLICY_NUMBERS_PER_BOOTSTRAP: u64 = 1000;
 
 /// One step of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Step {
-    /// Changes nothing: only completes a step that another voter has begun.
+    /// Completes a step that another voter has begun, without a change of its own.
     Finish,
     /// The first agreement of the voters.
     Bootstrap {
         /// The id of this bootstrap.
         bootstrap_id: u64,
-        /// What is known from an earlier bootstrap; the empty record if there was none.
+        /// The record from before this bootstrap; the empty record at the first one.
         base: Box<Record>,
     },
     /// A change of policy begins.
     Propose {
-        /// Of the policy's text.
+        /// The hash of the policy's text.
         hash: Hash,
-        /// Of the policy's text, in bytes.
+        /// The length of the policy's text in bytes.
         length: u32,
         /// The request for it.
         request_id: RequestId,
     },
     /// The change under way ends.
     EndChange {
-        /// The number of its policy.
+        /// The number of the proposed policy.
         number: u64,
-        /// How it ends.
+        /// How the change ends.
         outcome: ChangeOutcome,
     },
     /// A unit may leave service to be restarted.
     Grant {
-        /// The unit and the request for it.
+        /// The grant, with the unit and the request for it.
         grant: RestartGrant,
     },
     /// A unit is in service again.
     Return {
         /// The unit.
         unit: Unit,
-        /// The request that says so.
+        /// The request that reports the return.
         request_id: RequestId,
-        /// Whether it has the build that it was restarted for.
+        /// Whether the unit has the build that it was restarted for.
         done: bool,
     },
     /// A release begins.
     BeginRelease {
-        /// Of the plan's text.
+        /// The hash of the plan's text.
         hash: Hash,
-        /// Of the plan's text, in bytes.
+        /// The length of the plan's text in bytes.
         length: u32,
         /// The request for it.
         request_id: RequestId,
     },
-    /// The release goes on to another wave.
+    /// The release advances to another wave.
     AdvanceWave {
         /// The number of the release.
         number: u64,
@@ -90,36 +90,36 @@
     EndRelease {
         /// The number of the release.
         number: u64,
-        /// How it ends.
+        /// How the release ends.
         outcome: ReleaseOutcome,
-        /// The request for it; none where its last wave is complete.
+        /// The request for it; none if the release ends since its last wave is complete.
         request_id: Option<RequestId>,
     },
-    /// No unit is granted leave any more.
+    /// No restart is granted any more.
     Halt {
-        /// The request and its cause.
+        /// The halt, with its request and cause.
         halt: Halt,
     },
-    /// Units are granted leave again.
+    /// Restarts are granted again.
     Resume {
         /// The request for it.
         request_id: RequestId,
     },
-    /// One voter is replaced by another; both voter sets vote until `SettleVoters`.
+    /// One voter is replaced by another. Both voter sets vote until `SettleVoters`.
     ReplaceVoter {
         /// The voter that leaves.
         old: Voter,
-        /// The voter that takes its seat.
+        /// The voter that replaces it.
         new: Voter,
-        /// The operator's request; none where a voter has restarted without its memory.
+        /// The operator's request; none if a voter has restarted without its durable state.
         request_id: Option<RequestId>,
     },
-    /// The replacement is complete: only the new voter set votes.
+    /// The replacement of a voter is complete, and only the new voter set votes.
     SettleVoters,
 }
 
 impl Record {
-    /// The record after a step; none where the step doesn't apply (any more).
+    /// Returns the record after a step, or none if the step doesn't apply or no longer applies.
     pub fn apply_step(&self, step: &Step) -> Option<Record> {
         let mut next = Record { version: self.version + 1, ..self.clone() };
         next.apply(step)?;
@@ -132,18 +132,19 @@
             Step::Bootstrap { bootstrap_id, ref base } => self.bootstrap(bootstrap_id, base),
             Step::Propose { hash, length, request_id } => self.propose(hash, length, request_id),
             Step::EndChange { number, outcome } => self.end_change(number, outcome),
-            Step::Grant { grant: out } => self.grant(out),
+            Step::Grant { grant } => self.grant(grant),
             Step::Return { unit, request_id, done } => self.return_unit(unit, request_id, done),
             Step::BeginRelease { hash, length, request_id } => self.begin_release(hash, length, request_id),
             Step::AdvanceWave { number, from, to } => {
-                let release = self.release.as_mut().filter(|on| on.number == number && on.wave == from)?;
+                let release = self
+                    .release
+                    .as_mut()
+                    .filter(|release| release.number == number && release.wave == from)?;
                 release.wave = to;
                 Some(())
             }
             Step::RollBack { number, request_id } => self.roll_back_release(number, request_id),
-            Step::EndRelease { number, outcome: close, request_id } => {
-                self.close_release(number, close, request_id)
-            }
+            Step::EndRelease { number, outcome, request_id } => self.end_release(number, outcome, request_id),
             Step::Halt { ref halt } => self.halt(halt),
             Step::Resume { request_id } => self.resume(request_id),
             Step::ReplaceVoter { old, new, request_id } => self.replace_voter(old, new, request_id),
@@ -151,14 +152,14 @@
         }
     }
 
-    /// Marks a request as carried out; none if it was before.
-    fn do_once(&mut self, request_id: RequestId) -> Option<()> {
+    /// Marks a request as carried out, or returns none if it was marked before.
+    fn complete_request(&mut self, request_id: RequestId) -> Option<()> {
         if self.completed_requests.contains(&request_id) {
             return None;
         }
         self.completed_requests.push(request_id);
-        let over = self.completed_requests.len().saturating_sub(MAX_DONE_REQUESTS);
-        self.completed_requests.drain(..over);
+        let excess = self.completed_requests.len().saturating_sub(MAX_COMPLETED_REQUESTS);
+        self.completed_requests.drain(..excess);
         Some(())
     }
 
@@ -175,9 +176,9 @@
             ..base.clone()
         };
         if base.bootstrap_id != 0 {
-            // Numbers that only lost voters know of must not be given to other policies.
-            self.highest_policy_number =
-                (base.highest_policy_number / NUMBERS_PER_BOOTSTRAP + 1) * NUMBERS_PER_BOOTSTRAP;
+            // Numbers that only lost voters know must not be assigned to other policies.
+            self.highest_policy_number = (base.highest_policy_number / POLICY_NUMBERS_PER_BOOTSTRAP + 1)
+                * POLICY_NUMBERS_PER_BOOTSTRAP;
         }
         Some(())
     }
@@ -198,25 +199,25 @@
             self.policy = change.policy;
         }
         self.past_changes.push(PastChange { change, outcome });
-        let over = self.past_changes.len().saturating_sub(MAX_PAST_CHANGES);
-        self.past_changes.drain(..over);
+        let excess = self.past_changes.len().saturating_sub(MAX_PAST_CHANGES);
+        self.past_changes.drain(..excess);
         Some(())
     }
 
-    fn grant(&mut self, out: RestartGrant) -> Option<()> {
-        if !self.can_grant(out.unit) {
+    fn grant(&mut self, grant: RestartGrant) -> Option<()> {
+        if !self.can_grant(grant.unit) {
             return None;
         }
-        self.do_once(out.request_id)?;
-        self.grants.push(out);
+        self.complete_request(grant.request_id)?;
+        self.grants.push(grant);
         Some(())
     }
 
     fn return_unit(&mut self, unit: Unit, request_id: RequestId, done: bool) -> Option<()> {
-        self.do_once(request_id)?;
-        let index = self.grants.iter().position(|out| out.unit == unit)?;
-        let out = self.grants.remove(index);
-        if let (Some(release), Some(part)) = (&mut self.release, out.release_part)
+        self.complete_request(request_id)?;
+        let index = self.grants.iter().position(|grant| grant.unit == unit)?;
+        let grant = self.grants.remove(index);
+        if let (Some(release), Some(part)) = (&mut self.release, grant.release_part)
             && done
             && part.release == release.number
         {
@@ -229,7 +230,7 @@
         if self.release.is_some() {
             return None;
         }
-        self.do_once(request_id)?;
+        self.complete_request(request_id)?;
         self.last_release_number += 1;
         self.release = Some(Release {
             number: self.last_release_number,
@@ -244,30 +245,32 @@
     }
 
     fn roll_back_release(&mut self, number: u64, request_id: RequestId) -> Option<()> {
-        self.do_once(request_id)?;
-        let release =
-            self.release.as_mut().filter(|on| on.number == number && on.direction == Direction::Rollout)?;
+        self.complete_request(request_id)?;
+        let release = self
+            .release
+            .as_mut()
+            .filter(|release| release.number == number && release.direction == Direction::Rollout)?;
         release.direction = Direction::Rollback;
-        // After a halt an operator wants the rollback to proceed.
+        // An operator who rolls a halted release back wants the rollback to proceed.
         self.halt = None;
         Some(())
     }
 
-    fn close_release(
+    fn end_release(
         &mut self,
         number: u64,
-        close: ReleaseOutcome,
+        outcome: ReleaseOutcome,
         request_id: Option<RequestId>,
     ) -> Option<()> {
         if let Some(request_id) = request_id {
-            self.do_once(request_id)?;
+            self.complete_request(request_id)?;
         }
         let Release { hash, request_id, changed, .. } =
             self.release.take_if(|release| release.number == number)?;
         let changed = changed.count() as u16;
-        self.past_releases.push(PastRelease { number, hash, request_id, outcome: close, changed });
-        let over = self.past_releases.len().saturating_sub(MAX_PAST_RELEASES);
-        self.past_releases.drain(..over);
+        self.past_releases.push(PastRelease { number, hash, request_id, outcome, changed });
+        let excess = self.past_releases.len().saturating_sub(MAX_PAST_RELEASES);
+        self.past_releases.drain(..excess);
         Some(())
     }
 
@@ -275,14 +278,14 @@
         if self.halt.is_some() {
             return None;
         }
-        self.do_once(halt.request_id)?;
+        self.complete_request(halt.request_id)?;
         self.halt = Some(halt.clone());
         Some(())
     }
 
     fn resume(&mut self, request_id: RequestId) -> Option<()> {
         self.halt.as_ref()?;
-        self.do_once(request_id)?;
+        self.complete_request(request_id)?;
         self.halt = None;
         Some(())
     }
@@ -292,11 +295,11 @@
             return None;
         }
         if let Some(request_id) = request_id {
-            self.do_once(request_id)?;
+            self.complete_request(request_id)?;
         }
         let mut voter_set = self.voter_sets[0].clone();
-        let seat = voter_set.iter().position(|voter| *voter == old)?;
-        voter_set[seat] = new;
+        let index = voter_set.iter().position(|voter| *voter == old)?;
+        voter_set[index] = new;
         voter_set.sort_unstable();
         self.voter_sets.push(voter_set);
         self.voter_set_version += 1;
--- a/balancer/fleet-policy/src/texts.rs
+++ b/balancer/fleet-policy/src/texts.rs
@@ -1,15 +1,16 @@
-//! The store of policy and plan texts: complete ones by their hash, and one that is assembled from chunks.
+//! The store of policy and plan texts: the complete texts by hash, and one text that is assembled from
+//! chunks.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use crate::record::{Hash, MAX_TEXT_BYTES};
 
-/// Bytes of a text in one message, so that it fits a datagram of 256 bytes with its frame.
+/// Bytes of a text in one message, which fits a datagram of 256 bytes together with its frame.
 pub const CHUNK_BYTES: usize = 176;
-/// Complete texts kept: the one in force, the next, and the one before for those that are behind.
+/// The number of complete texts that are kept. Members that lag behind still fetch the previous one.
 const MAX_TEXTS: usize = 4;
-/// Chunks asked for at once: the bits of a `u64`.
+/// Chunks requested at once, one for each bit of a `u64`.
 pub const CHUNKS_PER_REQUEST: usize = 64;
 
 /// A text of which some chunks are missing.
@@ -20,40 +21,42 @@
     chunks: Vec<Option<Vec<u8>>>,
 }
 
-/// The texts that a member has.
+/// The texts of a member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Texts {
     complete: BTreeMap<Hash, Rc<[u8]>>,
     /// The hashes of the complete texts, oldest first.
-    order: Vec<Hash>,
+    insertion_order: Vec<Hash>,
     partial: Option<PartialText>,
 }
 
 impl Texts {
-    /// A complete text.
+    /// Returns a complete text.
     pub fn get(&self, hash: Hash) -> Option<Rc<[u8]>> {
         self.complete.get(&hash).cloned()
     }
 
     /// Stores a complete text.
-    pub fn put(&mut self, text: &[u8]) -> Hash {
+    pub fn insert(&mut self, text: &[u8]) -> Hash {
         let hash = Hash::of(text);
         if self.complete.insert(hash, text.into()).is_none() {
-            self.order.push(hash);
+            self.insertion_order.push(hash);
         }
         hash
     }
 
     /// Drops the oldest texts beyond the limit, except those in use.
     pub fn evict(&mut self, used: &[Hash]) {
-        while self.order.len() > MAX_TEXTS {
-            let Some(oldest) = self.order.iter().position(|hash| !used.contains(hash)) else { return };
-            self.complete.remove(&self.order.remove(oldest));
+        while self.insertion_order.len() > MAX_TEXTS {
+            let Some(oldest) = self.insertion_order.iter().position(|hash| !used.contains(hash)) else {
+                return;
+            };
+            self.complete.remove(&self.insertion_order.remove(oldest));
         }
     }
 
-    /// The first missing chunk of a text, and a bit for each chunk from there on that is missing.
-    pub fn missing(&mut self, hash: Hash, length: u32) -> Option<(u16, u64)> {
+    /// The first missing chunk of a text, and a bit for each missing chunk from there on.
+    pub fn missing_chunks(&mut self, hash: Hash, length: u32) -> Option<(u16, u64)> {
         let length = length as usize;
         if self.complete.contains_key(&hash) || length == 0 || length > MAX_TEXT_BYTES {
             return None;
@@ -65,42 +68,45 @@
         let chunks = &self.partial.as_ref()?.chunks;
         let first = chunks.iter().position(Option::is_none)?;
         let window = chunks[first..].iter().take(CHUNKS_PER_REQUEST).enumerate();
-        let missing = window.filter(|(_, chunk)| chunk.is_none()).fold(0, |bits, (at, _)| bits | 1 << at);
+        let missing =
+            window.filter(|(_, chunk)| chunk.is_none()).fold(0, |bits, (offset, _)| bits | 1 << offset);
         Some((first as u16, missing))
     }
 
-    /// Whether a chunk of those asked for is still on its way.
+    /// Whether one of the requested chunks hasn't been received yet.
     pub fn is_missing(&self, hash: Hash, chunk: u16, missing: u64) -> bool {
         let Some(partial) = self.partial.as_ref().filter(|partial| partial.hash == hash) else {
             return false;
         };
-        let asked = (0..CHUNKS_PER_REQUEST).filter(|at| missing >> at & 1 == 1).map(|at| chunk as usize + at);
-        asked.filter_map(|at| partial.chunks.get(at)).any(Option::is_none)
+        let requested = (0..CHUNKS_PER_REQUEST)
+            .filter(|offset| missing >> offset & 1 == 1)
+            .map(|offset| chunk as usize + offset);
+        requested.filter_map(|index| partial.chunks.get(index)).any(Option::is_none)
     }
 
-    /// How many chunks of the text that is being assembled are missing.
-    pub fn lacks(&self, hash: Hash) -> u64 {
-        let of = self.partial.as_ref().filter(|partial| partial.hash == hash);
-        of.map_or(0, |partial| partial.chunks.iter().filter(|chunk| chunk.is_none()).count() as u64)
+    /// The number of missing chunks of the text that is being assembled.
+    pub fn missing_chunk_count(&self, hash: Hash) -> u64 {
+        let partial = self.partial.as_ref().filter(|partial| partial.hash == hash);
+        partial.map_or(0, |partial| partial.chunks.iter().filter(|chunk| chunk.is_none()).count() as u64)
     }
 
-    /// A chunk of a complete text, and the length of that text in bytes.
+    /// Returns a chunk of a complete text, and the length of that text in bytes.
     pub fn chunk(&self, hash: Hash, chunk: u16) -> Option<(u32, Vec<u8>)> {
         let text = self.complete.get(&hash)?;
         let bytes = text.chunks(CHUNK_BYTES).nth(chunk as usize)?;
         Some((text.len() as u32, bytes.to_vec()))
     }
 
-    /// Takes a chunk; true if the text is complete now. Guards against chunks of another text: an assembled
-    /// text with the wrong hash is dropped.
-    pub fn take(&mut self, hash: Hash, chunk: u16, bytes: Vec<u8>) -> bool {
+    /// Adds a chunk and returns whether the text is complete now. Guards against chunks of another text: an
+    /// assembled text with the wrong hash is dropped.
+    pub fn add_chunk(&mut self, hash: Hash, chunk: u16, bytes: Vec<u8>) -> bool {
         let Some(partial) = self.partial.as_mut().filter(|partial| partial.hash == hash) else {
             return false;
         };
         let count = partial.chunks.len();
-        let last = partial.length - (count - 1) * CHUNK_BYTES;
+        let last_length = partial.length - (count - 1) * CHUNK_BYTES;
         let Some(slot) = partial.chunks.get_mut(chunk as usize) else { return false };
-        if bytes.len() != (if chunk as usize + 1 == count { last } else { CHUNK_BYTES }) {
+        if bytes.len() != (if chunk as usize + 1 == count { last_length } else { CHUNK_BYTES }) {
             return false;
         }
         *slot = Some(bytes);
@@ -112,7 +118,7 @@
         if Hash::of(&text) != hash {
             return false;
         }
-        self.put(&text);
+        self.insert(&text);
         true
     }
 }
--- a/balancer/fleet-policy/tests/common/records.rs
+++ b/balancer/fleet-policy/tests/common/records.rs
@@ -1,4 +1,5 @@
-//! Records for the fixtures: one with a value in each field and every variant of its enums, and an empty one.
+//! Records for the fixtures: one with a value in each field and each variant of its enums, and one before a
+//! bootstrap.
 
 use whinspindle_fleet_policy::{
     Change, ChangeOutcome, Direction, Halt, Hash, PastChange, PastRelease, Policy, Record, Release,
@@ -8,33 +9,33 @@
 
 pub const fn hash(first: u8) -> Hash {
     let mut bytes = [0; 16];
-    let mut at = 0;
-    while at < 16 {
-        bytes[at] = first + at as u8;
-        at += 1;
+    let mut index = 0;
+    while index < 16 {
+        bytes[index] = first + index as u8;
+        index += 1;
     }
     Hash(bytes)
 }
 
-/// Request ids, numbers and hashes differ in every field, so that none can be mistaken for another.
+/// A record whose ids, numbers and hashes differ from field to field, so that swapped fields are noticed.
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
 pub fn record() -> Record {
-    let past = |number, by, outcome| {
+    let past_change = |number, member, outcome| {
         let policy = Policy { number, hash: hash(number as u8), length: 1000 + number as u32 };
         PastChange {
-            change: Change { policy, request_id: RequestId { member: by, serial: 70_000 + number } },
+            change: Change { policy, request_id: RequestId { member, serial: 70_000 + number } },
             outcome,
         }
     };
-    let closed = |number, by, close, changed| PastRelease {
+    let past_release = |number, member, outcome, changed| PastRelease {
         number,
         hash: hash(0x40 + number as u8),
-        request_id: RequestId { member: by, serial: 90_000 + number },
-        outcome: close,
+        request_id: RequestId { member, serial: 90_000 + number },
+        outcome,
         changed,
     };
     let mut changed = UnitSet::default();
-    [0, 3, 63, 64, 130].into_iter().for_each(|place| changed.set(place, true));
+    [0, 3, 63, 64, 130].into_iter().for_each(|index| changed.set(index, true));
     Record {
         bootstrap_id: 2 << 48 | 0x1234_5678_9abc,
         version: 301,
@@ -57,10 +58,10 @@
             request_id: RequestId { member: 3, serial: 0xdead_beef_0000_0001 },
         }),
         past_changes: vec![
-            past(4, 1, ChangeOutcome::InForce),
-            past(5, 2, ChangeOutcome::Withdrawn),
-            past(6, 3, ChangeOutcome::Refused(513)),
-            past(7, 4, ChangeOutcome::GivenUp),
+            past_change(4, 1, ChangeOutcome::InForce),
+            past_change(5, 2, ChangeOutcome::Withdrawn),
+            past_change(6, 3, ChangeOutcome::Refused(513)),
+            past_change(7, 4, ChangeOutcome::GivenUp),
         ],
         grants: vec![
             RestartGrant {
@@ -101,9 +102,9 @@
         }),
         last_release_number: 13,
         past_releases: vec![
-            closed(1, 13, ReleaseOutcome::Done, 2048),
-            closed(2, 14, ReleaseOutcome::TakenBack, 0),
-            closed(3, 15, ReleaseOutcome::Left, 128),
+            past_release(1, 13, ReleaseOutcome::Done, 2048),
+            past_release(2, 14, ReleaseOutcome::TakenBack, 0),
+            past_release(3, 15, ReleaseOutcome::Left, 128),
         ],
         completed_requests: vec![
             RequestId { member: 16, serial: 1600 },
@@ -113,7 +114,7 @@
     }
 }
 
-/// A record with nothing in it but its voter set.
+/// A record with only its voter set.
 pub fn before_bootstrap() -> Record {
     Record::before_bootstrap(vec![Voter { member: 1, incarnation: 21 }, Voter { member: 0, incarnation: 22 }])
 }
--- a/balancer/fleet-policy/tests/member.rs
+++ b/balancer/fleet-policy/tests/member.rs
@@ -1,4 +1,4 @@
-//! A single member that receives what the others would send.
+//! A single member that receives the messages of simulated other members.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -50,8 +50,8 @@
     Record { bootstrap_id: 1 << 48 | 7, version: 5, voter_sets: vec![voters], ..Record::default() }
 }
 
-/// The first voter of a bootstrapped fleet that has run for long and receives reports of the two others, and
-/// the environment that records what it sends.
+/// The first voter of a bootstrapped fleet, running for a while and in contact with the two other voters, and
+/// the environment that records its messages.
 fn leader() -> (Member<RecordingEnvironment>, RecordingEnvironment) {
     let environment = RecordingEnvironment::default();
     let memory = DurableState { incarnation: 100, votes: Default::default(), record: bootstrapped() };
@@ -90,11 +90,11 @@
     records.collect()
 }
 
-/// A step that was checked against one record must not be applied to another: between the start of a ballot
-/// and its promises the member learned of another leader's step, and the limit was not checked again.
+/// Guards against a step that was checked against one record and applied to another. That happens if the
+/// member learns of another leader's step between the start of its ballot and the promises.
 #[test]
-fn a_step_is_applied_only_to_the_record_that_it_was_based_on() {
-    for other_went_first in [false, true] {
+fn step_is_applied_only_to_the_record_it_was_based_on() {
+    for has_other_step in [false, true] {
         let (mut member, environment) = leader();
         let now = 20 * SECOND + 1;
         assert_eq!(member.lease_state(now), LeaseState::Policy(0));
@@ -105,28 +105,28 @@
         });
         let ballot = prepared.expect("a ballot");
         let request_id = RequestId { member: 2, serial: 4 };
-        let out =
+        let grants =
             vec![RestartGrant { unit: Unit::Balancer(2), request_id, process_start: 1, release_part: None }];
         let other_record =
-            Record { version: 6, grants: out, completed_requests: vec![request_id], ..bootstrapped() };
-        let earlier = Ballot { round: 0, ..ballot };
-        let accepted = other_went_first.then(|| (earlier, other_record.clone()));
-        if other_went_first {
+            Record { version: 6, grants, completed_requests: vec![request_id], ..bootstrapped() };
+        let earlier_ballot = Ballot { round: 0, ..ballot };
+        let accepted = has_other_step.then(|| (earlier_ballot, other_record.clone()));
+        if has_other_step {
             member.receive(now, 1, Message::Update { record: other_record });
         }
         let voter = Voter { member: 1, incarnation: 101 };
         member.receive(now, 1, Message::Promise { ballot, voter, accepted });
         let proposed = proposed_records(environment.sent.take());
         assert!(proposed.iter().all(|record| record.grants.len() <= 1), "{proposed:?}");
-        assert_eq!(proposed.is_empty(), other_went_first);
+        assert_eq!(proposed.is_empty(), has_other_step);
     }
 }
 
-/// A grant that was under way while its asker restarted: the request's time is by the clock of the start before,
-/// and the lease would count from a moment at which nobody had granted anything.
+/// Guards against a grant that arrives after its member has restarted. The time of the request is by the
+/// clock of the earlier start, so the lease would count from a moment before which nothing was granted.
 #[test]
-fn a_grant_to_an_earlier_start_is_no_lease() {
-    for (start, right) in [(8, LeaseState::CutOff), (9, LeaseState::Policy(0))] {
+fn grant_to_an_earlier_start_is_ignored() {
+    for (start, lease_state) in [(8, LeaseState::CutOff), (9, LeaseState::Policy(0))] {
         let (mut member, _) = leader();
         let now = 31 * SECOND;
         assert_eq!(member.lease_state(now), LeaseState::CutOff);
@@ -138,12 +138,12 @@
                 Message::GrantLease { asked_at: 30 * SECOND, start, voter, voter_set_version: 0, number: 0 },
             );
         }
-        assert_eq!(member.lease_state(now), right, "{start}");
+        assert_eq!(member.lease_state(now), lease_state, "{start}");
     }
 }
 
 #[test]
-fn a_voter_whose_disk_fails_votes_and_grants_nothing_until_it_works() {
+fn voter_with_a_failed_disk_neither_votes_nor_grants() {
     let (mut member, environment) = leader();
     let now = 20 * SECOND + 1;
     let ballot = Ballot { epoch: 1, round: 9, member: 1, start: 5 };
@@ -160,8 +160,8 @@
         member.receive(now, 1, Message::Prepare { ballot });
         member.receive(now, 1, Message::Accept { ballot, record: Record { version: 6, ..bootstrapped() } });
         member.receive(now, 1, ask.clone());
-        let answers_to_asker = environment.sent.take().into_iter().filter(|(to, _)| *to == 1);
-        let kinds = answers_to_asker.map(|(_, message)| match message {
+        let answers_to_member_1 = environment.sent.take().into_iter().filter(|(to, _)| *to == 1);
+        let kinds = answers_to_member_1.map(|(_, message)| match message {
             Message::Promise { .. } => "promise",
             Message::Accepted { .. } => "vote",
             Message::GrantLease { .. } => "grant",
@@ -176,11 +176,11 @@
 }
 
 #[test]
-fn the_window_outlasts_a_lease_by_the_slowest_clock() {
-    for (right, drift, window) in
+fn expiry_window_covers_a_lease_by_the_slowest_clock() {
+    for (lease_us, clock_drift_ppm, window) in
         [(10 * SECOND, 0, 10 * SECOND), (10 * SECOND, 10_000, 10_202_021), (SECOND, 200_000, 1_500_000)]
     {
-        let settings = MemberSettings { lease_us: right, clock_drift_ppm: drift, ..settings() };
+        let settings = MemberSettings { lease_us, clock_drift_ppm, ..settings() };
         assert_eq!(settings.expiry_window_us(), window);
     }
 }
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -1,5 +1,5 @@
-//! Each kind of message between members, as the datagrams that carry it: read, compared by every field, and
-//! written as the same bytes again.
+//! Fixtures of each kind of message between members, as the datagrams that carry it. Each is decoded,
+//! compared by every field, and encoded to the same bytes again.
 
 mod common {
     pub mod records;
@@ -21,76 +21,77 @@
 const FROM: u16 = 2;
 const TO: u16 = 1;
 
-fn peers(me: u16) -> PeerTransport {
+fn transport(member: u16) -> PeerTransport {
     PeerTransport::new(
-        me,
+        member,
         5,
         "fixtures",
         "a secret of members",
-        0x0102_0304 + u32::from(me),
+        0x0102_0304 + u32::from(member),
         MAX_DATAGRAM_BYTES,
     )
 }
 
-/// The name of a message kind's fixtures. A new kind doesn't compile here: it needs a name, a message in the list
-/// below, and its file.
+/// The name of a message kind's fixtures. A new kind doesn't compile here until it has a name; it also needs
+/// a message in the list below, and its file.
 fn kind(message: &Message) -> &'static str {
     match message {
-        Message::RenewLease { .. } => "ask",
-        Message::GrantLease { .. } => "grant",
-        Message::Update { .. } => "news",
+        Message::RenewLease { .. } => "renew-lease",
+        Message::GrantLease { .. } => "grant-lease",
+        Message::Update { .. } => "update",
         Message::Fetch { .. } => "fetch",
-        Message::Chunk { .. } => "piece",
+        Message::Chunk { .. } => "chunk",
         Message::OperatorRequest { request, .. } => match request {
-            RequestKind::Propose { .. } => "wanted-propose",
-            RequestKind::Withdraw { .. } => "wanted-withdraw",
-            RequestKind::TakeOut { .. } => "wanted-out",
-            RequestKind::Return { .. } => "wanted-back",
-            RequestKind::BeginRelease { .. } => "wanted-release",
-            RequestKind::RollBack { .. } => "wanted-turn",
-            RequestKind::EndRelease { .. } => "wanted-leave",
-            RequestKind::Halt { .. } => "wanted-halt",
-            RequestKind::Resume => "wanted-resume",
-            RequestKind::ReplaceVoter { .. } => "wanted-voters",
+            RequestKind::Propose { .. } => "request-propose",
+            RequestKind::Withdraw { .. } => "request-withdraw",
+            RequestKind::TakeOut { .. } => "request-take-out",
+            RequestKind::Return { .. } => "request-return",
+            RequestKind::BeginRelease { .. } => "request-begin-release",
+            RequestKind::RollBack { .. } => "request-roll-back",
+            RequestKind::EndRelease { .. } => "request-end-release",
+            RequestKind::Halt { .. } => "request-halt",
+            RequestKind::Resume => "request-resume",
+            RequestKind::ReplaceVoter { .. } => "request-replace-voter",
         },
         Message::Prepare { .. } => "prepare",
         Message::Promise { .. } => "promise",
         Message::Accept { .. } => "accept",
         Message::Accepted { .. } => "accepted",
-        Message::Observations { .. } => "figures",
-        Message::Opaque { .. } => "aside",
+        Message::Observations { .. } => "observations",
+        Message::Opaque { .. } => "opaque",
         Message::Refuse { .. } => "refuse",
     }
 }
 
-/// Variants of `Message`, and of `RequestKind` below.
+/// The number of variants of `Message`.
 const MESSAGE_KINDS: u8 = 13;
+/// The number of variants of `RequestKind`.
 const REQUEST_KINDS: u8 = 10;
 
 fn ballot(first: u64) -> Ballot {
     Ballot { epoch: first, round: first + 1000, member: first as u16 + 2, start: first << 56 | 3 }
 }
 
-fn ask(right: LeaseState, readiness: Readiness) -> Message {
+fn renew_lease(lease_state: LeaseState, readiness: Readiness) -> Message {
     Message::RenewLease {
         asked_at: 1_800_000_000_000_001,
         incarnation: 0xb1b2_b3b4_b5b6_b7b8,
         start: 0xc1c2_c3c4_c5c6_c7c9,
         bootstrap_id: 1 << 48 | 77,
         version: 300,
-        lease_state: right,
+        lease_state,
         readiness,
     }
 }
 
-fn request(by: u16, request: RequestKind) -> Message {
+fn request(member: u16, request: RequestKind) -> Message {
     Message::OperatorRequest {
         request,
-        request_id: RequestId { member: by, serial: 0x5000_0000_0000_0000 + u64::from(by) },
+        request_id: RequestId { member, serial: 0x5000_0000_0000_0000 + u64::from(member) },
     }
 }
 
-/// The messages, by what follows the kind in the fixture's name.
+/// The messages, each with the part of its fixture's name after the kind.
 fn messages() -> Vec<(&'static str, Message)> {
     let objection = Objection { line: 40_000, reason: "routes[2].to: no such zone: \"nörd\"".to_string() };
     let (voter, other) =
@@ -110,10 +111,10 @@
         },
     ];
     vec![
-        ("-learning", ask(LeaseState::Learning, Readiness::NoChange)),
-        ("-policy", ask(LeaseState::Policy(1007), Readiness::MissingChunks(373))),
-        ("-ready", ask(LeaseState::Policy(1008), Readiness::Ready(1009))),
-        ("-cut-off", ask(LeaseState::CutOff, Readiness::Objected(1010, objection))),
+        ("-learning", renew_lease(LeaseState::Learning, Readiness::NoChange)),
+        ("-policy", renew_lease(LeaseState::Policy(1007), Readiness::MissingChunks(373))),
+        ("-ready", renew_lease(LeaseState::Policy(1008), Readiness::Ready(1009))),
+        ("-cut-off", renew_lease(LeaseState::CutOff, Readiness::Objected(1010, objection))),
         (
             "",
             Message::GrantLease {
@@ -125,7 +126,7 @@
             },
         ),
         ("", Message::Update { record: record() }),
-        ("-unfounded", Message::Update { record: before_bootstrap() }),
+        ("-before-bootstrap", Message::Update { record: before_bootstrap() }),
         ("", Message::Fetch { hash: hash(0x50), chunk: 300, missing: 0x8000_0000_0000_0005 }),
         (
             "",
@@ -137,9 +138,9 @@
             "",
             request(3, RequestKind::TakeOut { unit: Unit::Server(0x0123_4567_89ab_cdef), release: Some(14) }),
         ),
-        ("-for-a-cause", request(4, RequestKind::TakeOut { unit: Unit::Balancer(258), release: None })),
+        ("-without-release", request(4, RequestKind::TakeOut { unit: Unit::Balancer(258), release: None })),
         ("", request(5, RequestKind::Return { unit: Unit::Balancer(259), done: true })),
-        ("-undone", request(6, RequestKind::Return { unit: Unit::Server(260), done: false })),
+        ("-not-done", request(6, RequestKind::Return { unit: Unit::Server(260), done: false })),
         ("", request(7, RequestKind::BeginRelease { hash: hash(0x80), length: 40_002 })),
         ("", request(8, RequestKind::RollBack { number: 1012 })),
         ("", request(9, RequestKind::EndRelease { number: 1013 })),
@@ -148,7 +149,7 @@
         ("", request(12, RequestKind::ReplaceVoter { old: 261, new: 262 })),
         ("", Message::Prepare { ballot: ballot(1) }),
         ("", Message::Promise { ballot: ballot(2), voter, accepted: Some((ballot(3), record())) }),
-        ("-of-nothing", Message::Promise { ballot: ballot(4), voter: other, accepted: None }),
+        ("-without-record", Message::Promise { ballot: ballot(4), voter: other, accepted: None }),
         ("", Message::Accept { ballot: ballot(5), record: record() }),
         ("", Message::Accepted { ballot: ballot(6), voter: other }),
         ("", Message::Observations { release: 15, start: 0xf1f2_f3f4_f5f6_f7f9, serial: 0x0a0b_0c0d, rows }),
@@ -158,20 +159,20 @@
 }
 
 #[test]
-fn each_kind_of_message_is_read_from_its_datagrams_and_written_as_the_same_bytes() {
+fn each_message_kind_round_trips_through_its_fixture() {
     let mut names = BTreeSet::new();
-    for (of, message) in messages() {
-        let name = format!("message-{}{of}.bin", kind(&message));
-        let datagrams = peers(FROM).encode(TO, &message);
+    for (suffix, message) in messages() {
+        let name = format!("message-{}{suffix}.bin", kind(&message));
+        let datagrams = transport(FROM).encode(TO, &message);
         assert!(datagrams.iter().all(|datagram| datagram.len() <= MAX_DATAGRAM_BYTES), "{name}");
-        // Each datagram but the last has the largest size, so that they can be split again.
+        // Each datagram but the last has the largest size, so that the file can be split again.
         let (last, full) = datagrams.split_last().expect("a datagram");
         assert!(
             full.iter().all(|datagram| datagram.len() == MAX_DATAGRAM_BYTES) && !last.is_empty(),
             "{name}"
         );
         let bytes = fixture(&name, &datagrams.concat());
-        let mut to = peers(TO);
+        let mut to = transport(TO);
         let received: Vec<(u16, Message)> = bytes
             .chunks(MAX_DATAGRAM_BYTES)
             .filter_map(|datagram| to.receive(0, Some(FROM), datagram))
@@ -183,57 +184,59 @@
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data");
     let files = std::fs::read_dir(folder).expect("the folder").map(|file| file.expect("a file").file_name());
     let files: BTreeSet<String> = files.map(|name| name.into_string().expect("UTF-8")).collect();
-    assert_eq!(files, names, "a file for each message, and none else");
+    assert_eq!(files, names, "one file for each message, and no other file");
 }
 
-/// Whether these are the first bytes of some message whose other bytes are zeros.
-fn is_received(first: [u8; 2]) -> bool {
-    let datagrams = peers(FROM).encode(TO, &(first, [0u8; 32], [0u8; 32]));
-    peers(TO).receive::<Message>(0, Some(FROM), &datagrams[0]).is_some()
+/// Whether these two bytes, followed by zeros, decode to a message.
+fn is_decodable(first: [u8; 2]) -> bool {
+    let datagrams = transport(FROM).encode(TO, &(first, [0u8; 32], [0u8; 32]));
+    transport(TO).receive::<Message>(0, Some(FROM), &datagrams[0]).is_some()
 }
 
 #[test]
 fn every_message_and_request_number_has_a_fixture() {
-    // The first byte of a message is the number of its kind; that of a request follows it.
-    let payload = |message: &Message| peers(FROM).encode(TO, message)[0][17..19].to_vec();
+    // The first byte of a message is the number of its kind; in a request the number of the request's kind
+    // follows.
+    let payload = |message: &Message| transport(FROM).encode(TO, message)[0][17..19].to_vec();
     let known: BTreeSet<u8> = messages().iter().map(|(_, message)| payload(message)[0]).collect();
     assert_eq!(known, (0..MESSAGE_KINDS).collect());
     let requests =
         messages().into_iter().filter(|(_, message)| matches!(message, Message::OperatorRequest { .. }));
     let request_kinds: BTreeSet<u8> = requests.map(|(_, message)| payload(&message)[1]).collect();
     assert_eq!(request_kinds, (0..REQUEST_KINDS).collect());
-    // Each of these numbers is one of a kind, and the next is not.
+    // Each of these numbers is that of a kind, and the next number is not.
     let operator_request = payload(&messages()[9].1)[0];
-    assert!((0..MESSAGE_KINDS).all(|kind| is_received([kind, 0])) && !is_received([MESSAGE_KINDS, 0]));
+    assert!((0..MESSAGE_KINDS).all(|kind| is_decodable([kind, 0])) && !is_decodable([MESSAGE_KINDS, 0]));
     assert!(
-        (0..REQUEST_KINDS).all(|request| is_received([operator_request, request]))
-            && !is_received([operator_request, REQUEST_KINDS])
+        (0..REQUEST_KINDS).all(|request| is_decodable([operator_request, request]))
+            && !is_decodable([operator_request, REQUEST_KINDS])
     );
 }
 
 #[test]
-fn the_fixtures_have_every_variant_of_every_field() {
-    // A new variant doesn't compile here: it needs a record or message among the fixtures.
+fn fixtures_cover_every_variant_of_every_field() {
+    // A new variant doesn't compile here until it has a number; it also needs a record or message in the
+    // fixtures.
     let unit = |unit: Unit| match unit {
         Unit::Balancer(_) => 0,
         Unit::Server(_) => 1,
     };
-    let way = |way: Direction| match way {
+    let direction = |direction: Direction| match direction {
         Direction::Rollout => 0,
         Direction::Rollback => 1,
     };
-    let outcome = |outcome: ChangeOutcome| match outcome {
+    let change_outcome = |outcome: ChangeOutcome| match outcome {
         ChangeOutcome::InForce => 0,
         ChangeOutcome::Withdrawn => 1,
         ChangeOutcome::Refused(_) => 2,
         ChangeOutcome::GivenUp => 3,
     };
-    let close = |close: ReleaseOutcome| match close {
+    let release_outcome = |outcome: ReleaseOutcome| match outcome {
         ReleaseOutcome::Done => 0,
         ReleaseOutcome::TakenBack => 1,
         ReleaseOutcome::Left => 2,
     };
-    let right = |right: LeaseState| match right {
+    let lease_state = |state: LeaseState| match state {
         LeaseState::Learning => 0,
         LeaseState::Policy(_) => 1,
         LeaseState::CutOff => 2,
@@ -246,16 +249,23 @@
     };
     let all = |count: usize| -> BTreeSet<usize> { (0..count).collect() };
     let known = record();
-    assert_eq!(known.grants.iter().map(|out| unit(out.unit)).collect::<BTreeSet<_>>(), all(2));
-    let ways = known.grants.iter().filter_map(|out| out.release_part).map(|part| way(part.direction));
-    assert_eq!(ways.collect::<BTreeSet<_>>(), all(2));
-    assert_eq!(known.past_changes.iter().map(|past| outcome(past.outcome)).collect::<BTreeSet<_>>(), all(4));
-    assert_eq!(known.past_releases.iter().map(|past| close(past.outcome)).collect::<BTreeSet<_>>(), all(3));
-    let asks = messages().into_iter().filter_map(|(_, message)| match message {
-        Message::RenewLease { lease_state: right, readiness, .. } => Some((right, readiness)),
+    assert_eq!(known.grants.iter().map(|grant| unit(grant.unit)).collect::<BTreeSet<_>>(), all(2));
+    let directions =
+        known.grants.iter().filter_map(|grant| grant.release_part).map(|part| direction(part.direction));
+    assert_eq!(directions.collect::<BTreeSet<_>>(), all(2));
+    assert_eq!(
+        known.past_changes.iter().map(|past| change_outcome(past.outcome)).collect::<BTreeSet<_>>(),
+        all(4)
+    );
+    assert_eq!(
+        known.past_releases.iter().map(|past| release_outcome(past.outcome)).collect::<BTreeSet<_>>(),
+        all(3)
+    );
+    let renewals = messages().into_iter().filter_map(|(_, message)| match message {
+        Message::RenewLease { lease_state, readiness, .. } => Some((lease_state, readiness)),
         _ => None,
     });
-    let (rights, states): (BTreeSet<_>, BTreeSet<_>) =
-        asks.map(|(of, how)| (right(of), readiness(how))).unzip();
-    assert_eq!((rights, states), (all(3), all(4)));
+    let (lease_states, readiness_states): (BTreeSet<_>, BTreeSet<_>) =
+        renewals.map(|(state, progress)| (lease_state(state), readiness(progress))).unzip();
+    assert_eq!((lease_states, readiness_states), (all(3), all(4)));
 }
