--- a/balancer/endpoint-cache/src/lib.rs
+++ b/balancer/endpoint-cache/src/lib.rs
@@ -87,7 +87,7 @@
             zone: listed.zone.clone(),
             kind: listed.kind.clone(),
             pod: listed.cell as u64,
-            size: listed.size,
+            size: listed.relative_capacity,
             started_at: listed.started_at,
             is_draining: listed.state == EndpointState::Draining,
             address: listed.address?,
@@ -130,12 +130,12 @@
         zone: stored.zone,
         kind: stored.kind,
         cell: stored.pod as usize,
-        size: stored.size,
+        relative_capacity: stored.size,
         started_at: if trust == Trust::Full { stored.started_at } else { now },
         state: if stored.is_draining { EndpointState::Draining } else { EndpointState::Ready },
         address: Some(stored.address),
     });
     let servers = servers.collect();
     // Generation 0 makes discovery send the whole list, whatever the generation of the stored one.
-    EndpointUpdate { generation: 0, complete: true, servers, faults: Vec::new() }
+    EndpointUpdate { generation: 0, is_complete: true, servers, errors: Vec::new() }
 }
--- a/balancer/endpoint-cache/tests/restore.rs
+++ b/balancer/endpoint-cache/tests/restore.rs
@@ -14,7 +14,7 @@
         zone: "a".to_string(),
         kind: "m".to_string(),
         cell: 3,
-        size: 1.5,
+        relative_capacity: 1.5,
         started_at,
         state,
         address: (name != "lost").then(|| ([127, 0, 0, 1], 80).into()),
@@ -37,7 +37,7 @@
     ] {
         let bytes = encode(&servers, 41, (NOW as i64 - age * SECOND as i64) as u64);
         let (update, restored_trust) = restore(&bytes, NOW, &AGE_LIMITS).expect("a list");
-        assert_eq!((restored_trust, update.complete, update.generation), (trust, true, 0), "{age}");
+        assert_eq!((restored_trust, update.is_complete, update.generation), (trust, true, 0), "{age}");
         let restored: Vec<_> =
             update.servers.iter().map(|s| (s.name.as_str(), s.state, s.started_at)).collect();
         let draining_start = if trust == Trust::Full { 6 } else { NOW };
--- a/balancer/endpoint-cache/tests/stored_fixtures.rs
+++ b/balancer/endpoint-cache/tests/stored_fixtures.rs
@@ -24,7 +24,7 @@
             zone: "zone-b".to_string(),
             kind: "kind-large".to_string(),
             cell: 300,
-            size: 2.75,
+            relative_capacity: 2.75,
             started_at: 1_799_000_000_654_321,
             state: EndpointState::Draining,
             address: Some(SocketAddr::from((six, 8443))),
@@ -34,7 +34,7 @@
             zone: "zone-a".to_string(),
             kind: "kind-small".to_string(),
             cell: 7,
-            size: 0.1,
+            relative_capacity: 0.1,
             started_at: 0,
             state: EndpointState::Ready,
             address: Some(SocketAddr::from(([192, 0, 2, 17], 80))),
@@ -77,7 +77,7 @@
     ] {
         let (update, restored_trust) = restore(&bytes, SAVED_AT_US + age, &AGE_LIMITS).expect("a list");
         assert_eq!(
-            (restored_trust, update.generation, update.complete, update.faults.len()),
+            (restored_trust, update.generation, update.is_complete, update.errors.len()),
             (trust, 0, true, 0)
         );
         let expected = stored_servers().map(|server| match trust {
--- a/balancer/fleet-policy/src/member/proposer.rs
+++ b/balancer/fleet-policy/src/member/proposer.rs
@@ -41,7 +41,7 @@
             epoch,
             round: self.highest_round,
             member: self.settings.member,
-            start: self.process_start,
+            start_id: self.process_start,
         };
         let mut round = Round::new(ballot, known);
         if self.durable_state.votes.prepare(ballot).is_err() || !self.persist() {
--- a/balancer/fleet-policy/tests/member.rs
+++ b/balancer/fleet-policy/tests/member.rs
@@ -146,7 +146,7 @@
 fn voter_with_a_failed_disk_neither_votes_nor_grants() {
     let (mut member, environment) = leader();
     let now = 20 * SECOND + 1;
-    let ballot = Ballot { epoch: 1, round: 9, member: 1, start: 5 };
+    let ballot = Ballot { epoch: 1, round: 9, member: 1, start_id: 5 };
     let ask = Message::RenewLease {
         asked_at: 7,
         incarnation: 101,
--- a/balancer/operator-file/src/lib.rs
+++ b/balancer/operator-file/src/lib.rs
@@ -20,10 +20,10 @@
 use std::path::PathBuf;
 
 use whinspindle::host;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 use whinspindle_rollout::Limits;
 use whinspindle_routes::{Conditions, DeploymentLimits, RouteTable};
-use whinspindle_toml_config::Fault;
+use whinspindle_toml_config::ConfigError;
 
 pub use draw::render_faults;
 pub use fleet::FleetSettings;
@@ -71,23 +71,23 @@
     /// The routes as the balancer's core takes them: for each route a row of conditions for each product.
     pub fn route_policies(&self, deployment: &Deployment) -> Vec<Vec<host::RoutePolicy>> {
         let named = |names: &[String], known: &[String]| -> Vec<usize> {
-            names.iter().filter_map(|name| index(known, name)).collect()
+            names.iter().filter_map(|name| index_of(known, name)).collect()
         };
         let row = |c: &Conditions| host::RoutePolicy {
-            time: c.timeout_us,
-            execution_time: c.execution_timeout_us,
-            executions: c.max_executions,
+            timeout_us: c.timeout_us,
+            execution_timeout_us: c.execution_timeout_us,
+            max_executions: c.max_executions,
             retry_on: c.retry_on,
-            wait: c.retry_delay_us,
-            spread: c.retry_jitter,
+            backoff_us: c.retry_delay_us,
+            jitter: c.retry_jitter,
             hedge: c.hedge,
-            budget: c.retry_budget,
+            retry_budget: c.retry_budget,
             zones: named(&c.servers.zones, &deployment.zones),
             kinds: named(&c.servers.kinds, &deployment.kinds),
-            near: match (c.servers.retries_in_zone, c.servers.retries_in_pod) {
-                (_, true) => host::Group::Cell,
-                (true, false) => host::Group::Zone,
-                (false, false) => host::Group::All,
+            retry_scope: match (c.servers.retries_in_zone, c.servers.retries_in_pod) {
+                (_, true) => host::ServerScope::Cell,
+                (true, false) => host::ServerScope::Zone,
+                (false, false) => host::ServerScope::All,
             },
         };
         self.routes.routes().iter().map(|route| route.conditions.iter().map(row).collect()).collect()
@@ -111,25 +111,25 @@
 }
 
 /// Reads and proves a file for a deployment.
-pub fn parse(text: &str, deployment: &Deployment) -> Result<OperatorConfig, Vec<Fault>> {
-    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, true))
+pub fn parse(text: &str, deployment: &Deployment) -> Result<OperatorConfig, Vec<ConfigError>> {
+    whinspindle_toml_config::parse(text, |table| read::operator(table, deployment, true))
 }
 
 /// Reads and proves the text of a fleet's policy: routes, limits, and what holds in a partition, but no setting of
 /// a single balancer.
-pub fn parse_policy(text: &str, deployment: &Deployment) -> Result<OperatorConfig, Vec<Fault>> {
-    whinspindle_toml_config::read(text, |table| read::operator(table, deployment, false))
+pub fn parse_policy(text: &str, deployment: &Deployment) -> Result<OperatorConfig, Vec<ConfigError>> {
+    whinspindle_toml_config::parse(text, |table| read::operator(table, deployment, false))
 }
 
 /// What the deployment allows and demands, as far as the proof needs it.
 pub fn deployment_limits(deployment: &Deployment) -> DeploymentLimits {
-    let terms = &deployment.terms;
+    let terms = &deployment.balancer_settings;
     DeploymentLimits {
         max_executions: terms.max_executions,
         allow_hedging: terms.allow_hedging,
-        can_cancel: terms.cancel,
-        connect_timeout_us: deployment.connect_time_out,
-        tick_us: terms.tick,
+        can_cancel: terms.allow_cancel,
+        connect_timeout_us: deployment.connect_timeout_us,
+        tick_us: terms.clock_resolution_us,
         network_delay_us: NETWORK_MARGIN,
         max_body_bytes: MAX_BODY_BYTES,
     }
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -2,14 +2,14 @@
 //! rules.
 
 use whinspindle::host::Effect;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 use whinspindle_routes::pattern::Pattern;
 use whinspindle_routes::proof::{self, Field};
 use whinspindle_routes::{
     Conditions, HedgePolicy, ProductSettings, RetryOn, Route, RouteMatch, RouteTable, ServerSelection,
 };
 use whinspindle_toml_config::units::Unit;
-use whinspindle_toml_config::{Place, Table, units};
+use whinspindle_toml_config::{Location, Table, units};
 
 use crate::{MAX_BODY_BYTES, deployment_limits};
 
@@ -18,12 +18,12 @@
 
 /// The places of a route's values in the file, for the faults that the proof finds.
 struct RoutePlaces {
-    route: Place,
-    fields: Vec<(Field, Place)>,
+    route: Location,
+    fields: Vec<(Field, Location)>,
 }
 
 impl RoutePlaces {
-    fn of(&self, field: Field) -> &Place {
+    fn of(&self, field: Field) -> &Location {
         self.fields.iter().find(|(known, _)| *known == field).map_or(&self.route, |(_, place)| place)
     }
 }
@@ -33,15 +33,15 @@
     let tables = table.tables(key);
     if tables.len() > MAX_ROUTES {
         let fault = format!("there are {} routes", tables.len());
-        table.fault(&table.place_of(key), fault, format!("at most {MAX_ROUTES}"));
+        table.report_error(&table.location_of(key), fault, format!("at most {MAX_ROUTES}"));
     }
     let mut routes = Vec::new();
     let mut places = Vec::new();
     for t in &tables {
         let (route, place) = route(t, deployment);
         if let Some(before) = routes.iter().position(|known: &Route| known.name == route.name) {
-            let place = t.place_of("name");
-            t.fault(
+            let place = t.location_of("name");
+            t.report_error(
                 &place,
                 format!("{:?} is there twice", route.name),
                 format!("a name of its own, not route {before}'s"),
@@ -55,45 +55,45 @@
         let other = &routes.routes()[tie.first].name;
         let fault = format!("matches the same queries as {other:?}, and neither is more particular");
         let way_out = "another path, or a method, product or tenant in one of them";
-        table.fault(&places[tie.second].route, fault, way_out);
+        table.report_error(&places[tie.second].route, fault, way_out);
     }
     routes
 }
 
 fn named(t: &Table, key: &str, names: &[String]) -> Option<usize> {
-    if !t.holds(key) {
+    if !t.contains_key(key) {
         return None;
     }
-    let name = t.text(key, None);
-    let found = index(names, &name);
+    let name = t.string(key, None);
+    let found = index_of(names, &name);
     if found.is_none() && !name.is_empty() {
         let way_out = format!("known to the settings: {}", names.join(", "));
-        t.fault(&t.place_of(key), format!("the settings know no {name:?}"), way_out);
+        t.report_error(&t.location_of(key), format!("the settings know no {name:?}"), way_out);
     }
     found
 }
 
 fn route(t: &Table, deployment: &Deployment) -> (Route, RoutePlaces) {
-    let text = t.text("path", Some("/*"));
+    let text = t.string("path", Some("/*"));
     let path = Pattern::parse(&text).unwrap_or_else(|fault| {
         let way_out = "as in \"/orders\", \"/orders/{id}/items\" or \"/orders/*\"";
-        t.fault(&t.place_of("path"), fault.to_string(), way_out);
+        t.report_error(&t.location_of("path"), fault.to_string(), way_out);
         Pattern { segments: Vec::new(), is_prefix: true }
     });
     let methods = [("GET", "GET"), ("POST", "POST")];
-    let method = t.holds("method").then(|| t.one_of("method", &methods, None).to_string());
+    let method = t.contains_key("method").then(|| t.one_of("method", &methods, None).to_string());
     let product = named(t, "product", &deployment.products);
     let tenant = named(t, "tenant", &deployment.tenants);
-    let effect = product.map(|product| deployment.terms.products[product].effect);
+    let effect = product.map(|product| deployment.balancer_settings.products[product].effect);
     if method.as_deref() == Some("GET") && effect.is_some_and(|effect| effect != Effect::Idempotent) {
         let fault = "no query can reach it: GET is only for products that are safe to repeat";
-        t.fault(&t.place_of("method"), fault, "method = \"POST\", or another product");
+        t.report_error(&t.location_of("method"), fault, "method = \"POST\", or another product");
     }
     let matches = RouteMatch { method, path, product, tenant };
     let (shared, given) = conditions(t, deployment);
-    let place_of = |key: &str| t.place_of(key);
+    let place_of = |key: &str| t.location_of(key);
     let places = RoutePlaces {
-        route: t.place(),
+        route: t.location(),
         fields: vec![
             (Field::Timeout, place_of("time")),
             (Field::ExecutionTimeout, place_of("execution-time")),
@@ -109,11 +109,11 @@
     let bounds = deployment_limits(deployment);
     let mut rows = Vec::new();
     let mut reported: Vec<(Field, String)> = Vec::new();
-    for (number, product) in deployment.terms.products.iter().enumerate() {
-        let statement_timeout = deployment.statement_timeouts[number];
+    for (number, product) in deployment.balancer_settings.products.iter().enumerate() {
+        let statement_timeout = deployment.statement_timeouts_us[number];
         let row = ProductSettings {
             effect: product.effect,
-            deduplication_us: product.memory_span,
+            deduplication_us: product.dedup_window_us,
             statement_timeout_us: statement_timeout,
         };
         let conditions = given.fill(&shared, &row, deployment);
@@ -129,14 +129,14 @@
                 let fault = format!("{rule}{} (product {of:?})", refusal.fault);
                 // A fault that all products have is reported once.
                 if !reported.contains(&(refusal.field, refusal.fault.clone())) {
-                    t.fault(places.of(refusal.field), fault, refusal.suggestion.clone());
+                    t.report_error(places.of(refusal.field), fault, refusal.suggestion.clone());
                     reported.push((refusal.field, refusal.fault));
                 }
             }
         }
         rows.push(conditions);
     }
-    (Route { name: t.text("name", None), matches, conditions: rows }, places)
+    (Route { name: t.string("name", None), matches, conditions: rows }, places)
 }
 
 /// What the file sets; what it doesn't is decided by the product or the deployment.
@@ -159,21 +159,21 @@
 impl Given {
     /// The conditions for one product, with the balancer's defaults where nothing is set.
     fn fill(&self, shared: &Conditions, row: &ProductSettings, deployment: &Deployment) -> Conditions {
-        use whinspindle::host::Group;
-        let tick = deployment.terms.tick;
+        use whinspindle::host::ServerScope;
+        let tick = deployment.balancer_settings.clock_resolution_us;
         let time = self.time.unwrap_or(row.statement_timeout_us.saturating_sub(tick));
         let ever = row.effect != Effect::NonIdempotent;
         let by_effect = RetryOn { never_ran: true, error: ever, broken: ever, timed_out: ever };
-        let executions = self.executions.unwrap_or(deployment.terms.max_executions);
+        let executions = self.executions.unwrap_or(deployment.balancer_settings.max_executions);
         let retry_on = match self.retry_on {
             Some(set) => set,
-            None if executions == 1 => RetryOn::NOTHING,
+            None if executions == 1 => RetryOn::NONE,
             None => by_effect,
         };
         // As without a route, retries stay among the servers that deduplicate them.
         let retry_scope = self.retry_scope.unwrap_or(match row.effect {
-            Effect::Deduplicated(Group::Zone) => RetryScope::Zone,
-            Effect::Deduplicated(Group::Cell) => RetryScope::Pod,
+            Effect::Deduplicated(ServerScope::Zone) => RetryScope::Zone,
+            Effect::Deduplicated(ServerScope::Cell) => RetryScope::Pod,
             _ => RetryScope::Anywhere,
         });
         let mut filled = Conditions {
@@ -200,7 +200,7 @@
             };
             filled.max_executions = (1..=executions).rev().find(|&n| fits(n)).unwrap_or(1);
             if filled.max_executions == 1 && self.retry_on.is_none() {
-                filled.retry_on = RetryOn::NOTHING;
+                filled.retry_on = RetryOn::NONE;
             }
         }
         filled
@@ -208,34 +208,34 @@
 }
 
 fn conditions(t: &Table, deployment: &Deployment) -> (Conditions, Given) {
-    let time = t.holds("time").then(|| t.time("time", None));
-    let execution_time = t.holds("execution-time").then(|| t.time("execution-time", None));
+    let time = t.contains_key("time").then(|| t.duration_us("time", None));
+    let execution_time = t.contains_key("execution-time").then(|| t.duration_us("execution-time", None));
     for (key, value) in [("time", time), ("execution-time", execution_time)] {
         if value == Some(0) {
-            t.fault(&t.place_of(key), "is nothing", "more than 0");
+            t.report_error(&t.location_of(key), "is nothing", "more than 0");
         }
     }
-    let executions = t.holds("executions").then(|| t.count("executions", (1, 100), None) as usize);
+    let executions = t.contains_key("executions").then(|| t.integer("executions", (1, 100), None) as usize);
     let given = Given {
         time,
         execution_time,
         executions,
-        retry_on: t.holds("repeat-after").then(|| retry_on(t)),
+        retry_on: t.contains_key("repeat-after").then(|| retry_on(t)),
         retry_scope: None,
     };
     let servers = t.table_or_defaults("servers");
     let scopes = [("anywhere", RetryScope::Anywhere), ("zone", RetryScope::Zone), ("pod", RetryScope::Pod)];
-    let retry_scope = servers.holds("repeats").then(|| servers.one_of("repeats", &scopes, None));
+    let retry_scope = servers.contains_key("repeats").then(|| servers.one_of("repeats", &scopes, None));
     let shared = Conditions {
         timeout_us: 0,
         execution_timeout_us: 0,
         max_executions: 1,
-        retry_on: RetryOn::NOTHING,
-        retry_delay_us: t.time("wait", Some(0)),
-        retry_jitter: t.number("spread", (0.0, 10.0), Some(0.0)),
+        retry_on: RetryOn::NONE,
+        retry_delay_us: t.duration_us("wait", Some(0)),
+        retry_jitter: t.float("spread", (0.0, 10.0), Some(0.0)),
         hedge: hedge(t),
-        retry_budget: t.number("budget", (0.0, 100.0), Some(100.0)),
-        max_body_bytes: t.size("largest-body", Some(MAX_BODY_BYTES)),
+        retry_budget: t.float("budget", (0.0, 100.0), Some(100.0)),
+        max_body_bytes: t.size_bytes("largest-body", Some(MAX_BODY_BYTES)),
         servers: ServerSelection {
             zones: names(&servers, "zones", &deployment.zones),
             kinds: names(&servers, "kinds", &deployment.kinds),
@@ -246,26 +246,26 @@
 }
 
 fn names(t: &Table, key: &str, known: &[String]) -> Vec<String> {
-    let texts = t.texts(key);
-    if texts.is_empty() && t.holds(key) {
-        t.fault(
-            &t.place_of(key),
+    let texts = t.strings(key);
+    if texts.is_empty() && t.contains_key(key) {
+        t.report_error(
+            &t.location_of(key),
             "names nobody, so that no server may take the queries",
             "leave it out for all",
         );
     }
     for (name, place) in &texts {
-        if index(known, name).is_none() {
+        if index_of(known, name).is_none() {
             let way_out = format!("known to the settings: {}", known.join(", "));
-            t.fault(place, format!("the settings know no {name:?}"), way_out);
+            t.report_error(place, format!("the settings know no {name:?}"), way_out);
         }
     }
     texts.into_iter().map(|(name, _)| name).collect()
 }
 
 fn retry_on(t: &Table) -> RetryOn {
-    let mut after = RetryOn::NOTHING;
-    for (outcome, place) in t.texts("repeat-after") {
+    let mut after = RetryOn::NONE;
+    for (outcome, place) in t.strings("repeat-after") {
         match outcome.as_str() {
             "never-ran" => after.never_ran = true,
             "error" => after.error = true,
@@ -273,7 +273,7 @@
             "timed-out" => after.timed_out = true,
             _ => {
                 let way_out = "one of \"never-ran\", \"error\", \"broken\", \"timed-out\"";
-                t.fault(&place, format!("is no outcome: {outcome:?}"), way_out);
+                t.report_error(&place, format!("is no outcome: {outcome:?}"), way_out);
             }
         }
     }
@@ -282,18 +282,22 @@
 
 /// When a hedged request is sent: `"100ms"`, or `"p95"` for the 95th percentile of answer times.
 fn hedge(t: &Table) -> HedgePolicy {
-    if !t.holds("second-copy") {
+    if !t.contains_key("second-copy") {
         return HedgePolicy::Never;
     }
-    let text = t.text("second-copy", None);
+    let text = t.string("second-copy", None);
     if let Some(number) = text.strip_prefix('p') {
         if let Some(part) = number.parse::<f64>().ok().filter(|part| *part >= 50.0 && *part < 100.0) {
             return HedgePolicy::Quantile(part / 100.0);
         }
-    } else if let Ok(after) = units::Time::read(&text) {
+    } else if let Ok(after) = units::Time::parse(&text) {
         return HedgePolicy::After(after);
     }
     let way_out = "a time as in \"100ms\", or from \"p50\" to \"p99.9\"";
-    t.fault(&t.place_of("second-copy"), format!("is neither a time nor a quantile: {text:?}"), way_out);
+    t.report_error(
+        &t.location_of("second-copy"),
+        format!("is neither a time nor a quantile: {text:?}"),
+        way_out,
+    );
     HedgePolicy::Never
 }
--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -7,9 +7,9 @@
     MAX_BODY_BYTES, OperatorConfig, PartitionPolicy, parse, parse_policy, render_faults,
 };
 use whinspindle_routes::RetryOn;
-use whinspindle_toml_config::Fault;
+use whinspindle_toml_config::ConfigError;
 
-fn faults(text: &str) -> Vec<Fault> {
+fn faults(text: &str) -> Vec<ConfigError> {
     parse(text, &deployment()).err().unwrap_or_default()
 }
 
@@ -128,7 +128,7 @@
         let found = faults(&text);
         let told: Vec<String> = found.iter().map(ToString::to_string).collect();
         let field = if field.is_empty() { String::new() } else { format!("route[0].{field}") };
-        let fits = |f: &&Fault| f.line == *line && f.field == field && f.fault.contains(words);
+        let fits = |f: &&ConfigError| f.line == *line && f.field == field && f.message.contains(words);
         let fault = found.iter().find(fits);
         assert!(fault.is_some(), "{lines}: line {line}, {field}, {words} in {told:?}");
         let drawn = render_faults("operator.toml", &text, &found);
@@ -149,7 +149,7 @@
     for (text, line, words) in cases {
         let found = faults(text);
         let told: Vec<String> = found.iter().map(ToString::to_string).collect();
-        assert!(found.iter().any(|f| f.line == line && f.fault.contains(words)), "{text}: {told:?}");
+        assert!(found.iter().any(|f| f.line == line && f.message.contains(words)), "{text}: {told:?}");
     }
 }
 
@@ -168,7 +168,7 @@
     assert!(policy(LIMITS).is_ok_and(|policy| policy.limits.servers_per_zone == Some(2)));
     let rejects = policy("[cut-off]\nqueries = \"reject\"\n").expect("good");
     assert!(matches!(rejects.partition_policy, PartitionPolicy::Reject));
-    type Read<'a> = &'a dyn Fn(&str) -> Result<OperatorConfig, Vec<Fault>>;
+    type Read<'a> = &'a dyn Fn(&str) -> Result<OperatorConfig, Vec<ConfigError>>;
     let cases: [(Read, &str, &str, &str, usize, &str); 22] = [
         (&own, "", "", "", 1, "the file is empty"),
         (&policy, "# being written", "", "", 1, "the file is empty"),
@@ -212,7 +212,7 @@
         let found = read(&text).err().unwrap_or_default();
         let told: Vec<String> = found.iter().map(ToString::to_string).collect();
         assert!(
-            found.iter().any(|f| f.line == line && f.fault.contains(words)),
+            found.iter().any(|f| f.line == line && f.message.contains(words)),
             "{text}: {words} in {told:?}"
         );
     }
@@ -235,10 +235,8 @@
     let operator = valid("[[route]]\nname = \"all\"\n");
     let rows = &operator.routes.routes()[0].conditions;
     let all = RetryOn { never_ran: true, error: true, broken: true, timed_out: true };
-    let never_ran = RetryOn { never_ran: true, ..RetryOn::NOTHING };
-    for (product, executions, after, in_pod) in
-        [(0, 1, RetryOn::NOTHING, false), (2, 1, RetryOn::NOTHING, false)]
-    {
+    let never_ran = RetryOn { never_ran: true, ..RetryOn::NONE };
+    for (product, executions, after, in_pod) in [(0, 1, RetryOn::NONE, false), (2, 1, RetryOn::NONE, false)] {
         let row = &rows[product];
         assert_eq!((row.max_executions, row.retry_on), (executions, after), "product {product}");
         assert_eq!(
--- a/balancer/routes/tests/common/mod.rs
+++ b/balancer/routes/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A valid route and the bounds of a deployment, for the cases to change.
 
-use whinspindle::host::{Effect, Group};
+use whinspindle::host::{Effect, ServerScope};
 use whinspindle_routes::pattern::Pattern;
 use whinspindle_routes::{
     Conditions, DeploymentLimits, HedgePolicy, ProductSettings, RetryOn, Route, RouteMatch, ServerSelection,
@@ -27,7 +27,7 @@
 #[allow(dead_code, reason = "each test file uses a part of it")]
 pub fn order() -> ProductSettings {
     ProductSettings {
-        effect: Effect::Deduplicated(Group::All),
+        effect: Effect::Deduplicated(ServerScope::All),
         deduplication_us: 5 * S,
         statement_timeout_us: 3 * S,
     }
--- a/balancer/routes/tests/proof.rs
+++ b/balancer/routes/tests/proof.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{MS, S, bounds, conditions, order};
-use whinspindle::host::{Effect, Group};
+use whinspindle::host::{Effect, ServerScope};
 use whinspindle_routes::proof::{ALL_CHECKS, Check, prove, run_check, worst_schedule};
 use whinspindle_routes::{
     Conditions, DeploymentLimits, HedgePolicy, ProductSettings, RetryOn, ServerSelection,
@@ -17,10 +17,10 @@
     ("time up to the last tick", None, |c, _, _| c.timeout_us = 3 * S - 5 * MS),
     ("a microsecond more", Some(Check::AnswerTimeout), |c, _, _| c.timeout_us = 3 * S - 5 * MS + 1),
     ("an execution as long as its query", None, |c, _, _| {
-        (c.execution_timeout_us, c.max_executions, c.retry_on) = (2 * S, 1, RetryOn::NOTHING);
+        (c.execution_timeout_us, c.max_executions, c.retry_on) = (2 * S, 1, RetryOn::NONE);
     }),
     ("a microsecond longer", Some(Check::ExecutionTimeout), |c, _, _| {
-        (c.execution_timeout_us, c.max_executions, c.retry_on) = (2 * S + 1, 1, RetryOn::NOTHING);
+        (c.execution_timeout_us, c.max_executions, c.retry_on) = (2 * S + 1, 1, RetryOn::NONE);
     }),
     ("as many executions as are allowed", None, |c, _, _| {
         (c.max_executions, c.execution_timeout_us) = (4, 300 * MS)
@@ -30,19 +30,19 @@
     }),
     ("non-idempotent, sent again where it never ran", None, |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NONE };
     }),
     ("non-idempotent, again after an error", Some(Check::NonIdempotent), |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { error: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { error: true, ..RetryOn::NONE };
     }),
     ("non-idempotent, again after a break", Some(Check::NonIdempotent), |c, p, _| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { broken: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { broken: true, ..RetryOn::NONE };
     }),
     ("non-idempotent, with a second copy", Some(Check::NonIdempotent), |c, p, b| {
         p.effect = Effect::NonIdempotent;
-        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NONE };
         c.hedge = HedgePolicy::Quantile(0.95);
         b.allow_hedging = true;
     }),
@@ -53,28 +53,28 @@
     }),
     ("forgotten, but nothing is sent again", None, |c, p, _| {
         p.deduplication_us = 1;
-        (c.max_executions, c.retry_on) = (1, RetryOn::NOTHING);
+        (c.max_executions, c.retry_on) = (1, RetryOn::NONE);
     }),
     ("forgotten, but sent again only where it never ran", None, |c, p, _| {
         p.deduplication_us = 1;
-        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NOTHING };
+        c.retry_on = RetryOn { never_ran: true, ..RetryOn::NONE };
     }),
     ("waits that grow past the memory", Some(Check::DeduplicationSpan), |c, p, _| {
         (p.deduplication_us, c.retry_delay_us) = (1_500 * MS, 100 * MS);
     }),
     ("repeats known in the zone, kept there", None, |c, p, _| {
-        p.effect = Effect::Deduplicated(Group::Zone);
+        p.effect = Effect::Deduplicated(ServerScope::Zone);
         c.servers = ServerSelection { retries_in_zone: true, ..ServerSelection::default() };
     }),
     ("repeats known in the zone, sent anywhere", Some(Check::DeduplicationScope), |_, p, _| {
-        p.effect = Effect::Deduplicated(Group::Zone);
+        p.effect = Effect::Deduplicated(ServerScope::Zone);
     }),
     ("repeats known in the pod, kept in the zone", Some(Check::DeduplicationScope), |c, p, _| {
-        p.effect = Effect::Deduplicated(Group::Cell);
+        p.effect = Effect::Deduplicated(ServerScope::Cell);
         c.servers = ServerSelection { retries_in_zone: true, ..ServerSelection::default() };
     }),
     ("repeats known in the pod, kept there", None, |c, p, _| {
-        p.effect = Effect::Deduplicated(Group::Cell);
+        p.effect = Effect::Deduplicated(ServerScope::Cell);
         c.servers = ServerSelection { retries_in_pod: true, ..ServerSelection::default() };
     }),
     ("a second copy where none is allowed", Some(Check::Overlap), |c, _, _| {
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use whinspindle_distribution::Publisher;
-use whinspindle_metrics::Figures;
+use whinspindle_metrics::MetricsSnapshot;
 use whinspindle_registry::{InstanceRegistry, LeaseTable};
 use whinspindle_replica::{Replica, Voter};
 
@@ -41,13 +41,17 @@
 
 /// The same as OpenMetrics text.
 pub fn metrics(summary: &Summary<'_>) -> String {
-    let mut metrics = Figures::default();
+    let mut metrics = MetricsSnapshot::default();
     for (name, value) in fields(summary) {
         let name = format!("controller_{name}");
-        metrics.gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
+        metrics.add_gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
     }
     let counts = [
-        ("controller_balancers", "Balancers that hold a lease", summary.leases.live(summary.now).count()),
+        (
+            "controller_balancers",
+            "Balancers that hold a lease",
+            summary.leases.live_leases(summary.now).count(),
+        ),
         (
             "controller_fatal_losses",
             "Kinds of tolerated losses without a majority",
@@ -56,7 +60,7 @@
         ("controller_chain_length", "Members of the chain", summary.replica.view().chain.len()),
     ];
     for (name, help, value) in counts {
-        metrics.gauge(name, help, [([].as_slice(), value as f64)]);
+        metrics.add_gauge(name, help, [([].as_slice(), value as f64)]);
     }
     metrics.into_text()
 }
@@ -72,7 +76,7 @@
         ("orders_refused", orders_answered.refused),
         ("orders_unclear", orders_answered.unclear),
         ("committed_sequence", summary.replica.committed_sequence()),
-        ("generation", records::current_generation(summary.replica.committed())),
+        ("generation", records::current_generation(summary.replica.committed_records())),
         ("published_configuration", versions.configured),
         ("published_evacuations", versions.evacuations),
         ("published_instances", versions.instances),
@@ -94,13 +98,13 @@
     let endpoint = |voter: Voter| view.endpoint(voter);
     push_addresses(json, "chain", view.chain.iter().filter_map(|link| endpoint(link.voter)));
     push_addresses(json, "voters", view.voters().into_iter().filter_map(endpoint));
-    push_addresses(json, "peers", replica.peers());
+    push_addresses(json, "peers", replica.peer_endpoints());
     let fatal = replica.fatal_losses();
     push_list(json, "fatal_losses", fatal, |json, kind| push_json_string(json, kind.name()));
 }
 
 fn push_evacuations(json: &mut String, replica: &Replica<CommandApplication>) {
-    let zones = records::evacuated_zones(replica.committed()).zones;
+    let zones = records::evacuated_zones(replica.committed_records()).zones;
     push_list(json, "evacuated_zones", zones, |json, zone| push_json_string(json, &zone));
 }
 
--- a/programs/balancer/src/command.rs
+++ b/programs/balancer/src/command.rs
@@ -9,7 +9,7 @@
 use clap::{Args, CommandFactory, FromArgMatches, Parser, Subcommand, ValueHint};
 use clap_complete::Shell;
 use serde_json::json;
-use whinspindle_deployment_settings::{Deployment, index};
+use whinspindle_deployment_settings::{Deployment, index_of};
 use whinspindle_operator_file::{OperatorConfig, RULES};
 use whinspindle_routes::{HedgePolicy, Lookup, Route, proof};
 
@@ -161,8 +161,8 @@
         let faults: Vec<_> = faults
             .iter()
             .map(|fault| {
-                json!({"line": fault.line, "column": fault.column, "field": fault.field, "fault": fault.fault,
-                    "wayOut": fault.way_out})
+                json!({"line": fault.line, "column": fault.column, "field": fault.field, "fault": fault.message,
+                    "wayOut": fault.hint})
             })
             .collect();
         println!("{}", json!({"file": name, "good": faults.is_empty(), "faults": faults}));
@@ -182,7 +182,7 @@
         whinspindle_operator_file::render_faults(&line.files.file.display().to_string(), &text, &faults)
     })?;
     let named = |names: &[String], name: &str, what: &str| {
-        index(names, name)
+        index_of(names, name)
             .ok_or_else(|| format!("the settings know no {what} {name:?}; {}", names.join(", ")))
     };
     let product = named(&deployment.products, &line.product, "product")?;
