--- a/balancer/rollout/src/plan.rs
+++ b/balancer/rollout/src/plan.rs
@@ -1,29 +1,31 @@
-//! The plan of a release and its progress: units restart with the new build in waves, each watched before the
-//! next; a rollback goes wave by wave too, the last first.
+//! The plan of a release and its progress. Units restart with the new build in waves, and each wave is
+//! observed before the next one begins. A rollback undoes the waves one by one, the last first.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{RestartRefusal, Unit};
 
-/// The most units of a plan, so that the set of changed ones fits the fleet's record.
+/// The most units of a plan, so that the set of changed units fits the fleet's record.
 pub const MAX_UNITS: usize = 2048;
 
-/// An operator's plan of a release, read from a text that is the same at every member.
+/// An operator's plan of a release, parsed from a text that is the same at every member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// The name that the operator gave it.
+    /// The name of the release, chosen by the operator.
     pub name: String,
-    /// In the order in which they restart.
+    /// The units, in the order in which they restart.
     pub units: Vec<Unit>,
     /// The operator's names of `units`, in the same order.
     pub unit_names: Vec<String>,
-    /// How many units have restarted when each wave is complete; the last is all.
+    /// For each wave, the number of units that have restarted when it is complete. The last wave ends with
+    /// all units.
     pub wave_ends: Vec<usize>,
-    /// How long each wave is watched after its last unit has returned, in microseconds.
+    /// How long each wave is observed after its last unit has returned, in microseconds.
     pub watch_us: u64,
-    /// The chance, over the whole release, that a build as good as the old one is halted, at most.
+    /// The largest probability, over the whole release, of a halt of a build that is as good as the old one.
     pub false_halt_probability: f64,
-    /// The build of changed balancers: one that returns with another counts as unchanged. None: not checked.
+    /// The build of changed balancers; a balancer that returns with another build counts as unchanged. If
+    /// none, builds are not checked.
     pub build: Option<String>,
 }
 
@@ -42,48 +44,49 @@
 pub struct UnitSet(Vec<u64>);
 
 impl UnitSet {
-    /// Whether a unit is in the set.
-    pub fn contains(&self, place: usize) -> bool {
-        self.0.get(place / 64).is_some_and(|word| word >> (place % 64) & 1 == 1)
+    /// Whether the unit with this index is in the set.
+    pub fn contains(&self, index: usize) -> bool {
+        self.0.get(index / 64).is_some_and(|word| word >> (index % 64) & 1 == 1)
     }
 
-    /// Puts a unit into the set, or takes it out. Indices from `MAX_UNITS` on are ignored.
-    pub fn set(&mut self, place: usize, on: bool) {
-        if place >= MAX_UNITS {
+    /// Adds the unit with this index to the set if `is_member` is set, and else removes it. Indices from
+    /// `MAX_UNITS` on are ignored.
+    pub fn set(&mut self, index: usize, is_member: bool) {
+        if index >= MAX_UNITS {
             return;
         }
-        if self.0.len() <= place / 64 {
-            self.0.resize(place / 64 + 1, 0);
+        if self.0.len() <= index / 64 {
+            self.0.resize(index / 64 + 1, 0);
         }
-        let bit = 1 << (place % 64);
-        if on { self.0[place / 64] |= bit } else { self.0[place / 64] &= !bit }
+        let bit = 1 << (index % 64);
+        if is_member { self.0[index / 64] |= bit } else { self.0[index / 64] &= !bit }
     }
 
-    /// The size of the set.
+    /// The number of units in the set.
     pub fn count(&self) -> usize {
         self.0.iter().map(|word| word.count_ones() as usize).sum()
     }
 }
 
-/// How far a release is.
+/// The progress of a release.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress<'a> {
-    /// Its plan.
+    /// The plan of the release.
     pub plan: &'a Plan,
-    /// Its direction.
+    /// The direction of the release.
     pub direction: Direction,
     /// The present wave, from 0.
     pub wave: usize,
-    /// Units that have the new build.
+    /// The units that have the new build.
     pub changed: &'a UnitSet,
-    /// Units that are not in full service.
+    /// The units that are not in full service.
     pub out_of_service: &'a [Unit],
 }
 
-/// What follows a wave that is complete.
+/// The phase of a release after a complete wave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextPhase {
-    /// Another wave.
+    /// Another wave, by its index.
     Wave(usize),
     /// The end of the release.
     Complete,
@@ -92,61 +95,63 @@
 impl Progress<'_> {
     /// The indices of the present wave's units.
     fn units_of_wave(&self) -> std::ops::Range<usize> {
-        let from =
+        let start =
             if self.wave == 0 { 0 } else { self.plan.wave_ends.get(self.wave - 1).copied().unwrap_or(0) };
-        from..self.plan.wave_ends.get(self.wave).copied().unwrap_or(self.plan.units.len())
+        start..self.plan.wave_ends.get(self.wave).copied().unwrap_or(self.plan.units.len())
     }
 
-    /// Whether the unit at this index of the plan may restart now, the limits of the policy aside.
-    pub fn check_restart(&self, place: usize) -> Result<(), RestartRefusal> {
+    /// Checks whether the waves allow the unit at this index of the plan to restart now. The limits of the
+    /// policy are checked by `RestartCheck`.
+    pub fn check_restart(&self, index: usize) -> Result<(), RestartRefusal> {
         let range = self.units_of_wave();
-        match (self.direction, self.changed.contains(place)) {
+        match (self.direction, self.changed.contains(index)) {
             (Direction::Rollout, true) => Err(RestartRefusal::AlreadyChanged),
             (Direction::Rollback, false) => Err(RestartRefusal::NotChanged),
-            (Direction::Rollout, false) if place >= range.end => {
+            (Direction::Rollout, false) if index >= range.end => {
                 Err(RestartRefusal::WaveNotBegun { wave: self.wave })
             }
-            (Direction::Rollback, true) if place < range.start => {
+            (Direction::Rollback, true) if index < range.start => {
                 Err(RestartRefusal::WaveNotBegun { wave: self.wave })
             }
             _ => Ok(()),
         }
     }
 
-    /// What follows the present wave, `watched` microseconds after its last unit returned; none if it goes on.
-    pub fn next_phase(&self, watched: u64) -> Option<NextPhase> {
-        let is_out = |place: usize| self.out_of_service.contains(&self.plan.units[place]);
+    /// The phase after the present wave, `watched_us` microseconds after the wave's last unit returned; none
+    /// while the wave is not complete.
+    pub fn next_phase(&self, watched_us: u64) -> Option<NextPhase> {
+        let is_out = |index: usize| self.out_of_service.contains(&self.plan.units[index]);
         let range = self.units_of_wave();
         match self.direction {
             Direction::Rollout => {
-                let done = (0..range.end).all(|place| self.changed.contains(place) && !is_out(place));
-                let last = self.wave + 1 >= self.plan.wave_ends.len();
-                let next = if last { NextPhase::Complete } else { NextPhase::Wave(self.wave + 1) };
-                (done && watched >= self.plan.watch_us).then_some(next)
+                let is_complete = (0..range.end).all(|index| self.changed.contains(index) && !is_out(index));
+                let is_last = self.wave + 1 >= self.plan.wave_ends.len();
+                let next = if is_last { NextPhase::Complete } else { NextPhase::Wave(self.wave + 1) };
+                (is_complete && watched_us >= self.plan.watch_us).then_some(next)
             }
-            // A rollback doesn't wait to be watched: the bad build in service does more harm.
+            // A rollback doesn't observe its waves, since the bad build in service does more harm than haste.
             Direction::Rollback => {
-                let left = (range.start..self.plan.units.len())
-                    .any(|place| self.changed.contains(place) || is_out(place));
+                let is_incomplete = (range.start..self.plan.units.len())
+                    .any(|index| self.changed.contains(index) || is_out(index));
                 let next = if self.wave == 0 { NextPhase::Complete } else { NextPhase::Wave(self.wave - 1) };
-                (!left).then_some(next)
+                (!is_incomplete).then_some(next)
             }
         }
     }
 }
 
-/// Windows of the test (see `BuildTest`) in the time that a wave is watched: ten or so are enough to find a bad
-/// build, and the effects of one moment must not fall into many.
-const WINDOWS: u64 = 16;
+/// The number of windows of the `BuildTest` while a wave is observed. About ten are enough to detect a bad
+/// build, and with many more the effects of one moment would spread over several windows.
+const WINDOWS_PER_WAVE: u64 = 16;
 
 impl Plan {
-    /// How long a window of the test lasts, in microseconds.
+    /// The duration of a window of the build test, in microseconds.
     pub fn window_us(&self) -> u64 {
-        self.watch_us / WINDOWS
+        self.watch_us / WINDOWS_PER_WAVE
     }
 
     /// The index of a unit in the plan.
     pub fn index_of(&self, unit: Unit) -> Option<usize> {
-        self.units.iter().position(|known| *known == unit)
+        self.units.iter().position(|other| *other == unit)
     }
 }
--- a/balancer/rollout/src/slow.rs
+++ b/balancer/rollout/src/slow.rs
@@ -1,39 +1,40 @@
-//! What counts as slow: longer than the 90th percentile of the last answers to the same product by any server.
-//! Both sides of a comparison use the same threshold, so that a load that slows all moves the threshold and not
-//! the result of the test.
+//! The thresholds of slow answers. An answer is slow if it takes longer than the 90th percentile of the
+//! recent answers for the same product by any server. Changed and unchanged units are compared by the same
+//! threshold, so that load that slows all units down moves the threshold instead of the result of the test.
 
-/// Answers that a threshold is computed from, all new ones each time.
-const ANSWERS: usize = 64;
+/// The number of answers that a threshold is computed from, which are new ones each time.
+const ANSWERS_PER_THRESHOLD: usize = 64;
 /// The index of the 90th percentile among the sorted answers.
-const PERCENTILE_90: usize = ANSWERS * 9 / 10;
+const PERCENTILE_90_INDEX: usize = ANSWERS_PER_THRESHOLD * 9 / 10;
 
 /// The threshold of one product.
 #[derive(Clone, Debug, Default)]
 struct Threshold {
-    /// Answer times since it was last computed, in microseconds.
-    recent: Vec<u64>,
-    /// Longer answers are slow, in microseconds.
-    limit: Option<u64>,
+    /// Answer times since the threshold was last computed, in microseconds.
+    recent_us: Vec<u64>,
+    /// The threshold in microseconds, once it has been computed.
+    limit_us: Option<u64>,
 }
 
-/// The thresholds, by product.
+/// The thresholds of all products, by index.
 #[derive(Clone, Debug, Default)]
 pub struct SlowThresholds(Vec<Threshold>);
 
 impl SlowThresholds {
-    /// Whether an answer that took `spent` microseconds is slow; none is until there were enough answers.
-    pub fn is_slow(&mut self, product: usize, spent: u64) -> bool {
+    /// Whether an answer that took `elapsed_us` microseconds is slow, which none is before there were enough
+    /// answers.
+    pub fn is_slow(&mut self, product: usize, elapsed_us: u64) -> bool {
         if self.0.len() <= product {
             self.0.resize(product + 1, Threshold::default());
         }
         let threshold = &mut self.0[product];
-        let slow = threshold.limit.is_some_and(|limit| spent > limit);
-        threshold.recent.push(spent);
-        if threshold.recent.len() == ANSWERS {
-            threshold.recent.sort_unstable();
-            threshold.limit = Some(threshold.recent[PERCENTILE_90]);
-            threshold.recent.clear();
+        let is_slow = threshold.limit_us.is_some_and(|limit| elapsed_us > limit);
+        threshold.recent_us.push(elapsed_us);
+        if threshold.recent_us.len() == ANSWERS_PER_THRESHOLD {
+            threshold.recent_us.sort_unstable();
+            threshold.limit_us = Some(threshold.recent_us[PERCENTILE_90_INDEX]);
+            threshold.recent_us.clear();
         }
-        slow
+        is_slow
     }
 }
--- a/balancer/rollout/src/verdict.rs
+++ b/balancer/rollout/src/verdict.rs
@@ -1,72 +1,76 @@
-//! Whether the changed units do worse than those not yet changed at the same time: a sequential test that may be
-//! evaluated after every window, as often as one likes, with a stated chance of a false halt.
+//! The test whether changed units do worse than units that are not changed yet at the same time. It is a
+//! sequential test with a stated probability of a false halt, and may be evaluated after every window.
 //!
-//! In each window and stratum (zone and kind) the bad outcomes are counted on both sides. Were the builds
-//! alike, each of them would fall on a changed unit with the chance that this side has in the executions;
-//! drawn without replacement, which is dominated in the convex order by drawing with (W. Hoeffding, 1963,
-//! section 6). So the likelihood ratio against "odds times `FACTORS`" has a mean of one at most, whatever the
-//! load or the failures that hit both sides, and sums of such products that begin at each window with fixed
-//! weights stay under `1 / error` for ever with the stated chance (Ville's inequality; mixtures over the
-//! beginning as in Shiryaev and Roberts' detection).
+//! In each window and stratum (zone and kind) the bad outcomes are counted for changed and unchanged units.
+//! If the builds are equally good, each bad outcome falls on a changed unit with a probability equal to the
+//! share of changed units in the executions. The outcomes are drawn without replacement, which is dominated
+//! in the convex order by drawing with replacement (W. Hoeffding, 1963, section 6). The likelihood ratio
+//! against the odds multiplied by one of `FACTORS` therefore has a mean of at most one, whatever load or
+//! failures affect both sides. Sums of such products that begin at each window with fixed weights ever
+//! exceed `1 / false_halt_probability` with at most that probability (Ville's inequality; mixtures over the
+//! beginning as in the Shiryaev-Roberts procedure).
 //!
-//! Bad outcomes don't come one by one: a server whose queue is long makes all of a moment slow. So those of
-//! one unit in one window pass for one: the logarithm of the ratio is divided by the most that any unit has
-//! in the window, which keeps the mean at one or below for clusters up to that size (Jensen: x to a power
-//! below one is concave).
+//! Bad outcomes come in clusters: a server with a long queue answers all requests of a moment slowly. The bad
+//! outcomes of one unit in one window therefore count as one. The logarithm of the ratio is divided by the
+//! largest number of bad outcomes of any unit in the window, which keeps the mean at one or below for
+//! clusters up to that size (Jensen's inequality: x to a power below one is concave).
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The odds ratios that are tested for. A build that is worse by less than the first is not found, by design.
+/// The odds ratios that are tested for. By design, a build that is worse by less than the first is not
+/// detected.
 const FACTORS: [f64; 3] = [1.5, 3.0, 9.0];
-/// What can be bad about an execution, each tested with its part of the error.
-pub const SYMPTOMS: [&str; 3] = ["fail", "are slow", "are turned away"];
-/// The largest value of a sum or factor, so that their product stays finite.
+/// The kinds of bad outcomes, as verbs of a log line. Each is tested with an equal part of the error
+/// probability.
+pub const SYMPTOMS: [&str; 3] = ["fail", "are slow", "are rejected"];
+/// The largest value of a sum and of a factor, which keeps their product finite.
 const MAX_RATIO: f64 = 1e100;
 
-/// Executions, and the bad ones of each sign.
+/// The number of executions, and of bad outcomes by symptom.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct OutcomeCounts {
-    /// All executions.
+    /// The number of all executions.
     pub executions: u32,
-    /// Those that were bad, by sign.
+    /// The number of bad outcomes, by index in `SYMPTOMS`.
     pub bad: [u32; 3],
 }
 
 impl OutcomeCounts {
-    /// Adds another count.
+    /// Adds other counts to these.
     pub fn add(&mut self, other: OutcomeCounts) {
         self.executions = self.executions.saturating_add(other.executions);
-        self.bad.iter_mut().zip(other.bad).for_each(|(bad, more)| *bad = bad.saturating_add(more));
+        self.bad.iter_mut().zip(other.bad).for_each(|(bad, added)| *bad = bad.saturating_add(added));
     }
 }
 
-/// The stratum of balancers: each reports on itself.
+/// The stratum of balancers, each of which reports on itself.
 pub const BALANCER_STRATUM: u16 = u16::MAX;
 
-/// What one member has observed of one side of one stratum since its last report.
+/// One member's observations, since its last report, of the changed or the unchanged units of a stratum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ObservationRow {
-    /// The zone and kind of the units, as a number; or `BALANCER_STRATUM`.
+    /// The number of the units' zone and kind, or `BALANCER_STRATUM`.
     pub stratum: u16,
-    /// Whether they have the new build.
+    /// Whether the units have the new build.
     pub changed: bool,
-    /// Their counts together.
+    /// The counts of all these units together.
     pub count: OutcomeCounts,
-    /// The most bad outcomes of each sign that one unit has.
+    /// The largest number of bad outcomes of a single unit, by symptom.
     pub max_bad_per_unit: [u32; 3],
 }
 
-/// The rows of one member's report. Takes for each unit its stratum, whether it is changed, and its counts.
+/// The rows of one member's report, from the stratum of each unit, whether the unit is changed, and its
+/// counts.
 pub fn observation_rows(units: impl Iterator<Item = (u16, bool, OutcomeCounts)>) -> Vec<ObservationRow> {
     let mut rows: BTreeMap<(u16, bool), ObservationRow> = BTreeMap::new();
     for (stratum, changed, count) in units.filter(|(_, _, count)| count.executions > 0) {
-        let none =
+        let empty =
             ObservationRow { stratum, changed, count: OutcomeCounts::default(), max_bad_per_unit: [0; 3] };
-        let row = rows.entry((stratum, changed)).or_insert(none);
+        let row = rows.entry((stratum, changed)).or_insert(empty);
         row.count.add(count);
-        row.max_bad_per_unit.iter_mut().zip(count.bad).for_each(|(most, bad)| *most = (*most).max(bad));
+        row.max_bad_per_unit.iter_mut().zip(count.bad).for_each(|(max, bad)| *max = (*max).max(bad));
     }
     rows.into_values().collect()
 }
@@ -74,100 +78,111 @@
 /// The test of a build, run by a voter on the reports of all members.
 #[derive(Clone, Debug)]
 pub struct BuildTest {
-    error: f64,
-    window: u64,
-    /// The counts of this window by member and stratum: of unchanged and of changed units.
+    false_halt_probability: f64,
+    /// The number of windows so far.
+    window_count: u64,
+    /// The counts of unchanged and of changed units in this window, by member and stratum.
     strata: BTreeMap<(u16, u16), [OutcomeCounts; 2]>,
-    /// By stratum and side: an upper bound of one unit's bad outcomes over all members.
-    most: BTreeMap<(u16, bool), [u32; 3]>,
-    /// The sums of likelihood ratios, by sign and factor.
+    /// An upper bound of one unit's bad outcomes over all members, by stratum and whether the unit is
+    /// changed.
+    max_bad_per_unit: BTreeMap<(u16, bool), [u32; 3]>,
+    /// The sums of likelihood ratios, by symptom and factor.
     sums: [[f64; 3]; 3],
-    /// What was counted at changed units.
+    /// The counts of changed units.
     pub changed: OutcomeCounts,
-    /// What was counted at unchanged units.
+    /// The counts of unchanged units.
     pub unchanged: OutcomeCounts,
 }
 
 impl BuildTest {
-    /// A test with this chance of a false halt over the whole release.
-    pub fn new(error: f64) -> BuildTest {
+    /// Creates a test with this probability of a false halt over the whole release.
+    pub fn new(false_halt_probability: f64) -> BuildTest {
         BuildTest {
-            error,
-            window: 0,
+            false_halt_probability,
+            window_count: 0,
             strata: BTreeMap::new(),
-            most: BTreeMap::new(),
+            max_bad_per_unit: BTreeMap::new(),
             sums: [[0.0; 3]; 3],
             changed: OutcomeCounts::default(),
             unchanged: OutcomeCounts::default(),
         }
     }
 
-    /// Takes a row of a member's report. Servers are compared only within one member's observations of one
-    /// window, so that differences of members' clients, zones or time don't look like those of builds; balancers
-    /// are compared with one another.
+    /// Adds a row of a member's report. Servers are compared only within one member's observations of one
+    /// window, so that differences between clients, zones or times are not mistaken for differences between
+    /// builds. Balancers are compared with one another.
     pub fn add_row(&mut self, from: u16, row: ObservationRow) {
         let member = if row.stratum == BALANCER_STRATUM { u16::MAX } else { from };
         let count =
             OutcomeCounts { bad: row.count.bad.map(|bad| bad.min(row.count.executions)), ..row.count };
-        let most = self.most.entry((row.stratum, row.changed)).or_default();
-        for ((known, more), bad) in most.iter_mut().zip(row.max_bad_per_unit).zip(row.count.bad) {
+        let max_bad_per_unit = self.max_bad_per_unit.entry((row.stratum, row.changed)).or_default();
+        for ((max, reported), bad) in max_bad_per_unit.iter_mut().zip(row.max_bad_per_unit).zip(row.count.bad)
+        {
             // All members observe the same servers, but each balancer is a unit of its own.
-            let more = more.min(bad);
-            *known =
-                if row.stratum == BALANCER_STRATUM { (*known).max(more) } else { known.saturating_add(more) };
+            let reported = reported.min(bad);
+            *max = if row.stratum == BALANCER_STRATUM {
+                (*max).max(reported)
+            } else {
+                max.saturating_add(reported)
+            };
         }
         self.strata.entry((member, row.stratum)).or_default()[usize::from(row.changed)].add(count);
     }
 
-    /// Closes the window and evaluates the test: the finding against the build for operators, if there is one.
+    /// Closes the window and evaluates the test. If the build does worse, returns the finding as a text for
+    /// operators.
     pub fn close_window(&mut self) -> Option<String> {
-        self.window += 1;
-        let mut logs = [[0.0; 3]; 3];
-        // Each window counts for itself, however few executions it has. Guards against comparing different times:
-        // when small counts were carried over, one side had the failures of a burst and the other those of
-        // the calm before.
-        let most = std::mem::take(&mut self.most);
+        self.window_count += 1;
+        let mut log_ratios = [[0.0; 3]; 3];
+        // Windows are evaluated separately, however few executions they have. Guards against comparing
+        // different times: with counts carried over, one side can have the failures of a burst and the other
+        // those of the calm before it.
+        let max_bad_per_unit = std::mem::take(&mut self.max_bad_per_unit);
         for ((_, stratum), [unchanged, changed]) in std::mem::take(&mut self.strata) {
             if unchanged.executions == 0 || changed.executions == 0 {
                 continue;
             }
             self.changed.add(changed);
             self.unchanged.add(unchanged);
-            let part = f64::from(changed.executions)
+            let changed_share = f64::from(changed.executions)
                 / (f64::from(changed.executions) + f64::from(unchanged.executions));
-            for (sign, logs) in logs.iter_mut().enumerate() {
-                let of = |changed| most.get(&(stratum, changed)).map_or(0, |most| most[sign]);
-                let cluster = f64::from(of(true).max(of(false)).max(1));
-                let (x, y) = (f64::from(changed.bad[sign]), f64::from(unchanged.bad[sign]));
-                for (log, factor) in logs.iter_mut().zip(FACTORS) {
-                    let whole = factor * part + 1.0 - part;
-                    *log += (x * (factor / whole).ln() - y * whole.ln()) / cluster;
+            for (symptom, log_ratios) in log_ratios.iter_mut().enumerate() {
+                let max_bad =
+                    |changed| max_bad_per_unit.get(&(stratum, changed)).map_or(0, |max| max[symptom]);
+                let cluster_size = f64::from(max_bad(true).max(max_bad(false)).max(1));
+                let (changed_bad, unchanged_bad) =
+                    (f64::from(changed.bad[symptom]), f64::from(unchanged.bad[symptom]));
+                for (log_ratio, factor) in log_ratios.iter_mut().zip(FACTORS) {
+                    let normalizer = factor * changed_share + 1.0 - changed_share;
+                    *log_ratio += (changed_bad * (factor / normalizer).ln()
+                        - unchanged_bad * normalizer.ln())
+                        / cluster_size;
                 }
             }
         }
-        // The weights of all windows as a possible start of the fault add up to one.
-        let weight = 1.0 / (self.window as f64 * (self.window + 1) as f64);
-        let mut against = None;
-        for (sign, sums) in self.sums.iter_mut().enumerate() {
-            for (sum, log) in sums.iter_mut().zip(logs[sign]) {
-                *sum = (*sum + weight) * f64::exp(log).min(MAX_RATIO);
+        // Each window is a possible beginning of the fault; the weights of all windows add up to one.
+        let weight = 1.0 / (self.window_count as f64 * (self.window_count + 1) as f64);
+        let mut worse_symptom = None;
+        for (symptom, sums) in self.sums.iter_mut().enumerate() {
+            for (sum, log_ratio) in sums.iter_mut().zip(log_ratios[symptom]) {
+                *sum = (*sum + weight) * f64::exp(log_ratio).min(MAX_RATIO);
                 *sum = sum.min(MAX_RATIO);
             }
             let mean = sums.iter().sum::<f64>() / FACTORS.len() as f64;
-            if mean >= SYMPTOMS.len() as f64 / self.error && against.is_none() {
-                against = Some(sign);
+            if mean >= SYMPTOMS.len() as f64 / self.false_halt_probability && worse_symptom.is_none() {
+                worse_symptom = Some(symptom);
             }
         }
-        against.map(|sign| {
-            let part = |count: OutcomeCounts| {
-                100.0 * f64::from(count.bad[sign]) / f64::from(count.executions.max(1))
+        worse_symptom.map(|symptom| {
+            let percentage = |count: OutcomeCounts| {
+                100.0 * f64::from(count.bad[symptom]) / f64::from(count.executions.max(1))
             };
             format!(
                 "{:.1}% of {} executions at changed units {}, {:.1}% of {} at the others",
-                part(self.changed),
+                percentage(self.changed),
                 self.changed.executions,
-                SYMPTOMS[sign],
-                part(self.unchanged),
+                SYMPTOMS[symptom],
+                percentage(self.unchanged),
                 self.unchanged.executions
             )
         })
