--- a/balancer/operator-file/tests/operator.rs
+++ b/balancer/operator-file/tests/operator.rs
@@ -117,7 +117,7 @@
         "executions",
         "no execution is left",
     ),
-    ("time = \"500ms\"\nexecution-time = \"400ms\"\nexecutions = 4", 5, "executions", "only 2 can go out"),
+    ("time = \"500ms\"\nexecution-time = \"400ms\"\nexecutions = 4", 5, "executions", "only 2 can be sent"),
 ];
 
 #[test]
--- a/balancer/routes/examples/lookup.rs
+++ b/balancer/routes/examples/lookup.rs
@@ -1,5 +1,5 @@
-//! What finding a query's route costs, by the number of routes: `cargo run --release -p whinspindle-routes --example
-//! lookup`. Absolute figures are this machine's; read the ratios.
+//! Measures the cost of finding a request's route by the number of routes: `cargo run --release -p
+//! whinspindle-routes --example lookup`. The absolute figures depend on the machine; compare the ratios.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -25,13 +25,13 @@
         let targets: Vec<String> =
             (0..64).map(|n| n * 7 % count).map(|n| format!("/s{}/x/p{n}/y/z", n % 50)).collect();
         let cost = |targets: &[String]| {
-            let begun = Instant::now();
+            let started = Instant::now();
             for n in 0..LOOKUPS {
                 let target = &targets[n % targets.len()];
                 let lookup = Lookup { method: "GET", target, product: 0, tenant: 0 };
                 black_box(table.find(&lookup));
             }
-            begun.elapsed().as_nanos() as f64 / LOOKUPS as f64
+            started.elapsed().as_nanos() as f64 / LOOKUPS as f64
         };
         println!("{count:>8} {:>14.0} {:>14.0}", cost(&targets), cost(&["/s0/x/other".to_string()]));
     }
--- a/balancer/routes/src/lib.rs
+++ b/balancer/routes/src/lib.rs
@@ -1,5 +1,6 @@
-//! Routes: the conditions that an operator sets for some of the requests, the table that finds a request's route,
-//! and the proof that no schedule that a route allows can break a rule. No I/O and no clock; times are microseconds.
+//! Routes: the conditions that an operator sets for some of the requests, the table that finds the route of a
+//! request, and the proof that no schedule that a route allows can break a rule. The crate does no I/O and
+//! reads no clock; times are microseconds.
 //!
 //! ```
 //! use whinspindle_routes::pattern::Pattern;
@@ -32,74 +33,75 @@
     pub retries_in_pod: bool,
 }
 
-/// What a route sets for its requests. Times are microseconds.
+/// The conditions that a route sets for its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conditions {
-    /// The time-out of a request, from when it was taken to its final answer.
+    /// The time-out of a request, from its arrival to its final answer.
     pub timeout_us: u64,
     /// The time-out of one execution, from its send to its end.
     pub execution_timeout_us: u64,
-    /// The most executions of a request, the first among them.
+    /// The most executions of a request, including the first.
     pub max_executions: usize,
     /// The outcomes after which a request is retried.
     pub retry_on: RetryOn,
-    /// The wait before a retry.
+    /// The delay before a retry.
     pub retry_delay_us: u64,
-    /// The random part of the wait, as a part of `retry_delay_us` that is added at most.
+    /// The largest random addition to the delay, as a fraction of `retry_delay_us`.
     pub retry_jitter: f64,
     /// When a hedged request is sent.
     pub hedge: HedgePolicy,
-    /// The retry budget, as a part of the route's requests.
+    /// The retry budget, as a fraction of the route's requests.
     pub retry_budget: f64,
     /// The largest body of a request, in bytes.
     pub max_body_bytes: u64,
-    /// The servers that may take it.
+    /// The servers that may take the requests.
     pub servers: ServerSelection,
 }
 
-/// The requests that a route is for.
+/// The requests that a route applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteMatch {
-    /// The method; none for any.
+    /// The method; none for any method.
     pub method: Option<String>,
     /// The paths.
     pub path: Pattern,
-    /// The index of the product in the settings; none for any.
+    /// The index of the product in the settings; none for any product.
     pub product: Option<usize>,
-    /// The index of the tenant in the settings; none for any.
+    /// The index of the tenant in the settings; none for any tenant.
     pub tenant: Option<usize>,
 }
 
 /// A route of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, unique in its file.
+    /// The name, unique in the file.
     pub name: String,
-    /// The requests that it is for.
+    /// The requests that the route applies to.
     pub matches: RouteMatch,
-    /// By product of the settings; they differ only in the defaults that depend on the product.
+    /// The conditions for each product of the settings. They differ only in defaults that depend on the
+    /// product.
     pub conditions: Vec<Conditions>,
 }
 
 impl Route {
-    /// Whether requests of a product can take this route.
+    /// Whether the route can apply to requests for a product.
     pub fn applies_to(&self, product: usize) -> bool {
-        self.matches.product.is_none_or(|only| only == product)
+        self.matches.product.is_none_or(|own| own == product)
     }
 }
 
-/// The settings of a product that the proof needs. Times are microseconds.
+/// The settings of a product that the proof needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProductSettings {
-    /// Whether its requests may run more than once.
+    /// Whether the product's requests may run more than once.
     pub effect: Effect,
     /// How long servers remember a request for deduplication.
     pub deduplication_us: u64,
-    /// How long its clients wait for the final answer.
+    /// How long the product's clients wait for the final answer.
     pub statement_timeout_us: u64,
 }
 
-/// The limits of the deployment that the proof needs. Times are microseconds.
+/// The limits of the deployment that the proof needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeploymentLimits {
     /// The most executions of a request.
@@ -110,9 +112,9 @@
     pub can_cancel: bool,
     /// The time-out for a connection to a server.
     pub connect_timeout_us: u64,
-    /// How late timers fire at most.
+    /// The largest delay of a timer.
     pub tick_us: u64,
-    /// What the network may take to a server beside the connect time-out.
+    /// The largest network delay to a server, in addition to the connection time-out.
     pub network_delay_us: u64,
     /// The largest body of a request, in bytes.
     pub max_body_bytes: u64,
--- a/balancer/routes/src/pattern.rs
+++ b/balancer/routes/src/pattern.rs
@@ -1,45 +1,46 @@
-//! Path patterns of routes: `/orders` (that path alone), `/orders/{id}/items` (any one segment for `{id}`),
-//! `/orders/*` (that path and all below it).
+//! Path patterns of routes: `/orders` matches that path alone, `/orders/{id}/items` any one segment for
+//! `{id}`, and `/orders/*` that path and all below it.
 
 use std::fmt;
 
 /// The most segments of a pattern.
 pub const MAX_SEGMENTS: usize = 32;
 
-/// A segment of a pattern. The variants are ordered from the most specific on.
+/// A segment of a pattern. The most specific variant comes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Segment {
-    /// This very segment.
+    /// Exactly this segment.
     Literal(String),
-    /// Any segment; with the parameter's name.
+    /// Any segment. The value is the parameter's name.
     Parameter(String),
 }
 
-/// The paths that a route is for.
+/// The paths that a route applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern {
-    /// Its segments, without a star at the end.
+    /// The segments, without the star at the end.
     pub segments: Vec<Segment>,
-    /// Whether all paths below match too: the star at the end.
+    /// Whether all paths below match too, which a star at the end says.
     pub is_prefix: bool,
 }
 
-/// Why a text is no pattern.
+/// Why a text is not a valid pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PatternError {
-    /// It doesn't begin with a slash.
+    /// The pattern doesn't begin with a slash.
     NoSlash,
-    /// It has an empty segment.
+    /// The pattern has an empty segment.
     EmptySegment,
-    /// It has a segment `.` or `..`.
+    /// The pattern has a segment `.` or `..`.
     DotSegment,
-    /// It has a query, a fragment, an escape, a blank, or another character that is not plain in a path.
+    /// The pattern has a character that is not allowed in a path, such as that of a query, a fragment, an
+    /// escape or a blank.
     Character(char),
-    /// It has braces that don't enclose a whole segment's name.
+    /// The pattern has braces that don't enclose the name of a whole segment.
     Braces,
-    /// It has a star before its end.
+    /// The pattern has a star before its end.
     MisplacedStar,
-    /// It has more than `MAX_SEGMENTS` segments.
+    /// The pattern has more than `MAX_SEGMENTS` segments.
     TooLong,
 }
 
@@ -48,16 +49,16 @@
         match self {
             PatternError::NoSlash => write!(to, "does not begin with a slash"),
             PatternError::EmptySegment => write!(to, "has an empty segment"),
-            PatternError::DotSegment => write!(to, "has a segment of dots, which no query's path keeps"),
-            PatternError::Character(c) => write!(to, "has {c:?}, which is no plain character of a path"),
-            PatternError::Braces => write!(to, "has braces that do not hold a whole segment's name"),
+            PatternError::DotSegment => write!(to, "has a segment of dots, which no request path keeps"),
+            PatternError::Character(c) => write!(to, "has {c:?}, which is not allowed in a path"),
+            PatternError::Braces => write!(to, "has braces that do not enclose the name of a whole segment"),
             PatternError::MisplacedStar => write!(to, "has a star that is not its last segment"),
-            PatternError::TooLong => write!(to, "has over {MAX_SEGMENTS} segments"),
+            PatternError::TooLong => write!(to, "has more than {MAX_SEGMENTS} segments"),
         }
     }
 }
 
-fn plain(c: char) -> bool {
+fn is_path_character(c: char) -> bool {
     c.is_ascii_alphanumeric() || "-._~!$&'()+,;=:@".contains(c)
 }
 
@@ -73,49 +74,50 @@
         if parts.len() > MAX_SEGMENTS {
             return Err(PatternError::TooLong);
         }
-        for (n, part) in parts.iter().enumerate() {
+        for (index, part) in parts.iter().enumerate() {
             if *part == "*" {
-                if n + 1 < parts.len() {
+                if index + 1 < parts.len() {
                     return Err(PatternError::MisplacedStar);
                 }
                 pattern.is_prefix = true;
                 continue;
             }
-            pattern.segments.push(segment(part)?);
+            pattern.segments.push(parse_segment(part)?);
         }
         Ok(pattern)
     }
 
-    /// Whether the path of a request target matches. Segments with an escape never match a literal: servers and
-    /// balancers may decode them differently.
+    /// Whether the path of a request target matches. A segment with an escape never matches a literal, since
+    /// servers and balancers may decode it differently.
     pub fn matches(&self, path: &str) -> bool {
         let Some(parts) = split_target(path) else { return false };
-        let enough = if self.is_prefix {
+        let has_length = if self.is_prefix {
             parts.len() >= self.segments.len()
         } else {
             parts.len() == self.segments.len()
         };
-        enough
+        has_length
             && self.segments.iter().zip(&parts).all(|(segment, part)| match segment {
                 Segment::Literal(literal) => literal == part,
                 Segment::Parameter(_) => true,
             })
     }
 
-    /// Whether both match the same paths: they are equal but for the names of parameters.
+    /// Whether both patterns match the same paths, which they do if they differ only in the names of
+    /// parameters.
     pub fn has_same_paths(&self, other: &Pattern) -> bool {
-        let alike = |a: &Segment, b: &Segment| match (a, b) {
+        let is_equivalent = |a: &Segment, b: &Segment| match (a, b) {
             (Segment::Literal(a), Segment::Literal(b)) => a == b,
             (Segment::Parameter(_), Segment::Parameter(_)) => true,
             _ => false,
         };
         self.is_prefix == other.is_prefix
             && self.segments.len() == other.segments.len()
-            && self.segments.iter().zip(&other.segments).all(|(a, b)| alike(a, b))
+            && self.segments.iter().zip(&other.segments).all(|(a, b)| is_equivalent(a, b))
     }
 }
 
-fn segment(part: &str) -> Result<Segment, PatternError> {
+fn parse_segment(part: &str) -> Result<Segment, PatternError> {
     if part.is_empty() {
         return Err(PatternError::EmptySegment);
     }
@@ -123,9 +125,13 @@
         return Err(PatternError::DotSegment);
     }
     if let Some(name) = part.strip_prefix('{').and_then(|part| part.strip_suffix('}')) {
-        let named =
+        let is_valid_name =
             !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || c == '_' || c == '-');
-        return if named { Ok(Segment::Parameter(name.to_string())) } else { Err(PatternError::Braces) };
+        return if is_valid_name {
+            Ok(Segment::Parameter(name.to_string()))
+        } else {
+            Err(PatternError::Braces)
+        };
     }
     if part.contains(['{', '}']) {
         return Err(PatternError::Braces);
@@ -133,14 +139,14 @@
     if part.contains('*') {
         return Err(PatternError::MisplacedStar);
     }
-    match part.chars().find(|c| !plain(*c)) {
+    match part.chars().find(|c| !is_path_character(*c)) {
         Some(c) => Err(PatternError::Character(c)),
         None => Ok(Segment::Literal(part.to_string())),
     }
 }
 
-/// The segments of a request target's path, without its query; none for a path that others may resolve to another
-/// one: with segments of dots, plain or escaped.
+/// The segments of a request target's path, without its query. None for a path with segments of dots, plain
+/// or escaped, since a server may resolve it to another path.
 pub fn split_target(target: &str) -> Option<Vec<&str>> {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let rest = path.strip_prefix('/')?;
@@ -148,11 +154,11 @@
         return Some(Vec::new());
     }
     let parts: Vec<&str> = rest.split('/').collect();
-    let dots = |part: &&str| {
-        let plain = part.to_ascii_lowercase().replace("%2e", ".");
-        plain == "." || plain == ".."
+    let is_dots = |part: &&str| {
+        let decoded = part.to_ascii_lowercase().replace("%2e", ".");
+        decoded == "." || decoded == ".."
     };
-    if parts.iter().any(dots) { None } else { Some(parts) }
+    if parts.iter().any(is_dots) { None } else { Some(parts) }
 }
 
 impl fmt::Display for Pattern {
--- a/balancer/routes/src/proof.rs
+++ b/balancer/routes/src/proof.rs
@@ -1,7 +1,8 @@
-//! The proof of routes when they are loaded: the worst schedule that a route allows is checked against the rules.
+//! The proof of routes when they are loaded. The worst schedule that a route allows is checked against the
+//! rules.
 //!
-//! A route that passes `prove` can't break a rule whatever the servers do. For one that fails each `Refusal` has the
-//! check, the calculation and the nearest value that would pass.
+//! A route that passes `prove` can't break a rule whatever the servers do. For a route that fails, each
+//! `Refusal` has the check, the calculation and the nearest value that would pass.
 
 mod checks;
 mod schedule;
@@ -12,7 +13,7 @@
 
 pub use schedule::{Schedule, worst_schedule};
 
-/// The value of a route that a refusal is about: see `Conditions`.
+/// The field of `Conditions` that a refusal is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
     /// `timeout_us`.
@@ -35,26 +36,26 @@
     Servers,
 }
 
-/// One check of the proof, named by what it refuses or limits. Tests leave each out to show that it is needed.
+/// One check of the proof. Tests leave each one out to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
-    /// An answer after the product's statement timeout.
+    /// Refuses an answer after the product's statement timeout.
     AnswerTimeout,
-    /// An execution that lasts longer than its request.
+    /// Refuses an execution that lasts longer than its request.
     ExecutionTimeout,
-    /// More executions than the deployment allows.
+    /// Refuses more executions than the deployment allows.
     ExecutionCount,
-    /// A second execution of a non-idempotent request.
+    /// Refuses a second execution of a non-idempotent request.
     NonIdempotent,
-    /// A retry after the servers' deduplication has forgotten the first execution.
+    /// Refuses a retry that arrives after the servers have forgotten the first execution.
     DeduplicationSpan,
-    /// A retry at servers that don't deduplicate with those of the first execution.
+    /// Refuses a retry at servers that don't know the first execution.
     DeduplicationScope,
-    /// Two executions in flight together.
+    /// Refuses two executions in flight at the same time, if the deployment does not allow them.
     Overlap,
-    /// A body larger than the deployment takes.
+    /// Refuses a body larger than the deployment takes.
     BodySize,
-    /// Retries that no execution is left for, or executions that there is no time for.
+    /// Refuses retries without an execution left for them, and executions without time for them.
     Feasibility,
 }
 
@@ -72,7 +73,7 @@
 ];
 
 impl Check {
-    /// The number of the rule that a refused route could break; 0 if it is only senseless or too large.
+    /// The number of the rule that a refused route could break; 0 if it could break none.
     pub fn rule(self) -> u8 {
         match self {
             Check::AnswerTimeout | Check::ExecutionTimeout => 1,
@@ -89,11 +90,11 @@
 /// Why a route is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The check that refuses it.
+    /// The check that refuses the route.
     pub check: Check,
-    /// The value at fault.
+    /// The field at fault.
     pub field: Field,
-    /// What is wrong, with the calculation where there is one.
+    /// What is wrong, with the calculation if there is one.
     pub fault: String,
     /// The nearest value that would pass.
     pub suggestion: String,
@@ -106,16 +107,16 @@
 }
 
 /// Checks the conditions of a route for the requests of one product.
-pub fn prove(conditions: &Conditions, product: &ProductSettings, bounds: &DeploymentLimits) -> Vec<Refusal> {
-    ALL_CHECKS.iter().flat_map(|&check| run_check(check, conditions, product, bounds)).collect()
+pub fn prove(conditions: &Conditions, product: &ProductSettings, limits: &DeploymentLimits) -> Vec<Refusal> {
+    ALL_CHECKS.iter().flat_map(|&check| run_check(check, conditions, product, limits)).collect()
 }
 
-/// The same by one check alone.
+/// Checks the conditions of a route for the requests of one product by one check alone.
 pub fn run_check(
     check: Check,
     conditions: &Conditions,
     product: &ProductSettings,
-    bounds: &DeploymentLimits,
+    limits: &DeploymentLimits,
 ) -> Vec<Refusal> {
-    checks::refusals(check, conditions, product, bounds)
+    checks::refusals(check, conditions, product, limits)
 }
--- a/balancer/routes/src/proof/checks.rs
+++ b/balancer/routes/src/proof/checks.rs
@@ -1,4 +1,4 @@
-//! The checks of the proof, a function each.
+//! The checks of the proof, one function each.
 
 use whinspindle::host::{Effect, ServerScope};
 
@@ -10,28 +10,28 @@
     check: Check,
     conditions: &Conditions,
     product: &ProductSettings,
-    bounds: &DeploymentLimits,
+    limits: &DeploymentLimits,
 ) -> Vec<Refusal> {
     let mut proof = Proof {
         check,
         conditions,
         product,
-        bounds,
-        schedule: worst_schedule(conditions, bounds),
-        retries: conditions.max_executions > 1 && conditions.retry_on.allows_after_possible_run(),
-        hedges: conditions.hedge != HedgePolicy::Never,
+        limits,
+        schedule: worst_schedule(conditions, limits),
+        has_retries: conditions.max_executions > 1 && conditions.retry_on.allows_after_possible_run(),
+        has_hedging: conditions.hedge != HedgePolicy::Never,
         refusals: Vec::new(),
     };
     match check {
-        Check::AnswerTimeout => proof.answer_in_time(),
-        Check::ExecutionTimeout => proof.execution_in_time(),
-        Check::ExecutionCount => proof.executions(),
-        Check::NonIdempotent => proof.non_idempotent(),
-        Check::DeduplicationSpan => proof.memory(),
-        Check::DeduplicationScope => proof.scope(),
-        Check::Overlap => proof.overlap(),
-        Check::BodySize => proof.body(),
-        Check::Feasibility => proof.sense(),
+        Check::AnswerTimeout => proof.check_answer_timeout(),
+        Check::ExecutionTimeout => proof.check_execution_timeout(),
+        Check::ExecutionCount => proof.check_execution_count(),
+        Check::NonIdempotent => proof.check_non_idempotent(),
+        Check::DeduplicationSpan => proof.check_deduplication_span(),
+        Check::DeduplicationScope => proof.check_deduplication_scope(),
+        Check::Overlap => proof.check_overlap(),
+        Check::BodySize => proof.check_body_size(),
+        Check::Feasibility => proof.check_feasibility(),
     }
     proof.refusals
 }
@@ -41,132 +41,137 @@
     check: Check,
     conditions: &'a Conditions,
     product: &'a ProductSettings,
-    bounds: &'a DeploymentLimits,
+    limits: &'a DeploymentLimits,
     schedule: Schedule,
     /// Whether a request may be retried after an execution that may have run.
-    retries: bool,
+    has_retries: bool,
     /// Whether hedged requests are sent.
-    hedges: bool,
+    has_hedging: bool,
     refusals: Vec<Refusal>,
 }
 
 impl Proof<'_> {
-    fn refuse(&mut self, field: Field, fault: impl Into<String>, way_out: impl Into<String>) {
+    fn refuse(&mut self, field: Field, fault: impl Into<String>, suggestion: impl Into<String>) {
         self.refusals.push(Refusal {
             check: self.check,
             field,
             fault: fault.into(),
-            suggestion: way_out.into(),
+            suggestion: suggestion.into(),
         });
     }
 
-    fn answer_in_time(&mut self) {
-        let (time, tick) = (self.conditions.timeout_us, self.bounds.tick_us);
+    fn check_answer_timeout(&mut self) {
+        let (timeout_us, tick_us) = (self.conditions.timeout_us, self.limits.tick_us);
         let statement_timeout = self.product.statement_timeout_us;
-        if time + tick > statement_timeout {
-            let sum = format!("time {} and a tick of {}", ms(time), ms(tick));
-            let owed = format!("is answered after the {} that clients wait", ms(statement_timeout));
-            let most = statement_timeout.saturating_sub(tick);
-            self.refuse(Field::Timeout, format!("{sum}: {owed}"), format!("at most {}", ms(most)));
+        if timeout_us + tick_us > statement_timeout {
+            let sum = format!("time {} and a tick of {}", ms(timeout_us), ms(tick_us));
+            let excess = format!("the answer comes after the {} that clients wait", ms(statement_timeout));
+            let longest = statement_timeout.saturating_sub(tick_us);
+            self.refuse(Field::Timeout, format!("{sum}: {excess}"), format!("at most {}", ms(longest)));
         }
     }
 
-    fn execution_in_time(&mut self) {
-        let Conditions { timeout_us: time, execution_timeout_us: execution_time, .. } = *self.conditions;
-        if execution_time > time {
-            let fault = format!("an execution of {} outlives its query of {}", ms(execution_time), ms(time));
-            self.refuse(Field::ExecutionTimeout, fault, format!("at most {}", ms(time)));
+    fn check_execution_timeout(&mut self) {
+        let Conditions { timeout_us, execution_timeout_us, .. } = *self.conditions;
+        if execution_timeout_us > timeout_us {
+            let fault = format!(
+                "an execution of {} is longer than its request of {}",
+                ms(execution_timeout_us),
+                ms(timeout_us)
+            );
+            self.refuse(Field::ExecutionTimeout, fault, format!("at most {}", ms(timeout_us)));
         }
     }
 
-    fn executions(&mut self) {
-        let (executions, allowed) = (self.conditions.max_executions, self.bounds.max_executions);
+    fn check_execution_count(&mut self) {
+        let (executions, allowed) = (self.conditions.max_executions, self.limits.max_executions);
         if executions > allowed {
             let fault = format!("{executions} executions where the deployment allows {allowed}");
             self.refuse(Field::MaxExecutions, fault, format!("at most {allowed}"));
         }
     }
 
-    fn non_idempotent(&mut self) {
+    fn check_non_idempotent(&mut self) {
         if self.product.effect != Effect::NonIdempotent {
             return;
         }
-        if self.retries {
-            let fault = "a non-idempotent query is sent again though it may have run";
+        if self.has_retries {
+            let fault = "a non-idempotent request is retried though it may have run";
             self.refuse(Field::RetryOn, fault, "repeat only after outcomes that never ran");
         }
-        if self.hedges {
-            let fault = "a non-idempotent query has a second copy";
+        if self.has_hedging {
+            let fault = "a non-idempotent request is hedged by a second copy";
             self.refuse(Field::Hedge, fault, "leave it out");
         }
     }
 
-    fn memory(&mut self) {
-        // The servers' memory counts from the send of the first execution; the last must arrive before it ends.
-        let deduplicated =
-            matches!(self.product.effect, Effect::Deduplicated(_)) && (self.retries || self.hedges);
-        if deduplicated && self.schedule.last_arrival_us >= self.product.deduplication_us {
+    fn check_deduplication_span(&mut self) {
+        // Servers remember a request from the send of its first execution; the last must arrive within that
+        // time.
+        let is_deduplicated =
+            matches!(self.product.effect, Effect::Deduplicated(_)) && (self.has_retries || self.has_hedging);
+        if is_deduplicated && self.schedule.last_arrival_us >= self.product.deduplication_us {
             let last_send = self.schedule.send_times_us.last().copied().unwrap_or(0);
             let fault = format!(
-                "execution {} goes out at {} and arrives by {}, where repeats are forgotten after {}",
+                "execution {} is sent at {} and arrives by {}, where repeats are forgotten after {}",
                 self.schedule.send_times_us.len(),
                 ms(last_send),
                 ms(self.schedule.last_arrival_us),
                 ms(self.product.deduplication_us)
             );
-            let way_out = nearest_execution_time(self.conditions, self.product, self.bounds);
-            self.refuse(Field::ExecutionTimeout, fault, way_out);
+            let suggestion = nearest_execution_timeout(self.conditions, self.product, self.limits);
+            self.refuse(Field::ExecutionTimeout, fault, suggestion);
         }
     }
 
-    fn scope(&mut self) {
+    fn check_deduplication_scope(&mut self) {
         let servers = &self.conditions.servers;
-        let (scope, inside) = match self.product.effect {
+        let (scope, is_within) = match self.product.effect {
             Effect::Deduplicated(ServerScope::Zone) => {
                 ("zone", servers.retries_in_zone || servers.retries_in_pod)
             }
             Effect::Deduplicated(ServerScope::Cell) => ("pod", servers.retries_in_pod),
             _ => return,
         };
-        if (self.retries || self.hedges) && !inside {
-            let fault = format!("a repeat may leave the {scope} whose servers know the first");
+        if (self.has_retries || self.has_hedging) && !is_within {
+            let fault = format!("a repeat may leave the {scope} whose servers remember the first execution");
             self.refuse(Field::Servers, fault, format!("repeats = \"{scope}\""));
         }
     }
 
-    fn overlap(&mut self) {
-        if self.bounds.allow_hedging {
+    fn check_overlap(&mut self) {
+        if self.limits.allow_hedging {
             return;
         }
-        if self.hedges {
+        if self.has_hedging {
             let fault = "second copies are not allowed by the deployment";
             self.refuse(Field::Hedge, fault, "leave it out");
         }
-        let retries_time_outs = self.conditions.retry_on.timed_out && self.conditions.max_executions > 1;
-        if retries_time_outs && !self.bounds.can_cancel {
-            let fault = "an execution that has timed out is still out, as the deployment can't call it off";
+        let retries_timeouts = self.conditions.retry_on.timed_out && self.conditions.max_executions > 1;
+        if retries_timeouts && !self.limits.can_cancel {
+            let fault = "an execution may still run after its time-out, as the deployment can't cancel it";
             self.refuse(Field::RetryOn, fault, "not after \"timed-out\"");
         }
     }
 
-    fn body(&mut self) {
-        let (largest, taken) = (self.conditions.max_body_bytes, self.bounds.max_body_bytes);
-        if largest > taken {
-            let fault = format!("{largest} bytes, where the deployment takes {taken}");
-            self.refuse(Field::MaxBody, fault, format!("at most {taken} B"));
+    fn check_body_size(&mut self) {
+        let (largest, allowed) = (self.conditions.max_body_bytes, self.limits.max_body_bytes);
+        if largest > allowed {
+            let fault = format!("{largest} bytes, where the deployment takes {allowed}");
+            self.refuse(Field::MaxBody, fault, format!("at most {allowed} B"));
         }
     }
 
-    fn sense(&mut self) {
+    fn check_feasibility(&mut self) {
         let executions = self.conditions.max_executions;
-        if executions == 1 && (self.conditions.retry_on != RetryOn::NONE || self.hedges) {
+        if executions == 1 && (self.conditions.retry_on != RetryOn::NONE || self.has_hedging) {
             let fault = "repeats are set, but no execution is left for them";
             self.refuse(Field::MaxExecutions, fault, "at least 2");
         }
         let possible = self.schedule.send_times_us.len();
         if executions > possible {
-            let time = ms(self.conditions.timeout_us);
-            let fault = format!("of {executions} executions only {possible} can go out within {time}");
+            let timeout = ms(self.conditions.timeout_us);
+            let fault = format!("of {executions} executions only {possible} can be sent within {timeout}");
             self.refuse(Field::MaxExecutions, fault, format!("at most {possible}"));
         }
     }
@@ -176,21 +181,22 @@
     format!("{:.3} ms", us as f64 / 1e3)
 }
 
-/// The longest execution time with which the last retry still arrives while the first execution is remembered.
-fn nearest_execution_time(
+/// The longest execution time-out with which the last retry still arrives while the first execution is
+/// remembered.
+fn nearest_execution_timeout(
     conditions: &Conditions,
     product: &ProductSettings,
-    bounds: &DeploymentLimits,
+    limits: &DeploymentLimits,
 ) -> String {
-    let passes = |execution_time: u64| {
-        let tried = Conditions { execution_timeout_us: execution_time, ..conditions.clone() };
-        worst_schedule(&tried, bounds).last_arrival_us < product.deduplication_us
+    let passes = |execution_timeout_us: u64| {
+        let changed = Conditions { execution_timeout_us, ..conditions.clone() };
+        worst_schedule(&changed, limits).last_arrival_us < product.deduplication_us
     };
     if !passes(1) {
         return "fewer executions, or a shorter wait".to_string();
     }
-    // The values that pass need not be contiguous, since fewer executions fit with longer ones; bisection finds
-    // a value that passes where the next one doesn't.
+    // The values that pass need not be contiguous, since fewer executions fit with longer ones; bisection
+    // finds a value that passes where the next one doesn't.
     let (mut low, mut high) = (1, conditions.execution_timeout_us);
     while high - low > 1 {
         let middle = low + (high - low) / 2;
--- a/balancer/routes/tests/common/mod.rs
+++ b/balancer/routes/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A valid route and the bounds of a deployment, for the cases to change.
+//! A valid route and the limits of a deployment, which the test cases change.
 
 use whinspindle::host::{Effect, ServerScope};
 use whinspindle_routes::pattern::Pattern;
@@ -12,7 +12,7 @@
 pub const S: u64 = 1_000_000;
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
-pub fn bounds() -> DeploymentLimits {
+pub fn deployment_limits() -> DeploymentLimits {
     DeploymentLimits {
         max_executions: 4,
         allow_hedging: false,
@@ -25,7 +25,7 @@
 }
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
-pub fn order() -> ProductSettings {
+pub fn order_product() -> ProductSettings {
     ProductSettings {
         effect: Effect::Deduplicated(ServerScope::All),
         deduplication_us: 5 * S,
--- a/balancer/routes/tests/table.rs
+++ b/balancer/routes/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables of cases: which route a request takes, which routes tie, and which patterns are refused.
+//! Tables of cases: the route of a request, ties between routes, and invalid patterns.
 
 mod common;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_most_specific_route_wins() {
+fn most_specific_route_wins() {
     let table = RouteTable::new(routes());
     let cases: &[(&str, &str, usize, usize, Option<&str>)] = &[
         ("GET", "/", 0, 0, Some("all")),
@@ -39,30 +39,30 @@
         ("GET", "/api/orders/new", 0, 2, Some("tenant")),
         ("GET", "/api/orders/new", 1, 2, Some("both")),
         ("GET", "/api/orders/new", 0, 0, Some("orders")),
-        // A literal that leads nowhere does not hide a name beside it.
+        // A literal without a complete match doesn't hide a parameter beside it.
         ("GET", "/a/b/c", 0, 0, Some("deep")),
         ("GET", "/a/b/d", 0, 0, Some("literal")),
-        // An escape is never taken for the literal that it may stand for.
+        // An escape never matches the literal that it may stand for.
         ("GET", "/%61pi", 0, 0, Some("all")),
         ("GET", "/a/%62/c", 0, 0, Some("deep")),
         ("GET", "/api/orders/%2F/items", 0, 0, Some("item")),
         ("GET", "/API", 0, 0, Some("all")),
-        // What could mean another path elsewhere has no route.
+        // A path that a server may resolve to another one has no route.
         ("GET", "/api/../admin", 0, 0, None),
         ("GET", "/api/%2e%2E/admin", 0, 0, None),
         ("GET", "/api/./orders", 0, 0, None),
         ("GET", "api", 0, 0, None),
         ("GET", "", 0, 0, None),
     ];
-    for (method, target, product, tenant, wanted) in cases {
+    for (method, target, product, tenant, expected) in cases {
         let lookup = Lookup { method, target, product: *product, tenant: *tenant };
         let found = table.find(&lookup).map(|number| table.routes()[number].name.as_str());
-        assert_eq!(found, *wanted, "{method} {target}, product {product}, tenant {tenant}");
+        assert_eq!(found, *expected, "{method} {target}, product {product}, tenant {tenant}");
     }
 }
 
 #[test]
-fn the_order_in_the_file_does_not_matter() {
+fn order_in_the_file_does_not_matter() {
     let (forward, mut backward) = (routes(), routes());
     backward.reverse();
     let (forward, backward) = (RouteTable::new(forward), RouteTable::new(backward));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn routes_that_tie_are_reported() {
+fn ties_are_reported() {
     let cases: &[(Vec<Route>, &[Tie])] = &[
         (routes(), &[]),
         (
@@ -92,14 +92,14 @@
         (vec![route("a", None, "/x", None, None), route("b", None, "/x/*", None, None)], &[]),
         (vec![route("a", Some("GET"), "/x", None, None), route("b", Some("PUT"), "/x", None, None)], &[]),
     ];
-    for (routes, wanted) in cases {
+    for (routes, expected) in cases {
         let names: Vec<String> = routes.iter().map(|route| route.name.clone()).collect();
-        assert_eq!(RouteTable::new(routes.clone()).ties(), *wanted, "{names:?}");
+        assert_eq!(RouteTable::new(routes.clone()).ties(), *expected, "{names:?}");
     }
 }
 
 #[test]
-fn patterns_are_read_or_refused_with_a_reason() {
+fn invalid_patterns_are_refused_with_an_error() {
     let cases = [
         ("/", Ok("/")),
         ("/*", Ok("/*")),
@@ -120,44 +120,45 @@
         ("/*/a", Err(PatternError::MisplacedStar)),
         ("/a*", Err(PatternError::MisplacedStar)),
     ];
-    for (text, wanted) in cases {
-        let read = Pattern::parse(text).map(|pattern| pattern.to_string());
-        assert_eq!(read, wanted.map(str::to_string), "{text}");
+    for (text, expected) in cases {
+        let parsed = Pattern::parse(text).map(|pattern| pattern.to_string());
+        assert_eq!(parsed, expected.map(str::to_string), "{text}");
     }
     assert_eq!(Pattern::parse(&"/a".repeat(33)), Err(PatternError::TooLong));
 }
 
 #[test]
-fn the_tree_finds_what_a_linear_search_finds() {
+fn tree_lookup_agrees_with_a_linear_search() {
     let mut bits = 7u64;
-    let mut below = |n: usize| {
+    let mut random_below = |n: usize| {
         bits = bits.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
         (bits >> 33) as usize % n
     };
     let words = ["a", "b", "c", "{x}"];
     let mut routes = Vec::new();
     for n in 0..2_000 {
-        let mut path: String = (0..below(6)).map(|_| format!("/{}", words[below(4)])).collect();
-        if below(2) == 0 || path.is_empty() {
+        let mut path: String = (0..random_below(6)).map(|_| format!("/{}", words[random_below(4)])).collect();
+        if random_below(2) == 0 || path.is_empty() {
             path.push_str("/*");
         }
-        let method = [None, Some("GET"), Some("POST")][below(3)];
-        let product = (below(2) == 0).then(|| below(3));
+        let method = [None, Some("GET"), Some("POST")][random_below(3)];
+        let product = (random_below(2) == 0).then(|| random_below(3));
         routes.push(route(&n.to_string(), method, &path, product, None));
     }
     let table = RouteTable::new(routes);
     for _ in 0..5_000 {
-        let target: String = (0..below(7)).map(|_| format!("/{}", ["a", "b", "c", "d"][below(4)])).collect();
+        let target: String =
+            (0..random_below(7)).map(|_| format!("/{}", ["a", "b", "c", "d"][random_below(4)])).collect();
         let target = if target.is_empty() { "/".to_string() } else { target };
-        let (method, product) = (["GET", "POST"][below(2)], below(3));
+        let (method, product) = (["GET", "POST"][random_below(2)], random_below(3));
         let lookup = Lookup { method, target: &target, product, tenant: 0 };
         let found = table.find(&lookup);
-        let fits = |route: &Route| {
+        let matches = |route: &Route| {
             route.matches.path.matches(&target)
                 && route.matches.method.as_deref().is_none_or(|m| m == method)
                 && route.matches.product.is_none_or(|p| p == product)
         };
-        assert_eq!(found.is_some(), table.routes().iter().any(fits), "{method} {target}");
-        assert!(found.is_none_or(|number| fits(&table.routes()[number])), "{method} {target}");
+        assert_eq!(found.is_some(), table.routes().iter().any(matches), "{method} {target}");
+        assert!(found.is_none_or(|number| matches(&table.routes()[number])), "{method} {target}");
     }
 }
