--- a/balancer/fleet-policy/src/record/step.rs
+++ b/balancer/fleet-policy/src/record/step.rs
@@ -1,76 +1,77 @@
-//! The transitions of the record. A voter proposes a `Step`; `Record::after` applies it, or answers that it no
-//! longer applies.
+//! The transitions of the record. A voter proposes a `Step`, and `Record::apply_step` applies it to the
+//! record unless it no longer applies.
 
 use serde::{Deserialize, Serialize};
 use whinspindle_consensus::Voter;
-use whinspindle_rollout::{Direction, Places, Unit};
+use whinspindle_rollout::{Direction, Unit, UnitSet};
 
 use super::{
-    Change, ChangeOutcome, Close, Halt, Hash, Out, Past, PastRelease, Policy, Record, Release, RequestId,
+    Change, ChangeOutcome, Halt, Hash, PastChange, PastRelease, Policy, Record, Release, ReleaseOutcome,
+    RequestId, RestartGrant,
 };
 
-/// Requests about units, releases and voters that are remembered as carried out.
-const MAX_DONE_REQUESTS: usize = 32;
-/// How many ended changes the record keeps.
+/// The number of requests about units, releases and voters that are remembered as carried out.
+const MAX_COMPLETED_REQUESTS: usize = 32;
+/// The number of ended changes that the record keeps.
 const MAX_PAST_CHANGES: usize = 8;
-/// How many ended releases it keeps.
+/// The number of ended releases that the record keeps.
 const MAX_PAST_RELEASES: usize = 4;
-/// After a bootstrap from an older record, policy numbers go on at the next multiple of this.
-const NUMBERS_PER_BOOTSTRAP: u64 = 1000;
+/// After a bootstrap from an older record, policy numbers continue at the next multiple of this.
+const POLICY_NUMBERS_PER_BOOTSTRAP: u64 = 1000;
 
 /// One step of the record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Step {
-    /// Changes nothing: only completes a step that another voter has begun.
+    /// Completes a step that another voter has begun, without a change of its own.
     Finish,
     /// The first agreement of the voters.
     Bootstrap {
         /// The id of this bootstrap.
         bootstrap_id: u64,
-        /// What is known from an earlier bootstrap; the empty record if there was none.
+        /// The record from before this bootstrap; the empty record at the first one.
         base: Box<Record>,
     },
     /// A change of policy begins.
     Propose {
-        /// Of the policy's text.
+        /// The hash of the policy's text.
         hash: Hash,
-        /// Of the policy's text, in bytes.
+        /// The length of the policy's text in bytes.
         length: u32,
         /// The request for it.
         request_id: RequestId,
     },
     /// The change under way ends.
-    End {
-        /// The number of its policy.
+    EndChange {
+        /// The number of the proposed policy.
         number: u64,
-        /// How it ends.
+        /// How the change ends.
         outcome: ChangeOutcome,
     },
     /// A unit may leave service to be restarted.
     Grant {
-        /// The unit and the request for it.
-        out: Out,
+        /// The grant, with the unit and the request for it.
+        grant: RestartGrant,
     },
     /// A unit is in service again.
-    Back {
+    Return {
         /// The unit.
         unit: Unit,
-        /// The request that says so.
+        /// The request that reports the return.
         request_id: RequestId,
-        /// Whether it has the build that it was restarted for.
+        /// Whether the unit has the build that it was restarted for.
         done: bool,
     },
     /// A release begins.
-    Release {
-        /// Of the plan's text.
+    BeginRelease {
+        /// The hash of the plan's text.
         hash: Hash,
-        /// Of the plan's text, in bytes.
+        /// The length of the plan's text in bytes.
         length: u32,
         /// The request for it.
         request_id: RequestId,
     },
-    /// The release goes on to another wave.
-    Wave {
+    /// The release advances to another wave.
+    AdvanceWave {
         /// The number of the release.
         number: u64,
         /// The wave that is complete.
@@ -79,47 +80,47 @@
         to: u16,
     },
     /// The release is rolled back.
-    Turn {
+    RollBack {
         /// The number of the release.
         number: u64,
         /// The request for it.
         request_id: RequestId,
     },
     /// The release ends.
-    Close {
+    EndRelease {
         /// The number of the release.
         number: u64,
-        /// How it ends.
-        close: Close,
-        /// The request for it; none where its last wave is complete.
+        /// How the release ends.
+        outcome: ReleaseOutcome,
+        /// The request for it; none if the release ends since its last wave is complete.
         request_id: Option<RequestId>,
     },
-    /// No unit is granted leave any more.
+    /// No restart is granted any more.
     Halt {
-        /// The request and its cause.
+        /// The halt, with its request and cause.
         halt: Halt,
     },
-    /// Units are granted leave again.
+    /// Restarts are granted again.
     Resume {
         /// The request for it.
         request_id: RequestId,
     },
-    /// One voter is replaced by another; both voter sets vote until `Settle`.
-    Replace {
+    /// One voter is replaced by another. Both voter sets vote until `SettleVoters`.
+    ReplaceVoter {
         /// The voter that leaves.
         old: Voter,
-        /// The voter that takes its seat.
+        /// The voter that replaces it.
         new: Voter,
-        /// The operator's request; none where a voter has restarted without its memory.
+        /// The operator's request; none if a voter has restarted without its durable state.
         request_id: Option<RequestId>,
     },
-    /// The replacement is complete: only the new voter set votes.
-    Settle,
+    /// The replacement of a voter is complete, and only the new voter set votes.
+    SettleVoters,
 }
 
 impl Record {
-    /// The record after a step; none where the step doesn't apply (any more).
-    pub fn after(&self, step: &Step) -> Option<Record> {
+    /// Returns the record after a step, or none if the step doesn't apply or no longer applies.
+    pub fn apply_step(&self, step: &Step) -> Option<Record> {
         let mut next = Record { version: self.version + 1, ..self.clone() };
         next.apply(step)?;
         (next.bootstrap_id != 0).then_some(next)
@@ -130,32 +131,35 @@
             Step::Finish => None,
             Step::Bootstrap { bootstrap_id, ref base } => self.bootstrap(bootstrap_id, base),
             Step::Propose { hash, length, request_id } => self.propose(hash, length, request_id),
-            Step::End { number, outcome } => self.end_change(number, outcome),
-            Step::Grant { out } => self.grant(out),
-            Step::Back { unit, request_id, done } => self.return_unit(unit, request_id, done),
-            Step::Release { hash, length, request_id } => self.begin_release(hash, length, request_id),
-            Step::Wave { number, from, to } => {
-                let release = self.release.as_mut().filter(|on| on.number == number && on.wave == from)?;
+            Step::EndChange { number, outcome } => self.end_change(number, outcome),
+            Step::Grant { grant } => self.grant(grant),
+            Step::Return { unit, request_id, done } => self.return_unit(unit, request_id, done),
+            Step::BeginRelease { hash, length, request_id } => self.begin_release(hash, length, request_id),
+            Step::AdvanceWave { number, from, to } => {
+                let release = self
+                    .release
+                    .as_mut()
+                    .filter(|release| release.number == number && release.wave == from)?;
                 release.wave = to;
                 Some(())
             }
-            Step::Turn { number, request_id } => self.roll_back_release(number, request_id),
-            Step::Close { number, close, request_id } => self.close_release(number, close, request_id),
+            Step::RollBack { number, request_id } => self.roll_back_release(number, request_id),
+            Step::EndRelease { number, outcome, request_id } => self.end_release(number, outcome, request_id),
             Step::Halt { ref halt } => self.halt(halt),
             Step::Resume { request_id } => self.resume(request_id),
-            Step::Replace { old, new, request_id } => self.replace_voter(old, new, request_id),
-            Step::Settle => self.settle_voters(),
+            Step::ReplaceVoter { old, new, request_id } => self.replace_voter(old, new, request_id),
+            Step::SettleVoters => self.settle_voters(),
         }
     }
 
-    /// Marks a request as carried out; none if it was before.
-    fn do_once(&mut self, request_id: RequestId) -> Option<()> {
-        if self.done.contains(&request_id) {
+    /// Marks a request as carried out, or returns none if it was marked before.
+    fn complete_request(&mut self, request_id: RequestId) -> Option<()> {
+        if self.completed_requests.contains(&request_id) {
             return None;
         }
-        self.done.push(request_id);
-        let over = self.done.len().saturating_sub(MAX_DONE_REQUESTS);
-        self.done.drain(..over);
+        self.completed_requests.push(request_id);
+        let excess = self.completed_requests.len().saturating_sub(MAX_COMPLETED_REQUESTS);
+        self.completed_requests.drain(..excess);
         Some(())
     }
 
@@ -168,55 +172,56 @@
             version: base.version + 1,
             voter_set_version: base.voter_set_version + 1,
             voter_sets: std::mem::take(&mut self.voter_sets),
-            next: None,
+            pending_change: None,
             ..base.clone()
         };
         if base.bootstrap_id != 0 {
-            // Numbers that only lost voters know of must not be given to other policies.
-            self.highest = (base.highest / NUMBERS_PER_BOOTSTRAP + 1) * NUMBERS_PER_BOOTSTRAP;
+            // Numbers that only lost voters know must not be assigned to other policies.
+            self.highest_policy_number = (base.highest_policy_number / POLICY_NUMBERS_PER_BOOTSTRAP + 1)
+                * POLICY_NUMBERS_PER_BOOTSTRAP;
         }
         Some(())
     }
 
     fn propose(&mut self, hash: Hash, length: u32, request_id: RequestId) -> Option<()> {
-        if self.next.is_some() || self.knows(request_id) {
+        if self.pending_change.is_some() || self.has_applied(request_id) {
             return None;
         }
-        self.highest += 1;
-        let policy = Policy { number: self.highest, hash, length };
-        self.next = Some(Change { policy, request_id });
+        self.highest_policy_number += 1;
+        let policy = Policy { number: self.highest_policy_number, hash, length };
+        self.pending_change = Some(Change { policy, request_id });
         Some(())
     }
 
     fn end_change(&mut self, number: u64, outcome: ChangeOutcome) -> Option<()> {
-        let change = self.next.take_if(|change| change.policy.number == number)?;
+        let change = self.pending_change.take_if(|change| change.policy.number == number)?;
         if outcome == ChangeOutcome::InForce {
             self.policy = change.policy;
         }
-        self.past.push(Past { change, outcome });
-        let over = self.past.len().saturating_sub(MAX_PAST_CHANGES);
-        self.past.drain(..over);
+        self.past_changes.push(PastChange { change, outcome });
+        let excess = self.past_changes.len().saturating_sub(MAX_PAST_CHANGES);
+        self.past_changes.drain(..excess);
         Some(())
     }
 
-    fn grant(&mut self, out: Out) -> Option<()> {
-        if !self.may_take_out(out.unit) {
+    fn grant(&mut self, grant: RestartGrant) -> Option<()> {
+        if !self.can_grant(grant.unit) {
             return None;
         }
-        self.do_once(out.request_id)?;
-        self.out.push(out);
+        self.complete_request(grant.request_id)?;
+        self.grants.push(grant);
         Some(())
     }
 
     fn return_unit(&mut self, unit: Unit, request_id: RequestId, done: bool) -> Option<()> {
-        self.do_once(request_id)?;
-        let index = self.out.iter().position(|out| out.unit == unit)?;
-        let out = self.out.remove(index);
-        if let (Some(release), Some(part)) = (&mut self.release, out.part)
+        self.complete_request(request_id)?;
+        let index = self.grants.iter().position(|grant| grant.unit == unit)?;
+        let grant = self.grants.remove(index);
+        if let (Some(release), Some(part)) = (&mut self.release, grant.release_part)
             && done
             && part.release == release.number
         {
-            release.changed.set(part.place as usize, part.way == Direction::Rollout);
+            release.changed.set(part.unit_index as usize, part.direction == Direction::Rollout);
         }
         Some(())
     }
@@ -225,56 +230,63 @@
         if self.release.is_some() {
             return None;
         }
-        self.do_once(request_id)?;
-        self.releases += 1;
+        self.complete_request(request_id)?;
+        self.last_release_number += 1;
         self.release = Some(Release {
-            number: self.releases,
+            number: self.last_release_number,
             hash,
             length,
             request_id,
-            way: Direction::Rollout,
+            direction: Direction::Rollout,
             wave: 0,
-            changed: Places::default(),
+            changed: UnitSet::default(),
         });
         Some(())
     }
 
     fn roll_back_release(&mut self, number: u64, request_id: RequestId) -> Option<()> {
-        self.do_once(request_id)?;
-        let release =
-            self.release.as_mut().filter(|on| on.number == number && on.way == Direction::Rollout)?;
-        release.way = Direction::Rollback;
-        // After a halt an operator wants the rollback to proceed.
-        self.halted = None;
+        self.complete_request(request_id)?;
+        let release = self
+            .release
+            .as_mut()
+            .filter(|release| release.number == number && release.direction == Direction::Rollout)?;
+        release.direction = Direction::Rollback;
+        // An operator who rolls a halted release back wants the rollback to proceed.
+        self.halt = None;
         Some(())
     }
 
-    fn close_release(&mut self, number: u64, close: Close, request_id: Option<RequestId>) -> Option<()> {
+    fn end_release(
+        &mut self,
+        number: u64,
+        outcome: ReleaseOutcome,
+        request_id: Option<RequestId>,
+    ) -> Option<()> {
         if let Some(request_id) = request_id {
-            self.do_once(request_id)?;
+            self.complete_request(request_id)?;
         }
         let Release { hash, request_id, changed, .. } =
             self.release.take_if(|release| release.number == number)?;
         let changed = changed.count() as u16;
-        self.past_releases.push(PastRelease { number, hash, request_id, close, changed });
-        let over = self.past_releases.len().saturating_sub(MAX_PAST_RELEASES);
-        self.past_releases.drain(..over);
+        self.past_releases.push(PastRelease { number, hash, request_id, outcome, changed });
+        let excess = self.past_releases.len().saturating_sub(MAX_PAST_RELEASES);
+        self.past_releases.drain(..excess);
         Some(())
     }
 
     fn halt(&mut self, halt: &Halt) -> Option<()> {
-        if self.halted.is_some() {
+        if self.halt.is_some() {
             return None;
         }
-        self.do_once(halt.request_id)?;
-        self.halted = Some(halt.clone());
+        self.complete_request(halt.request_id)?;
+        self.halt = Some(halt.clone());
         Some(())
     }
 
     fn resume(&mut self, request_id: RequestId) -> Option<()> {
-        self.halted.as_ref()?;
-        self.do_once(request_id)?;
-        self.halted = None;
+        self.halt.as_ref()?;
+        self.complete_request(request_id)?;
+        self.halt = None;
         Some(())
     }
 
@@ -283,11 +295,11 @@
             return None;
         }
         if let Some(request_id) = request_id {
-            self.do_once(request_id)?;
+            self.complete_request(request_id)?;
         }
         let mut voter_set = self.voter_sets[0].clone();
-        let seat = voter_set.iter().position(|voter| *voter == old)?;
-        voter_set[seat] = new;
+        let index = voter_set.iter().position(|voter| *voter == old)?;
+        voter_set[index] = new;
         voter_set.sort_unstable();
         self.voter_sets.push(voter_set);
         self.voter_set_version += 1;
--- a/balancer/operator-file/src/plan.rs
+++ b/balancer/operator-file/src/plan.rs
@@ -1,6 +1,6 @@
 //! The reader of a release's plan.
 
-use whinspindle_rollout::{MOST_UNITS, Plan, Unit};
+use whinspindle_rollout::{MAX_UNITS, Plan, Unit};
 use whinspindle_toml_config::{ConfigError, Location, Table};
 
 /// How long a wave may be watched, in microseconds: in less nothing is seen, and more than a day is forgotten.
@@ -8,15 +8,15 @@
 const DEFAULT_WATCH: u64 = 60_000_000;
 
 /// Reads and checks a plan; `balancers` is how many the fleet has, if that is known.
-pub fn read_plan(text: &str, balancers: Option<usize>) -> Result<Plan, Vec<ConfigError>> {
+pub fn parse_plan(text: &str, balancers: Option<usize>) -> Result<Plan, Vec<ConfigError>> {
     whinspindle_toml_config::parse(text, |table| plan(table, balancers))
 }
 
 fn plan(t: &Table, balancers: Option<usize>) -> Plan {
     let names = unit_names(t);
     let units = units(t, &names, balancers);
-    if units.is_empty() || units.len() > MOST_UNITS {
-        let way_out = format!("1 to {MOST_UNITS}; more in several releases");
+    if units.is_empty() || units.len() > MAX_UNITS {
+        let way_out = format!("1 to {MAX_UNITS}; more in several releases");
         t.report_error(&t.location_of("units"), format!("{} units", units.len()), way_out);
     }
     let watch = t.duration_us("watch", Some(DEFAULT_WATCH));
@@ -25,11 +25,11 @@
     }
     Plan {
         name: t.string("name", None),
-        names: names.into_iter().map(|(name, _)| name).collect(),
-        waves: waves(t, units.len()),
+        unit_names: names.into_iter().map(|(name, _)| name).collect(),
+        wave_ends: waves(t, units.len()),
         units,
-        watch,
-        error: t.float("error", (1e-6, 0.2), Some(0.01)),
+        watch_us: watch,
+        false_halt_probability: t.float("error", (1e-6, 0.2), Some(0.01)),
         build: t.contains_key("build").then(|| t.string("build", None)),
     }
 }
@@ -55,7 +55,7 @@
 fn units(t: &Table, names: &[(String, Location)], balancers: Option<usize>) -> Vec<Unit> {
     let mut units: Vec<Unit> = Vec::new();
     for (name, place) in names {
-        let Some(unit) = unit(name) else {
+        let Some(unit) = parse_unit(name) else {
             t.report_error(
                 place,
                 format!("{name:?} is no unit"),
@@ -119,7 +119,7 @@
 }
 
 /// A unit by its name: `balancer:NUMBER` or `server:ID`.
-pub fn unit(name: &str) -> Option<Unit> {
+pub fn parse_unit(name: &str) -> Option<Unit> {
     match name.split_once(':') {
         Some(("balancer", number)) => number.parse().ok().map(Unit::Balancer),
         Some(("server", id)) if !id.is_empty() => {
--- a/balancer/operator-file/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -8,7 +8,7 @@
 use whinspindle_routes::RouteTable;
 use whinspindle_toml_config::Table;
 
-use crate::{CutOff, Keep, Operator};
+use crate::{EndpointCacheSettings, OperatorConfig, PartitionPolicy};
 
 mod route;
 
@@ -16,7 +16,7 @@
 const SECOND: u64 = 1_000_000;
 
 /// Reads the file: a balancer's own if `own` is set, which may name its fleet; else the policy of a fleet.
-pub fn operator(table: &Table, deployment: &Deployment, own: bool) -> Operator {
+pub fn operator(table: &Table, deployment: &Deployment, own: bool) -> OperatorConfig {
     let fleet = own.then(|| crate::fleet::fleet(table, deployment)).flatten();
     if table.is_empty() {
         let way_out = "a table at the least, [cut-off] for one; a file that is only being written looks like this, so \
@@ -29,7 +29,7 @@
         table.report_error(&table.location_of("route"), "routes are agreed on by the fleet", way_out);
     }
     let cut_off = match table.table("cut-off") {
-        None => CutOff::Routes(RouteTable::new(Vec::new())),
+        None => PartitionPolicy::Routes(RouteTable::new(Vec::new())),
         Some(t) => {
             let rejects = t.one_of("queries", &[("reject", true), ("take", false)], Some(false));
             if rejects && t.contains_key("route") {
@@ -40,15 +40,21 @@
                 );
             }
             let routes = route::routes(&t, "route", deployment);
-            if rejects { CutOff::Rejects } else { CutOff::Routes(routes) }
+            if rejects { PartitionPolicy::Reject } else { PartitionPolicy::Routes(routes) }
         }
     };
     let limits = table.table("limits").and_then(|t| t.table("out")).map(|t| limits(&t, deployment, own));
     let keep = own.then(|| table.table("keep")).flatten().map(|t| keep(&t));
-    Operator { routes, cut_off, limits: limits.unwrap_or_default(), fleet, keep }
+    OperatorConfig {
+        routes,
+        partition_policy: cut_off,
+        limits: limits.unwrap_or_default(),
+        fleet,
+        endpoint_cache: keep,
+    }
 }
 
-fn keep(t: &Table) -> Keep {
+fn keep(t: &Table) -> EndpointCacheSettings {
     let (fresh, old) = (t.duration_us("fresh", Some(10 * SECOND)), t.duration_us("old", Some(3600 * SECOND)));
     if fresh >= old {
         t.report_error(
@@ -57,7 +63,7 @@
             "less than old",
         );
     }
-    Keep { folder: PathBuf::from(t.string("folder", None)), fresh, old }
+    EndpointCacheSettings { folder: PathBuf::from(t.string("folder", None)), fresh_us: fresh, old_us: old }
 }
 
 /// How many units may be out of service at once. Limits that allow none or all, or contradict one another, are
@@ -74,9 +80,9 @@
     let limits = Limits {
         balancers: most("balancers"),
         servers: most("servers"),
-        servers_by_zone: most("servers-by-zone"),
-        servers_by_cell: most("servers-by-pod"),
-        servers_part: t.contains_key("servers-part").then(|| t.float("servers-part", (0.001, 0.9), None)),
+        servers_per_zone: most("servers-by-zone"),
+        servers_per_pod: most("servers-by-pod"),
+        servers_fraction: t.contains_key("servers-part").then(|| t.float("servers-part", (0.001, 0.9), None)),
     };
     let all = deployment.balancer_settings.balancers;
     if limits.balancers.is_some_and(|most| most >= all) {
@@ -88,7 +94,7 @@
         );
     }
     for (key, inner) in
-        [("servers-by-zone", limits.servers_by_zone), ("servers-by-pod", limits.servers_by_cell)]
+        [("servers-by-zone", limits.servers_per_zone), ("servers-by-pod", limits.servers_per_pod)]
     {
         if let (Some(inner), Some(most)) = (inner, limits.servers)
             && inner > most
@@ -96,7 +102,7 @@
             let fault = format!("{inner} of one while {most} in all may be out");
             t.report_error(&t.location_of(key), fault, "no more than servers");
         }
-        if inner.is_some() && limits.servers.is_none() && limits.servers_part.is_none() {
+        if inner.is_some() && limits.servers.is_none() && limits.servers_fraction.is_none() {
             t.report_error(
                 &t.location_of(key),
                 "nothing says how many in all may be out",
--- a/balancer/routes/src/lib.rs
+++ b/balancer/routes/src/lib.rs
@@ -1,12 +1,13 @@
-//! Routes: the conditions that an operator sets for some of the requests, the table that finds a request's route,
-//! and the proof that no schedule that a route allows can break a rule. No I/O and no clock; times are microseconds.
+//! Routes: the conditions that an operator sets for some of the requests, the table that finds the route of a
+//! request, and the proof that no schedule that a route allows can break a rule. The crate does no I/O and
+//! reads no clock; times are microseconds.
 //!
 //! ```
 //! use whinspindle_routes::pattern::Pattern;
 //!
-//! let pattern = Pattern::read("/orders/{id}/*").expect("a pattern");
-//! assert!(pattern.holds("/orders/7/items"));
-//! assert!(!pattern.holds("/orders"));
+//! let pattern = Pattern::parse("/orders/{id}/*").expect("a pattern");
+//! assert!(pattern.matches("/orders/7/items"));
+//! assert!(!pattern.matches("/orders"));
 //! ```
 
 pub mod pattern;
@@ -21,99 +22,100 @@
 
 /// The servers that may take a route's requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Servers {
+pub struct ServerSelection {
     /// The names of their zones; empty for any.
     pub zones: Vec<String>,
     /// The names of their kinds; empty for any.
     pub kinds: Vec<String>,
     /// Retries stay in the zone of the first execution.
-    pub repeats_in_zone: bool,
+    pub retries_in_zone: bool,
     /// Retries stay in the pod of the first execution.
-    pub repeats_in_pod: bool,
+    pub retries_in_pod: bool,
 }
 
-/// What a route sets for its requests. Times are microseconds.
+/// The conditions that a route sets for its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Conditions {
-    /// The time-out of a request, from when it was taken to its final answer.
-    pub time: u64,
+    /// The time-out of a request, from its arrival to its final answer.
+    pub timeout_us: u64,
     /// The time-out of one execution, from its send to its end.
-    pub execution_time: u64,
-    /// The most executions of a request, the first among them.
-    pub executions: usize,
+    pub execution_timeout_us: u64,
+    /// The most executions of a request, including the first.
+    pub max_executions: usize,
     /// The outcomes after which a request is retried.
     pub retry_on: RetryOn,
-    /// The wait before a retry.
-    pub wait: u64,
-    /// The random part of the wait, as a part of `wait` that is added at most.
-    pub spread: f64,
+    /// The delay before a retry.
+    pub retry_delay_us: u64,
+    /// The largest random addition to the delay, as a fraction of `retry_delay_us`.
+    pub retry_jitter: f64,
     /// When a hedged request is sent.
     pub hedge: HedgePolicy,
-    /// The retry budget, as a part of the route's requests.
-    pub budget: f64,
+    /// The retry budget, as a fraction of the route's requests.
+    pub retry_budget: f64,
     /// The largest body of a request, in bytes.
-    pub largest_body: u64,
-    /// The servers that may take it.
-    pub servers: Servers,
+    pub max_body_bytes: u64,
+    /// The servers that may take the requests.
+    pub servers: ServerSelection,
 }
 
-/// The requests that a route is for.
+/// The requests that a route applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Matches {
-    /// The method; none for any.
+pub struct RouteMatch {
+    /// The method; none for any method.
     pub method: Option<String>,
     /// The paths.
     pub path: Pattern,
-    /// The index of the product in the settings; none for any.
+    /// The index of the product in the settings; none for any product.
     pub product: Option<usize>,
-    /// The index of the tenant in the settings; none for any.
+    /// The index of the tenant in the settings; none for any tenant.
     pub tenant: Option<usize>,
 }
 
 /// A route of the operator's file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, unique in its file.
+    /// The name, unique in the file.
     pub name: String,
-    /// The requests that it is for.
-    pub matches: Matches,
-    /// By product of the settings; they differ only in the defaults that depend on the product.
+    /// The requests that the route applies to.
+    pub matches: RouteMatch,
+    /// The conditions for each product of the settings. They differ only in defaults that depend on the
+    /// product.
     pub conditions: Vec<Conditions>,
 }
 
 impl Route {
-    /// Whether requests of a product can take this route.
-    pub fn is_for(&self, product: usize) -> bool {
-        self.matches.product.is_none_or(|only| only == product)
+    /// Whether the route can apply to requests for a product.
+    pub fn applies_to(&self, product: usize) -> bool {
+        self.matches.product.is_none_or(|own| own == product)
     }
 }
 
-/// The settings of a product that the proof needs. Times are microseconds.
+/// The settings of a product that the proof needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ProductRow {
-    /// Whether its requests may run more than once.
+pub struct ProductSettings {
+    /// Whether the product's requests may run more than once.
     pub effect: Effect,
     /// How long servers remember a request for deduplication.
-    pub memory_span: u64,
-    /// How long its clients wait for the final answer.
-    pub statement_timeout: u64,
+    pub deduplication_us: u64,
+    /// How long the product's clients wait for the final answer.
+    pub statement_timeout_us: u64,
 }
 
-/// The limits of the deployment that the proof needs. Times are microseconds.
+/// The limits of the deployment that the proof needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct DeploymentLimits {
     /// The most executions of a request.
-    pub executions: usize,
+    pub max_executions: usize,
     /// Whether two executions of a request may be in flight together.
     pub allow_hedging: bool,
     /// Whether servers can cancel an execution.
-    pub cancel: bool,
+    pub can_cancel: bool,
     /// The time-out for a connection to a server.
-    pub connect_time_out: u64,
-    /// How late timers fire at most.
-    pub tick: u64,
-    /// What the network may take to a server beside the connect time-out.
-    pub network: u64,
+    pub connect_timeout_us: u64,
+    /// The largest delay of a timer.
+    pub tick_us: u64,
+    /// The largest network delay to a server, in addition to the connection time-out.
+    pub network_delay_us: u64,
     /// The largest body of a request, in bytes.
-    pub largest_body: u64,
+    pub max_body_bytes: u64,
 }
--- a/balancer/routes/src/proof.rs
+++ b/balancer/routes/src/proof.rs
@@ -1,83 +1,88 @@
-//! The proof of routes when they are loaded: the worst schedule that a route allows is checked against the rules.
+//! The proof of routes when they are loaded. The worst schedule that a route allows is checked against the
+//! rules.
 //!
-//! A route that passes `prove` can't break a rule whatever the servers do. For one that fails each `Refusal` has the
-//! check, the calculation and the nearest value that would pass.
+//! A route that passes `prove` can't break a rule whatever the servers do. For a route that fails, each
+//! `Refusal` has the check, the calculation and the nearest value that would pass.
 
 mod checks;
 mod schedule;
 
 use std::fmt;
 
-use crate::{Bounds, Conditions, ProductRow};
+use crate::{Conditions, DeploymentLimits, ProductSettings};
 
-pub use schedule::{Schedule, worst};
+pub use schedule::{Schedule, worst_schedule};
 
-/// The value of a route that a refusal is about: see `Conditions`.
+/// The field of `Conditions` that a refusal is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// `time`.
-    Time,
-    /// `execution_time`.
-    ExecutionTime,
-    /// `executions`.
-    Executions,
+    /// `timeout_us`.
+    Timeout,
+    /// `execution_timeout_us`.
+    ExecutionTimeout,
+    /// `max_executions`.
+    MaxExecutions,
     /// `retry_on`.
     RetryOn,
-    /// `wait`.
-    Wait,
+    /// `retry_delay_us`.
+    RetryDelay,
     /// `hedge`.
-    HedgePolicy,
-    /// `budget`.
-    Budget,
-    /// `largest_body`.
-    LargestBody,
+    Hedge,
+    /// `retry_budget`.
+    RetryBudget,
+    /// `max_body_bytes`.
+    MaxBody,
     /// `servers`.
     Servers,
 }
 
-/// One check of the proof, named by what it refuses or limits. Tests leave each out to show that it is needed.
+/// One check of the proof. Tests leave each one out to show that it is needed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Check {
-    /// An answer after the product's statement timeout.
-    AnswerInTime,
-    /// An execution that lasts longer than its request.
-    ExecutionInTime,
-    /// More executions than the deployment allows.
-    Executions,
-    /// A second execution of a non-idempotent request.
+    /// Refuses an answer after the product's statement timeout.
+    AnswerTimeout,
+    /// Refuses an execution that lasts longer than its request.
+    ExecutionTimeout,
+    /// Refuses more executions than the deployment allows.
+    ExecutionCount,
+    /// Refuses a second execution of a non-idempotent request.
     NonIdempotent,
-    /// A retry after the servers' deduplication has forgotten the first execution.
-    Memory,
-    /// A retry at servers that don't deduplicate with those of the first execution.
-    Scope,
-    /// Two executions in flight together.
+    /// Refuses a retry that arrives after the servers have forgotten the first execution.
+    DeduplicationSpan,
+    /// Refuses a retry at servers that don't know the first execution.
+    DeduplicationScope,
+    /// Refuses two executions in flight at the same time, if the deployment does not allow them.
     Overlap,
-    /// A body larger than the deployment takes.
-    Body,
-    /// Retries that no execution is left for, or executions that there is no time for.
-    Sense,
+    /// Refuses a body larger than the deployment takes.
+    BodySize,
+    /// Refuses retries without an execution left for them, and executions without time for them.
+    Feasibility,
 }
 
 /// All checks, in the order of the proof.
-pub const CHECKS: [Check; 9] = [
-    Check::AnswerInTime,
-    Check::ExecutionInTime,
-    Check::Executions,
+pub const ALL_CHECKS: [Check; 9] = [
+    Check::AnswerTimeout,
+    Check::ExecutionTimeout,
+    Check::ExecutionCount,
     Check::NonIdempotent,
-    Check::Memory,
-    Check::Scope,
+    Check::DeduplicationSpan,
+    Check::DeduplicationScope,
     Check::Overlap,
-    Check::Body,
-    Check::Sense,
+    Check::BodySize,
+    Check::Feasibility,
 ];
 
 impl Check {
-    /// The number of the rule that a refused route could break; 0 if it is only senseless or too large.
+    /// The number of the rule that a refused route could break; 0 if it could break none.
     pub fn rule(self) -> u8 {
         match self {
-            Check::AnswerInTime | Check::ExecutionInTime => 1,
-            Check::Executions | Check::NonIdempotent | Check::Memory | Check::Scope | Check::Overlap => 2,
-            Check::Body | Check::Sense => 0,
+            Check::AnswerTimeout | Check::ExecutionTimeout => 1,
+            Check::ExecutionCount
+            | Check::NonIdempotent
+            | Check::DeduplicationSpan
+            | Check::DeduplicationScope
+            | Check::Overlap => 2,
+            Check::BodySize | Check::Feasibility => 0,
         }
     }
 }
@@ -85,33 +90,33 @@
 /// Why a route is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The check that refuses it.
+    /// The check that refuses the route.
     pub check: Check,
-    /// The value at fault.
+    /// The field at fault.
     pub field: Field,
-    /// What is wrong, with the calculation where there is one.
+    /// What is wrong, with the calculation if there is one.
     pub fault: String,
     /// The nearest value that would pass.
-    pub way_out: String,
+    pub suggestion: String,
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}; {}", self.fault, self.way_out)
+        write!(to, "{}; {}", self.fault, self.suggestion)
     }
 }
 
 /// Checks the conditions of a route for the requests of one product.
-pub fn prove(conditions: &Conditions, product: &ProductRow, bounds: &Bounds) -> Vec<Refusal> {
-    CHECKS.iter().flat_map(|&check| prove_by(check, conditions, product, bounds)).collect()
+pub fn prove(conditions: &Conditions, product: &ProductSettings, limits: &DeploymentLimits) -> Vec<Refusal> {
+    ALL_CHECKS.iter().flat_map(|&check| run_check(check, conditions, product, limits)).collect()
 }
 
-/// The same by one check alone.
-pub fn prove_by(
+/// Checks the conditions of a route for the requests of one product by one check alone.
+pub fn run_check(
     check: Check,
     conditions: &Conditions,
-    product: &ProductRow,
-    bounds: &Bounds,
+    product: &ProductSettings,
+    limits: &DeploymentLimits,
 ) -> Vec<Refusal> {
-    checks::refusals(check, conditions, product, bounds)
+    checks::refusals(check, conditions, product, limits)
 }
--- a/lab/model-checker/src/members/schedule.rs
+++ b/lab/model-checker/src/members/schedule.rs
@@ -73,10 +73,10 @@
     Release {
         name: "r".to_string(),
         units: vec![Unit::Balancer(3), Unit::Balancer(4)],
-        names: vec!["balancer:3".to_string(), "balancer:4".to_string()],
-        waves: vec![1, 2],
-        watch: WATCHED * STEP,
-        error: 0.01,
+        unit_names: vec!["balancer:3".to_string(), "balancer:4".to_string()],
+        wave_ends: vec![1, 2],
+        watch_us: WATCHED * STEP,
+        false_halt_probability: 0.01,
         build: None,
     }
 }
@@ -101,15 +101,15 @@
 
 pub(super) fn terms(me: u16, absent: u64) -> MemberSettings {
     MemberSettings {
-        me,
-        members: MEMBERS,
+        member: me,
+        member_count: MEMBERS,
         voters: (0..VOTERS).collect(),
-        right: RIGHT,
-        drift: DRIFT,
-        pace: STEP,
-        absent: absent * STEP,
-        give_up: 12 * STEP,
-        learn: 3 * STEP,
+        lease_us: RIGHT,
+        clock_drift_ppm: DRIFT,
+        renewal_interval_us: STEP,
+        absence_timeout_us: absent * STEP,
+        change_timeout_us: 12 * STEP,
+        startup_timeout_us: 3 * STEP,
     }
 }
 
--- a/programs/balancer/src/fleet/worker.rs
+++ b/programs/balancer/src/fleet/worker.rs
@@ -9,15 +9,15 @@
 use std::sync::{Arc, Mutex};
 
 use whinspindle_deployment_settings::Deployment;
-use whinspindle_endpoint_cache::{Ages, Neighbours};
+use whinspindle_endpoint_cache::{AgeLimits, NeighbourExchange};
 use whinspindle_fleet_policy::{
-    DurableState, Environment, Member, MemberSettings, Message, Objection, Right, Unit,
+    DurableState, Environment, LeaseState, Member, MemberSettings, Message, Objection, Unit,
 };
-use whinspindle_operator_file::{FleetTerms, Operator};
+use whinspindle_operator_file::{FleetSettings, OperatorConfig};
 use whinspindle_peer_transport::PeerTransport;
 use whinspindle_rate_limited_log::log_line;
 use whinspindle_record_store::RecordStore;
-use whinspindle_rollout::Count;
+use whinspindle_rollout::OutcomeCounts;
 
 use super::environment::ProcessEnvironment;
 use super::published::{FleetClock, Published, lock};
@@ -31,7 +31,7 @@
 const MAX_OBJECTION_LENGTH: usize = 120;
 
 /// Ages in microseconds up to which a list is trusted if `[keep]` is not configured.
-const DEFAULT_AGES: Ages = Ages { fresh: 10_000_000, old: 3_600_000_000 };
+const DEFAULT_AGES: AgeLimits = AgeLimits { fresh_us: 10_000_000, old_us: 3_600_000_000 };
 
 /// State of the thread.
 pub(super) struct Worker {
@@ -44,30 +44,37 @@
     /// State shared with requests.
     published: Arc<Mutex<Published>>,
     /// The validated policies, by number.
-    operators: Vec<(u64, Arc<Operator>)>,
+    operators: Vec<(u64, Arc<OperatorConfig>)>,
     /// The process's own file, whose rules apply while no policy is known.
-    own: Arc<Operator>,
+    own: Arc<OperatorConfig>,
     /// Number of datagrams received.
     pub(super) received: u64,
     /// Exchange of endpoint lists with other balancers for processes that restart; none if disabled.
-    neighbours: Option<Neighbours>,
+    neighbours: Option<NeighbourExchange>,
 }
 
 impl Worker {
     /// Restores the member from the store, or starts a new one.
     #[expect(clippy::too_many_arguments, reason = "each is a part of the process that is handed over once")]
     pub(super) fn new(
-        terms: FleetTerms,
+        terms: FleetSettings,
         socket: UdpSocket,
         addresses: Vec<SocketAddr>,
         store: RecordStore,
         deployment: Deployment,
         clock: FleetClock,
         published: Arc<Mutex<Published>>,
-        own: Arc<Operator>,
+        own: Arc<OperatorConfig>,
         build: String,
     ) -> Worker {
-        let FleetTerms { me, members, ref name, ref secret, datagram, .. } = terms;
+        let FleetSettings {
+            member: me,
+            member_count: members,
+            ref name,
+            ref secret,
+            max_datagram_bytes: datagram,
+            ..
+        } = terms;
         let peers = PeerTransport::new(me, members, name, secret, rand::random(), datagram);
         let store = Rc::new(store);
         let memory = store.read("votes").and_then(|bytes| postcard::from_bytes::<DurableState>(&bytes).ok());
@@ -93,27 +100,30 @@
             plan: None,
             build,
             counts: BTreeMap::new(),
-            own: Count::default(),
+            own: OutcomeCounts::default(),
             neighbour_messages: Vec::new(),
         };
-        let asks = terms.neighbours;
-        let ages = own.keep.as_ref().map_or(DEFAULT_AGES, |keep| Ages { fresh: keep.fresh, old: keep.old });
+        let asks = terms.asks_neighbours;
+        let ages = own
+            .endpoint_cache
+            .as_ref()
+            .map_or(DEFAULT_AGES, |keep| AgeLimits { fresh_us: keep.fresh_us, old_us: keep.old_us });
         let terms = MemberSettings {
-            me,
-            members,
+            member: me,
+            member_count: members,
             voters: terms.voters,
-            right: terms.right,
-            drift: terms.drift,
-            pace: terms.pace,
-            absent: terms.absent,
-            give_up: terms.give_up,
-            learn: terms.learn,
+            lease_us: terms.lease_us,
+            clock_drift_ppm: terms.clock_drift_ppm,
+            renewal_interval_us: terms.renewal_interval_us,
+            absence_timeout_us: terms.absence_timeout_us,
+            change_timeout_us: terms.change_timeout_us,
+            startup_timeout_us: terms.startup_timeout_us,
         };
         // A incarnation of 0 would pass for none.
         let start = rand::random::<u64>() | 1;
         let mut member = Member::new(environment, terms, memory, start, clock.now());
-        texts.iter().for_each(|text| member.hold(text));
-        let neighbours = asks.then(|| Neighbours::new(me, members, ages, start, clock.now()));
+        texts.iter().for_each(|text| member.add_text(text));
+        let neighbours = asks.then(|| NeighbourExchange::new(me, members, ages, start, clock.now()));
         Worker { member, deployment, clock, published, operators: Vec::new(), own, received: 0, neighbours }
     }
 
@@ -142,7 +152,7 @@
             if now >= next_tick {
                 self.member.tick(now);
                 self.ask_neighbours(now);
-                next_tick = now + (self.member.settings().pace / 8).min(100_000);
+                next_tick = now + (self.member.settings().renewal_interval_us / 8).min(100_000);
             }
             self.prove();
             self.receive_from_neighbours();
@@ -155,15 +165,15 @@
         let Some(neighbours) = &mut self.neighbours else { return };
         let discovered = lock(&self.published).discovered_list.take();
         if let Some((servers, silent)) = discovered {
-            neighbours.told(now.saturating_sub(silent), &servers);
+            neighbours.record_discovered(now.saturating_sub(silent), &servers);
         }
         let unix = crate::clock::Clock::start().now();
-        if let Some((update, trust)) = neighbours.take(now, unix) {
+        if let Some((update, trust)) = neighbours.take_list(now, unix) {
             log_line!("fleet", "neighbours tell {} servers, {trust}", update.servers.len());
             lock(&self.published).neighbour_list = Some((update, trust));
         }
         for (to, word) in neighbours.tick(now) {
-            self.member.environment.send(to, Message::Aside { bytes: word.to_bytes() });
+            self.member.environment.send(to, Message::Opaque { bytes: word.to_bytes() });
         }
     }
 
@@ -174,7 +184,7 @@
         let now = self.clock.now();
         for (from, bytes) in neighbour_messages {
             for word in neighbours.receive(now, from, &bytes) {
-                self.member.environment.send(from, Message::Aside { bytes: word.to_bytes() });
+                self.member.environment.send(from, Message::Opaque { bytes: word.to_bytes() });
             }
         }
     }
@@ -184,11 +194,11 @@
         let now = self.clock.now();
         self.received += 1;
         let environment = &mut self.member.environment;
-        let said = PeerTransport::sender(datagram);
+        let said = PeerTransport::claimed_sender(datagram);
         let known = said.filter(|said| environment.addresses.get(*said as usize) == Some(&from));
         let before = environment.peers.dropped;
-        match environment.peers.take::<Message>(now / 1_000_000, known, datagram) {
-            Some((from, message)) => self.member.received(now, from, message),
+        match environment.peers.receive::<Message>(now / 1_000_000, known, datagram) {
+            Some((from, message)) => self.member.receive(now, from, message),
             None if environment.peers.dropped != before => {
                 log_line!("peers", "a datagram from {from} is passed over: {:?}", environment.peers.dropped);
             }
@@ -221,30 +231,30 @@
     }
 
     /// Validates the text of a policy against this process's settings.
-    fn check_policy(&self, text: &[u8]) -> Result<Operator, Objection> {
+    fn check_policy(&self, text: &[u8]) -> Result<OperatorConfig, Objection> {
         let Ok(text) = std::str::from_utf8(text) else {
-            return Err(Objection { line: 0, words: "is not UTF-8 text".to_string() });
+            return Err(Objection { line: 0, reason: "is not UTF-8 text".to_string() });
         };
-        whinspindle_operator_file::read_policy(text, &self.deployment).map_err(|faults| {
+        whinspindle_operator_file::parse_policy(text, &self.deployment).map_err(|faults| {
             let first = faults.first();
             let words = first.map_or(String::new(), |fault| {
                 format!("{}: {} ({} faults)", fault.field, fault.message, faults.len())
             });
-            Objection { line: first.map_or(0, |fault| fault.line as u32), words: truncated(words) }
+            Objection { line: first.map_or(0, |fault| fault.line as u32), reason: truncated(words) }
         })
     }
 
     /// Publishes the state of the member and takes the counts of the requests.
     fn publish(&mut self) {
-        let (right, until) = self.member.right_until(self.clock.now());
+        let (right, until) = self.member.lease_state_until(self.clock.now());
         let of = |number: u64| match number {
-            0 => Some(Arc::new(Operator::none())),
+            0 => Some(Arc::new(OperatorConfig::empty())),
             _ => {
                 self.operators.iter().find(|(known, _)| *known == number).map(|(_, known)| Arc::clone(known))
             }
         };
         let mut published = lock(&self.published);
-        if let Right::Policy(number) = right
+        if let LeaseState::Policy(number) = right
             && published.policy.as_ref().is_none_or(|(known, _)| *known != number)
             && let Some(operator) = of(number)
         {
@@ -253,7 +263,7 @@
             published.policy = Some((number, operator));
         }
         (published.right, published.until) = (right, until);
-        let servers = self.member.record().out.iter().filter_map(|out| match out.unit {
+        let servers = self.member.record().grants.iter().filter_map(|out| match out.unit {
             Unit::Server(key) => Some(key),
             Unit::Balancer(_) => None,
         });
@@ -262,7 +272,7 @@
             published.taken_out_servers = (published.taken_out_servers.0 + 1, servers);
         }
         published.is_taken_out = self.member.is_taken_out();
-        let watches = self.member.watched().is_some();
+        let watches = self.member.watched_release().is_some();
         let environment = &mut self.member.environment;
         environment.listed_servers.clone_from(&published.listed_servers);
         let (counts, own) = (std::mem::take(&mut published.counts), std::mem::take(&mut published.own));
--- a/programs/balancer/src/node.rs
+++ b/programs/balancer/src/node.rs
@@ -15,13 +15,13 @@
 use whinspindle_balancer_core::{BalancerCore, Effects, EndedExecution, Execution, ServerProcess};
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_endpoint_cache::{StartupLimit, Trust};
-use whinspindle_operator_file::Operator;
+use whinspindle_operator_file::OperatorConfig;
 use whinspindle_protocol::answer::Answer;
 use whinspindle_protocol::endpoints::EndpointUpdate;
 use whinspindle_protocol::execution::{self, Reply};
 use whinspindle_protocol::query::MAX_BODY_BYTES;
 use whinspindle_rate_limited_log::log_line;
-use whinspindle_rollout::{Count, ObservedOutcomes, Place as Listed};
+use whinspindle_rollout::{ObservedOutcomes, OutcomeCounts, ServerStatus as Listed};
 use whinspindle_upstream_pool::{
     ConnectionPool, ExchangeError, MemoryBudget, PoolSettings, Progress, ProgressHandle, Upstream,
 };
@@ -55,7 +55,7 @@
     /// State of the graceful shutdown.
     pub shutdown: Shutdown,
     /// The operator file in force: the process's own, or the policy of the fleet.
-    pub operator: RefCell<Option<Arc<Operator>>>,
+    pub operator: RefCell<Option<Arc<OperatorConfig>>>,
     /// The fleet this process is a member of.
     pub fleet: Option<Fleet>,
     /// Number of the fleet policy that was applied last.
@@ -186,7 +186,7 @@
         }
         let mut held = self.startup_limit.borrow_mut();
         let Some(startup_limit) = held.as_mut() else { return !self.slow_start_pending.get() };
-        startup_limit.look(self.clock.now());
+        startup_limit.advance(self.clock.now());
         if startup_limit.is_over() {
             log_line!(
                 "start",
@@ -206,13 +206,13 @@
         }
         let mut held = self.startup_limit.borrow_mut();
         held.as_mut().map_or(Ok(()), |startup_limit| {
-            startup_limit.take(self.clock.now(), self.open_queries.get(), rand::random())
+            startup_limit.try_admit(self.clock.now(), self.open_queries.get(), rand::random())
         })
     }
 
     /// Applies an operator file to requests that arrive from now on.
-    pub fn apply_operator_file(&self, operator: Arc<Operator>) {
-        self.core.borrow_mut().set_routes(operator.rows(&self.deployment));
+    pub fn apply_operator_file(&self, operator: Arc<OperatorConfig>) {
+        self.core.borrow_mut().set_routes(operator.route_policies(&self.deployment));
         self.operator.replace(Some(operator));
     }
 
@@ -268,8 +268,8 @@
             let place = |entry: &Endpoint| Listed {
                 key: entry.key,
                 zone: zones.get(entry.zone).cloned().unwrap_or_default(),
-                cell: entry.cell,
-                full: entry.state == EndpointState::Ready
+                pod: entry.cell,
+                is_in_service: entry.state == EndpointState::Ready
                     && (entry.started_at == 0 || now >= entry.started_at + terms.slow_start_duration_us),
             };
             let listed = self.core.borrow().endpoints();
@@ -280,7 +280,7 @@
                 let count = servers.get(&entry.server)?;
                 Some((entry.key, (entry.zone * kinds + entry.kind) as u16, *count))
             };
-            let counts: Vec<(u64, u16, Count)> = listed.iter().filter_map(count).collect();
+            let counts: Vec<(u64, u16, OutcomeCounts)> = listed.iter().filter_map(count).collect();
             fleet.report_servers(listed.iter().map(place).collect(), counts, own);
         }
     }
@@ -391,7 +391,12 @@
             node.cancellations.borrow_mut().remove(&(order.query_index, order.execution_index));
             let now = node.clock.now();
             if node.fleet.is_some() {
-                node.fleet_counts.borrow_mut().execution(order.server, order.product, outcome, now - sent);
+                node.fleet_counts.borrow_mut().record_execution(
+                    order.server,
+                    order.product,
+                    outcome,
+                    now - sent,
+                );
             }
             let (report, served) =
                 reply.map_or_else(Default::default, |reply| (reply.report, reply.response));
