--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,9 +1,10 @@
-//! All decisions of one balancer, as a state machine: one method for each event, and it acts only through the [`Host`].
+//! The balancer as a state machine: one method per event, and all actions go through the [`Host`].
 //!
-//! A query arrives ([`Balancer::query`]), is admitted (`load_shed`), gets a server (`selection`, after `probing` where
-//! that pays) and goes out (`forward`). Its executions end ([`Balancer::completed`]), are retried or hedged (`retry`),
-//! and what they took feeds `health`, `slow_start` and `zone_weights`. `docs/design.md` tells what follows the design
-//! page, and when each exception acts.
+//! A query arrives ([`Balancer::query_arrived`]), is admitted (`load_shed`), is assigned a server
+//! (`selection`, in some cases after `probing`) and is sent (`forward`). When its executions end
+//! ([`Balancer::execution_ended`]), the query may be retried or hedged (`retry`). Outcomes and latencies
+//! update `health`, `slow_start` and `zone_weights`. `docs/design.md` describes the design and the conditions
+//! of each exception.
 
 mod endpoints;
 mod forward;
@@ -26,49 +27,52 @@
 use crate::pcg::Pcg;
 use crate::samples::{BatchMeans, record_event};
 
-/// The design's check period, over which rates are taken as well, in microseconds.
-const CHECK_PERIOD: u64 = 5_000_000;
+/// Period of the weight check and default window for rates, in microseconds.
+const CHECK_PERIOD_US: u64 = 5_000_000;
 
-/// Timers: the check of the weights, the watch of the endpoints, and from here on one for each query.
+/// Label of the weight check timer.
 const LABEL_WEIGHTS: u32 = 0;
+/// Label of the timer that reopens the endpoint watch.
 const LABEL_ENDPOINTS: u32 = 1;
+/// Label of the check timer of query 0; query `n` has this label plus `n`.
 const LABEL_QUERIES: u32 = 2;
 
-/// One balancer. Every event has the present time in microseconds of the host's clock.
+/// One balancer. Each event method takes the current time `now` in microseconds of the host's clock.
 pub struct Balancer<H: Host> {
-    /// Carries out what is decided.
+    /// Carries out the decisions.
     pub host: H,
     settings: BalancerSettings,
     random: Pcg,
     now: u64,
     started_at: u64,
     servers: Vec<Server>,
-    /// The servers that are not gone, in the order of their indices.
+    /// Indices of the servers that are not gone, in ascending order.
     listed: Vec<usize>,
-    /// Those of them that this balancer may send to.
+    /// The listed servers that this balancer sends to.
     subset: Vec<usize>,
     zones: Vec<Zone>,
     queries: Vec<Query>,
     routes: Vec<Rc<RefCell<RouteState>>>,
-    /// The last latencies of each product.
+    /// Recent latencies of each product.
     latencies: Vec<VecDeque<u64>>,
-    /// When the last queries arrived, when those admitted did, and these by tenant.
+    /// Times of recent arrivals.
     arrivals: VecDeque<u64>,
+    /// Times of recent admitted arrivals.
     admissions: VecDeque<u64>,
     admissions_by_tenant: Vec<VecDeque<u64>>,
-    /// When the last executions completed, and their latencies in runs.
+    /// Times at which recent executions completed.
     completions: VecDeque<u64>,
-    latency_runs: BatchMeans,
-    /// When the last probes went out, and how long they took.
+    latency_batches: BatchMeans,
+    /// Times at which recent probes were sent.
     probes_sent: VecDeque<u64>,
     probe_latencies: VecDeque<u64>,
-    shortest_slo: u64,
-    /// The rate of arrivals for which the weights were solved last.
+    min_slo_time_us: u64,
+    /// Arrival rate for which the weights were last solved.
     solved_rate: f64,
 }
 
 impl<H: Host> Balancer<H> {
-    /// A balancer that knows no endpoints yet. The seed decides all random draws.
+    /// Creates a balancer without endpoints. The seed determines all random decisions.
     pub fn new(host: H, settings: BalancerSettings, seed: u64, now: u64) -> Self {
         let mut balancer = Balancer {
             host,
@@ -86,10 +90,10 @@
             admissions: VecDeque::new(),
             admissions_by_tenant: vec![VecDeque::new(); settings.tenant_quotas.len()],
             completions: VecDeque::new(),
-            latency_runs: BatchMeans::new(now),
+            latency_batches: BatchMeans::new(now),
             probes_sent: VecDeque::new(),
             probe_latencies: VecDeque::new(),
-            shortest_slo: settings.products.iter().map(|product| product.slo_time_us).min().unwrap_or(0),
+            min_slo_time_us: settings.products.iter().map(|product| product.slo_time_us).min().unwrap_or(0),
             solved_rate: 0.0,
             settings,
         };
@@ -100,25 +104,25 @@
         balancer
     }
 
-    /// Sets the routes: for each, a policy for each product.
+    /// Replaces all routes. Each route has one policy per product.
     pub fn set_routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
         let route = |policies| Rc::new(RefCell::new(RouteState { policies, ..RouteState::default() }));
         self.routes = routes.into_iter().map(route).collect();
     }
 
-    /// A client's query has arrived. `query` is its index until its last execution has ended.
+    /// A query has arrived. The index `query` identifies it until its last execution has ended.
     pub fn query_arrived(&mut self, now: u64, query: usize, arrival: Arrival) {
         self.now = now;
-        record_event(&mut self.arrivals, now, CHECK_PERIOD);
+        record_event(&mut self.arrivals, now, CHECK_PERIOD_US);
         let is_known = arrival.product < self.settings.products.len();
         let tenant = arrival.tenant;
         self.open_query(query, arrival);
         if !is_known || self.is_overloaded(tenant) || !self.send_first(query) {
             return self.finish(query);
         }
-        let by_tenant = self.admissions_by_tenant.get_mut(tenant);
-        for times in by_tenant.into_iter().chain([&mut self.admissions]) {
-            record_event(times, now, CHECK_PERIOD);
+        let tenant_admissions = self.admissions_by_tenant.get_mut(tenant);
+        for times in tenant_admissions.into_iter().chain([&mut self.admissions]) {
+            record_event(times, now, CHECK_PERIOD_US);
         }
     }
 
@@ -129,14 +133,14 @@
         let (now, product, mut deadline) = (self.now, arrival.product, arrival.deadline);
         let route = arrival.route.and_then(|route| self.routes.get(route).cloned());
         if let Some(mut route) = route.as_ref().map(|route| route.borrow_mut()) {
-            record_event(&mut route.arrivals, now, CHECK_PERIOD);
+            record_event(&mut route.arrivals, now, CHECK_PERIOD_US);
             let policy = route.policies.get(product);
             deadline = policy.map_or(deadline, |policy| deadline.min(now + policy.timeout_us));
         }
-        // An answer that earns nothing is not worth a server's time.
-        let late_is_worthless =
+        // Late answers without value are not worth a server's time.
+        let worthless_if_late =
             self.settings.products.get(product).filter(|row| row.late_answer_value == 0.0);
-        let give_up_at = late_is_worthless.map_or(deadline, |row| deadline.min(now + row.slo_time_us));
+        let give_up_at = worthless_if_late.map_or(deadline, |row| deadline.min(now + row.slo_time_us));
         self.queries[query] = Query {
             open: true,
             product: product.min(self.settings.products.len() - 1),
@@ -152,7 +156,7 @@
         self.probe_candidates(query) || (!self.settings.load_only_from_probes && self.forward(query))
     }
 
-    /// The client gets the answer of this execution: from here on the query is not this balancer's to answer.
+    /// The client now receives the answer of this execution, so the balancer no longer answers the query.
     pub fn execution_started(&mut self, now: u64, query: usize, execution: usize) {
         self.now = now;
         let Some(state) = self.queries.get_mut(query) else { return };
@@ -187,14 +191,15 @@
         }
     }
 
-    /// All executions of an open query have ended without an answer: retries it, at once or after a backoff, or gives up.
+    /// All executions of an open query have ended without an answer: retries it, at once or after a backoff,
+    /// or finishes it.
     fn retry_or_finish(&mut self, query: usize, outcome: Outcome) {
         let backoff = self.retry_backoff(query, outcome).unwrap_or(u64::MAX);
         let state = &self.queries[query];
         let earliest_answer =
             self.now.saturating_add(backoff).saturating_add(self.median_latency(state.product));
-        let is_late = earliest_answer >= state.give_up_at;
-        if is_late || outcome == Outcome::ClientError || (backoff == 0 && !self.forward(query)) {
+        let is_too_late = earliest_answer >= state.give_up_at;
+        if is_too_late || outcome == Outcome::ClientError || (backoff == 0 && !self.forward(query)) {
             self.finish(query);
         } else if backoff > 0 {
             self.queries[query].awaits_retry = true;
@@ -202,7 +207,7 @@
         }
     }
 
-    /// The client has gone: nobody waits for the answer any more.
+    /// The client has withdrawn the query and no longer waits for the answer.
     pub fn query_withdrawn(&mut self, now: u64, query: usize) {
         self.now = now;
         if let Some(state) = self.queries.get_mut(query).filter(|state| state.open) {
@@ -211,7 +216,7 @@
         }
     }
 
-    /// The program ends at `until`: queries that are open must have their answers by then.
+    /// The program shuts down at time `until`, so open queries must be answered before.
     pub fn begin_shutdown(&mut self, now: u64, until: u64) {
         self.now = now;
         let open = self.queries.iter_mut().enumerate().filter(|(_, state)| state.open);
@@ -222,7 +227,7 @@
         }
     }
 
-    /// A timer set by [`Host::wake`] is due.
+    /// A timer started by [`Host::set_timer`] has fired.
     pub fn timer_fired(&mut self, now: u64, label: u32) {
         self.now = now;
         match label {
--- a/src/balancer/observations.rs
+++ b/src/balancer/observations.rs
@@ -1,25 +1,25 @@
-//! What the balancer measures: reports of servers, latencies and rates.
+//! Measurements: load reports, latencies and rates.
 
 use std::collections::VecDeque;
 
 use super::state::ZONE_SAMPLES;
-use super::{Balancer, CHECK_PERIOD};
+use super::{Balancer, CHECK_PERIOD_US};
 use crate::host::{Host, LoadReport};
 use crate::samples::{event_rate, mean, push_bounded, quantile, record_event};
 
-/// Results, relative latencies, probe latencies and utilizations kept of each server.
+/// Number of recent results, relative latencies and utilizations kept per server, and of probe latencies.
 pub(super) const RECENT_RESULTS: usize = 8;
-/// Reported rates kept of each server.
+/// Number of reported rates kept per server.
 const RECENT_RATES: usize = 32;
-/// Latencies kept of each product.
+/// Number of latencies kept per product.
 const RECENT_LATENCIES: usize = 32;
-/// Rates are taken over this part of a check period at the least.
-const MIN_RATE_PART: u64 = 10;
-/// The rank of a long latency: nine of ten are shorter.
+/// Rates are computed over at least a check period divided by this number.
+const RATE_WINDOW_DIVISOR: u64 = 10;
+/// Quantile that counts as a long latency.
 pub(super) const LONG_RANK: f64 = 0.9;
 
 impl<H: Host> Balancer<H> {
-    /// Takes in what a server reported of its load.
+    /// Records a load report of a server.
     pub(super) fn record_report(&mut self, server: usize, report: LoadReport) {
         let server = &mut self.servers[server];
         if self.settings.load_only_from_probes {
@@ -41,39 +41,39 @@
         }
     }
 
-    /// Takes in a completed execution and its latency.
+    /// Records the latency of a completed execution.
     pub(super) fn record_success(&mut self, server: usize, product: usize, latency: u64) {
         push_bounded(&mut self.latencies[product], RECENT_LATENCIES, latency);
-        record_event(&mut self.completions, self.now, CHECK_PERIOD);
-        self.latency_runs.record(self.now, latency as f64, CHECK_PERIOD);
-        let relative = latency as f64 / self.median_latency(product).max(1) as f64;
+        record_event(&mut self.completions, self.now, CHECK_PERIOD_US);
+        self.latency_batches.record(self.now, latency as f64, CHECK_PERIOD_US);
+        let relative_latency = latency as f64 / self.median_latency(product).max(1) as f64;
         let server = &mut self.servers[server];
         server.last_answer_at = self.now;
         server.ejections = 0;
         push_bounded(&mut server.recent_outcomes, RECENT_RESULTS, true);
-        push_bounded(&mut server.relative_latencies, RECENT_RESULTS, relative);
+        push_bounded(&mut server.relative_latencies, RECENT_RESULTS, relative_latency);
         let zone = server.zone;
         let sample = (self.now, self.load_per_ready(zone), latency as f64);
         push_bounded(&mut self.zones[zone].samples, ZONE_SAMPLES, sample);
     }
 
-    /// The median of the product's last latencies; 0 before the first.
+    /// Median of the recent latencies of a product; 0 before the first.
     pub(super) fn median_latency(&self, product: usize) -> u64 {
         self.latency_rank(product, 0.5).unwrap_or(0)
     }
 
-    /// The latency below which this part of the product's last ones lie.
+    /// Quantile of the recent latencies of a product.
     pub(super) fn latency_rank(&self, product: usize, rank: f64) -> Option<u64> {
         quantile(self.latencies[product].iter().copied(), rank)
     }
 
-    /// Events a second over the last `span`, or since the start of the balancer.
-    pub(super) fn rate(&self, times: &VecDeque<u64>, span: u64) -> f64 {
-        let since = self.now.saturating_sub(span).max(self.started_at);
-        event_rate(times, self.now, since, CHECK_PERIOD / MIN_RATE_PART)
+    /// Events per second over the last `window_us`, or since the start of the balancer if that is shorter.
+    pub(super) fn rate(&self, times: &VecDeque<u64>, window_us: u64) -> f64 {
+        let since = self.now.saturating_sub(window_us).max(self.started_at);
+        event_rate(times, self.now, since, CHECK_PERIOD_US / RATE_WINDOW_DIVISOR)
     }
 
-    /// The mean of the rates that these servers reported last; 0 without a report.
+    /// Mean of the latest rates reported by the servers; 0 without reports.
     pub(super) fn mean_reported_rate<'a>(&self, servers: impl Iterator<Item = &'a usize>) -> f64 {
         mean(servers.filter_map(|&server| self.servers[server].reported_rates.back().copied()))
     }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,158 +1,160 @@
-//! What the decisions are handed and what they call: plain types, and the [`Host`] that carries the decisions out.
+//! Input types of the balancer and the [`Host`] trait through which it acts.
 //!
-//! Times are whole microseconds of the host's clock; servers, queries, zones and products are small indices, which the
-//! host maps to addresses and names. A host is a socket program, a simulator or a test: the decisions can't tell.
+//! Times are microseconds of the host's clock. Servers, queries, zones and products are small indices that
+//! the host maps to addresses and names. A host can be a socket program, a simulator or a test.
 
-/// Carries out what a balancer decides. One answer or one execution is one call.
+/// Carries out the decisions of a balancer. Each final answer and each execution is one call.
 pub trait Host {
-    /// Sends the query's next execution to a server; `time_out` counts from now.
-    fn execute(&mut self, query: usize, server: usize, time_out: u64);
-    /// Stops waiting for one execution; its outcome still comes.
+    /// Sends the next execution of a query to a server. The timeout starts now.
+    fn execute(&mut self, query: usize, server: usize, timeout_us: u64);
+    /// Stops waiting for an execution. Its end is still reported.
     fn cancel(&mut self, query: usize, execution: usize);
-    /// Final answer: nothing has run, and a retry does no harm, best after `retry_after` (0: no advice).
-    fn reject(&mut self, query: usize, retry_after: u64);
-    /// Final answer: failed, and it may or may not have taken effect.
+    /// Rejects the query as its final answer: a retry by the client is safe, preferably after
+    /// `retry_after_us` (0: no advice).
+    fn reject(&mut self, query: usize, retry_after_us: u64);
+    /// Aborts the query as its final answer: it failed and may or may not have taken effect.
     fn abort(&mut self, query: usize);
-    /// Calls `Balancer::timer` with this label after `wait`.
-    fn set_timer(&mut self, wait: u64, label: u32);
-    /// Asks a server for a sign of life and its load; `Balancer::probed` has the result.
+    /// Starts a timer that calls `Balancer::timer_fired` with this label.
+    fn set_timer(&mut self, delay_us: u64, label: u32);
+    /// Sends a probe for liveness and load. The result is passed to `Balancer::probe_ended`.
     fn probe(&mut self, server: usize);
-    /// Subscribes to the changes of the endpoint list.
+    /// Starts a watch of the endpoint list.
     fn watch_endpoints(&mut self);
 }
 
-/// How far a product's effect may be repeated.
+/// Whether executions of a product may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It may run any number of times.
+    /// Executions may be repeated any number of times.
     Idempotent,
-    /// Servers of the group drop repeats for some time.
+    /// Servers within the scope drop duplicates for the product's deduplication window.
     Deduplicated(ServerScope),
-    /// It must not run twice.
+    /// A query must not run twice.
     NonIdempotent,
 }
 
-/// The servers that drop each other's repeats.
+/// A set of servers that share deduplication, or to which retries are restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerScope {
     /// All servers of the tier.
     All,
-    /// Those of one zone.
+    /// Servers of the same zone.
     Zone,
-    /// Those of one cell.
+    /// Servers of the same cell.
     Cell,
 }
 
-/// A row of the table of products: a kind of query.
+/// A product: a class of queries.
 #[derive(Clone, Debug)]
 pub struct Product {
-    /// How far a query may be repeated.
+    /// Whether executions may be repeated.
     pub effect: Effect,
-    /// An answer earns its full value up to this latency.
+    /// Latency up to which an answer has its full value.
     pub slo_time_us: u64,
-    /// How long servers remember a deduplicated query.
+    /// How long servers remember a query for deduplication.
     pub dedup_window_us: u64,
-    /// Part of the value that an answer after the SLO time still earns.
+    /// Fraction of its value that an answer after the SLO time still has.
     pub late_answer_value: f64,
 }
 
-/// What a deployment allows and demands, as handed over at the start.
+/// Settings of a balancer, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct BalancerSettings {
-    /// Balancers of this tier.
+    /// Number of balancers in this tier.
     pub balancers: usize,
-    /// This one's number among them, from 0.
+    /// Number of this balancer within its tier, from 0.
     pub rank: usize,
-    /// Its tier: 0 is the one that clients call.
+    /// Tier of this balancer; clients call tier 0.
     pub tier: usize,
-    /// How many queries a connection to a server carries at once.
+    /// Number of concurrent queries on a connection to a server.
     pub streams_per_connection: usize,
-    /// Servers report their load to probes alone, and probing them pays.
+    /// Whether servers report their load only in replies to probes.
     pub load_only_from_probes: bool,
-    /// The zone of this balancer.
+    /// Zone of this balancer.
     pub home_zone: usize,
-    /// What an execution in another zone costs, as a part of a query's value.
+    /// Cost of an execution in another zone, as a fraction of a query's value.
     pub cross_zone_cost: f64,
-    /// The kinds of queries.
+    /// All products; queries refer to them by index.
     pub products: Vec<Product>,
-    /// Queries a second within each tenant's quota, over all balancers.
+    /// Quota of each tenant in queries per second, summed over all balancers.
     pub tenant_quotas: Vec<f64>,
-    /// Executions of one query at the most.
+    /// Maximum number of executions of a query.
     pub max_executions: usize,
-    /// A query may run on two servers at once.
+    /// Whether a query may run on two servers at the same time.
     pub allow_hedging: bool,
-    /// Executions may be called off.
+    /// Whether executions may be cancelled.
     pub allow_cancel: bool,
-    /// Probes are allowed, and two of them cost less than a query that fails late.
+    /// Whether probes may be sent: they are permitted, and two cost less than a query that fails late.
     pub allow_probes: bool,
-    /// Four of them cost more than that: one server is probed for a query, not several.
+    /// Whether to probe only one server for a query: four probes cost more than a query that fails late.
     pub single_probe: bool,
-    /// Longest wait that clients follow; 0 where no advice is passed on.
+    /// Maximum retry-after advice for clients; 0 if clients get no advice.
     pub max_retry_after_us: u64,
-    /// Resolution of the host's clock.
+    /// Resolution of the host's clock, in microseconds.
     pub clock_resolution_us: u64,
-    /// The endpoint list comes only to those that ask; without news for this long it counts as known all the same.
+    /// Set if the endpoint list is sent only to balancers that watch it: a failed watch is reopened within
+    /// this time.
     pub watch_reopen_limit_us: Option<u64>,
-    /// Part of its capacity that a server has at its start.
+    /// Fraction of its capacity that a server has right after its start.
     pub slow_start_initial_fraction: f64,
-    /// Time from its start until a server has all of its capacity.
+    /// Time from its start until a server has its full capacity.
     pub slow_start_duration_us: u64,
-    /// A server in slow start fails beyond this multiple of an even share.
+    /// Multiple of an even share of the load at which a server in slow start fails.
     pub slow_start_overload_factor: f64,
-    /// The window over which that is counted.
+    /// Time window over which the load of a server in slow start is counted.
     pub slow_start_window_us: u64,
 }
 
-/// What a route sets for its queries of one product, within what the deployment allows.
+/// Policy of a route for one product, within the limits of [`BalancerSettings`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutePolicy {
-    /// Time-out of the whole query.
+    /// Timeout of the whole query.
     pub timeout_us: u64,
-    /// Time-out of one execution.
+    /// Timeout of one execution.
     pub execution_timeout_us: u64,
-    /// Executions of one query at the most.
+    /// Maximum number of executions of a query.
     pub max_executions: usize,
     /// The outcomes that are retried.
     pub retry_on: RetryOn,
     /// Backoff before a retry.
     pub backoff_us: u64,
-    /// Jitter: up to this part of the backoff more, drawn anew each time.
+    /// Maximum random addition to each backoff, as a fraction of the backoff.
     pub jitter: f64,
-    /// Whether and when a hedged request goes out.
+    /// When to send a hedged request.
     pub hedge: HedgePolicy,
-    /// Retry budget: retries of the route's queries, as a part of these.
+    /// Maximum ratio of retries to queries on the route.
     pub retry_budget: f64,
-    /// Zones whose servers may take the queries; none named: any.
+    /// Zones whose servers may serve the queries; empty: all zones.
     pub zones: Vec<usize>,
-    /// Kinds of servers that may; none named: any.
+    /// Server kinds that may serve the queries; empty: all kinds.
     pub kinds: Vec<usize>,
-    /// Where retries must stay with the first execution that may have run.
+    /// The scope shared with executions that may have run, to which retries are restricted.
     pub retry_scope: ServerScope,
 }
 
-/// Which outcomes of an execution may be followed by another one.
+/// The outcomes of an execution after which the query may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryOn {
-    /// It surely never ran: no connection, rejected.
+    /// The execution certainly did not run: rejected, or no connection.
     pub never_ran: bool,
-    /// An answer that says it failed.
+    /// The server reported an error.
     pub error: bool,
     /// The connection broke, or the answer was malformed.
     pub broken: bool,
-    /// The time for an execution was over, or its server silent for so long that it was called off.
+    /// The execution timed out, or was cancelled because its server did not respond.
     pub timed_out: bool,
 }
 
 impl RetryOn {
-    /// No retry whatever happens.
+    /// Retries after no outcome.
     pub const NONE: RetryOn = RetryOn { never_ran: false, error: false, broken: false, timed_out: false };
 
-    /// Whether an execution may be followed by another though it may have run.
+    /// Whether any outcome of an execution that may have run allows a retry.
     pub fn allows_after_possible_run(self) -> bool {
         self.error || self.broken || self.timed_out
     }
 
-    /// Whether this outcome may be followed by another execution.
+    /// Whether this outcome allows a retry.
     pub fn allows(self, outcome: Outcome) -> bool {
         match outcome {
             _ if outcome.never_ran() => self.never_ran,
@@ -164,102 +166,102 @@
     }
 }
 
-/// When a hedged request goes out while the first execution is in flight.
+/// When to send a hedged request while the first execution is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HedgePolicy {
-    /// No hedging.
+    /// Hedging is disabled.
     Never,
-    /// After so many microseconds.
+    /// After this many microseconds.
     After(u64),
-    /// Once the first takes longer than this part of the last answers did.
+    /// When the first execution exceeds this quantile (0 to 1) of recent latencies.
     Quantile(f64),
 }
 
-/// Whether an endpoint may be sent to, as the endpoint list says.
+/// State of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes queries.
+    /// Accepts queries.
     Ready,
-    /// It takes no new ones and ends what it has.
+    /// Finishes its current queries and accepts no new ones.
     Draining,
-    /// It is not listed any more.
+    /// No longer listed.
     Gone,
 }
 
-/// One entry of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// Its index.
+    /// Index of the server.
     pub server: usize,
-    /// Drawn from its id: the same at every balancer.
+    /// Hash of the server's id, equal at every balancer.
     pub key: u64,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: usize,
-    /// Its cell, within which servers may drop each other's repeats.
+    /// Cell of the server, within which servers may deduplicate queries.
     pub cell: usize,
-    /// The kind of machine; those of a kind are much alike.
+    /// Machine kind.
     pub kind: usize,
-    /// Whether it may be sent to.
+    /// State in the endpoint list.
     pub state: EndpointState,
-    /// Its capacity against others.
+    /// Capacity relative to other servers.
     pub relative_capacity: f64,
-    /// Clock time of its last start; 0: long ago.
+    /// Clock time of the last start; 0: long ago.
     pub started_at: u64,
 }
 
-/// A query that has arrived.
+/// An arriving query.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Its product; an index beyond the table is rejected.
+    /// Product index; queries with an unknown product are rejected.
     pub product: usize,
-    /// The tenant whose quota it counts against.
+    /// Tenant whose quota the query counts against.
     pub tenant: usize,
-    /// Clock time at which the client abandons this attempt.
+    /// Clock time at which the client gives up.
     pub deadline: u64,
-    /// Its route, by the order in which `Balancer::routes` was given them.
+    /// Index of the route in `Balancer::set_routes`.
     pub route: Option<usize>,
 }
 
-/// How an execution ended, as far as can be seen from here.
+/// Outcome of an execution as observed by the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an answer for the client.
+    /// The server answered.
     Completed,
-    /// With an answer that says it failed.
+    /// The server reported an error.
     Error,
-    /// The server can't use the query: the fault is the query's, and another server would say the same.
+    /// The query is invalid; another server would reject it too.
     ClientError,
-    /// Rejected before it ran: the server's queue is full or the server drains.
+    /// Rejected before it ran because the server's queue is full or the server is draining.
     Rejected,
-    /// Its time was over.
+    /// The execution timed out.
     TimedOut,
-    /// No connection came up.
+    /// No connection was established.
     NotConnected,
-    /// The connection broke: it may have run.
+    /// The connection broke; the query may have run.
     Broken,
-    /// A malformed or partial answer came: it may have run.
+    /// A malformed or partial answer was received; the query may have run.
     Malformed,
-    /// A connection that had stood idle broke under it: it may have run, and nothing is known of the server.
+    /// A reused idle connection broke; the query may have run, and the server's health is unknown.
     StaleConnection,
-    /// It was called off.
+    /// The balancer cancelled the execution.
     Cancelled,
-    /// It was never sent.
+    /// The execution was never sent.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether nothing follows from it for the health of the server.
+    /// Whether the outcome says nothing about the health of the server.
     pub fn is_health_neutral(self) -> bool {
         use Outcome::*;
         matches!(self, Cancelled | NeverSent | Rejected | ClientError | StaleConnection)
     }
 
-    /// Whether it may have run at a server that may well answer the next time.
+    /// Whether the query may have run and the same server is likely to answer a retry.
     pub fn is_transient(self) -> bool {
         matches!(self, Outcome::Broken | Outcome::Malformed | Outcome::StaleConnection)
     }
 
-    /// Whether it surely has not run.
+    /// Whether the query certainly did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::NotConnected | Outcome::NeverSent)
     }
@@ -268,29 +270,29 @@
 /// The end of an execution.
 #[derive(Clone, Copy, Debug)]
 pub struct ExecutionEnd {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The query has its final answer, by this outcome or before it.
+    /// Whether the query has its final answer, through this execution or an earlier one.
     pub query_answered: bool,
-    /// Time from the send until now.
+    /// Time since the execution was sent.
     pub elapsed_us: u64,
-    /// What the server reported with it.
+    /// Load report that came with the outcome.
     pub report: LoadReport,
 }
 
-/// What a server reports of its load; what it does not report is `None`.
+/// Load figures reported by a server; `None` for figures that were not reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// How busy its cores are, from 0 to 1.
+    /// CPU utilization from 0 to 1.
     pub utilization: Option<f64>,
-    /// Queries that it serves a second.
+    /// Queries served per second.
     pub throughput: Option<f64>,
-    /// Queries in flight or queued there.
+    /// Queries in flight or queued at the server.
     pub queries_at_server: Option<f64>,
 }
 
 impl LoadReport {
-    /// What is reported here, and what only the other one reports.
+    /// Merges two reports; figures of `self` take precedence.
     pub fn or(self, other: LoadReport) -> LoadReport {
         LoadReport {
             utilization: self.utilization.or(other.utilization),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! whinspindle: decisions of a load balancer for services that call services.
+//! Decision logic of a load balancer for service-to-service traffic.
 //!
-//! [`balancer::Balancer`] holds all decisions, [`host`] what it is handed and what it calls. Protocols live in
-//! other crates and reach the decisions through these two alone. [`weights`], [`samples`] and [`pcg`] are shared with the
+//! [`balancer::Balancer`] makes all decisions; [`host`] holds its input types and the trait through which it
+//! acts. Protocol crates use only these two modules. [`weights`], [`samples`] and [`pcg`] are shared with the
 //! router of the serving system.
 
 pub mod balancer;
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -1,44 +1,45 @@
-//! A permuted congruential generator, PCG-XSH-RR 64/32 (M. E. O'Neill, "PCG: A Family of Simple Fast Space-Efficient
-//! Statistically Good Algorithms for Random Number Generation", 2014): the only source of random numbers.
+//! A permuted congruential generator, PCG-XSH-RR 64/32 (M. E. O'Neill, "PCG: A Family of Simple Fast
+//! Space-Efficient Statistically Good Algorithms for Random Number Generation", 2014). All random numbers
+//! come from this generator.
 
-/// The generator's state. The same seed draws the same numbers on every machine.
+/// A random number generator. A seed produces the same numbers on every machine.
 pub struct Pcg(u64);
 
 impl Pcg {
-    const STEP: u64 = 6_364_136_223_846_793_005;
-    const ODD: u64 = 1_442_695_040_888_963_407;
+    const MULTIPLIER: u64 = 6_364_136_223_846_793_005;
+    const INCREMENT: u64 = 1_442_695_040_888_963_407;
 
-    /// A generator that starts from this seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Self {
-        let mut pcg = Pcg(seed.wrapping_add(Self::ODD));
-        pcg.bits();
+        let mut pcg = Pcg(seed.wrapping_add(Self::INCREMENT));
+        pcg.next_u32();
         pcg
     }
 
-    fn bits(&mut self) -> u32 {
-        let old = self.0;
-        self.0 = old.wrapping_mul(Self::STEP).wrapping_add(Self::ODD);
-        ((((old >> 18) ^ old) >> 27) as u32).rotate_right((old >> 59) as u32)
+    fn next_u32(&mut self) -> u32 {
+        let state = self.0;
+        self.0 = state.wrapping_mul(Self::MULTIPLIER).wrapping_add(Self::INCREMENT);
+        ((((state >> 18) ^ state) >> 27) as u32).rotate_right((state >> 59) as u32)
     }
 
-    /// A number from 0 up to but without 1.
+    /// A uniform random number in `[0, 1)`.
     pub fn next_f64(&mut self) -> f64 {
-        f64::from(self.bits()) / 4_294_967_296.0
+        f64::from(self.next_u32()) / 4_294_967_296.0
     }
 
-    /// A whole number below `n`; 0 if `n` is 0.
+    /// A uniform random integer below `n`; 0 if `n` is 0.
     pub fn next_below(&mut self, n: usize) -> usize {
-        ((u64::from(self.bits()) * n as u64) >> 32) as usize
+        ((u64::from(self.next_u32()) * n as u64) >> 32) as usize
     }
 
-    /// An index in proportion to its weight; none where no weight is positive.
+    /// A random index with probability proportional to its weight; `None` if no weight is positive.
     pub fn pick_weighted(&mut self, weights: &[f64]) -> Option<usize> {
-        let mut at = self.next_f64() * weights.iter().sum::<f64>();
-        let last = weights.iter().rposition(|&weight| weight > 0.0)?;
-        let passed = |weight: &f64| {
-            at -= weight;
-            at < 0.0
+        let mut remaining = self.next_f64() * weights.iter().sum::<f64>();
+        let last_positive = weights.iter().rposition(|&weight| weight > 0.0)?;
+        let is_reached = |weight: &f64| {
+            remaining -= weight;
+            remaining < 0.0
         };
-        Some(weights.iter().position(passed).unwrap_or(last))
+        Some(weights.iter().position(is_reached).unwrap_or(last_positive))
     }
 }
--- a/src/search.rs
+++ b/src/search.rs
@@ -1,18 +1,19 @@
-//! A random local search for better shares. The cost, the step and the number of tries are the caller's.
+//! Random local search for a distribution of shares with minimal cost.
 
 use crate::pcg::Pcg;
 
-/// How often and how far a search moves, and the share that it leaves everywhere.
+/// Parameters of [`minimize_cost`].
 pub struct SearchSettings {
-    /// Shifts that are tried.
+    /// Number of shifts to try.
     pub attempts: usize,
-    /// The largest shift, as a part of 1.
+    /// Maximum amount of a shift, as a fraction of the whole.
     pub max_step: f64,
-    /// The share that is left everywhere.
+    /// Shifts leave each position at least this share.
     pub min_share: f64,
 }
 
-/// Tries shifts of a part between two of the open places, two at the least; the shares of the least cost.
+/// Tries random shifts between pairs of the `open` indices, of which there must be at least two, and returns
+/// the shares with the lowest cost.
 pub fn minimize_cost(
     random: &mut Pcg,
     shares: &[f64],
@@ -20,7 +21,7 @@
     settings: &SearchSettings,
     cost: impl Fn(&[f64]) -> f64,
 ) -> Vec<f64> {
-    let (mut best, mut least) = (shares.to_vec(), cost(shares));
+    let (mut best, mut best_cost) = (shares.to_vec(), cost(shares));
     for _ in 0..settings.attempts {
         let first = random.next_below(open.len());
         let second = (first + 1 + random.next_below(open.len() - 1)) % open.len();
@@ -31,8 +32,8 @@
         shifted[from] -= step;
         shifted[to] += step;
         let shifted_cost = cost(&shifted);
-        if shifted_cost < least {
-            (best, least) = (shifted, shifted_cost);
+        if shifted_cost < best_cost {
+            (best, best_cost) = (shifted, shifted_cost);
         }
     }
     best
--- a/src/weights.rs
+++ b/src/weights.rs
@@ -1,58 +1,60 @@
-//! Weights between zones or regions by predicted latency: a few random shifts of weight are tried and the best kept.
+//! Weights of zones or regions that minimize the predicted latency, found by a random local search.
 //!
-//! Both the balancer in service and the router of the serving system solve their weights here. Latency is taken to rise
-//! with load, as a + b times the load of each ready server (`docs/design.md`).
+//! Used by the balancer and by the router of the serving system. Latency is modelled as a linear function of
+//! the load per ready server (`docs/design.md`).
 
 use crate::pcg::Pcg;
 use crate::samples::LatencyFit;
 use crate::search::{SearchSettings, minimize_cost};
 
-/// The least part of the traffic that a target with ready servers keeps, so that its latency stays known.
+/// Minimum share of the traffic for a target with ready servers, so that its latency is still measured.
 pub const MIN_SHARE: f64 = 0.02;
-/// The least slope of a latency fit, as a part of the slope of a line through the origin.
+/// Minimum slope of a latency fit, as a fraction of the slope of a line through the origin.
 pub(crate) const MIN_SLOPE_RATIO: f64 = 0.1;
-const MOVES: SearchSettings = SearchSettings { attempts: 10, max_step: 0.1, min_share: MIN_SHARE };
+const SEARCH_SETTINGS: SearchSettings = SearchSettings { attempts: 10, max_step: 0.1, min_share: MIN_SHARE };
 
-/// A zone or a region that weight is given to.
+/// A zone or region that receives a share of the traffic.
 pub struct Target {
-    /// Its ready servers.
+    /// Number of ready servers.
     pub ready_servers: f64,
-    /// The load on each, in requests a second.
+    /// Load per ready server in requests per second.
     pub load_per_server: f64,
-    /// Its latency against the load for each ready server.
+    /// Latency as a function of the load per ready server.
     pub fit: LatencyFit,
-    /// What going there costs, in the unit of the latencies.
+    /// Cost of sending a request there, in the unit of the latencies.
     pub crossing_cost: f64,
 }
 
-/// Tries a few shifts of weight between two targets and keeps the one with the lowest predicted latency: each target's
-/// weight for a ready server. `rate` is all that the weights divide, in requests a second. None where there is nothing to
-/// choose, or nothing known.
+/// Searches for weights with a lower predicted latency and returns each target's weight per ready server.
+/// `rate` is the total number of requests per second. `None` with fewer than two usable targets or without
+/// latency samples.
 pub fn solve(random: &mut Pcg, targets: &[Target], weights: &[f64], rate: f64) -> Option<Vec<f64>> {
-    let open: Vec<usize> = (0..targets.len()).filter(|&target| targets[target].ready_servers > 0.0).collect();
-    let known: f64 = targets.iter().map(|target| target.fit.weight).sum();
-    if open.len() < 2 || known <= 0.0 {
+    let usable: Vec<usize> =
+        (0..targets.len()).filter(|&target| targets[target].ready_servers > 0.0).collect();
+    let total_fit_weight: f64 = targets.iter().map(|target| target.fit.weight).sum();
+    if usable.len() < 2 || total_fit_weight <= 0.0 {
         return None;
     }
-    // A fit whose samples have aged away leans on the others' mean.
-    let mean_base = targets.iter().map(|target| target.fit.weight * target.fit.base).sum::<f64>() / known;
-    let mean_slope = targets.iter().map(|target| target.fit.weight * target.fit.slope).sum::<f64>() / known;
+    // Fits with little remaining sample weight are blended with the mean of all fits.
+    let mean_base =
+        targets.iter().map(|target| target.fit.weight * target.fit.base).sum::<f64>() / total_fit_weight;
+    let mean_slope =
+        targets.iter().map(|target| target.fit.weight * target.fit.slope).sum::<f64>() / total_fit_weight;
     let predict = |shares: &[f64]| -> f64 {
         let latency = |&index: &usize| {
-            let Target { ready_servers: ready, load_per_server: load, fit, crossing_cost: crossing } =
-                &targets[index];
-            let load = load + (shares[index] - weights[index]) * rate / ready;
-            let trust = fit.weight.min(1.0);
-            let base = trust * fit.base + (1.0 - trust) * mean_base;
-            let slope = trust * fit.slope + (1.0 - trust) * mean_slope;
-            shares[index] * (base + slope * load.max(0.0) + crossing)
+            let Target { ready_servers, load_per_server, fit, crossing_cost } = &targets[index];
+            let load = load_per_server + (shares[index] - weights[index]) * rate / ready_servers;
+            let confidence = fit.weight.min(1.0);
+            let base = confidence * fit.base + (1.0 - confidence) * mean_base;
+            let slope = confidence * fit.slope + (1.0 - confidence) * mean_slope;
+            shares[index] * (base + slope * load.max(0.0) + crossing_cost)
         };
-        open.iter().map(latency).sum()
+        usable.iter().map(latency).sum()
     };
-    let best = minimize_cost(random, weights, &open, &MOVES, predict);
-    let all: f64 = targets.iter().map(|target| target.ready_servers).sum();
+    let best = minimize_cost(random, weights, &usable, &SEARCH_SETTINGS, predict);
+    let total_ready: f64 = targets.iter().map(|target| target.ready_servers).sum();
     let per_ready = |(target, weight): (&Target, f64)| {
-        if target.ready_servers > 0.0 { weight * all / target.ready_servers } else { 1.0 }
+        if target.ready_servers > 0.0 { weight * total_ready / target.ready_servers } else { 1.0 }
     };
     Some(targets.iter().zip(best).map(per_ready).collect())
 }
--- a/tests/common/fixtures.rs
+++ b/tests/common/fixtures.rs
@@ -1,20 +1,21 @@
-//! Fixtures: bytes as a program has stored or sent them, kept as files in a package's `tests/data`. Packages
-//! take this file in by its path.
+//! Binary fixtures: bytes in stored or sent formats, kept in the `tests/data` folder of a package. Packages
+//! include this file with `#[path]`.
 
 use std::fs;
 use std::path::PathBuf;
 
-/// The bytes of the fixture with this name, which what is `written` now is held against.
+/// Returns the fixture with this name and checks that it is equal to `written`, the bytes that the current
+/// code writes.
 ///
-/// With `WRITE_FIXTURES=1` in the environment the file is made anew from `written`. One may do that only where
-/// a format is changed on purpose, together with its migration: what is in service then has bytes of both
-/// forms on its disks and in its datagrams. A renaming is no such change.
+/// With `WRITE_FIXTURES=1` in the environment, the file is first overwritten with `written`. Do so only for
+/// an intended change of a format together with its migration, because running systems then have both formats
+/// on disk and in datagrams. A renaming must not change the format.
 pub fn fixture(name: &str, written: &[u8]) -> Vec<u8> {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name);
     if std::env::var_os("WRITE_FIXTURES").is_some_and(|value| value == "1") {
-        fs::write(&path, written).expect("the fixture is written");
+        fs::write(&path, written).expect("the fixture can be written");
     }
-    let bytes = fs::read(&path).unwrap_or_else(|fault| panic!("{}: {fault}", path.display()));
-    assert!(bytes == written, "{name}: what is written now is not what the fixture has");
+    let bytes = fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+    assert!(bytes == written, "{name}: the written bytes differ from the fixture");
     bytes
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,42 +1,43 @@
-//! A host that writes down what it is told, and terms to start from.
+//! A host that records its calls, and default settings and inputs.
 
 use whinspindle::balancer::Balancer;
 use whinspindle::host::*;
 
 pub const MS: u64 = 1_000;
-pub const NOON: u64 = 1_000_000_000;
+pub const START: u64 = 1_000_000_000;
 
 #[derive(Default)]
-pub struct Notes {
-    pub said: Vec<String>,
-    pub wakes: Vec<(u64, u32)>,
+pub struct RecordingHost {
+    pub calls: Vec<String>,
+    /// Delay and label of each timer.
+    pub timers: Vec<(u64, u32)>,
 }
 
-impl Host for Notes {
-    fn execute(&mut self, query: usize, server: usize, _time_out: u64) {
-        self.said.push(format!("execute {query} on {server}"));
+impl Host for RecordingHost {
+    fn execute(&mut self, query: usize, server: usize, _timeout_us: u64) {
+        self.calls.push(format!("execute {query} on {server}"));
     }
-    fn cancel(&mut self, query: usize, exec: usize) {
-        self.said.push(format!("cancel {query}.{exec}"));
+    fn cancel(&mut self, query: usize, execution: usize) {
+        self.calls.push(format!("cancel {query}.{execution}"));
     }
-    fn reject(&mut self, query: usize, _retry_after: u64) {
-        self.said.push(format!("reject {query}"));
+    fn reject(&mut self, query: usize, _retry_after_us: u64) {
+        self.calls.push(format!("reject {query}"));
     }
     fn abort(&mut self, query: usize) {
-        self.said.push(format!("abort {query}"));
+        self.calls.push(format!("abort {query}"));
     }
-    fn set_timer(&mut self, wait: u64, label: u32) {
-        self.wakes.push((wait, label));
+    fn set_timer(&mut self, delay_us: u64, label: u32) {
+        self.timers.push((delay_us, label));
     }
     fn probe(&mut self, server: usize) {
-        self.said.push(format!("probe {server}"));
+        self.calls.push(format!("probe {server}"));
     }
     fn watch_endpoints(&mut self) {
-        self.said.push("follow".into());
+        self.calls.push("watch endpoints".into());
     }
 }
 
-pub fn terms(effect: Effect) -> BalancerSettings {
+pub fn settings(effect: Effect) -> BalancerSettings {
     BalancerSettings {
         balancers: 2,
         rank: 0,
@@ -67,7 +68,7 @@
     }
 }
 
-pub fn entry(server: usize, zone: usize) -> Endpoint {
+pub fn endpoint(server: usize, zone: usize) -> Endpoint {
     Endpoint {
         server,
         key: server as u64,
@@ -80,44 +81,44 @@
     }
 }
 
-pub fn start(terms: BalancerSettings, entries: &[Endpoint]) -> Balancer<Notes> {
-    let mut balancer = Balancer::new(Notes::default(), terms, 7, NOON);
-    balancer.endpoints_replaced(NOON, entries);
+pub fn start_balancer(settings: BalancerSettings, entries: &[Endpoint]) -> Balancer<RecordingHost> {
+    let mut balancer = Balancer::new(RecordingHost::default(), settings, 7, START);
+    balancer.endpoints_replaced(START, entries);
     balancer
 }
 
-pub fn ending(outcome: Outcome, spent: u64) -> ExecutionEnd {
+pub fn execution_end(outcome: Outcome, elapsed_us: u64) -> ExecutionEnd {
     ExecutionEnd {
         outcome,
         query_answered: outcome == Outcome::Completed,
-        elapsed_us: spent,
+        elapsed_us,
         report: LoadReport::default(),
     }
 }
 
-/// Hands over a query with three seconds to its deadline and returns what was said of it.
-pub fn ask(balancer: &mut Balancer<Notes>, now: u64, query: usize) -> Vec<String> {
+/// Submits a query whose deadline is in three seconds and returns the host calls.
+pub fn submit(balancer: &mut Balancer<RecordingHost>, now: u64, query: usize) -> Vec<String> {
     balancer.query_arrived(
         now,
         query,
         Arrival { product: 0, tenant: 0, deadline: now + 3000 * MS, route: None },
     );
-    std::mem::take(&mut balancer.host.said)
+    std::mem::take(&mut balancer.host.calls)
 }
 
-/// The server that the query was sent to, if it was.
-pub fn sent_to(said: &[String]) -> Option<usize> {
-    said.iter().find_map(|line| line.split_once(" on ")?.1.parse().ok())
+/// The server of the first execution in `calls`.
+pub fn sent_server(calls: &[String]) -> Option<usize> {
+    calls.iter().find_map(|line| line.split_once(" on ")?.1.parse().ok())
 }
 
-/// Ends the query's execution and returns what was said.
-pub fn end(
-    balancer: &mut Balancer<Notes>,
+/// Ends an execution of a query and returns the host calls.
+pub fn end_execution(
+    balancer: &mut Balancer<RecordingHost>,
     now: u64,
     query: usize,
-    exec: usize,
-    ending: ExecutionEnd,
+    execution: usize,
+    end: ExecutionEnd,
 ) -> Vec<String> {
-    balancer.execution_ended(now, query, exec, ending);
-    std::mem::take(&mut balancer.host.said)
+    balancer.execution_ended(now, query, execution, end);
+    std::mem::take(&mut balancer.host.calls)
 }
