--- a/balancer/core/src/lib.rs
+++ b/balancer/core/src/lib.rs
@@ -1,6 +1,7 @@
-//! The state of one running balancer, as a state machine without I/O: the decisions and the table of open queries.
+//! Core of a running balancer as a state machine without I/O: the decision logic and the table of open
+//! queries.
 //!
-//! It is called once for each event and asks through [`Effects`] for all that must be sent, answered or timed.
+//! Each event is a method call, and all actions go through [`Effects`].
 
 mod request_table;
 mod servers;
@@ -19,32 +20,32 @@
 use request_table::RequestTable;
 pub use request_table::Ticket;
 
-/// Carries out what the core asks for. No method may call the core before it returns.
+/// Carries out the actions of the core. Its methods must not call the core.
 pub trait Effects {
-    /// Who waits for the answer to a query.
+    /// Identifies the client that waits for the answer to a query.
     type Caller;
-    /// Sends the query to the server once; `BalancerCore::execution_ended` tells what came of it.
+    /// Sends an execution. Its end is reported with `BalancerCore::execution_ended`.
     fn execute(&mut self, execution: Execution);
-    /// Stops waiting for an execution, whose connection is closed; its end is still told.
+    /// Stops waiting for an execution and closes its connection. Its end is still reported.
     fn cancel(&mut self, query_index: usize, execution_index: usize);
-    /// Gives the final answer to who waits for it.
+    /// Sends the final answer to the caller.
     fn answer(&mut self, caller: Self::Caller, answer: Answer);
-    /// Calls `BalancerCore::timer` after so many microseconds.
-    fn set_timer(&mut self, wait: u64, label: u32);
-    /// `BalancerCore::probed` tells what came of it.
+    /// Starts a timer that calls `BalancerCore::timer_fired` with this label.
+    fn set_timer(&mut self, delay_us: u64, label: u32);
+    /// Sends a probe. The result is reported with `BalancerCore::probe_ended`.
     fn probe(&mut self, server: usize, process: ServerProcess);
 }
 
-/// Where a server listens, and which of its processes: each that the list has named has a number of its own.
+/// Address of a server, and the number of its process. Each process in the endpoint list gets its own number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerProcess {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Number of the process, never used twice.
+    /// Number of the process; never reused.
     pub process: u64,
 }
 
-/// An execution that is to be sent.
+/// An execution to send.
 pub struct Execution {
     /// Index of its query.
     pub query_index: usize,
@@ -52,13 +53,13 @@
     pub execution_index: usize,
     /// Index of the server.
     pub server: usize,
-    /// Where to send it.
+    /// The process to send the execution to.
     pub process: ServerProcess,
     /// Index of the query's product.
     pub product: usize,
-    /// What is sent.
+    /// The query to send.
     pub query: Rc<ForwardedQuery>,
-    /// How long it may take, in microseconds.
+    /// Timeout of the execution, in microseconds.
     pub timeout_us: u64,
 }
 
@@ -72,19 +73,19 @@
     pub outcome: Outcome,
     /// Time since it was sent, in microseconds.
     pub elapsed_us: u64,
-    /// What the server reported of its load.
+    /// Load report of the server.
     pub report: LoadReport,
-    /// The server's answer, if there is one for the client.
+    /// The response of the server, if it completed the query.
     pub response: Option<ServerResponse>,
 }
 
-/// One balancer: its decisions and its open queries. Times are microseconds of the host's clock.
+/// A balancer with its open queries. Times are microseconds of the host's clock.
 pub struct BalancerCore<E: Effects> {
     balancer: Balancer<RequestTable<E>>,
 }
 
 impl<E: Effects> BalancerCore<E> {
-    /// A balancer without an endpoint list. The seed decides all random draws.
+    /// Creates a balancer without an endpoint list. The seed determines all random decisions.
     pub fn new(effects: E, deployment: &Deployment, seed: u64, now: u64) -> Self {
         let request_table = RequestTable::new(effects, deployment);
         BalancerCore {
@@ -92,12 +93,12 @@
         }
     }
 
-    /// Queries come by these routes from now on; those in hand keep theirs.
+    /// Replaces the routes. Open queries keep theirs.
     pub fn set_routes(&mut self, routes: Vec<Vec<RoutePolicy>>) {
         self.balancer.set_routes(routes);
     }
 
-    /// The endpoint list has changed.
+    /// Applies an update of the endpoint list.
     pub fn apply_endpoint_update(&mut self, now: u64, update: &EndpointUpdate) {
         let entries = self.balancer.host.servers.apply(update);
         if update.is_complete {
@@ -105,36 +106,36 @@
         } else {
             self.balancer.endpoints_changed(now, &entries);
         }
-        self.forget_gone();
+        self.release_gone_servers();
     }
 
-    /// The fleet has let these servers out, by their keys: they get nothing new, as if the list had told that
-    /// they drain, until they are not among them any more.
+    /// Drains the servers with these keys, as decided by the fleet: they get no new queries while they are in
+    /// the set, whatever their state in the endpoint list.
     pub fn set_drained(&mut self, now: u64, keys: &BTreeSet<u64>) {
-        let entries = self.balancer.host.servers.taken_out(keys);
+        let entries = self.balancer.host.servers.set_drained(keys);
         if !entries.is_empty() {
             self.balancer.endpoints_changed(now, &entries);
         }
     }
 
-    /// The whole list, to be kept over a restart.
+    /// The complete endpoint list, to be stored for a restart.
     pub fn endpoint_list(&self) -> Vec<ListedServer> {
-        self.balancer.host.servers.complete_list()
+        self.balancer.host.servers.endpoint_list()
     }
 
-    /// The servers as the list told them last.
+    /// The listed servers, with their state in the endpoint list.
     pub fn endpoints(&self) -> Vec<Endpoint> {
-        self.balancer.host.servers.listed().copied().collect()
+        self.balancer.host.servers.endpoints().copied().collect()
     }
 
-    /// Servers that are gone and that nothing in flight holds any more make way for others.
-    fn forget_gone(&mut self) {
-        while let Some(server) = self.balancer.host.servers.forget_gone() {
+    /// Releases the indices of gone servers without queries or probes in flight.
+    fn release_gone_servers(&mut self) {
+        while let Some(server) = self.balancer.host.servers.release_gone() {
             self.balancer.endpoint_removed(server);
         }
     }
 
-    /// None if another query is open under the same id; nothing has happened then.
+    /// Submits a query. Returns `None`, without effect, if an open query has the same trace id.
     pub fn submit_query(
         &mut self,
         now: u64,
@@ -142,16 +143,16 @@
         query: ForwardedQuery,
         caller: E::Caller,
     ) -> Option<Ticket> {
-        let ticket = self.balancer.host.take(query, arrival.product, caller)?;
+        let ticket = self.balancer.host.insert(query, arrival.product, caller)?;
         self.balancer.query_arrived(now, ticket.query_index, arrival);
-        // It may have its answer already.
+        // The query may be answered already.
         self.release(ticket.query_index);
         Some(ticket)
     }
 
-    /// The client has gone; nobody waits for the answer any more.
+    /// The client has disconnected and no longer waits for the answer.
     pub fn client_disconnected(&mut self, now: u64, ticket: Ticket) {
-        if self.balancer.host.client_gone(ticket) {
+        if self.balancer.host.client_disconnected(ticket) {
             self.balancer.query_withdrawn(now, ticket.query_index);
             self.release(ticket.query_index);
         }
@@ -159,84 +160,78 @@
 
     fn release(&mut self, query_index: usize) {
         self.balancer.host.release(query_index);
-        self.forget_gone();
+        self.release_gone_servers();
     }
 
     /// An execution has ended.
-    pub fn execution_ended(&mut self, now: u64, ended: EndedExecution) {
-        let EndedExecution {
-            query_index,
-            execution_index,
-            outcome,
-            elapsed_us: spent,
-            report,
-            response: served,
-        } = ended;
-        let over = self.balancer.host.execution_ended(query_index, outcome, served);
+    pub fn execution_ended(&mut self, now: u64, ended_execution: EndedExecution) {
+        let EndedExecution { query_index, execution_index, outcome, elapsed_us, report, response } =
+            ended_execution;
+        let query_answered = self.balancer.host.execution_ended(query_index, outcome, response);
         self.balancer.execution_ended(
             now,
             query_index,
             execution_index,
-            ExecutionEnd { outcome, query_answered: over, elapsed_us: spent, report },
+            ExecutionEnd { outcome, query_answered, elapsed_us, report },
         );
         self.release(query_index);
     }
 
-    /// The program ends at `until`.
+    /// The program shuts down at time `until`.
     pub fn begin_shutdown(&mut self, now: u64, until: u64) {
         self.balancer.begin_shutdown(now, until);
     }
 
-    /// A probe has ended; `answered` says whether the server gave a sign of life.
+    /// A probe has ended; `answered` tells whether the server replied.
     pub fn probe_ended(&mut self, now: u64, server: usize, answered: bool, report: LoadReport) {
         self.balancer.probe_ended(now, server, answered, report);
         self.balancer.host.servers.release(server);
-        self.forget_gone();
+        self.release_gone_servers();
     }
 
-    /// A timer set by [`Effects::wake`] is due.
+    /// A timer started by [`Effects::set_timer`] has fired.
     pub fn timer_fired(&mut self, now: u64, label: u32) {
         self.balancer.timer_fired(now, label);
     }
 
-    /// Whether an execution may still begin: asked again right before its first byte goes out. Guards against
-    /// a query that was answered, a server that has left the list, and a window for repeats that has run out
-    /// while the connection came up.
+    /// Whether an execution may still be sent. Checked right before its first byte, because while the
+    /// connection was established the query may have been answered, the server removed, or the deduplication
+    /// window closed.
     pub fn may_send(&mut self, now: u64, query_index: usize, execution_index: usize, server: usize) -> bool {
         self.balancer.host.is_open(query_index)
             && self.is_ready(server)
             && self.balancer.may_send(now, query_index, execution_index)
     }
 
-    /// Whether the last list has the server ready.
+    /// Whether the server is ready in the current endpoint list.
     pub fn is_ready(&self, server: usize) -> bool {
         self.balancer.host.servers.is_ready(server)
     }
 
-    /// Whether a complete endpoint list has come.
+    /// Whether a complete endpoint list was received.
     pub fn has_list(&self) -> bool {
         self.balancer.host.servers.has_list()
     }
 
-    /// The counts of queries since the start.
+    /// Query counts since the start.
     pub fn query_counts(&self) -> QueryCounts {
         self.balancer.host.tally
     }
 }
 
-/// What has become of the queries since the start.
+/// Numbers of queries by outcome since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueryCounts {
-    /// Queries that were taken.
+    /// Queries that were accepted.
     pub accepted: u64,
-    /// Those with an answer of a server.
+    /// Queries answered by a server.
     pub completed: u64,
-    /// Those that were rejected.
+    /// Rejected queries.
     pub rejected: u64,
-    /// Those that were aborted.
+    /// Aborted queries.
     pub aborted: u64,
-    /// Those whose client went before an answer.
+    /// Queries whose client disconnected before the answer.
     pub abandoned: u64,
-    /// Executions of all of them.
+    /// Executions of all queries.
     pub executions: u64,
 }
--- a/balancer/core/src/request_table.rs
+++ b/balancer/core/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The host of the decisions: the open queries, and what the decisions ask for turned into effects.
+//! The table of open queries. As the host of the decision logic, it turns decisions into effects.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -13,23 +13,23 @@
 use crate::servers::Servers;
 use crate::{Effects, Execution, QueryCounts};
 
-/// Stands for one open query; its index may stand for another one later, the serial number never does.
+/// Handle of an open query. Its index may be reused; its serial number is unique.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ticket {
     pub(crate) query_index: usize,
     serial: u64,
 }
 
-/// A query between its arrival and the end of its last execution.
+/// A query from its arrival to the end of its last execution.
 struct OpenQuery<C> {
     serial: u64,
     query: Rc<ForwardedQuery>,
     product: usize,
-    /// Taken with the final answer, or when the client leaves.
+    /// `None` after the final answer, or once the client has disconnected.
     caller: Option<C>,
-    /// The servers that it was sent to.
+    /// The servers of its executions, in order.
     servers: Vec<usize>,
-    executions_out: usize,
+    executions_in_flight: usize,
     last_outcome: Option<Outcome>,
 }
 
@@ -38,9 +38,9 @@
     pub servers: Servers,
     pub tally: QueryCounts,
     open: Vec<Option<OpenQuery<E::Caller>>>,
-    free: Vec<usize>,
-    /// The ids of the open queries.
-    traces: HashSet<HeaderValue>,
+    free_indices: Vec<usize>,
+    /// Trace ids of the open queries.
+    trace_ids: HashSet<HeaderValue>,
 }
 
 impl<E: Effects> RequestTable<E> {
@@ -50,15 +50,15 @@
             servers: Servers::new(deployment.zones.clone(), deployment.kinds.clone()),
             tally: QueryCounts::default(),
             open: Vec::new(),
-            free: Vec::new(),
-            traces: HashSet::new(),
+            free_indices: Vec::new(),
+            trace_ids: HashSet::new(),
         }
     }
 
-    /// None if another query is open under the same id. Guards against a client that uses the id of another's
-    /// query: what it sends would pass for a second copy of that.
-    pub fn take(&mut self, query: ForwardedQuery, product: usize, caller: E::Caller) -> Option<Ticket> {
-        if !self.traces.insert(query.trace.clone()) {
+    /// Inserts a query. Returns `None` if an open query has the same trace id: servers would take the new one
+    /// for a duplicate of the other.
+    pub fn insert(&mut self, query: ForwardedQuery, product: usize, caller: E::Caller) -> Option<Ticket> {
+        if !self.trace_ids.insert(query.trace.clone()) {
             return None;
         }
         self.tally.accepted += 1;
@@ -69,10 +69,10 @@
             product,
             caller: Some(caller),
             servers: Vec::new(),
-            executions_out: 0,
+            executions_in_flight: 0,
             last_outcome: None,
         };
-        let query_index = self.free.pop().unwrap_or_else(|| {
+        let query_index = self.free_indices.pop().unwrap_or_else(|| {
             self.open.push(None);
             self.open.len() - 1
         });
@@ -80,31 +80,31 @@
         Some(Ticket { query_index, serial })
     }
 
-    /// Whether the query was still open; nobody waits for it from now on.
-    pub fn client_gone(&mut self, ticket: Ticket) -> bool {
+    /// Removes the caller of a query. Returns whether the query was still open.
+    pub fn client_disconnected(&mut self, ticket: Ticket) -> bool {
         let open = self.open[ticket.query_index].as_mut().filter(|open| open.serial == ticket.serial);
-        let left = open.and_then(|open| open.caller.take()).is_some();
-        self.tally.abandoned += u64::from(left);
-        left
+        let was_open = open.and_then(|open| open.caller.take()).is_some();
+        self.tally.abandoned += u64::from(was_open);
+        was_open
     }
 
-    /// Whether somebody still waits for the query's answer.
+    /// Whether a caller still waits for the answer.
     pub fn is_open(&self, query_index: usize) -> bool {
         self.open[query_index].as_ref().is_some_and(|open| open.caller.is_some())
     }
 
-    /// Whether the query has its final answer now, by this end or before it.
+    /// Records the end of an execution. Returns whether the query has its final answer.
     pub fn execution_ended(
         &mut self,
         query_index: usize,
         outcome: Outcome,
-        served: Option<ServerResponse>,
+        response: Option<ServerResponse>,
     ) -> bool {
         let Some(open) = &mut self.open[query_index] else { return true };
-        open.executions_out -= 1;
+        open.executions_in_flight -= 1;
         open.last_outcome = Some(outcome);
-        if let Some(served) = served {
-            self.answer(query_index, Answer::Completed(served));
+        if let Some(response) = response {
+            self.answer(query_index, Answer::Completed(response));
         }
         !self.is_open(query_index)
     }
@@ -120,27 +120,27 @@
         self.effects.answer(caller, answer);
     }
 
-    /// Frees the index once the query is answered and nothing of it is out.
+    /// Frees the index of a query that is answered and has no execution in flight.
     pub fn release(&mut self, query_index: usize) {
-        let done = |open: &OpenQuery<_>| open.caller.is_none() && open.executions_out == 0;
-        if let Some(open) = self.open[query_index].take_if(|open| done(open)) {
-            self.traces.remove(&open.query.trace);
+        let is_done = |open: &OpenQuery<_>| open.caller.is_none() && open.executions_in_flight == 0;
+        if let Some(open) = self.open[query_index].take_if(|open| is_done(open)) {
+            self.trace_ids.remove(&open.query.trace);
             open.servers.iter().for_each(|&server| self.servers.release(server));
-            self.free.push(query_index);
+            self.free_indices.push(query_index);
         }
     }
 }
 
 impl<E: Effects> Host for RequestTable<E> {
-    fn execute(&mut self, query_index: usize, server: usize, time_out: u64) {
+    fn execute(&mut self, query_index: usize, server: usize, timeout_us: u64) {
         let process = self.servers.acquire(server);
         let (Some(open), Some(process)) = (&mut self.open[query_index], process) else {
-            log_line!("fault", "an execution of no open query, or at a server without an address");
+            log_line!("fault", "execution for a query that is not open, or for a server without an address");
             return;
         };
         let execution_index = open.servers.len();
         open.servers.push(server);
-        open.executions_out += 1;
+        open.executions_in_flight += 1;
         self.tally.executions += 1;
         let (query, product) = (Rc::clone(&open.query), open.product);
         self.effects.execute(Execution {
@@ -150,7 +150,7 @@
             process,
             product,
             query,
-            timeout_us: time_out,
+            timeout_us,
         });
     }
 
@@ -158,23 +158,23 @@
         self.effects.cancel(query_index, execution_index);
     }
 
-    fn reject(&mut self, query_index: usize, retry_after: u64) {
-        self.answer(query_index, Answer::Rejected(retry_after));
+    fn reject(&mut self, query_index: usize, retry_after_us: u64) {
+        self.answer(query_index, Answer::Rejected(retry_after_us));
     }
 
     fn abort(&mut self, query_index: usize) {
-        let last = self.open[query_index].as_ref().and_then(|open| open.last_outcome);
-        let because = match last {
+        let last_outcome = self.open[query_index].as_ref().and_then(|open| open.last_outcome);
+        let reason = match last_outcome {
             None | Some(Outcome::TimedOut) => AbortReason::OutOfTime,
-            // While the query was open, only the silence of a server has called an execution off.
+            // Executions of an open query are cancelled only if their server is silent.
             Some(Outcome::Cancelled) => AbortReason::ServerUnresponsive,
             Some(_) => AbortReason::Failed,
         };
-        self.answer(query_index, Answer::Aborted(because));
+        self.answer(query_index, Answer::Aborted(reason));
     }
 
-    fn set_timer(&mut self, wait: u64, label: u32) {
-        self.effects.set_timer(wait, label);
+    fn set_timer(&mut self, delay_us: u64, label: u32) {
+        self.effects.set_timer(delay_us, label);
     }
 
     fn probe(&mut self, server: usize) {
@@ -183,6 +183,6 @@
         }
     }
 
-    /// The program watches the list from its start on, and opens the watch again by itself.
+    /// Does nothing: the program watches the endpoint list by itself and reopens the watch.
     fn watch_endpoints(&mut self) {}
 }
--- a/balancer/core/tests/core.rs
+++ b/balancer/core/tests/core.rs
@@ -1,4 +1,4 @@
-//! The core without sockets: the effects that it asks for at each event.
+//! The core without sockets: the effects that each event causes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 
 const NOW: u64 = 1_000_000_000;
 
-/// What was said, and the index and the process of each server that was sent to.
-struct Notes(Rc<RefCell<Vec<String>>>, Rc<RefCell<Vec<(usize, u64)>>>);
+/// Records the calls, and the server index and process of each execution.
+struct RecordingEffects(Rc<RefCell<Vec<String>>>, Rc<RefCell<Vec<(usize, u64)>>>);
 
-impl Effects for Notes {
+impl Effects for RecordingEffects {
     type Caller = &'static str;
 
     fn execute(&mut self, execution: Execution) {
@@ -44,21 +44,21 @@
         self.0.borrow_mut().push(format!("{caller}: {answer}"));
     }
 
-    fn set_timer(&mut self, _wait: u64, _label: u32) {}
+    fn set_timer(&mut self, _delay_us: u64, _label: u32) {}
 
     fn probe(&mut self, _server: usize, process: ServerProcess) {
         self.0.borrow_mut().push(format!("probe {}", process.address));
     }
 }
 
-struct Bench {
-    core: BalancerCore<Notes>,
-    said: Rc<RefCell<Vec<String>>>,
+struct Fixture {
+    core: BalancerCore<RecordingEffects>,
+    calls: Rc<RefCell<Vec<String>>>,
     sent: Rc<RefCell<Vec<(usize, u64)>>>,
 }
 
-impl Bench {
-    /// Servers listed as name, lifecycle; each in a cell of its own, at the port that its name tells.
+impl Fixture {
+    /// Starts a core with servers given as (port, lifecycle), each in its own cell.
     fn new(effect: &str, servers: &[(&str, &str)]) -> Self {
         let settings = format!(
             r#"{{"balancers": 1, "tier": 0, "zones": ["a"], "membershipMode": "pushed", "tickNs": 5000000,
@@ -69,38 +69,38 @@
             "obligations": {{"coldFrom": 0.3, "coldNs": 1, "fallMultiple": 3.0, "tipAfterNs": 1}}}}"#
         );
         let deployment = whinspindle_deployment_settings::parse(settings.as_bytes()).expect("settings");
-        let (said, sent) = <(Rc<RefCell<Vec<String>>>, Rc<RefCell<Vec<_>>>)>::default();
-        let notes = Notes(Rc::clone(&said), Rc::clone(&sent));
-        let mut bench = Bench { core: BalancerCore::new(notes, &deployment, 7, NOW), said, sent };
-        bench.list(true, servers);
-        bench
+        let (calls, sent) = <(Rc<RefCell<Vec<String>>>, Rc<RefCell<Vec<_>>>)>::default();
+        let effects = RecordingEffects(Rc::clone(&calls), Rc::clone(&sent));
+        let mut fixture = Fixture { core: BalancerCore::new(effects, &deployment, 7, NOW), calls, sent };
+        fixture.update_list(true, servers);
+        fixture
     }
 
-    fn list(&mut self, whole: bool, servers: &[(&str, &str)]) {
-        self.list_of(1, whole, servers);
+    fn update_list(&mut self, is_complete: bool, servers: &[(&str, &str)]) {
+        self.update_list_at(1, is_complete, servers);
     }
 
-    fn list_of(&mut self, generation: u64, whole: bool, servers: &[(&str, &str)]) {
-        let entry = |(port, lifecycle): &(&str, &str)| {
+    fn update_list_at(&mut self, generation: u64, is_complete: bool, servers: &[(&str, &str)]) {
+        let instance = |(port, lifecycle): &(&str, &str)| {
             format!(
                 r#"{{"instanceId": "s-{port}", "hostPort": "127.0.0.1:{port}", "zone": "a", "cell": {port},
                 "lifecycle": "{lifecycle}"}}"#
             )
         };
-        let entries: Vec<String> = servers.iter().map(entry).collect();
+        let entries: Vec<String> = servers.iter().map(instance).collect();
         let line = format!(
-            r#"{{"generation": {generation}, "reset": {whole}, "instances": [{}]}}"#,
+            r#"{{"generation": {generation}, "reset": {is_complete}, "instances": [{}]}}"#,
             entries.join(",")
         );
         self.core.apply_endpoint_update(NOW, &EndpointUpdate::decode(line.as_bytes()).expect("a list"));
     }
 
-    /// A query under an id of its own, the name of its client.
-    fn query(&mut self, caller: &'static str) -> Ticket {
-        self.query_as(caller, caller).expect("a new id")
+    /// Submits a query whose trace id is the name of the caller.
+    fn submit(&mut self, caller: &'static str) -> Ticket {
+        self.submit_with_trace(caller, caller).expect("a new id")
     }
 
-    fn query_as(&mut self, trace: &'static str, caller: &'static str) -> Option<Ticket> {
+    fn submit_with_trace(&mut self, trace: &'static str, caller: &'static str) -> Option<Ticket> {
         let arrival = Arrival { product: 0, tenant: 0, deadline: NOW + 3_000_000, route: None };
         let query = ForwardedQuery {
             trace: http::HeaderValue::from_static(trace),
@@ -112,29 +112,29 @@
         self.core.submit_query(NOW, arrival, query, caller)
     }
 
-    fn ended(&mut self, query_index: usize, execution_index: usize, outcome: Outcome) {
-        let served = (outcome == Completed).then(|| ServerResponse {
+    fn end_execution(&mut self, query_index: usize, execution_index: usize, outcome: Outcome) {
+        let response = (outcome == Completed).then(|| ServerResponse {
             headers: http::HeaderMap::new(),
             body: bytes::Bytes::from_static(b"x"),
         });
-        let ended = EndedExecution {
+        let end = EndedExecution {
             query_index,
             execution_index,
             outcome,
             elapsed_us: 1000,
             report: LoadReport::default(),
-            response: served,
+            response,
         };
-        self.core.execution_ended(NOW + 1000, ended);
+        self.core.execution_ended(NOW + 1000, end);
     }
 
-    fn said(&self) -> Vec<String> {
-        self.said.take()
+    fn calls(&self) -> Vec<String> {
+        self.calls.take()
     }
 }
 
 #[test]
-fn the_last_outcome_decides_the_answer() {
+fn final_answer_follows_the_last_outcome() {
     for (effect, outcomes, answers) in [
         ("keyed", &[Completed][..], &["completed"][..]),
         ("keyed", &[Error], &["aborted"]),
@@ -148,98 +148,98 @@
         ("keyed", &[ClientError], &["aborted"]),
         ("keyed", &[StaleConnection, Malformed, Completed], &["completed"]),
     ] {
-        let mut bench = Bench::new(effect, &[("1", "ready")]);
-        bench.query("client");
-        assert_eq!(bench.said(), ["execute 0.0 at 127.0.0.1:1"]);
+        let mut fixture = Fixture::new(effect, &[("1", "ready")]);
+        fixture.submit("client");
+        assert_eq!(fixture.calls(), ["execute 0.0 at 127.0.0.1:1"]);
         for (execution_index, &outcome) in outcomes.iter().enumerate() {
-            bench.ended(0, execution_index, outcome);
+            fixture.end_execution(0, execution_index, outcome);
         }
         let answers: Vec<String> = answers.iter().map(|answer| format!("client: {answer}")).collect();
-        let mut said = bench.said();
-        said.retain(|line| line.starts_with("client: "));
-        assert_eq!(said, answers, "{effect} {outcomes:?}");
+        let mut calls = fixture.calls();
+        calls.retain(|line| line.starts_with("client: "));
+        assert_eq!(calls, answers, "{effect} {outcomes:?}");
     }
 }
 
 #[test]
-fn what_never_ran_goes_to_another_server() {
-    for (outcome, again) in
+fn queries_that_never_ran_are_retried_on_another_server() {
+    for (outcome, is_retried) in
         [(Rejected, true), (NotConnected, true), (NeverSent, true), (Error, false), (ClientError, false)]
     {
-        let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
-        bench.query("client");
-        let first = bench.said();
-        bench.ended(0, 0, outcome);
-        let second = bench.said();
-        assert_eq!(second[0].starts_with("execute 0.1 at"), again, "{outcome:?}: {second:?}");
+        let mut fixture = Fixture::new("keyed", &[("1", "ready"), ("2", "ready")]);
+        fixture.submit("client");
+        let first = fixture.calls();
+        fixture.end_execution(0, 0, outcome);
+        let second = fixture.calls();
+        assert_eq!(second[0].starts_with("execute 0.1 at"), is_retried, "{outcome:?}: {second:?}");
         assert_ne!(first[0].rsplit(' ').next(), second[0].rsplit(' ').next());
     }
 }
 
 #[test]
-fn the_id_of_an_open_query_is_taken() {
-    // Until its last execution has ended, also after its answer or when its client has left.
-    for (leaves, outcome) in [(true, Cancelled), (false, Completed)] {
-        let mut bench = Bench::new("keyed", &[("1", "ready")]);
-        let ticket = bench.query("first");
-        bench.said();
-        assert!(bench.query_as("first", "second").is_none());
-        if leaves {
-            bench.core.client_disconnected(NOW, ticket);
-            assert!(bench.query_as("first", "second").is_none());
+fn trace_id_of_an_open_query_is_in_use() {
+    // The trace id stays in use until the last execution has ended, also after the answer or a disconnect.
+    for (disconnects, outcome) in [(true, Cancelled), (false, Completed)] {
+        let mut fixture = Fixture::new("keyed", &[("1", "ready")]);
+        let ticket = fixture.submit("first");
+        fixture.calls();
+        assert!(fixture.submit_with_trace("first", "second").is_none());
+        if disconnects {
+            fixture.core.client_disconnected(NOW, ticket);
+            assert!(fixture.submit_with_trace("first", "second").is_none());
         }
-        bench.ended(0, 0, outcome);
-        assert_eq!(bench.said(), [if leaves { "cancel 0.0" } else { "first: completed" }]);
-        assert!(bench.query_as("first", "second").is_some());
-        assert_eq!(bench.core.query_counts().accepted, 2);
+        fixture.end_execution(0, 0, outcome);
+        assert_eq!(fixture.calls(), [if disconnects { "cancel 0.0" } else { "first: completed" }]);
+        assert!(fixture.submit_with_trace("first", "second").is_some());
+        assert_eq!(fixture.core.query_counts().accepted, 2);
     }
 }
 
 #[test]
-fn a_client_that_leaves_gets_no_answer_and_its_execution_is_called_off() {
+fn disconnected_client_gets_no_answer_and_its_execution_is_cancelled() {
     for outcome in [Cancelled, Completed, TimedOut] {
-        let mut bench = Bench::new("keyed", &[("1", "ready")]);
-        let ticket = bench.query("client");
-        bench.said();
-        bench.core.client_disconnected(NOW, ticket);
-        bench.core.client_disconnected(NOW, ticket);
-        assert_eq!(bench.said(), ["cancel 0.0"]);
-        bench.ended(0, 0, outcome);
-        assert!(bench.said().is_empty());
-        assert_eq!((bench.core.query_counts().abandoned, bench.core.query_counts().completed), (1, 0));
+        let mut fixture = Fixture::new("keyed", &[("1", "ready")]);
+        let ticket = fixture.submit("client");
+        fixture.calls();
+        fixture.core.client_disconnected(NOW, ticket);
+        fixture.core.client_disconnected(NOW, ticket);
+        assert_eq!(fixture.calls(), ["cancel 0.0"]);
+        fixture.end_execution(0, 0, outcome);
+        assert!(fixture.calls().is_empty());
+        assert_eq!((fixture.core.query_counts().abandoned, fixture.core.query_counts().completed), (1, 0));
     }
 }
 
 #[test]
-fn a_ticket_stands_for_its_own_query_only() {
-    // Guards against a client that leaves right after its answer taking the next query with it.
-    let mut bench = Bench::new("keyed", &[("1", "ready")]);
-    let first = bench.query("first");
-    bench.ended(0, 0, Completed);
-    bench.query("second");
-    bench.said();
-    bench.core.client_disconnected(NOW, first);
-    assert!(bench.said().is_empty());
-    bench.ended(0, 0, Completed);
-    assert_eq!(bench.said(), ["second: completed"]);
+fn ticket_refers_only_to_its_own_query() {
+    // A client that disconnects right after its answer must not cancel the next query with the same index.
+    let mut fixture = Fixture::new("keyed", &[("1", "ready")]);
+    let first = fixture.submit("first");
+    fixture.end_execution(0, 0, Completed);
+    fixture.submit("second");
+    fixture.calls();
+    fixture.core.client_disconnected(NOW, first);
+    assert!(fixture.calls().is_empty());
+    fixture.end_execution(0, 0, Completed);
+    assert_eq!(fixture.calls(), ["second: completed"]);
 }
 
 #[test]
-fn an_index_is_free_only_when_nothing_is_out() {
-    let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
-    let ticket = bench.query("first");
-    bench.core.client_disconnected(NOW, ticket);
-    bench.query("second");
-    let said = bench.said();
-    assert!(said.last().is_some_and(|line| line.starts_with("execute 1.0 at")), "{said:?}");
-    bench.ended(0, 0, Cancelled);
-    bench.query("third");
-    assert!(bench.said()[0].starts_with("execute 0.0 at"));
+fn query_index_is_reused_only_without_executions_in_flight() {
+    let mut fixture = Fixture::new("keyed", &[("1", "ready"), ("2", "ready")]);
+    let ticket = fixture.submit("first");
+    fixture.core.client_disconnected(NOW, ticket);
+    fixture.submit("second");
+    let calls = fixture.calls();
+    assert!(calls.last().is_some_and(|line| line.starts_with("execute 1.0 at")), "{calls:?}");
+    fixture.end_execution(0, 0, Cancelled);
+    fixture.submit("third");
+    assert!(fixture.calls()[0].starts_with("execute 0.0 at"));
 }
 
 #[test]
-fn an_execution_may_begin_while_its_server_is_ready_and_its_query_open() {
-    for (whole, update, wanted) in [
+fn execution_may_be_sent_while_server_is_ready_and_query_open() {
+    for (is_complete, update, expected) in [
         (false, &[][..], true),
         (true, &[], false),
         (false, &[("1", "draining")], false),
@@ -247,105 +247,106 @@
         (false, &[("2", "gone")], true),
         (true, &[("1", "ready")], true),
     ] {
-        let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
-        let ticket = bench.query("client");
-        bench.list(whole, update);
-        assert_eq!(bench.core.is_ready(0), wanted, "{whole} {update:?}");
-        assert_eq!(bench.core.may_send(NOW, 0, 0, 0), wanted, "{whole} {update:?}");
-        bench.core.client_disconnected(NOW, ticket);
-        assert!(!bench.core.may_send(NOW, 0, 0, 0));
+        let mut fixture = Fixture::new("keyed", &[("1", "ready"), ("2", "ready")]);
+        let ticket = fixture.submit("client");
+        fixture.update_list(is_complete, update);
+        assert_eq!(fixture.core.is_ready(0), expected, "{is_complete} {update:?}");
+        assert_eq!(fixture.core.may_send(NOW, 0, 0, 0), expected, "{is_complete} {update:?}");
+        fixture.core.client_disconnected(NOW, ticket);
+        assert!(!fixture.core.may_send(NOW, 0, 0, 0));
     }
-    assert!(Bench::new("keyed", &[]).core.has_list());
+    assert!(Fixture::new("keyed", &[]).core.has_list());
 }
 
 #[test]
-fn an_older_list_does_not_bring_back_what_drains() {
-    // What is told with the number 5, then with this one, and whether the server may have queries.
-    for (told, generation, whole, ready) in [
+fn older_list_does_not_reactivate_draining_servers() {
+    // State with generation 5, then a later update with another generation, and whether the server is ready.
+    for (lifecycle, generation, is_complete, is_ready) in [
         ("draining", 4, true, false),
         ("draining", 4, false, false),
         ("draining", 5, true, true),
         ("draining", 6, true, true),
         ("ready", 4, true, true),
     ] {
-        let mut bench = Bench::new("keyed", &[("1", "ready"), ("2", "ready")]);
-        bench.list_of(5, false, &[("1", told)]);
-        bench.list_of(generation, whole, &[("1", "ready"), ("2", "ready")]);
-        assert_eq!(bench.core.is_ready(0), ready, "{told} {generation} {whole}");
-        // What comes after that counts by its own number again.
-        bench.list_of(generation + 1, false, &[("1", "ready")]);
-        assert!(bench.core.is_ready(0), "{told} {generation} {whole}");
+        let mut fixture = Fixture::new("keyed", &[("1", "ready"), ("2", "ready")]);
+        fixture.update_list_at(5, false, &[("1", lifecycle)]);
+        fixture.update_list_at(generation, is_complete, &[("1", "ready"), ("2", "ready")]);
+        assert_eq!(fixture.core.is_ready(0), is_ready, "{lifecycle} {generation} {is_complete}");
+        // The next update counts by its own generation is_retried.
+        fixture.update_list_at(generation + 1, false, &[("1", "ready")]);
+        assert!(fixture.core.is_ready(0), "{lifecycle} {generation} {is_complete}");
     }
 }
 
 #[test]
-fn an_index_of_a_server_is_used_again_once_nothing_holds_it() {
-    let mut bench = Bench::new("keyed", &[("1", "ready")]);
+fn server_index_is_reused_without_references() {
+    let mut fixture = Fixture::new("keyed", &[("1", "ready")]);
     let mut next = 1;
-    let replace = |bench: &mut Bench, next: &mut u32| {
+    let replace = |fixture: &mut Fixture, next: &mut u32| {
         let (old, new) = (next.to_string(), (*next + 1).to_string());
-        bench.list(false, &[(&old, "gone"), (&new, "ready")]);
+        fixture.update_list(false, &[(&old, "gone"), (&new, "ready")]);
         *next += 1;
     };
-    // Held by an execution until that ends, whatever becomes of the query.
-    bench.query("first");
-    replace(&mut bench, &mut next);
-    bench.query("second");
-    bench.ended(0, 0, Completed);
-    bench.ended(1, 0, Completed);
-    assert_eq!(bench.sent.take(), [(0, 1), (1, 2)]);
+    // An execution refers to its server until it ends, even if the query is finished.
+    fixture.submit("first");
+    replace(&mut fixture, &mut next);
+    fixture.submit("second");
+    fixture.end_execution(0, 0, Completed);
+    fixture.end_execution(1, 0, Completed);
+    assert_eq!(fixture.sent.take(), [(0, 1), (1, 2)]);
     for _ in 0..1000 {
-        replace(&mut bench, &mut next);
-        bench.query("later");
-        bench.ended(0, 0, Completed);
-        bench.ended(1, 0, Completed);
+        replace(&mut fixture, &mut next);
+        fixture.submit("later");
+        fixture.end_execution(0, 0, Completed);
+        fixture.end_execution(1, 0, Completed);
     }
-    let sent = bench.sent.take();
+    let sent = fixture.sent.take();
     assert!(sent.iter().all(|&(server, _)| server < 3), "{sent:?}");
     let processes: Vec<u64> = sent.iter().map(|&(_, process)| process).collect();
     assert_eq!(processes, (3..1003).collect::<Vec<u64>>());
 }
 
 #[test]
-fn no_server_is_a_rejection_at_once() {
+fn query_without_ready_server_is_rejected_at_once() {
     for servers in [&[][..], &[("1", "draining")]] {
-        let mut bench = Bench::new("keyed", servers);
-        bench.query("client");
-        assert_eq!(bench.said(), ["client: rejected"]);
+        let mut fixture = Fixture::new("keyed", servers);
+        fixture.submit("client");
+        assert_eq!(fixture.calls(), ["client: rejected"]);
     }
 }
 
 #[test]
-fn servers_that_the_fleet_lets_out_drain_whatever_the_list_says() {
+fn servers_drained_by_the_fleet_ignore_the_list() {
     let key = |port: &str| whinspindle_deployment_settings::server_key(format!("s-{port}").as_bytes());
-    let taken_out = |bench: &mut Bench, ports: &[&str]| {
-        bench.core.set_drained(NOW, &ports.iter().map(|port| key(port)).collect());
+    let set_drained = |fixture: &mut Fixture, ports: &[&str]| {
+        fixture.core.set_drained(NOW, &ports.iter().map(|port| key(port)).collect());
     };
-    let mut bench = Bench::new("safe", &[("1", "ready"), ("2", "ready")]);
-    let goes = |bench: &mut Bench, caller| {
-        let query_index = bench.query(caller);
-        let said = bench.said().remove(0);
-        if said.starts_with("execute") {
-            bench.ended(0, 0, Completed);
-            bench.said();
+    let mut fixture = Fixture::new("safe", &[("1", "ready"), ("2", "ready")]);
+    let submit = |fixture: &mut Fixture, caller| {
+        let query_index = fixture.submit(caller);
+        let calls = fixture.calls().remove(0);
+        if calls.starts_with("execute") {
+            fixture.end_execution(0, 0, Completed);
+            fixture.calls();
         }
         let _ = query_index;
-        said
+        calls
     };
-    taken_out(&mut bench, &["1"]);
+    set_drained(&mut fixture, &["1"]);
     for caller in ["a", "b", "c", "d", "e", "f"] {
-        assert_eq!(goes(&mut bench, caller), "execute 0.0 at 127.0.0.1:2");
+        assert_eq!(submit(&mut fixture, caller), "execute 0.0 at 127.0.0.1:2");
     }
-    // The list tells of it again, or of another start: it stays out. So does one let out before it is listed.
-    bench.list(false, &[("1", "ready")]);
-    taken_out(&mut bench, &["1", "3"]);
-    bench.list(false, &[("2", "draining"), ("3", "ready")]);
-    assert_eq!(goes(&mut bench, "g"), "g: rejected");
-    // Back, it gets what comes; one that drains by the list goes on draining.
-    taken_out(&mut bench, &["2"]);
-    bench.list(false, &[("3", "gone")]);
-    assert_eq!(goes(&mut bench, "h"), "execute 0.0 at 127.0.0.1:1");
-    taken_out(&mut bench, &[]);
-    bench.list(false, &[("1", "gone")]);
-    assert_eq!(goes(&mut bench, "i"), "i: rejected");
+    // A drained server stays drained after another list update. So does one that is drained before it is
+    // listed.
+    fixture.update_list(false, &[("1", "ready")]);
+    set_drained(&mut fixture, &["1", "3"]);
+    fixture.update_list(false, &[("2", "draining"), ("3", "ready")]);
+    assert_eq!(submit(&mut fixture, "g"), "g: rejected");
+    // A server that is no longer drained gets queries is_retried, unless the list says that it is draining.
+    set_drained(&mut fixture, &["2"]);
+    fixture.update_list(false, &[("3", "gone")]);
+    assert_eq!(submit(&mut fixture, "h"), "execute 0.0 at 127.0.0.1:1");
+    set_drained(&mut fixture, &[]);
+    fixture.update_list(false, &[("1", "gone")]);
+    assert_eq!(submit(&mut fixture, "i"), "i: rejected");
 }
