--- a/balancer/protocol/src/answer.rs
+++ b/balancer/protocol/src/answer.rs
@@ -1,4 +1,4 @@
-//! The one final answer to a query.
+//! The final answer to a query, and its HTTP response.
 
 use bytes::Bytes;
 use http::header::{CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -10,54 +10,54 @@
 /// The final answer to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// A server has answered.
+    /// A server answered the query.
     Completed(ServerResponse),
-    /// Nothing has happened; best tried again after so many microseconds (0: no advice).
+    /// The query did not run or is safe to retry, preferably after this many microseconds (0: no advice).
     Rejected(u64),
-    /// It may have happened.
+    /// The query may have run.
     Aborted(AbortReason),
 }
 
-/// Why a query was given up.
+/// Why a query was aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbortReason {
-    /// The last execution came to an end that allows no other.
+    /// The outcome of the last execution allows no retry.
     Failed,
-    /// It has no time left.
+    /// The query ran out of time.
     OutOfTime,
-    /// Its server was silent and was given up, and no other could have it then.
+    /// The server did not respond, and no other server could get the query.
     ServerUnresponsive,
 }
 
-/// What a server made of a query.
+/// A server's response to a query.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ServerResponse {
-    /// Its headers, less those of the connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its complete body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// The answer as an HTTP response.
+    /// Encodes the answer as an HTTP response.
     pub fn encode(self) -> Response<Full<Bytes>> {
         match self {
-            Answer::Completed(served) => {
-                let mut response = Response::new(Full::new(served.body));
-                *response.headers_mut() = served.headers;
+            Answer::Completed(completed) => {
+                let mut response = Response::new(Full::new(completed.body));
+                *response.headers_mut() = completed.headers;
                 response
             }
-            Answer::Rejected(retry_after) => {
+            Answer::Rejected(retry_after_us) => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "rejected".to_string());
-                if retry_after > 0 {
-                    let seconds = format!("{:.3}", retry_after as f64 / 1e6);
+                if retry_after_us > 0 {
+                    let seconds = format!("{:.3}", retry_after_us as f64 / 1e6);
                     let seconds = HeaderValue::from_str(&seconds).unwrap_or(HeaderValue::from_static("1"));
                     response.headers_mut().insert(RETRY_AFTER, seconds);
                 }
                 response
             }
-            Answer::Aborted(because) => {
-                let (status, text) = match because {
+            Answer::Aborted(reason) => {
+                let (status, text) = match reason {
                     AbortReason::Failed => (StatusCode::BAD_GATEWAY, "aborted"),
                     AbortReason::OutOfTime => (StatusCode::GATEWAY_TIMEOUT, "aborted: out of time"),
                     AbortReason::ServerUnresponsive => {
@@ -71,13 +71,13 @@
 }
 
 impl QueryError {
-    /// The refusal as an HTTP response that names the field.
+    /// Encodes the error as an HTTP response that names the field.
     pub fn encode(&self) -> Response<Full<Bytes>> {
         plain(self.status, self.to_string())
     }
 }
 
-/// A response with one line of text.
+/// Creates a plain-text response with one line.
 pub fn plain(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text + "\n")));
     *response.status_mut() = status;
--- a/balancer/protocol/src/endpoints.rs
+++ b/balancer/protocol/src/endpoints.rs
@@ -1,41 +1,41 @@
-//! The list of servers: a whole one, or what has changed in it.
+//! Updates of the endpoint list, complete or incremental.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use whinspindle::host::EndpointState;
 
-/// One update of the endpoint list: all of it, or what has changed.
+/// An update of the endpoint list: the complete list, or its changes.
 #[derive(Debug)]
 pub struct EndpointUpdate {
-    /// Discovery's count of changes, up to this one.
+    /// Generation of the list after this update.
     pub generation: u64,
-    /// The complete list: whatever it lacks is gone.
+    /// Whether this is the complete list; servers that it does not contain are gone.
     pub is_complete: bool,
-    /// The servers that it names.
+    /// The servers in the update.
     pub servers: Vec<ListedServer>,
-    /// Why entries were passed over.
+    /// Errors of the entries that were skipped.
     pub errors: Vec<String>,
 }
 
-/// A server as discovery lists it.
+/// A server in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedServer {
-    /// Its id.
+    /// Id of the server.
     pub name: String,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its kind of machine.
+    /// Machine kind.
     pub kind: String,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: usize,
-    /// Its capacity against others.
+    /// Capacity relative to other servers.
     pub relative_capacity: f64,
     /// Unix time of the last start in microseconds; 0: long ago.
     pub started_at: u64,
-    /// Whether it may be sent to.
+    /// State in the endpoint list.
     pub state: EndpointState,
-    /// Where it listens; one that is gone need not tell.
+    /// The address that the server listens on; optional for gone servers.
     pub address: Option<SocketAddr>,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl EndpointUpdate {
-    /// One JSON object; an entry that can't be read is passed over, the others count.
+    /// Decodes a JSON object. Invalid entries are skipped and reported in `errors`.
     pub fn decode(json: &[u8]) -> Result<EndpointUpdate, String> {
         let wire: WireUpdate = serde_json::from_slice(json).map_err(|e| e.to_string())?;
         let mut update = EndpointUpdate {
@@ -79,7 +79,7 @@
         for instance in wire.instances {
             match listed_server(instance) {
                 Ok(server) => update.servers.push(server),
-                Err(fault) => update.errors.push(fault),
+                Err(error) => update.errors.push(error),
             }
         }
         Ok(update)
--- a/balancer/protocol/src/execution.rs
+++ b/balancer/protocol/src/execution.rs
@@ -1,4 +1,4 @@
-//! An execution or a probe as it goes to a server, and what comes back.
+//! Requests to servers (executions and probes) and their replies.
 
 use std::net::SocketAddr;
 
@@ -13,11 +13,11 @@
 use crate::query::ForwardedQuery;
 use crate::report;
 
-/// `wait` is how long this balancer waits for the reply, in microseconds.
-pub fn encode_execution(query: &ForwardedQuery, server: SocketAddr, wait: u64) -> Request<Full<Bytes>> {
+/// Encodes an execution. `timeout_us` is how long this balancer waits for the reply.
+pub fn encode_execution(query: &ForwardedQuery, server: SocketAddr, timeout_us: u64) -> Request<Full<Bytes>> {
     let mut headers = query.headers.clone();
     headers.insert(HOST, host(server));
-    headers.insert(headers::EXPIRES, HeaderValue::from(wait / 1000));
+    headers.insert(headers::EXPIRES, HeaderValue::from(timeout_us / 1000));
     if !query.body.is_empty() || query.method != Method::GET {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(query.body.len()));
     }
@@ -25,10 +25,10 @@
     request(query.method.clone(), target, headers, query.body.clone())
 }
 
-/// Asks a server for a sign of life, and for its load where the deployment has load reports.
-pub fn encode_probe(server: SocketAddr, reports: bool) -> Request<Full<Bytes>> {
+/// Encodes a probe for liveness, and for load if the deployment has load reports.
+pub fn encode_probe(server: SocketAddr, has_reports: bool) -> Request<Full<Bytes>> {
     let headers = HeaderMap::from_iter([(HOST, host(server))]);
-    request(Method::GET, if reports { "/load" } else { "/healthz" }, headers, Bytes::new())
+    request(Method::GET, if has_reports { "/load" } else { "/healthz" }, headers, Bytes::new())
 }
 
 fn host(server: SocketAddr) -> HeaderValue {
@@ -43,38 +43,41 @@
     request
 }
 
-/// What a server sent back.
+/// A server's reply.
 #[derive(Debug)]
 pub struct Reply {
-    /// What the reply means for the query.
+    /// Outcome of the execution.
     pub outcome: Outcome,
-    /// The load that the server reported with it.
+    /// Load report in the reply.
     pub report: LoadReport,
-    /// Only with `Outcome::Completed`.
+    /// The response for the client; only with `Outcome::Completed`.
     pub response: Option<ServerResponse>,
 }
 
 impl Reply {
-    /// Reads a server's response; `columns` names the load figures of the deployment.
+    /// Decodes a server's response; `columns` names the load figures of the deployment.
     pub fn decode(response: Response<Bytes>, columns: &[String]) -> Reply {
         let (parts, body) = response.into_parts();
-        let reports = parts.headers.get_all(headers::LOAD).iter().filter_map(|value| value.to_str().ok());
-        let report = reports.fold(LoadReport::default(), |told, text| report::decode(text, columns).or(told));
+        let report_headers =
+            parts.headers.get_all(headers::LOAD).iter().filter_map(|value| value.to_str().ok());
+        let report = report_headers
+            .fold(LoadReport::default(), |merged, text| report::decode(text, columns).or(merged));
         let never_ran = parts.headers.get(headers::NEVER_RAN).is_some_and(|value| value == "1");
         let outcome = match parts.status {
             StatusCode::OK => Outcome::Completed,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Rejected,
-            // Guards against one client's bad queries making all servers look broken.
+            // Other client errors do not count against the server, so that one client's invalid queries do
+            // not eject servers.
             StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS => Outcome::Error,
             status if status.is_client_error() => Outcome::ClientError,
             _ => Outcome::Error,
         };
-        let served = (outcome == Outcome::Completed)
+        let response = (outcome == Outcome::Completed)
             .then(|| ServerResponse { headers: headers::end_to_end(&parts.headers, headers::LOAD), body });
-        Reply { outcome, report, response: served }
+        Reply { outcome, report, response }
     }
 
-    /// What a probe tells: whether the server is well, and its load.
+    /// Decodes the reply to a probe: whether the server is healthy, and its load.
     pub fn decode_probe(response: Response<Bytes>, columns: &[String]) -> (bool, LoadReport) {
         let text = String::from_utf8_lossy(response.body());
         (response.status() == StatusCode::OK, report::decode(&text, columns))
--- a/balancer/protocol/src/headers.rs
+++ b/balancer/protocol/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header names of the protocol, and which headers go on from one side to the other.
+//! Header names of the protocol, and the selection of end-to-end headers.
 
 use http::header::{self, HeaderMap, HeaderName};
 
@@ -10,7 +10,7 @@
 pub const NEVER_RAN: &str = "x-never-ran";
 pub const LOAD: &str = "endpoint-load-metrics";
 
-/// Headers that belong to one connection or to the framing of one message, which is whole here already.
+/// Headers of a single connection or of the framing of a single message; messages are complete here.
 const HOP_BY_HOP: [HeaderName; 11] = [
     header::CONNECTION,
     header::EXPECT,
@@ -25,26 +25,26 @@
     header::HOST,
 ];
 
-/// The headers that go on: all but those of the connection, those that it names itself, and `replaced`.
-pub fn end_to_end(from: &HeaderMap, replaced: &str) -> HeaderMap {
-    let named: Vec<&str> = from
+/// The end-to-end headers: all except hop-by-hop headers, headers listed in `Connection`, and `excluded`.
+pub fn end_to_end(headers: &HeaderMap, excluded: &str) -> HeaderMap {
+    let listed: Vec<&str> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(str::trim)
         .collect();
-    let mut kept = HeaderMap::with_capacity(from.len());
-    for (name, value) in from {
-        let connection = named.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
-        if !connection && name.as_str() != replaced && !HOP_BY_HOP.contains(name) {
-            kept.append(name.clone(), value.clone());
+    let mut end_to_end = HeaderMap::with_capacity(headers.len());
+    for (name, value) in headers {
+        let is_listed = listed.iter().any(|other| other.eq_ignore_ascii_case(name.as_str()));
+        if !is_listed && name.as_str() != excluded && !HOP_BY_HOP.contains(name) {
+            end_to_end.append(name.clone(), value.clone());
         }
     }
-    kept
+    end_to_end
 }
 
-/// The value of a header that must be there at most once, in visible ASCII.
+/// The value of a header that may occur at most once, in visible ASCII.
 pub fn single<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
     let mut values = headers.get_all(name).iter();
     let Some(first) = values.next() else { return Ok(None) };
--- a/balancer/protocol/src/lib.rs
+++ b/balancer/protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! The messages of the protocol: each is decoded into a small typed value once, and encoded once. The names
-//! on the wire end here.
+//! Messages of the wire protocol, decoded into and encoded from typed values. Header and field names of the
+//! wire are not used outside of this package.
 
 pub mod answer;
 pub mod endpoints;
--- a/balancer/protocol/src/query.rs
+++ b/balancer/protocol/src/query.rs
@@ -1,4 +1,4 @@
-//! A query as it comes from a client or from the tier above.
+//! Decoding of queries from clients or from the tier above.
 
 use std::fmt;
 
@@ -11,17 +11,17 @@
 
 use crate::headers;
 
-/// Longest body of a query, and what an answer usually has at most.
+/// Maximum body size of a query. Longer answers need memory from a separate budget.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A query without its body.
 #[derive(Debug)]
 pub struct QueryHead {
-    /// Index of its product.
+    /// Index of the product.
     pub product: usize,
-    /// A tenant that the settings don't name has the index after the last.
+    /// Index of the tenant; the number of tenants if the settings do not contain it.
     pub tenant: usize,
-    /// How long the client waits, in microseconds from the last byte.
+    /// How long the client waits after its last byte, in microseconds.
     pub client_timeout_us: u64,
     trace: HeaderValue,
     method: Method,
@@ -29,62 +29,61 @@
     headers: HeaderMap,
 }
 
-/// What goes on to the servers unchanged; kept for further executions.
+/// The parts of a query that are forwarded to servers; kept for retries.
 #[derive(Debug)]
 pub struct ForwardedQuery {
-    /// Which query this is; no other one has the same while it is open.
+    /// Trace id, unique among open queries.
     pub trace: HeaderValue,
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its target, path and query.
+    /// The path and query string.
     pub target: Uri,
-    /// Its headers, less those of the connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its complete body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why a query can't be taken.
+/// Why a query is refused.
 #[derive(Debug, PartialEq, Eq)]
 pub struct QueryError {
-    /// The status of the refusal.
+    /// HTTP status of the refusal.
     pub status: StatusCode,
-    /// The header or part at fault.
+    /// The invalid header or part.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub message: &'static str,
 }
 
 impl fmt::Display for QueryError {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}: {}", self.field, self.message)
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "{}: {}", self.field, self.message)
     }
 }
 
-fn malformed(field: &'static str, fault: &'static str) -> QueryError {
-    QueryError { status: StatusCode::BAD_REQUEST, field, message: fault }
+fn bad_request(field: &'static str, message: &'static str) -> QueryError {
+    QueryError { status: StatusCode::BAD_REQUEST, field, message }
 }
 
-fn field<'a>(parts: &'a Parts, name: &'static str) -> Result<Option<&'a str>, QueryError> {
-    headers::single(&parts.headers, name).map_err(|fault| malformed(name, fault))
+fn header<'a>(parts: &'a Parts, name: &'static str) -> Result<Option<&'a str>, QueryError> {
+    headers::single(&parts.headers, name).map_err(|message| bad_request(name, message))
 }
 
-/// Why a query can't be taken while another one is open under its id.
+/// The error for a query whose trace id is used by an open query.
 pub const DUPLICATE_TRACE: QueryError =
     QueryError { status: StatusCode::CONFLICT, field: headers::TRACE, message: "is that of an open query" };
 
 impl QueryHead {
-    /// Reads and checks the head of a query.
+    /// Decodes and validates the head of a query.
     pub fn decode(parts: &Parts, deployment: &Deployment) -> Result<QueryHead, QueryError> {
         if parts.method != Method::GET && parts.method != Method::POST {
             let status = StatusCode::METHOD_NOT_ALLOWED;
             return Err(QueryError { status, field: "method", message: "neither GET nor POST" });
         }
         if parts.uri.path_and_query().is_none() {
-            return Err(malformed("target", "has no path"));
+            return Err(bad_request("target", "has no path"));
         }
-        // Guards against lengths that servers and balancers may read differently, which would hide a query in
-        // the body of another.
+        // Prevents request smuggling: servers and balancers could interpret the length differently.
         if parts.headers.contains_key(TRANSFER_ENCODING) {
             let status = StatusCode::LENGTH_REQUIRED;
             return Err(QueryError {
@@ -93,37 +92,37 @@
                 message: "instead of a content-length",
             });
         }
-        if field(parts, headers::TRACE)?.is_none_or(str::is_empty) {
-            return Err(malformed(headers::TRACE, "is missing"));
+        if header(parts, headers::TRACE)?.is_none_or(str::is_empty) {
+            return Err(bad_request(headers::TRACE, "is missing"));
         }
         let trace = parts.headers[headers::TRACE].clone();
         let product =
-            field(parts, headers::PRODUCT)?.ok_or_else(|| malformed(headers::PRODUCT, "is missing"))?;
+            header(parts, headers::PRODUCT)?.ok_or_else(|| bad_request(headers::PRODUCT, "is missing"))?;
         let product = index_of(&deployment.products, product)
-            .ok_or_else(|| malformed(headers::PRODUCT, "is not a known class"))?;
+            .ok_or_else(|| bad_request(headers::PRODUCT, "is not a known class"))?;
         let effect = deployment.balancer_settings.products[product].effect;
         if parts.method == Method::GET && effect != Effect::Idempotent {
-            return Err(malformed("method", "GET for a class that is not safe to repeat"));
+            return Err(bad_request("method", "GET for a class that is not safe to repeat"));
         }
-        // Without its key the servers would not know a repeat.
-        if matches!(effect, Effect::Deduplicated(_)) && field(parts, headers::KEY)?.is_none_or(str::is_empty)
+        // Servers need the key to recognize duplicates.
+        if matches!(effect, Effect::Deduplicated(_)) && header(parts, headers::KEY)?.is_none_or(str::is_empty)
         {
-            return Err(malformed(headers::KEY, "is missing"));
+            return Err(bad_request(headers::KEY, "is missing"));
         }
-        let tenant = field(parts, headers::TENANT)?.and_then(|name| index_of(&deployment.tenants, name));
-        let longest = deployment.statement_timeouts_us[product];
-        let patience = match field(parts, headers::EXPIRES)? {
-            None => longest,
+        let tenant = header(parts, headers::TENANT)?.and_then(|name| index_of(&deployment.tenants, name));
+        let max_timeout_us = deployment.statement_timeouts_us[product];
+        let client_timeout_us = match header(parts, headers::EXPIRES)? {
+            None => max_timeout_us,
             Some(ms) => ms
                 .parse::<u64>()
-                .map_err(|_| malformed(headers::EXPIRES, "is not a whole number"))?
+                .map_err(|_| bad_request(headers::EXPIRES, "is not a whole number"))?
                 .saturating_mul(1000)
-                .min(longest),
+                .min(max_timeout_us),
         };
         Ok(QueryHead {
             product,
             tenant: tenant.unwrap_or(deployment.tenants.len()),
-            client_timeout_us: patience,
+            client_timeout_us,
             trace,
             method: parts.method.clone(),
             target: parts.uri.clone(),
@@ -131,7 +130,7 @@
         })
     }
 
-    /// The query with its complete body.
+    /// Adds the complete body.
     pub fn with_body(self, body: Bytes) -> ForwardedQuery {
         let QueryHead { trace, method, target, headers, .. } = self;
         ForwardedQuery { trace, method, target, headers, body }
--- a/balancer/protocol/tests/messages.rs
+++ b/balancer/protocol/tests/messages.rs
@@ -1,4 +1,4 @@
-//! What is read from the wire and what is written to it, and input that must be turned down.
+//! Decoding and encoding of messages, and rejection of invalid input.
 
 use bytes::Bytes;
 use http::{Method, Request, Response, StatusCode};
@@ -30,33 +30,35 @@
         request = request.header(*name, *value);
     }
     let (parts, ()) = request.body(()).expect("a request").into_parts();
-    QueryHead::decode(&parts, &deployment()).map_err(|fault| (fault.status.as_u16(), fault.to_string()))
+    QueryHead::decode(&parts, &deployment()).map_err(|error| (error.status.as_u16(), error.to_string()))
 }
 
 #[test]
-fn heads_are_read() {
+fn decodes_query_heads() {
     let read = [("x-trace-id", "1"), ("x-qos", "read")];
     let order = [("x-trace-id", "1"), ("x-qos", "order"), ("idempotency-key", "k")];
-    for (method, headers, more, read) in [
+    for (method, headers, more_headers, expected) in [
         (Method::GET, &read[..], &[][..], (0, 2, 3_000_000)),
         (Method::POST, &order, &[("x-customer", "zenith")], (1, 1, 2_000_000)),
         (Method::POST, &order, &[("x-customer", "nobody"), ("x-expires-in-ms", "480")], (1, 2, 480_000)),
         (Method::POST, &order, &[("x-expires-in-ms", "0")], (1, 2, 0)),
         (Method::POST, &order, &[("x-expires-in-ms", "99999999999999999")], (1, 2, 2_000_000)),
     ] {
-        let head = head(method, &[headers, more].concat()).expect("a query");
-        assert_eq!((head.product, head.tenant, head.client_timeout_us), read, "{more:?}");
+        let head = head(method, &[headers, more_headers].concat()).expect("a query");
+        assert_eq!((head.product, head.tenant, head.client_timeout_us), expected, "{more_headers:?}");
     }
 }
 
 #[test]
-fn malformed_heads_are_turned_down_by_name() {
+fn rejects_invalid_query_heads_by_field() {
     let order = [("x-trace-id", "1"), ("x-qos", "order"), ("idempotency-key", "k")];
-    let replaced = |name: &str, value: Option<&'static str>| -> Vec<(&str, &str)> {
-        let kept = order.iter().filter(|header| header.0 != name).copied();
-        kept.chain(value.map(|value| (order.iter().find(|h| h.0 == name).expect("known").0, value))).collect()
+    let order_with = |name: &str, value: Option<&'static str>| -> Vec<(&str, &str)> {
+        let others = order.iter().filter(|header| header.0 != name).copied();
+        others
+            .chain(value.map(|value| (order.iter().find(|h| h.0 == name).expect("known").0, value)))
+            .collect()
     };
-    for (method, headers, status, fault) in [
+    for (method, headers, status, message) in [
         (Method::PUT, order.to_vec(), 405, "method: neither GET nor POST"),
         (Method::GET, order.to_vec(), 400, "method: GET for a class that is not safe to repeat"),
         (
@@ -65,13 +67,13 @@
             411,
             "transfer-encoding: instead of a content-length",
         ),
-        (Method::POST, replaced("x-trace-id", None), 400, "x-trace-id: is missing"),
-        (Method::POST, replaced("x-trace-id", Some("")), 400, "x-trace-id: is missing"),
-        (Method::POST, replaced("x-qos", None), 400, "x-qos: is missing"),
-        (Method::POST, replaced("x-qos", Some("buy")), 400, "x-qos: is not a known class"),
-        (Method::POST, replaced("idempotency-key", None), 400, "idempotency-key: is missing"),
+        (Method::POST, order_with("x-trace-id", None), 400, "x-trace-id: is missing"),
+        (Method::POST, order_with("x-trace-id", Some("")), 400, "x-trace-id: is missing"),
+        (Method::POST, order_with("x-qos", None), 400, "x-qos: is missing"),
+        (Method::POST, order_with("x-qos", Some("buy")), 400, "x-qos: is not a known class"),
+        (Method::POST, order_with("idempotency-key", None), 400, "idempotency-key: is missing"),
         (Method::POST, [&order[..], &order[1..2]].concat(), 400, "x-qos: is there twice"),
-        (Method::POST, replaced("x-qos", Some("\u{e9}")), 400, "x-qos: is not plain text"),
+        (Method::POST, order_with("x-qos", Some("\u{e9}")), 400, "x-qos: is not plain text"),
         (
             Method::POST,
             [&order[..], &[("x-expires-in-ms", "-1")]].concat(),
@@ -85,12 +87,12 @@
             "x-expires-in-ms: is not a whole number",
         ),
     ] {
-        assert_eq!(head(method, &headers).expect_err("malformed"), (status, fault.to_string()));
+        assert_eq!(head(method, &headers).expect_err("malformed"), (status, message.to_string()));
     }
 }
 
 #[test]
-fn executions_carry_the_query_on() {
+fn executions_forward_end_to_end_headers() {
     let server = "127.0.0.1:8443".parse().expect("an address");
     let headers = [
         ("x-trace-id", "1"),
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn replies_are_told_apart() {
+fn decodes_replies_and_load_reports() {
     let reply = |status: u16, headers: &[(&str, &str)]| {
         let mut response = Response::builder().status(status);
         for (name, value) in headers {
@@ -161,32 +163,37 @@
         let report = reply(500, &[("endpoint-load-metrics", header)]).report;
         assert_eq!((report.utilization, report.throughput), (utilization, throughput), "{header}");
     }
-    // What a server holds is read by the columns that the settings name; what waits there stands in for it.
+    // The queries at a server are read from the configured columns; the queue length is used if there is no
+    // in-flight count.
     let columns = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<Vec<_>>();
-    for (named, text, held) in [
+    for (names, text, expected) in [
         (columns(&["outstanding", "backlog"]), "TEXT queue=2, inflight=7", Some(7.0)),
         (columns(&["outstanding", "backlog"]), "TEXT inflight=7, queue=2", Some(7.0)),
         (columns(&["backlog"]), "TEXT inflight=7, queue=2", Some(2.0)),
         (columns(&["throughput"]), "TEXT inflight=7, queue=2", None),
         (columns(&["outstanding"]), "TEXT inflight=-7", None),
     ] {
-        let probed = Response::new(Bytes::from_static(text.as_bytes()));
-        assert_eq!(Reply::decode_probe(probed, &named).1.queries_at_server, held, "{named:?} {text}");
+        let probe_reply = Response::new(Bytes::from_static(text.as_bytes()));
+        assert_eq!(
+            Reply::decode_probe(probe_reply, &names).1.queries_at_server,
+            expected,
+            "{names:?} {text}"
+        );
     }
-    // A bad report beside a good one spoils neither that nor the answer.
+    // An invalid report affects neither a valid one nor the response.
     let reply = reply(200, &[("endpoint-load-metrics", "%%%"), ("endpoint-load-metrics", "TEXT qps=2")]);
     assert_eq!((reply.outcome, reply.report.throughput), (Outcome::Completed, Some(2.0)));
-    let probed = Response::new(Bytes::from_static(b"TEXT util=0.5"));
-    assert_eq!(Reply::decode_probe(probed, &deployment().load_columns).1.utilization, Some(0.5));
+    let probe_reply = Response::new(Bytes::from_static(b"TEXT util=0.5"));
+    assert_eq!(Reply::decode_probe(probe_reply, &deployment().load_columns).1.utilization, Some(0.5));
 }
 
 #[test]
-fn answers_are_written() {
+fn encodes_answers() {
     let headers =
         http::HeaderMap::from_iter([("x-kept".parse().expect("a name"), "1".parse().expect("a value"))]);
-    let served = ServerResponse { headers, body: Bytes::from_static(b"body") };
+    let response = ServerResponse { headers, body: Bytes::from_static(b"body") };
     for (answer, status, retry_after, text) in [
-        (Answer::Completed(served), StatusCode::OK, None, "body"),
+        (Answer::Completed(response), StatusCode::OK, None, "body"),
         (Answer::Rejected(0), StatusCode::SERVICE_UNAVAILABLE, None, "rejected\n"),
         (Answer::Rejected(600_000), StatusCode::SERVICE_UNAVAILABLE, Some("0.600"), "rejected\n"),
         (Answer::Aborted(AbortReason::Failed), StatusCode::BAD_GATEWAY, None, "aborted\n"),
@@ -204,28 +211,28 @@
         ),
     ] {
         let (parts, body) = answer.encode().into_parts();
-        let written = parts.headers.get("retry-after").map(|value| value.to_str().expect("text"));
-        assert_eq!((parts.status, written), (status, retry_after));
+        let retry_after_header = parts.headers.get("retry-after").map(|value| value.to_str().expect("text"));
+        assert_eq!((parts.status, retry_after_header), (status, retry_after));
         assert_eq!(parts.headers.contains_key("x-kept"), status == StatusCode::OK);
         let mut body = std::pin::pin!(body.collect());
         let mut cx = std::task::Context::from_waker(std::task::Waker::noop());
-        let std::task::Poll::Ready(Ok(body)) = body.as_mut().poll(&mut cx) else { panic!("not whole") };
+        let std::task::Poll::Ready(Ok(body)) = body.as_mut().poll(&mut cx) else { panic!("incomplete body") };
         assert_eq!(body.to_bytes(), text);
     }
 }
 
 #[test]
-fn lists_are_read_entry_by_entry() {
-    let whole = r#""hostPort": "10.1.0.18:8443", "zone": "a", "machineType": "m2", "cell": 3"#;
-    for (entry, read) in [
+fn decodes_endpoint_lists_entry_by_entry() {
+    let location = r#""hostPort": "10.1.0.18:8443", "zone": "a", "machineType": "m2", "cell": 3"#;
+    for (entry, expected) in [
         (
             format!(
-                r#"{{"instanceId": "s", {whole}, "lifecycle": "ready", "weight": 2.5, "startedAtMs": 7}}"#
+                r#"{{"instanceId": "s", {location}, "lifecycle": "ready", "weight": 2.5, "startedAtMs": 7}}"#
             ),
             Ok((EndpointState::Ready, 2.5, 7000)),
         ),
         (
-            format!(r#"{{"instanceId": "s", {whole}, "lifecycle": "draining", "weight": -1}}"#),
+            format!(r#"{{"instanceId": "s", {location}, "lifecycle": "draining", "weight": -1}}"#),
             Ok((EndpointState::Draining, 1.0, 0)),
         ),
         (r#"{"instanceId": "s", "lifecycle": "gone"}"#.to_string(), Ok((EndpointState::Gone, 1.0, 0))),
@@ -235,25 +242,25 @@
             Err("s: hostPort: no address and port"),
         ),
         (
-            format!(r#"{{"instanceId": "s", {whole}, "lifecycle": "asleep"}}"#),
+            format!(r#"{{"instanceId": "s", {location}, "lifecycle": "asleep"}}"#),
             Err("s: lifecycle: unknown: \"asleep\""),
         ),
         ("7".to_string(), Err("invalid type: integer `7`, expected struct Instance")),
     ] {
-        let good = r#"{"instanceId": "other", "hostPort": "[::1]:1", "lifecycle": "ready", "more": {}}"#;
-        let line = format!(r#"{{"generation": 41, "reset": true, "instances": [{entry}, {good}]}}"#);
+        let valid = r#"{"instanceId": "other", "hostPort": "[::1]:1", "lifecycle": "ready", "more": {}}"#;
+        let line = format!(r#"{{"generation": 41, "reset": true, "instances": [{entry}, {valid}]}}"#);
         let update = EndpointUpdate::decode(line.as_bytes()).expect("a list");
         assert_eq!(
             (update.generation, update.is_complete, update.servers.last().map(|s| s.name.as_str())),
             (41, true, Some("other"))
         );
-        match read {
-            Ok(read) => {
+        match expected {
+            Ok(expected) => {
                 let server = &update.servers[0];
-                assert_eq!((server.state, server.relative_capacity, server.started_at), read, "{entry}");
+                assert_eq!((server.state, server.relative_capacity, server.started_at), expected, "{entry}");
                 assert!(update.errors.is_empty());
             }
-            Err(fault) => assert_eq!(update.errors, [fault], "{entry}"),
+            Err(error) => assert_eq!(update.errors, [error], "{entry}"),
         }
     }
     for line in ["", "{}", "[]", r#"{"generation": 1}"#, r#"{"generation": -1, "instances": []}"#, "{\"gener"]
