--- a/balancer/upstream-pool/src/exchange.rs
+++ b/balancer/upstream-pool/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One connection, and one request on it for one response.
+//! A connection to a server, which carries one request at a time.
 
 use std::cell::RefCell;
 use std::future::{Future, poll_fn};
@@ -23,32 +23,32 @@
 use crate::memory_budget::MemoryBudget;
 use crate::pool::PoolSettings;
 
-/// What an exchange leaves behind of how far it has come, also where its future is dropped.
+/// Shows the progress of an exchange, even after its future was dropped.
 #[derive(Clone, Default)]
-pub struct ProgressHandle(Rc<RefCell<Option<Written>>>);
+pub struct ProgressHandle(Rc<RefCell<Option<RequestRange>>>);
 
-struct Written {
+struct RequestRange {
     meter: Rc<Meter>,
-    begin: u64,
+    start: u64,
     end: u64,
 }
 
 impl ProgressHandle {
-    /// How far the exchange has come.
+    /// Progress of the request.
     pub fn progress(&self) -> Progress {
         match &*self.0.borrow() {
-            Some(written) if written.meter.bytes_written.get() >= written.end => Progress::Complete,
-            Some(written) if written.meter.bytes_written.get() > written.begin => Progress::Partial,
+            Some(range) if range.meter.bytes_written.get() >= range.end => Progress::Complete,
+            Some(range) if range.meter.bytes_written.get() > range.start => Progress::Partial,
             _ => Progress::NotStarted,
         }
     }
 
-    fn begin(&self, meter: &Rc<Meter>, size: u64) {
-        let begin = meter.bytes_written.get();
-        *self.0.borrow_mut() = Some(Written { meter: Rc::clone(meter), begin, end: begin + size });
+    fn start(&self, meter: &Rc<Meter>, size: u64) {
+        let start = meter.bytes_written.get();
+        *self.0.borrow_mut() = Some(RequestRange { meter: Rc::clone(meter), start, end: start + size });
     }
 
-    pub(crate) fn failure(&self, cause: Cause) -> ExchangeError {
+    pub(crate) fn error(&self, cause: Cause) -> ExchangeError {
         ExchangeError {
             progress: self.progress(),
             cause,
@@ -58,21 +58,20 @@
     }
 }
 
-/// A connection that carries one request at a time. It has no task of its own: it moves while an exchange is
-/// polled, and closes when dropped.
+/// A connection that carries one request at a time. It has no task of its own: it is driven while an exchange
+/// is polled, and closes when dropped.
 pub struct ServerConnection {
     sender: SendRequest<Full<Bytes>>,
     connection: Pin<Box<Connection<TokioIo<MeteredSocket>, Full<Bytes>>>>,
-    ended: bool,
+    is_closed: bool,
     meter: Rc<Meter>,
-    /// It has carried an answer before.
-    kept: bool,
+    /// Whether the connection has carried a request before.
+    was_used: bool,
 }
 
 impl ServerConnection {
     pub async fn open(socket: TcpStream) -> Result<ServerConnection, Cause> {
-        // Guards against a system that has the connection and not the option, on which nothing but haste
-        // hangs.
+        // Not all kinds of sockets support this option, and it only reduces latency, so errors are ignored.
         let _ = socket.set_nodelay(true);
         let meter = Rc::new(Meter::default());
         let (sender, connection) = http1::Builder::new()
@@ -80,10 +79,16 @@
             .handshake(TokioIo::new(MeteredSocket::new(socket, Rc::clone(&meter))))
             .await
             .map_err(Cause::Connection)?;
-        Ok(ServerConnection { sender, connection: Box::pin(connection), ended: false, meter, kept: false })
+        Ok(ServerConnection {
+            sender,
+            connection: Box::pin(connection),
+            is_closed: false,
+            meter,
+            was_used: false,
+        })
     }
 
-    /// Polls the connection beside the future, which waits on it.
+    /// Polls the connection together with a future that depends on it.
     async fn drive<F: Future>(
         &mut self,
         future: impl FnOnce(&mut SendRequest<Full<Bytes>>) -> F,
@@ -93,16 +98,16 @@
             if let Poll::Ready(output) = future.as_mut().poll(cx) {
                 return Poll::Ready(output);
             }
-            if !self.ended && self.connection.as_mut().poll(cx).is_ready() {
-                self.ended = true;
+            if !self.is_closed && self.connection.as_mut().poll(cx).is_ready() {
+                self.is_closed = true;
             }
             future.as_mut().poll(cx)
         })
         .await
     }
 
-    /// Whether a connection that stood idle is still there. Guards against a server that has closed it: the
-    /// runtime is let at its sockets first, since it may not have looked at them for a while.
+    /// Whether an idle connection is still open. Yields first, so that the runtime polls the socket and
+    /// detects a close by the server.
     pub async fn is_still_open(&mut self) -> bool {
         tokio::task::yield_now().await;
         self.is_open().await
@@ -110,46 +115,45 @@
 
     async fn is_open(&mut self) -> bool {
         poll_fn(|cx| {
-            self.ended = self.ended || self.connection.as_mut().poll(cx).is_ready();
+            self.is_closed = self.is_closed || self.connection.as_mut().poll(cx).is_ready();
             Poll::Ready(())
         })
         .await;
-        !self.ended && !self.sender.is_closed()
+        !self.is_closed && !self.sender.is_closed()
     }
 
-    /// Afterwards the connection may carry the next request if it `is_reusable`.
+    /// Sends a request and waits for the response. Afterwards the connection may carry another request if it
+    /// `is_reusable`.
     pub async fn exchange(
         &mut self,
         mut request: Request<Full<Bytes>>,
         settings: &PoolSettings,
         progress: &ProgressHandle,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        progress.begin(&self.meter, size(&request));
+        progress.start(&self.meter, request_size(&request));
         self.meter.first_received_at.set(None);
-        let monitor =
-            AnswerMonitor { meter: Rc::clone(&self.meter), announced: Arc::new(Mutex::new(Instant::now())) };
-        let announced = Arc::clone(&monitor.announced);
+        let monitor = AnswerMonitor {
+            meter: Rc::clone(&self.meter),
+            last_informational_at: Arc::new(Mutex::new(Instant::now())),
+        };
+        let last_informational_at = Arc::clone(&monitor.last_informational_at);
         hyper::ext::on_informational(&mut request, move |_| {
-            *announced.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
+            *last_informational_at.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         });
-        let end = tokio::select! {
+        let result = tokio::select! {
             biased;
-            end = self.answer(request, &settings.memory_budget) => end,
+            result = self.receive_response(request, &settings.memory_budget) => result,
             () = monitor.stalled(settings.stall_timeout) => Err(Cause::Stalled),
         };
-        let kept = std::mem::replace(&mut self.kept, true);
-        end.map_err(|cause| {
-            let answered = self.meter.first_received_at.get().is_some();
-            let stale = kept && !answered && matches!(cause, Cause::Connection(_));
-            ExchangeError {
-                is_stale_connection: stale,
-                response_started: answered,
-                ..progress.failure(cause)
-            }
+        let was_used = std::mem::replace(&mut self.was_used, true);
+        result.map_err(|cause| {
+            let response_started = self.meter.first_received_at.get().is_some();
+            let is_stale_connection = was_used && !response_started && matches!(cause, Cause::Connection(_));
+            ExchangeError { is_stale_connection, response_started, ..progress.error(cause) }
         })
     }
 
-    async fn answer(
+    async fn receive_response(
         &mut self,
         request: Request<Full<Bytes>>,
         memory: &MemoryBudget,
@@ -159,17 +163,17 @@
         if parts.headers.contains_key(CONTENT_LENGTH) && parts.headers.contains_key(TRANSFER_ENCODING) {
             return Err(Cause::ConflictingLengths);
         }
-        Ok(Response::from_parts(parts, self.collect(body, memory).await?))
+        Ok(Response::from_parts(parts, self.read_body(body, memory).await?))
     }
 
-    /// The complete body. Memory for it is allocated from the budget before it is read.
-    async fn collect(&mut self, mut body: Incoming, memory: &MemoryBudget) -> Result<Bytes, Cause> {
+    /// Reads the complete body. Memory is allocated from the budget before it is read.
+    async fn read_body(&mut self, mut body: Incoming, memory: &MemoryBudget) -> Result<Bytes, Cause> {
         let mut allocation = memory.allocation();
-        let announced = body.size_hint().lower();
-        if !usize::try_from(announced).is_ok_and(|announced| allocation.grow_to(announced)) {
-            return Err(Cause::ResponseTooLong(announced));
+        let announced_bytes = body.size_hint().lower();
+        if !usize::try_from(announced_bytes).is_ok_and(|bytes| allocation.grow_to(bytes)) {
+            return Err(Cause::ResponseTooLong(announced_bytes));
         }
-        let mut complete = BytesMut::with_capacity(announced as usize);
+        let mut complete = BytesMut::with_capacity(announced_bytes as usize);
         while let Some(frame) = self.drive(|_| body.frame()).await {
             let Ok(data) = frame.map_err(Cause::Connection)?.into_data() else { continue };
             let bytes = complete.len() + data.len();
@@ -178,45 +182,52 @@
             }
             complete.extend_from_slice(&data);
         }
-        Ok(allocation.hold(complete.freeze()))
+        Ok(allocation.attach_to(complete.freeze()))
     }
 
     pub async fn is_reusable(&mut self) -> bool {
-        // One poll is enough: hyper is ready at once after a response that leaves the connection open.
+        // One poll is enough: hyper is ready immediately after a response that keeps the connection open.
         self.is_open().await && self.sender.is_ready()
     }
 }
 
-/// When bytes were last received on a connection, and when an answer was last only announced (1xx).
+/// Times of the last received bytes and of the last informational response (1xx).
 struct AnswerMonitor {
     meter: Rc<Meter>,
-    announced: Arc<Mutex<Instant>>,
+    last_informational_at: Arc<Mutex<Instant>>,
 }
 
 impl AnswerMonitor {
-    /// Guards against an answer that begins and never ends: its server keeps the connection open in silence.
-    async fn stalled(&self, stall_time_out: Duration) {
+    /// Completes when a response has started but no bytes were received for `stall_timeout`.
+    async fn stalled(&self, stall_timeout: Duration) {
         loop {
-            let announced = *self.announced.lock().unwrap_or_else(PoisonError::into_inner);
-            match self.meter.last_received_at.get().filter(|&at| at > announced).map(|at| at + stall_time_out)
+            let last_informational_at =
+                *self.last_informational_at.lock().unwrap_or_else(PoisonError::into_inner);
+            match self
+                .meter
+                .last_received_at
+                .get()
+                .filter(|&at| at > last_informational_at)
+                .map(|at| at + stall_timeout)
             {
-                Some(end) if end <= Instant::now() => return,
-                Some(end) => sleep_until(end).await,
-                None => sleep(stall_time_out).await,
+                Some(stalled_at) if stalled_at <= Instant::now() => return,
+                Some(stalled_at) => sleep_until(stalled_at).await,
+                None => sleep(stall_timeout).await,
             }
         }
     }
 }
 
-/// The bytes that hyper writes for a request whose headers are all set already.
-fn size(request: &Request<Full<Bytes>>) -> u64 {
-    let line = request.method().as_str().len() + request.uri().to_string().len() + "  HTTP/1.1\r\n".len();
+/// Number of bytes that hyper writes for a request whose headers are all set.
+fn request_size(request: &Request<Full<Bytes>>) -> u64 {
+    let request_line =
+        request.method().as_str().len() + request.uri().to_string().len() + "  HTTP/1.1\r\n".len();
     let headers: usize = request
         .headers()
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len())
         .sum();
-    (line + headers + "\r\n".len()) as u64 + request.body().size_hint().exact().unwrap_or(0)
+    (request_line + headers + "\r\n".len()) as u64 + request.body().size_hint().exact().unwrap_or(0)
 }
 
 #[cfg(test)]
--- a/balancer/upstream-pool/src/exchange/tests.rs
+++ b/balancer/upstream-pool/src/exchange/tests.rs
@@ -6,15 +6,16 @@
 use super::*;
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_socket_that_knows_no_option_of_tcp_carries_exchanges() {
-    let (here, mut there) = UnixStream::pair().expect("a pair");
-    here.set_nonblocking(true).expect("nonblocking");
-    let socket = TcpStream::from_std(std::net::TcpStream::from(OwnedFd::from(here))).expect("a socket");
+async fn exchange_works_on_a_socket_without_tcp_options() {
+    let (client_socket, mut server_socket) = UnixStream::pair().expect("a pair");
+    client_socket.set_nonblocking(true).expect("nonblocking");
+    let socket =
+        TcpStream::from_std(std::net::TcpStream::from(OwnedFd::from(client_socket))).expect("a socket");
     assert!(socket.set_nodelay(true).is_err(), "the test needs a socket that refuses the option");
     let server = thread::spawn(move || {
-        let mut piece = [0; 4096];
-        let read = there.read(&mut piece).expect("a request");
-        there.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi").expect("written");
+        let mut buffer = [0; 4096];
+        let read = server_socket.read(&mut buffer).expect("a request");
+        server_socket.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi").expect("written");
         read
     });
     let settings = PoolSettings {
--- a/balancer/upstream-pool/src/failure.rs
+++ b/balancer/upstream-pool/src/failure.rs
@@ -1,51 +1,51 @@
-//! Why an exchange came to nothing, and how far it had come.
+//! Errors of exchanges, with the progress of the request.
 
 use std::fmt;
 
-/// How far an exchange has come; only the last step can have made the server begin.
+/// Progress of a request. The server can have processed the request only if it is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// No connection, or none of the request's bytes written.
+    /// No connection, or no byte of the request was written.
     NotStarted,
-    /// Some of the request's bytes are written, the last is not.
+    /// Some bytes of the request were written, but not all.
     Partial,
-    /// The request's last byte is written.
+    /// The last byte of the request was written.
     Complete,
 }
 
-/// An exchange that brought no response.
+/// The error of an exchange without a response.
 #[derive(Debug)]
 pub struct ExchangeError {
-    /// How far it had come.
+    /// Progress of the request.
     pub progress: Progress,
-    /// Why it failed.
+    /// Cause of the error.
     pub cause: Cause,
-    /// The connection had stood idle and broke before any answer: it may have been gone already.
+    /// Whether the connection was reused and broke before any response: the server may have closed it
+    /// earlier.
     pub is_stale_connection: bool,
-    /// Some of an answer had come.
+    /// Whether part of a response was received.
     pub response_started: bool,
 }
 
 #[derive(Debug)]
 pub enum Cause {
-    /// All connections that may be open are in use.
+    /// The maximum number of connections is in use.
     PoolExhausted,
-    /// Nothing was wanted of the server any more, before the first byte.
+    /// The caller no longer needed the request when its first byte was due.
     NotNeeded,
     Connect(std::io::Error),
     ConnectTimeOut,
     Connection(hyper::Error),
-    /// There is no memory for a body so long, in bytes.
+    /// The memory budget does not suffice for a body of this many bytes.
     ResponseTooLong(u64),
-    /// The response tells its length in two ways.
+    /// The response has both a content length and a transfer encoding.
     ConflictingLengths,
-    /// The response has begun and does not go on.
+    /// The response started but did not continue.
     Stalled,
 }
 
 impl ExchangeError {
-    /// Whether the exchange came to nothing here, through no fault of the server, which has seen none of it or not
-    /// all.
+    /// Whether the error is local and not caused by the server, which did not receive the complete request.
     pub fn is_local(&self) -> bool {
         matches!(self.cause, Cause::PoolExhausted | Cause::NotNeeded)
             || (self.is_stale_connection && self.progress != Progress::Complete)
@@ -53,19 +53,19 @@
 }
 
 impl fmt::Display for ExchangeError {
-    fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match &self.cause {
-            Cause::PoolExhausted => write!(to, "all connections are in use"),
-            Cause::NotNeeded => write!(to, "wanted no more"),
-            Cause::Connect(e) => write!(to, "connect: {e}"),
-            Cause::ConnectTimeOut => write!(to, "connect: timed out"),
+            Cause::PoolExhausted => write!(f, "all connections are in use"),
+            Cause::NotNeeded => write!(f, "request no longer needed"),
+            Cause::Connect(e) => write!(f, "connect: {e}"),
+            Cause::ConnectTimeOut => write!(f, "connect: timed out"),
             Cause::Connection(e) if self.is_stale_connection => {
-                write!(to, "kept connection: {e}, request {:?}", self.progress)
+                write!(f, "reused connection: {e}, request {:?}", self.progress)
             }
-            Cause::Connection(e) => write!(to, "connection: {e}, request {:?}", self.progress),
-            Cause::ResponseTooLong(bytes) => write!(to, "response too long: {bytes} bytes or more"),
-            Cause::ConflictingLengths => write!(to, "response with two kinds of length"),
-            Cause::Stalled => write!(to, "response begun and not ended"),
+            Cause::Connection(e) => write!(f, "connection: {e}, request {:?}", self.progress),
+            Cause::ResponseTooLong(bytes) => write!(f, "response too long: {bytes} bytes or more"),
+            Cause::ConflictingLengths => write!(f, "response with conflicting lengths"),
+            Cause::Stalled => write!(f, "response stalled"),
         }
     }
 }
--- a/balancer/upstream-pool/src/failure/tests.rs
+++ b/balancer/upstream-pool/src/failure/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
 #[test]
-fn a_connection_that_was_gone_is_no_fault_of_its_server() {
-    for (stale, progress, own) in [
+fn stale_connection_before_the_complete_request_is_a_local_error() {
+    for (is_stale_connection, progress, is_local) in [
         (true, Progress::NotStarted, true),
         (true, Progress::Partial, true),
         (true, Progress::Complete, false),
         (false, Progress::NotStarted, false),
         (false, Progress::Partial, false),
     ] {
-        let failure = ExchangeError {
+        let error = ExchangeError {
             progress,
             cause: Cause::Stalled,
-            is_stale_connection: stale,
-            response_started: !stale,
+            is_stale_connection,
+            response_started: !is_stale_connection,
         };
-        assert_eq!(failure.is_local(), own, "{failure:?}");
+        assert_eq!(error.is_local(), is_local, "{error:?}");
     }
 }
--- a/balancer/upstream-pool/src/lib.rs
+++ b/balancer/upstream-pool/src/lib.rs
@@ -1,5 +1,5 @@
-//! The connections to upstreams: a small pool, and one exchange of a request for a response. Nothing here
-//! sends anything twice by itself.
+//! A connection pool for upstream servers, and single request-response exchanges. This package never retries
+//! a request.
 
 mod exchange;
 mod failure;
--- a/balancer/upstream-pool/src/memory_budget.rs
+++ b/balancer/upstream-pool/src/memory_budget.rs
@@ -1,66 +1,76 @@
-//! Memory for answers that are longer than usual, shared out among all that are in hand.
+//! Memory budget for long response bodies, shared by all exchanges of a process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
 
-/// The budget of all long answers of one process.
+/// The memory budget of a process for long response bodies.
 pub struct MemoryBudget {
-    /// An answer of so many bytes needs none of it.
-    usual: usize,
-    /// The most bytes that one answer may have.
-    largest: usize,
-    available: Arc<AtomicUsize>,
+    /// Bodies up to this size do not count against the budget.
+    exempt_bytes: usize,
+    /// Maximum size of a body.
+    max_body_bytes: usize,
+    available_bytes: Arc<AtomicUsize>,
 }
 
 impl MemoryBudget {
-    /// `all` is for longer answers together; one may take a quarter of it.
-    pub fn new(usual: usize, all: usize) -> Self {
-        MemoryBudget { usual, largest: usual.max(all / 4), available: Arc::new(AtomicUsize::new(all)) }
+    /// Creates a budget of `total_bytes` for all bodies longer than `exempt_bytes`. A single body may use a
+    /// quarter of it.
+    pub fn new(exempt_bytes: usize, total_bytes: usize) -> Self {
+        MemoryBudget {
+            exempt_bytes,
+            max_body_bytes: exempt_bytes.max(total_bytes / 4),
+            available_bytes: Arc::new(AtomicUsize::new(total_bytes)),
+        }
     }
 
     pub(crate) fn allocation(&self) -> Allocation {
         Allocation {
-            usual: self.usual,
-            largest: self.largest,
-            taken: 0,
-            available: Arc::clone(&self.available),
+            exempt_bytes: self.exempt_bytes,
+            max_body_bytes: self.max_body_bytes,
+            allocated_bytes: 0,
+            available_bytes: Arc::clone(&self.available_bytes),
         }
     }
 }
 
-/// What one answer takes of the budget; given back when it is dropped.
+/// The memory allocated for one body; released on drop.
 pub(crate) struct Allocation {
-    usual: usize,
-    largest: usize,
-    taken: usize,
-    available: Arc<AtomicUsize>,
+    exempt_bytes: usize,
+    max_body_bytes: usize,
+    allocated_bytes: usize,
+    available_bytes: Arc<AtomicUsize>,
 }
 
 impl Allocation {
-    /// Whether the answer may have so many bytes.
+    /// Grows the allocation for a body of this size. Returns whether the budget allows it.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
-        let more = if bytes > self.usual { bytes.saturating_sub(self.taken) } else { 0 };
-        let taken = |available: usize| available.checked_sub(more);
-        if bytes > self.largest
-            || self.available.fetch_update(Ordering::Relaxed, Ordering::Relaxed, taken).is_err()
+        let additional =
+            if bytes > self.exempt_bytes { bytes.saturating_sub(self.allocated_bytes) } else { 0 };
+        let reserve = |available: usize| available.checked_sub(additional);
+        if bytes > self.max_body_bytes
+            || self.available_bytes.fetch_update(Ordering::Relaxed, Ordering::Relaxed, reserve).is_err()
         {
             return false;
         }
-        self.taken += more;
+        self.allocated_bytes += additional;
         true
     }
 
-    /// The answer's bytes, which keep their allocation for as long as they are there.
-    pub fn hold(self, bytes: Bytes) -> Bytes {
-        if self.taken > 0 { Bytes::from_owner(AllocatedBytes { bytes, _allocation: self }) } else { bytes }
+    /// Attaches the allocation to the body, so that it is released when the body is dropped.
+    pub fn attach_to(self, bytes: Bytes) -> Bytes {
+        if self.allocated_bytes > 0 {
+            Bytes::from_owner(AllocatedBytes { bytes, _allocation: self })
+        } else {
+            bytes
+        }
     }
 }
 
 impl Drop for Allocation {
     fn drop(&mut self) {
-        self.available.fetch_add(self.taken, Ordering::Relaxed);
+        self.available_bytes.fetch_add(self.allocated_bytes, Ordering::Relaxed);
     }
 }
 
--- a/balancer/upstream-pool/src/pool.rs
+++ b/balancer/upstream-pool/src/pool.rs
@@ -1,4 +1,4 @@
-//! Which connections are open, which stand idle, and how many may be.
+//! The connection pool.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,48 +16,48 @@
 use crate::failure::{Cause, ExchangeError};
 use crate::memory_budget::MemoryBudget;
 
-/// Limits and times of a pool.
+/// Limits and timeouts of a pool.
 pub struct PoolSettings {
-    /// Connections that may be open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Servers close a connection that has stood idle for so long.
+    /// Idle time after which servers close a connection.
     pub server_idle_timeout: Duration,
-    /// How long a connection may take to come up.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// An answer that has begun and is silent for so long does not end any more.
+    /// Silence after which a response that has started counts as stalled.
     pub stall_timeout: Duration,
-    /// After an answer a connection carries nothing for so long.
+    /// Time after a response before the connection is reused.
     pub reuse_delay: Duration,
-    /// Memory for long answers.
+    /// Memory budget for long response bodies.
     pub memory_budget: MemoryBudget,
 }
 
-/// One process of a server: another one at the same address gets connections of its own.
+/// A process of a server. A new process at the same address gets its own connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Upstream {
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Number of the process, so that a new one at the same address is told from the one before.
+    /// Number of the process, which distinguishes successive processes at the same address.
     pub process: u64,
 }
 
-/// Idle connections are dropped at this part of the time after which servers close them.
-const IDLE_PART: f64 = 0.7;
+/// Idle connections are closed after this fraction of the servers' idle timeout.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
 /// A pool of connections to all servers.
 pub struct ConnectionPool {
     settings: PoolSettings,
     open: Rc<Cell<usize>>,
-    idle: RefCell<BTreeMap<Upstream, Vec<Idle>>>,
+    idle: RefCell<BTreeMap<Upstream, Vec<IdleConnection>>>,
 }
 
-struct Idle {
+struct IdleConnection {
     since: Instant,
-    lease: Lease,
+    pooled: PooledConnection,
 }
 
-/// A connection that counts among the open ones until it is dropped.
-struct Lease {
+/// A connection that counts as open until it is dropped.
+struct PooledConnection {
     connection: ServerConnection,
     _permit: OpenPermit,
 }
@@ -71,62 +71,62 @@
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         ConnectionPool { settings, open: Rc::default(), idle: RefCell::default() }
     }
 
-    /// Sends one request once. `prepare` is asked for it right before the first byte, also after a slow
-    /// connect, and may want nothing sent any more.
+    /// Sends a request once. `prepare` creates the request right before the first byte is sent, after
+    /// connecting, and may return `None` if it is no longer needed.
     pub async fn exchange(
         &self,
         server: Upstream,
         prepare: impl FnOnce() -> Option<Request<Full<Bytes>>>,
         progress: &ProgressHandle,
     ) -> Result<Response<Bytes>, ExchangeError> {
-        let mut lease = match self.take_idle(server).await {
-            Some(lease) => lease,
-            None => self.connect(server.address).await.map_err(|cause| progress.failure(cause))?,
+        let mut pooled = match self.take_idle(server).await {
+            Some(pooled) => pooled,
+            None => self.connect(server.address).await.map_err(|cause| progress.error(cause))?,
         };
         let Some(request) = prepare() else {
-            self.keep(server, lease).await;
-            return Err(progress.failure(Cause::NotNeeded));
+            self.return_connection(server, pooled).await;
+            return Err(progress.error(Cause::NotNeeded));
         };
-        let response = lease.connection.exchange(request, &self.settings, progress).await?;
-        self.keep(server, lease).await;
+        let response = pooled.connection.exchange(request, &self.settings, progress).await?;
+        self.return_connection(server, pooled).await;
         Ok(response)
     }
 
-    async fn keep(&self, server: Upstream, mut lease: Lease) {
-        if lease.connection.is_reusable().await {
-            let idle = Idle { since: Instant::now(), lease };
+    async fn return_connection(&self, server: Upstream, mut pooled: PooledConnection) {
+        if pooled.connection.is_reusable().await {
+            let idle = IdleConnection { since: Instant::now(), pooled };
             self.idle.borrow_mut().entry(server).or_default().push(idle);
         }
     }
 
-    /// The one used last, so that those that are not needed grow old; but not right after its answer. Guards
-    /// against a server that answers twice, the second time somewhat late: it would pass for the answer to
-    /// the next query.
-    async fn take_idle(&self, server: Upstream) -> Option<Lease> {
+    /// Takes the most recently used idle connection, so that unneeded connections expire. Connections are not
+    /// reused right after a response: a server could send a late second response, which would be taken for
+    /// the response to the next request.
+    async fn take_idle(&self, server: Upstream) -> Option<PooledConnection> {
         loop {
             let mut idle = {
                 let mut all = self.idle.borrow_mut();
                 let connections = all.get_mut(&server)?;
-                let rested =
+                let reusable =
                     connections.partition_point(|idle| idle.since.elapsed() >= self.settings.reuse_delay);
-                connections.remove(rested.checked_sub(1)?)
+                connections.remove(reusable.checked_sub(1)?)
             };
-            if self.is_fresh(&idle) && idle.lease.connection.is_still_open().await {
-                return Some(idle.lease);
+            if self.is_reusable(&idle) && idle.pooled.connection.is_still_open().await {
+                return Some(idle.pooled);
             }
         }
     }
 
-    fn is_fresh(&self, idle: &Idle) -> bool {
-        idle.since.elapsed() < self.settings.server_idle_timeout.mul_f64(IDLE_PART)
+    fn is_reusable(&self, idle: &IdleConnection) -> bool {
+        idle.since.elapsed() < self.settings.server_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION)
     }
 
-    async fn connect(&self, server: SocketAddr) -> Result<Lease, Cause> {
+    async fn connect(&self, server: SocketAddr) -> Result<PooledConnection, Cause> {
         if self.open.get() >= self.settings.max_connections && !self.close_oldest_idle() {
             return Err(Cause::PoolExhausted);
         }
@@ -134,10 +134,10 @@
         let permit = OpenPermit(Rc::clone(&self.open));
         let socket = timeout(self.settings.connect_timeout, TcpStream::connect(server)).await;
         let socket = socket.map_err(|_| Cause::ConnectTimeOut)?.map_err(Cause::Connect)?;
-        Ok(Lease { connection: ServerConnection::open(socket).await?, _permit: permit })
+        Ok(PooledConnection { connection: ServerConnection::open(socket).await?, _permit: permit })
     }
 
-    /// Where all connections are open, the oldest idle one is closed for a new one.
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest =
@@ -148,15 +148,15 @@
         })
     }
 
-    /// Drops what has stood idle for too long; to be called now and then.
+    /// Closes connections that have been idle for too long. Must be called periodically.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| self.is_fresh(idle));
+            connections.retain(|idle| self.is_reusable(idle));
             !connections.is_empty()
         });
     }
 
-    /// Connections that are open now, idle ones included.
+    /// Number of open connections, including idle ones.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
--- a/balancer/upstream-pool/tests/exchange.rs
+++ b/balancer/upstream-pool/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with a scripted server: how far each came, and which connections are used again.
+//! Exchanges with a scripted server: progress of failed requests and reuse of pool.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,52 +14,52 @@
 };
 
 const OK: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
-const CLOSE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi";
+const OK_CLOSE: &str = "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nhi";
 const LONG: &str = "HTTP/1.1 200 OK\r\ncontent-length: 70\r\n\r\n\
     ----------------------------------------------------------------------";
-const CUT: &str = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhi";
-const HUGE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nhi";
+const TRUNCATED: &str = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhi";
+const TOO_LONG: &str = "HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\nhi";
 const TWO_LENGTHS: &str =
     "HTTP/1.1 200 OK\r\ncontent-length: 2\r\ntransfer-encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n";
-const NO_END: &str = "HTTP/1.1 200 OK\r\nx-pad: p\r\n";
-const EARLY: &str = "HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n\
+const UNFINISHED_HEAD: &str = "HTTP/1.1 200 OK\r\nx-pad: p\r\n";
+const INFORMATIONAL: &str = "HTTP/1.1 103 Early Hints\r\nlink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n\
     HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhi";
-const TWICE: &str =
+const DUPLICATE: &str =
     "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nhiHTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno";
-const BAD: &str = "HTTP/1.1 lots\r\n\r\n";
+const MALFORMED: &str = "HTTP/1.1 lots\r\n\r\n";
 
-/// Answers each request with the next of the replies, after which it goes on (`true`) or closes the
-/// connection. Tells the number of the connection that each request came on, and each end of a connection.
+/// Starts a server that answers each request with the next reply and then keeps (`true`) or closes the
+/// connection. Reports the connection number and size of each request, and each close of a connection.
 fn server(replies: Vec<(&'static str, bool)>) -> (SocketAddr, Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
-    let (tell, announced) = channel();
+    let (sender, events) = channel();
     thread::spawn(move || {
         let mut replies = replies.into_iter();
         for (number, socket) in listener.incoming().enumerate() {
             let mut socket = socket.expect("a connection");
             while let Some(size) = request(&mut socket) {
-                let _ = tell.send(format!("{number}: {size} bytes"));
-                let Some((reply, more)) = replies.next() else { return };
+                let _ = sender.send(format!("{number}: {size} bytes"));
+                let Some((reply, keeps_open)) = replies.next() else { return };
                 socket.write_all(reply.as_bytes()).expect("written");
-                if !more {
+                if !keeps_open {
                     break;
                 }
             }
             drop(socket);
-            let _ = tell.send(format!("{number}: end"));
+            let _ = sender.send(format!("{number}: end"));
         }
     });
-    (address, announced)
+    (address, events)
 }
 
-/// Reads one request and returns its size.
+/// Reads one request and returns its size; `None` if the connection was closed.
 fn request(socket: &mut TcpStream) -> Option<usize> {
-    let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
+    let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
-        match socket.read(&mut piece) {
+        match socket.read(&mut buffer) {
             Ok(0) | Err(_) => return None,
-            Ok(n) => bytes.extend_from_slice(&piece[..n]),
+            Ok(n) => bytes.extend_from_slice(&buffer[..n]),
         }
         if bytes.ends_with(b"\r\n\r\nbody") {
             return Some(bytes.len());
@@ -67,20 +67,16 @@
     }
 }
 
-fn connections(max_open: usize, idle_time: Duration) -> ConnectionPool {
-    ConnectionPool::new(PoolSettings {
-        max_connections: max_open,
-        server_idle_timeout: idle_time,
-        ..settings()
-    })
+fn pool(max_connections: usize, server_idle_timeout: Duration) -> ConnectionPool {
+    ConnectionPool::new(PoolSettings { max_connections, server_idle_timeout, ..settings() })
 }
 
 fn settings() -> PoolSettings {
-    let connect_time_out = Duration::from_secs(5);
+    let connect_timeout = Duration::from_secs(5);
     PoolSettings {
         max_connections: 4,
         server_idle_timeout: LONG_IDLE,
-        connect_timeout: connect_time_out,
+        connect_timeout,
         stall_timeout: Duration::from_millis(20),
         reuse_delay: Duration::ZERO,
         memory_budget: MemoryBudget::new(64, 0),
@@ -90,15 +86,15 @@
 const LONG_IDLE: Duration = Duration::from_secs(3600);
 
 async fn exchange(
-    connections: &ConnectionPool,
+    pool: &ConnectionPool,
     server: SocketAddr,
-    wanted: bool,
+    is_needed: bool,
     progress: &ProgressHandle,
 ) -> Result<Response<Bytes>, ExchangeError> {
     let request = Request::post("/api?x=1").header("host", "upstream").header("content-length", 4);
     let request = request.body(Full::new(Bytes::from_static(b"body"))).expect("a request");
     let server = Upstream { address: server, process: 1 };
-    connections.exchange(server, || wanted.then_some(request), progress).await
+    pool.exchange(server, || is_needed.then_some(request), progress).await
 }
 
 fn run<F: Future>(future: F) -> F::Output {
@@ -106,76 +102,76 @@
 }
 
 #[test]
-fn a_failure_tells_how_far_it_came() {
-    // Nobody listens at a port that has just been given back.
+fn errors_report_the_progress_of_the_request() {
+    // The listener is dropped at once, so that connections are refused.
     let refused = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("an address");
-    for (reply, more, wanted, progress, says) in [
+    for (reply, keeps_open, is_needed, progress, message) in [
         (None, false, true, Progress::NotStarted, "connect: "),
-        (Some(OK), true, false, Progress::NotStarted, "wanted no more"),
+        (Some(OK), true, false, Progress::NotStarted, "request no longer needed"),
         (Some(""), false, true, Progress::Complete, "connection: "),
-        (Some(CUT), false, true, Progress::Complete, "connection: "),
-        (Some(BAD), true, true, Progress::Complete, "connection: "),
+        (Some(TRUNCATED), false, true, Progress::Complete, "connection: "),
+        (Some(MALFORMED), true, true, Progress::Complete, "connection: "),
         (Some(LONG), true, true, Progress::Complete, "response too long"),
-        (Some(HUGE), true, true, Progress::Complete, "response too long: 3000000000 bytes"),
-        (Some(TWO_LENGTHS), true, true, Progress::Complete, "response with two kinds of length"),
-        // The connection stays open in silence.
-        (Some(CUT), true, true, Progress::Complete, "response begun and not ended"),
-        (Some(NO_END), true, true, Progress::Complete, "response begun and not ended"),
+        (Some(TOO_LONG), true, true, Progress::Complete, "response too long: 3000000000 bytes"),
+        (Some(TWO_LENGTHS), true, true, Progress::Complete, "response with conflicting lengths"),
+        // The connection stays open without further data.
+        (Some(TRUNCATED), true, true, Progress::Complete, "response stalled"),
+        (Some(UNFINISHED_HEAD), true, true, Progress::Complete, "response stalled"),
     ] {
         run(async {
-            let address = reply.map_or(refused, |reply| server(vec![(reply, more)]).0);
+            let address = reply.map_or(refused, |reply| server(vec![(reply, keeps_open)]).0);
             let handle = ProgressHandle::default();
-            let failure = exchange(&connections(4, LONG_IDLE), address, wanted, &handle).await;
+            let failure = exchange(&pool(4, LONG_IDLE), address, is_needed, &handle).await;
             let failure = failure.expect_err("a failure");
             assert_eq!((failure.progress, handle.progress()), (progress, progress), "{reply:?}");
-            assert!(failure.to_string().starts_with(says), "{reply:?}: {failure}");
-            assert_eq!(failure.is_local(), !wanted);
+            assert!(failure.to_string().starts_with(message), "{reply:?}: {failure}");
+            assert_eq!(failure.is_local(), !is_needed);
         });
     }
 }
 
 #[test]
-fn connections_are_used_again_while_fresh() {
+fn fresh_connections_are_reused() {
     for (first, idle_time, second) in [
         ((OK, true), LONG_IDLE, "0"),
         ((OK, true), Duration::ZERO, "1"),
-        ((CLOSE, false), LONG_IDLE, "1"),
-        // The server closes after its answer without a word.
+        ((OK_CLOSE, false), LONG_IDLE, "1"),
+        // The server closes the connection after its response without announcing it.
         ((OK, false), LONG_IDLE, "1"),
-        ((EARLY, true), LONG_IDLE, "0"),
-        // What comes behind an answer belongs to no request: its connection is closed.
-        ((TWICE, true), LONG_IDLE, "1"),
+        ((INFORMATIONAL, true), LONG_IDLE, "0"),
+        // Data after a response belongs to no request, so that the connection is closed.
+        ((DUPLICATE, true), LONG_IDLE, "1"),
     ] {
         run(async {
-            let (address, announced) = server(vec![first, (OK, true)]);
-            let connections = connections(4, idle_time);
+            let (address, events) = server(vec![first, (OK, true)]);
+            let pool = pool(4, idle_time);
             let handle = ProgressHandle::default();
-            let response = exchange(&connections, address, true, &handle).await.expect("a response");
+            let response = exchange(&pool, address, true, &handle).await.expect("a response");
             assert_eq!((response.body().as_ref(), handle.progress()), (&b"hi"[..], Progress::Complete));
             if idle_time.is_zero() {
-                connections.close_expired();
-                assert_eq!(connections.open_connections(), 0);
+                pool.close_expired();
+                assert_eq!(pool.open_connections(), 0);
             }
             if !first.1 {
-                while !announced.recv().expect("news").ends_with("end") {}
+                while !events.recv().expect("an event").ends_with("end") {}
             }
-            exchange(&connections, address, true, &ProgressHandle::default()).await.expect("a response");
-            let mut requests = announced.iter().filter(|news| news.ends_with("bytes"));
-            let on = requests.nth(usize::from(first.1)).expect("a request");
-            assert!(on.starts_with(second), "{first:?} {idle_time:?}: {on}");
+            exchange(&pool, address, true, &ProgressHandle::default()).await.expect("a response");
+            let mut requests = events.iter().filter(|event| event.ends_with("bytes"));
+            let request_event = requests.nth(usize::from(first.1)).expect("a request");
+            assert!(request_event.starts_with(second), "{first:?} {idle_time:?}: {request_event}");
         });
     }
 }
 
 #[test]
-fn an_answer_without_length_ends_with_its_connection_and_a_reset_is_no_end() {
+fn response_without_length_ends_with_a_close_but_not_with_a_reset() {
     for resets in [false, true] {
         run(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             let address = listener.local_addr().expect("an address");
             thread::spawn(move || {
                 let (mut socket, _) = listener.accept().expect("a connection");
-                // A close over bytes that nobody has read is a reset.
+                // Closing a socket with unread bytes resets the connection.
                 if resets {
                     socket.read_exact(&mut [0; 8]).expect("some of the request");
                     while socket.peek(&mut [0; 8]).is_ok_and(|available| available == 0) {}
@@ -184,8 +180,7 @@
                 }
                 socket.write_all(b"HTTP/1.1 200 OK\r\n\r\nhi").expect("written");
             });
-            let response =
-                exchange(&connections(4, LONG_IDLE), address, true, &ProgressHandle::default()).await;
+            let response = exchange(&pool(4, LONG_IDLE), address, true, &ProgressHandle::default()).await;
             match response {
                 Ok(response) => assert!(!resets && response.body() == "hi"),
                 Err(failure) => assert!(resets && failure.progress == Progress::Complete, "{failure}"),
@@ -195,10 +190,10 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_is_never_that_to_another_request() {
-    const NO: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno";
-    // The server answers the first request again as soon as another one is on that connection.
-    for (quiet_time, body) in [(LONG_IDLE, "hi"), (Duration::ZERO, "no")] {
+fn late_second_response_is_not_taken_for_the_next_one() {
+    const SECOND: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nno";
+    // The server sends a second response to the first request once another request arrives on the connection.
+    for (reuse_delay, body) in [(LONG_IDLE, "hi"), (Duration::ZERO, "no")] {
         run(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
             let address = listener.local_addr().expect("an address");
@@ -209,122 +204,123 @@
                         request(&mut socket);
                         socket.write_all(OK.as_bytes()).expect("written");
                         request(&mut socket);
-                        let _ = socket.write_all(NO.as_bytes());
+                        let _ = socket.write_all(SECOND.as_bytes());
                     });
                 }
             });
-            let connections = ConnectionPool::new(PoolSettings { reuse_delay: quiet_time, ..settings() });
-            exchange(&connections, address, true, &ProgressHandle::default()).await.expect("a response");
-            let response = exchange(&connections, address, true, &ProgressHandle::default()).await;
-            assert_eq!(response.expect("a response").body(), body, "{quiet_time:?}");
+            let pool = ConnectionPool::new(PoolSettings { reuse_delay, ..settings() });
+            exchange(&pool, address, true, &ProgressHandle::default()).await.expect("a response");
+            let response = exchange(&pool, address, true, &ProgressHandle::default()).await;
+            assert_eq!(response.expect("a response").body(), body, "{reuse_delay:?}");
         });
     }
 }
 
 #[test]
-fn a_kept_connection_that_breaks_under_a_request_tells_nothing_of_its_server() {
-    // The second reply: the connection ends without a byte, in the middle of an answer, or at its begin.
-    for (replies, announced) in [
+fn broken_reused_connection_is_reported_as_stale() {
+    // The last reply: a close without a byte, a close within a response, or an invalid response.
+    for (replies, expected) in [
         (vec![(OK, true), ("", false)], (true, false)),
-        (vec![(OK, true), (CUT, false)], (false, true)),
-        (vec![(BAD, true)], (false, true)),
+        (vec![(OK, true), (TRUNCATED, false)], (false, true)),
+        (vec![(MALFORMED, true)], (false, true)),
         (vec![("", false)], (false, false)),
     ] {
         run(async {
             let count = replies.len();
-            let (address, _told) = server(replies.clone());
-            let connections = connections(4, LONG_IDLE);
+            let (address, _events) = server(replies.clone());
+            let pool = pool(4, LONG_IDLE);
             for _ in 1..count {
-                exchange(&connections, address, true, &ProgressHandle::default()).await.expect("a response");
+                exchange(&pool, address, true, &ProgressHandle::default()).await.expect("a response");
             }
-            let failure = exchange(&connections, address, true, &ProgressHandle::default()).await;
+            let failure = exchange(&pool, address, true, &ProgressHandle::default()).await;
             let failure = failure.expect_err("a failure");
-            assert_eq!((failure.is_stale_connection, failure.response_started), announced, "{replies:?}");
+            assert_eq!((failure.is_stale_connection, failure.response_started), expected, "{replies:?}");
             assert_eq!(failure.progress, Progress::Complete);
         });
     }
 }
 
 #[test]
-fn long_answers_are_taken_while_there_is_room() {
-    for (all, fits) in [(400, true), (200, false)] {
+fn long_responses_need_memory_budget() {
+    for (total_bytes, fits) in [(400, true), (200, false)] {
         run(async {
-            let (address, _told) = server(vec![(LONG, true)]);
-            let connections =
-                ConnectionPool::new(PoolSettings { memory_budget: MemoryBudget::new(64, all), ..settings() });
-            let response = exchange(&connections, address, true, &ProgressHandle::default()).await;
+            let (address, _events) = server(vec![(LONG, true)]);
+            let pool = ConnectionPool::new(PoolSettings {
+                memory_budget: MemoryBudget::new(64, total_bytes),
+                ..settings()
+            });
+            let response = exchange(&pool, address, true, &ProgressHandle::default()).await;
             assert_eq!(response.map_or(0, |response| response.body().len()), if fits { 70 } else { 0 });
         });
     }
 }
 
 #[test]
-fn another_process_at_an_address_gets_connections_of_its_own() {
+fn new_process_at_an_address_gets_its_own_connections() {
     run(async {
-        let (address, announced) = server(vec![(OK, true), (OK, true)]);
-        let connections = connections(4, LONG_IDLE);
+        let (address, events) = server(vec![(OK, true), (OK, true)]);
+        let pool = pool(4, LONG_IDLE);
         for process in [1, 2] {
             let request = Request::post("/api").header("content-length", 4);
             let request = request.body(Full::new(Bytes::from_static(b"body"))).expect("a request");
             let upstream = Upstream { address, process };
             let handle = ProgressHandle::default();
-            // The scripted server takes one connection at a time.
-            let exchange = connections.exchange(upstream, || Some(request), &handle);
+            // The scripted server handles one connection at a time.
+            let exchange = pool.exchange(upstream, || Some(request), &handle);
             let _ = tokio::time::timeout(Duration::from_millis(200), exchange).await;
-            let on = announced.try_iter().next().unwrap_or_default();
-            assert_eq!(on.starts_with("0:"), process == 1, "{process}: {on}");
+            let event = events.try_iter().next().unwrap_or_default();
+            assert_eq!(event.starts_with("0:"), process == 1, "{process}: {event}");
         }
     });
 }
 
 #[test]
-fn the_size_of_a_request_is_known_before_it_is_written() {
-    // The progress is complete at the last byte and not before: the size must be what hyper writes.
+fn request_size_is_known_before_it_is_written() {
+    // The progress must be complete exactly at the last byte, so the size must be equal to what hyper writes.
     run(async {
-        let (address, announced) = server(vec![(OK, true)]);
-        exchange(&connections(4, LONG_IDLE), address, true, &ProgressHandle::default())
-            .await
-            .expect("a response");
+        let (address, events) = server(vec![(OK, true)]);
+        exchange(&pool(4, LONG_IDLE), address, true, &ProgressHandle::default()).await.expect("a response");
         let size = "POST /api?x=1 HTTP/1.1\r\nhost: upstream\r\ncontent-length: 4\r\n\r\nbody".len();
-        assert_eq!(announced.recv().expect("news"), format!("0: {size} bytes"));
+        assert_eq!(events.recv().expect("an event"), format!("0: {size} bytes"));
     });
 }
 
 #[test]
-fn an_exchange_that_is_dropped_closes_its_connection() {
+fn dropped_exchange_closes_its_connection() {
     run(async {
-        let (address, announced) = server(vec![("", true)]);
-        let connections = connections(4, LONG_IDLE);
+        let (address, events) = server(vec![("", true)]);
+        let pool = pool(4, LONG_IDLE);
         let handle = ProgressHandle::default();
         {
-            let exchange = exchange(&connections, address, true, &handle);
+            let exchange = exchange(&pool, address, true, &handle);
             let mut exchange = std::pin::pin!(exchange);
             while handle.progress() != Progress::Complete {
                 let step = tokio::time::timeout(Duration::from_millis(1), exchange.as_mut()).await;
                 assert!(step.is_err(), "no answer was written");
             }
         }
-        assert_eq!(connections.open_connections(), 0);
-        assert_eq!(announced.iter().nth(1).expect("news"), "0: end");
+        assert_eq!(pool.open_connections(), 0);
+        assert_eq!(events.iter().nth(1).expect("an event"), "0: end");
         assert_eq!(handle.progress(), Progress::Complete);
     });
 }
 
 #[test]
-fn at_the_brim_an_idle_connection_makes_room() {
+fn full_pool_closes_the_oldest_idle_connection() {
     run(async {
         let servers: Vec<_> = (0..3).map(|_| server(vec![(OK, true), (OK, true)])).collect();
-        let connections = connections(2, LONG_IDLE);
+        let pool = pool(2, LONG_IDLE);
         for (address, _) in &servers {
-            exchange(&connections, *address, true, &ProgressHandle::default()).await.expect("a response");
+            exchange(&pool, *address, true, &ProgressHandle::default()).await.expect("a response");
         }
-        assert_eq!(connections.open_connections(), 2);
-        // The first, idle for longest, was closed; the others are used again.
-        assert_eq!(servers[0].1.iter().nth(1).expect("news"), "0: end");
-        exchange(&connections, servers[1].0, true, &ProgressHandle::default()).await.expect("a response");
-        let none = ConnectionPool::new(PoolSettings { max_connections: 0, ..settings() });
-        let failure =
-            exchange(&none, servers[2].0, true, &ProgressHandle::default()).await.expect_err("none free");
+        assert_eq!(pool.open_connections(), 2);
+        // The first connection, idle for longest, was closed; the others are reused.
+        assert_eq!(servers[0].1.iter().nth(1).expect("an event"), "0: end");
+        exchange(&pool, servers[1].0, true, &ProgressHandle::default()).await.expect("a response");
+        let full_pool = ConnectionPool::new(PoolSettings { max_connections: 0, ..settings() });
+        let failure = exchange(&full_pool, servers[2].0, true, &ProgressHandle::default())
+            .await
+            .expect_err("no free connection");
         assert!(failure.is_local() && failure.progress == Progress::NotStarted);
     });
 }
