--- a/balancer/discovery/src/lib.rs
+++ b/balancer/discovery/src/lib.rs
@@ -1,6 +1,5 @@
-//! The list of servers as discovery tells it: whole at first, then each change as it comes. The watch is
-//! opened again when it ends, and also when it has been silent for longer than discovery ever is. Discovery
-//! may move to another address.
+//! Client of the discovery service: watches the endpoint list, first complete and then incrementally. The
+//! watch is reopened when it ends or is silent for too long. The address of discovery may change.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -21,50 +20,49 @@
 
 mod objects;
 
-use objects::Objects;
+use objects::ObjectSplitter;
 
-/// A change has to be known so long after discovery had it and could be reached. A watch that falls silent, an
-/// attempt that hangs and the one that works, with the delays between them, have to fit in together.
+/// Deadline for receiving a change after discovery has it and is reachable. It must cover a watch that falls
+/// silent, an attempt that hangs, a successful attempt, and the delays between them.
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
-/// While nothing changes an empty line comes every 2 s; silent for one and a half of that, a watch is dead.
-const SILENCE_LIMIT: Duration = UPDATE_DEADLINE.checked_div(2).expect("not by 0");
-/// Discovery answers at once: a connection without a response head by then hangs.
-const ANSWER_TIME_OUT: Duration = UPDATE_DEADLINE.checked_div(6).expect("not by 0");
-/// Between two tries to open a watch.
+/// Silence after which a watch counts as dead. Without changes, discovery sends an empty line every 2 s.
+const SILENCE_TIMEOUT: Duration = UPDATE_DEADLINE.checked_div(2).expect("not by 0");
+/// Timeout for the response head. Discovery answers immediately, so that a connection without one hangs.
+const RESPONSE_TIMEOUT: Duration = UPDATE_DEADLINE.checked_div(6).expect("not by 0");
+/// Delay between attempts to open a watch.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Where discovery is, and up to which of its generations the list is known.
+/// Address of discovery and the known generation of the endpoint list.
 pub struct EndpointWatch {
     discovery: Cell<SocketAddr>,
     generation: Cell<Option<u64>>,
-    moved: Notify,
-    /// Whether discovery has said anything yet, or a try to hear of it has come to nothing.
+    address_changed: Notify,
+    /// Whether discovery has sent a message, or an attempt has failed.
     attempted: Cell<bool>,
     first_attempt: Notify,
-    /// When discovery said anything last, be it that nothing has changed; the start, if it has not yet.
+    /// Time of the last message, including empty lines; initially the start time.
     last_received: Cell<Instant>,
 }
 
 impl EndpointWatch {
-    /// A watch of this discovery, from the generation that is known already.
+    /// Creates a watch that continues from a known generation.
     pub fn new(discovery: SocketAddr, generation: Option<u64>) -> Self {
         EndpointWatch {
             discovery: Cell::new(discovery),
             generation: Cell::new(generation),
-            moved: Notify::new(),
+            address_changed: Notify::new(),
             attempted: Cell::new(false),
             first_attempt: Notify::new(),
             last_received: Cell::new(Instant::now()),
         }
     }
 
-    /// For how long discovery has said nothing.
+    /// Time since the last message from discovery.
     pub fn time_since_message(&self) -> Duration {
         self.last_received.get().elapsed()
     }
 
-    /// Waits for the first word of discovery, be it that nothing has changed, or for the first try that
-    /// failed.
+    /// Waits for the first message from discovery, including empty lines, or for the first failed attempt.
     pub async fn wait_for_first_attempt(&self) {
         while !self.attempted.get() {
             self.first_attempt.notified().await;
@@ -76,26 +74,25 @@
         self.first_attempt.notify_waiters();
     }
 
-    /// The list is followed at this address from now on. One that is new may count otherwise than the one
-    /// before, so it is asked for the whole list.
+    /// Changes the address of discovery. A discovery at a new address may count generations differently, so
+    /// the complete list is requested from it.
     pub fn set_address(&self, discovery: SocketAddr) {
         if self.discovery.replace(discovery) != discovery {
             self.generation.set(None);
-            self.moved.notify_one();
+            self.address_changed.notify_one();
         }
     }
 
-    /// Takes in one object of a watch; an error if it can't be read, or is older than what is known.
+    /// Applies one JSON object of the watch. Fails if it is invalid or older than the known generation.
     fn apply(&self, object: &[u8], on_update: &mut impl FnMut(EndpointUpdate)) -> Result<(), String> {
-        let update =
-            EndpointUpdate::decode(object).map_err(|fault| format!("a line that can't be read: {fault}"))?;
+        let update = EndpointUpdate::decode(object).map_err(|error| format!("invalid line: {error}"))?;
         if let Some(known) =
             self.generation.get().filter(|&known| !update.is_complete && update.generation < known)
         {
-            return Err(format!("changes up to {} after those up to {known}", update.generation));
+            return Err(format!("generation {} after generation {known}", update.generation));
         }
-        for fault in &update.errors {
-            log_line!("list", "an entry is passed over: {fault}");
+        for error in &update.errors {
+            log_line!("list", "invalid entry skipped: {error}");
         }
         self.generation.set(Some(update.generation));
         on_update(update);
@@ -103,21 +100,21 @@
     }
 }
 
-/// Follows the list for ever, from the generation that is known already, and keeps that up to date.
+/// Watches the endpoint list forever and passes each update to `on_update`.
 pub async fn run(source: Rc<EndpointWatch>, mut on_update: impl FnMut(EndpointUpdate)) {
     loop {
-        let watching = async {
+        let watch_once = async {
             match watch(&source, &mut on_update).await {
-                Ok(()) => log_line!("list", "the watch ended; it is opened again"),
-                Err(fault) => log_line!("list", "the watch failed: {fault}; it is opened again"),
+                Ok(()) => log_line!("list", "the watch ended; reopening it"),
+                Err(error) => log_line!("list", "the watch failed: {error}; reopening it"),
             }
             source.record_attempt();
             sleep(RETRY_DELAY).await;
         };
         tokio::select! {
             biased;
-            () = source.moved.notified() => log_line!("list", "followed at {} now", source.discovery.get()),
-            () = watching => {}
+            () = source.address_changed.notified() => log_line!("list", "discovery address changed to {}", source.discovery.get()),
+            () = watch_once => {}
         }
     }
 }
@@ -127,9 +124,9 @@
     on_update: &mut impl FnMut(EndpointUpdate),
 ) -> Result<(), Box<dyn std::error::Error>> {
     let discovery = source.discovery.get();
-    // Guards against discovery that is down and accepts all the same, or does not even refuse.
-    let answered_by = tokio::time::Instant::now() + ANSWER_TIME_OUT;
-    let socket = timeout_at(answered_by, TcpStream::connect(discovery)).await??;
+    // A discovery that is down may accept connections without answering, or not refuse them.
+    let response_deadline = tokio::time::Instant::now() + RESPONSE_TIMEOUT;
+    let socket = timeout_at(response_deadline, TcpStream::connect(discovery)).await??;
     let _ = socket.set_nodelay(true);
     let (mut sender, connection) = http1::handshake(TokioIo::new(socket)).await?;
     let target = match source.generation.get() {
@@ -137,42 +134,44 @@
         None => "/v1/servers?watch=1".to_string(),
     };
     let request = Request::get(target).header("host", discovery.to_string()).body(Empty::<Bytes>::new())?;
-    let reading = async {
-        let response = timeout_at(answered_by, sender.send_request(request)).await??;
+    let reader = async {
+        let response = timeout_at(response_deadline, sender.send_request(request)).await??;
         if response.status() != StatusCode::OK {
             return Err(format!("status {}", response.status()).into());
         }
         let mut body = response.into_body();
-        let mut objects = Objects::default();
-        let mut complete_by = tokio::time::Instant::now() + UPDATE_DEADLINE;
+        let mut objects = ObjectSplitter::default();
+        let mut object_deadline = tokio::time::Instant::now() + UPDATE_DEADLINE;
         loop {
-            // Guards against an object that goes on without an end, however steadily.
-            if !objects.is_begun() {
-                complete_by = tokio::time::Instant::now() + UPDATE_DEADLINE;
+            // Each object must be complete within the deadline, even if its bytes arrive steadily.
+            if !objects.has_partial_object() {
+                object_deadline = tokio::time::Instant::now() + UPDATE_DEADLINE;
             }
-            let Some(frame) = timeout_at(complete_by, timeout(SILENCE_LIMIT, body.frame())).await?? else {
+            let Some(frame) = timeout_at(object_deadline, timeout(SILENCE_TIMEOUT, body.frame())).await??
+            else {
                 break;
             };
             if let Ok(data) = frame?.into_data() {
                 source.last_received.set(Instant::now());
-                // What has lost its place tells nothing any more: the whole list is asked for. Guards against
-                // a drain in what was passed over, which nothing later repeats.
+                // After an error the complete list is requested, because the skipped part could contain a
+                // drain that is not sent again.
                 objects
-                    .take(&data, |object| source.apply(object, on_update))
+                    .push(&data, |object| source.apply(object, on_update))
                     .inspect_err(|_| source.generation.set(None))?;
                 source.record_attempt();
             }
         }
         Ok(())
     };
-    // The connection moves what the reading waits for; its own end shows there as an error or an end.
-    let (mut reading, mut connection) = (pin!(reading), pin!(connection));
-    let mut ended = false;
+    // Drives the connection together with the reader, which observes the end of the connection as an error or
+    // as the end of the body.
+    let (mut reader, mut connection) = (pin!(reader), pin!(connection));
+    let mut is_closed = false;
     std::future::poll_fn(|cx| {
-        if !ended {
-            ended = connection.as_mut().poll(cx).is_ready();
+        if !is_closed {
+            is_closed = connection.as_mut().poll(cx).is_ready();
         }
-        reading.as_mut().poll(cx)
+        reader.as_mut().poll(cx)
     })
     .await
 }
--- a/balancer/discovery/src/objects.rs
+++ b/balancer/discovery/src/objects.rs
@@ -1,48 +1,50 @@
-//! Cuts what a watch brings into JSON objects, however it was split on the way and however it is indented.
+//! Splits a byte stream into JSON objects, independent of chunk boundaries and white space.
 
-/// A list of thousands of servers fits; what is longer is no list.
-const MOST_BYTES: usize = 8 << 20;
+/// Maximum size of an object. A list of thousands of servers fits.
+const MAX_OBJECT_BYTES: usize = 8 << 20;
 
 #[derive(Default)]
-pub struct Objects {
-    begun: Vec<u8>,
-    /// Brackets that are open, whether this is inside a string, and right after its escape.
+pub struct ObjectSplitter {
+    partial: Vec<u8>,
+    /// Number of open brackets.
     depth: usize,
     in_string: bool,
+    /// Whether the previous character was the escape character of a string.
     escaped: bool,
 }
 
-impl Objects {
-    /// Calls `object` for each whole object; what stands between them must be white space.
-    pub fn take(
+impl ObjectSplitter {
+    /// Consumes data and calls `on_object` for each complete object. Only white space is allowed between
+    /// objects.
+    pub fn push(
         &mut self,
         data: &[u8],
-        mut object: impl FnMut(&[u8]) -> Result<(), String>,
+        mut on_object: impl FnMut(&[u8]) -> Result<(), String>,
     ) -> Result<(), String> {
         for &byte in data {
-            if self.begun.is_empty() && byte.is_ascii_whitespace() {
+            if self.partial.is_empty() && byte.is_ascii_whitespace() {
                 continue;
             }
-            if self.begun.is_empty() && byte != b'{' {
-                return Err(format!("no object begins with {:?}", char::from(byte)));
+            if self.partial.is_empty() && byte != b'{' {
+                return Err(format!("expected an object, found {:?}", char::from(byte)));
             }
-            if self.begun.len() == MOST_BYTES {
-                return Err(format!("an object of over {MOST_BYTES} bytes"));
+            if self.partial.len() == MAX_OBJECT_BYTES {
+                return Err(format!("object longer than {MAX_OBJECT_BYTES} bytes"));
             }
-            self.begun.push(byte);
-            if self.closes(byte) {
-                object(&std::mem::take(&mut self.begun))?;
+            self.partial.push(byte);
+            if self.ends_object(byte) {
+                on_object(&std::mem::take(&mut self.partial))?;
             }
         }
         Ok(())
     }
 
-    /// An object has begun and is not whole yet.
-    pub fn is_begun(&self) -> bool {
-        !self.begun.is_empty()
+    /// Whether an object has started but is not complete.
+    pub fn has_partial_object(&self) -> bool {
+        !self.partial.is_empty()
     }
 
-    fn closes(&mut self, byte: u8) -> bool {
+    fn ends_object(&mut self, byte: u8) -> bool {
         if self.in_string {
             self.in_string = self.escaped || byte != b'"';
             self.escaped = !self.escaped && byte == b'\\';
--- a/balancer/discovery/tests/watch.rs
+++ b/balancer/discovery/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch against a scripted discovery: which updates it delivers, and from where it is opened again.
+//! The watch against a scripted discovery: delivered updates, and the generation from which it is reopened.
 
 use std::cell::RefCell;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -18,10 +18,10 @@
 
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn the_watch_goes_on_from_what_is_known() {
+fn watch_continues_from_the_known_generation() {
     let broken = "{\"generation\": 9, \"instances\": 7}";
     let long = format!("{{\"generation\": 3, \"instances\": [{}]}}", vec!["7"; 30_000].join(","));
-    for (known, first, updates, again) in [
+    for (known_generation, first_lines, updates, next_target) in [
         (None, vec![line(1)], vec![1], "/v1/servers?watch=1&from=1"),
         (Some(41), vec![], vec![], "/v1/servers?watch=1&from=41"),
         (
@@ -31,13 +31,12 @@
             "/v1/servers?watch=1&from=43",
         ),
         (Some(1), vec![line(2), "{\"gen".to_string()], vec![2], "/v1/servers?watch=1&from=2"),
-        // What can't be read may have told of a drain, which no later line would repeat: all is asked for
-        // again.
+        // An invalid line may contain a drain that is not sent again, so the complete list is requested.
         (Some(1), vec![line(2), broken.to_string(), line(10)], vec![2], "/v1/servers?watch=1"),
         (Some(1), vec!["noise".to_string(), line(2)], vec![], "/v1/servers?watch=1"),
-        // So may a count that has been lost.
+        // The same applies after a lower generation.
         (Some(7), vec![line(8), line(6)], vec![8], "/v1/servers?watch=1"),
-        // Told twice does no harm, and layout means nothing.
+        // Duplicate updates and white space are accepted.
         (Some(7), vec![line(8), line(8)], vec![8, 8], "/v1/servers?watch=1&from=8"),
         (Some(7), vec![line(8).replace(' ', " \n\n \t")], vec![8], "/v1/servers?watch=1&from=8"),
         (
@@ -50,8 +49,8 @@
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, asked) = channel();
-        let first_lines = first.clone();
+        let (sender, requested_targets) = channel();
+        let script = first_lines.clone();
         thread::spawn(move || {
             for (number, socket) in listener.incoming().enumerate() {
                 let mut socket = BufReader::new(socket.expect("a connection"));
@@ -62,39 +61,44 @@
                     rest.clear();
                     socket.read_line(&mut rest).expect("a header");
                 }
-                // Chunks that end in the middle of a line.
-                let body = if number == 0 { first_lines.join("\n") + "\n" } else { String::new() };
+                // The chunks end in the middle of a line.
+                let body = if number == 0 { script.join("\n") + "\n" } else { String::new() };
                 let mut reply = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n".to_string();
                 for chunk in body.as_bytes().chunks(1000) {
                     reply += &format!("{:x}\r\n{}\r\n", chunk.len(), String::from_utf8_lossy(chunk));
                 }
                 socket.get_mut().write_all(reply.as_bytes()).expect("written");
-                let _ = tell.send(target.split(' ').nth(1).unwrap_or_default().to_string());
+                let _ = sender.send(target.split(' ').nth(1).unwrap_or_default().to_string());
             }
         });
         let received = Rc::new(RefCell::new(Vec::new()));
-        let keep = Rc::clone(&received);
+        let updates_received = Rc::clone(&received);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         let targets = runtime.block_on(async {
-            let source = Rc::new(EndpointWatch::new(address, known));
-            let following = run(source, move |update| keep.borrow_mut().push(update.generation));
-            let asked_twice = tokio::task::spawn_blocking(move || asked.iter().take(2).collect::<Vec<_>>());
+            let source = Rc::new(EndpointWatch::new(address, known_generation));
+            let watch = run(source, move |update| updates_received.borrow_mut().push(update.generation));
+            let two_requests =
+                tokio::task::spawn_blocking(move || requested_targets.iter().take(2).collect::<Vec<_>>());
             tokio::select! {
-                () = following => Vec::new(),
-                targets = asked_twice => targets.expect("asked"),
+                () = watch => Vec::new(),
+                targets = two_requests => targets.expect("two requests"),
             }
         });
-        let from = known.map_or(String::new(), |generation| format!("&from={generation}"));
-        assert_eq!(targets, [format!("/v1/servers?watch=1{from}"), again.to_string()], "{first:?}");
-        assert_eq!(*received.borrow(), updates, "{first:?}");
+        let from = known_generation.map_or(String::new(), |generation| format!("&from={generation}"));
+        assert_eq!(
+            targets,
+            [format!("/v1/servers?watch=1{from}"), next_target.to_string()],
+            "{first_lines:?}"
+        );
+        assert_eq!(*received.borrow(), updates, "{first_lines:?}");
     }
 }
 
-/// Discovery on the thread of the follower, whose clock stands still but for the steps taken here: what it
-/// does is waited for, and how long it lets pass is counted.
+/// Discovery on the thread of the watch, with a paused clock. The tests advance the clock and measure how
+/// long the watch takes.
 struct Discovery {
     listener: TcpListener,
-    began: Instant,
+    started_at: Instant,
 }
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
@@ -103,27 +107,28 @@
     fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("non-blocking");
-        Discovery { listener, began: Instant::now() }
+        Discovery { listener, started_at: Instant::now() }
     }
 
-    /// The next watch and its target, with all the time on the clock that it takes to come, up to the bound.
-    async fn asked(&self, within: Duration) -> (TcpStream, String) {
+    /// Waits for the next watch request, while advancing the clock up to `within`. Returns its socket and
+    /// target.
+    async fn next_watch(&self, within: Duration) -> (TcpStream, String) {
         let mut socket = loop {
-            match awaited(50, || self.listener.accept().ok()).await {
+            match poll_until(50, || self.listener.accept().ok()).await {
                 Some((socket, _)) => break socket,
                 None => advance(Duration::from_millis(50)).await,
             }
-            assert!(self.began.elapsed() <= within, "no watch after {:?}", self.began.elapsed());
+            assert!(self.started_at.elapsed() <= within, "no watch after {:?}", self.started_at.elapsed());
         };
         socket.set_nonblocking(true).expect("non-blocking");
         let mut head = Vec::new();
-        let whole = awaited(usize::MAX, || {
-            let mut piece = [0; 1024];
-            let read = socket.read(&mut piece).unwrap_or(0);
-            head.extend_from_slice(&piece[..read]);
+        let request = poll_until(usize::MAX, || {
+            let mut buffer = [0; 1024];
+            let read = socket.read(&mut buffer).unwrap_or(0);
+            head.extend_from_slice(&buffer[..read]);
             head.ends_with(b"\r\n\r\n").then(|| String::from_utf8_lossy(&head).into_owned())
         });
-        let target = whole.await.expect("a request").split(' ').nth(1).unwrap_or_default().to_string();
+        let target = request.await.expect("a request").split(' ').nth(1).unwrap_or_default().to_string();
         (socket, target)
     }
 }
@@ -132,22 +137,22 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Lets the follower run, while its clock stands, until something has happened or it had so many turns.
-async fn awaited<T>(turns: usize, mut happened: impl FnMut() -> Option<T>) -> Option<T> {
-    // The bound is for a follower that never does it, however slow the machine.
-    let begun = std::time::Instant::now();
+/// Yields to the watch without advancing the clock, until a condition holds or it was polled `turns` times.
+async fn poll_until<T>(turns: usize, mut condition: impl FnMut() -> Option<T>) -> Option<T> {
+    // A real-time limit, generous for slow machines, in case the condition never holds.
+    let started_at = std::time::Instant::now();
     for _ in 0..turns {
-        if let Some(it) = happened() {
-            return Some(it);
+        if let Some(value) = condition() {
+            return Some(value);
         }
-        assert!(begun.elapsed() < Duration::from_secs(20), "it does not come");
+        assert!(started_at.elapsed() < Duration::from_secs(20), "the condition does not hold");
         yield_now().await;
     }
     None
 }
 
-/// Plays a script beside a follower whose clock stands still.
-fn beside_follower<F: Future<Output = ()>>(
+/// Runs a script concurrently with a watch, on a paused clock.
+fn with_paused_watch<F: Future<Output = ()>>(
     script: impl FnOnce(Rc<EndpointWatch>, Rc<RefCell<Vec<u64>>>, Discovery) -> F,
 ) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -156,69 +161,70 @@
         let discovery = Discovery::new();
         let source = Rc::new(EndpointWatch::new(discovery.listener.local_addr().expect("an address"), None));
         let received = Rc::new(RefCell::new(Vec::new()));
-        let keep = Rc::clone(&received);
-        let following = run(Rc::clone(&source), move |update| keep.borrow_mut().push(update.generation));
+        let updates_received = Rc::clone(&received);
+        let watch =
+            run(Rc::clone(&source), move |update| updates_received.borrow_mut().push(update.generation));
         tokio::select! {
-            () = following => {}
+            () = watch => {}
             () = script(source, received, discovery) => {}
         }
     });
 }
 
 #[test]
-fn what_a_silent_watch_misses_is_heard_in_time_also_after_a_try_that_hangs() {
-    let in_time = Duration::from_secs(6);
+fn updates_missed_by_a_silent_watch_arrive_within_the_deadline() {
+    let deadline = Duration::from_secs(6);
     let steady = (0..40).map(|_| chunk("\n")).collect::<String>();
-    for (between, closes) in [
+    for (reply, closes) in [
         (None, false),
-        // Discovery accepts and says nothing, or not all that it must say first.
+        // Discovery accepts the connection, but sends nothing or only part of a response head.
         (Some(""), false),
         (Some("HTTP/1.1 200 OK\r\ntransfer-"), false),
         (Some("HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"), false),
         (Some("HTTP/1.1 200 OK\r\n\r\n"), true),
         (Some("nonsense"), true),
         (Some(""), true),
-        // It resets in the middle of a line.
+        // The connection is closed in the middle of a line.
         (Some("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\n{\"gen\r\n"), true),
     ] {
-        beside_follower(|_, received, mut discovery| {
+        with_paused_watch(|_, received, mut discovery| {
             let steady = steady.clone();
             async move {
-                let (mut first, _) = discovery.asked(in_time).await;
+                let (mut first, _) = discovery.next_watch(deadline).await;
                 first
                     .write_all((HEAD.to_string() + &steady + &chunk(&(line(1) + "\n"))).as_bytes())
                     .expect("written");
-                awaited(usize::MAX, || (*received.borrow() == [1]).then_some(())).await;
-                // From here on it is silent.
-                discovery.began = Instant::now();
-                let mut held = Vec::new();
-                if let Some(reply) = between {
-                    let (mut socket, _) = discovery.asked(in_time).await;
+                poll_until(usize::MAX, || (*received.borrow() == [1]).then_some(())).await;
+                // From here on, the watch is silent.
+                discovery.started_at = Instant::now();
+                let mut open_sockets = Vec::new();
+                if let Some(reply) = reply {
+                    let (mut socket, _) = discovery.next_watch(deadline).await;
                     socket.write_all(reply.as_bytes()).expect("written");
-                    held.extend((!closes).then_some(socket));
+                    open_sockets.extend((!closes).then_some(socket));
                 }
-                let (mut last, target) = discovery.asked(in_time).await;
-                assert_eq!(target, "/v1/servers?watch=1&from=1", "{between:?}");
+                let (mut last, target) = discovery.next_watch(deadline).await;
+                assert_eq!(target, "/v1/servers?watch=1&from=1", "{reply:?}");
                 last.write_all((HEAD.to_string() + &chunk(&(line(2) + "\n"))).as_bytes()).expect("written");
-                awaited(usize::MAX, || (*received.borrow() == [1, 2]).then_some(())).await;
-                assert!(discovery.began.elapsed() <= in_time, "{between:?}");
+                poll_until(usize::MAX, || (*received.borrow() == [1, 2]).then_some(())).await;
+                assert!(discovery.started_at.elapsed() <= deadline, "{reply:?}");
             }
         });
     }
 }
 
 #[test]
-fn an_object_without_an_end_is_given_up_however_steadily_it_comes() {
-    beside_follower(|_, _, discovery| async move {
-        let (mut socket, _) = discovery.asked(Duration::from_secs(1)).await;
+fn watch_gives_up_an_endless_object() {
+    with_paused_watch(|_, _, discovery| async move {
+        let (mut socket, _) = discovery.next_watch(Duration::from_secs(1)).await;
         socket.write_all((HEAD.to_string() + &chunk("{")).as_bytes()).expect("written");
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let next = loop {
             let _ = socket.write_all(chunk("  ").as_bytes());
-            if let Some((next, _)) = awaited(50, || discovery.listener.accept().ok()).await {
+            if let Some((next, _)) = poll_until(50, || discovery.listener.accept().ok()).await {
                 break next;
             }
-            assert!(begun.elapsed() < Duration::from_secs(8), "it is listened to for ever");
+            assert!(started_at.elapsed() < Duration::from_secs(8), "the watch does not give up");
             advance(Duration::from_millis(500)).await;
         };
         drop(next);
@@ -226,20 +232,30 @@
 }
 
 #[test]
-fn a_move_in_the_middle_of_a_list_asks_at_the_new_address_for_all_of_it() {
-    beside_follower(|source, received, discovery| async move {
-        let (mut socket, _) = discovery.asked(Duration::from_secs(1)).await;
-        let (half, rest) = (&line(5)[..20], &line(5)[20..]);
-        socket.write_all((HEAD.to_string() + &chunk(&(line(4) + "\n" + half))).as_bytes()).expect("written");
-        awaited(usize::MAX, || (*received.borrow() == [4]).then_some(())).await;
+fn address_change_within_a_list_requests_the_complete_list() {
+    with_paused_watch(|source, received, discovery| async move {
+        let (mut socket, _) = discovery.next_watch(Duration::from_secs(1)).await;
+        let (first_half, second_half) = (&line(5)[..20], &line(5)[20..]);
+        socket
+            .write_all(
+                (HEAD.to_string()
+                    + &chunk(
+                        &(line(4)
+                            + "
+" + first_half),
+                    ))
+                    .as_bytes(),
+            )
+            .expect("written");
+        poll_until(usize::MAX, || (*received.borrow() == [4]).then_some(())).await;
         let next = Discovery::new();
         source.set_address(next.listener.local_addr().expect("an address"));
-        // The rest comes as the old watch is dropped, and counts no more.
-        let _ = socket.write_all(chunk(rest).as_bytes());
-        let (mut socket, target) = next.asked(Duration::ZERO).await;
+        // The rest arrives while the old watch is dropped, and is ignored.
+        let _ = socket.write_all(chunk(second_half).as_bytes());
+        let (mut socket, target) = next.next_watch(Duration::ZERO).await;
         assert_eq!(target, "/v1/servers?watch=1");
         socket.write_all((HEAD.to_string() + &chunk(&(line(2) + "\n"))).as_bytes()).expect("written");
-        awaited(usize::MAX, || (received.borrow().last() == Some(&2)).then_some(())).await;
+        poll_until(usize::MAX, || (received.borrow().last() == Some(&2)).then_some(())).await;
         assert_eq!(*received.borrow(), [4, 2]);
     });
 }
