--- a/balancer/deployment-settings/src/lib.rs
+++ b/balancer/deployment-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings in JSON, turned into the terms that the decisions are handed and the names and times that the
-//! programs round them need.
+//! Parses the deployment settings in JSON into the settings of the balancer, and the names and timeouts that
+//! programs need.
 
 use serde::Deserialize;
 use whinspindle::host::{BalancerSettings, Effect, Product, ServerScope};
@@ -100,108 +100,105 @@
     tip_after_ns: u64,
 }
 
-/// A name in the settings and the small index that stands for it.
+/// Index of a name in a list of the settings.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|known| known == name)
 }
 
-/// A server's place among the others, drawn from its id, so that neighbours by id are none by key.
+/// Hash (FNV-1a) of a server's id, which orders the servers independently of the order of their ids.
 pub fn server_key(id: &[u8]) -> u64 {
     let fold = |hash: u64, &byte: &u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
     id.iter().fold(0xcbf2_9ce4_8422_2325, fold)
 }
 
-/// What the settings tell of a deployment.
+/// The settings of a deployment.
 #[derive(Clone)]
 pub struct Deployment {
-    /// What the decisions are given of it.
+    /// Settings of the balancer.
     pub balancer_settings: BalancerSettings,
     /// Names of the products, by index.
     pub products: Vec<String>,
-    /// How long clients of a product wait at most, a row a product.
+    /// Maximum time that clients wait, per product.
     pub statement_timeouts_us: Vec<u64>,
     /// Names of the tenants, by index.
     pub tenants: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Kinds of machines, by index.
+    /// Names of the machine kinds, by index.
     pub kinds: Vec<String>,
-    /// The columns of a load report, in their order.
+    /// Columns of a load report, in order.
     pub load_columns: Vec<String>,
-    /// Servers close a connection that has stood idle for so long.
+    /// Idle time after which servers close a connection, in microseconds.
     pub server_idle_timeout_us: u64,
-    /// How long a connection to a server may take to come up, in microseconds.
+    /// Timeout for connecting to a server, in microseconds.
     pub connect_timeout_us: u64,
 }
 
-fn statement_timeout(p: &ProductOptions) -> u64 {
+fn statement_timeout_us(p: &ProductOptions) -> u64 {
     p.statement_timeout_ns.unwrap_or(p.slo_time_ns) / 1000
 }
 
-/// How far a product's effect may be repeated. Guards against a group that is not told, or not known, and
-/// would pass for the widest.
+/// Whether executions of a product may be repeated. A missing or unknown scope is an error rather than the
+/// widest scope.
 fn effect(p: &ProductOptions) -> Result<Effect, String> {
-    let group = match p.key_scope.as_deref() {
+    let scope = match p.key_scope.as_deref() {
         Some("all") => Some(ServerScope::All),
         Some("zone") => Some(ServerScope::Zone),
         Some("cell") => Some(ServerScope::Cell),
         _ => None,
     };
-    match (p.effect.as_str(), group) {
+    match (p.effect.as_str(), scope) {
         ("safe", _) => Ok(Effect::Idempotent),
         ("unsafe", _) => Ok(Effect::NonIdempotent),
         ("keyed", Some(_)) if p.memory_span_ns.is_none() => {
-            Err("memorySpanNs: missing for a keyed product: how long repeats of it are dropped".into())
+            Err("memorySpanNs: missing for a keyed product: how long servers drop duplicates".into())
         }
-        ("keyed", Some(group)) => Ok(Effect::Deduplicated(group)),
+        ("keyed", Some(scope)) => Ok(Effect::Deduplicated(scope)),
         ("keyed", None) => Err(format!(
-            "keyScope: {:?}: a keyed product has all, zone or cell",
+            "keyScope: {:?}: expected all, zone or cell for a keyed product",
             p.key_scope.as_deref().unwrap_or("")
         )),
-        (other, _) => Err(format!("effect: unknown effect {other:?}: safe, keyed or unsafe")),
+        (other, _) => Err(format!("effect: unknown effect {other:?}: expected safe, keyed or unsafe")),
     }
 }
 
-/// In which time the list must be asked for, where it is.
-fn must_ask_in(mode: &str, within: Option<u64>) -> Result<Option<u64>, String> {
-    match (mode, within) {
+/// The time within which a failed watch must be reopened, if the endpoint list must be watched.
+fn watch_reopen_limit_us(mode: &str, limit_ns: Option<u64>) -> Result<Option<u64>, String> {
+    match (mode, limit_ns) {
         ("pushed", _) => Ok(None),
         ("on_request", Some(ns)) => Ok(Some(ns / 1000)),
         ("on_request", None) => {
-            Err("obligations.mustAskInNs: missing where membershipMode is on_request".into())
+            Err("obligations.mustAskInNs: missing although membershipMode is on_request".into())
         }
-        (other, _) => Err(format!("membershipMode: {other:?}: pushed or on_request")),
+        (other, _) => Err(format!("membershipMode: {other:?}: expected pushed or on_request")),
     }
 }
 
-/// What is wrong in the settings that tell a deployment's shape, each with its field, the rule and a way out.
-fn shape_faults(streams: usize, how: &str, rank: usize, balancers: usize) -> Vec<String> {
-    let mut faults = Vec::new();
-    if streams == 0 {
-        faults.push(
-            "limits.streamsPerConn: 0: a connection carries one query at least; 1, or leave it out".into(),
-        );
+/// Validates the number of streams, the mode of load reports and the rank. Each error names the field, the
+/// rule and a valid value.
+fn validate(streams_per_connection: usize, how: &str, rank: usize, balancers: usize) -> Vec<String> {
+    let mut errors = Vec::new();
+    if streams_per_connection == 0 {
+        errors.push("limits.streamsPerConn: 0: must be at least 1; omit it for 1".into());
     }
     if !["piggyback", "pull", "silent"].contains(&how) {
-        faults.push(format!(
+        errors.push(format!(
             "loadInfo.how: {how:?}: load is told with answers, to probes or not at all; piggyback, pull or silent"
         ));
     }
-    // The rank decides only where a copy keeps to its part of the list.
-    if streams > 1 && rank >= balancers {
-        faults.push(format!(
-            "rank: {rank}: balancers count from 0 and there are {balancers}; its own number below that"
-        ));
+    // The rank is used only if the balancer sends to a subset of the servers.
+    if streams_per_connection > 1 && rank >= balancers {
+        errors.push(format!("rank: {rank}: must be less than the number of balancers, {balancers}"));
     }
-    faults
+    errors
 }
 
-/// The table of products, at least one row.
+/// Converts the products, of which there must be at least one.
 fn products(options: &Options) -> Result<Vec<Product>, String> {
     let mut products = Vec::new();
-    for (number, p) in options.products.iter().enumerate() {
+    for (index, p) in options.products.iter().enumerate() {
         products.push(Product {
-            effect: effect(p).map_err(|fault| format!("products[{number}].{fault}"))?,
+            effect: effect(p).map_err(|error| format!("products[{index}].{error}"))?,
             slo_time_us: p.slo_time_ns / 1000,
             dedup_window_us: p.memory_span_ns.unwrap_or(0) / 1000,
             late_answer_value: p.tardy_importance.unwrap_or(0.0),
@@ -213,24 +210,24 @@
     Ok(products)
 }
 
-/// Reads the settings in JSON. The error names each field at fault.
+/// Parses settings in JSON. The error names each invalid field.
 pub fn parse(json: &[u8]) -> Result<Deployment, String> {
     let options: Options = serde_json::from_slice(json).map_err(|e| e.to_string())?;
     let limits = &options.limits;
-    let rules = &options.obligations;
+    let obligations = &options.obligations;
     let products = products(&options)?;
-    let streams = limits.streams_per_conn.unwrap_or(1);
+    let streams_per_connection = limits.streams_per_conn.unwrap_or(1);
     let how = options.load_info.how.as_deref().unwrap_or("piggyback");
-    let probes_pay = limits.probes && 2.0 * options.deductions.probe < options.deductions.late_fail;
-    let faults = shape_faults(streams, how, options.rank, options.balancers);
-    if !faults.is_empty() {
-        return Err(faults.join("; "));
+    let allow_probes = limits.probes && 2.0 * options.deductions.probe < options.deductions.late_fail;
+    let errors = validate(streams_per_connection, how, options.rank, options.balancers);
+    if !errors.is_empty() {
+        return Err(errors.join("; "));
     }
-    let terms = BalancerSettings {
+    let balancer_settings = BalancerSettings {
         balancers: options.balancers.max(1),
         rank: options.rank,
-        streams_per_connection: streams,
-        load_only_from_probes: how == "pull" && probes_pay,
+        streams_per_connection,
+        load_only_from_probes: how == "pull" && allow_probes,
         tier: options.tier,
         home_zone: options.locality,
         cross_zone_cost: options.deductions.cross_zone.max(0.0),
@@ -239,32 +236,32 @@
         max_executions: limits.most_executions,
         allow_hedging: limits.second_copies,
         allow_cancel: limits.cancel,
-        allow_probes: probes_pay,
+        allow_probes,
         single_probe: 4.0 * options.deductions.probe > options.deductions.late_fail,
         max_retry_after_us: if limits.retry_after { limits.max_retry_after_ns / 1000 } else { 0 },
         clock_resolution_us: options.tick_ns / 1000,
-        watch_reopen_limit_us: must_ask_in(&options.membership_mode, rules.must_ask_in_ns)?,
-        slow_start_initial_fraction: rules.cold_from,
-        slow_start_duration_us: rules.cold_ns / 1000,
-        slow_start_overload_factor: rules.fall_multiple,
-        slow_start_window_us: rules.tip_after_ns / 1000,
+        watch_reopen_limit_us: watch_reopen_limit_us(&options.membership_mode, obligations.must_ask_in_ns)?,
+        slow_start_initial_fraction: obligations.cold_from,
+        slow_start_duration_us: obligations.cold_ns / 1000,
+        slow_start_overload_factor: obligations.fall_multiple,
+        slow_start_window_us: obligations.tip_after_ns / 1000,
     };
-    let statement_timeouts: Vec<u64> = options.products.iter().map(statement_timeout).collect();
-    // What is not told follows from what is: no query stays longer at a server than its longest time, and to
-    // connect may take a part of the shortest one.
+    let statement_timeouts_us: Vec<u64> = options.products.iter().map(statement_timeout_us).collect();
+    // Defaults for missing timeouts: no query stays at a server longer than the longest statement timeout,
+    // and connecting may take a fraction of the shortest SLO time.
     let (longest, shortest) =
-        (statement_timeouts.iter().max(), terms.products.iter().map(|p| p.slo_time_us).min());
-    let idle_time = limits.conn_idle_ns.map(|ns| ns / 1000).or(longest.copied()).unwrap_or(0);
-    let connect_time_out = limits.connect_timeout_ns.map(|ns| ns / 1000).or(shortest.map(|time| time / 4));
+        (statement_timeouts_us.iter().max(), balancer_settings.products.iter().map(|p| p.slo_time_us).min());
+    let server_idle_timeout_us = limits.conn_idle_ns.map(|ns| ns / 1000).or(longest.copied()).unwrap_or(0);
+    let connect_timeout_us = limits.connect_timeout_ns.map(|ns| ns / 1000).or(shortest.map(|time| time / 4));
     Ok(Deployment {
-        balancer_settings: terms,
-        statement_timeouts_us: statement_timeouts,
+        balancer_settings,
+        statement_timeouts_us,
         products: options.products.into_iter().map(|p| p.name).collect(),
         tenants: options.projects.into_iter().map(|p| p.name).collect(),
         zones: options.zones,
         kinds: options.kinds,
         load_columns: options.load_info.columns,
-        server_idle_timeout_us: idle_time,
-        connect_timeout_us: connect_time_out.unwrap_or(0),
+        server_idle_timeout_us,
+        connect_timeout_us: connect_timeout_us.unwrap_or(0),
     })
 }
--- a/balancer/discovery/src/lib.rs
+++ b/balancer/discovery/src/lib.rs
@@ -113,7 +113,9 @@
         };
         tokio::select! {
             biased;
-            () = source.address_changed.notified() => log_line!("list", "discovery address changed to {}", source.discovery.get()),
+            () = source.address_changed.notified() => {
+                log_line!("list", "discovery address changed to {}", source.discovery.get())
+            }
             () = watch_once => {}
         }
     }
--- a/balancer/rate-limited-log/src/lib.rs
+++ b/balancer/rate-limited-log/src/lib.rs
@@ -1,4 +1,4 @@
-//! Log lines go to standard error through one macro, so many a second from each place in the code.
+//! Logging to standard error, rate-limited per call site.
 
 use std::fmt::Arguments;
 use std::io::{self, Write};
@@ -6,12 +6,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Instant;
 
-const LINES_PER_SECOND: u64 = 5;
+const MAX_LINES_PER_SECOND: u64 = 5;
 
 static STARTED: LazyLock<Instant> = LazyLock::new(Instant::now);
 
-/// What one place in the code has written in the present second, and what it has kept back since its last
-/// line.
+/// Rate limiter of one call site: lines in the current second, and lines suppressed since the last written
+/// one.
 #[derive(Default)]
 pub struct RateLimiter {
     second: AtomicU64,
@@ -20,12 +20,13 @@
 }
 
 impl RateLimiter {
-    /// A limiter that has written nothing yet.
+    /// Creates a limiter.
     pub const fn new() -> Self {
         RateLimiter { second: AtomicU64::new(0), lines: AtomicU64::new(0), suppressed: AtomicU64::new(0) }
     }
 
-    /// How many lines were kept back before this one, if it may be written now.
+    /// Returns the number of lines suppressed since the last written one, or `None` if this line must be
+    /// suppressed too.
     pub fn admit(&self) -> Option<u64> {
         self.admit_in(STARTED.elapsed().as_secs())
     }
@@ -34,7 +35,7 @@
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        if self.lines.fetch_add(1, Ordering::Relaxed) >= LINES_PER_SECOND {
+        if self.lines.fetch_add(1, Ordering::Relaxed) >= MAX_LINES_PER_SECOND {
             self.suppressed.fetch_add(1, Ordering::Relaxed);
             return None;
         }
@@ -42,8 +43,8 @@
     }
 }
 
-/// Guards against a log that nobody reads any more: a line that can't be written is lost, and nothing else. The
-/// printing macros panic there, which would end the task that was to say something.
+/// Writes a line and ignores errors. The standard printing macros panic if standard error is closed, which
+/// would end the calling task.
 pub fn write_line(line: Arguments) {
     let _ = writeln!(io::stderr(), "{line}");
 }
@@ -51,13 +52,13 @@
 /// `log_line!("list", "bad line: {fault}")` writes `whinspindle list: bad line: ...`.
 #[macro_export]
 macro_rules! log_line {
-    ($what:literal, $($text:tt)+) => {{
+    ($component:literal, $($text:tt)+) => {{
         static LIMITER: $crate::RateLimiter = $crate::RateLimiter::new();
         match LIMITER.admit() {
-            Some(0) => $crate::write_line(format_args!("whinspindle {}: {}", $what, format_args!($($text)+))),
+            Some(0) => $crate::write_line(format_args!("whinspindle {}: {}", $component, format_args!($($text)+))),
             Some(suppressed) => $crate::write_line(format_args!(
                 "whinspindle {}: {} ({suppressed} more)",
-                $what,
+                $component,
                 format_args!($($text)+)
             )),
             None => {}
--- a/balancer/rate-limited-log/src/tests.rs
+++ b/balancer/rate-limited-log/src/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn lines_of_a_second_are_limited_and_counted() {
-    let gate = RateLimiter::new();
-    for (second, open) in [
+fn limits_lines_per_second_and_counts_suppressed_ones() {
+    let limiter = RateLimiter::new();
+    for (second, expected) in [
         (0, Some(0)),
         (0, Some(0)),
         (0, Some(0)),
@@ -14,6 +14,6 @@
         (1, Some(2)),
         (1, Some(0)),
     ] {
-        assert_eq!(gate.admit_in(second), open);
+        assert_eq!(limiter.admit_in(second), expected);
     }
 }
--- a/balancer/record-store/tests/store.rs
+++ b/balancer/record-store/tests/store.rs
@@ -1,4 +1,4 @@
-//! Records that are read whole or not at all.
+//! Recovery from damaged files, locking and failed writes.
 
 use std::fs;
 use std::path::PathBuf;
@@ -14,10 +14,9 @@
 }
 
 #[test]
-fn the_last_whole_version_is_read_whatever_became_of_the_files() {
-    // Each byte of the file last written is cut off or changed in turn; what is read is that version whole, or
-    // the one before it.
-    let folder = folder("torn");
+fn reads_the_last_complete_version_after_damage() {
+    // Truncates or changes the newest file at each byte. Reads must return the previous version.
+    let folder = folder("damaged");
     let store = RecordStore::open(&folder).expect("a folder");
     assert_eq!(store.read("r"), None);
     for version in [b"one".as_slice(), b"two, longer", b"three"] {
@@ -25,23 +24,23 @@
         assert_eq!(store.read("r").as_deref(), Some(version));
     }
     let newest = folder.join("r.a");
-    let whole = fs::read(&newest).expect("the third version");
-    assert!(whole.ends_with(b"three"));
-    for length in 0..whole.len() {
-        fs::write(&newest, &whole[..length]).expect("torn");
+    let complete = fs::read(&newest).expect("the third version");
+    assert!(complete.ends_with(b"three"));
+    for length in 0..complete.len() {
+        fs::write(&newest, &complete[..length]).expect("damaged");
         assert_eq!(store.read("r").as_deref(), Some(b"two, longer".as_slice()), "cut at {length}");
     }
-    for at in 0..whole.len() {
-        let mut spoilt = whole.clone();
-        spoilt[at] ^= 0x40;
-        fs::write(&newest, &spoilt).expect("spoilt");
-        assert_eq!(store.read("r").as_deref(), Some(b"two, longer".as_slice()), "spoilt at {at}");
+    for offset in 0..complete.len() {
+        let mut damaged = complete.clone();
+        damaged[offset] ^= 0x40;
+        fs::write(&newest, &damaged).expect("damaged");
+        assert_eq!(store.read("r").as_deref(), Some(b"two, longer".as_slice()), "damaged at {offset}");
     }
-    // A write after that does not take the one good file's place.
+    // The next write does not overwrite the only valid file.
     store.write("r", b"four").expect("written");
     assert_eq!(store.read("r").as_deref(), Some(b"four".as_slice()));
     assert!(fs::read(folder.join("r.b")).expect("kept").ends_with(b"two, longer"));
-    // What was being written when the process died is nothing.
+    // A leftover temporary file is ignored.
     fs::write(folder.join("r.new"), b"half").expect("written");
     assert_eq!(store.read("r").as_deref(), Some(b"four".as_slice()));
     store.remove("r");
@@ -50,12 +49,12 @@
 }
 
 #[test]
-fn a_folder_is_held_by_one_and_a_write_that_fails_changes_nothing() {
+fn folder_is_locked_and_failed_writes_change_nothing() {
     let folder = folder("held");
     let store = RecordStore::open(&folder).expect("a folder");
     assert!(matches!(RecordStore::open(&folder), Err(StoreError::Locked(_))));
     store.write("r", b"kept").expect("written");
-    // A folder stands where the temporary file is to be made, so that nobody can write, root neither.
+    // A folder with the name of the temporary file makes writes fail, even for root.
     fs::create_dir(folder.join("r.new")).expect("a folder");
     assert!(matches!(store.write("r", b"lost"), Err(StoreError::Io(..))));
     assert_eq!(store.read("r").as_deref(), Some(b"kept".as_slice()));
@@ -64,9 +63,9 @@
     let _ = fs::remove_dir_all(&folder);
 }
 
-/// A process that has ended may hold its folder a moment longer, by a child that was started meanwhile.
+/// A process that has ended may hold its lock slightly longer through a child process.
 #[test]
-fn a_folder_that_is_released_soon_is_waited_for() {
+fn open_waits_for_a_lock_that_is_released_soon() {
     let folder = folder("released");
     let store = RecordStore::open(&folder).expect("a folder");
     store.write("r", b"kept").expect("written");
--- a/balancer/record-store/tests/stored_fixtures.rs
+++ b/balancer/record-store/tests/stored_fixtures.rs
@@ -1,5 +1,4 @@
-//! The two files of a record as they lie on disk: read, compared by every field, and written as the same bytes
-//! again.
+//! The file format of a record: fixtures are compared field by field, read, and written again with the same bytes.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
@@ -18,16 +17,16 @@
     folder
 }
 
-fn number(bytes: &[u8]) -> u64 {
-    bytes.iter().rev().fold(0, |number, byte| number << 8 | u64::from(*byte))
+fn little_endian(bytes: &[u8]) -> u64 {
+    bytes.iter().rev().fold(0, |value, byte| value << 8 | u64::from(*byte))
 }
 
 #[test]
-fn both_files_of_a_record_are_read_and_written_as_the_same_bytes() {
+fn record_files_match_the_fixtures() {
     let written = folder("written");
     let store = RecordStore::open(&written).expect("a folder");
     VERSIONS.iter().for_each(|version| store.write("record", version).expect("written"));
-    // The third version is written over the first, so that the second stays whole meanwhile.
+    // The third version overwrites the first, so that the second stays complete.
     let files = ["record.a", "record.b"].map(|file| {
         let now = fs::read(written.join(file)).expect("a file");
         (file, fixture(&format!("{file}.bin"), &now))
@@ -40,20 +39,20 @@
     for ((file, bytes), generation) in files.iter().zip([3, 2u64]) {
         let version = VERSIONS[generation as usize - 1];
         assert_eq!(&bytes[..8], b"whspin-1", "{file}: magic");
-        assert_eq!(number(&bytes[8..16]), generation, "{file}: generation");
-        assert_eq!(number(&bytes[16..24]), version.len() as u64, "{file}: length");
+        assert_eq!(little_endian(&bytes[8..16]), generation, "{file}: generation");
+        assert_eq!(little_endian(&bytes[16..24]), version.len() as u64, "{file}: length");
         let hashed = [&generation.to_le_bytes(), version].concat();
         assert_eq!(&bytes[24..56], blake3::hash(&hashed).as_bytes(), "{file}: hash");
         assert_eq!(&bytes[56..], version, "{file}: record");
     }
-    // Read from the fixtures alone: the newest, and the other one where the newest is gone.
+    // Reads the fixtures: the newest version, and the other one without the newest file.
     let read = folder("read");
     let store = RecordStore::open(&read).expect("a folder");
-    files.iter().for_each(|(file, bytes)| fs::write(read.join(file), bytes).expect("laid there"));
+    files.iter().for_each(|(file, bytes)| fs::write(read.join(file), bytes).expect("written"));
     assert_eq!(store.read("record").as_deref(), Some(VERSIONS[2]));
     fs::remove_file(read.join("record.a")).expect("removed");
     assert_eq!(store.read("record").as_deref(), Some(VERSIONS[1]));
-    // From there the third is written as it was.
+    // Writing the third version again produces the same bytes.
     store.write("record", VERSIONS[2]).expect("written");
     assert_eq!(fs::read(read.join("record.a")).expect("a file"), files[0].1);
     let _ = fs::remove_dir_all(&written);
