--- a/balancer/bench-adapter/src/error.rs
+++ b/balancer/bench-adapter/src/error.rs
@@ -10,7 +10,7 @@
     Input(io::Error),
     /// Standard output could not be written.
     Output(io::Error),
-    /// The input ended within the header of a batch, after so many bytes.
+    /// The input ended within the header of a batch, after this many bytes.
     TruncatedHeader(usize),
     /// The input ended within a batch.
     TruncatedBatch {
@@ -21,7 +21,7 @@
         /// Bytes that the header announced.
         length: usize,
     },
-    /// The reply to the batch with this number does not fit the wire.
+    /// The reply to the batch with this number exceeds the maximum length.
     ReplyTooLong(u32),
     /// A record ends within a field.
     Truncated {
@@ -30,23 +30,23 @@
         /// Name of the field.
         field: String,
     },
-    /// A record is longer than its fields.
+    /// A record has bytes after its last field.
     TrailingBytes {
         /// Name of the record.
         record: &'static str,
         /// Number of bytes after the last field.
         count: usize,
     },
-    /// A record of a code that the adapter does not know.
+    /// A record with an unknown code.
     UnknownCode(u8),
-    /// An event for an instance that was never attached.
+    /// An event for an instance that is not attached.
     NotAttached {
         /// Name of the record.
         record: &'static str,
         /// Id of the instance.
         balancer: u16,
     },
-    /// An endpoint list that was never sent.
+    /// A reference to an unknown endpoint list.
     UnknownList(u16),
     /// An unknown form of the event `endpoints`.
     UnknownForm(u8),
@@ -61,8 +61,8 @@
 impl Display for AdapterError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            AdapterError::Input(fault) => write!(f, "input: {fault}"),
-            AdapterError::Output(fault) => write!(f, "output: {fault}"),
+            AdapterError::Input(error) => write!(f, "input: {error}"),
+            AdapterError::Output(error) => write!(f, "output: {error}"),
             AdapterError::TruncatedHeader(read) => write!(f, "batch header: {read} bytes of 16"),
             AdapterError::TruncatedBatch { number, read, length } => {
                 write!(f, "batch {number}: {read} bytes of {length}")
@@ -80,7 +80,7 @@
             AdapterError::UnknownForm(form) => write!(f, "endpoints: unknown form {form}"),
             AdapterError::UnknownAvailability(state) => write!(f, "list: unknown availability {state}"),
             AdapterError::UnknownState(state) => write!(f, "completed: unknown stateCode {state}"),
-            AdapterError::Options(fault) => write!(f, "attach: options: {fault}"),
+            AdapterError::Options(error) => write!(f, "attach: options: {error}"),
         }
     }
 }
--- a/balancer/bench-adapter/src/host.rs
+++ b/balancer/bench-adapter/src/host.rs
@@ -1,5 +1,4 @@
-//! The host of one balancer instance: turns its decisions into records of the reply, and maps the ids of the wire to
-//! small indices.
+//! The host of a balancer instance: converts decisions to reply records, and ids on the wire to indices.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,7 +9,7 @@
 use crate::error::AdapterError;
 use crate::wire::{Reader, reply_code};
 
-/// Nanoseconds of the wire in a microsecond of the decisions.
+/// Nanoseconds (wire) per microsecond (balancer).
 pub const NANOS_PER_MICRO: u64 = 1000;
 
 /// Address and port of an upstream as on the wire.
@@ -22,13 +21,13 @@
     pub txn: u32,
     /// Number of executions that have not ended.
     pub executions_in_flight: usize,
-    /// Whether the query has its answer.
-    pub ended: bool,
+    /// Whether the query has its final answer.
+    pub is_answered: bool,
 }
 
 /// The host of one instance.
 pub struct InstanceHost {
-    /// Records of the reply to the present batch, shared by all instances.
+    /// Records of the reply to the current batch, shared by all instances.
     reply: Rc<RefCell<Vec<u8>>>,
     /// Id of the instance on the wire.
     balancer: u16,
@@ -36,40 +35,40 @@
     columns: Vec<String>,
     /// Ids of the upstreams by server index.
     upstreams: Vec<UpstreamId>,
-    server_of: HashMap<UpstreamId, usize>,
-    /// Queries by index; the indices in `free` are unused.
-    open: Vec<OpenQuery>,
-    free: Vec<usize>,
-    query_of: HashMap<u32, usize>,
+    server_indices: HashMap<UpstreamId, usize>,
+    /// Queries by index; the indices in `free_indices` are unused.
+    queries: Vec<OpenQuery>,
+    free_indices: Vec<usize>,
+    query_indices: HashMap<u32, usize>,
 }
 
 impl InstanceHost {
-    /// A host without queries and servers, for the instance `balancer`.
+    /// Creates a host for the instance `balancer`.
     pub fn new(reply: Rc<RefCell<Vec<u8>>>, balancer: u16, columns: Vec<String>) -> Self {
         InstanceHost {
             reply,
             balancer,
             columns,
             upstreams: Vec::new(),
-            server_of: HashMap::new(),
-            open: Vec::new(),
-            free: Vec::new(),
-            query_of: HashMap::new(),
+            server_indices: HashMap::new(),
+            queries: Vec::new(),
+            free_indices: Vec::new(),
+            query_indices: HashMap::new(),
         }
     }
 
     /// The index of an open query by its id on the wire.
     pub fn query(&self, txn: u32) -> Option<usize> {
-        self.query_of.get(&txn).copied()
+        self.query_indices.get(&txn).copied()
     }
 
     /// An open query by its index.
     pub fn open_query(&mut self, query: usize) -> &mut OpenQuery {
-        &mut self.open[query]
+        &mut self.queries[query]
     }
 
     /// Appends a record to the reply.
-    fn record(&self, code: u8, parts: &[&[u8]]) {
+    fn append_record(&self, code: u8, parts: &[&[u8]]) {
         let mut reply = self.reply.borrow_mut();
         let size: usize = 2 + parts.iter().map(|p| p.len()).sum::<usize>();
         reply.push(code);
@@ -80,10 +79,10 @@
         }
     }
 
-    /// The index of an upstream; a new one is assigned at its first use.
+    /// The index of an upstream, which is assigned at its first use.
     pub fn server(&mut self, upstream: UpstreamId) -> usize {
         let next = self.upstreams.len();
-        let server = *self.server_of.entry(upstream).or_insert(next);
+        let server = *self.server_indices.entry(upstream).or_insert(next);
         if server == next {
             self.upstreams.push(upstream);
         }
@@ -91,36 +90,36 @@
     }
 
     /// Assigns an index to a query that has arrived.
-    pub fn take(&mut self, txn: u32) -> usize {
-        let open = OpenQuery { txn, executions_in_flight: 0, ended: false };
-        let query = match self.free.pop() {
+    pub fn insert_query(&mut self, txn: u32) -> usize {
+        let open = OpenQuery { txn, executions_in_flight: 0, is_answered: false };
+        let query = match self.free_indices.pop() {
             Some(query) => {
-                self.open[query] = open;
+                self.queries[query] = open;
                 query
             }
             None => {
-                self.open.push(open);
-                self.open.len() - 1
+                self.queries.push(open);
+                self.queries.len() - 1
             }
         };
-        self.query_of.insert(txn, query);
+        self.query_indices.insert(txn, query);
         query
     }
 
-    /// Frees the index of a query that has its answer and no execution in flight.
+    /// Frees the index of a query that is answered and has no execution in flight.
     pub fn release(&mut self, query: usize) {
-        if self.open[query].ended
-            && self.open[query].executions_in_flight == 0
-            && self.query_of.remove(&self.open[query].txn).is_some()
+        if self.queries[query].is_answered
+            && self.queries[query].executions_in_flight == 0
+            && self.query_indices.remove(&self.queries[query].txn).is_some()
         {
-            self.free.push(query);
+            self.free_indices.push(query);
         }
     }
 
     /// Answers a query with a record of the given code.
     fn finish(&mut self, query: usize, code: u8, fields: &[u8]) {
-        self.record(code, &[&self.open[query].txn.to_le_bytes(), fields]);
-        self.open[query].ended = true;
+        self.append_record(code, &[&self.queries[query].txn.to_le_bytes(), fields]);
+        self.queries[query].is_answered = true;
         self.release(query);
     }
 
@@ -144,37 +143,40 @@
 }
 
 impl Host for InstanceHost {
-    fn execute(&mut self, query: usize, server: usize, time_out: u64) {
-        let open = &mut self.open[query];
+    fn execute(&mut self, query: usize, server: usize, timeout_us: u64) {
+        let open = &mut self.queries[query];
         open.executions_in_flight += 1;
         let txn = open.txn.to_le_bytes();
-        self.record(
+        self.append_record(
             reply_code::EXECUTE,
-            &[&txn, &self.upstreams[server], &(time_out.saturating_mul(NANOS_PER_MICRO)).to_le_bytes()],
+            &[&txn, &self.upstreams[server], &(timeout_us.saturating_mul(NANOS_PER_MICRO)).to_le_bytes()],
         );
     }
 
-    fn cancel(&mut self, query: usize, exec: usize) {
-        self.record(reply_code::CANCEL, &[&self.open[query].txn.to_le_bytes(), &[exec as u8]]);
+    fn cancel(&mut self, query: usize, execution: usize) {
+        self.append_record(reply_code::CANCEL, &[&self.queries[query].txn.to_le_bytes(), &[execution as u8]]);
     }
 
-    fn reject(&mut self, query: usize, retry_after: u64) {
-        self.finish(query, reply_code::REJECT, &(retry_after * NANOS_PER_MICRO).to_le_bytes());
+    fn reject(&mut self, query: usize, retry_after_us: u64) {
+        self.finish(query, reply_code::REJECT, &(retry_after_us * NANOS_PER_MICRO).to_le_bytes());
     }
 
     fn abort(&mut self, query: usize) {
         self.finish(query, reply_code::ABORT, &[]);
     }
 
-    fn set_timer(&mut self, wait: u64, label: u32) {
-        self.record(reply_code::WAKE, &[&(wait * NANOS_PER_MICRO).to_le_bytes(), &label.to_le_bytes()]);
+    fn set_timer(&mut self, delay_us: u64, label: u32) {
+        self.append_record(
+            reply_code::WAKE,
+            &[&(delay_us * NANOS_PER_MICRO).to_le_bytes(), &label.to_le_bytes()],
+        );
     }
 
     fn probe(&mut self, server: usize) {
-        self.record(reply_code::PROBE, &[&self.upstreams[server]]);
+        self.append_record(reply_code::PROBE, &[&self.upstreams[server]]);
     }
 
     fn watch_endpoints(&mut self) {
-        self.record(reply_code::FOLLOW_ENDPOINTS, &[&[1]]);
+        self.append_record(reply_code::FOLLOW_ENDPOINTS, &[&[1]]);
     }
 }
--- a/balancer/bench-adapter/src/instances.rs
+++ b/balancer/bench-adapter/src/instances.rs
@@ -1,5 +1,5 @@
-//! The balancer instances of a process: events of the wire become calls on the decisions, whose effects are written
-//! to the reply at once.
+//! The balancer instances of a process. Events on the wire become calls to a balancer, whose decisions are
+//! appended to the reply.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -35,7 +35,8 @@
 }
 
 impl Instances {
-    /// Processes the events of one batch at the time `now` (microseconds) and returns the records of the reply.
+    /// Processes the events of one batch at the time `now` (microseconds) and returns the records of the
+    /// reply.
     pub fn batch(&mut self, now: u64, body: &[u8]) -> Result<Vec<u8>, AdapterError> {
         let mut batch = Reader::new("batch", body);
         let count = batch.u32("count of records")?;
@@ -45,7 +46,7 @@
             let fields = batch.bytes("fields of a record", size)?;
             self.event(now, code, fields)?;
         }
-        batch.done()?;
+        batch.expect_end()?;
         Ok(std::mem::take(&mut *self.reply.borrow_mut()))
     }
 
@@ -76,7 +77,7 @@
                 self.instances.remove(&balancer);
             }
         }
-        fields.done()
+        fields.expect_end()
     }
 
     /// Starts an instance with its settings.
@@ -87,10 +88,10 @@
             .map_err(AdapterError::Options)?;
         let host = InstanceHost::new(Rc::clone(&self.reply), balancer, deployment.load_columns);
         self.instances.insert(balancer, Balancer::new(host, deployment.balancer_settings, seed, now));
-        fields.done()
+        fields.expect_end()
     }
 
-    /// Stores an endpoint list, to which later events refer by its number.
+    /// Stores an endpoint list under its number, which later events refer to.
     fn list(&mut self, mut fields: Reader) -> Result<(), AdapterError> {
         let bank = fields.u16("bank")?;
         let count = fields.u32("elements")? as usize;
@@ -107,9 +108,13 @@
                 2 => EndpointState::Draining,
                 other => return Err(AdapterError::UnknownAvailability(other)),
             };
-            let size = f64::from(entry.f32("size")?);
+            let relative_capacity = f64::from(entry.f32("size")?);
             let started_at = entry.u64("bornNs")? / NANOS_PER_MICRO;
-            let size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
+            let relative_capacity = if relative_capacity.is_finite() && relative_capacity > 0.0 {
+                relative_capacity
+            } else {
+                1.0
+            };
             listed.push(ListedUpstream {
                 upstream,
                 entry: Endpoint {
@@ -119,17 +124,17 @@
                     cell,
                     kind,
                     state,
-                    relative_capacity: size,
+                    relative_capacity,
                     started_at,
                 },
             });
         }
         self.endpoint_lists.insert(bank, listed);
-        fields.done()
+        fields.expect_end()
     }
 }
 
-/// A change of the endpoints that an instance follows.
+/// Applies a change of the endpoint list to an instance.
 fn endpoints(
     instance: &mut Instance,
     lists: &BTreeMap<u16, Vec<ListedUpstream>>,
@@ -165,12 +170,12 @@
     fields.u64("hintNs")?;
     fields.u64("object")?;
     let deadline = fields.u64("deadlineNs")? / NANOS_PER_MICRO;
-    let query = instance.host.take(txn);
+    let query = instance.host.insert_query(txn);
     instance.query_arrived(now, query, Arrival { product, tenant, deadline, route: None });
     Ok(())
 }
 
-/// An execution has begun to run.
+/// An execution has started.
 fn started(instance: &mut Instance, now: u64, fields: &mut Reader) -> Result<(), AdapterError> {
     let txn = fields.u32("txn")?;
     let execution = usize::from(fields.u8("shot")?);
@@ -184,21 +189,21 @@
 /// An execution has ended.
 fn completed(instance: &mut Instance, now: u64, fields: &mut Reader) -> Result<(), AdapterError> {
     let txn = fields.u32("txn")?;
-    let spent = fields.u64("spentNs")? / NANOS_PER_MICRO;
+    let elapsed_us = fields.u64("spentNs")? / NANOS_PER_MICRO;
     fields.upstream()?;
     let execution = usize::from(fields.u8("shot")?);
     let outcome = outcome(fields.u8("stateCode")?)?;
-    let over = fields.u8("noMore")? != 0;
+    let query_answered = fields.u8("noMore")? != 0;
     let report = instance.host.report(fields)?;
     if let Some(query) = instance.host.query(txn) {
         let open = instance.host.open_query(query);
         open.executions_in_flight = open.executions_in_flight.saturating_sub(1);
-        open.ended |= over;
+        open.is_answered |= query_answered;
         instance.execution_ended(
             now,
             query,
             execution,
-            ExecutionEnd { outcome, query_answered: over, elapsed_us: spent, report },
+            ExecutionEnd { outcome, query_answered, elapsed_us, report },
         );
         instance.host.release(query);
     }
@@ -209,14 +214,14 @@
 fn withdrawn(instance: &mut Instance, now: u64, fields: &mut Reader) -> Result<(), AdapterError> {
     let txn = fields.u32("txn")?;
     if let Some(query) = instance.host.query(txn) {
-        instance.host.open_query(query).ended = true;
+        instance.host.open_query(query).is_answered = true;
         instance.query_withdrawn(now, query);
         instance.host.release(query);
     }
     Ok(())
 }
 
-/// A health check was answered or has failed.
+/// A probe has ended.
 fn probe_result(instance: &mut Instance, now: u64, fields: &mut Reader) -> Result<(), AdapterError> {
     let answered = fields.u8("stateCode")? == 0;
     let upstream = fields.upstream()?;
@@ -227,7 +232,7 @@
     Ok(())
 }
 
-/// A message from another balancer, which the decisions do not use.
+/// Skips a message from another balancer, which is not used.
 fn skip_message(fields: &mut Reader) -> Result<(), AdapterError> {
     fields.u32("by")?;
     let size = usize::from(fields.u16("contents")?);
--- a/balancer/bench-adapter/src/main.rs
+++ b/balancer/bench-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs the balancing decisions on the bench's wire: reads batches of events from standard input, and writes the
-//! decisions to standard output.
+//! Connects the balancer to the bench: reads batches of events from standard input and writes decisions to
+//! standard output.
 
 mod error;
 mod host;
@@ -15,7 +15,7 @@
 
 /// Bytes of the header of a batch: number, clock and length.
 const HEADER_SIZE: usize = 16;
-/// Bytes that are buffered of the input and of the output.
+/// Buffer size of the input and the output, in bytes.
 const BUFFER_SIZE: usize = 1 << 16;
 
 fn main() -> ExitCode {
@@ -23,8 +23,8 @@
     let output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
     match run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("whinspindle-benchlink: {fault}");
+        Err(error) => {
+            eprintln!("whinspindle-benchlink: {error}");
             ExitCode::FAILURE
         }
     }
@@ -35,13 +35,13 @@
     let mut instances = Instances::default();
     let mut body = Vec::new();
     loop {
-        let mut head = [0u8; HEADER_SIZE];
-        match read_full(&mut input, &mut head)? {
+        let mut header = [0u8; HEADER_SIZE];
+        match read_full(&mut input, &mut header)? {
             0 => return Ok(()),
             HEADER_SIZE => {}
             read => return Err(AdapterError::TruncatedHeader(read)),
         }
-        let mut fields = wire::Reader::new("batch header", &head);
+        let mut fields = wire::Reader::new("batch header", &header);
         let number = fields.u32("number")?;
         let now = fields.u64("clock")? / NANOS_PER_MICRO;
         let length = fields.u32("length")? as usize;
@@ -52,12 +52,12 @@
         }
         let reply = instances.batch(now, &body)?;
         let size = u32::try_from(reply.len()).map_err(|_| AdapterError::ReplyTooLong(number))?;
-        let sent = output
+        let result = output
             .write_all(&number.to_le_bytes())
             .and_then(|()| output.write_all(&size.to_le_bytes()))
             .and_then(|()| output.write_all(&reply))
             .and_then(|()| output.flush());
-        sent.map_err(AdapterError::Output)?;
+        result.map_err(AdapterError::Output)?;
     }
 }
 
--- a/balancer/bench-adapter/src/wire.rs
+++ b/balancer/bench-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The format of the bench's wire: codes of records, and a reader of little-endian fields whose errors name the record
-//! and the field.
+//! The wire format of the bench: record codes, and a reader of little-endian fields whose errors name the
+//! record and field.
 
 use crate::error::AdapterError;
 
@@ -11,7 +11,7 @@
     pub const ENDPOINTS: u8 = 17;
     /// A query arrives.
     pub const QUERY: u8 = 18;
-    /// An execution has begun.
+    /// An execution has started.
     pub const UNDER_WAY: u8 = 19;
     /// An execution has ended.
     pub const COMPLETED: u8 = 20;
@@ -19,7 +19,7 @@
     pub const WITHDRAWN: u8 = 21;
     /// A timer fires.
     pub const FIRED: u8 = 22;
-    /// A health check has ended.
+    /// A probe has ended.
     pub const PROBE_RESULT: u8 = 23;
     /// A message from another balancer.
     pub const HEARD: u8 = 24;
@@ -59,7 +59,7 @@
     pub const REJECT: u8 = 22;
     /// Watch the endpoints.
     pub const FOLLOW_ENDPOINTS: u8 = 23;
-    /// Send a health check.
+    /// Send a probe.
     pub const PROBE: u8 = 24;
     /// Cancel an execution.
     pub const CANCEL: u8 = 25;
@@ -92,7 +92,7 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of the bytes of a record, whose name appears in errors.
+    /// Creates a reader for the bytes of a record. The record name appears in errors.
     pub fn new(record: &'static str, rest: &'a [u8]) -> Self {
         Reader { record, rest }
     }
@@ -116,7 +116,7 @@
     }
 
     /// Fails if bytes are left after the last field.
-    pub fn done(&self) -> Result<(), AdapterError> {
+    pub fn expect_end(&self) -> Result<(), AdapterError> {
         if self.rest.is_empty() {
             return Ok(());
         }
--- a/balancer/bench-adapter/tests/wire.rs
+++ b/balancer/bench-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter from outside: framing, a query from attach to its answer, and input it must turn down.
+//! The adapter as a process: framing, queries from arrival to answer, and rejection of invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -33,7 +33,7 @@
     record(16, &[&[3, 0], &[9; 8], &(options.len() as u32).to_le_bytes(), options.as_bytes()])
 }
 
-/// One ready upstream in bank 2, and the news of it for balancer 3.
+/// An endpoint list with one ready upstream in bank 2, and the event that passes it to balancer 3.
 fn list() -> [Vec<u8>; 2] {
     let entry = [&UPSTREAM[..], &[0, 0], &[0, 0], &[0, 0], &[1], &1.0f32.to_le_bytes(), &[0; 8]].concat();
     [record(26, &[&[2, 0], &1u32.to_le_bytes(), &entry]), record(17, &[&[3, 0], &[0], &[0; 4], &[2, 0]])]
@@ -45,9 +45,9 @@
     record(18, &[&[3, 0], &txn.to_le_bytes(), &[0, 0], &[0, 0], &[0; 16], &deadline.to_le_bytes()])
 }
 
-fn completed(txn: u32, state: u8, over: u8) -> Vec<u8> {
+fn completed(txn: u32, state: u8, query_answered: u8) -> Vec<u8> {
     let report = [&[2][..], &f32::NAN.to_le_bytes(), &1.0f32.to_le_bytes()].concat();
-    record(20, &[&[3, 0], &txn.to_le_bytes(), &[0; 8], &UPSTREAM, &[0, state, over], &report])
+    record(20, &[&[3, 0], &txn.to_le_bytes(), &[0; 8], &UPSTREAM, &[0, state, query_answered], &report])
 }
 
 fn run(input: &[u8]) -> Output {
@@ -80,12 +80,12 @@
 }
 
 #[test]
-fn plays_batches() {
-    let [bank, news] = list();
+fn processes_batches() {
+    let [list_record, endpoints_event] = list();
     let second = 1_000_000_000;
     let cases = [
         ("empty", vec![], vec![]),
-        ("attach: timer and subscription", vec![attach(OPTIONS), bank, news], vec![18, 23]),
+        ("attach: timer and subscription", vec![attach(OPTIONS), list_record, endpoints_event], vec![18, 23]),
         ("a query goes out, with its timer", vec![query(7, 5 * second)], vec![16, 18]),
         ("an answer for an unknown query", vec![completed(8, 0, 1)], vec![]),
         ("served", vec![completed(7, 0, 1)], vec![]),
@@ -116,33 +116,35 @@
 }
 
 #[test]
-fn plays_many_copies_and_a_long_list() {
+fn processes_many_instances_and_a_long_list() {
     let entry = |n: u16| {
         let [low, high] = n.to_le_bytes();
         [&[10, 1, low, high, 1, 1][..], &[0, 0], &[n as u8 % 4, 0], &[low, 0], &[1], &[0; 12]].concat()
     };
     let entries: Vec<u8> = (0..5000).flat_map(entry).collect();
     let mut records = vec![record(26, &[&[2, 0], &5000u32.to_le_bytes(), &entries])];
-    for copy in (0..400u16).map(u16::to_le_bytes) {
-        records
-            .push(record(16, &[&copy, &[9; 8], &(OPTIONS.len() as u32).to_le_bytes(), OPTIONS.as_bytes()]));
-        records.push(record(17, &[&copy, &[0], &[0; 4], &[2, 0]]));
+    for instance in (0..400u16).map(u16::to_le_bytes) {
+        records.push(record(
+            16,
+            &[&instance, &[9; 8], &(OPTIONS.len() as u32).to_le_bytes(), OPTIONS.as_bytes()],
+        ));
+        records.push(record(17, &[&instance, &[0], &[0; 4], &[2, 0]]));
     }
-    let morning = batch(0, 1_000_000_000, &records);
-    // Its first query comes ten hours later.
-    let evening = batch(1, 36_000_000_000_000, &[query(1, 36_003_000_000_000)]);
-    let output = run(&[morning, evening].concat());
+    let first_batch = batch(0, 1_000_000_000, &records);
+    // The first query arrives ten hours later.
+    let second_batch = batch(1, 36_000_000_000_000, &[query(1, 36_003_000_000_000)]);
+    let output = run(&[first_batch, second_batch].concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = replies(&output.stdout);
     assert_eq!((replies[0].1.len(), &replies[1].1), (800, &vec![16, 18]));
 }
 
 #[test]
-fn turns_down_what_it_cannot_read() {
-    let whole = batch(0, 0, &[attach(OPTIONS)]);
-    for (name, input, word) in [
+fn rejects_invalid_input() {
+    let valid_batch = batch(0, 0, &[attach(OPTIONS)]);
+    for (name, input, expected) in [
         ("header cut short", vec![0; 7], "batch header"),
-        ("body cut short", whole[..40].to_vec(), "batch 0"),
+        ("body cut short", valid_batch[..40].to_vec(), "batch 0"),
         ("field cut short", batch(0, 0, &[record(16, &[&[3, 0, 1]])]), "initSeed"),
         ("bytes too many", batch(0, 0, &[attach(OPTIONS), record(25, &[&[3, 0, 0]])]), "crash_now"),
         ("unknown record", batch(0, 0, &[record(77, &[])]), "77"),
@@ -159,8 +161,8 @@
         ("unknown outcome", batch(0, 0, &[attach(OPTIONS), completed(1, 99, 0)]), "99"),
     ] {
         let output = run(&input);
-        let said = String::from_utf8_lossy(&output.stderr);
+        let message = String::from_utf8_lossy(&output.stderr);
         assert_eq!(output.status.code(), Some(1), "{name}");
-        assert!(said.contains(word) && said.lines().count() == 1, "{name}: {said}");
+        assert!(message.contains(expected) && message.lines().count() == 1, "{name}: {message}");
     }
 }
--- a/balancer/rate-limited-log/src/lib.rs
+++ b/balancer/rate-limited-log/src/lib.rs
@@ -52,13 +52,13 @@
 /// `log_line!("list", "bad line: {fault}")` writes `whinspindle list: bad line: ...`.
 #[macro_export]
 macro_rules! log_line {
-    ($component:literal, $($text:tt)+) => {{
+    ($target:literal, $($text:tt)+) => {{
         static LIMITER: $crate::RateLimiter = $crate::RateLimiter::new();
         match LIMITER.admit() {
-            Some(0) => $crate::write_line(format_args!("whinspindle {}: {}", $component, format_args!($($text)+))),
+            Some(0) => $crate::write_line(format_args!("whinspindle {}: {}", $target, format_args!($($text)+))),
             Some(suppressed) => $crate::write_line(format_args!(
                 "whinspindle {}: {} ({suppressed} more)",
-                $component,
+                $target,
                 format_args!($($text)+)
             )),
             None => {}
--- a/balancer/record-store/src/lib.rs
+++ b/balancer/record-store/src/lib.rs
@@ -1,4 +1,5 @@
-//! Crash-safe storage of small binary records in a folder. Each record has two files that are written alternately, with a temporary file, a sync and a rename, so that one complete version always exists.
+//! Crash-safe storage of small binary records in a folder. Each record has two files that are written
+//! alternately, with a temporary file, a sync and a rename, so that one complete version always exists.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -10,7 +11,8 @@
 const MAGIC: &[u8; 8] = b"whspin-1";
 /// Size of magic, generation, length and hash.
 const HEADER_BYTES: usize = 8 + 8 + 8 + 32;
-/// How long to wait for a lock held by another process. A process that has just ended may hold it slightly longer through a child process, which inherits the open files until its `exec`.
+/// How long to wait for a lock held by another process. A process that has just ended may hold it slightly
+/// longer through a child process, which inherits the open files until its `exec`.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay between attempts to take the lock.
 const LOCK_RETRY_DELAY: Duration = Duration::from_millis(10);
--- a/balancer/record-store/tests/stored_fixtures.rs
+++ b/balancer/record-store/tests/stored_fixtures.rs
@@ -1,4 +1,5 @@
-//! The file format of a record: fixtures are compared field by field, read, and written again with the same bytes.
+//! The file format of a record: fixtures are compared field by field, read, and written again with the same
+//! bytes.
 
 #[path = "../../../tests/common/fixtures.rs"]
 mod fixtures;
--- a/crates/metered-sockets/src/lib.rs
+++ b/crates/metered-sockets/src/lib.rs
@@ -1,7 +1,9 @@
-//! Sockets that meter their traffic and detect when the peer closes the connection, and a graceful listener close.
+//! Sockets that meter their traffic and detect when the peer closes the connection, and a graceful listener
+//! close.
 //!
-//! Wrap a socket with [`MeteredSocket::new`] and keep a clone of its [`Meter`], which counts written bytes and records
-//! when bytes were received. [`MeteredSocket::close_watcher`] returns a handle that detects the close of the peer.
+//! Wrap a socket with [`MeteredSocket::new`] and keep a clone of its [`Meter`], which counts written bytes
+//! and records when bytes were received. [`MeteredSocket::close_watcher`] returns a handle that detects the
+//! close of the peer.
 
 mod listener;
 
@@ -50,7 +52,8 @@
 pub struct CloseWatcher<S = TcpStream>(Rc<RefCell<Shared<S>>>);
 
 impl<S: AsyncRead + AsyncWrite + Unpin> CloseWatcher<S> {
-    /// Completes once the peer has closed the connection. Must be polled by the task that polls the socket, after it.
+    /// Completes once the peer has closed the connection. Must be polled by the task that polls the socket,
+    /// after it.
     pub fn poll(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut shared = self.0.borrow_mut();
         let Shared { socket, read_ahead, closed_by_peer } = &mut *shared;
@@ -72,7 +75,8 @@
 
     /// Shuts down the write side, then discards received bytes until the peer closes the connection too.
     ///
-    /// Closing a socket with unread bytes would reset the connection, and the peer could lose data it has not read.
+    /// Closing a socket with unread bytes would reset the connection, and the peer could lose data it has not
+    /// read.
     pub async fn lingering_close(self) {
         if poll_fn(|cx| Pin::new(&mut self.0.borrow_mut().socket).poll_shutdown(cx)).await.is_err() {
             return;
--- a/crates/metered-sockets/src/listener.rs
+++ b/crates/metered-sockets/src/listener.rs
@@ -4,11 +4,11 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Closes a listener and returns the connections that the kernel has accepted already, so that their clients can still
-/// be served.
+/// Closes a listener and returns the connections that the kernel has accepted already, so that their clients
+/// can still be served.
 ///
-/// Connections may have arrived after the runtime last polled the listener, so they are accepted from the socket
-/// directly.
+/// Connections may have arrived after the runtime last polled the listener, so they are accepted from the
+/// socket directly.
 pub fn close_listener(listener: TcpListener) -> Vec<TcpStream> {
     let accept = |listener: &std::net::TcpListener| -> io::Result<TcpStream> {
         let (socket, _) = listener.accept()?;
--- a/crates/metrics/src/server.rs
+++ b/crates/metrics/src/server.rs
@@ -14,8 +14,8 @@
 /// The media type of OpenMetrics text.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Serves the text that `snapshot` returns, for the lifetime of the process. If the port cannot be bound, the process
-/// runs without metrics. Must be called inside a `LocalSet`.
+/// Serves the text that `snapshot` returns, for the lifetime of the process. If the port cannot be bound, the
+/// process runs without metrics. Must be called inside a `LocalSet`.
 pub async fn serve(ip: IpAddr, endpoint: MetricsEndpoint, snapshot: Rc<dyn Fn() -> String>) {
     let listener = match TcpListener::bind((ip, endpoint.port)).await {
         Ok(listener) => listener,
--- a/crates/metrics/src/snapshot.rs
+++ b/crates/metrics/src/snapshot.rs
@@ -13,8 +13,8 @@
 
 /// A snapshot of metrics.
 ///
-/// Values are read from the process state for each scrape, so there are no duplicate counters and no cost between
-/// scrapes.
+/// Values are read from the process state for each scrape, so there are no duplicate counters and no cost
+/// between scrapes.
 pub struct MetricsSnapshot {
     registry: Registry,
 }
--- a/crates/status-server/src/lib.rs
+++ b/crates/status-server/src/lib.rs
@@ -1,4 +1,5 @@
-//! A small HTTP server for status endpoints. Responses come from memory without delay, and request bodies are ignored.
+//! A small HTTP server for status endpoints. Responses come from memory without delay, and request bodies are
+//! ignored.
 
 use std::convert::Infallible;
 use std::rc::Rc;
--- a/examples/toy/src/main.rs
+++ b/examples/toy/src/main.rs
@@ -1,6 +1,6 @@
-//! Three toy servers on 127.0.0.1:9001 to 9003 and a toy discovery on 127.0.0.1:8500, which lists them.
-//! Lines on standard input change what is listed and how a server behaves: `draining 2`, `ready 2`, `gone 2`,
-//! `slow 3`, `failing 3`, `well 3`.
+//! Three example servers on 127.0.0.1:9001 to 9003, and a discovery service on 127.0.0.1:8500 that lists
+//! them. Commands on standard input change the listed state of a server (`draining 2`, `ready 2`, `gone 2`)
+//! or its behaviour (`slow 3`, `failing 3`, `well 3`).
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -24,50 +24,52 @@
 
 const DISCOVERY: &str = "127.0.0.1:8500";
 const SERVERS: [&str; 3] = ["127.0.0.1:9001", "127.0.0.1:9002", "127.0.0.1:9003"];
-/// While nothing changes the watch says so this often.
+/// Interval of empty lines on a watch without changes.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
 type Reply = Response<UnsyncBoxBody<Bytes, Infallible>>;
 
-struct Toy {
-    /// What discovery lists of each server, and the count of changes.
+struct ToyCluster {
+    /// Generation of the list, and the listed state of each server.
     lifecycles: watch::Sender<(u64, [String; 3])>,
-    moods: RefCell<[String; 3]>,
+    behaviours: RefCell<[String; 3]>,
 }
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<()> {
-    let toy = Rc::new(Toy {
+    let cluster = Rc::new(ToyCluster {
         lifecycles: watch::channel((1, SERVERS.map(|_| "ready".to_string()))).0,
-        moods: RefCell::new(SERVERS.map(|_| "well".to_string())),
+        behaviours: RefCell::new(SERVERS.map(|_| "well".to_string())),
     });
-    LocalSet::new().run_until(run(toy)).await
+    LocalSet::new().run_until(run(cluster)).await
 }
 
-async fn run(toy: Rc<Toy>) -> std::io::Result<()> {
+async fn run(cluster: Rc<ToyCluster>) -> std::io::Result<()> {
     for (number, address) in SERVERS.iter().enumerate() {
-        let toy = Rc::clone(&toy);
-        listen(address, move |request| work(Rc::clone(&toy), number, request)).await?;
+        let cluster = Rc::clone(&cluster);
+        listen(address, move |request| serve_request(Rc::clone(&cluster), number, request)).await?;
     }
-    let listing = Rc::clone(&toy);
-    listen(DISCOVERY, move |request| list(Rc::clone(&listing), request)).await?;
+    let discovery = Rc::clone(&cluster);
+    listen(DISCOVERY, move |request| serve_discovery(Rc::clone(&discovery), request)).await?;
     println!("servers at {}, discovery at {DISCOVERY}", SERVERS.join(", "));
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Some(line) = lines.next_line().await? {
         let mut words = line.split_whitespace();
-        let (word, number) = (words.next().unwrap_or_default(), words.next().and_then(|n| n.parse().ok()));
-        match (word, number) {
-            ("ready" | "draining" | "gone", Some(number @ 1..=3)) => toy.lifecycles.send_modify(|listed| {
-                listed.0 += 1;
-                listed.1[number - 1] = word.to_string();
-            }),
+        let (command, number) = (words.next().unwrap_or_default(), words.next().and_then(|n| n.parse().ok()));
+        match (command, number) {
+            ("ready" | "draining" | "gone", Some(number @ 1..=3)) => {
+                cluster.lifecycles.send_modify(|listed| {
+                    listed.0 += 1;
+                    listed.1[number - 1] = command.to_string();
+                })
+            }
             ("slow" | "failing" | "well", Some(number @ 1..=3)) => {
-                toy.moods.borrow_mut()[number - 1] = word.to_string();
+                cluster.behaviours.borrow_mut()[number - 1] = command.to_string();
             }
             _ => println!("ready, draining, gone, slow, failing or well, and a server: 1, 2 or 3"),
         }
     }
-    // Without a terminal the toy goes on until it is ended.
+    // Without standard input, the process runs until it is stopped.
     std::future::pending().await
 }
 
@@ -96,21 +98,21 @@
     reply
 }
 
-/// A server: 50 ms for a query, a second if it is slow.
-async fn work(toy: Rc<Toy>, number: usize, request: Request<Incoming>) -> Reply {
-    let mood = toy.moods.borrow()[number].clone();
-    if mood == "failing" {
+/// Handles a request of a server: takes 50 ms, or one second if the server is slow.
+async fn serve_request(cluster: Rc<ToyCluster>, number: usize, request: Request<Incoming>) -> Reply {
+    let behaviour = cluster.behaviours.borrow()[number].clone();
+    if behaviour == "failing" {
         return reply(500, Full::from("failing\n"));
     }
-    sleep(Duration::from_millis(if mood == "slow" { 1000 } else { 50 })).await;
+    sleep(Duration::from_millis(if behaviour == "slow" { 1000 } else { 50 })).await;
     let trace = request.headers().get("x-trace-id").and_then(|id| id.to_str().ok()).unwrap_or("none");
     let body = format!("{} by server {}, trace {trace}\n", request.uri().path(), number + 1);
     reply(200, Full::from(body))
 }
 
-/// Discovery: the whole list, and each change to those that watch.
-async fn list(toy: Rc<Toy>, request: Request<Incoming>) -> Reply {
-    let whole = |(generation, lifecycles): &(u64, [String; 3])| {
+/// Handles a request to discovery: returns the complete list, and each change if the request is a watch.
+async fn serve_discovery(cluster: Rc<ToyCluster>, request: Request<Incoming>) -> Reply {
+    let complete_list = |(generation, lifecycles): &(u64, [String; 3])| {
         let listed =
             SERVERS.iter().zip(lifecycles).enumerate().filter(|(_, (_, lifecycle))| *lifecycle != "gone");
         let entry = |(number, (address, lifecycle)): (usize, (&&str, &String))| {
@@ -120,28 +122,28 @@
         let instances: Vec<_> = listed.map(entry).collect();
         format!("{}\n", json!({"generation": generation, "reset": true, "instances": instances}))
     };
-    let mut changes = toy.lifecycles.subscribe();
-    let now = whole(&changes.borrow_and_update());
+    let mut changes = cluster.lifecycles.subscribe();
+    let current = complete_list(&changes.borrow_and_update());
     if !request.uri().query().unwrap_or_default().contains("watch=1") {
-        return reply(200, Full::from(now));
+        return reply(200, Full::from(current));
     }
     let (lines, body) = tokio::sync::mpsc::channel(16);
     spawn_local(async move {
-        let mut line = now;
+        let mut line = current;
         while lines.send(line).await.is_ok() {
             line = tokio::select! {
-                _ = changes.changed() => whole(&changes.borrow_and_update()),
+                _ = changes.changed() => complete_list(&changes.borrow_and_update()),
                 () = sleep(HEARTBEAT) => "\n".to_string(),
             };
         }
     });
-    reply(200, Lines(body))
+    reply(200, LineBody(body))
 }
 
-/// A body that goes on with each line.
-struct Lines(tokio::sync::mpsc::Receiver<String>);
+/// A response body that sends lines as they arrive.
+struct LineBody(tokio::sync::mpsc::Receiver<String>);
 
-impl Body for Lines {
+impl Body for LineBody {
     type Data = Bytes;
     type Error = Infallible;
 
