--- a/balancer/bench-adapter/src/wire.rs
+++ b/balancer/bench-adapter/src/wire.rs
@@ -78,7 +78,7 @@
 /// Reads the fields of one record in their order.
 pub struct Reader<'a> {
     record: &'static str,
-    rest: &'a [u8],
+    remaining: &'a [u8],
 }
 
 macro_rules! number {
@@ -93,8 +93,8 @@
 
 impl<'a> Reader<'a> {
     /// Creates a reader for the bytes of a record. The record name appears in errors.
-    pub fn new(record: &'static str, rest: &'a [u8]) -> Self {
-        Reader { record, rest }
+    pub fn new(record: &'static str, remaining: &'a [u8]) -> Self {
+        Reader { record, remaining }
     }
 
     number!(u8);
@@ -105,9 +105,10 @@
 
     /// Reads `size` bytes.
     pub fn bytes(&mut self, field: &str, size: usize) -> Result<&'a [u8], AdapterError> {
-        let (taken, rest) = self.rest.split_at_checked(size).ok_or_else(|| self.truncated(field))?;
-        self.rest = rest;
-        Ok(taken)
+        let (bytes, remaining) =
+            self.remaining.split_at_checked(size).ok_or_else(|| self.truncated(field))?;
+        self.remaining = remaining;
+        Ok(bytes)
     }
 
     /// Reads the address and port of an upstream, in the bytes of the wire.
@@ -117,10 +118,10 @@
 
     /// Fails if bytes are left after the last field.
     pub fn expect_end(&self) -> Result<(), AdapterError> {
-        if self.rest.is_empty() {
+        if self.remaining.is_empty() {
             return Ok(());
         }
-        Err(AdapterError::TrailingBytes { record: self.record, count: self.rest.len() })
+        Err(AdapterError::TrailingBytes { record: self.record, count: self.remaining.len() })
     }
 
     fn truncated(&self, field: &str) -> AdapterError {
--- a/balancer/core/src/servers.rs
+++ b/balancer/core/src/servers.rs
@@ -29,8 +29,8 @@
     name: String,
     process: Option<ServerProcess>,
     started_at: u64,
-    ready: bool,
-    gone: bool,
+    is_ready: bool,
+    is_gone: bool,
     /// The last entry in the endpoint list.
     entry: Option<Endpoint>,
     /// Number of open queries and probes that refer to the server.
@@ -71,7 +71,7 @@
             self.has_list = true;
             self.servers
                 .iter_mut()
-                .for_each(|server_state| (server_state.ready, server_state.gone) = (false, true));
+                .for_each(|server_state| (server_state.is_ready, server_state.is_gone) = (false, true));
         }
         let mut entries = Vec::with_capacity(update.servers.len());
         for listed in &update.servers {
@@ -107,7 +107,8 @@
     fn apply_drain(&mut self, entry: Endpoint) -> Endpoint {
         let drains = entry.state == EndpointState::Ready && self.drained.contains(&entry.key);
         let server_state = &mut self.servers[entry.server];
-        server_state.ready = entry.state == EndpointState::Ready && !drains && server_state.process.is_some();
+        server_state.is_ready =
+            entry.state == EndpointState::Ready && !drains && server_state.process.is_some();
         if drains { Endpoint { state: EndpointState::Draining, ..entry } } else { entry }
     }
 
@@ -118,7 +119,7 @@
         let listed = self
             .servers
             .iter()
-            .filter(|server_state| !server_state.gone)
+            .filter(|server_state| !server_state.is_gone)
             .filter_map(|server_state| server_state.entry);
         let entries: Vec<Endpoint> = listed.filter(changed).collect();
         entries.into_iter().map(|entry| self.apply_drain(entry)).collect()
@@ -126,7 +127,7 @@
 
     /// The complete endpoint list, without the drains of the fleet.
     pub fn endpoint_list(&self) -> Vec<ListedServer> {
-        let listed = self.servers.iter().filter(|server_state| !server_state.gone);
+        let listed = self.servers.iter().filter(|server_state| !server_state.is_gone);
         let listed = listed.filter_map(|server_state| {
             let entry = server_state.entry?;
             Some(ListedServer {
@@ -147,7 +148,7 @@
     pub fn endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.servers
             .iter()
-            .filter(|server_state| !server_state.gone)
+            .filter(|server_state| !server_state.is_gone)
             .filter_map(|server_state| server_state.entry.as_ref())
     }
 
@@ -174,8 +175,8 @@
             server_state.process = Some(ServerProcess { address, process: self.process_count });
         }
         server_state.started_at = listed.started_at;
-        server_state.gone = state == EndpointState::Gone;
-        server_state.ready = state == EndpointState::Ready && server_state.process.is_some();
+        server_state.is_gone = state == EndpointState::Gone;
+        server_state.is_ready = state == EndpointState::Ready && server_state.process.is_some();
     }
 
     /// Takes a reference to a server until `release` and returns its process.
@@ -194,7 +195,7 @@
     /// Frees the index of one gone server without references.
     pub fn release_gone(&mut self) -> Option<usize> {
         let is_unused = |server_state: &ServerState| {
-            server_state.gone && server_state.references == 0 && !server_state.name.is_empty()
+            server_state.is_gone && server_state.references == 0 && !server_state.name.is_empty()
         };
         let server = self.servers.iter().position(is_unused)?;
         self.index_by_name.remove(&std::mem::take(&mut self.servers[server].name));
@@ -203,7 +204,7 @@
     }
 
     pub fn is_ready(&self, server: usize) -> bool {
-        self.servers.get(server).is_some_and(|server_state| server_state.ready)
+        self.servers.get(server).is_some_and(|server_state| server_state.is_ready)
     }
 
     pub fn has_list(&self) -> bool {
--- a/balancer/deployment-settings/src/lib.rs
+++ b/balancer/deployment-settings/src/lib.rs
@@ -102,7 +102,7 @@
 
 /// Index of a name in a list of the settings.
 pub fn index_of(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| known == name)
+    names.iter().position(|candidate| candidate == name)
 }
 
 /// Hash (FNV-1a) of a server's id, which orders the servers independently of the order of their ids.
@@ -249,10 +249,12 @@
     let statement_timeouts_us: Vec<u64> = options.products.iter().map(statement_timeout_us).collect();
     // Defaults for missing timeouts: no query stays at a server longer than the longest statement timeout,
     // and connecting may take a fraction of the shortest SLO time.
-    let (longest, shortest) =
+    let (max_statement_timeout_us, min_slo_time_us) =
         (statement_timeouts_us.iter().max(), balancer_settings.products.iter().map(|p| p.slo_time_us).min());
-    let server_idle_timeout_us = limits.conn_idle_ns.map(|ns| ns / 1000).or(longest.copied()).unwrap_or(0);
-    let connect_timeout_us = limits.connect_timeout_ns.map(|ns| ns / 1000).or(shortest.map(|time| time / 4));
+    let server_idle_timeout_us =
+        limits.conn_idle_ns.map(|ns| ns / 1000).or(max_statement_timeout_us.copied()).unwrap_or(0);
+    let connect_timeout_us =
+        limits.connect_timeout_ns.map(|ns| ns / 1000).or(min_slo_time_us.map(|time| time / 4));
     Ok(Deployment {
         balancer_settings,
         statement_timeouts_us,
--- a/balancer/rate-limited-log/src/lib.rs
+++ b/balancer/rate-limited-log/src/lib.rs
@@ -55,7 +55,11 @@
     ($target:literal, $($text:tt)+) => {{
         static LIMITER: $crate::RateLimiter = $crate::RateLimiter::new();
         match LIMITER.admit() {
-            Some(0) => $crate::write_line(format_args!("whinspindle {}: {}", $target, format_args!($($text)+))),
+            Some(0) => $crate::write_line(format_args!(
+                "whinspindle {}: {}",
+                $target,
+                format_args!($($text)+)
+            )),
             Some(suppressed) => $crate::write_line(format_args!(
                 "whinspindle {}: {} ({suppressed} more)",
                 $target,
--- a/crates/toml-config/src/lib.rs
+++ b/crates/toml-config/src/lib.rs
@@ -1,13 +1,15 @@
 //! Typed access to hand-written TOML files, with units and complete error reports.
 //!
-//! Every value is looked up by its key with an expected unit. All errors of a file are reported together, each with its
-//! line, the problem and a hint. A derived deserializer would stop at the first error.
+//! Every value is looked up by its key with an expected unit. All errors of a file are reported together, each
+//! with its line, the problem and a hint. A derived deserializer would stop at the first error.
 //!
 //! ```
-//! let limits = whinspindle_toml_config::parse("timeout = \"300ms\"\n", |table| table.duration_us("timeout", None));
+//! use whinspindle_toml_config::parse;
+//!
+//! let limits = parse("timeout = \"300ms\"\n", |table| table.duration_us("timeout", None));
 //! assert_eq!(limits, Ok(300_000));
 //!
-//! let errors = whinspindle_toml_config::parse("timeout = 300\n", |table| table.duration_us("timeout", None)).unwrap_err();
+//! let errors = parse("timeout = 300\n", |table| table.duration_us("timeout", None)).unwrap_err();
 //! assert_eq!(errors[0].line, 1);
 //! ```
 
--- a/crates/toml-config/src/table.rs
+++ b/crates/toml-config/src/table.rs
@@ -27,7 +27,7 @@
     /// Path from the root of the file.
     path: String,
     /// The keys that were looked up.
-    known: RefCell<BTreeSet<String>>,
+    looked_up: RefCell<BTreeSet<String>>,
     /// Collects the errors of the whole file.
     errors: ErrorCollector,
 }
@@ -35,7 +35,7 @@
 impl<'a> Table<'a> {
     /// The root table of a file.
     pub(crate) fn root(table: &'a DeTable<'a>, errors: ErrorCollector) -> Table<'a> {
-        Table { table: Some(table), span: 0..0, path: String::new(), known: RefCell::default(), errors }
+        Table { table: Some(table), span: 0..0, path: String::new(), looked_up: RefCell::default(), errors }
     }
 
     /// Whether the table has this key.
@@ -69,7 +69,7 @@
         let Some(table) = self.table else { return Vec::new() };
         let keys = table.keys().map(|key| {
             let name = key.get_ref().to_string();
-            self.known.borrow_mut().insert(name.clone());
+            self.looked_up.borrow_mut().insert(name.clone());
             let location = Location { span: key.span(), field: self.path_of(&name) };
             (name, location)
         });
@@ -118,7 +118,7 @@
     }
 
     fn nested(&self, table: Option<&'a DeTable<'a>>, span: Range<usize>, path: String) -> Table<'a> {
-        Table { table, span, path, known: RefCell::default(), errors: self.errors.clone() }
+        Table { table, span, path, looked_up: RefCell::default(), errors: self.errors.clone() }
     }
 
     /// The path of a key from the root of the file.
@@ -128,7 +128,7 @@
 
     /// The value of a key, which is marked as looked up.
     pub(crate) fn value(&self, key: &str) -> Option<&'a Spanned<DeValue<'a>>> {
-        self.known.borrow_mut().insert(key.to_string());
+        self.looked_up.borrow_mut().insert(key.to_string());
         self.table.and_then(|table| table.get(key))
     }
 
@@ -149,19 +149,19 @@
 impl Drop for Table<'_> {
     fn drop(&mut self) {
         let Some(table) = self.table else { return };
-        let known = self.known.borrow();
-        for key in table.keys().filter(|key| !known.contains(key.get_ref().as_ref())) {
+        let looked_up = self.looked_up.borrow();
+        for key in table.keys().filter(|key| !looked_up.contains(key.get_ref().as_ref())) {
             let name = key.get_ref().as_ref();
-            let nearest = known
+            let nearest = looked_up
                 .iter()
                 .map(|known| (strsim::damerau_levenshtein(known, name), known))
                 .min()
                 .filter(|(distance, known)| *distance <= 1 + known.len() / 4);
             let hint = match nearest {
                 Some((_, known)) => format!("is {known:?} meant?"),
-                None if known.is_empty() => String::new(),
+                None if looked_up.is_empty() => String::new(),
                 None => {
-                    let all: Vec<&str> = known.iter().map(String::as_str).collect();
+                    let all: Vec<&str> = looked_up.iter().map(String::as_str).collect();
                     format!("known here: {}", all.join(", "))
                 }
             };
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -117,7 +117,7 @@
         let is_known = arrival.product < self.settings.products.len();
         let tenant = arrival.tenant;
         self.open_query(query, arrival);
-        if !is_known || self.is_overloaded(tenant) || !self.send_first(query) {
+        if !is_known || self.is_overloaded(tenant) || !self.send_or_probe(query) {
             return self.finish(query);
         }
         let tenant_admissions = self.admissions_by_tenant.get_mut(tenant);
@@ -142,7 +142,7 @@
             self.settings.products.get(product).filter(|row| row.late_answer_value == 0.0);
         let give_up_at = worthless_if_late.map_or(deadline, |row| deadline.min(now + row.slo_time_us));
         self.queries[query] = Query {
-            open: true,
+            is_open: true,
             product: product.min(self.settings.products.len() - 1),
             arrived_at: now,
             deadline,
@@ -152,7 +152,7 @@
         };
     }
 
-    fn send_first(&mut self, query: usize) -> bool {
+    fn send_or_probe(&mut self, query: usize) -> bool {
         self.probe_candidates(query) || (!self.settings.load_only_from_probes && self.forward(query))
     }
 
@@ -160,8 +160,8 @@
     pub fn execution_started(&mut self, now: u64, query: usize, execution: usize) {
         self.now = now;
         let Some(state) = self.queries.get_mut(query) else { return };
-        state.open = false;
-        self.cancel_all_but(query, Some(execution));
+        state.is_open = false;
+        self.cancel_all_except(query, Some(execution));
     }
 
     /// An execution has ended.
@@ -173,9 +173,9 @@
             return;
         }
         execution.outcome = Some(end.outcome);
-        let (server, was_counted) = (execution.server, execution.counted_as_failed);
-        let (product, was_open) = (state.product, state.open);
-        state.open &= !end.query_answered;
+        let (server, was_counted) = (execution.server, execution.is_counted_as_failed);
+        let (product, was_open) = (state.product, state.is_open);
+        state.is_open &= !end.query_answered;
         self.servers[server].in_flight = self.servers[server].in_flight.saturating_sub(1);
         self.record_report(server, end.report);
         match end.outcome {
@@ -185,8 +185,8 @@
         }
         let state = &self.queries[query];
         if was_open && end.query_answered {
-            self.cancel_all_but(query, None);
-        } else if state.open && state.executions.iter().all(|execution| execution.outcome.is_some()) {
+            self.cancel_all_except(query, None);
+        } else if state.is_open && state.executions.iter().all(|execution| execution.outcome.is_some()) {
             self.retry_or_finish(query, end.outcome);
         }
     }
@@ -202,7 +202,7 @@
         if is_too_late || outcome == Outcome::ClientError || (backoff == 0 && !self.forward(query)) {
             self.finish(query);
         } else if backoff > 0 {
-            self.queries[query].awaits_retry = true;
+            self.queries[query].is_awaiting_retry = true;
             self.schedule_check(query, backoff);
         }
     }
@@ -210,16 +210,16 @@
     /// The client has withdrawn the query and no longer waits for the answer.
     pub fn query_withdrawn(&mut self, now: u64, query: usize) {
         self.now = now;
-        if let Some(state) = self.queries.get_mut(query).filter(|state| state.open) {
-            state.open = false;
-            self.cancel_all_but(query, None);
+        if let Some(state) = self.queries.get_mut(query).filter(|state| state.is_open) {
+            state.is_open = false;
+            self.cancel_all_except(query, None);
         }
     }
 
     /// The program shuts down at time `until`, so open queries must be answered before.
     pub fn begin_shutdown(&mut self, now: u64, until: u64) {
         self.now = now;
-        let open = self.queries.iter_mut().enumerate().filter(|(_, state)| state.open);
+        let open = self.queries.iter_mut().enumerate().filter(|(_, state)| state.is_open);
         for (query, state) in open.filter(|(_, state)| state.give_up_at > until) {
             state.give_up_at = until;
             state.next_check_at = state.next_check_at.min(until);
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -14,7 +14,7 @@
     /// A complete endpoint list has arrived; servers that it does not contain are gone.
     pub fn endpoints_replaced(&mut self, now: u64, endpoints: &[Endpoint]) {
         for server in &mut self.servers {
-            (server.ready, server.gone) = (false, true);
+            (server.is_ready, server.is_gone) = (false, true);
         }
         self.endpoints_changed(now, endpoints);
     }
@@ -25,13 +25,13 @@
         for endpoint in endpoints {
             self.update_endpoint(endpoint);
         }
-        self.listed = (0..self.servers.len()).filter(|&server| !self.servers[server].gone).collect();
+        self.listed = (0..self.servers.len()).filter(|&server| !self.servers[server].is_gone).collect();
         self.select_subset();
     }
 
     fn update_endpoint(&mut self, endpoint: &Endpoint) {
         if endpoint.server >= self.servers.len() {
-            self.servers.resize_with(endpoint.server + 1, || Server { gone: true, ..Server::default() });
+            self.servers.resize_with(endpoint.server + 1, || Server { is_gone: true, ..Server::default() });
         }
         if endpoint.zone >= self.zones.len() {
             let zone = || Zone { weight_per_ready: 1.0, admitted_share: 1.0, ..Zone::default() };
@@ -54,8 +54,8 @@
         server.kind = endpoint.kind;
         server.key = endpoint.key;
         server.started_at = endpoint.started_at;
-        server.ready = endpoint.state == EndpointState::Ready;
-        server.gone = endpoint.state == EndpointState::Gone;
+        server.is_ready = endpoint.state == EndpointState::Ready;
+        server.is_gone = endpoint.state == EndpointState::Gone;
     }
 
     /// Selects the servers that this balancer sends to. If a connection carries only one query at a time,
@@ -94,7 +94,7 @@
     /// A gone server has no executions in flight any more. Its index may be reused for another server.
     pub fn endpoint_removed(&mut self, server: usize) {
         if let Some(entry) = self.servers.get_mut(server) {
-            *entry = Server { gone: true, ..Server::default() };
+            *entry = Server { is_gone: true, ..Server::default() };
         }
     }
 
--- a/src/balancer/forward.rs
+++ b/src/balancer/forward.rs
@@ -11,8 +11,9 @@
     pub(super) fn forward(&mut self, query: usize) -> bool {
         let was_transient = |execution: &Execution| execution.outcome.is_some_and(Outcome::is_transient);
         let allow_same_server = self.queries[query].executions.iter().any(was_transient);
-        let first = self.choose(query, &[], false);
-        let server = if first.is_none() && allow_same_server { self.choose(query, &[], true) } else { first };
+        let first = self.choose_server(query, &[], false);
+        let server =
+            if first.is_none() && allow_same_server { self.choose_server(query, &[], true) } else { first };
         server.is_some_and(|server| self.execute(query, server))
     }
 
@@ -34,13 +35,13 @@
             cell: target.cell,
             sent_at: self.now,
             outcome: None,
-            counted_as_failed: false,
+            is_counted_as_failed: false,
         };
         let state = &mut self.queries[query];
         if let Some(route) = state.route.as_ref().filter(|_| !state.executions.is_empty()) {
             record_event(&mut route.borrow_mut().retries, self.now, super::CHECK_PERIOD_US);
         }
-        state.awaits_retry = false;
+        state.is_awaiting_retry = false;
         state.executions.push(execution);
         let timeout_us = execution_timeout_us.min(state.deadline - self.now);
         self.host.execute(query, server, timeout_us);
@@ -52,11 +53,11 @@
         let state = &self.queries[query];
         let route_limit = self.route_policy(query, |policy| policy.max_executions).unwrap_or(usize::MAX);
         let limit = route_limit.min(self.settings.max_executions);
-        let is_open = state.open && self.now < state.give_up_at && state.executions.len() < limit;
+        let is_open = state.is_open && self.now < state.give_up_at && state.executions.len() < limit;
         let none_in_flight = state.executions.iter().all(|execution| execution.outcome.is_some());
         is_open
             && (self.settings.allow_hedging || none_in_flight)
-            && self.servers[server].ready
+            && self.servers[server].is_ready
             && self.may_retry_on(query, server, None)
             && self.has_slow_start_budget(server)
     }
@@ -77,8 +78,8 @@
     /// Gives the final answer to a query that has none: a rejection if a retry by the client is safe,
     /// otherwise an abort. All final answers are given here.
     pub(super) fn finish(&mut self, query: usize) {
-        let Some(state) = self.queries.get_mut(query).filter(|state| state.open) else { return };
-        state.open = false;
+        let Some(state) = self.queries.get_mut(query).filter(|state| state.is_open) else { return };
+        state.is_open = false;
         let product = &self.settings.products[state.product];
         let is_retry_safe =
             matches!(product.effect, Effect::Idempotent | Effect::Deduplicated(ServerScope::All));
@@ -89,11 +90,11 @@
         } else {
             self.host.abort(query);
         }
-        self.cancel_all_but(query, None);
+        self.cancel_all_except(query, None);
     }
 
     /// Cancels the executions of a query that are in flight, except `kept`.
-    pub(super) fn cancel_all_but(&mut self, query: usize, kept: Option<usize>) {
+    pub(super) fn cancel_all_except(&mut self, query: usize, kept: Option<usize>) {
         for (index, execution) in self.queries[query].executions.iter().enumerate() {
             if self.settings.allow_cancel && execution.outcome.is_none() && Some(index) != kept {
                 self.host.cancel(query, index);
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -16,7 +16,7 @@
 impl<H: Host> Balancer<H> {
     /// Whether the server is ready and not ejected.
     pub(super) fn is_available(&self, server: usize) -> bool {
-        self.servers[server].ready && !self.is_ejected(server)
+        self.servers[server].is_ready && !self.is_ejected(server)
     }
 
     /// Whether the server is ejected, or on trial with an execution in flight.
@@ -55,7 +55,7 @@
 
     /// How long an execution may be in flight before the silence of its server counts as a failure.
     pub(super) fn silence_limit(&self, product: usize) -> u64 {
-        let long_latency = self.latency_rank(product, observations::LONG_RANK);
+        let long_latency = self.latency_quantile(product, observations::LONG_LATENCY_RANK);
         long_latency.map_or(self.settings.products[product].slo_time_us, |latency| SILENCE_RATIO * latency)
     }
 }
--- a/src/balancer/observations.rs
+++ b/src/balancer/observations.rs
@@ -16,7 +16,7 @@
 /// Rates are computed over at least a check period divided by this number.
 const RATE_WINDOW_DIVISOR: u64 = 10;
 /// Quantile that counts as a long latency.
-pub(super) const LONG_RANK: f64 = 0.9;
+pub(super) const LONG_LATENCY_RANK: f64 = 0.9;
 
 impl<H: Host> Balancer<H> {
     /// Records a load report of a server.
@@ -59,11 +59,11 @@
 
     /// Median of the recent latencies of a product; 0 before the first.
     pub(super) fn median_latency(&self, product: usize) -> u64 {
-        self.latency_rank(product, 0.5).unwrap_or(0)
+        self.latency_quantile(product, 0.5).unwrap_or(0)
     }
 
     /// Quantile of the recent latencies of a product.
-    pub(super) fn latency_rank(&self, product: usize, rank: f64) -> Option<u64> {
+    pub(super) fn latency_quantile(&self, product: usize, rank: f64) -> Option<u64> {
         quantile(self.latencies[product].iter().copied(), rank)
     }
 
--- a/src/balancer/probing.rs
+++ b/src/balancer/probing.rs
@@ -38,7 +38,7 @@
         let count = if only_from_probes && self.settings.single_probe { 1 } else { PROBES_PER_QUERY };
         let (mut probed, mut awaited) = (Vec::with_capacity(count), 0);
         while probed.len() < count
-            && let Some(server) = self.choose(query, &probed, false)
+            && let Some(server) = self.choose_server(query, &probed, false)
         {
             probed.push(server);
             if self.fresh_load(server).is_none() {
@@ -73,8 +73,9 @@
             self.record_failure(server);
         }
         let state = self.queries.get(query);
-        let is_waiting = state
-            .is_some_and(|state| state.open && state.arrived_at == arrived_at && state.executions.is_empty());
+        let is_waiting = state.is_some_and(|state| {
+            state.is_open && state.arrived_at == arrived_at && state.executions.is_empty()
+        });
         if is_waiting && self.settings.load_only_from_probes {
             let awaited = &mut self.queries[query].awaited_probes;
             *awaited = awaited.saturating_sub(1);
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -9,11 +9,11 @@
     /// Periodic check of an open query: finishes it before its deadline, forwards it after a backoff or a
     /// late probe, retries it after silence of its server, and sends a due hedged request.
     pub(super) fn check_query(&mut self, query: usize) {
-        let Some(state) = self.queries.get_mut(query).filter(|state| state.open) else { return };
+        let Some(state) = self.queries.get_mut(query).filter(|state| state.is_open) else { return };
         if self.now < state.next_check_at {
             return;
         }
-        let is_waiting = state.executions.is_empty() || state.awaits_retry;
+        let is_waiting = state.executions.is_empty() || state.is_awaiting_retry;
         let (product, give_up_at) = (state.product, state.give_up_at);
         if self.now >= give_up_at || (is_waiting && !self.forward_to_least_loaded(query)) {
             return self.finish(query);
@@ -36,14 +36,14 @@
         let product = self.queries[query].product;
         let since = self.now.saturating_sub(self.silence_limit(product));
         let is_silent = |execution: &Execution| {
-            let is_in_flight = execution.outcome.is_none() && !execution.counted_as_failed;
+            let is_in_flight = execution.outcome.is_none() && !execution.is_counted_as_failed;
             let answered_since = self.servers[execution.server].last_answer_at >= execution.sent_at;
             is_in_flight && execution.sent_at <= since && !answered_since
         };
         let count = self.queries[query].executions.len();
         let Some(index) = self.queries[query].executions.iter().rposition(is_silent) else { return false };
         let execution = &mut self.queries[query].executions[index];
-        execution.counted_as_failed = true;
+        execution.is_counted_as_failed = true;
         let server = execution.server;
         self.record_failure(server);
         let is_in_time = self.now + self.median_latency(product) < self.queries[query].give_up_at;
@@ -52,7 +52,7 @@
             if self.settings.allow_hedging {
                 return self.forward(query);
             }
-            if self.settings.allow_cancel && self.choose(query, &[], false).is_some() {
+            if self.settings.allow_cancel && self.choose_server(query, &[], false).is_some() {
                 self.host.cancel(query, index);
             }
         }
@@ -99,7 +99,7 @@
         let delay = match hedge {
             HedgePolicy::Never => None,
             HedgePolicy::After(delay) => Some(delay),
-            HedgePolicy::Quantile(rank) => self.latency_rank(state.product, rank),
+            HedgePolicy::Quantile(rank) => self.latency_quantile(state.product, rank),
         };
         let may_hedge = self.settings.allow_hedging && first.outcome.is_none();
         delay.filter(|_| may_hedge).map(|delay| first.sent_at + delay)
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -21,7 +21,7 @@
 impl<H: Host> Balancer<H> {
     /// Chooses a server for the query. Excludes the servers in `probed` and those that already had the query;
     /// with `allow_same_server`, a server whose outcome was transient may get it again.
-    pub(super) fn choose(
+    pub(super) fn choose_server(
         &mut self,
         query: usize,
         probed: &[usize],
@@ -171,8 +171,8 @@
             self.is_available(**server)
                 && self.servers[**server].relative_latencies.len() >= MIN_LATENCY_SAMPLES
         };
-        let known = self.listed.iter().filter(is_known);
-        let means = known.map(|&server| mean(self.servers[server].relative_latencies.iter().copied()));
+        let measured = self.listed.iter().filter(is_known);
+        let means = measured.map(|&server| mean(self.servers[server].relative_latencies.iter().copied()));
         quantile(means, 0.5).unwrap_or(0.0)
     }
 
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -22,7 +22,7 @@
 
     /// Rule 4: whether this balancer's share of the server's slow-start budget allows another execution. With
     /// many balancers the share is less than one execution, so it is rounded randomly; the sum over all
-    /// balancers keeps to the budget.
+    /// balancers stays within the budget.
     pub(super) fn has_slow_start_budget(&self, server: usize) -> bool {
         let warm_fraction = self.warm_fraction(server);
         if warm_fraction >= 1.0 {
@@ -31,7 +31,8 @@
         let window_us = self.settings.slow_start_window_us;
         let since = self.now.saturating_sub(window_us);
         let server = &self.servers[server];
-        let spent: f64 = server.recent_sends.iter().filter(|sent| sent.0 >= since).map(|sent| sent.1).sum();
+        let used_budget: f64 =
+            server.recent_sends.iter().filter(|sent| sent.0 >= since).map(|sent| sent.1).sum();
         let total_capacity: f64 =
             self.listed.iter().map(|&listed| self.servers[listed].relative_capacity).sum();
         // The budget is half the overload factor times what warm servers of the same capacity serve of this
@@ -41,6 +42,6 @@
         let rate = completions.unwrap_or(self.arrivals.len() as f64 * 1e6 / CHECK_PERIOD_US as f64);
         let even_share = rate * server.relative_capacity / total_capacity * window_us as f64 / 1e6;
         let budget = even_share * warm_fraction * self.settings.slow_start_overload_factor / 2.0;
-        spent + 1.0 <= budget + server.budget_rounding
+        used_budget + 1.0 <= budget + server.budget_rounding
     }
 }
--- a/src/balancer/state.rs
+++ b/src/balancer/state.rs
@@ -24,8 +24,8 @@
     pub started_at: u64,
     /// Random number in `[0, 1)` for rounding this balancer's share of the slow-start budget.
     pub budget_rounding: f64,
-    pub ready: bool,
-    pub gone: bool,
+    pub is_ready: bool,
+    pub is_gone: bool,
     /// Number of this balancer's executions that have not ended.
     pub in_flight: usize,
     /// Send times of recent executions, with the relative work of their product.
@@ -60,7 +60,7 @@
     /// Completed executions: end time, load per ready server and latency.
     pub samples: VecDeque<(u64, f64, f64)>,
     /// Number of ready servers and mean latency for which the weights were last solved.
-    pub solved_for: (f64, f64),
+    pub solved_inputs: (f64, f64),
     /// Share of queries that are admitted if load is reported to probes alone, with the time of its last
     /// change.
     pub admitted_share: f64,
@@ -76,7 +76,7 @@
     /// The outcome, once the execution has ended.
     pub outcome: Option<Outcome>,
     /// Whether the execution was counted as a failure of its server before it ended.
-    pub counted_as_failed: bool,
+    pub is_counted_as_failed: bool,
 }
 
 /// A route: one policy per product, and the times of its recent queries and retries.
@@ -91,7 +91,7 @@
 #[derive(Default)]
 pub(super) struct Query {
     /// Whether the query has no final answer yet.
-    pub open: bool,
+    pub is_open: bool,
     pub product: usize,
     pub arrived_at: u64,
     pub deadline: u64,
@@ -101,7 +101,7 @@
     pub executions: Vec<Execution>,
     pub route: Option<Rc<RefCell<RouteState>>>,
     /// Whether the query waits for the backoff before its next execution.
-    pub awaits_retry: bool,
+    pub is_awaiting_retry: bool,
     /// Servers probed for the query. `awaited_probes` of them have not answered.
     pub probed: Vec<usize>,
     pub awaited_probes: usize,
--- a/src/balancer/zone_weights.rs
+++ b/src/balancer/zone_weights.rs
@@ -30,12 +30,12 @@
         let zones = 0..self.zones.len();
         let inputs: Vec<_> =
             zones.map(|zone| (self.ready_count(zone), self.latency_fit(zone).mean)).collect();
-        let mut solved_for = self.zones.iter().map(|zone| zone.solved_for).zip(&inputs);
+        let mut solved_for = self.zones.iter().map(|zone| zone.solved_inputs).zip(&inputs);
         let zone_changed =
             solved_for.any(|(old, new)| has_changed(old.0, new.0) || has_changed(old.1, new.1));
         if zone_changed || has_changed(self.solved_rate, rate) {
             self.solved_rate = rate;
-            self.zones.iter_mut().zip(inputs).for_each(|(zone, inputs)| zone.solved_for = inputs);
+            self.zones.iter_mut().zip(inputs).for_each(|(zone, inputs)| zone.solved_inputs = inputs);
             self.solve_weights(rate * self.settings.balancers as f64);
         }
     }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -11,7 +11,7 @@
 /// Sends `count` queries 10 ms apart, starting at `now`. `latency_of` gives the latency and the load report
 /// for each server. Returns the number of queries per server.
 fn serve(
-    b: &mut Balancer<RecordingHost>,
+    balancer: &mut Balancer<RecordingHost>,
     now: u64,
     count: u64,
     servers: usize,
@@ -19,10 +19,16 @@
 ) -> Vec<usize> {
     let mut counts = vec![0; servers];
     for at in (0..count).map(|i| now + i * 10 * MS) {
-        if let Some(server) = sent_server(&submit(b, at, 0)) {
+        if let Some(server) = sent_server(&submit(balancer, at, 0)) {
             let (elapsed_us, report) = latency_of(server);
             counts[server] += 1;
-            end_execution(b, at + MS, 0, 0, ExecutionEnd { report, ..execution_end(Completed, elapsed_us) });
+            end_execution(
+                balancer,
+                at + MS,
+                0,
+                0,
+                ExecutionEnd { report, ..execution_end(Completed, elapsed_us) },
+            );
         }
     }
     counts
@@ -36,8 +42,8 @@
 fn initial_weights_follow_ready_servers() {
     for zones in [vec![0, 0, 0, 1], vec![0, 0, 1, 1], vec![2, 2, 2, 2]] {
         let entries: Vec<Endpoint> = zones.iter().enumerate().map(|(i, &zone)| endpoint(i, zone)).collect();
-        let mut b = start_balancer(settings(Effect::Idempotent), &entries);
-        let counts = serve(&mut b, START, 400, 4, steady);
+        let mut balancer = start_balancer(settings(Effect::Idempotent), &entries);
+        let counts = serve(&mut balancer, START, 400, 4, steady);
         assert!(counts.iter().all(|&n| (65..135).contains(&n)), "{zones:?}: {counts:?}");
     }
 }
@@ -45,11 +51,11 @@
 #[test]
 fn crowded_servers_are_avoided() {
     let entries: Vec<Endpoint> = (0..4).map(|server| endpoint(server, 0)).collect();
-    let mut b = start_balancer(BalancerSettings { tier: 1, ..settings(Effect::Idempotent) }, &entries);
+    let mut balancer = start_balancer(BalancerSettings { tier: 1, ..settings(Effect::Idempotent) }, &entries);
     // The executions do not end. No server may exceed twice the mean in flight, including the new query.
     let mut loads = [0usize; 4];
     for query in 0..200 {
-        let server = sent_server(&submit(&mut b, START, query)).expect("sent");
+        let server = sent_server(&submit(&mut balancer, START, query)).expect("sent");
         let min = loads.iter().min().copied();
         let fits = 2 * loads.iter().sum::<usize>() >= 4 * (loads[server] + 1);
         assert!(fits || Some(loads[server]) == min, "{loads:?} then {server}");
@@ -61,14 +67,14 @@
 fn weights_shift_from_the_slow_zone_by_at_most_a_tenth() {
     let entries: Vec<Endpoint> = (0..6).map(|server| endpoint(server, server / 3)).collect();
     for (first, second, min, max) in [(100, 100, 0.40, 0.60), (100, 400, 0.25, 0.47)] {
-        let mut b = start_balancer(settings(Effect::Idempotent), &entries);
+        let mut balancer = start_balancer(settings(Effect::Idempotent), &entries);
         let latency_of = |server: usize| {
             let report = LoadReport { throughput: Some(5.0), ..LoadReport::default() };
             (if server < 3 { first * MS } else { second * MS }, report)
         };
-        serve(&mut b, START, 450, 6, latency_of);
-        b.timer_fired(START + 5000 * MS, 0);
-        let counts = serve(&mut b, START + 5000 * MS, 1000, 6, latency_of);
+        serve(&mut balancer, START, 450, 6, latency_of);
+        balancer.timer_fired(START + 5000 * MS, 0);
+        let counts = serve(&mut balancer, START + 5000 * MS, 1000, 6, latency_of);
         let share = counts[3..].iter().sum::<usize>() as f64 / 1000.0;
         assert!((min..max).contains(&share), "{second}: {share}");
     }
@@ -76,14 +82,15 @@
 
 #[test]
 fn weights_are_not_solved_again_without_changes() {
-    let mut b = start_balancer(settings(Effect::Idempotent), &[endpoint(0, 0), endpoint(1, 1)]);
+    let mut balancer = start_balancer(settings(Effect::Idempotent), &[endpoint(0, 0), endpoint(1, 1)]);
     let mut shares = Vec::new();
     for period in 0..4 {
         let now = START + period * 5000 * MS;
-        let counts =
-            serve(&mut b, now, 499, 2, |server| (100 * MS * (server as u64 + 1), LoadReport::default()));
+        let counts = serve(&mut balancer, now, 499, 2, |server| {
+            (100 * MS * (server as u64 + 1), LoadReport::default())
+        });
         shares.push(counts[1]);
-        b.timer_fired(now + 5000 * MS, 0);
+        balancer.timer_fired(now + 5000 * MS, 0);
     }
     // The weights change only at the first check, when the first latencies are known.
     assert!(shares[0] > 215 && shares[1] < 245 && shares[3] > 150, "{shares:?}");
@@ -91,28 +98,28 @@
 
 #[test]
 fn slow_zone_keeps_a_minimum_share() {
-    let mut b = start_balancer(settings(Effect::Idempotent), &[endpoint(0, 0), endpoint(1, 1)]);
+    let mut balancer = start_balancer(settings(Effect::Idempotent), &[endpoint(0, 0), endpoint(1, 1)]);
     let latency_of = |server: usize| (if server == 0 { 100 * MS } else { 250 * MS }, LoadReport::default());
     for period in 0..40 {
         // The arrivals change by more than a fifth each time, so that each check solves the weights again.
         let count = if period % 2 == 0 { 200 } else { 499 };
-        serve(&mut b, START + period * 5000 * MS, count, 2, latency_of);
-        b.timer_fired(START + (period + 1) * 5000 * MS, 0);
+        serve(&mut balancer, START + period * 5000 * MS, count, 2, latency_of);
+        balancer.timer_fired(START + (period + 1) * 5000 * MS, 0);
     }
-    let counts = serve(&mut b, START + 200_000 * MS, 1000, 2, latency_of);
+    let counts = serve(&mut balancer, START + 200_000 * MS, 1000, 2, latency_of);
     assert!((5..300).contains(&counts[1]), "{counts:?}");
 }
 
 #[test]
 fn weight_checks_of_lower_tiers_are_delayed() {
     for (tier, now, wait) in [(0, 0, 5000), (0, 1000, 4000), (1, 0, 3000), (1, 4000, 4000), (2, 0, 1000)] {
-        let b = Balancer::new(
+        let balancer = Balancer::new(
             RecordingHost::default(),
             BalancerSettings { tier, ..settings(Effect::Idempotent) },
             1,
             now * MS,
         );
-        assert_eq!(b.host.timers, [(wait * MS, 0)], "{tier} {now}");
+        assert_eq!(balancer.host.timers, [(wait * MS, 0)], "{tier} {now}");
     }
 }
 
@@ -124,10 +131,10 @@
         [("bb", true), ("gb", false), ("gbgb", true), ("gggggb", false), ("uuu", false), ("sss", false)]
     {
         let entries: Vec<Endpoint> = (0..4).map(|server| endpoint(server, 0)).collect();
-        let mut b = start_balancer(settings(Effect::NonIdempotent), &entries);
+        let mut balancer = start_balancer(settings(Effect::NonIdempotent), &entries);
         let mut outcomes = pattern.chars();
         while !outcomes.as_str().is_empty() {
-            let server = sent_server(&submit(&mut b, START, 0)).expect("sent");
+            let server = sent_server(&submit(&mut balancer, START, 0)).expect("sent");
             let outcome = match (server == 0).then(|| outcomes.next()).flatten() {
                 Some('b') => Error,
                 // Client errors and stale connections do not affect the server's health.
@@ -135,58 +142,59 @@
                 Some('s') => StaleConnection,
                 _ => Completed,
             };
-            end_execution(&mut b, START, 0, 0, execution_end(outcome, 100 * MS));
+            end_execution(&mut balancer, START, 0, 0, execution_end(outcome, 100 * MS));
         }
-        let counts = serve(&mut b, START + MS, 90, 4, steady);
+        let counts = serve(&mut balancer, START + MS, 90, 4, steady);
         assert_eq!(counts[0] == 0, is_ejected, "{pattern}: {counts:?}");
-        let counts = serve(&mut b, START + 1100 * MS, 90, 4, steady);
+        let counts = serve(&mut balancer, START + 1100 * MS, 90, 4, steady);
         assert!(counts[0] > 0, "{pattern}: {counts:?}");
     }
     // No more servers are ejected once half of them are.
-    let mut b = start_balancer(
+    let mut balancer = start_balancer(
         settings(Effect::NonIdempotent),
         &[endpoint(0, 0), endpoint(1, 0), endpoint(2, 0), endpoint(3, 0)],
     );
     for _ in 0..40 {
-        assert!(sent_server(&submit(&mut b, START, 0)).is_some());
-        end_execution(&mut b, START, 0, 0, execution_end(Error, 100 * MS));
+        assert!(sent_server(&submit(&mut balancer, START, 0)).is_some());
+        end_execution(&mut balancer, START, 0, 0, execution_end(Error, 100 * MS));
     }
 }
 
 #[test]
 fn reused_server_index_starts_without_history() {
-    let mut b =
+    let mut balancer =
         start_balancer(settings(Effect::NonIdempotent), &[0, 1, 2, 3].map(|server| endpoint(server, 0)));
     let mut failed = 0;
     while failed < 2 {
-        let server = sent_server(&submit(&mut b, START, 0)).expect("sent");
+        let server = sent_server(&submit(&mut balancer, START, 0)).expect("sent");
         failed += usize::from(server == 0);
         end_execution(
-            &mut b,
+            &mut balancer,
             START,
             0,
             0,
             execution_end(if server == 0 { Error } else { Completed }, 100 * MS),
         );
     }
-    assert_eq!(serve(&mut b, START + MS, 90, 4, steady)[0], 0);
+    assert_eq!(serve(&mut balancer, START + MS, 90, 4, steady)[0], 0);
     let now = START + 900 * MS;
-    b.endpoints_changed(now, &[Endpoint { state: EndpointState::Gone, ..endpoint(0, 0) }]);
-    b.endpoint_removed(0);
-    b.endpoint_removed(9);
-    b.endpoints_changed(now, &[endpoint(0, 0)]);
-    assert!(serve(&mut b, now, 90, 4, steady)[0] > 0);
+    balancer.endpoints_changed(now, &[Endpoint { state: EndpointState::Gone, ..endpoint(0, 0) }]);
+    balancer.endpoint_removed(0);
+    balancer.endpoint_removed(9);
+    balancer.endpoints_changed(now, &[endpoint(0, 0)]);
+    assert!(serve(&mut balancer, now, 90, 4, steady)[0] > 0);
 }
 
 #[test]
 fn slow_server_is_avoided() {
     let entries: Vec<Endpoint> = (0..6).map(|server| endpoint(server, 0)).collect();
     for (slow_ms, is_avoided) in [(250, false), (900, true)] {
-        let mut b = start_balancer(BalancerSettings { tier: 1, ..settings(Effect::Idempotent) }, &entries);
+        let mut balancer =
+            start_balancer(BalancerSettings { tier: 1, ..settings(Effect::Idempotent) }, &entries);
         let latency_of =
             |server: usize| (if server == 0 { slow_ms * MS } else { 100 * MS }, LoadReport::default());
-        serve(&mut b, START, 90, 6, latency_of);
-        let counts = serve(&mut b, START + 900 * MS, 60, 6, latency_of);
+        serve(&mut balancer, START, 90, 6, latency_of);
+        let counts = serve(&mut balancer, START + 900 * MS, 60, 6, latency_of);
         assert_eq!(counts[0] == 0, is_avoided, "{slow_ms}: {counts:?}");
     }
 }
@@ -198,10 +206,11 @@
     for (capacity, rate, min, max) in [(1.0, 10.0, 80, 125), (0.25, 10.0, 80, 125), (1.0, 2.0, 15, 60)] {
         let mut entries: Vec<Endpoint> = (0..4).map(|server| endpoint(server, 0)).collect();
         (entries[0].relative_capacity, entries[0].kind) = (capacity, 1);
-        let mut b = start_balancer(BalancerSettings { tier: 1, ..settings(Effect::Idempotent) }, &entries);
+        let mut balancer =
+            start_balancer(BalancerSettings { tier: 1, ..settings(Effect::Idempotent) }, &entries);
         let latency_of = |server: usize| (100 * MS, report(if server == 0 { rate } else { 10.0 }));
-        serve(&mut b, START, 100, 4, latency_of);
-        let counts = serve(&mut b, START + 1000 * MS, 400, 4, latency_of);
+        serve(&mut balancer, START, 100, 4, latency_of);
+        let counts = serve(&mut balancer, START + 1000 * MS, 400, 4, latency_of);
         assert!((min..max).contains(&counts[0]), "{capacity} {rate}: {counts:?}");
     }
 }
@@ -222,15 +231,15 @@
         // With one balancer per zone only the weights decide, with the crossing cost.
         (0.5, 2, 0.0, 0.35, 0.48),
     ] {
-        let mut b = start_balancer(
+        let mut balancer = start_balancer(
             BalancerSettings { cross_zone_cost, balancers, ..settings(Effect::Idempotent) },
             &entries,
         );
         let throughput = Some(rate).filter(|&rate| rate > 0.0);
         let latency_of = |_| (100 * MS, LoadReport { throughput, ..LoadReport::default() });
-        serve(&mut b, START, 450, 6, latency_of);
-        b.timer_fired(START + 5000 * MS, 0);
-        let counts = serve(&mut b, START + 5000 * MS, 1000, 6, latency_of);
+        serve(&mut balancer, START, 450, 6, latency_of);
+        balancer.timer_fired(START + 5000 * MS, 0);
+        let counts = serve(&mut balancer, START + 5000 * MS, 1000, 6, latency_of);
         let share = counts[3..].iter().sum::<usize>() as f64 / 1000.0;
         assert!((min..max).contains(&share), "{cross_zone_cost} {balancers} {rate}: {share}");
     }
@@ -240,13 +249,13 @@
 fn home_zone_without_some_servers_sends_queries_to_other_zones() {
     let entries: Vec<Endpoint> = (0..6).map(|server| endpoint(server, server / 3)).collect();
     for (lost_servers, min, max) in [(0, 0, 1), (1, 20, 140), (2, 130, 270), (3, 400, 401)] {
-        let mut b = start_balancer(
+        let mut balancer = start_balancer(
             BalancerSettings { cross_zone_cost: 0.5, balancers: 4, ..settings(Effect::Idempotent) },
             &entries,
         );
         let gone = |server: usize| Endpoint { state: EndpointState::Gone, ..endpoint(server, 0) };
-        b.endpoints_changed(START, &(0..lost_servers).map(gone).collect::<Vec<_>>());
-        let counts = serve(&mut b, START, 400, 6, steady);
+        balancer.endpoints_changed(START, &(0..lost_servers).map(gone).collect::<Vec<_>>());
+        let counts = serve(&mut balancer, START, 400, 6, steady);
         let crossed = counts[3..].iter().sum::<usize>();
         assert!((min..max).contains(&crossed), "{lost_servers}: {counts:?}");
     }
@@ -256,22 +265,23 @@
 #[test]
 fn home_zone_with_little_capacity_sends_queries_to_other_zones() {
     let entries: Vec<Endpoint> = (0..6).map(|server| endpoint(server, server / 3)).collect();
-    let mut b = start_balancer(
+    let mut balancer = start_balancer(
         BalancerSettings { cross_zone_cost: 0.5, balancers: 4, ..settings(Effect::Idempotent) },
         &entries,
     );
     // At a reported rate of 4/s, a server with one query in flight has no capacity left.
     let load_report = LoadReport { throughput: Some(4.0), ..LoadReport::default() };
-    serve(&mut b, START, 450, 6, |_| (100 * MS, load_report));
+    serve(&mut balancer, START, 450, 6, |_| (100 * MS, load_report));
     let mut crossed = 0;
     for trial in 0..100 {
         let now = START + (5000 + trial * 500) * MS;
-        let sent: Vec<usize> = (0..3).filter_map(|query| sent_server(&submit(&mut b, now, query))).collect();
+        let sent: Vec<usize> =
+            (0..3).filter_map(|query| sent_server(&submit(&mut balancer, now, query))).collect();
         assert_eq!(sent.len(), 3);
         crossed += sent.iter().filter(|&&server| server >= 3).count();
         (0..3).for_each(|query| {
             end_execution(
-                &mut b,
+                &mut balancer,
                 now + 100 * MS,
                 query,
                 0,
@@ -287,13 +297,13 @@
 fn home_zone_with_high_latency_sends_queries_to_other_zones() {
     let entries: Vec<Endpoint> = (0..6).map(|server| endpoint(server, server / 3)).collect();
     for (home_ms, min, max) in [(100, 0, 1), (140, 0, 1), (300, 300, 900)] {
-        let mut b = start_balancer(
+        let mut balancer = start_balancer(
             BalancerSettings { cross_zone_cost: 0.5, balancers: 4, ..settings(Effect::Idempotent) },
             &entries,
         );
-        serve(&mut b, START, 450, 6, steady);
+        serve(&mut balancer, START, 450, 6, steady);
         let latency_of = |server| (if server < 3 { home_ms * MS } else { 100 * MS }, LoadReport::default());
-        let counts = serve(&mut b, START + 5000 * MS, 1000, 6, latency_of);
+        let counts = serve(&mut balancer, START + 5000 * MS, 1000, 6, latency_of);
         let crossed = counts[3..].iter().sum::<usize>();
         assert!((min..max).contains(&crossed), "{home_ms}: {counts:?}");
     }
@@ -316,9 +326,9 @@
             tenant_quotas: quotas,
             ..settings(Effect::Idempotent)
         };
-        let mut b = start_balancer(rules, &entries);
-        serve(&mut b, START, 500, 6, steady);
-        let counts = serve(&mut b, START + 5000 * MS, 1000, 6, steady);
+        let mut balancer = start_balancer(rules, &entries);
+        serve(&mut balancer, START, 500, 6, steady);
+        let counts = serve(&mut balancer, START + 5000 * MS, 1000, 6, steady);
         let crossed = counts[3..].iter().sum::<usize>();
         assert!((min..max).contains(&crossed), "{counts:?}");
     }
@@ -329,19 +339,19 @@
     let entries: Vec<Endpoint> = (0..40).map(|server| endpoint(server, server % 2)).collect();
     // Whether probes are allowed, queries per second, and whether servers are probed.
     for (allow_probes, rate, expects_probes) in [(true, 2, true), (true, 50, false), (false, 2, false)] {
-        let mut b =
+        let mut balancer =
             start_balancer(BalancerSettings { allow_probes, ..settings(Effect::Idempotent) }, &entries);
         let probed = |calls: &[String]| -> Vec<usize> {
             calls.iter().filter_map(|line| line.strip_prefix("probe ")?.parse().ok()).collect()
         };
         for at in (0..5 * rate).map(|n| START + n * 1000 * MS / rate) {
-            for server in probed(&submit(&mut b, at, 0)) {
-                b.probe_ended(at, server, true, LoadReport::default());
+            for server in probed(&submit(&mut balancer, at, 0)) {
+                balancer.probe_ended(at, server, true, LoadReport::default());
             }
-            end_execution(&mut b, at, 0, 0, execution_end(Completed, 100 * MS));
+            end_execution(&mut balancer, at, 0, 0, execution_end(Completed, 100 * MS));
         }
         let now = START + 5000 * MS;
-        let calls = submit(&mut b, now, 1);
+        let calls = submit(&mut balancer, now, 1);
         let probed = probed(&calls);
         assert_eq!(
             (probed.len(), sent_server(&calls).is_some()),
@@ -354,14 +364,14 @@
         for (server, answered, sent) in
             [(probed[2], false, None), (probed[1], true, Some(probed[1])), (first, true, None)]
         {
-            b.probe_ended(now + MS, server, answered, LoadReport::default());
-            assert_eq!(sent_server(&std::mem::take(&mut b.host.calls)), sent);
+            balancer.probe_ended(now + MS, server, answered, LoadReport::default());
+            assert_eq!(sent_server(&std::mem::take(&mut balancer.host.calls)), sent);
         }
         // The query is sent even if no probe is answered.
-        submit(&mut b, now, 2);
-        let &(wait, label) = b.host.timers.last().expect("a query that waits has a timer");
-        b.timer_fired(now + wait, label);
-        assert!(wait <= 125 * MS && sent_server(&b.host.calls).is_some(), "{wait}");
+        submit(&mut balancer, now, 2);
+        let &(wait, label) = balancer.host.timers.last().expect("a query that waits has a timer");
+        balancer.timer_fired(now + wait, label);
+        assert!(wait <= 125 * MS && sent_server(&balancer.host.calls).is_some(), "{wait}");
     }
 }
 
@@ -371,13 +381,20 @@
     // servers.
     for (balancers, min, max) in [(1, 100, 112), (1000, 2, 8)] {
         let entries: Vec<Endpoint> = (0..100).map(|server| endpoint(server, 0)).collect();
-        let mut b = start_balancer(BalancerSettings { balancers, ..settings(Effect::Idempotent) }, &entries);
+        let mut balancer =
+            start_balancer(BalancerSettings { balancers, ..settings(Effect::Idempotent) }, &entries);
         for at in 0..20 {
-            submit(&mut b, START + at * 500 * MS, 0);
-            end_execution(&mut b, START + at * 500 * MS + 300 * MS, 0, 0, execution_end(Completed, 300 * MS));
+            submit(&mut balancer, START + at * 500 * MS, 0);
+            end_execution(
+                &mut balancer,
+                START + at * 500 * MS + 300 * MS,
+                0,
+                0,
+                execution_end(Completed, 300 * MS),
+            );
         }
         let sent = (1..150)
-            .filter(|&query| sent_server(&submit(&mut b, START + 10_000 * MS, query)).is_some())
+            .filter(|&query| sent_server(&submit(&mut balancer, START + 10_000 * MS, query)).is_some())
             .count();
         assert!((min..=max).contains(&sent), "{balancers}: {sent}");
     }
@@ -398,12 +415,12 @@
     ] {
         let entries: Vec<Endpoint> = (0..4).map(|server| endpoint(server, 0)).collect();
         let rules = BalancerSettings { tier, tenant_quotas: vec![quota], ..settings(Effect::Idempotent) };
-        let mut b = start_balancer(rules, &entries);
-        serve(&mut b, START, 500, 4, |_| {
+        let mut balancer = start_balancer(rules, &entries);
+        serve(&mut balancer, START, 500, 4, |_| {
             (100 * MS, LoadReport { throughput: rate, ..LoadReport::default() })
         });
         let sent = (1..501)
-            .filter(|&query| sent_server(&submit(&mut b, START + 5000 * MS, query)).is_some())
+            .filter(|&query| sent_server(&submit(&mut balancer, START + 5000 * MS, query)).is_some())
             .count();
         assert!((min..max).contains(&sent), "{tier} {quota} {rate:?}: {sent}");
     }
@@ -415,11 +432,11 @@
     // If the other server has no capacity either, all queries are sent: only an overloaded tier rejects.
     for (tier, other_rate, expected) in [(0, 900.0, 1..=2), (1, 900.0, 5..=15), (0, 20.0, 5..=15)] {
         let rules = BalancerSettings { tier, ..settings(Effect::Idempotent) };
-        let mut b = start_balancer(rules, &[endpoint(0, 0), endpoint(1, 0)]);
+        let mut balancer = start_balancer(rules, &[endpoint(0, 0), endpoint(1, 0)]);
         let report =
             |server| LoadReport { throughput: Some([20.0, other_rate][server]), ..LoadReport::default() };
-        serve(&mut b, START, 64, 2, |server| (100 * MS, report(server)));
-        let sent = (1..21).filter_map(|query| sent_server(&submit(&mut b, START + 640 * MS, query)));
+        serve(&mut balancer, START, 64, 2, |server| (100 * MS, report(server)));
+        let sent = (1..21).filter_map(|query| sent_server(&submit(&mut balancer, START + 640 * MS, query)));
         let sent: Vec<usize> = sent.collect();
         assert_eq!(sent.len(), 20, "{tier} {other_rate}");
         let to_first = sent.iter().filter(|&&server| server == 0).count();
@@ -448,23 +465,23 @@
 /// Submits a query and answers its probes with the loads of the servers; servers with `None` are silent.
 /// Returns the chosen server and the number of probes.
 fn submit_with_loads(
-    b: &mut Balancer<RecordingHost>,
+    balancer: &mut Balancer<RecordingHost>,
     now: u64,
     query: usize,
     loads: &[Option<f64>],
 ) -> (Option<usize>, usize) {
-    let calls = submit(b, now, query);
+    let calls = submit(balancer, now, query);
     let probed: Vec<usize> =
         calls.iter().filter_map(|line| line.strip_prefix("probe ")?.parse().ok()).collect();
     for &server in &probed {
         if let Some(load) = loads[server] {
-            b.probe_ended(now, server, true, load_report(load));
+            balancer.probe_ended(now, server, true, load_report(load));
         }
     }
-    b.timer_fired(now + 125 * MS, 2 + query as u32);
-    let sent = sent_server(&std::mem::take(&mut b.host.calls));
+    balancer.timer_fired(now + 125 * MS, 2 + query as u32);
+    let sent = sent_server(&std::mem::take(&mut balancer.host.calls));
     for &server in probed.iter().filter(|&&server| loads[server].is_none()) {
-        b.probe_ended(now + 250 * MS, server, false, LoadReport::default());
+        balancer.probe_ended(now + 250 * MS, server, false, LoadReport::default());
     }
     (sent.or(sent_server(&calls)), probed.len())
 }
@@ -475,12 +492,19 @@
         let mut entries: Vec<Endpoint> = (0..servers).map(|server| endpoint(server, 0)).collect();
         let subsets = |entries: &[Endpoint]| -> Vec<Vec<usize>> {
             let subset = |rank| {
-                let mut b = start_balancer(subset_settings(rank), entries);
+                let mut balancer = start_balancer(subset_settings(rank), entries);
                 let mut subset: Vec<usize> = Vec::new();
                 for n in 0..60 {
                     let now = START + n * 300 * MS;
-                    let sent = submit_with_loads(&mut b, now, 0, &vec![Some(0.0); servers]).0.expect("sent");
-                    end_execution(&mut b, now + 250 * MS, 0, 0, execution_end(Outcome::Completed, 100 * MS));
+                    let sent =
+                        submit_with_loads(&mut balancer, now, 0, &vec![Some(0.0); servers]).0.expect("sent");
+                    end_execution(
+                        &mut balancer,
+                        now + 250 * MS,
+                        0,
+                        0,
+                        execution_end(Outcome::Completed, 100 * MS),
+                    );
                     subset.push(sent);
                 }
                 subset.sort_unstable();
@@ -521,8 +545,8 @@
         ([None, None, None], None),
     ] {
         let entries: Vec<Endpoint> = (0..3).map(|server| endpoint(server, 0)).collect();
-        let mut b = start_balancer(subset_settings(0), &entries);
-        assert_eq!(submit_with_loads(&mut b, START, 0, &loads), (chosen, 3), "{loads:?}");
+        let mut balancer = start_balancer(subset_settings(0), &entries);
+        assert_eq!(submit_with_loads(&mut balancer, START, 0, &loads), (chosen, 3), "{loads:?}");
     }
 }
 
@@ -531,14 +555,16 @@
 fn subset_that_fails_at_once_is_replaced() {
     let entries: Vec<Endpoint> = (0..20).map(|server| endpoint(server, 0)).collect();
     for is_single in [false, true] {
-        let mut b =
+        let mut balancer =
             start_balancer(BalancerSettings { single_probe: is_single, ..subset_settings(0) }, &entries);
         let mut loads = vec![Some(0.0); 20];
         for n in 0..20 {
-            if let Some(server) = submit_with_loads(&mut b, START + n * 300 * MS, 0, &vec![Some(0.0); 20]).0 {
+            if let Some(server) =
+                submit_with_loads(&mut balancer, START + n * 300 * MS, 0, &vec![Some(0.0); 20]).0
+            {
                 loads[server] = None;
                 end_execution(
-                    &mut b,
+                    &mut balancer,
                     START + (n * 300 + 100) * MS,
                     0,
                     0,
@@ -547,8 +573,9 @@
             }
         }
         assert_eq!(loads.iter().filter(|load| load.is_none()).count(), 3);
-        let mut again = |n: u64| submit_with_loads(&mut b, START + (6000 + n * 400) * MS, 0, &loads).0;
-        let served = (0..30).filter(|&n| again(n).is_some()).count();
+        let mut is_served =
+            |n: u64| submit_with_loads(&mut balancer, START + (6000 + n * 400) * MS, 0, &loads).0;
+        let served = (0..30).filter(|&n| is_served(n).is_some()).count();
         assert!(served >= 15, "{is_single}: {served} of 30");
     }
 }
@@ -556,15 +583,16 @@
 #[test]
 fn expensive_probes_go_to_one_server() {
     let entries: Vec<Endpoint> = (0..3).map(|server| endpoint(server, 0)).collect();
-    let mut b = start_balancer(BalancerSettings { single_probe: true, ..subset_settings(0) }, &entries);
-    let (sent, probed) = submit_with_loads(&mut b, START, 0, &[Some(1.0); 3]);
+    let mut balancer =
+        start_balancer(BalancerSettings { single_probe: true, ..subset_settings(0) }, &entries);
+    let (sent, probed) = submit_with_loads(&mut balancer, START, 0, &[Some(1.0); 3]);
     assert!(sent.is_some() && probed == 1);
 }
 
 #[test]
 fn admitted_share_falls_during_overload_and_recovers() {
     let entries: Vec<Endpoint> = (0..3).map(|server| endpoint(server, 0)).collect();
-    let mut b = start_balancer(subset_settings(0), &entries);
+    let mut balancer = start_balancer(subset_settings(0), &entries);
     // Load of the servers in each phase, and bounds of the number of its 400 queries that are admitted.
     for (phase, (load, min, max)) in
         [(2.0, 400, 400), (40.0, 4, 120), (2.0, 180, 395), (2.0, 400, 400)].into_iter().enumerate()
@@ -572,10 +600,16 @@
         let mut admitted = 0;
         for n in 0..400 {
             let now = START + (phase as u64 * 400 + n) * 300 * MS;
-            let (sent, probed) = submit_with_loads(&mut b, now, 0, &[Some(load); 3]);
+            let (sent, probed) = submit_with_loads(&mut balancer, now, 0, &[Some(load); 3]);
             admitted += usize::from(probed > 0);
             if sent.is_some() {
-                end_execution(&mut b, now + 250 * MS, 0, 0, execution_end(Outcome::Completed, 100 * MS));
+                end_execution(
+                    &mut balancer,
+                    now + 250 * MS,
+                    0,
+                    0,
+                    execution_end(Outcome::Completed, 100 * MS),
+                );
             }
         }
         assert!((min..=max).contains(&admitted), "{phase}: {admitted}");
@@ -588,19 +622,24 @@
     // of 13.
     for (probe_latency_ms, load, is_sent) in [(0, 12.0, true), (100, 5.0, true), (100, 12.0, false)] {
         let entries: Vec<Endpoint> = (0..1).map(|server| endpoint(server, 0)).collect();
-        let mut b =
+        let mut balancer =
             start_balancer(BalancerSettings { clock_resolution_us: 0, ..subset_settings(0) }, &entries);
         let report =
             |load| LoadReport { queries_at_server: Some(load), throughput: Some(40.0), utilization: None };
         let mut sent = None;
         for n in 0..20 {
             let now = START + n * 400 * MS;
-            submit(&mut b, now, 0);
-            b.probe_ended(now + probe_latency_ms * MS, 0, true, report(if n < 19 { 0.0 } else { load }));
-            sent = sent_server(&std::mem::take(&mut b.host.calls));
+            submit(&mut balancer, now, 0);
+            balancer.probe_ended(
+                now + probe_latency_ms * MS,
+                0,
+                true,
+                report(if n < 19 { 0.0 } else { load }),
+            );
+            sent = sent_server(&std::mem::take(&mut balancer.host.calls));
             if n < 19 {
                 end_execution(
-                    &mut b,
+                    &mut balancer,
                     now + probe_latency_ms * MS + 50 * MS,
                     0,
                     0,
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -107,7 +107,7 @@
         }
         assert_eq!(sent, max, "{route} and {deployment}");
     }
-    // No execution starts after the route's timeout, although the client's deadline is later.
+    // No execution starts after the route's timeout, although the client's deadline is after_window.
     let mut balancer =
         start_with(settings(Effect::Idempotent), RoutePolicy { timeout_us: 100 * MS, ..policy() });
     submit_by_route(&mut balancer, START, 0);
@@ -158,13 +158,19 @@
     }
     assert!((30..=40).contains(&retries), "{retries} retries of 200 queries");
     // Retries outside of the window no longer count.
-    let later = START + 60_000 * MS;
+    let after_window = START + 60_000 * MS;
     for query in 0..5 {
-        submit_by_route(&mut balancer, later, query);
+        submit_by_route(&mut balancer, after_window, query);
     }
     assert!(
-        sent_server(&end_execution(&mut balancer, later + MS, 4, 0, execution_end(Outcome::Broken, MS)))
-            .is_some()
+        sent_server(&end_execution(
+            &mut balancer,
+            after_window + MS,
+            4,
+            0,
+            execution_end(Outcome::Broken, MS)
+        ))
+        .is_some()
     );
 }
 
