--- a/src/balancer/forward.rs
+++ b/src/balancer/forward.rs
@@ -17,8 +17,8 @@
         server.is_some_and(|server| self.execute(query, server))
     }
 
-    /// Sends an execution, after checking rules 2 to 4 and the state of the query. All executions are sent
-    /// here.
+    /// Sends an execution if the state of the query and rules 2 to 4 of the design (`docs/design.md`) allow
+    /// it. All executions are sent here.
     pub(super) fn execute(&mut self, query: usize, server: usize) -> bool {
         if !self.may_execute(query, server) {
             return false;
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -105,8 +105,8 @@
         delay.filter(|_| may_hedge).map(|delay| first.sent_at + delay)
     }
 
-    /// Rule 2: whether an execution on this server is safe after the query's other executions. `this` is the
-    /// execution itself if it exists already.
+    /// Rule 2 of the design: whether an execution on this server is safe after the query's other executions.
+    /// `this` is the execution itself if it exists already.
     pub(super) fn may_retry_on(&self, query: usize, server: usize, this: Option<usize>) -> bool {
         let (state, target) = (&self.queries[query], &self.servers[server]);
         let product = &self.settings.products[state.product];
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -20,9 +20,9 @@
         initial + (1.0 - initial) * age as f64 / self.settings.slow_start_duration_us as f64
     }
 
-    /// Rule 4: whether this balancer's share of the server's slow-start budget allows another execution. With
-    /// many balancers the share is less than one execution, so it is rounded randomly; the sum over all
-    /// balancers stays within the budget.
+    /// Rule 4 of the design: whether this balancer's share of the server's slow-start budget allows another
+    /// execution. With many balancers the share is less than one execution, so it is rounded randomly; the
+    /// sum over all balancers stays within the budget.
     pub(super) fn has_slow_start_budget(&self, server: usize) -> bool {
         let warm_fraction = self.warm_fraction(server);
         if warm_fraction >= 1.0 {
