--- a/balancer/operator-file/src/draw.rs
+++ b/balancer/operator-file/src/draw.rs
@@ -1,38 +1,38 @@
-//! Faults shown at their lines of the file, as a compiler shows errors.
+//! Renders errors at their lines of the file, as a compiler does.
 
 use annotate_snippets::{AnnotationKind, Group, Level, Renderer, Snippet};
 use whinspindle_toml_config::ConfigError;
 
-/// Of longer lines (in bytes) only the position is shown.
-const MAX_DRAWN_LINE: usize = 500;
+/// The longest line, in bytes, that is shown. Of a longer one only the position is shown.
+const MAX_SHOWN_LINE_BYTES: usize = 500;
 
-/// The faults of a text as messages for a terminal; `file` is the name that they show.
-pub fn render_faults(file: &str, text: &str, faults: &[ConfigError]) -> String {
+/// Renders the errors of a text as messages for a terminal. `file` is the name of the file that they show.
+pub fn render_faults(file: &str, text: &str, errors: &[ConfigError]) -> String {
     let renderer = Renderer::plain();
-    let mut drawn = String::new();
-    for fault in faults {
-        let line = text.lines().nth(fault.line - 1).unwrap_or_default();
-        let title = match fault.field.as_str() {
-            "" => fault.message.clone(),
-            field => format!("{field}: {}", fault.message),
+    let mut rendered = String::new();
+    for error in errors {
+        let line = text.lines().nth(error.line - 1).unwrap_or_default();
+        let title = match error.field.as_str() {
+            "" => error.message.clone(),
+            field => format!("{field}: {}", error.message),
         };
-        if line.len() > MAX_DRAWN_LINE || fault.span.end > text.len() {
-            drawn.push_str(&format!("error: {title}\n --> {file}:{}:{}\n", fault.line, fault.column));
-            if !fault.hint.is_empty() {
-                drawn.push_str(&format!("  = help: {}\n", fault.hint));
+        if line.len() > MAX_SHOWN_LINE_BYTES || error.span.end > text.len() {
+            rendered.push_str(&format!("error: {title}\n --> {file}:{}:{}\n", error.line, error.column));
+            if !error.hint.is_empty() {
+                rendered.push_str(&format!("  = help: {}\n", error.hint));
             }
             continue;
         }
-        // A fault of a whole table is shown at its first line.
-        let end = text[fault.span.start..].find('\n').map_or(text.len(), |at| fault.span.start + at);
-        let span = fault.span.start..fault.span.end.min(end).max(fault.span.start);
+        // An error of a whole table is shown at the table's first line.
+        let end = text[error.span.start..].find('\n').map_or(text.len(), |offset| error.span.start + offset);
+        let span = error.span.start..error.span.end.min(end).max(error.span.start);
         let snippet = Snippet::source(text).path(file).annotation(AnnotationKind::Primary.span(span));
         let mut group = Group::with_title(Level::ERROR.primary_title(title)).element(snippet);
-        if !fault.hint.is_empty() {
-            group = group.element(Level::HELP.message(fault.hint.clone()));
+        if !error.hint.is_empty() {
+            group = group.element(Level::HELP.message(error.hint.clone()));
         }
-        drawn.push_str(&renderer.render(&[group]));
-        drawn.push('\n');
+        rendered.push_str(&renderer.render(&[group]));
+        rendered.push('\n');
     }
-    drawn
+    rendered
 }
--- a/balancer/operator-file/src/fleet.rs
+++ b/balancer/operator-file/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The table `[fleet]` of the operator's file: who votes, how long a lease lasts, where state is kept, and how the
-//! process is addressed. Without the table there is no fleet.
+//! The table `[fleet]` of the operator's file: the voters, the times of the lease protocol, the folder of the
+//! durable state, and the socket for operators. A process without the table belongs to no fleet.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -7,21 +7,22 @@
 use whinspindle_deployment_settings::Deployment;
 use whinspindle_toml_config::Table;
 
-/// Three voters outlive the failure of one, seven that of three; more don't pay.
-const VOTERS: RangeInclusive<usize> = 1..=7;
-/// In microseconds.
-const SECOND: u64 = 1_000_000;
-/// The datagrams of the platform's protocol, in bytes.
-const DEFAULT_DATAGRAM: u64 = 256;
-/// The largest datagrams that an installation may allow, in bytes.
-const MAX_DATAGRAM: u64 = 1400;
-/// The most requests a second that a voter answers: the pace grows with the fleet.
-const ANSWERS_PER_SECOND: u64 = 200;
+/// The number of voters. Three tolerate the failure of one, seven that of three; more are of no use.
+const VOTER_COUNT: RangeInclusive<usize> = 1..=7;
+/// A second in microseconds.
+const SECOND_US: u64 = 1_000_000;
+/// The largest datagram of the platform's protocol, in bytes.
+const DEFAULT_DATAGRAM_BYTES: u64 = 256;
+/// The largest datagram that an installation may allow, in bytes.
+const MAX_DATAGRAM_BYTES: u64 = 1400;
+/// The most lease requests a second that a voter answers. The renewal interval grows with the fleet
+/// accordingly.
+const RENEWALS_PER_SECOND: u64 = 200;
 
 /// The table `[fleet]`. Times are microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// The fleet's name: members of other fleets are ignored.
+    /// The fleet's name. Members of other fleets are ignored.
     pub name: String,
     /// The members' shared secret.
     pub secret: String,
@@ -31,17 +32,17 @@
     pub store: PathBuf,
     /// The members that vote from the bootstrap on.
     pub voters: Vec<u16>,
-    /// How many members the fleet has.
+    /// The number of members in the fleet.
     pub member_count: u16,
     /// The number of this member, from 0.
     pub member: u16,
-    /// How long a lease lasts.
+    /// The duration of a lease.
     pub lease_us: u64,
     /// The largest deviation of a clock's rate, in millionths.
     pub clock_drift_ppm: u64,
-    /// Time between two requests for the lease.
+    /// The time between two requests to renew the lease.
     pub renewal_interval_us: u64,
-    /// A member from which nothing was received for so long is taken to be away.
+    /// A member counts as absent once nothing was received from it for this time.
     pub absence_timeout_us: u64,
     /// A change that isn't proved everywhere within this time is given up.
     pub change_timeout_us: u64,
@@ -49,103 +50,113 @@
     pub startup_timeout_us: u64,
     /// The largest datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// Whether neighbours are asked for their endpoint list until discovery has sent one.
+    /// Whether neighbours are asked for their endpoint lists until discovery has sent one.
     pub asks_neighbours: bool,
-    /// Whether few requests are taken at a time when the process starts.
+    /// Whether the process admits few requests at a time when it starts.
     pub slow_start: bool,
 }
 
-/// Reads the table; none if there is none.
-pub fn fleet(table: &Table, deployment: &Deployment) -> Option<FleetSettings> {
-    let t = table.table("fleet")?;
-    let members = deployment.balancer_settings.balancers.min(u16::MAX as usize) as u16;
-    let me = deployment.balancer_settings.rank.min(u16::MAX as usize) as u16;
-    if me >= members {
-        let way_out = "settings whose rank is below their number of balancers";
-        t.report_error(&t.location(), format!("this balancer is number {me} of {members}"), way_out);
+/// Parses the table, if the file has one.
+pub fn fleet(root: &Table, deployment: &Deployment) -> Option<FleetSettings> {
+    let table = root.table("fleet")?;
+    let member_count = deployment.balancer_settings.balancers.min(u16::MAX as usize) as u16;
+    let member = deployment.balancer_settings.rank.min(u16::MAX as usize) as u16;
+    if member >= member_count {
+        let hint = "settings whose rank is below their number of balancers";
+        table.report_error(
+            &table.location(),
+            format!("this balancer is number {member} of {member_count}"),
+            hint,
+        );
     }
-    let voters = voters(&t, members);
-    let Times { right, pace, absent } = times(&t, members);
-    let datagram = datagram(&t);
+    let voters = voters(&table, member_count);
+    let LeaseTimes { lease_us, renewal_interval_us, absence_timeout_us } = lease_times(&table, member_count);
+    let max_datagram_bytes = max_datagram_bytes(&table);
     Some(FleetSettings {
-        name: t.string("name", None),
-        secret: t.string("secret", Some("")),
-        socket: PathBuf::from(t.string("socket", None)),
-        store: PathBuf::from(t.string("store", None)),
+        name: table.string("name", None),
+        secret: table.string("secret", Some("")),
+        socket: PathBuf::from(table.string("socket", None)),
+        store: PathBuf::from(table.string("store", None)),
         voters,
-        member_count: members,
-        member: me,
-        lease_us: right,
-        clock_drift_ppm: (t.float("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
-        renewal_interval_us: pace.max(1),
-        absence_timeout_us: absent,
-        change_timeout_us: t.duration_us("give-up", Some(60 * SECOND)),
-        startup_timeout_us: t.duration_us("learn", Some(2 * SECOND)),
-        max_datagram_bytes: datagram,
-        asks_neighbours: t.boolean("neighbours", true),
-        slow_start: t.boolean("begin-slowly", true),
+        member_count,
+        member,
+        lease_us,
+        clock_drift_ppm: (table.float("drift", (0.0, 0.2), Some(0.01)) * 1e6) as u64,
+        renewal_interval_us: renewal_interval_us.max(1),
+        absence_timeout_us,
+        change_timeout_us: table.duration_us("give-up", Some(60 * SECOND_US)),
+        startup_timeout_us: table.duration_us("learn", Some(2 * SECOND_US)),
+        max_datagram_bytes,
+        asks_neighbours: table.boolean("neighbours", true),
+        slow_start: table.boolean("begin-slowly", true),
     })
 }
 
 /// The numbers of the voters, in order.
-fn voters(t: &Table, members: u16) -> Vec<u16> {
-    let numbers = t.integers("voters", (0, u64::from(members.saturating_sub(1))));
+fn voters(table: &Table, member_count: u16) -> Vec<u16> {
+    let numbers = table.integers("voters", (0, u64::from(member_count.saturating_sub(1))));
     let mut voters: Vec<u16> = numbers.into_iter().map(|voter| voter as u16).collect();
     voters.sort_unstable();
-    let given = voters.len();
+    let given_count = voters.len();
     voters.dedup();
-    let place = t.location_of("voters");
-    if given != voters.len() {
-        t.report_error(&place, "names a balancer twice", "each once");
+    let location = table.location_of("voters");
+    if given_count != voters.len() {
+        table.report_error(&location, "names a balancer twice", "each once");
     }
-    if !VOTERS.contains(&given) {
-        let way_out = "three, or five: of three one may be away, of five two";
-        t.report_error(&place, format!("{given} voters"), way_out);
-    } else if given.is_multiple_of(2) {
-        let fault = format!("{given} voters outlive no more than {} do", given - 1);
-        t.report_error(&place, fault, "an odd number");
+    if !VOTER_COUNT.contains(&given_count) {
+        let hint = "three, which tolerate the failure of one, or five, which tolerate two";
+        table.report_error(&location, format!("{given_count} voters"), hint);
+    } else if given_count.is_multiple_of(2) {
+        let message = format!("{given_count} voters tolerate no more failures than {} do", given_count - 1);
+        table.report_error(&location, message, "an odd number");
     }
     voters
 }
 
 /// The times of the lease protocol: see `FleetSettings`.
-struct Times {
-    right: u64,
-    pace: u64,
-    absent: u64,
+struct LeaseTimes {
+    lease_us: u64,
+    renewal_interval_us: u64,
+    absence_timeout_us: u64,
 }
 
-fn times(t: &Table, members: u16) -> Times {
-    let right = t.duration_us("right", Some(10 * SECOND));
-    let shortest_pace = u64::from(members) * SECOND / ANSWERS_PER_SECOND;
-    let pace = t.duration_us("pace", Some((right / 5).max(shortest_pace)));
-    if pace == 0 || pace > right / 3 {
-        let fault = format!("a right of {} ms is asked for every {} ms", right / 1000, pace / 1000);
-        t.report_error(&t.location_of("right"), fault, "three questions in the time of a right at the least");
+fn lease_times(table: &Table, member_count: u16) -> LeaseTimes {
+    let lease_us = table.duration_us("right", Some(10 * SECOND_US));
+    let shortest_interval_us = u64::from(member_count) * SECOND_US / RENEWALS_PER_SECOND;
+    let renewal_interval_us = table.duration_us("pace", Some((lease_us / 5).max(shortest_interval_us)));
+    if renewal_interval_us == 0 || renewal_interval_us > lease_us / 3 {
+        let message =
+            format!("a lease of {} ms is renewed every {} ms", lease_us / 1000, renewal_interval_us / 1000);
+        table.report_error(
+            &table.location_of("right"),
+            message,
+            "at least three renewals in the time of a lease",
+        );
     }
-    if pace < shortest_pace / 2 {
-        let most = 2 * ANSWERS_PER_SECOND;
-        let fault = format!("{members} balancers would ask a voter over {most} times a second");
-        t.report_error(&t.location_of("pace"), fault, "leave it out, or a longer one");
+    if renewal_interval_us < shortest_interval_us / 2 {
+        let max_renewals = 2 * RENEWALS_PER_SECOND;
+        let message =
+            format!("{member_count} balancers would ask a voter over {max_renewals} times a second");
+        table.report_error(&table.location_of("pace"), message, "leave it out, or a longer one");
     }
-    let absent = t.duration_us("absent", Some(right));
-    if absent < 2 * pace {
-        let way_out = "twice the pace at the least";
-        t.report_error(
-            &t.location_of("absent"),
-            "one question lost would make a balancer pass for away",
-            way_out,
+    let absence_timeout_us = table.duration_us("absent", Some(lease_us));
+    if absence_timeout_us < 2 * renewal_interval_us {
+        let hint = "at least twice the pace";
+        table.report_error(
+            &table.location_of("absent"),
+            "one lost request would make a balancer count as absent",
+            hint,
         );
     }
-    Times { right, pace, absent }
+    LeaseTimes { lease_us, renewal_interval_us, absence_timeout_us }
 }
 
 /// The largest datagram, in bytes.
-fn datagram(t: &Table) -> usize {
-    let datagram = t.size_bytes("datagram", Some(DEFAULT_DATAGRAM));
-    if !(DEFAULT_DATAGRAM..=MAX_DATAGRAM).contains(&datagram) {
-        let way_out = format!("from {DEFAULT_DATAGRAM} to {MAX_DATAGRAM} bytes");
-        t.report_error(&t.location_of("datagram"), format!("{datagram} bytes"), way_out);
+fn max_datagram_bytes(table: &Table) -> usize {
+    let bytes = table.size_bytes("datagram", Some(DEFAULT_DATAGRAM_BYTES));
+    if !(DEFAULT_DATAGRAM_BYTES..=MAX_DATAGRAM_BYTES).contains(&bytes) {
+        let hint = format!("from {DEFAULT_DATAGRAM_BYTES} to {MAX_DATAGRAM_BYTES} bytes");
+        table.report_error(&table.location_of("datagram"), format!("{bytes} bytes"), hint);
     }
-    datagram as usize
+    bytes as usize
 }
--- a/balancer/operator-file/src/read.rs
+++ b/balancer/operator-file/src/read.rs
@@ -1,5 +1,5 @@
-//! The reader of the file's tables, with the checks of their values against each other and the deployment; routes
-//! are read in `route`.
+//! The parser of the file's tables, which checks their values against each other and against the deployment.
+//! Routes are parsed in the module `route`.
 
 use std::path::PathBuf;
 
@@ -12,100 +12,101 @@
 
 mod route;
 
-/// In microseconds.
-const SECOND: u64 = 1_000_000;
+/// A second in microseconds.
+const SECOND_US: u64 = 1_000_000;
 
-/// Reads the file: a balancer's own if `own` is set, which may name its fleet; else the policy of a fleet.
-pub fn operator(table: &Table, deployment: &Deployment, own: bool) -> OperatorConfig {
-    let fleet = own.then(|| crate::fleet::fleet(table, deployment)).flatten();
+/// Parses a balancer's own file, which may name its fleet, if `is_own_file` is set, and else the policy of a
+/// fleet.
+pub fn operator_config(table: &Table, deployment: &Deployment, is_own_file: bool) -> OperatorConfig {
+    let fleet = is_own_file.then(|| crate::fleet::fleet(table, deployment)).flatten();
     if table.is_empty() {
-        let way_out = "a table at the least, [cut-off] for one; a file that is only being written looks like this, so \
-                       write it beside and rename it";
-        table.report_error(&table.location(), "the file is empty", way_out);
+        let hint = "at least a table, for example [cut-off]; a file that is still being written looks like this, \
+                    so write it under another name and rename it";
+        table.report_error(&table.location(), "the file is empty", hint);
     }
     let routes = route::routes(table, "route", deployment);
     if fleet.is_some() && table.contains_key("route") {
-        let way_out = "a file of their own for them: whinspindle fleet propose FILE";
-        table.report_error(&table.location_of("route"), "routes are agreed on by the fleet", way_out);
+        let hint = "a file of their own for them: whinspindle fleet propose FILE";
+        table.report_error(&table.location_of("route"), "routes are agreed on by the fleet", hint);
     }
-    let cut_off = match table.table("cut-off") {
+    let partition_policy = match table.table("cut-off") {
         None => PartitionPolicy::Routes(RouteTable::new(Vec::new())),
-        Some(t) => {
-            let rejects = t.one_of("queries", &[("reject", true), ("take", false)], Some(false));
-            if rejects && t.contains_key("route") {
-                t.report_error(
-                    &t.location_of("route"),
-                    "no query comes to a route here",
+        Some(cut_off) => {
+            let rejects = cut_off.one_of("queries", &[("reject", true), ("take", false)], Some(false));
+            if rejects && cut_off.contains_key("route") {
+                cut_off.report_error(
+                    &cut_off.location_of("route"),
+                    "no request takes a route here, since all are rejected",
                     "queries = \"take\"",
                 );
             }
-            let routes = route::routes(&t, "route", deployment);
+            let routes = route::routes(&cut_off, "route", deployment);
             if rejects { PartitionPolicy::Reject } else { PartitionPolicy::Routes(routes) }
         }
     };
-    let limits = table.table("limits").and_then(|t| t.table("out")).map(|t| limits(&t, deployment, own));
-    let keep = own.then(|| table.table("keep")).flatten().map(|t| keep(&t));
-    OperatorConfig {
-        routes,
-        partition_policy: cut_off,
-        limits: limits.unwrap_or_default(),
-        fleet,
-        endpoint_cache: keep,
-    }
+    let limits = table
+        .table("limits")
+        .and_then(|limits| limits.table("out"))
+        .map(|limits_table| limits(&limits_table, deployment, is_own_file));
+    let endpoint_cache = is_own_file.then(|| table.table("keep")).flatten().map(|keep| endpoint_cache(&keep));
+    OperatorConfig { routes, partition_policy, limits: limits.unwrap_or_default(), fleet, endpoint_cache }
 }
 
-fn keep(t: &Table) -> EndpointCacheSettings {
-    let (fresh, old) = (t.duration_us("fresh", Some(10 * SECOND)), t.duration_us("old", Some(3600 * SECOND)));
-    if fresh >= old {
-        t.report_error(
-            &t.location_of("fresh"),
-            "a list would be old before it is fresh no more",
+fn endpoint_cache(table: &Table) -> EndpointCacheSettings {
+    let (fresh_us, old_us) =
+        (table.duration_us("fresh", Some(10 * SECOND_US)), table.duration_us("old", Some(3600 * SECOND_US)));
+    if fresh_us >= old_us {
+        table.report_error(
+            &table.location_of("fresh"),
+            "a list would be fresh and old at the same age",
             "less than old",
         );
     }
-    EndpointCacheSettings { folder: PathBuf::from(t.string("folder", None)), fresh_us: fresh, old_us: old }
+    EndpointCacheSettings { folder: PathBuf::from(table.string("folder", None)), fresh_us, old_us }
 }
 
-/// How many units may be out of service at once. Limits that allow none or all, or contradict one another, are
-/// faults.
-fn limits(t: &Table, deployment: &Deployment, own: bool) -> Limits {
-    if own {
-        t.report_error(
-            &t.location(),
+/// The limits on units that are out of service at once. Limits that allow no or all units, or that contradict
+/// one another, are errors.
+fn limits(table: &Table, deployment: &Deployment, is_own_file: bool) -> Limits {
+    if is_own_file {
+        table.report_error(
+            &table.location(),
             "limits are agreed on by the fleet",
             "in a policy: whinspindle fleet propose FILE",
         );
     }
-    let most = |key: &str| t.contains_key(key).then(|| t.integer(key, (1, 100_000), None) as usize);
+    let limit = |key: &str| table.contains_key(key).then(|| table.integer(key, (1, 100_000), None) as usize);
     let limits = Limits {
-        balancers: most("balancers"),
-        servers: most("servers"),
-        servers_per_zone: most("servers-by-zone"),
-        servers_per_pod: most("servers-by-pod"),
-        servers_fraction: t.contains_key("servers-part").then(|| t.float("servers-part", (0.001, 0.9), None)),
+        balancers: limit("balancers"),
+        servers: limit("servers"),
+        servers_per_zone: limit("servers-by-zone"),
+        servers_per_pod: limit("servers-by-pod"),
+        servers_fraction: table
+            .contains_key("servers-part")
+            .then(|| table.float("servers-part", (0.001, 0.9), None)),
     };
-    let all = deployment.balancer_settings.balancers;
-    if limits.balancers.is_some_and(|most| most >= all) {
-        let way_out = format!("{} at the most", all.saturating_sub(1));
-        t.report_error(
-            &t.location_of("balancers"),
-            format!("all {all} balancers could be out at once"),
-            way_out,
+    let balancer_count = deployment.balancer_settings.balancers;
+    if limits.balancers.is_some_and(|limit| limit >= balancer_count) {
+        let hint = format!("at most {}", balancer_count.saturating_sub(1));
+        table.report_error(
+            &table.location_of("balancers"),
+            format!("all {balancer_count} balancers could be out of service at once"),
+            hint,
         );
     }
-    for (key, inner) in
+    for (key, inner_limit) in
         [("servers-by-zone", limits.servers_per_zone), ("servers-by-pod", limits.servers_per_pod)]
     {
-        if let (Some(inner), Some(most)) = (inner, limits.servers)
-            && inner > most
+        if let (Some(inner_limit), Some(limit)) = (inner_limit, limits.servers)
+            && inner_limit > limit
         {
-            let fault = format!("{inner} of one while {most} in all may be out");
-            t.report_error(&t.location_of(key), fault, "no more than servers");
+            let message = format!("{inner_limit} of one while {limit} in all may be out of service");
+            table.report_error(&table.location_of(key), message, "no more than servers");
         }
-        if inner.is_some() && limits.servers.is_none() && limits.servers_fraction.is_none() {
-            t.report_error(
-                &t.location_of(key),
-                "nothing says how many in all may be out",
+        if inner_limit.is_some() && limits.servers.is_none() && limits.servers_fraction.is_none() {
+            table.report_error(
+                &table.location_of(key),
+                "nothing says how many in all may be out of service",
                 "servers, or servers-part",
             );
         }
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -1,4 +1,4 @@
-//! The reader of routes: their values, the defaults of what is not set, and the proof of each route against the
+//! The parser of routes: their values, the defaults of unset values, and the proof of each route against the
 //! rules.
 
 use whinspindle::host::Effect;
@@ -13,142 +13,143 @@
 
 use crate::{MAX_BODY_BYTES, deployment_limits};
 
-/// The most routes of a table: a person maintains the file.
+/// The most routes of a table, which are more than a person can maintain.
 const MAX_ROUTES: usize = 10_000;
 
-/// The places of a route's values in the file, for the faults that the proof finds.
-struct RoutePlaces {
+/// The locations of a route's values in the file, for errors that the proof finds.
+struct RouteLocations {
     route: Location,
     fields: Vec<(Field, Location)>,
 }
 
-impl RoutePlaces {
+impl RouteLocations {
     fn of(&self, field: Field) -> &Location {
-        self.fields.iter().find(|(known, _)| *known == field).map_or(&self.route, |(_, place)| place)
+        self.fields.iter().find(|(known, _)| *known == field).map_or(&self.route, |(_, location)| location)
     }
 }
 
-/// The routes of a table; routes with the same name, or that tie, are faults.
+/// Parses the routes of a table. Routes with the same name, or that tie, are errors.
 pub fn routes(table: &Table, key: &str, deployment: &Deployment) -> RouteTable {
     let tables = table.tables(key);
     if tables.len() > MAX_ROUTES {
-        let fault = format!("there are {} routes", tables.len());
-        table.report_error(&table.location_of(key), fault, format!("at most {MAX_ROUTES}"));
+        let message = format!("there are {} routes", tables.len());
+        table.report_error(&table.location_of(key), message, format!("at most {MAX_ROUTES}"));
     }
     let mut routes = Vec::new();
-    let mut places = Vec::new();
-    for t in &tables {
-        let (route, place) = route(t, deployment);
-        if let Some(before) = routes.iter().position(|known: &Route| known.name == route.name) {
-            let place = t.location_of("name");
-            t.report_error(
-                &place,
-                format!("{:?} is there twice", route.name),
-                format!("a name of its own, not route {before}'s"),
+    let mut locations = Vec::new();
+    for route_table in &tables {
+        let (route, route_locations) = route(route_table, deployment);
+        if let Some(earlier) = routes.iter().position(|known: &Route| known.name == route.name) {
+            let location = route_table.location_of("name");
+            route_table.report_error(
+                &location,
+                format!("the name {:?} is used twice", route.name),
+                format!("a name of its own, not that of route {earlier}"),
             );
         }
         routes.push(route);
-        places.push(place);
+        locations.push(route_locations);
     }
     let routes = RouteTable::new(routes);
     for tie in routes.ties() {
         let other = &routes.routes()[tie.first].name;
-        let fault = format!("matches the same queries as {other:?}, and neither is more particular");
-        let way_out = "another path, or a method, product or tenant in one of them";
-        table.report_error(&places[tie.second].route, fault, way_out);
+        let message = format!("matches the same requests as {other:?}, and neither is more specific");
+        let hint = "another path, or a method, product or tenant in one of them";
+        table.report_error(&locations[tie.second].route, message, hint);
     }
     routes
 }
 
-fn named(t: &Table, key: &str, names: &[String]) -> Option<usize> {
-    if !t.contains_key(key) {
+/// The index of the value of a key among the names of the settings.
+fn index_of_named(table: &Table, key: &str, names: &[String]) -> Option<usize> {
+    if !table.contains_key(key) {
         return None;
     }
-    let name = t.string(key, None);
-    let found = index_of(names, &name);
-    if found.is_none() && !name.is_empty() {
-        let way_out = format!("known to the settings: {}", names.join(", "));
-        t.report_error(&t.location_of(key), format!("the settings know no {name:?}"), way_out);
+    let name = table.string(key, None);
+    let index = index_of(names, &name);
+    if index.is_none() && !name.is_empty() {
+        let hint = format!("known to the settings: {}", names.join(", "));
+        table.report_error(&table.location_of(key), format!("the settings have no {name:?}"), hint);
     }
-    found
+    index
 }
 
-fn route(t: &Table, deployment: &Deployment) -> (Route, RoutePlaces) {
-    let text = t.string("path", Some("/*"));
-    let path = Pattern::parse(&text).unwrap_or_else(|fault| {
-        let way_out = "as in \"/orders\", \"/orders/{id}/items\" or \"/orders/*\"";
-        t.report_error(&t.location_of("path"), fault.to_string(), way_out);
+fn route(table: &Table, deployment: &Deployment) -> (Route, RouteLocations) {
+    let text = table.string("path", Some("/*"));
+    let path = Pattern::parse(&text).unwrap_or_else(|error| {
+        let hint = "as in \"/orders\", \"/orders/{id}/items\" or \"/orders/*\"";
+        table.report_error(&table.location_of("path"), error.to_string(), hint);
         Pattern { segments: Vec::new(), is_prefix: true }
     });
     let methods = [("GET", "GET"), ("POST", "POST")];
-    let method = t.contains_key("method").then(|| t.one_of("method", &methods, None).to_string());
-    let product = named(t, "product", &deployment.products);
-    let tenant = named(t, "tenant", &deployment.tenants);
+    let method = table.contains_key("method").then(|| table.one_of("method", &methods, None).to_string());
+    let product = index_of_named(table, "product", &deployment.products);
+    let tenant = index_of_named(table, "tenant", &deployment.tenants);
     let effect = product.map(|product| deployment.balancer_settings.products[product].effect);
     if method.as_deref() == Some("GET") && effect.is_some_and(|effect| effect != Effect::Idempotent) {
-        let fault = "no query can reach it: GET is only for products that are safe to repeat";
-        t.report_error(&t.location_of("method"), fault, "method = \"POST\", or another product");
+        let message = "no request can match: GET is only for products that are safe to repeat";
+        table.report_error(&table.location_of("method"), message, "method = \"POST\", or another product");
     }
     let matches = RouteMatch { method, path, product, tenant };
-    let (shared, given) = conditions(t, deployment);
-    let place_of = |key: &str| t.location_of(key);
-    let places = RoutePlaces {
-        route: t.location(),
+    let (shared, given) = conditions(table, deployment);
+    let location_of = |key: &str| table.location_of(key);
+    let locations = RouteLocations {
+        route: table.location(),
         fields: vec![
-            (Field::Timeout, place_of("time")),
-            (Field::ExecutionTimeout, place_of("execution-time")),
-            (Field::MaxExecutions, place_of("executions")),
-            (Field::RetryOn, place_of("repeat-after")),
-            (Field::RetryDelay, place_of("wait")),
-            (Field::Hedge, place_of("second-copy")),
-            (Field::RetryBudget, place_of("budget")),
-            (Field::MaxBody, place_of("largest-body")),
-            (Field::Servers, place_of("servers")),
+            (Field::Timeout, location_of("time")),
+            (Field::ExecutionTimeout, location_of("execution-time")),
+            (Field::MaxExecutions, location_of("executions")),
+            (Field::RetryOn, location_of("repeat-after")),
+            (Field::RetryDelay, location_of("wait")),
+            (Field::Hedge, location_of("second-copy")),
+            (Field::RetryBudget, location_of("budget")),
+            (Field::MaxBody, location_of("largest-body")),
+            (Field::Servers, location_of("servers")),
         ],
     };
-    let bounds = deployment_limits(deployment);
-    let mut rows = Vec::new();
+    let limits = deployment_limits(deployment);
+    let mut conditions_by_product = Vec::new();
     let mut reported: Vec<(Field, String)> = Vec::new();
-    for (number, product) in deployment.balancer_settings.products.iter().enumerate() {
-        let statement_timeout = deployment.statement_timeouts_us[number];
-        let row = ProductSettings {
+    for (index, product) in deployment.balancer_settings.products.iter().enumerate() {
+        let statement_timeout_us = deployment.statement_timeouts_us[index];
+        let settings = ProductSettings {
             effect: product.effect,
             deduplication_us: product.dedup_window_us,
-            statement_timeout_us: statement_timeout,
+            statement_timeout_us,
         };
-        let conditions = given.fill(&shared, &row, deployment);
-        let meant = matches.product.is_none_or(|only| only == number)
+        let conditions = given.fill(&shared, &settings, deployment);
+        let is_reachable = matches.product.is_none_or(|only| only == index)
             && (matches.method.as_deref() != Some("GET") || product.effect == Effect::Idempotent);
-        if meant {
-            for refusal in proof::prove(&conditions, &row, &bounds) {
+        if is_reachable {
+            for refusal in proof::prove(&conditions, &settings, &limits) {
                 let rule = match refusal.check.rule() {
                     0 => String::new(),
                     rule => format!("rule {rule}: "),
                 };
-                let of = &deployment.products[number];
-                let fault = format!("{rule}{} (product {of:?})", refusal.fault);
-                // A fault that all products have is reported once.
+                let product_name = &deployment.products[index];
+                let message = format!("{rule}{} (product {product_name:?})", refusal.fault);
+                // An error that several products have is reported once.
                 if !reported.contains(&(refusal.field, refusal.fault.clone())) {
-                    t.report_error(places.of(refusal.field), fault, refusal.suggestion.clone());
+                    table.report_error(locations.of(refusal.field), message, refusal.suggestion.clone());
                     reported.push((refusal.field, refusal.fault));
                 }
             }
         }
-        rows.push(conditions);
+        conditions_by_product.push(conditions);
     }
-    (Route { name: t.string("name", None), matches, conditions: rows }, places)
+    (Route { name: table.string("name", None), matches, conditions: conditions_by_product }, locations)
 }
 
-/// What the file sets; what it doesn't is decided by the product or the deployment.
-struct Given {
-    time: Option<u64>,
-    execution_time: Option<u64>,
-    executions: Option<usize>,
+/// The values that the file sets. The defaults of the others depend on the product or the deployment.
+struct GivenValues {
+    timeout_us: Option<u64>,
+    execution_timeout_us: Option<u64>,
+    max_executions: Option<usize>,
     retry_on: Option<RetryOn>,
     retry_scope: Option<RetryScope>,
 }
 
-/// Where retries may go, by where the first attempt went.
+/// The servers that retries may go to, relative to that of the first execution.
 #[derive(Clone, Copy, PartialEq)]
 enum RetryScope {
     Anywhere,
@@ -156,30 +157,35 @@
     Pod,
 }
 
-impl Given {
-    /// The conditions for one product, with the balancer's defaults where nothing is set.
-    fn fill(&self, shared: &Conditions, row: &ProductSettings, deployment: &Deployment) -> Conditions {
+impl GivenValues {
+    /// The conditions for one product, with the balancer's defaults for unset values.
+    fn fill(&self, shared: &Conditions, product: &ProductSettings, deployment: &Deployment) -> Conditions {
         use whinspindle::host::ServerScope;
-        let tick = deployment.balancer_settings.clock_resolution_us;
-        let time = self.time.unwrap_or(row.statement_timeout_us.saturating_sub(tick));
-        let ever = row.effect != Effect::NonIdempotent;
-        let by_effect = RetryOn { never_ran: true, error: ever, broken: ever, timed_out: ever };
-        let executions = self.executions.unwrap_or(deployment.balancer_settings.max_executions);
+        let tick_us = deployment.balancer_settings.clock_resolution_us;
+        let timeout_us = self.timeout_us.unwrap_or(product.statement_timeout_us.saturating_sub(tick_us));
+        let is_repeatable = product.effect != Effect::NonIdempotent;
+        let retry_on_by_effect = RetryOn {
+            never_ran: true,
+            error: is_repeatable,
+            broken: is_repeatable,
+            timed_out: is_repeatable,
+        };
+        let max_executions = self.max_executions.unwrap_or(deployment.balancer_settings.max_executions);
         let retry_on = match self.retry_on {
-            Some(set) => set,
-            None if executions == 1 => RetryOn::NONE,
-            None => by_effect,
+            Some(given) => given,
+            None if max_executions == 1 => RetryOn::NONE,
+            None => retry_on_by_effect,
         };
         // As without a route, retries stay among the servers that deduplicate them.
-        let retry_scope = self.retry_scope.unwrap_or(match row.effect {
+        let retry_scope = self.retry_scope.unwrap_or(match product.effect {
             Effect::Deduplicated(ServerScope::Zone) => RetryScope::Zone,
             Effect::Deduplicated(ServerScope::Cell) => RetryScope::Pod,
             _ => RetryScope::Anywhere,
         });
         let mut filled = Conditions {
-            timeout_us: time,
-            execution_timeout_us: self.execution_time.unwrap_or(time),
-            max_executions: executions,
+            timeout_us,
+            execution_timeout_us: self.execution_timeout_us.unwrap_or(timeout_us),
+            max_executions,
             retry_on,
             servers: ServerSelection {
                 retries_in_zone: retry_scope == RetryScope::Zone,
@@ -188,17 +194,19 @@
             },
             ..shared.clone()
         };
-        if self.executions.is_none() {
-            // As many as there is time for, and as the servers deduplicate: the file sets no number.
-            let bounds = crate::deployment_limits(deployment);
-            let fits = |n: usize| {
-                let tried = Conditions { max_executions: n, ..filled.clone() };
-                let worst = proof::worst_schedule(&tried, &bounds);
-                let known = !matches!(row.effect, Effect::Deduplicated(_))
-                    || worst.last_arrival_us < row.deduplication_us;
-                n == 1 || (worst.send_times_us.len() >= n && known)
+        if self.max_executions.is_none() {
+            // The file sets no number of executions: the default is as many as fit into the time-out and into
+            // the servers' deduplication.
+            let limits = crate::deployment_limits(deployment);
+            let fits = |executions: usize| {
+                let candidate = Conditions { max_executions: executions, ..filled.clone() };
+                let worst = proof::worst_schedule(&candidate, &limits);
+                let is_deduplicated = !matches!(product.effect, Effect::Deduplicated(_))
+                    || worst.last_arrival_us < product.deduplication_us;
+                executions == 1 || (worst.send_times_us.len() >= executions && is_deduplicated)
             };
-            filled.max_executions = (1..=executions).rev().find(|&n| fits(n)).unwrap_or(1);
+            filled.max_executions =
+                (1..=max_executions).rev().find(|&executions| fits(executions)).unwrap_or(1);
             if filled.max_executions == 1 && self.retry_on.is_none() {
                 filled.retry_on = RetryOn::NONE;
             }
@@ -207,23 +215,25 @@
     }
 }
 
-fn conditions(t: &Table, deployment: &Deployment) -> (Conditions, Given) {
-    let time = t.contains_key("time").then(|| t.duration_us("time", None));
-    let execution_time = t.contains_key("execution-time").then(|| t.duration_us("execution-time", None));
-    for (key, value) in [("time", time), ("execution-time", execution_time)] {
+fn conditions(table: &Table, deployment: &Deployment) -> (Conditions, GivenValues) {
+    let timeout_us = table.contains_key("time").then(|| table.duration_us("time", None));
+    let execution_timeout_us =
+        table.contains_key("execution-time").then(|| table.duration_us("execution-time", None));
+    for (key, value) in [("time", timeout_us), ("execution-time", execution_timeout_us)] {
         if value == Some(0) {
-            t.report_error(&t.location_of(key), "is nothing", "more than 0");
+            table.report_error(&table.location_of(key), "is zero", "more than 0");
         }
     }
-    let executions = t.contains_key("executions").then(|| t.integer("executions", (1, 100), None) as usize);
-    let given = Given {
-        time,
-        execution_time,
-        executions,
-        retry_on: t.contains_key("repeat-after").then(|| retry_on(t)),
+    let max_executions =
+        table.contains_key("executions").then(|| table.integer("executions", (1, 100), None) as usize);
+    let given = GivenValues {
+        timeout_us,
+        execution_timeout_us,
+        max_executions,
+        retry_on: table.contains_key("repeat-after").then(|| retry_on(table)),
         retry_scope: None,
     };
-    let servers = t.table_or_defaults("servers");
+    let servers = table.table_or_defaults("servers");
     let scopes = [("anywhere", RetryScope::Anywhere), ("zone", RetryScope::Zone), ("pod", RetryScope::Pod)];
     let retry_scope = servers.contains_key("repeats").then(|| servers.one_of("repeats", &scopes, None));
     let shared = Conditions {
@@ -231,73 +241,75 @@
         execution_timeout_us: 0,
         max_executions: 1,
         retry_on: RetryOn::NONE,
-        retry_delay_us: t.duration_us("wait", Some(0)),
-        retry_jitter: t.float("spread", (0.0, 10.0), Some(0.0)),
-        hedge: hedge(t),
-        retry_budget: t.float("budget", (0.0, 100.0), Some(100.0)),
-        max_body_bytes: t.size_bytes("largest-body", Some(MAX_BODY_BYTES)),
+        retry_delay_us: table.duration_us("wait", Some(0)),
+        retry_jitter: table.float("spread", (0.0, 10.0), Some(0.0)),
+        hedge: hedge(table),
+        retry_budget: table.float("budget", (0.0, 100.0), Some(100.0)),
+        max_body_bytes: table.size_bytes("largest-body", Some(MAX_BODY_BYTES)),
         servers: ServerSelection {
             zones: names(&servers, "zones", &deployment.zones),
             kinds: names(&servers, "kinds", &deployment.kinds),
             ..ServerSelection::default()
         },
     };
-    (shared, Given { retry_scope, ..given })
+    (shared, GivenValues { retry_scope, ..given })
 }
 
-fn names(t: &Table, key: &str, known: &[String]) -> Vec<String> {
-    let texts = t.strings(key);
-    if texts.is_empty() && t.contains_key(key) {
-        t.report_error(
-            &t.location_of(key),
-            "names nobody, so that no server may take the queries",
+fn names(table: &Table, key: &str, known: &[String]) -> Vec<String> {
+    let texts = table.strings(key);
+    if texts.is_empty() && table.contains_key(key) {
+        table.report_error(
+            &table.location_of(key),
+            "is empty, so that no server may take the requests",
             "leave it out for all",
         );
     }
-    for (name, place) in &texts {
+    for (name, location) in &texts {
         if index_of(known, name).is_none() {
-            let way_out = format!("known to the settings: {}", known.join(", "));
-            t.report_error(place, format!("the settings know no {name:?}"), way_out);
+            let hint = format!("known to the settings: {}", known.join(", "));
+            table.report_error(location, format!("the settings have no {name:?}"), hint);
         }
     }
     texts.into_iter().map(|(name, _)| name).collect()
 }
 
-fn retry_on(t: &Table) -> RetryOn {
-    let mut after = RetryOn::NONE;
-    for (outcome, place) in t.strings("repeat-after") {
+fn retry_on(table: &Table) -> RetryOn {
+    let mut retry_on = RetryOn::NONE;
+    for (outcome, location) in table.strings("repeat-after") {
         match outcome.as_str() {
-            "never-ran" => after.never_ran = true,
-            "error" => after.error = true,
-            "broken" => after.broken = true,
-            "timed-out" => after.timed_out = true,
+            "never-ran" => retry_on.never_ran = true,
+            "error" => retry_on.error = true,
+            "broken" => retry_on.broken = true,
+            "timed-out" => retry_on.timed_out = true,
             _ => {
-                let way_out = "one of \"never-ran\", \"error\", \"broken\", \"timed-out\"";
-                t.report_error(&place, format!("is no outcome: {outcome:?}"), way_out);
+                let hint = "one of \"never-ran\", \"error\", \"broken\", \"timed-out\"";
+                table.report_error(&location, format!("is not an outcome: {outcome:?}"), hint);
             }
         }
     }
-    after
+    retry_on
 }
 
 /// When a hedged request is sent: `"100ms"`, or `"p95"` for the 95th percentile of answer times.
-fn hedge(t: &Table) -> HedgePolicy {
-    if !t.contains_key("second-copy") {
+fn hedge(table: &Table) -> HedgePolicy {
+    if !table.contains_key("second-copy") {
         return HedgePolicy::Never;
     }
-    let text = t.string("second-copy", None);
+    let text = table.string("second-copy", None);
     if let Some(number) = text.strip_prefix('p') {
-        if let Some(part) = number.parse::<f64>().ok().filter(|part| *part >= 50.0 && *part < 100.0) {
-            return HedgePolicy::Quantile(part / 100.0);
+        if let Some(percentile) =
+            number.parse::<f64>().ok().filter(|percentile| *percentile >= 50.0 && *percentile < 100.0)
+        {
+            return HedgePolicy::Quantile(percentile / 100.0);
         }
-    } else if let Ok(after) = units::Time::parse(&text) {
-        return HedgePolicy::After(after);
+    } else if let Ok(delay) = units::Time::parse(&text) {
+        return HedgePolicy::After(delay);
     }
-    let way_out = "a time as in \"100ms\", or from \"p50\" to \"p99.9\"";
-    t.report_error(
-        &t.location_of("second-copy"),
+    let hint = "a time as in \"100ms\", or from \"p50\" to \"p99.9\"";
+    table.report_error(
+        &table.location_of("second-copy"),
         format!("is neither a time nor a quantile: {text:?}"),
-        way_out,
+        hint,
     );
     HedgePolicy::Never
 }
--- a/balancer/operator-file/tests/common/mod.rs
+++ b/balancer/operator-file/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! The deployment that files are held against.
+//! The deployment that the files are checked against.
 
 use whinspindle_deployment_settings::Deployment;
 
-/// Three products: `read` is idempotent, `order` deduplicated in the pod for 5 s, `pay` non-idempotent; 3 s
-/// each.
+/// Four products with a statement timeout of 3 s: `read` is idempotent, `order` is deduplicated in the pod
+/// for 5 s, `pay` is non-idempotent, and `brief` is deduplicated everywhere for 1 s.
 pub fn deployment() -> Deployment {
     let settings = r#"{"balancers": 2, "tier": 0, "zones": ["a", "b"], "kinds": ["m"], "membershipMode": "pushed",
         "tickNs": 5000000, "products": [
--- a/balancer/operator-file/tests/random.rs
+++ b/balancer/operator-file/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random files: the reader returns rows within the deployment's bounds, or faults that can be shown; it never
-//! panics.
+//! Random files. The parser returns policies within the deployment's limits, or errors that can be rendered,
+//! and never panics.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -67,20 +67,20 @@
     ]
 }
 
-/// A route that is valid but for the random values: otherwise hardly any file would reach the proof.
+/// A route that is valid except for its random values, since otherwise hardly any file would reach the proof.
 fn route() -> impl Strategy<Value = String> {
     let product = prop::sample::select(vec!["read", "order", "pay", "brief"]);
-    let some = |name: &'static str, most: u64| {
-        prop::option::of((1..most).prop_map(move |ms| format!("{name} = \"{ms}ms\"\n")))
+    let optional_time = |name: &'static str, limit: u64| {
+        prop::option::of((1..limit).prop_map(move |ms| format!("{name} = \"{ms}ms\"\n")))
             .prop_map(Option::unwrap_or_default)
     };
     (
         any::<u32>(),
         product,
-        some("time", 4_000),
-        some("execution-time", 3_000),
+        optional_time("time", 4_000),
+        optional_time("execution-time", 3_000),
         1u8..6,
-        some("wait", 900),
+        optional_time("wait", 900),
         0u8..5,
     )
         .prop_map(|(name, product, time, execution, executions, wait, after)| {
@@ -98,55 +98,55 @@
         })
 }
 
-/// A runner with a fixed seed: the same files in each run.
+/// A runner with a fixed seed, which generates the same files in each run.
 fn runner(cases: u32) -> TestRunner {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]))
 }
 
 #[test]
-fn any_text_is_read_or_refused_with_faults_that_can_be_shown() {
+fn any_text_is_parsed_or_refused_with_renderable_errors() {
     let deployment = common::deployment();
     let refused = std::cell::Cell::new(0);
     let text = prop::collection::vec(line(), 0..14).prop_map(|lines| lines.join("\n"));
     let checked = runner(3_000).run(&text, |text| {
-        if let Err(faults) = parse(&text, &deployment) {
+        if let Err(errors) = parse(&text, &deployment) {
             refused.set(refused.get() + 1);
-            prop_assert!(!faults.is_empty() && faults.len() <= 8 * (text.lines().count() + 1), "{}", text);
-            prop_assert!(!render_faults("drawn.toml", &text, &faults).is_empty());
+            prop_assert!(!errors.is_empty() && errors.len() <= 8 * (text.lines().count() + 1), "{}", text);
+            prop_assert!(!render_faults("rendered.toml", &text, &errors).is_empty());
         }
         Ok(())
     });
-    checked.expect("no file does harm");
+    checked.expect("every file is parsed or refused");
     assert!(refused.get() > 1_000, "{} refused", refused.get());
 }
 
 #[test]
-fn rows_of_an_accepted_file_stay_within_the_deployments_bounds() {
+fn policies_of_an_accepted_file_stay_within_the_deployment_limits() {
     let deployment = common::deployment();
     let (accepted, refused) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
     let text = prop::collection::vec(route(), 1..4).prop_map(|routes| routes.concat());
     let checked = runner(3_000).run(&text, |text| {
-        let Ok(operator) = parse(&text, &deployment) else {
+        let Ok(config) = parse(&text, &deployment) else {
             refused.set(refused.get() + 1);
             return Ok(());
         };
         accepted.set(accepted.get() + 1);
-        for rows in operator.route_policies(&deployment) {
-            prop_assert_eq!(rows.len(), deployment.balancer_settings.products.len());
-            for (row, most) in rows.iter().zip(&deployment.statement_timeouts_us) {
+        for policies in config.route_policies(&deployment) {
+            prop_assert_eq!(policies.len(), deployment.balancer_settings.products.len());
+            for (policy, statement_timeout_us) in policies.iter().zip(&deployment.statement_timeouts_us) {
                 prop_assert!(
-                    row.timeout_us <= *most
-                        && row.max_executions <= deployment.balancer_settings.max_executions,
+                    policy.timeout_us <= *statement_timeout_us
+                        && policy.max_executions <= deployment.balancer_settings.max_executions,
                     "{}",
                     text
                 );
-                prop_assert!(row.execution_timeout_us <= row.timeout_us, "{}", text);
+                prop_assert!(policy.execution_timeout_us <= policy.timeout_us, "{}", text);
             }
         }
         Ok(())
     });
-    checked.expect("no accepted file goes beyond");
+    checked.expect("every accepted file stays within the limits");
     assert!(
         accepted.get() > 100 && refused.get() > 100,
         "{} accepted, {} refused",
