--- a/controlplane/controller/src/runtime.rs
+++ b/controlplane/controller/src/runtime.rs
@@ -1,7 +1,7 @@
-//! The process around the state machine: sockets, disk, clock and signals on a tokio runtime with one thread.
+//! The process around the state machine: sockets, disk, clock and signals on a single-threaded tokio runtime.
 //!
-//! [`run`] is the controller process, [`run_directory`] a relay that forwards clients to a controller. [`node`] owns the
-//! state machine and carries out its actions; the other modules own one resource each.
+//! [`run`] is the controller process. [`run_directory`] is a relay that forwards clients to a controller.
+//! [`node`] owns the state machine and performs its actions. Each other module owns one resource.
 
 mod clock;
 mod directory_relay;
--- a/controlplane/controller/src/runtime/clock.rs
+++ b/controlplane/controller/src/runtime/clock.rs
@@ -1,11 +1,11 @@
-//! The steady clock that the state machines count on.
+//! The monotonic clock of the state machines.
 
 use std::time::Instant;
 
-/// The clock starts above zero, so that times before the start of the process can be expressed.
+/// The time at the start of the process. It is above zero, so that earlier times can be represented.
 const ORIGIN_MS: u64 = 3_600_000;
 
-/// Milliseconds of a steady clock.
+/// A monotonic clock with millisecond resolution.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/controlplane/controller/src/runtime/directory_relay.rs
+++ b/controlplane/controller/src/runtime/directory_relay.rs
@@ -1,8 +1,8 @@
-//! The directory process: relays clients' connections to a controller, which answers them.
+//! The directory process, which relays client connections to a controller.
 //!
-//! Clients ask the nearest few machines that serve the directory. Where every controller served it, these would all
-//! be in one region, and a client of a region that is lost would find nobody; so the deploy file asks for fewer
-//! directories than controllers.
+//! Clients ask the few nearest machines that serve the directory. If every controller served it, these
+//! machines could all be in one region, and its clients would reach none of them after the loss of the
+//! region. The deploy file therefore requires fewer directories than controllers.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -19,35 +19,36 @@
 use super::listen::listen;
 use super::process::{ControllerError, ListenSnafu, NoDirectoryAddressSnafu, SHUTDOWN_GRACE, SignalsSnafu};
 
-/// The time-out of a connection attempt; the next controller is tried after it.
+/// The timeout of a connection attempt, after which the next controller is tried.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A connection is closed after this time; a request takes a few milliseconds.
+/// The maximum duration of a client connection. A request takes a few milliseconds.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs the directory until SIGTERM. To be called inside a `LocalSet`.
+/// Runs the directory until SIGTERM. Must be called inside a `LocalSet`.
 pub async fn run_directory(settings: Settings) -> Result<(), ControllerError> {
-    let mut stop = signal(SignalKind::terminate()).context(SignalsSnafu)?;
-    let mut reload = signal(SignalKind::hangup()).context(SignalsSnafu)?;
+    let mut terminate_signal = signal(SignalKind::terminate()).context(SignalsSnafu)?;
+    let mut reload_signal = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let address = settings.listen.directory.context(NoDirectoryAddressSnafu)?;
     let listener = listen(address).context(ListenSnafu)?;
-    let controllers = controllers(settings.ip, &settings.seeds);
-    info!("directory {} serves {address}", settings.node);
+    let controllers = controller_addresses(settings.ip, &settings.seeds);
+    info!("directory {} listens on {address}", settings.node);
     spawn_local(accept(listener, controllers));
     loop {
         tokio::select! {
-            _ = stop.recv() => break,
-            _ = reload.recv() => info!("settings are read anew at the next start"),
+            _ = terminate_signal.recv() => break,
+            _ = reload_signal.recv() => info!("SIGHUP ignored: settings are only read at the start"),
         }
     }
-    info!("directory {} stops", settings.node);
+    info!("directory {} is shutting down", settings.node);
     sleep(SHUTDOWN_GRACE).await;
     Ok(())
 }
 
-/// The control addresses to try: that of this machine, then the seeds. Ports are alike on all machines.
-fn controllers(own: IpAddr, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
-    let local = seeds.first().map(|seed| SocketAddr::new(own, seed.port()));
-    let others = seeds.iter().copied().filter(|seed| seed.ip() != own);
+/// The control addresses to try: first the one of this machine, then the seeds. All machines use the same
+/// port.
+fn controller_addresses(own_ip: IpAddr, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
+    let local = seeds.first().map(|seed| SocketAddr::new(own_ip, seed.port()));
+    let others = seeds.iter().copied().filter(|seed| seed.ip() != own_ip);
     local.into_iter().chain(others).collect()
 }
 
@@ -58,21 +59,22 @@
                 let controllers = controllers.clone();
                 spawn_local(timeout(CONNECTION_TIMEOUT, relay(client, controllers)));
             }
-            // Out of descriptors, most likely: some are soon given back.
+            // The process is probably out of file descriptors, and some are released soon.
             Err(_) => sleep(CONNECT_TIMEOUT).await,
         }
     }
 }
 
-/// Without a reachable controller the client's connection is closed, and the client asks another directory.
+/// Relays a connection to the first reachable controller. If none is reachable, the connection is closed, and
+/// the client asks another directory.
 async fn relay(mut client: TcpStream, controllers: Vec<SocketAddr>) {
-    let Some(mut controller) = connect(&controllers).await else { return };
+    let Some(mut controller) = connect_to_first(&controllers).await else { return };
     let _ = client.set_nodelay(true);
     let _ = controller.set_nodelay(true);
     let _ = copy_bidirectional(&mut client, &mut controller).await;
 }
 
-async fn connect(controllers: &[SocketAddr]) -> Option<TcpStream> {
+async fn connect_to_first(controllers: &[SocketAddr]) -> Option<TcpStream> {
     for controller in controllers {
         if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(*controller)).await {
             return Some(stream);
--- a/controlplane/controller/src/runtime/disk.rs
+++ b/controlplane/controller/src/runtime/disk.rs
@@ -1,4 +1,5 @@
-//! The thread that does the blocking work on the disk: the replica's journal, and the saved state of the registries.
+//! The thread that performs blocking disk operations on the replica's journal and on the saved state of the
+//! registries.
 
 use std::path::{Path, PathBuf};
 use std::sync::mpsc;
@@ -13,40 +14,40 @@
 
 use super::prefixed_directory::PrefixedDirectory;
 
-/// The time between two attempts to open a disk that can't be read.
+/// The time between two attempts to open the disk.
 const REOPEN_BACKOFF: Duration = Duration::from_millis(200);
-/// The version of the format that this release writes: that of its durable records, checkpoints and saved state. A change
-/// after which an earlier release can't read them raises it.
+/// The version of the format in which this release writes its durable records, checkpoints and saved state.
+/// It increases with each change after which an earlier release cannot read them.
 const FORMAT_VERSION: u32 = 1;
-/// The prefix of the files that hold the saved state.
+/// The file name prefix of the saved state.
 const SAVED_STATE_PREFIX: &str = "memory-";
 
-/// Why the disk's thread can't be used.
+/// An error while starting the disk thread or opening the disk.
 #[derive(Debug, Snafu)]
 pub enum DiskError {
-    /// The operating system refused the thread.
-    #[snafu(display("the thread for the disk can't be started"))]
+    /// The operating system could not create the thread.
+    #[snafu(display("could not start the disk thread"))]
     Thread {
-        /// What the system reports.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The thread ended before it had opened the disk.
-    #[snafu(display("the thread for the disk has ended"))]
+    #[snafu(display("the disk thread ended unexpectedly"))]
     Ended,
-    /// The folder is of a release that this one can't read. Nothing in it was changed.
+    /// The folder was written by a release whose format this release cannot read. The folder is unchanged.
     #[snafu(display("{source}"))]
     Format {
-        /// The version of the folder.
+        /// The format error, with the version of the folder.
         source: FormatError,
     },
 }
 
-/// The handle of the disk's thread: queues writes.
+/// A handle that queues writes for the disk thread.
 pub struct Disk {
     jobs: mpsc::Sender<Job>,
 }
 
-/// A finished job of the disk's thread.
+/// A finished job of the disk thread.
 #[derive(Debug, PartialEq, Eq)]
 pub enum DiskReport {
     Persisted {
@@ -57,11 +58,11 @@
         tokens: Vec<u64>,
     },
     Compacted,
-    /// The state that an earlier process saved.
+    /// The state that an earlier process saved was read.
     StateRestored {
         state: Vec<u8>,
     },
-    /// A write of saved state has ended, successful or not.
+    /// A write of saved state has succeeded or failed.
     StateSaved,
 }
 
@@ -75,23 +76,23 @@
 pub struct OpenedDisk {
     pub disk: Disk,
     pub recovered: Recovered,
-    /// The files of the disk were damaged and have been discarded.
+    /// Whether the files were damaged and have been discarded.
     pub was_damaged: bool,
     pub reports: reports::UnboundedReceiver<DiskReport>,
 }
 
-/// Opens the journal in a folder, on a thread of its own; waits until the disk can be read. The state that
-/// an earlier process saved is reported only if the controller restores it.
-pub async fn open(folder: PathBuf, restores_state: bool) -> Result<OpenedDisk, DiskError> {
+/// Starts the disk thread, opens the journal in a folder, and waits until the disk can be read. The saved
+/// state of an earlier process is reported only if `should_restore_state` is true.
+pub async fn open(folder: PathBuf, should_restore_state: bool) -> Result<OpenedDisk, DiskError> {
     let (jobs, job_receiver) = mpsc::channel();
     let (report_sender, reports) = reports::unbounded_channel();
     let (opened_sender, opened) = oneshot::channel();
-    let work = move || {
+    let run_thread = move || {
         let opened = match open_journal(&folder) {
             Ok(opened) => opened,
-            Err(failure) => {
-                // The receiver is gone only if the process is stopping.
-                let _ = opened_sender.send(Err(failure));
+            Err(error) => {
+                // The receiver is dropped only when the process is stopping.
+                let _ = opened_sender.send(Err(error));
                 return;
             }
         };
@@ -99,30 +100,30 @@
             let OpenedJournal { files, journal, .. } = opened;
             let mut worker =
                 Worker { files, journal, saved_state: None, jobs: job_receiver, reports: report_sender };
-            if restores_state {
+            if should_restore_state {
                 worker.report_saved_state();
             }
             worker.run();
         }
     };
-    thread::Builder::new().name("disk".to_owned()).spawn(work).context(ThreadSnafu)?;
+    thread::Builder::new().name("disk".to_owned()).spawn(run_thread).context(ThreadSnafu)?;
     let opened = opened.await.ok().ok_or(DiskError::Ended)?;
     let (recovered, was_damaged) = opened.context(FormatSnafu)?;
     Ok(OpenedDisk { disk: Disk { jobs }, recovered, was_damaged, reports })
 }
 
 impl Disk {
-    /// Makes a write durable; the report carries its token.
+    /// Makes a write durable. The report carries the token.
     pub fn persist(&self, token: u64, write: DurableWrite) {
         self.send(Job::Persist { token, write });
     }
 
-    /// Writes a checkpoint that takes the place of the log so far.
+    /// Writes a checkpoint that replaces the current log.
     pub fn compact(&self, state: Vec<u8>) {
         self.send(Job::Compact { state });
     }
 
-    /// Writes the state that a restarted process restores, in place of the one before.
+    /// Saves the state that a restarted process restores, replacing the previously saved state.
     pub fn save_state(&self, state: Vec<u8>) {
         self.send(Job::SaveState { state });
     }
@@ -140,49 +141,49 @@
     was_damaged: bool,
 }
 
-/// Retries until the disk can be read. Damaged files are discarded: the node then joins again like one whose disk was lost.
-/// A folder of a format that this release can't read is left alone.
+/// Opens the journal, and retries until the disk can be read. Damaged files are discarded, and the node then
+/// rejoins like one whose disk was lost. A folder in a format that this release cannot read is not modified.
 fn open_journal(folder: &Path) -> Result<OpenedJournal, FormatError> {
     let mut was_damaged = false;
-    let mut warned = false;
+    let mut has_warned = false;
     loop {
-        let failure = match open_once(folder) {
+        let error = match open_once(folder) {
             Ok((files, journal, recovered)) => {
                 return Ok(OpenedJournal { files, journal, recovered, was_damaged });
             }
-            Err(OpenError::Format(refused)) => return Err(refused),
-            Err(OpenError::Storage(failure)) => failure,
+            Err(OpenError::Format(error)) => return Err(error),
+            Err(OpenError::Storage(error)) => error,
         };
-        if !warned {
-            warn!("the disk can't be used yet: {failure}");
-            warned = true;
+        if !has_warned {
+            warn!("could not open the disk, retrying: {error}");
+            has_warned = true;
         }
-        if matches!(failure, StorageError::Damaged { .. }) && discard_journal(folder).is_ok() {
+        if matches!(error, StorageError::Damaged { .. }) && discard_journal(folder).is_ok() {
             was_damaged = true;
         }
         thread::sleep(REOPEN_BACKOFF);
     }
 }
 
-/// Why an attempt to open the disk has failed.
+/// The error of an attempt to open the disk.
 enum OpenError {
-    /// It is not tried again.
+    /// A permanent error, after which opening is not retried.
     Format(FormatError),
-    /// It is tried again.
+    /// A temporary error, after which opening is retried.
     Storage(StorageError),
 }
 
 impl From<StorageError> for OpenError {
-    fn from(failure: StorageError) -> Self {
-        OpenError::Storage(failure)
+    fn from(error: StorageError) -> Self {
+        OpenError::Storage(error)
     }
 }
 
 impl From<FormatError> for OpenError {
-    fn from(failure: FormatError) -> Self {
-        match failure {
+    fn from(error: FormatError) -> Self {
+        match error {
             FormatError::Disk { source } => OpenError::Storage(source.into()),
-            refused => OpenError::Format(refused),
+            permanent => OpenError::Format(permanent),
         }
     }
 }
@@ -202,13 +203,13 @@
 struct Worker {
     files: PrefixedDirectory,
     journal: Journal<PrefixedDirectory>,
-    /// None while its files can't be used.
+    /// None until the files of the saved state could be opened.
     saved_state: Option<Journal<PrefixedDirectory>>,
     jobs: mpsc::Receiver<Job>,
     reports: reports::UnboundedSender<DiskReport>,
 }
 
-/// Appends that one sync makes durable together.
+/// Log records that are appended together, with a single sync.
 #[derive(Default)]
 struct Batch {
     tokens: Vec<u64>,
@@ -217,38 +218,38 @@
 
 impl Worker {
     fn run(mut self) {
-        while let Ok(first) = self.jobs.recv() {
+        while let Ok(first_job) = self.jobs.recv() {
             let mut batch = Batch::default();
-            let waiting: Vec<Job> = std::iter::once(first).chain(self.jobs.try_iter()).collect();
-            for job in waiting {
-                self.take(job, &mut batch);
+            let queued_jobs: Vec<Job> = std::iter::once(first_job).chain(self.jobs.try_iter()).collect();
+            for job in queued_jobs {
+                self.perform(job, &mut batch);
             }
-            self.append(&mut batch);
+            self.append_batch(&mut batch);
         }
     }
 
-    fn take(&mut self, job: Job, batch: &mut Batch) {
+    fn perform(&mut self, job: Job, batch: &mut Batch) {
         match job {
             Job::Persist { token, write: DurableWrite::Append(records) } => {
                 batch.tokens.push(token);
                 batch.records.extend(records);
             }
             Job::Persist { token, write: DurableWrite::Checkpoint(state) } => {
-                self.append(batch);
+                self.append_batch(batch);
                 let result = self.journal.checkpoint(&state);
-                self.report(vec![token], result);
+                self.report_write(vec![token], result);
             }
             Job::Compact { state } => {
-                self.append(batch);
-                if let Err(failure) = self.journal.checkpoint(&state) {
-                    warn!("a checkpoint was not written: {failure}");
+                self.append_batch(batch);
+                if let Err(error) = self.journal.checkpoint(&state) {
+                    warn!("could not write a checkpoint: {error}");
                 }
                 self.send(DiskReport::Compacted);
             }
             Job::SaveState { state } => {
-                self.append(batch);
-                if let Err(failure) = self.save_state(&state) {
-                    warn!("the state for the next restart was not written: {failure}");
+                self.append_batch(batch);
+                if let Err(error) = self.save_state(&state) {
+                    warn!("could not save the state for the next restart: {error}");
                 }
                 self.send(DiskReport::StateSaved);
             }
@@ -259,11 +260,12 @@
         match self.open_saved_state() {
             Ok(Some(state)) => self.send(DiskReport::StateRestored { state }),
             Ok(None) => {}
-            Err(failure) => warn!("the saved state can't be read: {failure}"),
+            Err(error) => warn!("could not read the saved state: {error}"),
         }
     }
 
-    /// Opens the saved state and returns it. Damaged files are discarded: the controller can start without them.
+    /// Opens the saved state and returns it. Damaged files are discarded, since the controller can start
+    /// without them.
     fn open_saved_state(&mut self) -> Result<Option<Vec<u8>>, StorageError> {
         let files = self.files.with_prefix(SAVED_STATE_PREFIX);
         let opened = match Journal::open(files.clone()) {
@@ -285,27 +287,27 @@
         self.saved_state.as_mut().map_or(Ok(()), |journal| journal.checkpoint(state))
     }
 
-    fn append(&mut self, batch: &mut Batch) {
+    fn append_batch(&mut self, batch: &mut Batch) {
         let Batch { tokens, records } = std::mem::take(batch);
         if tokens.is_empty() {
             return;
         }
         let result = self.journal.append(&records);
-        self.report(tokens, result);
+        self.report_write(tokens, result);
     }
 
-    fn report(&self, tokens: Vec<u64>, result: Result<(), StorageError>) {
+    fn report_write(&self, tokens: Vec<u64>, result: Result<(), StorageError>) {
         self.send(match result {
             Ok(()) => DiskReport::Persisted { tokens, log_bytes: self.journal.log_bytes() },
-            Err(failure) => {
-                warn!("a write to the disk failed: {failure}");
+            Err(error) => {
+                warn!("a write to the disk failed: {error}");
                 DiskReport::PersistFailed { tokens }
             }
         });
     }
 
     fn send(&self, report: DiskReport) {
-        // The receiver ends only with the process.
+        // The receiver is dropped only when the process ends.
         let _ = self.reports.send(report);
     }
 }
--- a/controlplane/controller/src/runtime/http_server.rs
+++ b/controlplane/controller/src/runtime/http_server.rs
@@ -1,7 +1,7 @@
-//! The HTTP server: calls of operators, upstreams and clients.
+//! The HTTP server for the calls of operators, upstreams and clients.
 //!
-//! Connections, buffered bodies and the time to read a request are bounded; a call that its caller abandons is withdrawn
-//! from the state machine.
+//! The number of connections, the size of buffered bodies and the time to read a request are bounded. A call
+//! whose caller closes the connection is cancelled in the state machine.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -26,50 +26,56 @@
 use crate::api::{self, BASE_VERSION_HEADER, RequestError, Response};
 use crate::pending_commands::CallId;
 
-/// The largest body that is accepted.
+/// The maximum size of a request body.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Bodies of all requests together.
+/// The maximum total size of the buffered bodies of all requests.
 const MAX_BUFFERED_BYTES: usize = 48 * 1024 * 1024;
 const MAX_CONNECTIONS: usize = 1024;
-/// Also the time for which a connection may be idle: longer than the time between two heartbeats.
+/// The timeout for reading the headers of a request. It also limits the time for which a connection may be
+/// idle, so it is longer than the time between two heartbeats.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(8);
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// What all HTTP connections of the process share.
+/// The state that all HTTP connections of the process share.
 pub struct HttpServer {
     node: SharedNode,
-    connections: Cell<usize>,
+    connection_count: Cell<usize>,
     buffered_bytes: Cell<usize>,
-    /// Turns true when the process is about to end.
-    stopping: watch::Receiver<bool>,
+    /// Becomes true when the process is about to end.
+    shutdown_receiver: watch::Receiver<bool>,
 }
 
 impl HttpServer {
-    pub fn new(node: SharedNode, stopping: watch::Receiver<bool>) -> Rc<HttpServer> {
-        Rc::new(HttpServer { node, connections: Cell::new(0), buffered_bytes: Cell::new(0), stopping })
+    pub fn new(node: SharedNode, shutdown_receiver: watch::Receiver<bool>) -> Rc<HttpServer> {
+        Rc::new(HttpServer {
+            node,
+            connection_count: Cell::new(0),
+            buffered_bytes: Cell::new(0),
+            shutdown_receiver,
+        })
     }
 
     /// Whether no connection is open.
     pub fn is_idle(&self) -> bool {
-        self.connections.get() == 0
+        self.connection_count.get() == 0
     }
 
-    fn is_stopping(&self) -> bool {
-        *self.stopping.borrow()
+    fn is_shutting_down(&self) -> bool {
+        *self.shutdown_receiver.borrow()
     }
 }
 
 /// Accepts connections until the process is about to end.
 pub async fn accept(listener: TcpListener, server: Rc<HttpServer>) {
-    let mut stopping = server.stopping.clone();
+    let mut shutdown_receiver = server.shutdown_receiver.clone();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = stopping.wait_for(|stopping| *stopping) => return,
+            _ = shutdown_receiver.wait_for(|is_shutting_down| *is_shutting_down) => return,
         };
         match accepted {
-            Ok((stream, _)) if server.connections.get() < MAX_CONNECTIONS => {
+            Ok((stream, _)) if server.connection_count.get() < MAX_CONNECTIONS => {
                 spawn_local(serve(stream, Rc::clone(&server)));
             }
             Ok(_) => {}
@@ -79,19 +85,20 @@
 }
 
 async fn serve(stream: TcpStream, server: Rc<HttpServer>) {
-    let _counted = ScopedCount::new(&server.connections, 1);
-    // Without it the connection works, only slower.
+    let _connection_count = ScopedCount::new(&server.connection_count, 1);
+    // The connection also works without TCP_NODELAY, but with a higher latency.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| answer(request, &server));
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
     let mut connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
-    let mut stopping = server.stopping.clone();
+    let mut shutdown_receiver = server.shutdown_receiver.clone();
     tokio::select! {
         _ = connection.as_mut() => return,
-        _ = stopping.wait_for(|stopping| *stopping) => connection.as_mut().graceful_shutdown(),
+        _ = shutdown_receiver.wait_for(|is_shutting_down| *is_shutting_down) =>
+            connection.as_mut().graceful_shutdown(),
     }
-    // A broken connection concerns its caller alone.
+    // An error of the connection only affects its caller.
     let _ = connection.await;
 }
 
@@ -100,15 +107,15 @@
     server: &HttpServer,
 ) -> Result<http::Response<Full<Bytes>>, Infallible> {
     let path = request.uri().path().to_owned();
-    let response = respond(request, server).await.unwrap_or_else(|refusal| refused(&path, refusal));
-    let mut answer = http::Response::new(Full::new(response.body));
-    *answer.status_mut() = response.status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    Ok(answer)
+    let response = respond(request, server).await.unwrap_or_else(|error| error_response(&path, error));
+    let mut http_response = http::Response::new(Full::new(response.body));
+    *http_response.status_mut() = response.status;
+    http_response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    Ok(http_response)
 }
 
 async fn respond(request: http::Request<Incoming>, server: &HttpServer) -> Result<Response, RequestError> {
-    if server.is_stopping() {
+    if server.is_shutting_down() {
         return Err(RequestError::ShuttingDown);
     }
     let (head, body) = request.into_parts();
@@ -119,31 +126,31 @@
         method: &head.method,
         path: head.uri.path(),
         query: head.uri.query().unwrap_or(""),
-        base_version: only_value(&head.headers, BASE_VERSION_HEADER),
+        base_version: single_value(&head.headers, BASE_VERSION_HEADER),
         body,
     })?;
-    let (id, receiver) = server.node.borrow_mut().call(call);
-    let _waiting = PendingCall { id, node: &server.node };
-    Ok(outcome(receiver).await)
+    let (id, receiver) = server.node.borrow_mut().start_call(call);
+    let _cancel_guard = CancelGuard { id, node: &server.node };
+    Ok(receive_response(receiver).await)
 }
 
-/// The value of a header, unless it is missing or repeated.
-fn only_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// The value of a header; none if the header is missing or repeated.
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?.to_str().ok()?;
     values.next().is_none().then_some(value)
 }
 
-/// The response to a request that does not reach the state machine.
-fn refused(path: &str, refusal: RequestError) -> Response {
-    let response = Response::from(refusal);
+/// The response to a request that is refused before it reaches the state machine.
+fn error_response(path: &str, error: RequestError) -> Response {
+    let response = Response::from(error);
     if api::is_operator_command(path) {
-        warn!("command at {path}: {response}");
+        warn!("command {path} was refused: {response}");
     }
     response
 }
 
-async fn outcome(receiver: oneshot::Receiver<Response>) -> Response {
+async fn receive_response(receiver: oneshot::Receiver<Response>) -> Response {
     receiver.await.unwrap_or_else(|_| Response::unavailable("the call was dropped"))
 }
 
@@ -171,7 +178,7 @@
     Ok(collected.freeze())
 }
 
-/// Raises a counter for as long as it is in scope.
+/// Increases a counter until it is dropped.
 struct ScopedCount<'a> {
     counter: &'a Cell<usize>,
     amount: usize,
@@ -199,14 +206,15 @@
     }
 }
 
-/// Withdraws the call from the node if its caller closes the connection before the answer.
-struct PendingCall<'a> {
+/// Cancels a call when it is dropped, which happens when the caller closes the connection before the answer.
+/// Cancelling an answered call has no effect.
+struct CancelGuard<'a> {
     id: CallId,
     node: &'a SharedNode,
 }
 
-impl Drop for PendingCall<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
-        self.node.borrow_mut().end_call(self.id);
+        self.node.borrow_mut().cancel_call(self.id);
     }
 }
--- a/controlplane/controller/src/runtime/inbound.rs
+++ b/controlplane/controller/src/runtime/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that other controllers and balancers' agents open to this controller.
+//! Inbound connections from other controllers and from the agents of balancers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,16 +18,16 @@
 use super::send_queue::SendQueue;
 use crate::controller::Event;
 
-/// A connection on which nothing is received for this long is closed.
+/// The time without a received frame after which a connection is closed.
 const READ_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// The wait after a failed accept, such as with too many open files.
+/// The delay after a failed accept, for example because of too many open files.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Snafu)]
 enum LinkError {
-    #[snafu(display("silent"))]
-    Silent,
-    #[snafu(display("closed"))]
+    #[snafu(display("nothing was received within the timeout"))]
+    ReadTimeout,
+    #[snafu(display("the peer has closed the connection"))]
     Closed,
     #[snafu(display("{source}"))]
     Frame { source: FrameError },
@@ -35,10 +35,10 @@
     Message { source: DecodeError },
     #[snafu(display("{source}"))]
     Replica { source: whinspindle_replica::DecodeError },
-    #[snafu(display("the first frame is no hello"))]
-    NoHello,
-    #[snafu(display("it doesn't read what it is sent"))]
-    Stalled,
+    #[snafu(display("the first frame is not a hello"))]
+    MissingHello,
+    #[snafu(display("the balancer reads too slowly"))]
+    SlowReader,
 }
 
 /// Accepts connections for as long as the process runs.
@@ -54,25 +54,25 @@
 }
 
 async fn serve(stream: TcpStream, node: SharedNode) {
-    // Without it the connection works, only slower.
+    // The connection also works without TCP_NODELAY, but with a higher latency.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     let mut reader = FrameReader::new(reader);
-    let hello = match next_frame(&mut reader).await {
+    let hello = match read_frame(&mut reader).await {
         Ok(frame) if frame.kind == FrameKind::Hello => decode_hello(&frame.payload).ok(),
         _ => None,
     };
     match hello {
         Some(hello) if hello.role == Role::Peer => {
-            if let Err(failure) = read_peer(hello.endpoint, &mut reader, &node).await {
-                info!("connection of controller {} ended: {failure}", hello.endpoint);
+            if let Err(error) = read_peer(hello.endpoint, &mut reader, &node).await {
+                info!("inbound connection of controller {} closed: {error}", hello.endpoint);
             }
         }
         Some(hello) => {
-            let failure = serve_balancer(reader, writer, &node).await;
-            info!("connection of balancer {} ended: {failure}", hello.endpoint.ip());
+            let error = serve_balancer(reader, writer, &node).await;
+            info!("connection of balancer {} closed: {error}", hello.endpoint.ip());
         }
-        None => info!("a connection was closed: {}", LinkError::NoHello),
+        None => info!("an inbound connection was rejected: {}", LinkError::MissingHello),
     }
 }
 
@@ -82,16 +82,16 @@
     node: &SharedNode,
 ) -> Result<(), LinkError> {
     loop {
-        let mut next = Some(next_frame(reader).await?);
-        node.borrow_mut().peer_frame_received(peer);
-        while let Some(frame) = next {
-            take_peer_frame(peer, frame, node)?;
-            next = reader.buffered().context(FrameSnafu)?;
+        let mut current_frame = Some(read_frame(reader).await?);
+        node.borrow_mut().record_peer_frame(peer);
+        while let Some(frame) = current_frame {
+            handle_peer_frame(peer, frame, node)?;
+            current_frame = reader.buffered().context(FrameSnafu)?;
         }
     }
 }
 
-fn take_peer_frame(peer: SocketAddr, frame: Frame, node: &SharedNode) -> Result<(), LinkError> {
+fn handle_peer_frame(peer: SocketAddr, frame: Frame, node: &SharedNode) -> Result<(), LinkError> {
     let event = match frame.kind {
         FrameKind::Replica => {
             let message = Message::decode(&frame.payload).context(ReplicaSnafu)?;
@@ -110,12 +110,12 @@
     node: &SharedNode,
 ) -> LinkError {
     let (subscriber, send_queue) = node.borrow_mut().subscribe();
-    let ended = tokio::select! {
-        ended = read_balancer(subscriber, &mut reader, node) => ended,
-        ended = write_balancer(&send_queue, &mut writer) => ended,
+    let result = tokio::select! {
+        result = read_balancer(subscriber, &mut reader, node) => result,
+        result = write_balancer(&send_queue, &mut writer) => result,
     };
     node.borrow_mut().unsubscribe(subscriber);
-    ended.err().unwrap_or(LinkError::Closed)
+    result.err().unwrap_or(LinkError::Closed)
 }
 
 async fn read_balancer(
@@ -124,7 +124,7 @@
     node: &SharedNode,
 ) -> Result<(), LinkError> {
     loop {
-        let frame = next_frame(reader).await?;
+        let frame = read_frame(reader).await?;
         if frame.kind == FrameKind::Report {
             let report = decode_report(&frame.payload).context(MessageSnafu)?;
             node.borrow_mut().handle(Event::Report { subscriber, report });
@@ -136,16 +136,17 @@
     let mut buffer = FrameBuffer::default();
     loop {
         send_queue.wait_until_filled().await;
-        // A dropped update is not sent again on this connection: a new one starts from what the balancer has applied.
+        // A dropped update is not sent again on this connection. A new connection starts from the versions
+        // that the balancer has applied.
         if send_queue.has_dropped() {
-            return Err(LinkError::Stalled);
+            return Err(LinkError::SlowReader);
         }
         send_queue.drain_into(&mut buffer).context(FrameSnafu)?;
         buffer.write_to(writer).await.context(FrameSnafu)?;
     }
 }
 
-async fn next_frame(reader: &mut FrameReader<OwnedReadHalf>) -> Result<Frame, LinkError> {
-    let frame = timeout(READ_TIMEOUT, reader.next()).await.ok().context(SilentSnafu)?;
+async fn read_frame(reader: &mut FrameReader<OwnedReadHalf>) -> Result<Frame, LinkError> {
+    let frame = timeout(READ_TIMEOUT, reader.next()).await.ok().context(ReadTimeoutSnafu)?;
     frame.context(FrameSnafu)?.context(ClosedSnafu)
 }
--- a/controlplane/controller/src/runtime/listen.rs
+++ b/controlplane/controller/src/runtime/listen.rs
@@ -1,14 +1,14 @@
-//! Listening sockets.
+//! Creation of listening sockets.
 
 use std::net::SocketAddr;
 
 use snafu::{ResultExt, Snafu};
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the kernel queues until they are accepted.
+/// The maximum number of connections that the kernel queues until they are accepted.
 const BACKLOG: u32 = 1024;
 
-/// An address that can't be bound.
+/// An error while listening on an address.
 #[derive(Debug, Snafu)]
 #[snafu(display("cannot listen on {address}"))]
 pub struct ListenError {
@@ -16,13 +16,14 @@
     source: std::io::Error,
 }
 
-/// Binds an address so that a restarted process can take it again at once.
+/// Listens on an address. Sets SO_REUSEADDR, so that a restarted process can bind the address again
+/// immediately.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
-    let open = || {
+    let open_socket = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
-    open().context(ListenSnafu { address })
+    open_socket().context(ListenSnafu { address })
 }
--- a/controlplane/controller/src/runtime/node.rs
+++ b/controlplane/controller/src/runtime/node.rs
@@ -1,4 +1,4 @@
-//! The state machine with the connections and the disk that its actions are carried out on.
+//! The node of a controller process. It owns the state machine, the connections and the disk.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,49 +21,50 @@
 use crate::controller::{Action, Controller, Event};
 use crate::pending_commands::CallId;
 
-/// The bytes queued for a balancer beyond which its connection is closed.
-const MAX_BALANCER_BYTES: usize = 8 * 1024 * 1024;
-/// The interval at which connections to other controllers are checked for silence and disuse.
-const PEER_CHECK_MS: u64 = 300;
+/// The number of bytes queued for a balancer above which its connection is closed.
+const MAX_BALANCER_QUEUE_BYTES: usize = 8 * 1024 * 1024;
+/// The interval at which connections to other controllers are checked for silent and unused ones, in
+/// milliseconds.
+const PEER_CHECK_INTERVAL_MS: u64 = 300;
 
-/// The node as the tasks of the process share it. It is never borrowed across an `await`.
+/// The node, shared by the tasks of the process. It must not be borrowed across an `await`.
 pub type SharedNode = Rc<RefCell<Node>>;
 
-/// A call whose task waits for the response.
+/// A call whose task is waiting for the response.
 struct WaitingCall {
     sender: oneshot::Sender<Response>,
-    /// The operator command for the log, if it is one.
-    command: Option<String>,
+    /// The description for the log, if the call is an operator command.
+    command_description: Option<String>,
 }
 
-/// A cache of the last encoded message: most balancers are sent the same one, and share its bytes.
+/// A cache of the last encoded message. Most balancers receive the same message and share its bytes.
 #[derive(Default)]
-struct EncodedMessage {
-    last: Option<(ToBalancer, Bytes)>,
+struct EncodedMessageCache {
+    last_message: Option<(ToBalancer, Bytes)>,
 }
 
-impl EncodedMessage {
-    fn of(&mut self, message: ToBalancer) -> Bytes {
-        if let Some((last, payload)) = &self.last
-            && *last == message
+impl EncodedMessageCache {
+    fn encode(&mut self, message: ToBalancer) -> Bytes {
+        if let Some((last_message, payload)) = &self.last_message
+            && *last_message == message
         {
             return payload.clone();
         }
         let payload = Bytes::from(encode_to_balancer(&message));
-        self.last = Some((message, payload.clone()));
+        self.last_message = Some((message, payload.clone()));
         payload
     }
 }
 
-/// One controller process.
+/// The node of one controller process.
 pub struct Node {
     pub clock: Clock,
     controller: Controller,
     calls: HashMap<CallId, WaitingCall>,
-    last_call: u64,
+    last_call_id: u64,
     subscribers: HashMap<SubscriberId, Rc<SendQueue>>,
-    last_subscriber: u64,
-    peers: PeerLinks,
+    last_subscriber_id: u64,
+    peer_links: PeerLinks,
     disk: Disk,
     peers_checked_at: u64,
     was_in_quorum: bool,
@@ -71,16 +72,16 @@
 }
 
 impl Node {
-    /// A node around a controller; nothing is sent before the first event.
-    pub fn new(clock: Clock, controller: Controller, peers: PeerLinks, disk: Disk) -> Node {
+    /// Creates a node around a controller. Nothing is sent before the first event.
+    pub fn new(clock: Clock, controller: Controller, peer_links: PeerLinks, disk: Disk) -> Node {
         Node {
             clock,
             controller,
             calls: HashMap::new(),
-            last_call: 0,
+            last_call_id: 0,
             subscribers: HashMap::new(),
-            last_subscriber: 0,
-            peers,
+            last_subscriber_id: 0,
+            peer_links,
             disk,
             peers_checked_at: 0,
             was_in_quorum: false,
@@ -88,26 +89,28 @@
         }
     }
 
-    /// The controller's metrics as OpenMetrics text.
+    /// The controller's metrics in the OpenMetrics text format.
     pub fn metrics(&self) -> String {
         self.controller.metrics(self.clock.now())
     }
 
-    /// Hands an event to the state machine and carries out the actions it returns.
+    /// Passes an event to the state machine and performs the actions that it returns.
     pub fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         let actions = self.controller.handle(now, event);
         self.perform(now, actions);
     }
 
-    /// Carries out actions of the state machine.
+    /// Performs actions of the state machine.
     pub fn perform(&mut self, now: u64, actions: Vec<Action>) {
-        let mut encoded = EncodedMessage::default();
+        let mut message_cache = EncodedMessageCache::default();
         for action in actions {
             match action {
                 Action::Answer { id, response } => self.answer(id, response),
-                Action::SendPeer { to, kind, payload } => self.peers.send(now, to, kind, payload),
-                Action::SendBalancer { to, message } => self.send_balancer(now, to, encoded.of(message)),
+                Action::SendPeer { to, kind, payload } => self.peer_links.send(now, to, kind, payload),
+                Action::SendBalancer { to, message } => {
+                    self.send_balancer(now, to, message_cache.encode(message))
+                }
                 Action::Persist { token, write } => self.disk.persist(token, write),
                 Action::Compact { state } => self.disk.compact(state),
                 Action::SaveState { state } => self.disk.save_state(state),
@@ -115,64 +118,65 @@
         }
     }
 
-    /// To be called periodically: advances the state machine and checks the connections.
+    /// Advances the state machine and checks the connections. Must be called periodically.
     pub fn tick(&mut self) {
         self.handle(Event::Tick);
         let now = self.clock.now();
-        if now >= self.peers_checked_at + PEER_CHECK_MS {
+        if now >= self.peers_checked_at + PEER_CHECK_INTERVAL_MS {
             self.peers_checked_at = now;
-            self.peers.reconnect_silent(now);
-            self.peers.close_unused(now, &self.controller.peers());
+            self.peer_links.reconnect_silent(now);
+            self.peer_links.close_unused(now, &self.controller.peers());
             self.report_fatal_losses(now);
         }
         let in_quorum = self.controller.is_in_quorum(now);
         if in_quorum != self.was_in_quorum {
             self.was_in_quorum = in_quorum;
-            info!("{}", if in_quorum { "in a quorum" } else { "out of quorum" });
+            info!("{}", if in_quorum { "entered a quorum" } else { "lost the quorum" });
         }
     }
 
     fn report_fatal_losses(&mut self, now: u64) {
-        let fatal = self.controller.fatal_losses();
-        let Some(fatal) = self.fatal_losses.changed(now, fatal) else { return };
-        if fatal.is_empty() {
-            info!("a majority of the voters outlives each loss that is to be tolerated");
+        let fatal_losses = self.controller.fatal_losses();
+        let Some(fatal_losses) = self.fatal_losses.update(now, fatal_losses) else { return };
+        if fatal_losses.is_empty() {
+            info!("a majority of the voters survives each tolerated loss");
             return;
         }
-        let names: Vec<&str> = fatal.iter().map(|kind| kind.name()).collect();
-        warn!("no majority of the voters would outlive the tolerated loss of {}", names.join(", "));
+        let names: Vec<&str> = fatal_losses.iter().map(|kind| kind.name()).collect();
+        warn!("no majority of the voters would survive the tolerated loss of {}", names.join(", "));
     }
 
-    /// Starts a call; its response arrives at the receiver.
-    pub fn call(&mut self, call: Call) -> (CallId, oneshot::Receiver<Response>) {
-        self.last_call += 1;
-        let id = CallId(self.last_call);
+    /// Starts a call. Its response is sent to the returned receiver.
+    pub fn start_call(&mut self, call: Call) -> (CallId, oneshot::Receiver<Response>) {
+        self.last_call_id += 1;
+        let id = CallId(self.last_call_id);
         let (sender, receiver) = oneshot::channel();
-        self.calls.insert(id, WaitingCall { sender, command: call.command_description() });
+        self.calls.insert(id, WaitingCall { sender, command_description: call.command_description() });
         self.handle(Event::Call { id, call });
         (id, receiver)
     }
 
-    /// Withdraws a call that is no longer waited for; no effect after its answer.
-    pub fn end_call(&mut self, id: CallId) {
+    /// Cancels a call whose caller no longer waits. Has no effect after the call was answered.
+    pub fn cancel_call(&mut self, id: CallId) {
         if let Some(call) = self.calls.remove(&id) {
-            if let Some(command) = call.command {
-                info!("command {command}: the caller has closed its connection");
+            if let Some(command) = call.command_description {
+                info!("command {command}: the caller closed its connection before the answer");
             }
             self.handle(Event::CallDropped { id });
         }
     }
 
-    /// Whether any caller waits for a response.
+    /// Whether any caller is waiting for a response.
     pub fn has_calls(&self) -> bool {
         !self.calls.is_empty()
     }
 
-    /// Registers the connection of a balancer; its task writes what the queue receives.
+    /// Registers the connection of a balancer. Its task writes the frames of the returned queue to the
+    /// connection.
     pub fn subscribe(&mut self) -> (SubscriberId, Rc<SendQueue>) {
-        self.last_subscriber += 1;
-        let id = SubscriberId(self.last_subscriber);
-        let send_queue = Rc::new(SendQueue::new(MAX_BALANCER_BYTES));
+        self.last_subscriber_id += 1;
+        let id = SubscriberId(self.last_subscriber_id);
+        let send_queue = Rc::new(SendQueue::new(MAX_BALANCER_QUEUE_BYTES));
         self.subscribers.insert(id, Rc::clone(&send_queue));
         (id, send_queue)
     }
@@ -183,19 +187,19 @@
         self.handle(Event::SubscriberClosed { subscriber });
     }
 
-    /// Records that a frame was read from a controller.
-    pub fn peer_frame_received(&mut self, peer: SocketAddr) {
+    /// Records that a frame was received from another controller.
+    pub fn record_peer_frame(&mut self, peer: SocketAddr) {
         let now = self.clock.now();
-        self.peers.frame_received(now, peer);
+        self.peer_links.record_frame(now, peer);
     }
 
-    fn peer_connected(&mut self, link: &PeerLink) {
+    fn handle_peer_connected(&mut self, link: &PeerLink) {
         let now = self.clock.now();
         link.mark_connected(now);
         self.handle(Event::PeerConnected { peer: link.peer() });
     }
 
-    /// Passes a finished job of the disk's thread to the state machine.
+    /// Passes the report of a finished disk job to the state machine.
     pub fn handle_disk_report(&mut self, report: DiskReport) {
         match report {
             DiskReport::Persisted { tokens, log_bytes } => {
@@ -216,10 +220,10 @@
 
     fn answer(&mut self, id: CallId, response: Response) {
         if let Some(call) = self.calls.remove(&id) {
-            if let Some(command) = call.command {
+            if let Some(command) = call.command_description {
                 info!("command {command}: {response}");
             }
-            // The caller may have gone in the meantime.
+            // The caller may have closed its connection in the meantime.
             let _ = call.sender.send(response);
         }
     }
@@ -232,7 +236,7 @@
 }
 
 impl ConnectionObserver for RefCell<Node> {
-    fn connected(&self, link: &PeerLink) {
-        self.borrow_mut().peer_connected(link);
+    fn on_connected(&self, link: &PeerLink) {
+        self.borrow_mut().handle_peer_connected(link);
     }
 }
--- a/controlplane/controller/src/runtime/prefixed_directory.rs
+++ b/controlplane/controller/src/runtime/prefixed_directory.rs
@@ -1,11 +1,12 @@
-//! One folder shared by several journals: each sees only the files whose names begin with its prefix.
+//! A folder that several journals share. Each journal accesses only the files whose names start with its
+//! prefix.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use whinspindle_storage::{Directory, DirectoryError, FolderDirectory};
 
-/// The files of a folder whose names begin with a prefix.
+/// The files of a folder whose names start with a prefix.
 #[derive(Clone, Debug)]
 pub struct PrefixedDirectory {
     folder: Rc<RefCell<FolderDirectory>>,
@@ -13,36 +14,36 @@
 }
 
 impl PrefixedDirectory {
-    /// All files of the folder.
+    /// Creates a view of all files of the folder.
     pub fn new(folder: FolderDirectory) -> PrefixedDirectory {
         PrefixedDirectory { folder: Rc::new(RefCell::new(folder)), prefix: "" }
     }
 
-    /// The files of the same folder whose names begin with a prefix.
+    /// Creates a view of the files of the same folder whose names start with `prefix`.
     pub fn with_prefix(&self, prefix: &'static str) -> PrefixedDirectory {
         PrefixedDirectory { folder: Rc::clone(&self.folder), prefix }
     }
 
-    fn name(&self, name: &str) -> String {
+    fn prefixed_name(&self, name: &str) -> String {
         format!("{}{name}", self.prefix)
     }
 }
 
 impl Directory for PrefixedDirectory {
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DirectoryError> {
-        self.folder.borrow_mut().read(&self.name(name))
+        self.folder.borrow_mut().read(&self.prefixed_name(name))
     }
 
     fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), DirectoryError> {
-        self.folder.borrow_mut().write_at(&self.name(name), offset, bytes)
+        self.folder.borrow_mut().write_at(&self.prefixed_name(name), offset, bytes)
     }
 
     fn set_length(&mut self, name: &str, length: u64) -> Result<(), DirectoryError> {
-        self.folder.borrow_mut().set_length(&self.name(name), length)
+        self.folder.borrow_mut().set_length(&self.prefixed_name(name), length)
     }
 
     fn sync(&mut self, name: &str) -> Result<(), DirectoryError> {
-        self.folder.borrow_mut().sync(&self.name(name))
+        self.folder.borrow_mut().sync(&self.prefixed_name(name))
     }
 
     fn sync_directory(&mut self) -> Result<(), DirectoryError> {
--- a/controlplane/controller/src/runtime/process.rs
+++ b/controlplane/controller/src/runtime/process.rs
@@ -1,4 +1,4 @@
-//! The controller process: starts the node and its tasks, and shuts them down on a signal.
+//! The controller process. Starts the node and its tasks, and shuts them down on SIGTERM.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -31,89 +31,95 @@
 use crate::controller::{Action, Controller, ControllerSettings, Event};
 
 /// The interval at which the state machine is advanced.
-const TICK: Duration = Duration::from_millis(50);
-/// How long callers are still served after a signal to stop: they find another controller meanwhile.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The time for which callers are still served after SIGTERM, during which they find another controller.
 pub(super) const SHUTDOWN_GRACE: Duration = Duration::from_millis(400);
-/// How long the process then waits for calls in flight.
+/// The maximum time for which the process then waits for calls in flight.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The interval at which the calls in flight are counted while the process waits for them.
+/// The interval at which the process checks for calls in flight while it waits for them.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the controller could not run.
+/// An error that prevents the controller or the directory from running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ControllerError {
-    /// A controller needs a folder for its state.
-    #[snafu(display("the settings name no data_dir"))]
+    /// The settings define no folder for the controller's state.
+    #[snafu(display("the settings contain no data_dir"))]
     NoDataDirectory,
-    /// A directory needs an address to listen on.
-    #[snafu(display("the settings name no directory address to listen on"))]
+    /// The settings define no address for the directory.
+    #[snafu(display("the settings contain no directory address (listen.directory)"))]
     NoDirectoryAddress,
-    /// An address can't be bound.
+    /// Listening on an address failed.
     #[snafu(display("{source}"))]
     Listen {
-        /// The address, and what the system reports.
+        /// The address and the operating system's error.
         source: ListenError,
     },
-    /// The disk's thread can't be used.
+    /// The disk thread failed.
     #[snafu(display("{source}"))]
     Disk {
-        /// The failure of the thread.
+        /// The error of the disk thread.
         source: DiskError,
     },
-    /// The handlers of SIGTERM and SIGHUP can't be installed.
-    #[snafu(display("the signals of the process can't be watched"))]
+    /// The handlers of SIGTERM and SIGHUP could not be installed.
+    #[snafu(display("could not install the signal handlers"))]
     Signals {
-        /// What the system reports.
+        /// The operating system's error.
         source: std::io::Error,
     },
 }
 
-/// Runs the controller until SIGTERM. To be called inside a `LocalSet`. Its metrics are served at the endpoint, if one is
-/// given.
+/// Runs the controller until SIGTERM. Must be called inside a `LocalSet`. Metrics are served at the endpoint
+/// if one is given.
 pub async fn run(settings: Settings, metrics: Option<MetricsEndpoint>) -> Result<(), ControllerError> {
-    let mut stop = signal(SignalKind::terminate()).context(SignalsSnafu)?;
-    let mut reload = signal(SignalKind::hangup()).context(SignalsSnafu)?;
+    let mut terminate_signal = signal(SignalKind::terminate()).context(SignalsSnafu)?;
+    let mut reload_signal = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let listeners = Listeners::open(&settings)?;
     let folder = settings.data_dir.clone().context(NoDataDirectorySnafu)?;
     let clock = Clock::start();
-    let restores_state = settings.mechanisms.has(Mechanism::Recall);
-    let Some(opened) = unless_stopped(&mut stop, disk::open(folder, restores_state)).await else {
+    let should_restore_state = settings.mechanisms.has(Mechanism::Recall);
+    let Some(opened) =
+        unless_terminated(&mut terminate_signal, disk::open(folder, should_restore_state)).await
+    else {
         return Ok(());
     };
     let OpenedDisk { disk, recovered, was_damaged, reports } = opened.context(DiskSnafu)?;
     let bootstrap = settings.bootstrap && !was_damaged;
     let (controller, actions) = start_controller(&settings, bootstrap, recovered, clock.now());
-    let own = settings.internal_endpoint(settings.ip);
+    let own_address = settings.internal_endpoint(settings.ip);
     let node: SharedNode = Rc::new_cyclic(|node: &Weak<RefCell<Node>>| {
-        RefCell::new(Node::new(clock, controller, PeerLinks::new(own, node.clone()), disk))
+        RefCell::new(Node::new(clock, controller, PeerLinks::new(own_address, node.clone()), disk))
     });
     node.borrow_mut().perform(clock.now(), actions);
-    let (stopping, stopping_receiver) = watch::channel(false);
-    let server = HttpServer::new(Rc::clone(&node), stopping_receiver);
+    let (shutdown_sender, shutdown_receiver) = watch::channel(false);
+    let server = HttpServer::new(Rc::clone(&node), shutdown_receiver);
     listeners.accept_all(&node, &server);
-    spawn_local(take_disk_reports(reports, Rc::clone(&node)));
+    spawn_local(handle_disk_reports(reports, Rc::clone(&node)));
     spawn_local(tick(Rc::clone(&node)));
     if let Some(endpoint) = metrics {
-        let observed = Rc::clone(&node);
+        let metrics_node = Rc::clone(&node);
         spawn_local(whinspindle_metrics::serve(
             settings.ip,
             endpoint,
-            Rc::new(move || observed.borrow().metrics()),
+            Rc::new(move || metrics_node.borrow().metrics()),
         ));
     }
-    info!("controller {} serves {} and {own}", settings.node, describe_address(settings.listen.control));
-    wait_for_stop(&mut stop, &mut reload).await;
-    info!("controller {} stops", settings.node);
-    shut_down(&node, &server, &stopping).await;
+    info!(
+        "controller {} listens on {} and {own_address}",
+        settings.node,
+        describe_address(settings.listen.control)
+    );
+    wait_for_termination(&mut terminate_signal, &mut reload_signal).await;
+    info!("controller {} is shutting down", settings.node);
+    shut_down(&node, &server, &shutdown_sender).await;
     Ok(())
 }
 
-/// The output of a future, or none if SIGTERM comes first.
-async fn unless_stopped<T>(stop: &mut Signal, future: impl Future<Output = T>) -> Option<T> {
+/// Waits for a future. Returns its output, or none if SIGTERM is received first.
+async fn unless_terminated<T>(terminate_signal: &mut Signal, future: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         output = future => Some(output),
-        _ = stop.recv() => None,
+        _ = terminate_signal.recv() => None,
     }
 }
 
@@ -173,22 +179,22 @@
         region: settings.region.clone(),
         seeds: seed_endpoints(settings),
         bootstrap,
-        incarnation: random(),
-        start: random(),
+        incarnation: random_number(),
+        start: random_number(),
         tolerance: tolerance(settings),
         timing: Timing::default(),
     };
     let stored = (recovered.checkpoint, recovered.log);
-    let failure = match Replica::new(replica_settings.clone(), CommandApplication, stored, now) {
+    let error = match Replica::new(replica_settings.clone(), CommandApplication, stored, now) {
         Ok(started) => return started,
-        Err(failure) => failure,
+        Err(error) => error,
     };
-    // With a new identity the replica joins like one whose disk was lost.
-    warn!("the state on the disk is of no use: {failure}");
+    // The replica joins with a new identity, like one whose disk was lost.
+    warn!("the state on the disk is unusable, joining as a new replica: {error}");
     replica_settings.bootstrap = false;
     match Replica::new(replica_settings, CommandApplication, (None, Vec::new()), now) {
         Ok(started) => started,
-        Err(failure) => unreachable!("an empty disk can be read: {failure}"),
+        Err(error) => unreachable!("an empty disk can be read: {error}"),
     }
 }
 
@@ -201,19 +207,19 @@
     settings.seeds.iter().map(|seed| settings.internal_endpoint(seed.ip())).collect()
 }
 
-fn random() -> u64 {
-    // Each `RandomState` has keys of its own that the operating system drew at random.
+fn random_number() -> u64 {
+    // The keys of a `RandomState` are derived from random numbers of the operating system.
     RandomState::new().hash_one(IpAddr::from([0, 0, 0, 0]))
 }
 
-async fn take_disk_reports(mut reports: UnboundedReceiver<DiskReport>, node: SharedNode) {
+async fn handle_disk_reports(mut reports: UnboundedReceiver<DiskReport>, node: SharedNode) {
     while let Some(report) = reports.recv().await {
         node.borrow_mut().handle_disk_report(report);
     }
 }
 
 async fn tick(node: SharedNode) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -221,24 +227,24 @@
     }
 }
 
-async fn wait_for_stop(stop: &mut Signal, reload: &mut Signal) {
+async fn wait_for_termination(terminate_signal: &mut Signal, reload_signal: &mut Signal) {
     loop {
         tokio::select! {
-            _ = stop.recv() => return,
-            _ = reload.recv() => info!("settings are read anew at the next start"),
+            _ = terminate_signal.recv() => return,
+            _ = reload_signal.recv() => info!("SIGHUP ignored: settings are only read at the start"),
         }
     }
 }
 
-/// Hands the controller's roles over to others, finishes the calls in flight and closes the connections.
-async fn shut_down(node: &SharedNode, server: &HttpServer, stopping: &watch::Sender<bool>) {
+/// Hands the controller's roles over to others, waits for the calls in flight and closes the connections.
+async fn shut_down(node: &SharedNode, server: &HttpServer, shutdown_sender: &watch::Sender<bool>) {
     node.borrow_mut().handle(Event::Shutdown);
     sleep(SHUTDOWN_GRACE).await;
-    stopping.send_replace(true);
-    let mut remaining = DRAIN_TIMEOUT;
-    while !remaining.is_zero() && (node.borrow().has_calls() || !server.is_idle()) {
+    shutdown_sender.send_replace(true);
+    let mut remaining_time = DRAIN_TIMEOUT;
+    while !remaining_time.is_zero() && (node.borrow().has_calls() || !server.is_idle()) {
         sleep(DRAIN_POLL_INTERVAL).await;
-        remaining = remaining.saturating_sub(DRAIN_POLL_INTERVAL);
+        remaining_time = remaining_time.saturating_sub(DRAIN_POLL_INTERVAL);
     }
 }
 
--- a/controlplane/controller/src/runtime/stable_value.rs
+++ b/controlplane/controller/src/runtime/stable_value.rs
@@ -1,24 +1,26 @@
-//! Debouncing of a value that is logged: a change is reported only once it has been stable for a while.
+//! Debouncing of a logged value. A change is reported only after the value has been stable for some time.
 
-/// How long a value must be unchanged, in milliseconds: voters move right after a start and after a loss.
+/// The time for which a value must be unchanged, in milliseconds. The set of voters changes shortly after a
+/// start and after a loss.
 const MIN_STABLE_MS: u64 = 6_000;
 
-/// The value that was reported last, and the one that may be reported next.
+/// The last reported value, and the candidate for the next report.
 #[derive(Debug, Default)]
 pub struct StableValue<T> {
     reported: T,
     candidate: T,
-    since: u64,
+    candidate_since: u64,
 }
 
 impl<T: Clone + PartialEq> StableValue<T> {
-    /// Takes the present value; returns it if it has been stable for long enough and differs from the last one reported.
-    pub fn changed(&mut self, now: u64, present: T) -> Option<T> {
-        if present != self.candidate {
-            self.candidate = present;
-            self.since = now;
+    /// Updates the current value. Returns it if it has been stable for long enough and differs from the last
+    /// reported value.
+    pub fn update(&mut self, now: u64, current: T) -> Option<T> {
+        if current != self.candidate {
+            self.candidate = current;
+            self.candidate_since = now;
         }
-        if self.candidate == self.reported || now < self.since + MIN_STABLE_MS {
+        if self.candidate == self.reported || now < self.candidate_since + MIN_STABLE_MS {
             return None;
         }
         self.reported = self.candidate.clone();
--- a/controlplane/registry/tests/instances.rs
+++ b/controlplane/registry/tests/instances.rs
@@ -359,10 +359,15 @@
         }
         let merged_once = sorted_records(&copy, 100);
         let has_changed_again = records.into_iter().any(|record| copy.merge(100, record));
-        !has_changed_again && merged_once == sorted_records(&copy, 100) && merged_once == sorted_records(&source, 100)
+        !has_changed_again
+            && merged_once == sorted_records(&copy, 100)
+            && merged_once == sorted_records(&source, 100)
     }
 
-    fn exchange_of_all_changes_converges_on_sequences_and_drains(first: Vec<RandomHeartbeat>, second: Vec<RandomHeartbeat>) -> bool {
+    fn exchange_of_all_changes_converges_on_sequences_and_drains(
+        first: Vec<RandomHeartbeat>,
+        second: Vec<RandomHeartbeat>
+    ) -> bool {
         let (mut a, mut b) = (registry(), registry());
         first.iter().for_each(|random| apply(&mut a, 100, random));
         second.iter().for_each(|random| apply(&mut b, 100, random));
@@ -370,7 +375,10 @@
         from_a.into_iter().for_each(|record| { b.merge(100, record); });
         from_b.into_iter().for_each(|record| { a.merge(100, record); });
         let sequences_and_drains = |registry: &InstanceRegistry| -> Vec<(String, u64, bool)> {
-            sorted_records(registry, 100).into_iter().map(|record| (record.id, record.sequence, record.draining)).collect()
+            sorted_records(registry, 100)
+                .into_iter()
+                .map(|record| (record.id, record.sequence, record.draining))
+                .collect()
         };
         sequences_and_drains(&a) == sequences_and_drains(&b)
     }
--- a/controlplane/registry/tests/leases.rs
+++ b/controlplane/registry/tests/leases.rs
@@ -131,7 +131,9 @@
         records.iter().for_each(|record| { copy.merge(now, record.clone()); });
         let merged_once = copy.snapshot(now);
         let has_changed_again = records.into_iter().any(|record| copy.merge(now, record));
-        !has_changed_again && merged_once == copy.snapshot(now) && copy.balancer_count(now) == source.balancer_count(now)
+        !has_changed_again
+            && merged_once == copy.snapshot(now)
+            && copy.balancer_count(now) == source.balancer_count(now)
     }
 }
 
