--- a/controlplane/controller/src/api.rs
+++ b/controlplane/controller/src/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of operators, upstreams and clients: parsing of requests into calls, and the responses.
+//! The HTTP API for operators, upstreams and clients. Parses requests into calls and builds the responses.
 
 use std::fmt::{self, Display, Formatter, Write};
 use std::net::SocketAddr;
@@ -8,26 +8,27 @@
 use snafu::{ResultExt, Snafu};
 use whinspindle_configuration::{Configuration, ConfigurationError, Heartbeat, HeartbeatError};
 
-/// The header that names the generation on which a configuration builds.
+/// The request header that holds the generation on which a new configuration is based.
 pub const BASE_VERSION_HEADER: &str = "whinspindle-base-version";
 
-/// A longer reason is truncated: it may quote what the caller has sent.
+/// The maximum length of a reason in a response. A reason may quote parts of the request, so a longer one is
+/// truncated.
 const MAX_REASON_BYTES: usize = 1024;
-/// The longest id of an instance that is accepted.
+/// The maximum length of an instance id.
 const MAX_INSTANCE_ID_BYTES: usize = 128;
-/// The most voters that are declared lost at once.
-const MAX_DECLARED: usize = 16;
+/// The maximum number of voters in one declaration of lost voters.
+const MAX_DECLARED_VOTERS: usize = 16;
 
-/// A call that was parsed, and validated as far as that is possible without the state.
+/// A parsed call. It has been validated as far as that is possible without the controller's state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// An operator puts a configuration in place.
+    /// An operator replaces the configuration.
     Replace {
-        /// The generation that it builds on.
+        /// The generation on which the new configuration is based.
         base: u64,
-        /// Its own generation.
+        /// The generation of the new configuration.
         generation: u64,
-        /// The configuration as it was sent.
+        /// The configuration as received.
         body: Bytes,
     },
     /// An operator reads the newest configuration.
@@ -36,24 +37,24 @@
     Evacuate {
         /// The zone.
         zone: String,
-        /// Whether the evacuation begins.
+        /// True to begin the evacuation, false to finish it.
         evacuated: bool,
     },
     /// An upstream sends its heartbeat.
     Heartbeat {
         /// The id of the instance.
         instance: String,
-        /// What it reports.
+        /// The reported state of the instance.
         heartbeat: Heartbeat,
     },
-    /// An upstream ends.
+    /// An upstream deregisters because it terminates.
     Deregister {
         /// The id of the instance.
         instance: String,
     },
     /// A client asks for the addresses of balancers.
     Resolve {
-        /// The host that it sends requests to.
+        /// The host to which the client sends requests.
         host: String,
         /// The client's region.
         region: String,
@@ -62,11 +63,12 @@
     },
     /// An operator reads the status of this controller.
     Status,
-    /// An operator answers for it that voters never come back, where the others can't decide without them.
+    /// An operator declares voters permanently lost, because the remaining ones cannot form a quorum without
+    /// them.
     DeclareLost {
-        /// Their addresses among the controllers.
+        /// The internal addresses of the lost voters.
         lost: Vec<SocketAddr>,
-        /// The view whose consequences the operator has read and confirms; none at the first time of asking.
+        /// The view for which the operator has confirmed the consequences; none in the first request.
         confirmed_view: Option<u64>,
     },
 }
@@ -96,50 +98,50 @@
     pub path: &'a str,
     /// The query of the URI, empty without one.
     pub query: &'a str,
-    /// The value of the header [`BASE_VERSION_HEADER`].
+    /// The value of the header [`BASE_VERSION_HEADER`], if present.
     pub base_version: Option<&'a str>,
-    /// The whole body; empty where [`has_body`] doesn't hold.
+    /// The complete body; empty for paths without a body ([`has_body`]).
     pub body: Bytes,
 }
 
-/// Why a request is refused before it reaches the state.
+/// An error for which a request is refused before its call is handled.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum RequestError {
-    /// There is no call of this path.
+    /// The path does not exist.
     #[snafu(display("no such path"))]
     UnknownPath,
-    /// The path is called with another method.
+    /// The path does not support the method.
     #[snafu(display("this path takes another method"))]
     MethodNotAllowed,
-    /// The header with the base generation is missing, repeated or no number.
+    /// The header with the base generation is missing, repeated or not a number.
     #[snafu(display("the header Whinspindle-Base-Version must stand once and hold a whole number"))]
     InvalidBaseVersion,
     /// The configuration can't be parsed or is inconsistent.
     #[snafu(display("invalid configuration: {source}"))]
     InvalidConfiguration {
-        /// What is wrong with it.
+        /// The parse or validation error.
         source: ConfigurationError,
     },
     /// The heartbeat can't be parsed or is out of bounds.
     #[snafu(display("invalid heartbeat: {source}"))]
     InvalidHeartbeat {
-        /// What is wrong with it.
+        /// The parse or validation error.
         source: HeartbeatError,
     },
-    /// The id of the instance is empty, too long or has a slash.
+    /// The id of the instance is empty, too long or contains a slash.
     #[snafu(display("an instance id has 1 to {MAX_INSTANCE_ID_BYTES} bytes and no slash"))]
     InvalidInstanceId,
-    /// An address is none, or there are none or too many.
-    #[snafu(display("1 to {MAX_DECLARED} addresses like 10.1.0.2:7400, with commas between them"))]
+    /// An address is malformed, or the number of addresses is zero or too large.
+    #[snafu(display("1 to {MAX_DECLARED_VOTERS} addresses like 10.1.0.2:7400, with commas between them"))]
     InvalidAddresses,
-    /// The settings name no such zone.
+    /// The zone is not in the settings.
     #[snafu(display("no such zone"))]
     UnknownZone,
     /// The body is larger than the server accepts.
     #[snafu(display("the body is too large"))]
     BodyTooLarge,
-    /// The body was broken off or came too slowly.
+    /// The body was incomplete or was received too slowly.
     #[snafu(display("the body could not be read"))]
     UnreadableBody,
     /// The server has too many bytes buffered.
@@ -160,7 +162,7 @@
             | RequestError::InvalidHeartbeat { .. }
             | RequestError::InvalidAddresses
             | RequestError::InvalidInstanceId => StatusCode::BAD_REQUEST,
-            // The command was not received: the caller is to send it again.
+            // The command was not received. The status asks the caller to send it again.
             RequestError::UnreadableBody => StatusCode::REQUEST_TIMEOUT,
             RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             RequestError::Overloaded | RequestError::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
@@ -168,27 +170,27 @@
     }
 }
 
-/// The response to a call; its body is JSON.
+/// The response to a call, with a JSON body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// The status of the HTTP response.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// Its body.
+    /// The JSON body.
     pub body: Bytes,
 }
 
 impl Response {
-    /// 200 with a body.
+    /// Creates a response with status 200 and a body.
     pub fn ok(body: Bytes) -> Response {
         Response { status: StatusCode::OK, body }
     }
 
-    /// 200 with an empty object.
+    /// Creates a response with status 200 and an empty JSON object.
     pub fn accepted() -> Response {
         Response::ok(Bytes::from_static(b"{}"))
     }
 
-    /// A failure with its reason.
+    /// Creates an error response with its reason.
     pub fn failure(status: StatusCode, reason: &str) -> Response {
         let mut body = String::from("{\"error\":");
         push_json_string(&mut body, &reason[..reason.floor_char_boundary(MAX_REASON_BYTES)]);
@@ -196,13 +198,14 @@
         Response { status, body: Bytes::from(body) }
     }
 
-    /// 503: the outcome is unknown, or there is no quorum now. The caller retries at another controller.
+    /// Creates a response with status 503, for an unknown outcome or a missing quorum. The caller retries at
+    /// another controller.
     pub fn unavailable(reason: &str) -> Response {
         Response::failure(StatusCode::SERVICE_UNAVAILABLE, reason)
     }
 }
 
-/// For the log: the status, and the reason of a failure.
+/// Formats the response for the log, as the status and the body of an error.
 impl Display for Response {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
         if self.status.is_success() {
@@ -218,12 +221,12 @@
     }
 }
 
-/// Whether requests of this path carry a body that has to be read.
+/// Whether requests to this path have a body.
 pub fn has_body(path: &str) -> bool {
     path == "/Config.Replace" || path.starts_with("/Instances.Heartbeat/")
 }
 
-/// Whether this is the path of an operator command.
+/// Whether this path is the path of an operator command.
 pub fn is_operator_command(path: &str) -> bool {
     path == "/Config.Replace" || path.starts_with("/Evacuate.") || path.starts_with("/Members.")
 }
@@ -238,7 +241,7 @@
         Operation::BeginEvacuation => Ok(Call::Evacuate { zone: argument.to_owned(), evacuated: true }),
         Operation::FinishEvacuation => Ok(Call::Evacuate { zone: argument.to_owned(), evacuated: false }),
         Operation::Heartbeat => parse_heartbeat(argument, &request.body),
-        Operation::Deregister => Ok(Call::Deregister { instance: instance_id(argument)? }),
+        Operation::Deregister => Ok(Call::Deregister { instance: parse_instance_id(argument)? }),
         Operation::Resolve => Ok(parse_resolve(request.query)),
         Operation::Status => Ok(Call::Status),
         Operation::DeclareLost => parse_declaration(argument, request.query),
@@ -283,8 +286,8 @@
 }
 
 fn check_method(operation: Operation, method: &Method) -> Result<(), RequestError> {
-    let reads = matches!(operation, Operation::Fetch | Operation::Resolve | Operation::Status);
-    let expected = if reads { Method::GET } else { Method::POST };
+    let is_read = matches!(operation, Operation::Fetch | Operation::Resolve | Operation::Status);
+    let expected = if is_read { Method::GET } else { Method::POST };
     if *method == expected { Ok(()) } else { Err(RequestError::MethodNotAllowed) }
 }
 
@@ -296,14 +299,14 @@
 }
 
 fn parse_heartbeat(argument: &str, body: &[u8]) -> Result<Call, RequestError> {
-    let instance = instance_id(argument)?;
+    let instance = parse_instance_id(argument)?;
     let heartbeat = Heartbeat::parse(body).context(InvalidHeartbeatSnafu)?;
     Ok(Call::Heartbeat { instance, heartbeat })
 }
 
-fn instance_id(argument: &str) -> Result<String, RequestError> {
-    let proper = !argument.is_empty() && argument.len() <= MAX_INSTANCE_ID_BYTES && !argument.contains('/');
-    if proper { Ok(argument.to_owned()) } else { Err(RequestError::InvalidInstanceId) }
+fn parse_instance_id(argument: &str) -> Result<String, RequestError> {
+    let is_valid = !argument.is_empty() && argument.len() <= MAX_INSTANCE_ID_BYTES && !argument.contains('/');
+    if is_valid { Ok(argument.to_owned()) } else { Err(RequestError::InvalidInstanceId) }
 }
 
 fn parse_resolve(query: &str) -> Call {
@@ -316,7 +319,8 @@
 
 fn parse_declaration(argument: &str, query: &str) -> Result<Call, RequestError> {
     let lost: Result<Vec<SocketAddr>, _> = argument.split(',').map(str::parse).collect();
-    let lost = lost.ok().filter(|lost| lost.len() <= MAX_DECLARED).ok_or(RequestError::InvalidAddresses)?;
+    let lost =
+        lost.ok().filter(|lost| lost.len() <= MAX_DECLARED_VOTERS).ok_or(RequestError::InvalidAddresses)?;
     Ok(Call::DeclareLost { lost, confirmed_view: query_value(query, "confirm").parse().ok() })
 }
 
@@ -332,8 +336,8 @@
         match character {
             '"' => json.push_str("\\\""),
             '\\' => json.push_str("\\\\"),
-            control if control < ' ' => {
-                let _ = write!(json, "\\u{:04x}", u32::from(control));
+            control_character if control_character < ' ' => {
+                let _ = write!(json, "\\u{:04x}", u32::from(control_character));
             }
             other => json.push(other),
         }
--- a/controlplane/controller/src/commands.rs
+++ b/controlplane/controller/src/commands.rs
@@ -1,11 +1,12 @@
-//! Operator commands, and what they do to the replicated records.
+//! Commands that modify the replicated records, and their outcomes.
 //!
-//! A [`Command`] is encoded, submitted to the chain and evaluated at its head by [`CommandApplication`]; its answer is an
-//! [`Outcome`]. [`records`] names the records and reads them.
+//! A [`Command`] is encoded, submitted to the chain and evaluated at its head by [`CommandApplication`],
+//! which answers with an [`Outcome`]. [`records`] defines the keys of the records and reads their values.
 //!
-//! Every command may be sent more than once. A repeated configuration is recognized by the digest that the history keeps
-//! for its generation. A departure only ever moves forward. An evacuation names the sequence of the zone's record that its
-//! controller observed, and raises that sequence, which voids all copies that are still on their way.
+//! Every command may be submitted more than once. A repeated configuration is recognized by the digest that
+//! the history keeps for its generation. A departure only advances. An evacuation carries the sequence of the
+//! zone's record that its controller has observed. Applying it raises that sequence, so that delayed copies
+//! of the command have no effect.
 
 mod application;
 pub mod records;
@@ -15,16 +16,16 @@
 
 pub use application::CommandApplication;
 
-/// A command on its way to the head of the chain.
+/// A command that is evaluated at the head of the chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Put a configuration in place; it has been validated.
+    /// Replace the configuration by a new one, which has been validated.
     Replace {
-        /// The generation that it builds on.
+        /// The generation on which the new configuration is based.
         base: u64,
-        /// Its own generation.
+        /// The generation of the new configuration.
         generation: u64,
-        /// The configuration as its operator sent it.
+        /// The configuration as received from the operator.
         body: Vec<u8>,
     },
     /// Read the newest configuration.
@@ -33,77 +34,79 @@
     Evacuate {
         /// The zone.
         zone: String,
-        /// Whether the evacuation begins.
+        /// True to begin the evacuation, false to finish it.
         evacuated: bool,
-        /// The sequence of the zone's record when the command was submitted, 0 without one: a delayed command doesn't undo
-        /// a newer one.
+        /// The sequence of the zone's record when the command was submitted, or 0 without a record. It
+        /// prevents a delayed command from reverting a newer one.
         observed_sequence: u64,
     },
     /// Record the departure of an instance.
     Drain {
         /// The id of the instance.
         instance: String,
-        /// How far it has departed.
+        /// The new stage of the departure.
         departure: Departure,
     },
 }
 
-/// The departure of an instance; it only ever moves forward.
+/// The stage of an instance's departure. Stages only advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Departure {
-    /// The instance takes no new requests.
+    /// The instance accepts no new requests.
     Draining,
-    /// The instance has ended.
+    /// The instance has terminated.
     Deregistered,
 }
 
 /// The result of a command's evaluation at the head.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It has been applied, by this command or by an equal one before; a newer one may have replaced it since.
+    /// The command was applied, now or as an earlier copy. A newer command may have replaced its effect
+    /// since.
     Applied,
-    /// A later configuration is in place than the one that the command builds on. Since generations rise, the command can
-    /// never be applied.
+    /// The current configuration is newer than the one on which the command is based. Since generations only
+    /// increase, the command can never be applied.
     BaseMismatch {
-        /// The generation in place.
+        /// The generation of the current configuration.
         current: u64,
     },
-    /// The generation is not above the one that the command builds on, so the command can never be applied.
+    /// The generation is not greater than the base generation, so the command can never be applied.
     GenerationTooLow {
-        /// The generation in place.
+        /// The generation of the current configuration.
         current: u64,
     },
     /// The zone's record has changed since the command was submitted.
     Superseded {
-        /// The present sequence of the record.
+        /// The current sequence of the record.
         sequence: u64,
     },
-    /// The command could not be read.
+    /// The command could not be decoded.
     Unreadable,
-    /// The configuration that the command builds on is not in place yet. A later copy of the command may be applied.
+    /// The configuration on which the command is based has not been applied yet. A later copy of the command
+    /// may be applied.
     BaseNotInPlace {
-        /// The generation in place.
+        /// The generation of the current configuration.
         current: u64,
     },
-    /// The generation is older than the history: it is not known any more whether this configuration was applied.
+    /// The generation is older than the history, so it is unknown whether this configuration was applied.
     HistoryExpired {
-        /// The generation in place.
+        /// The generation of the current configuration.
         current: u64,
     },
 }
 
-/// A command or an outcome that can't be encoded or decoded.
+/// An error while encoding or decoding a command or an outcome.
 #[derive(Debug, Snafu)]
 pub enum CommandError {
-    /// The encoding failed, or the bytes are not one.
+    /// The encoding failed, or the bytes are not a valid encoding.
     #[snafu(display("malformed command: {source}"))]
     Malformed {
-        /// What the codec reports.
+        /// The error of the codec.
         source: postcard::Error,
     },
 }
 
-/// The fixed part of an encoded command; the body of a configuration follows it as it is.
+/// The header of an encoded command. The body of a configuration follows it unencoded.
 #[derive(Serialize, Deserialize)]
 enum CommandHeader {
     Replace { base: u64, generation: u64 },
@@ -115,7 +118,7 @@
 impl Command {
     /// Encodes the command for the chain.
     pub fn encode(self) -> Result<Vec<u8>, CommandError> {
-        let (head, body) = match self {
+        let (header, body) = match self {
             Command::Replace { base, generation, body } => {
                 (CommandHeader::Replace { base, generation }, body)
             }
@@ -127,15 +130,15 @@
                 (CommandHeader::Drain { instance, departure }, Vec::new())
             }
         };
-        let mut command = postcard::to_stdvec(&head).context(MalformedSnafu)?;
+        let mut command = postcard::to_stdvec(&header).context(MalformedSnafu)?;
         command.extend_from_slice(&body);
         Ok(command)
     }
 
     /// Decodes a command.
     pub fn decode(command: &[u8]) -> Result<Command, CommandError> {
-        let (head, body) = postcard::take_from_bytes(command).context(MalformedSnafu)?;
-        Ok(match head {
+        let (header, body) = postcard::take_from_bytes(command).context(MalformedSnafu)?;
+        Ok(match header {
             CommandHeader::Replace { base, generation } => {
                 Command::Replace { base, generation, body: body.to_vec() }
             }
--- a/controlplane/controller/src/commands/application.rs
+++ b/controlplane/controller/src/commands/application.rs
@@ -1,4 +1,4 @@
-//! The evaluation of commands on the newest records, at the head of the chain.
+//! Evaluation of commands against the newest records, at the head of the chain.
 
 use blake3::Hash;
 use whinspindle_replica::{Answer, Application, Evaluation, RecordWrite, Records};
@@ -9,12 +9,12 @@
 };
 use super::{Command, Departure, Outcome};
 
-/// The number of configurations of which a repeat is recognized.
+/// The maximum number of configurations whose repetitions are recognized.
 const MAX_HISTORY: usize = 512;
-/// The number of departures that are kept.
+/// The maximum number of departures that are kept.
 const MAX_DRAINED: usize = 2048;
 
-/// The application that the chain replicates: evaluates commands on the newest records.
+/// The application that the chain replicates. It evaluates commands against the newest records.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CommandApplication;
 
@@ -36,7 +36,7 @@
 
 fn replace(records: &Records, base: u64, generation: u64, body: Vec<u8>) -> Evaluation {
     let digest = blake3::hash(&body);
-    if was_taken(records, generation, &digest) {
+    if was_applied(records, generation, &digest) {
         return answer_only(Outcome::Applied);
     }
     let current = current_generation(records);
@@ -48,11 +48,12 @@
         write(GENERATION_KEY.to_owned(), generation.to_string().into_bytes()),
         write(history_key(generation), digest.as_bytes().to_vec()),
     ];
-    writes.extend(oldest_of_full_history(records));
+    writes.extend(history_eviction(records));
     Evaluation { writes, answer: Answer::Value(Outcome::Applied.encode()) }
 }
 
-/// Why a configuration is not put in place. Clear refusals are final: no later copy of the command can be taken.
+/// The reason for which a configuration is rejected, or none if it can be applied. After `GenerationTooLow`
+/// and `BaseMismatch` no later copy of the command can be applied either.
 fn rejection(records: &Records, current: u64, base: u64, generation: u64) -> Option<Outcome> {
     if generation <= base {
         return Some(Outcome::GenerationTooLow { current });
@@ -66,7 +67,8 @@
     (base < current).then_some(Outcome::BaseMismatch { current })
 }
 
-/// The lowest generation whose fate the history still holds; 0 while it holds all.
+/// The lowest generation in a full history, or 0 while the history is not full. For lower generations it is
+/// unknown whether they were applied.
 fn oldest_known_generation(records: &Records) -> u64 {
     if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
         return 0;
@@ -75,20 +77,21 @@
     oldest.and_then(|(key, _)| key[HISTORY_PREFIX.len()..].parse().ok()).unwrap_or(0)
 }
 
-fn was_taken(records: &Records, generation: u64, digest: &Hash) -> bool {
+fn was_applied(records: &Records, generation: u64, digest: &Hash) -> bool {
     records.get(&history_key(generation)).is_some_and(|record| record.value.as_slice() == digest.as_bytes())
 }
 
-/// The write that removes the oldest entry of a full history. Generations rise and their keys sort alike, so the first
-/// entry is the oldest.
-fn oldest_of_full_history(records: &Records) -> Option<RecordWrite> {
+/// The write that removes the oldest entry of a full history. Generations increase and their keys sort in the
+/// same order, so the first entry is the oldest.
+fn history_eviction(records: &Records) -> Option<RecordWrite> {
     if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
         return None;
     }
     records.range(HISTORY_PREFIX).next().map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
 }
 
-/// Writes the record also if the zone is in that state already: the new sequence voids every copy of an earlier command.
+/// Writes the record even if the zone is already in the requested state, because the new sequence supersedes
+/// all copies of earlier commands.
 fn evacuate(records: &Records, zone: &str, evacuated: bool, observed_sequence: u64) -> Evaluation {
     let sequence = evacuation_sequence(records, zone);
     if sequence != observed_sequence {
@@ -106,12 +109,13 @@
     }
     let mut writes = vec![write(drained_key(instance), departure.value().to_vec())];
     if known.is_none() {
-        writes.extend(oldest_of_full_drained(records));
+        writes.extend(departure_eviction(records));
     }
     Evaluation { writes, answer: Answer::Value(Outcome::Applied.encode()) }
 }
 
-fn oldest_of_full_drained(records: &Records) -> Option<RecordWrite> {
+/// The write that removes the oldest departure if the maximum number is reached.
+fn departure_eviction(records: &Records) -> Option<RecordWrite> {
     if records.range(DRAINED_PREFIX).count() < MAX_DRAINED {
         return None;
     }
--- a/controlplane/controller/src/commands/records.rs
+++ b/controlplane/controller/src/commands/records.rs
@@ -1,18 +1,18 @@
-//! The replicated records that commands read and write: their keys and values.
+//! The keys and values of the replicated records that commands read and write.
 
 use whinspindle_replica::{RecordWrite, Records};
 
 use super::Departure;
 
-/// The record that holds the body of the newest configuration.
+/// The key of the record that holds the body of the newest configuration.
 pub const CONFIGURATION_KEY: &str = "configuration";
-/// The record that holds the generation of the newest configuration, in decimal digits.
+/// The key of the record that holds the generation of the newest configuration, in decimal digits.
 pub(super) const GENERATION_KEY: &str = "generation";
-/// The prefix of the records with the digests of accepted configurations, by generation.
+/// The key prefix of the records that hold the digests of accepted configurations, by generation.
 pub(super) const HISTORY_PREFIX: &str = "history/";
-/// The prefix of the records of zones for which an evacuation was ever begun or finished.
+/// The key prefix of the records of zones for which an evacuation command was ever applied.
 pub const EVACUATION_PREFIX: &str = "evacuation/";
-/// The prefix of the records of departed instances, draining or deregistered.
+/// The key prefix of the records of draining and deregistered instances.
 pub const DRAINED_PREFIX: &str = "drained/";
 
 pub(super) const ZONE_EVACUATED: &[u8] = b"1";
@@ -34,51 +34,51 @@
     }
 }
 
-/// The generation of the configuration in place, 0 before the first.
+/// The generation of the current configuration, or 0 without one.
 pub fn current_generation(records: &Records) -> u64 {
     let digits = records.get(GENERATION_KEY).and_then(|record| std::str::from_utf8(&record.value).ok());
     digits.and_then(|digits| digits.parse().ok()).unwrap_or(0)
 }
 
-/// The evacuations that are in force.
+/// The zones that are currently evacuated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuatedZones {
-    /// The newest sequence of all evacuation records, also of zones that are in service again.
+    /// The newest sequence of all evacuation records, including those of zones that are in service again.
     pub sequence: u64,
     /// The evacuated zones.
     pub zones: Vec<String>,
 }
 
-/// The zones that are evacuated.
+/// Reads the evacuated zones from the records.
 pub fn evacuated_zones(records: &Records) -> EvacuatedZones {
-    let mut newest = 0;
+    let mut newest_sequence = 0;
     let mut zones = Vec::new();
     for (key, record) in records.range(EVACUATION_PREFIX) {
-        newest = newest.max(record.sequence);
+        newest_sequence = newest_sequence.max(record.sequence);
         if record.value.as_slice() == ZONE_EVACUATED {
             zones.push(key[EVACUATION_PREFIX.len()..].to_owned());
         }
     }
-    EvacuatedZones { sequence: newest, zones }
+    EvacuatedZones { sequence: newest_sequence, zones }
 }
 
-/// The sequence of a zone's evacuation record, 0 without one.
+/// The sequence of a zone's evacuation record, or 0 without one.
 pub fn evacuation_sequence(records: &Records, zone: &str) -> u64 {
     records.get(&evacuation_key(zone)).map_or(0, |record| record.sequence)
 }
 
-/// The departure of an instance, none if it is in service.
+/// The departure of an instance; none if the instance is in service.
 pub fn departure_of(records: &Records, instance: &str) -> Option<Departure> {
     records.get(&drained_key(instance)).map(|record| Departure::from_value(&record.value))
 }
 
-/// All departed instances with their departures.
+/// The ids of all departed instances, with their departures.
 pub fn departures(records: &Records) -> impl Iterator<Item = (&str, Departure)> {
     let records = records.range(DRAINED_PREFIX);
     records.map(|(key, record)| (&key[DRAINED_PREFIX.len()..], Departure::from_value(&record.value)))
 }
 
-/// The instance and its departure, if a write records one.
+/// The instance id and the departure that a write records; none for other writes.
 pub fn departure_in(write: &RecordWrite) -> Option<(&str, Departure)> {
     let instance = write.key.strip_prefix(DRAINED_PREFIX)?;
     Some((instance, Departure::from_value(write.value.as_deref()?)))
--- a/controlplane/controller/src/controller.rs
+++ b/controlplane/controller/src/controller.rs
@@ -1,8 +1,9 @@
-//! The controller as a state machine: calls, frames and finished disk writes in; answers, frames and disk writes out.
+//! The controller as a state machine. Its inputs are calls, frames and finished disk writes; its outputs are
+//! answers, frames and disk writes.
 //!
-//! Each submodule handles one concern of it: [`calls`], the path of commands through the chain ([`submission`],
-//! [`replication`]), [`gossip`] between controllers, [`publication`] to balancers, and the state around a restart
-//! ([`readiness`], [`saved_state`]).
+//! [`calls`] handles the calls of operators, upstreams and clients. [`submission`] and [`replication`] pass
+//! commands through the chain. [`gossip`] exchanges observations with other controllers, and [`publication`]
+//! sends updates to balancers. [`readiness`] and [`saved_state`] handle the time after a restart.
 
 mod calls;
 mod event;
@@ -33,22 +34,22 @@
 use crate::silence_grace::SilenceGrace;
 
 /// The interval at which silent instances and balancers are removed, in milliseconds.
-const EXPIRY_MS: u64 = 300;
+const EXPIRY_INTERVAL_MS: u64 = 300;
 
-/// The settings of a controller: itself and its deployment.
+/// The settings of a controller and of its deployment.
 #[derive(Clone, Debug)]
 pub struct ControllerSettings {
-    /// The name of its node.
+    /// The name of the controller's node.
     pub node: String,
-    /// Where other controllers and balancers connect, and where that is.
+    /// The address to which other controllers and balancers connect, with its zone and region.
     pub address: ControllerAddress,
     /// The region of each zone.
     pub zones: BTreeMap<String, String>,
-    /// The time between two heartbeats of an upstream, in milliseconds.
+    /// The time between two heartbeats of an upstream instance, in milliseconds.
     pub heartbeat_ms: u64,
 }
 
-/// One controller. The time is passed in as milliseconds of a steady clock.
+/// One controller. The caller passes the time in milliseconds of a monotonic clock.
 pub struct Controller<R = StandardRules> {
     rules: PhantomData<R>,
     settings: ControllerSettings,
@@ -61,38 +62,40 @@
     pending: PendingCommands,
     known_peers: KnownPeers,
     started_at: u64,
-    contact: QuorumContact,
-    /// How long the controller discovers instances and balancers after its start before it publishes them.
+    quorum_contact: QuorumContact,
+    /// The time after the start during which the controller discovers instances and balancers before it
+    /// publishes them, in milliseconds.
     discovery_ms: u64,
-    /// Another controller has sent all that is live.
+    /// Whether another controller has sent a complete snapshot of its observations.
     received_complete_state: bool,
-    /// State of an earlier process was restored, from this disk or from another controller.
+    /// Whether saved state was restored, from this disk or from another controller.
     has_restored_state: bool,
     save_schedule: SaveSchedule,
     shutting_down: bool,
-    compacting: bool,
-    gossip_at: u64,
-    gossip_sent_at: u64,
-    link_at: u64,
-    expiry_at: u64,
-    /// The registry's version that was published last.
-    published_instances: u64,
-    /// The registry's count of withdrawals that was published last.
-    published_withdrawals: u64,
+    is_compacting: bool,
+    next_gossip_at: u64,
+    last_gossip_at: u64,
+    next_link_at: u64,
+    next_expiry_at: u64,
+    /// The version of the instance registry that was last published.
+    published_instances_version: u64,
+    /// The registry's withdrawal count that was last published.
+    published_withdrawal_count: u64,
     instances_published_at: Option<u64>,
-    /// A change is to be published at the next tick.
-    publish_pending: bool,
-    /// When each peer was last sent a snapshot.
-    snapshots_sent: BTreeMap<SocketAddr, u64>,
-    /// When the silence of upstreams counts again after a loss of contact.
+    /// Whether a change must be published at the next tick.
+    is_publish_pending: bool,
+    /// The time at which each peer was last sent a snapshot.
+    snapshot_sent_at: BTreeMap<SocketAddr, u64>,
+    /// Determines when the silence of upstreams counts again after a loss of contact.
     silence_grace: SilenceGrace,
-    /// The list of controllers that subscribers were sent last.
+    /// The list of controllers that was last sent to the subscribers.
     announced_controllers: Vec<ControllerAddress>,
     actions: Vec<Action>,
 }
 
 impl Controller {
-    /// A controller around a replica, and its first actions; `outputs` are the first ones of that replica.
+    /// Creates a controller around a replica and returns its first actions. `outputs` are the first outputs
+    /// of the replica.
     pub fn new(
         settings: ControllerSettings,
         replica: Replica<CommandApplication>,
@@ -104,7 +107,7 @@
 }
 
 impl<R: ProtocolRules> Controller<R> {
-    /// Like [`Controller::new`], with other protocol rules.
+    /// Like [`Controller::new`], with the protocol rules `R`.
     pub fn with_rules(
         settings: ControllerSettings,
         replica: Replica<CommandApplication>,
@@ -126,107 +129,108 @@
             pending: PendingCommands::default(),
             known_peers: KnownPeers::default(),
             started_at: now,
-            contact: QuorumContact::new(now),
+            quorum_contact: QuorumContact::new(now),
             discovery_ms,
             received_complete_state: false,
             has_restored_state: false,
             save_schedule: SaveSchedule::default(),
             shutting_down: false,
-            compacting: false,
-            gossip_at: now,
-            gossip_sent_at: now,
-            link_at: now,
-            expiry_at: now,
-            published_instances: 0,
-            published_withdrawals: 0,
+            is_compacting: false,
+            next_gossip_at: now,
+            last_gossip_at: now,
+            next_link_at: now,
+            next_expiry_at: now,
+            published_instances_version: 0,
+            published_withdrawal_count: 0,
             instances_published_at: None,
-            publish_pending: false,
-            snapshots_sent: BTreeMap::new(),
+            is_publish_pending: false,
+            snapshot_sent_at: BTreeMap::new(),
             silence_grace,
             announced_controllers: Vec::new(),
             actions: Vec::new(),
         };
-        controller.take_departures();
-        controller.take_outputs(now, outputs);
+        controller.apply_departures();
+        controller.handle_outputs(now, outputs);
         let actions = std::mem::take(&mut controller.actions);
         (controller, actions)
     }
 
-    /// Handles an event; returns the actions to carry out, in order.
+    /// Handles an event. Returns the actions to perform, in order.
     pub fn handle(&mut self, now: u64, event: Event) -> Vec<Action> {
-        self.contact.detect_pause(now);
+        self.quorum_contact.detect_pause(now);
         match event {
             Event::Tick => self.tick(now),
-            Event::Call { id, call } => self.call(now, id, call),
+            Event::Call { id, call } => self.handle_call(now, id, call),
             Event::CallDropped { id } => self.pending.remove_call(id),
             Event::PeerConnected { peer } => self.send_snapshot(now, peer),
-            Event::ReplicaMessage { from, message } => self.receive(now, from, message),
-            Event::GossipReceived { from, payload } => self.take_gossip(now, from, &payload),
-            Event::Report { subscriber, report } => self.take_report(now, subscriber, &report),
+            Event::ReplicaMessage { from, message } => self.handle_replica_message(now, from, message),
+            Event::GossipReceived { from, payload } => self.merge_gossip(now, from, &payload),
+            Event::Report { subscriber, report } => self.handle_report(now, subscriber, &report),
             Event::SubscriberClosed { subscriber } => self.publisher.unsubscribe(subscriber),
-            Event::Persisted { token, log_bytes } => self.persisted(now, token, log_bytes),
-            Event::PersistFailed { token } => self.step(now, Input::PersistFailed { token }),
-            Event::Compacted => self.compacting = false,
+            Event::Persisted { token, log_bytes } => self.handle_persisted(now, token, log_bytes),
+            Event::PersistFailed { token } => self.step_replica(now, Input::PersistFailed { token }),
+            Event::Compacted => self.is_compacting = false,
             Event::StateRestored { state } => self.restore_state(now, &state),
-            Event::StateSaved => self.save_schedule.write_ended(),
+            Event::StateSaved => self.save_schedule.record_write_end(),
             Event::Shutdown => self.shut_down(now),
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// The addresses of all other known controllers.
+    /// The internal addresses of all other known controllers.
     pub fn peers(&self) -> Vec<SocketAddr> {
         let mut peers = self.replica.peers();
         peers.extend(self.known_peers.excluding(self.settings.address.endpoint, &peers));
         peers
     }
 
-    /// Whether the departure of an instance is committed, as far as known here.
+    /// Whether the departure of an instance is committed, according to this controller's records.
     pub fn has_departed(&self, instance: &str) -> bool {
         records::departure_of(self.replica.committed(), instance).is_some()
     }
 
-    /// Whether any caller waits for the outcome of a command.
+    /// Whether any caller is waiting for the outcome of a command.
     pub fn has_pending_commands(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Whether this controller is in contact with a majority of the voters and up to date.
+    /// Whether this controller is up to date and in contact with a majority of the voters.
     pub fn is_in_quorum(&self, now: u64) -> bool {
-        self.contact.is_in_quorum() && self.replica.is_in_quorum(now)
+        self.quorum_contact.is_in_quorum() && self.replica.is_in_quorum(now)
     }
 
-    /// The kinds of losses that the settings want tolerated but that would leave no majority of the voters.
+    /// The kinds of losses that the settings require to be tolerated, but after which no majority of the
+    /// voters would remain.
     pub fn fatal_losses(&self) -> Vec<LossKind> {
         self.replica.fatal_losses()
     }
 
     fn tick(&mut self, now: u64) {
-        self.step(now, Input::Tick);
+        self.step_replica(now, Input::Tick);
         self.update_quorum(now);
         for pending in self.pending.take_due(now) {
             self.submit(now, pending);
         }
-        self.answer_overdue(now);
-        if now >= self.expiry_at {
+        self.answer_overdue_commands(now);
+        if now >= self.next_expiry_at {
             self.expire(now);
         }
         if self.is_gossip_due(now) {
             self.send_changes(now);
         }
         self.save_state_if_due(now);
-        let links_are_due = now >= self.link_at;
+        let links_are_due = now >= self.next_link_at;
         if links_are_due {
             self.send_links(now);
         }
-        if links_are_due || self.publish_pending || self.are_instances_due(now) {
+        if links_are_due || self.is_publish_pending || self.are_instances_due(now) {
             self.publish(now);
         }
     }
 
     fn expire(&mut self, now: u64) {
-        self.expiry_at = now + EXPIRY_MS;
-        self.count_silence(now);
+        self.next_expiry_at = now + EXPIRY_INTERVAL_MS;
+        self.update_silence_grace(now);
         self.registry.expire(now);
         self.leases.expire(now);
         self.known_peers.remove_expired(now);
--- a/controlplane/controller/src/controller/calls.rs
+++ b/controlplane/controller/src/controller/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of operators, upstreams and clients.
+//! Handling of the calls of operators, upstreams and clients.
 
 use std::net::SocketAddr;
 
@@ -18,8 +18,8 @@
 use crate::status;
 
 impl<R: ProtocolRules> Controller<R> {
-    /// Handles a call: answers it, or submits its command.
-    pub(super) fn call(&mut self, now: u64, id: CallId, call: Call) {
+    /// Answers a call, or submits its command.
+    pub(super) fn handle_call(&mut self, now: u64, id: CallId, call: Call) {
         match call {
             Call::Replace { base, generation, body } => {
                 self.accept_command(now, id, CommandRequest::Replace { base, generation, body });
@@ -38,30 +38,33 @@
             }
             Call::Heartbeat { instance, heartbeat } => {
                 let effect = self.registry.record_heartbeat(now, &instance, &heartbeat);
-                self.heartbeat_taken(now, id, instance, effect);
+                self.handle_heartbeat_effect(now, id, instance, effect);
+            }
+            Call::Deregister { instance } => {
+                self.record_departure(now, id, instance, Departure::Deregistered)
             }
-            Call::Deregister { instance } => self.depart(now, id, instance, Departure::Deregistered),
             Call::Resolve { host, region, zone } => self.resolve(now, id, &host, &region, &zone),
             Call::Status => self.answer_status(now, id),
             Call::DeclareLost { lost, confirmed_view } => self.declare_lost(now, id, lost, confirmed_view),
         }
     }
 
-    /// Tells what a forced reconfiguration may lose, and begins it once that was confirmed.
+    /// Starts a forced reconfiguration if the operator has confirmed it for the current view. Otherwise
+    /// answers with its consequences.
     fn declare_lost(&mut self, now: u64, id: CallId, lost: Vec<SocketAddr>, confirmed_view: Option<u64>) {
         let response = match self.replica.forced_reconfiguration(now, &lost) {
-            Err(refused) => Response::failure(StatusCode::CONFLICT, &refused.to_string()),
+            Err(refusal) => Response::failure(StatusCode::CONFLICT, &refusal.to_string()),
             Ok(forced) if confirmed_view == Some(forced.view) => {
-                warn!("the voters {lost:?} are declared lost for good by an operator");
-                self.step(now, Input::DeclareLost { endpoints: lost });
+                warn!("an operator has declared the voters {lost:?} permanently lost");
+                self.step_replica(now, Input::DeclareLost { endpoints: lost });
                 Response::accepted()
             }
-            Ok(forced) => unconfirmed(forced),
+            Ok(forced) => confirmation_required(forced),
         };
         self.answer(id, response);
     }
 
-    fn heartbeat_taken(&mut self, now: u64, id: CallId, instance: String, effect: HeartbeatEffect) {
+    fn handle_heartbeat_effect(&mut self, now: u64, id: CallId, instance: String, effect: HeartbeatEffect) {
         match effect {
             HeartbeatEffect::Accepted { changed } => {
                 self.acknowledge_heartbeat(now, id);
@@ -72,7 +75,7 @@
             HeartbeatEffect::Stale => self.acknowledge_heartbeat(now, id),
             HeartbeatEffect::DrainingAnnounced => {
                 self.send_withdrawal(now);
-                self.depart(now, id, instance, Departure::Draining);
+                self.record_departure(now, id, instance, Departure::Draining);
             }
             HeartbeatEffect::AtCapacity => {
                 self.answer(id, Response::unavailable("more instances than this controller holds"));
@@ -80,8 +83,9 @@
         }
     }
 
-    /// Without a quorum only this controller's own balancers learn of the instance, so it is to call another controller
-    /// too: all other balancers would remove it.
+    /// Confirms a heartbeat only with a quorum. Without one, only the balancers connected to this controller
+    /// learn of the instance and all others would remove it, so the instance must also call another
+    /// controller.
     fn acknowledge_heartbeat(&mut self, now: u64, id: CallId) {
         let response = if R::should_confirm_heartbeat(self.is_in_quorum(now)) {
             Response::accepted()
@@ -91,7 +95,7 @@
         self.answer(id, response);
     }
 
-    fn depart(&mut self, now: u64, id: CallId, instance: String, departure: Departure) {
+    fn record_departure(&mut self, now: u64, id: CallId, instance: String, departure: Departure) {
         let is_committed = records::departure_of(self.replica.committed(), &instance) >= Some(departure);
         if R::should_confirm_departure(is_committed) {
             self.answer(id, Response::accepted());
@@ -107,7 +111,7 @@
         self.host_regions.refresh(records);
         let regions = self.host_regions.regions_of(host);
         let addresses = directory::addresses_for(&self.leases, now, ClientLocation { region, zone }, regions);
-        let response = match directory::answer(&addresses) {
+        let response = match directory::response_body(&addresses) {
             Some(body) if self.may_publish(now) => Response::ok(body),
             _ => Response::unavailable("no balancer is known yet"),
         };
@@ -115,17 +119,17 @@
     }
 
     fn answer_status(&mut self, now: u64, id: CallId) {
-        let body = status::describe(&self.summary(now));
+        let body = status::to_json(&self.status_source(now));
         self.answer(id, Response::ok(body));
     }
 
-    /// The controller's metrics as OpenMetrics text.
+    /// The controller's metrics in the OpenMetrics text format.
     pub fn metrics(&self, now: u64) -> String {
-        status::metrics(&self.summary(now))
+        status::to_metrics(&self.status_source(now))
     }
 
-    fn summary(&self, now: u64) -> status::Summary<'_> {
-        status::Summary {
+    fn status_source(&self, now: u64) -> status::StatusSource<'_> {
+        status::StatusSource {
             node: &self.settings.node,
             replica: &self.replica,
             registry: &self.registry,
@@ -143,8 +147,8 @@
     }
 }
 
-/// The answer to a declaration that is not confirmed for the present view.
-fn unconfirmed(forced: ForcedReconfiguration) -> Response {
+/// The answer to a declaration of lost voters that is not confirmed for the current view.
+fn confirmation_required(forced: ForcedReconfiguration) -> Response {
     let consequence = if forced.may_lose_commands {
         "acknowledged commands may be lost: those that only the lost voters have"
     } else {
--- a/controlplane/controller/src/controller/event.rs
+++ b/controlplane/controller/src/controller/event.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the state machine.
+//! The inputs and outputs of the controller's state machine.
 
 use std::net::SocketAddr;
 
@@ -13,89 +13,89 @@
 /// An input of a controller.
 #[derive(Debug)]
 pub enum Event {
-    /// Time has passed; to be given every few tens of milliseconds.
+    /// Time has passed. Sent every few tens of milliseconds.
     Tick,
-    /// A caller makes a call.
+    /// A call was received.
     Call {
-        /// The number of the call.
+        /// The id of the call.
         id: CallId,
-        /// What is called.
+        /// The parsed call.
         call: Call,
     },
-    /// The caller has closed its connection before the answer.
+    /// A caller has closed its connection before its call was answered.
     CallDropped {
-        /// The number of the call.
+        /// The id of the call.
         id: CallId,
     },
     /// A connection to another controller is established.
     PeerConnected {
-        /// Its address.
+        /// The address of the other controller.
         peer: SocketAddr,
     },
-    /// A message of another controller's replica was received.
+    /// A message from another controller's replica was received.
     ReplicaMessage {
         /// The address of the sender.
         from: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// A gossip message of another controller was received.
+    /// A gossip message from another controller was received.
     GossipReceived {
         /// The address of the sender.
         from: SocketAddr,
         /// The encoded gossip.
         payload: Bytes,
     },
-    /// A balancer has reported; its first report subscribes it.
+    /// A report from a balancer was received. The first report subscribes the balancer.
     Report {
         /// The connection of the balancer.
         subscriber: SubscriberId,
-        /// What it reports.
+        /// The report.
         report: Report,
     },
-    /// The connection of a balancer has ended.
+    /// The connection of a balancer has closed.
     SubscriberClosed {
-        /// The connection.
+        /// The closed connection.
         subscriber: SubscriberId,
     },
-    /// A write of [`Action::Persist`] is durable.
+    /// A write requested by [`Action::Persist`] is durable.
     Persisted {
         /// The token of the write.
         token: u64,
-        /// The size of the log after it.
+        /// The size of the log after the write, in bytes.
         log_bytes: usize,
     },
-    /// A write of [`Action::Persist`] has failed.
+    /// A write requested by [`Action::Persist`] has failed.
     PersistFailed {
         /// The token of the write.
         token: u64,
     },
-    /// A write of [`Action::Compact`] has ended, successful or not.
+    /// A write requested by [`Action::Compact`] has succeeded or failed.
     Compacted,
-    /// The disk holds the state that an earlier process saved.
+    /// State that an earlier process saved was read from the disk.
     StateRestored {
-        /// The bytes of its last [`Action::SaveState`].
+        /// The state of the last [`Action::SaveState`] of that process.
         state: Bytes,
     },
-    /// A write of [`Action::SaveState`] has ended, successful or not.
+    /// A write requested by [`Action::SaveState`] has succeeded or failed.
     StateSaved,
-    /// The process begins its graceful shutdown.
+    /// The process has started its graceful shutdown.
     Shutdown,
 }
 
-/// An output of a controller, to be carried out by its process.
+/// An output of a controller, to be performed by its process.
 #[derive(Debug)]
 pub enum Action {
     /// Answer a call.
     Answer {
-        /// The number of the call.
+        /// The id of the call.
         id: CallId,
-        /// The answer.
+        /// The response.
         response: Response,
     },
     /// Send a frame to another controller.
     SendPeer {
-        /// Its address.
+        /// The address of the other controller.
         to: SocketAddr,
         /// The kind of the frame.
         kind: FrameKind,
@@ -109,19 +109,19 @@
         /// The message.
         message: ToBalancer,
     },
-    /// Make a write of the replica durable; the result is reported with the token.
+    /// Make a write of the replica durable. The result is reported with the token.
     Persist {
         /// The token of the write.
         token: u64,
-        /// What is to be written.
+        /// The data to write.
         write: DurableWrite,
     },
-    /// Write a checkpoint that takes the place of the log.
+    /// Write a checkpoint that replaces the log.
     Compact {
         /// The encoded state.
         state: Vec<u8>,
     },
-    /// Write the state that a restarted process restores, in place of the one before; not urgent.
+    /// Save the state that a restarted process restores, replacing the previously saved state. Not urgent.
     SaveState {
         /// The encoded state.
         state: Vec<u8>,
--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -1,4 +1,4 @@
-//! Publication to balancers: the state of the connection, and the sections in which they are behind.
+//! Publication to balancers: the state of their link, and updates of the sections in which they are outdated.
 
 use std::collections::BTreeMap;
 
@@ -15,19 +15,21 @@
 use crate::{failing_instances, gossip_records};
 
 /// The interval of the heartbeats to balancers, in milliseconds.
-const LINK_MS: u64 = 300;
-/// The least time between two publications of the instances, in milliseconds: many of them come together.
+const LINK_INTERVAL_MS: u64 = 300;
+/// The minimum time between two publications of the instances, in milliseconds. Many instances often change
+/// together.
 const INSTANCES_INTERVAL_MS: u64 = 300;
 
 impl<R: ProtocolRules> Controller<R> {
-    /// Takes the report of a balancer; its first one subscribes it.
-    pub(super) fn take_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
+    /// Handles the report of a balancer. The first report subscribes the balancer.
+    pub(super) fn handle_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         let is_new = !self.publisher.subscribers().any(|known| known == subscriber);
         self.publisher.reported(now, subscriber, report);
-        self.contact.observe_remote_position(report.applied.configured.max(report.applied.evacuations));
-        let changed = self.leases.renew(now, gossip_records::lease_of(report));
+        self.quorum_contact
+            .observe_remote_position(report.applied.configured.max(report.applied.evacuations));
+        let changed = self.leases.renew(now, gossip_records::lease_from_report(report));
         if is_new {
-            let message = ToBalancer::Link(self.link(now, self.controllers(now)));
+            let message = ToBalancer::Link(self.link_state(now, self.controllers(now)));
             self.actions.push(Action::SendBalancer { to: subscriber, message });
         }
         if changed {
@@ -38,51 +40,51 @@
         }
     }
 
-    /// Sends every balancer a heartbeat, with the list of controllers if that has changed.
+    /// Sends a heartbeat to every balancer, with the list of controllers if it has changed.
     pub(super) fn send_links(&mut self, now: u64) {
-        self.link_at = now + LINK_MS;
+        self.next_link_at = now + LINK_INTERVAL_MS;
         let controllers = self.controllers(now);
-        let changed =
+        let changed_controllers =
             if controllers == self.announced_controllers { Vec::new() } else { controllers.clone() };
         self.announced_controllers = controllers;
-        let link = self.link(now, changed);
+        let link = self.link_state(now, changed_controllers);
         for to in self.publisher.subscribers() {
             self.actions.push(Action::SendBalancer { to, message: ToBalancer::Link(link.clone()) });
         }
     }
 
-    fn link(&self, now: u64, controllers: Vec<ControllerAddress>) -> Link {
+    fn link_state(&self, now: u64, controllers: Vec<ControllerAddress>) -> Link {
         Link { in_quorum: self.is_in_quorum(now), shutting_down: self.shutting_down, controllers }
     }
 
-    /// Publishes now if the instances are due, otherwise at the next tick.
+    /// Publishes immediately if the instances are due, otherwise at the next tick.
     pub(super) fn schedule_publish(&mut self, now: u64) {
-        self.publish_pending = true;
+        self.is_publish_pending = true;
         if self.are_instances_due(now) {
             self.publish(now);
         }
     }
 
-    /// Sends each balancer the sections in which it is behind.
+    /// Sends each balancer the sections in which it is outdated.
     pub(super) fn publish(&mut self, now: u64) {
-        self.publish_pending = false;
-        self.refresh(now);
+        self.is_publish_pending = false;
+        self.refresh_sections(now);
         let subscribers: Vec<SubscriberId> = self.publisher.subscribers().collect();
         for to in subscribers {
             self.send_update(now, to);
         }
     }
 
-    /// Sends a new subscriber the sections in which it is behind. Others are sent what it changes at the next tick: after a
-    /// start hundreds of balancers subscribe together.
+    /// Sends a new subscriber the sections in which it is outdated. Other subscribers receive the resulting
+    /// changes at the next tick, because hundreds of balancers subscribe together after a start.
     fn publish_to(&mut self, now: u64, to: SubscriberId) {
-        self.publish_pending = true;
-        self.refresh(now);
+        self.is_publish_pending = true;
+        self.refresh_sections(now);
         self.send_update(now, to);
     }
 
-    /// Sends a balancer the sections in which it is behind. One without a configuration is sent nothing while the records
-    /// known here may be old.
+    /// Sends a balancer the sections in which it is outdated. A balancer without a configuration receives
+    /// nothing while the records of this controller may be outdated.
     fn send_update(&mut self, now: u64, to: SubscriberId) {
         if !self.may_serve_records(now) && !self.publisher.has_configuration(to) {
             return;
@@ -92,7 +94,7 @@
         }
     }
 
-    fn refresh(&mut self, now: u64) {
+    fn refresh_sections(&mut self, now: u64) {
         self.refresh_replicated();
         if self.may_publish(now) {
             self.refresh_instances(now);
@@ -100,8 +102,8 @@
         }
     }
 
-    /// Takes over the committed records. Also without a quorum: a balancer is sent them only in place of older ones, or if
-    /// it has none and they may be served to such a one ([`Controller::send_update`]).
+    /// Passes the committed records to the publisher, also without a quorum. A balancer receives them only if
+    /// they are newer than its own, or if it has none and [`Controller::send_update`] permits it.
     fn refresh_replicated(&mut self) {
         let records = self.replica.committed();
         let published = self.publisher.versions();
@@ -117,11 +119,11 @@
         }
     }
 
-    /// Whether a change of the instances is to be published now; withdrawals are at once.
+    /// Whether a change of the instances is due for publication. Withdrawals are always due.
     pub(super) fn are_instances_due(&self, now: u64) -> bool {
         let interval_elapsed = self.instances_published_at.is_none_or(|at| now >= at + INSTANCES_INTERVAL_MS);
-        let is_urgent = self.registry.withdrawal_count() != self.published_withdrawals;
-        self.registry.version() != self.published_instances && (interval_elapsed || is_urgent)
+        let is_urgent = self.registry.withdrawal_count() != self.published_withdrawal_count;
+        self.registry.version() != self.published_instances_version && (interval_elapsed || is_urgent)
     }
 
     fn refresh_instances(&mut self, now: u64) {
@@ -129,12 +131,12 @@
             return;
         }
         let version = self.registry.version();
-        self.published_instances = version;
-        self.published_withdrawals = self.registry.withdrawal_count();
+        self.published_instances_version = version;
+        self.published_withdrawal_count = self.registry.withdrawal_count();
         self.instances_published_at = Some(now);
-        let known = self.registry.snapshot(now).into_iter().map(instance);
-        let ended = self.registry.recently_deregistered().map(|id| Instance::ended(id.to_owned()));
-        let list = known.chain(ended).collect();
+        let known = self.registry.snapshot(now).into_iter().map(published_instance);
+        let deregistered = self.registry.recently_deregistered().map(|id| Instance::ended(id.to_owned()));
+        let list = known.chain(deregistered).collect();
         self.publisher.set_instances(now, Instances { version, list });
     }
 
@@ -151,7 +153,7 @@
         }
     }
 
-    /// All known controllers, this one included: members of the view, and others whose heartbeats are received.
+    /// All known controllers: this one, the members of the view, and others whose heartbeats are received.
     fn controllers(&self, now: u64) -> Vec<ControllerAddress> {
         let members = self.replica.view().members.iter();
         let members = members.map(|member| (member.endpoint, member.zone.as_str(), member.region.as_str()));
@@ -165,7 +167,7 @@
     }
 }
 
-fn instance(record: InstanceRecord) -> Instance {
+fn published_instance(record: InstanceRecord) -> Instance {
     Instance {
         id: record.id,
         service: record.service,
--- a/controlplane/controller/src/controller/replication.rs
+++ b/controlplane/controller/src/controller/replication.rs
@@ -1,4 +1,4 @@
-//! The replica inside the controller: its inputs, and the handling of its outputs.
+//! The inputs of the replica inside the controller, and the handling of its outputs.
 
 use std::net::SocketAddr;
 
@@ -12,24 +12,24 @@
 use crate::protocol_rules::ProtocolRules;
 
 impl<R: ProtocolRules> Controller<R> {
-    pub(super) fn step(&mut self, now: u64, input: Input) {
+    pub(super) fn step_replica(&mut self, now: u64, input: Input) {
         let outputs = self.replica.handle(now, input);
-        self.take_outputs(now, outputs);
+        self.handle_outputs(now, outputs);
     }
 
-    pub(super) fn receive(&mut self, now: u64, from: SocketAddr, message: Message) {
+    pub(super) fn handle_replica_message(&mut self, now: u64, from: SocketAddr, message: Message) {
         if let Message::Heartbeat(heartbeat) = &message {
-            let peers = heartbeat.received.iter().map(|peer| peer.endpoint);
-            self.known_peers.record(now, peers);
-            self.contact.observe_remote_position(heartbeat.report.committed);
+            let mentioned_peers = heartbeat.received.iter().map(|peer| peer.endpoint);
+            self.known_peers.record(now, mentioned_peers);
+            self.quorum_contact.observe_remote_position(heartbeat.report.committed);
         }
-        self.step(now, Input::Message { from, message });
-        if !self.contact.is_in_quorum() {
+        self.step_replica(now, Input::Message { from, message });
+        if !self.quorum_contact.is_in_quorum() {
             self.update_quorum(now);
         }
     }
 
-    pub(super) fn take_outputs(&mut self, now: u64, outputs: Vec<Output>) {
+    pub(super) fn handle_outputs(&mut self, now: u64, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
@@ -38,28 +38,29 @@
                 }
                 Output::Persist { token, write } => self.actions.push(Action::Persist { token, write }),
                 Output::Reply { ticket, result } => self.handle_reply(now, ticket, result),
-                Output::Committed { writes, .. } => self.committed(now, &writes),
-                Output::Replaced => self.replaced(now),
+                Output::Committed { writes, .. } => self.handle_committed(now, &writes),
+                Output::Replaced => self.handle_replaced(now),
             }
         }
     }
 
-    fn committed(&mut self, now: u64, writes: &[RecordWrite]) {
+    fn handle_committed(&mut self, now: u64, writes: &[RecordWrite]) {
         for write in writes {
             if let Some((instance, departure)) = records::departure_in(write) {
-                self.departed(instance, departure);
+                self.apply_departure(instance, departure);
             }
         }
         self.publish(now);
     }
 
-    fn replaced(&mut self, now: u64) {
-        self.take_departures();
+    fn handle_replaced(&mut self, now: u64) {
+        self.apply_departures();
         self.publish(now);
     }
 
-    /// Applies all committed departures to the registry, the newest last: these are sent to balancers for the longest.
-    pub(super) fn take_departures(&mut self) {
+    /// Applies all committed departures to the registry, oldest first. The newest ones are then sent to
+    /// balancers for the longest time.
+    pub(super) fn apply_departures(&mut self) {
         let records = self.replica.committed();
         let sequence = |instance: &str| {
             records.get(&format!("{}{instance}", records::DRAINED_PREFIX)).map_or(0, |record| record.sequence)
@@ -69,32 +70,32 @@
             .collect();
         departures.sort_by_key(|(sequence, ..)| *sequence);
         for (_, instance, departure) in departures {
-            self.departed(&instance, departure);
+            self.apply_departure(&instance, departure);
         }
     }
 
-    fn departed(&mut self, instance: &str, departure: Departure) {
+    fn apply_departure(&mut self, instance: &str, departure: Departure) {
         match departure {
             Departure::Draining => self.registry.mark_draining(instance),
             Departure::Deregistered => self.registry.mark_deregistered(instance),
         }
     }
 
-    pub(super) fn persisted(&mut self, now: u64, token: u64, log_bytes: usize) {
-        self.step(now, Input::Persisted { token });
-        if self.compacting {
+    pub(super) fn handle_persisted(&mut self, now: u64, token: u64, log_bytes: usize) {
+        self.step_replica(now, Input::Persisted { token });
+        if self.is_compacting {
             return;
         }
         if let Some(state) = self.replica.checkpoint_due(log_bytes) {
-            self.compacting = true;
+            self.is_compacting = true;
             self.actions.push(Action::Compact { state });
         }
     }
 
-    /// Hands the roles of this controller over to others.
+    /// Starts handing over the roles of this controller to others.
     pub(super) fn shut_down(&mut self, now: u64) {
         self.shutting_down = true;
-        self.step(now, Input::Leave);
+        self.step_replica(now, Input::Leave);
         self.send_links(now);
     }
 }
--- a/controlplane/controller/src/controller/saved_state.rs
+++ b/controlplane/controller/src/controller/saved_state.rs
@@ -1,4 +1,4 @@
-//! State that outlives the process without being replicated: the registries, as they were saved to the disk.
+//! Saving of the registries to the disk, and their restoration after a restart. This state is not replicated.
 
 use whinspindle_distribution::{Gossip, decode_gossip, encode_gossip};
 
@@ -9,8 +9,8 @@
 use crate::save_schedule::RegistryVersions;
 
 impl<R: ProtocolRules> Controller<R> {
-    /// Restores the state that an earlier process saved, and sends it to the other controllers. State that can't be
-    /// decoded is ignored.
+    /// Restores the state that an earlier process saved, and sends it to the other controllers. Undecodable
+    /// state is ignored.
     pub(super) fn restore_state(&mut self, now: u64, state: &[u8]) {
         let Ok(gossip) = decode_gossip(state) else { return };
         self.merge_restored(now, gossip);
@@ -19,7 +19,8 @@
         }
     }
 
-    /// Merges restored state, of this or another controller, for what has not been observed since the start.
+    /// Merges restored state of this or another controller. It only adds instances and balancers that have
+    /// not been observed since the start.
     pub(super) fn merge_restored(&mut self, now: u64, gossip: Gossip) {
         if self.is_discovery_complete(now) {
             return;
@@ -33,7 +34,7 @@
         self.publish(now);
     }
 
-    /// Saves the state if it has changed and the last write is long enough ago.
+    /// Saves the state if a write is due.
     pub(super) fn save_state_if_due(&mut self, now: u64) {
         let versions = RegistryVersions { instances: self.registry.version(), leases: self.leases.version() };
         if !self.is_discovery_complete(now) || !self.save_schedule.is_due(now, versions) {
@@ -41,7 +42,7 @@
         }
         let gossip = gossip_records::saved_state(now, &self.registry, &self.leases);
         let slow_start_ms = gossip.instances.iter().map(|instance| instance.slow_start_ms).max();
-        self.save_schedule.write_started(now, versions, slow_start_ms.unwrap_or(0));
+        self.save_schedule.record_write_start(now, versions, slow_start_ms.unwrap_or(0));
         self.actions.push(Action::SaveState { state: encode_gossip(&gossip) });
     }
 }
--- a/controlplane/controller/src/controller/submission.rs
+++ b/controlplane/controller/src/controller/submission.rs
@@ -1,4 +1,4 @@
-//! The path of a command through the chain, from the caller's request to the answer.
+//! Submission of commands to the chain, from the caller's request to the answer.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -10,26 +10,27 @@
 use crate::pending_commands::{CallId, CommandRequest, PendingCommand};
 use crate::protocol_rules::ProtocolRules;
 
-/// A command is answered within this time, in milliseconds: its caller gives up after a second.
+/// The time within which a command is answered, in milliseconds. Its caller gives up after a second.
 const COMMAND_TIMEOUT_MS: u64 = 900;
-/// The same without a quorum: the caller is to retry at another controller soon.
+/// The time within which a command is answered without a quorum, in milliseconds. The caller should retry at
+/// another controller soon.
 const COMMAND_TIMEOUT_WITHOUT_QUORUM_MS: u64 = 250;
-/// A large body extends the time-out by a millisecond for this number of bytes.
+/// The number of bytes of a configuration's body that extends its timeout by one millisecond.
 const COMMAND_BYTES_PER_MS: u64 = 4096;
-/// A configuration whose base is not in place yet is submitted again after this time, in milliseconds.
+/// The delay before a configuration whose base is not in place yet is submitted again, in milliseconds.
 const BASE_RETRY_MS: u64 = 200;
-/// How long an evacuation command waits before it is submitted, in milliseconds. One that was delayed, by a partition or
-/// a paused process, is followed by the end of its connection, since its caller has retried at another controller: it
-/// must not be submitted then, after newer commands.
+/// The delay before an evacuation command is submitted, in milliseconds. If the command itself was delayed by
+/// a partition or a paused process, its caller has retried at another controller and closed this connection.
+/// The close is seen during this delay, so the outdated command is not submitted after newer ones.
 const EVACUATION_WAIT_MS: u64 = 100;
-/// How long after its arrival a superseded evacuation command is submitted again on the zone's newest record, in
-/// milliseconds. Its caller has not retried at another controller by then.
+/// The time after its arrival during which a superseded evacuation command is submitted again, based on the
+/// zone's newest record, in milliseconds. Its caller does not retry at another controller before this time.
 const EVACUATION_RETRY_WINDOW_MS: u64 = 400;
 
 impl<R: ProtocolRules> Controller<R> {
-    /// Takes a command of a caller; it is answered by its deadline.
+    /// Accepts the command of a call, which is answered by its deadline.
     pub(super) fn accept_command(&mut self, now: u64, call: CallId, request: CommandRequest) {
-        let deadline = now + self.command_timeout(now, &request);
+        let deadline = now + self.command_timeout_ms(now, &request);
         let is_evacuation = matches!(request, CommandRequest::Evacuate { .. });
         let pending = PendingCommand { call, request, observed_sequence: 0, received_at: now, deadline };
         if is_evacuation {
@@ -39,8 +40,8 @@
         }
     }
 
-    fn command_timeout(&self, now: u64, request: &CommandRequest) -> u64 {
-        if self.contact.has_lacked_quorum_for(now, COMMAND_TIMEOUT_MS) {
+    fn command_timeout_ms(&self, now: u64, request: &CommandRequest) -> u64 {
+        if self.quorum_contact.has_lacked_quorum_for(now, COMMAND_TIMEOUT_MS) {
             return COMMAND_TIMEOUT_WITHOUT_QUORUM_MS;
         }
         match request {
@@ -59,11 +60,11 @@
         }
         let call = pending.call;
         let Ok(command) = pending.command().encode() else {
-            self.finish(call, Response::unavailable("the order could not be written"));
+            self.finish_command(call, Response::unavailable("the order could not be written"));
             return;
         };
         let ticket = self.pending.add_submitted(pending);
-        self.step(now, Input::Submit { ticket, command });
+        self.step_replica(now, Input::Submit { ticket, command });
     }
 
     /// Handles the chain's reply to a command.
@@ -74,18 +75,18 @@
                 self.answer(pending.call, configuration_response(reply.answer));
             }
             Ok(reply) => self.handle_outcome(now, pending, &reply.answer),
-            Err(error) => self.finish(pending.call, Response::unavailable(&error.to_string())),
+            Err(error) => self.finish_command(pending.call, Response::unavailable(&error.to_string())),
         }
     }
 
-    /// Answers commands whose deadline has passed: their outcome is unknown.
-    pub(super) fn answer_overdue(&mut self, now: u64) {
+    /// Answers commands whose deadline has passed. Their outcome is unknown.
+    pub(super) fn answer_overdue_commands(&mut self, now: u64) {
         for call in self.pending.take_overdue(now) {
-            self.finish(call, Response::unavailable("no outcome is known yet"));
+            self.finish_command(call, Response::unavailable("no outcome is known yet"));
         }
     }
 
-    fn finish(&mut self, call: CallId, response: Response) {
+    fn finish_command(&mut self, call: CallId, response: Response) {
         self.pending.count_answer(response.status);
         self.answer(call, response);
     }
@@ -100,14 +101,16 @@
             {
                 self.submit(now, PendingCommand { observed_sequence: sequence, ..pending });
             }
-            Ok(outcome) => self.finish(pending.call, response(&outcome)),
-            Err(_) => self.finish(pending.call, Response::unavailable("the outcome could not be read")),
+            Ok(outcome) => self.finish_command(pending.call, outcome_response(&outcome)),
+            Err(_) => {
+                self.finish_command(pending.call, Response::unavailable("the outcome could not be read"))
+            }
         }
     }
 }
 
-/// The response for an outcome. A command that was applied, or that may still be, is never refused.
-fn response(outcome: &Outcome) -> Response {
+/// The response for an outcome. A command that was applied, or that may still be applied, is never refused.
+fn outcome_response(outcome: &Outcome) -> Response {
     match outcome {
         Outcome::Applied => Response::accepted(),
         Outcome::BaseMismatch { current } => Response::failure(
@@ -131,7 +134,7 @@
     }
 }
 
-/// The answer to a read of the configuration.
+/// The response to a read of the configuration.
 pub(super) fn configuration_response(body: Vec<u8>) -> Response {
     if body.is_empty() {
         return Response::failure(StatusCode::NOT_FOUND, "there is no configuration yet");
--- a/controlplane/controller/src/gossip_records.rs
+++ b/controlplane/controller/src/gossip_records.rs
@@ -1,4 +1,4 @@
-//! Conversion between the records of the registries and the gossip that controllers exchange.
+//! Conversion between the records of the registries and the gossip messages that controllers exchange.
 
 use whinspindle_distribution::{
     Gossip, GossipInstance, GossipLease, GossipScope, InstanceFailures, RegionLoad, Report, ServiceRegion,
@@ -7,22 +7,29 @@
     InstanceRecord, InstanceRegistry, Lease, LeaseRecord, LeaseTable, ObservedFailures, RegionRequestRate,
 };
 
-/// The observations of this controller since the last call.
+/// Takes the observations of this controller since the last call.
 pub fn changes(now: u64, registry: &mut InstanceRegistry, leases: &mut LeaseTable) -> Gossip {
     gossip(GossipScope::Changes, registry.take_changes(now), leases.take_changes(now))
 }
 
-/// Everything that was observed since the start, for a controller that may know nothing yet.
-pub fn observed(now: u64, scope: GossipScope, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
+/// All observations since the start, for a controller that may have none yet.
+pub fn observed_gossip(
+    now: u64,
+    scope: GossipScope,
+    registry: &InstanceRegistry,
+    leases: &LeaseTable,
+) -> Gossip {
     gossip(scope, registry.observed_records(now), leases.observed_records(now))
 }
 
-/// What is known from the saved state alone, for a controller that lost its own.
-pub fn restored(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
+/// The instances and balancers that are known only from the saved state, for a controller that has lost its
+/// own saved state.
+pub fn restored_gossip(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
     gossip(GossipScope::Restored, registry.restored_records(now), leases.restored_records(now))
 }
 
-/// The state to save for the next start. Rates of sends and failures are left out: they change all the time.
+/// The state to save for the next start. Request rates and failures are left out because they change
+/// constantly.
 pub fn saved_state(now: u64, registry: &InstanceRegistry, leases: &LeaseTable) -> Gossip {
     let mut leases = leases.snapshot(now);
     leases.iter_mut().for_each(|record| {
@@ -32,7 +39,7 @@
     gossip(GossipScope::Restored, registry.snapshot(now), leases)
 }
 
-/// The registry's record of an instance.
+/// Converts a gossip message's instance into a record of the instance registry.
 pub fn instance_record(instance: GossipInstance) -> InstanceRecord {
     InstanceRecord {
         id: instance.id,
@@ -48,7 +55,7 @@
     }
 }
 
-/// The table's record of a lease.
+/// Converts a gossip message's lease into a record of the lease table.
 pub fn lease_record(lease: GossipLease) -> LeaseRecord {
     let age_ms = lease.age_ms;
     let lease = Lease {
@@ -65,8 +72,8 @@
     LeaseRecord { lease, age_ms }
 }
 
-/// The lease that a balancer's report renews.
-pub fn lease_of(report: &Report) -> Lease {
+/// The lease that the report of a balancer renews.
+pub fn lease_from_report(report: &Report) -> Lease {
     Lease {
         node: report.node.clone(),
         incarnation: report.incarnation,
@@ -80,7 +87,7 @@
     }
 }
 
-/// A load of the lease table as balancers are sent it.
+/// Converts a request rate of the lease table into the load that is sent to balancers.
 pub fn region_load(rate: RegionRequestRate) -> RegionLoad {
     RegionLoad {
         target: ServiceRegion { service: rate.service, region: rate.region },
--- a/controlplane/controller/src/host_region_cache.rs
+++ b/controlplane/controller/src/host_region_cache.rs
@@ -1,4 +1,5 @@
-//! The regions in which clients of a host may be sent to balancers, derived from the newest known configuration.
+//! A cache of the regions to whose balancers the clients of a host may be directed, derived from the newest
+//! known configuration.
 
 use std::collections::BTreeSet;
 
@@ -7,20 +8,21 @@
 
 use crate::commands::records::CONFIGURATION_KEY;
 
-/// No region but the client's own: the rule for unknown hosts.
-static OWN_REGION_ONLY: ServingRegions = ServingRegions::Only(BTreeSet::new());
+/// The serving regions of unknown hosts: no region besides the client's own.
+static CLIENT_REGION_ONLY: ServingRegions = ServingRegions::Only(BTreeSet::new());
 
-/// The serving regions of hosts; the configuration is parsed again only when it has changed.
+/// The serving regions of hosts. The configuration is parsed again only after it has changed.
 #[derive(Debug, Default)]
 pub struct HostRegionCache {
-    /// The sequence of the record that `hosts` was read from.
+    /// The sequence of the configuration record from which `hosts` was read.
     sequence: Option<u64>,
     hosts: HostRegions,
 }
 
 impl HostRegionCache {
-    /// Takes the configuration of these records. None are given while this controller may not serve records; the cache
-    /// then stays as it is, so that a partitioned controller directs clients to the regions that served them before.
+    /// Updates the cache from the configuration in the records. Without records, which is the case while this
+    /// controller may not serve them, the cache is unchanged, so that a partitioned controller still directs
+    /// clients to the regions that served them before.
     pub fn refresh(&mut self, records: Option<&Records>) {
         let Some(records) = records else { return };
         let record = records.get(CONFIGURATION_KEY);
@@ -33,8 +35,8 @@
         self.hosts = configuration.as_ref().map(HostRegions::new).unwrap_or_default();
     }
 
-    /// The regions, beside the client's own, of the balancers that may be named to clients of a host.
+    /// The regions, besides the client's own, to whose balancers the clients of a host may be directed.
     pub fn regions_of(&self, host: &str) -> &ServingRegions {
-        self.hosts.of(host).unwrap_or(&OWN_REGION_ONLY)
+        self.hosts.of(host).unwrap_or(&CLIENT_REGION_ONLY)
     }
 }
--- a/controlplane/controller/src/lib.rs
+++ b/controlplane/controller/src/lib.rs
@@ -1,8 +1,9 @@
-//! The controller: operator API, upstream registry, directory and distribution over the replicated state.
+//! The controller. It serves the operator API, the registry of upstream instances and the client directory,
+//! and distributes the replicated state to balancers.
 //!
-//! [`Controller`] is a state machine over the replica, the registries and the publisher: it is given the time and an
-//! [`Event`], and returns the [`Action`]s to carry out. [`run`] is the process around it; tests and simulations drive the
-//! state machine directly.
+//! [`Controller`] is a state machine over the replica, the registries and the publisher. It receives the time
+//! and an [`Event`], and returns the [`Action`]s to perform. [`run`] is the process around it. Tests and
+//! simulations drive the state machine directly.
 
 pub mod api;
 pub mod commands;
--- a/controlplane/controller/src/pending_commands.rs
+++ b/controlplane/controller/src/pending_commands.rs
@@ -1,4 +1,4 @@
-//! Commands whose callers wait for the outcome: submitted to the chain, or deferred until they are.
+//! Commands whose callers wait for the outcome. They have been submitted to the chain, or are deferred.
 
 use std::collections::BTreeMap;
 
@@ -7,20 +7,20 @@
 
 use crate::commands::{Command, Departure};
 
-/// The number of a call, assigned by the owner of the connections; a number is not used twice.
+/// The unique id of a call, assigned by the owner of the connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A command as its caller requested it.
+/// A command as requested by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandRequest {
-    /// Put a configuration in place.
+    /// Replace the configuration by a new one.
     Replace {
-        /// The generation that it builds on.
+        /// The generation on which the new configuration is based.
         base: u64,
-        /// Its own generation.
+        /// The generation of the new configuration.
         generation: u64,
-        /// The configuration as its operator sent it.
+        /// The configuration as received from the operator.
         body: Bytes,
     },
     /// Read the newest configuration.
@@ -29,14 +29,14 @@
     Evacuate {
         /// The zone.
         zone: String,
-        /// Whether the evacuation begins.
+        /// True to begin the evacuation, false to finish it.
         evacuated: bool,
     },
     /// Record the departure of an instance.
     Drain {
         /// The id of the instance.
         instance: String,
-        /// How far it has departed.
+        /// The new stage of the departure.
         departure: Departure,
     },
 }
@@ -44,20 +44,20 @@
 /// A command whose caller waits for the outcome.
 #[derive(Clone, Debug)]
 pub struct PendingCommand {
-    /// The call that is to be answered.
+    /// The call to answer.
     pub call: CallId,
-    /// What the caller requested.
+    /// The request of the caller.
     pub request: CommandRequest,
-    /// For an evacuation, the sequence of the zone's record at the submission.
+    /// The sequence of the zone's record at the submission of an evacuation; 0 for other commands.
     pub observed_sequence: u64,
-    /// When the request was received.
+    /// The time at which the request was received.
     pub received_at: u64,
-    /// When the caller is answered at the latest.
+    /// The time by which the caller is answered.
     pub deadline: u64,
 }
 
 impl PendingCommand {
-    /// The command for the chain.
+    /// Creates the command that is submitted to the chain.
     pub fn command(&self) -> Command {
         match &self.request {
             CommandRequest::Replace { base, generation, body } => {
@@ -76,46 +76,47 @@
     }
 }
 
-/// How commands were answered since the start of the process.
+/// The numbers of answered commands since the start of the process, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CommandCounts {
-    /// Answered with a success.
+    /// Commands answered with success.
     pub confirmed: u64,
-    /// Refused for good.
+    /// Commands that were refused permanently.
     pub refused: u64,
-    /// Answered without an outcome: the caller retries at another controller.
+    /// Commands answered without a known outcome. Their callers retry at another controller.
     pub unclear: u64,
 }
 
-/// The commands in flight, by ticket.
+/// The commands in flight.
 #[derive(Debug, Default)]
 pub struct PendingCommands {
     counts: CommandCounts,
     last_ticket: u64,
+    /// The submitted commands, by ticket.
     submitted: BTreeMap<u64, PendingCommand>,
-    /// Commands that are to be submitted, with the time. None of them has a submission whose outcome is unknown.
+    /// Commands that will be submitted, with the time. All their earlier submissions have a known outcome.
     deferred: Vec<(u64, PendingCommand)>,
 }
 
 impl PendingCommands {
-    /// Adds a command that is being submitted; returns its ticket.
+    /// Adds a command that is being submitted. Returns its ticket.
     pub fn add_submitted(&mut self, pending: PendingCommand) -> u64 {
         self.last_ticket += 1;
         self.submitted.insert(self.last_ticket, pending);
         self.last_ticket
     }
 
-    /// Removes the command of a ticket whose outcome is known; none if its caller was answered before.
+    /// Removes and returns the command of a ticket; none if its caller has already been answered.
     pub fn take(&mut self, ticket: u64) -> Option<PendingCommand> {
         self.submitted.remove(&ticket)
     }
 
-    /// Adds a command that is to be submitted at a later time, for the first time or again.
+    /// Adds a command that will be submitted at the time `until`, for the first time or again.
     pub fn defer(&mut self, until: u64, pending: PendingCommand) {
         self.deferred.push((until, pending));
     }
 
-    /// Removes the deferred commands whose time has come.
+    /// Removes and returns the deferred commands that are due.
     pub fn take_due(&mut self, now: u64) -> Vec<PendingCommand> {
         let due = self.deferred.extract_if(.., |(until, _)| *until <= now);
         due.map(|(_, pending)| pending).collect()
@@ -124,19 +125,19 @@
     /// Counts the answer to a command.
     pub fn count_answer(&mut self, status: StatusCode) {
         let count = match status {
-            success if success.is_success() => &mut self.counts.confirmed,
-            refusal if refusal.is_client_error() => &mut self.counts.refused,
+            status if status.is_success() => &mut self.counts.confirmed,
+            status if status.is_client_error() => &mut self.counts.refused,
             _ => &mut self.counts.unclear,
         };
         *count += 1;
     }
 
-    /// How commands were answered so far.
+    /// The numbers of answered commands, by result.
     pub fn counts(&self) -> CommandCounts {
         self.counts
     }
 
-    /// Removes the commands whose deadline has passed; returns their calls.
+    /// Removes the commands whose deadline has passed. Returns their calls.
     pub fn take_overdue(&mut self, now: u64) -> Vec<CallId> {
         let submitted = self.submitted.extract_if(.., |_, pending| pending.deadline <= now);
         let mut calls: Vec<CallId> = submitted.map(|(_, pending)| pending.call).collect();
@@ -145,7 +146,7 @@
         calls
     }
 
-    /// Removes the command of a call that is not waited for any more.
+    /// Removes the command of a call whose caller no longer waits.
     pub fn remove_call(&mut self, call: CallId) {
         self.submitted.retain(|_, pending| pending.call != call);
         self.deferred.retain(|(_, pending)| pending.call != call);
--- a/controlplane/controller/src/protocol_rules.rs
+++ b/controlplane/controller/src/protocol_rules.rs
@@ -1,20 +1,25 @@
-//! The safety rules of a controller, as a type parameter: tests replace one by a fault and show that it is needed.
+//! The safety rules of a controller, as a type parameter. Tests replace single rules by faulty ones to show
+//! that each rule is necessary.
 
 use std::fmt::Debug;
 
-/// The decisions that the safety of the protocol rests on. The defaults are what the program runs.
+/// The decisions on which the safety of the protocol depends. The default implementations are the rules of
+/// the production program.
 pub trait ProtocolRules: Clone + Debug {
-    /// Whether a balancer without records is served those known here, given whether contact and time permit it.
-    fn should_serve_records(may: bool) -> bool {
-        may
+    /// Whether this controller serves its records to a balancer that has none, given whether its quorum
+    /// contact permits it.
+    fn should_serve_records(is_permitted: bool) -> bool {
+        is_permitted
     }
 
-    /// Whether a departure is confirmed at once, given whether it is committed as far as known here.
+    /// Whether a departure is confirmed immediately, given whether it is committed in this controller's
+    /// records.
     fn should_confirm_departure(is_committed: bool) -> bool {
         is_committed
     }
 
-    /// Whether a read of the configuration is answered from the records known here, without the chain.
+    /// Whether a read of the configuration is answered from this controller's records, without passing
+    /// through the chain.
     fn should_answer_reads_locally() -> bool {
         false
     }
@@ -25,7 +30,7 @@
     }
 }
 
-/// The rules that the program runs under.
+/// The rules of the production program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StandardRules;
 
--- a/controlplane/controller/src/quorum_contact.rs
+++ b/controlplane/controller/src/quorum_contact.rs
@@ -1,48 +1,50 @@
-//! Contact with a majority of the controllers: whether the committed records that are known here may be served as the
-//! newest.
+//! Contact of this controller with a majority of the controllers. It determines whether the committed records
+//! of this controller may be served as the newest ones.
 
-/// A controller without a quorum for this long serves its records to balancers that have none, in milliseconds. By then
-/// balancers that reach a controller in a quorum have found it.
+/// The time without a quorum after which a controller serves its records to balancers that have none, in
+/// milliseconds. By then, every balancer that can reach a controller in a quorum has connected to it.
 const ISOLATED_SERVE_DELAY_MS: u64 = 8_000;
 
-/// A longer gap between two events, in milliseconds, is a pause of the process: the other controllers may have gone on
-/// without it.
+/// The maximum time between two events, in milliseconds. A longer gap is a pause of the process, during which
+/// the other controllers may have committed more.
 const MAX_EVENT_GAP_MS: u64 = 900;
 
-/// What the replica reports of its contact with the others.
+/// The contact of the replica with the other replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaContact {
-    /// It receives heartbeats from a majority of the voters, and they receive its own.
+    /// Whether the replica receives heartbeats from a majority of the voters, and they receive its
+    /// heartbeats.
     pub in_quorum: bool,
-    /// Another replica has committed more.
+    /// Whether another replica has committed more.
     pub is_behind: bool,
 }
 
-/// The contact of this controller with a majority of the voters. Times are milliseconds of the process's steady clock.
+/// The contact of this controller with a majority of the voters. Times are in milliseconds of the process's
+/// monotonic clock.
 #[derive(Debug)]
 pub struct QuorumContact {
     in_quorum: bool,
-    /// The last time with a quorum; or the start of the process or the end of its last pause, if that was later.
+    /// The latest of the last time with a quorum, the start of the process, and the end of its last pause.
     without_quorum_since: u64,
     has_had_quorum: bool,
     last_event_at: u64,
     /// The newest committed position that another controller or a balancer has reported.
-    newest_known_elsewhere: u64,
+    newest_remote_position: u64,
 }
 
 impl QuorumContact {
-    /// The contact of a process that starts now: none.
+    /// Creates the state of a process that starts now, without contact.
     pub fn new(now: u64) -> QuorumContact {
         QuorumContact {
             in_quorum: false,
             without_quorum_since: now,
             has_had_quorum: false,
             last_event_at: now,
-            newest_known_elsewhere: 0,
+            newest_remote_position: 0,
         }
     }
 
-    /// Drops the quorum after a pause of the process. To be called before each event is handled.
+    /// Resets the contact after a pause of the process. Must be called before each event is handled.
     pub fn detect_pause(&mut self, now: u64) {
         if now > self.last_event_at + MAX_EVENT_GAP_MS {
             self.in_quorum = false;
@@ -51,7 +53,8 @@
         self.last_event_at = now;
     }
 
-    /// Takes the replica's report. A lost quorum counts again only once no newer commit is known elsewhere.
+    /// Updates the contact from the replica. After a loss, the quorum is regained only once the replica is
+    /// not behind.
     pub fn observe(&mut self, now: u64, replica: ReplicaContact) {
         let is_current = self.in_quorum || !replica.is_behind;
         self.in_quorum = replica.in_quorum && is_current;
@@ -61,24 +64,24 @@
         }
     }
 
-    /// Another controller or a balancer knows the committed history up to this position.
+    /// Records that another controller or a balancer has the committed history up to `position`.
     pub fn observe_remote_position(&mut self, position: u64) {
-        self.newest_known_elsewhere = self.newest_known_elsewhere.max(position);
+        self.newest_remote_position = self.newest_remote_position.max(position);
     }
 
-    /// Whether there was a quorum at the last observation.
+    /// Whether this controller was in a quorum at the last observation.
     pub fn is_in_quorum(&self) -> bool {
         self.in_quorum
     }
 
-    /// Whether there has been no quorum for longer than this, in milliseconds.
-    pub fn has_lacked_quorum_for(&self, now: u64, span_ms: u64) -> bool {
-        !self.in_quorum && (!self.has_had_quorum || self.without_quorum_since + span_ms < now)
+    /// Whether this controller has been without a quorum for longer than `duration_ms`.
+    pub fn has_lacked_quorum_for(&self, now: u64, duration_ms: u64) -> bool {
+        !self.in_quorum && (!self.has_had_quorum || self.without_quorum_since + duration_ms < now)
     }
 
-    /// Whether the records up to the position `committed` may be served to a balancer that has none yet.
+    /// Whether the records up to the position `committed` may be served to a balancer that has none.
     pub fn may_serve_records(&self, now: u64, committed: u64) -> bool {
-        let is_outdated = self.newest_known_elsewhere > committed;
+        let is_outdated = self.newest_remote_position > committed;
         self.in_quorum || (!is_outdated && now >= self.without_quorum_since + ISOLATED_SERVE_DELAY_MS)
     }
 }
--- a/controlplane/controller/src/silence_grace.rs
+++ b/controlplane/controller/src/silence_grace.rs
@@ -1,55 +1,57 @@
-//! When the silence of upstreams counts again after this controller has been out of contact.
+//! The grace period for silent upstreams after this controller has regained contact with a majority.
 //!
-//! While it was, upstreams turned to other controllers, so that their silence here said nothing. It counts again, from when
-//! they were last heard, as soon as each controller that is in contact has sent all that it knows: a live upstream is known to
-//! one of them, with its true age. Without these snapshots it counts anew from the return.
+//! While a controller is out of contact, upstreams send their heartbeats to other controllers, so their
+//! silence at this controller is meaningless. The silence counts again, from the last heartbeat, as soon as
+//! each controller in contact has sent a complete snapshot: every live upstream is then known from one of
+//! them, with its true age. Until then, the silence counts only from the time at which contact was regained.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The time after a return during which the silence of upstreams is not trusted. Times are milliseconds of the process's
-/// steady clock.
+/// The grace period after contact was regained. Times are in milliseconds of the process's monotonic clock.
 #[derive(Debug)]
 pub struct SilenceGrace {
-    /// The time between two heartbeats of an upstream. A snapshot that came no earlier than this before the return holds
-    /// every live upstream: it is heard again by a controller in contact before its silence would count.
+    /// The time between two heartbeats of an upstream, in milliseconds. A snapshot is recent enough if it was
+    /// received at most this long before contact was regained. An upstream that is missing from it sends a
+    /// heartbeat to a controller in contact before its silence timeout passes.
     heartbeat_ms: u64,
-    returned_at: Option<u64>,
-    /// When each other controller last sent a complete snapshot.
-    snapshots: BTreeMap<SocketAddr, u64>,
+    regained_at: Option<u64>,
+    /// The time at which each other controller last sent a complete snapshot.
+    snapshot_received_at: BTreeMap<SocketAddr, u64>,
 }
 
 impl SilenceGrace {
-    /// No return yet.
+    /// Creates a state without a grace period.
     pub fn new(heartbeat_ms: u64) -> SilenceGrace {
-        SilenceGrace { heartbeat_ms, returned_at: None, snapshots: BTreeMap::new() }
+        SilenceGrace { heartbeat_ms, regained_at: None, snapshot_received_at: BTreeMap::new() }
     }
 
-    /// Contact with a majority was lost.
-    pub fn contact_lost(&mut self) {
-        self.returned_at = None;
+    /// Records the loss of contact with a majority.
+    pub fn record_contact_loss(&mut self) {
+        self.regained_at = None;
     }
 
-    /// There is contact with a majority again.
-    pub fn contact_regained(&mut self, now: u64) {
-        self.returned_at = Some(now);
+    /// Records that contact with a majority was regained, which starts the grace period.
+    pub fn record_contact_return(&mut self, now: u64) {
+        self.regained_at = Some(now);
     }
 
-    /// Another controller has sent all that it knows.
-    pub fn snapshot_received(&mut self, now: u64, from: SocketAddr) {
-        self.snapshots.insert(from, now);
+    /// Records that another controller has sent a complete snapshot.
+    pub fn record_snapshot(&mut self, now: u64, from: SocketAddr) {
+        self.snapshot_received_at.insert(from, now);
     }
 
-    /// Whether the grace ends now, given the controllers that are in contact; once for each return.
-    pub fn take_end(&mut self, in_contact: &[SocketAddr]) -> bool {
-        let Some(returned_at) = self.returned_at else { return false };
+    /// Ends the grace period if all controllers in contact have sent snapshots. Returns whether it has ended
+    /// now.
+    pub fn end_if_complete(&mut self, peers_in_contact: &[SocketAddr]) -> bool {
+        let Some(regained_at) = self.regained_at else { return false };
         let has_sent = |peer: &SocketAddr| {
-            self.snapshots.get(peer).is_some_and(|at| at + self.heartbeat_ms >= returned_at)
+            self.snapshot_received_at.get(peer).is_some_and(|at| at + self.heartbeat_ms >= regained_at)
         };
-        let ends = !in_contact.is_empty() && in_contact.iter().all(has_sent);
-        if ends {
-            self.returned_at = None;
+        let is_complete = !peers_in_contact.is_empty() && peers_in_contact.iter().all(has_sent);
+        if is_complete {
+            self.regained_at = None;
         }
-        ends
+        is_complete
     }
 }
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -1,4 +1,4 @@
-//! The status of a controller for operators, as JSON and as metrics.
+//! The status of a controller for operators, as JSON and as OpenMetrics text.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::pending_commands::PendingCommands;
 
 /// The parts of a controller that its status describes.
-pub struct Summary<'a> {
+pub struct StatusSource<'a> {
     pub node: &'a str,
     pub replica: &'a Replica<CommandApplication>,
     pub registry: &'a InstanceRegistry,
@@ -26,68 +26,68 @@
     pub now: u64,
 }
 
-/// The status as a JSON object.
-pub fn describe(summary: &Summary<'_>) -> Bytes {
+/// Formats the status as a JSON object.
+pub fn to_json(source: &StatusSource<'_>) -> Bytes {
     let mut json = String::from("{\"node\":");
-    push_json_string(&mut json, summary.node);
-    push_fields(&mut json, summary);
-    push_replication(&mut json, summary.replica);
-    push_evacuations(&mut json, summary.replica);
-    push_leases(&mut json, summary);
-    push_lag(&mut json, summary);
+    push_json_string(&mut json, source.node);
+    push_fields(&mut json, source);
+    push_replication(&mut json, source.replica);
+    push_evacuations(&mut json, source.replica);
+    push_leases(&mut json, source);
+    push_lag(&mut json, source);
     json.push('}');
     Bytes::from(json)
 }
 
-/// The same as OpenMetrics text.
-pub fn metrics(summary: &Summary<'_>) -> String {
+/// Formats the status as OpenMetrics text.
+pub fn to_metrics(source: &StatusSource<'_>) -> String {
     let mut metrics = Figures::default();
-    for (name, value) in fields(summary) {
+    for (name, value) in fields(source) {
         let name = format!("controller_{name}");
         metrics.gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
     }
-    let counts = [
+    let gauges = [
         (
             "controller_balancers",
             "Balancers that hold a lease",
-            summary.leases.live_leases(summary.now).count(),
+            source.leases.live_leases(source.now).count(),
         ),
         (
             "controller_fatal_losses",
             "Kinds of tolerated losses without a majority",
-            summary.replica.fatal_losses().len(),
+            source.replica.fatal_losses().len(),
         ),
-        ("controller_chain_length", "Members of the chain", summary.replica.view().chain.len()),
+        ("controller_chain_length", "Members of the chain", source.replica.view().chain.len()),
     ];
-    for (name, help, value) in counts {
+    for (name, help, value) in gauges {
         metrics.gauge(name, help, [([].as_slice(), value as f64)]);
     }
     metrics.into_text()
 }
 
-fn fields(summary: &Summary<'_>) -> [(&'static str, u64); 14] {
-    let versions = summary.publisher.versions();
-    let orders_answered = summary.commands.counts();
+fn fields(source: &StatusSource<'_>) -> [(&'static str, u64); 14] {
+    let versions = source.publisher.versions();
+    let command_counts = source.commands.counts();
     [
-        ("in_quorum", u64::from(summary.in_quorum)),
-        ("leaving", u64::from(summary.shutting_down)),
-        ("pending_orders", summary.commands.len() as u64),
-        ("orders_confirmed", orders_answered.confirmed),
-        ("orders_refused", orders_answered.refused),
-        ("orders_unclear", orders_answered.unclear),
-        ("committed_sequence", summary.replica.committed_sequence()),
-        ("generation", records::current_generation(summary.replica.committed())),
+        ("in_quorum", u64::from(source.in_quorum)),
+        ("leaving", u64::from(source.shutting_down)),
+        ("pending_orders", source.commands.len() as u64),
+        ("orders_confirmed", command_counts.confirmed),
+        ("orders_refused", command_counts.refused),
+        ("orders_unclear", command_counts.unclear),
+        ("committed_sequence", source.replica.committed_sequence()),
+        ("generation", records::current_generation(source.replica.committed())),
         ("published_configuration", versions.configured),
         ("published_evacuations", versions.evacuations),
         ("published_instances", versions.instances),
         ("published_fleet", versions.fleet),
-        ("instances", summary.registry.len() as u64),
-        ("subscribers", summary.publisher.subscribers().count() as u64),
+        ("instances", source.registry.len() as u64),
+        ("subscribers", source.publisher.subscribers().count() as u64),
     ]
 }
 
-fn push_fields(json: &mut String, summary: &Summary<'_>) {
-    for (name, value) in fields(summary) {
+fn push_fields(json: &mut String, source: &StatusSource<'_>) {
+    for (name, value) in fields(source) {
         push_number(json, name, value);
     }
 }
@@ -99,8 +99,8 @@
     push_addresses(json, "chain", view.chain.iter().filter_map(|link| endpoint(link.voter)));
     push_addresses(json, "voters", view.voters().into_iter().filter_map(endpoint));
     push_addresses(json, "peers", replica.peers());
-    let fatal = replica.fatal_losses();
-    push_list(json, "fatal_losses", fatal, |json, kind| push_json_string(json, kind.name()));
+    let fatal_losses = replica.fatal_losses();
+    push_list(json, "fatal_losses", fatal_losses, |json, kind| push_json_string(json, kind.name()));
 }
 
 fn push_evacuations(json: &mut String, replica: &Replica<CommandApplication>) {
@@ -108,8 +108,8 @@
     push_list(json, "evacuated_zones", zones, |json, zone| push_json_string(json, &zone));
 }
 
-fn push_leases(json: &mut String, summary: &Summary<'_>) {
-    push_list(json, "balancers", summary.leases.snapshot(summary.now), |json, record| {
+fn push_leases(json: &mut String, source: &StatusSource<'_>) {
+    push_list(json, "balancers", source.leases.snapshot(source.now), |json, record| {
         json.push_str("{\"node\":");
         push_json_string(json, &record.lease.node);
         push_number(json, "ready", u64::from(record.lease.ready));
@@ -119,8 +119,8 @@
     });
 }
 
-fn push_lag(json: &mut String, summary: &Summary<'_>) {
-    push_list(json, "lagging", summary.publisher.lagging(summary.now), |json, lag| {
+fn push_lag(json: &mut String, source: &StatusSource<'_>) {
+    push_list(json, "lagging", source.publisher.lagging(source.now), |json, lag| {
         let section = format!("{:?}", lag.section);
         json.push_str("{\"section\":");
         push_json_string(json, &section.to_lowercase());
@@ -145,14 +145,14 @@
     json: &mut String,
     name: &str,
     items: impl IntoIterator<Item = T>,
-    mut push: impl FnMut(&mut String, T),
+    mut push_item: impl FnMut(&mut String, T),
 ) {
     let _ = write!(json, ",\"{name}\":[");
     for (position, item) in items.into_iter().enumerate() {
         if position > 0 {
             json.push(',');
         }
-        push(json, item);
+        push_item(json, item);
     }
     json.push(']');
 }
