--- a/controlplane/controller/src/commands/application.rs
+++ b/controlplane/controller/src/commands/application.rs
@@ -70,10 +70,10 @@
 /// The lowest generation in a full history, or 0 while the history is not full. For lower generations it is
 /// unknown whether they were applied.
 fn oldest_known_generation(records: &Records) -> u64 {
-    if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
+    if records.with_prefix(HISTORY_PREFIX).count() < MAX_HISTORY {
         return 0;
     }
-    let oldest = records.range(HISTORY_PREFIX).next();
+    let oldest = records.with_prefix(HISTORY_PREFIX).next();
     oldest.and_then(|(key, _)| key[HISTORY_PREFIX.len()..].parse().ok()).unwrap_or(0)
 }
 
@@ -84,10 +84,13 @@
 /// The write that removes the oldest entry of a full history. Generations increase and their keys sort in the
 /// same order, so the first entry is the oldest.
 fn history_eviction(records: &Records) -> Option<RecordWrite> {
-    if records.range(HISTORY_PREFIX).count() < MAX_HISTORY {
+    if records.with_prefix(HISTORY_PREFIX).count() < MAX_HISTORY {
         return None;
     }
-    records.range(HISTORY_PREFIX).next().map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
+    records
+        .with_prefix(HISTORY_PREFIX)
+        .next()
+        .map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
 }
 
 /// Writes the record even if the zone is already in the requested state, because the new sequence supersedes
@@ -116,10 +119,10 @@
 
 /// The write that removes the oldest departure if the maximum number is reached.
 fn departure_eviction(records: &Records) -> Option<RecordWrite> {
-    if records.range(DRAINED_PREFIX).count() < MAX_DRAINED {
+    if records.with_prefix(DRAINED_PREFIX).count() < MAX_DRAINED {
         return None;
     }
-    let oldest = records.range(DRAINED_PREFIX).min_by_key(|(_, record)| record.sequence);
+    let oldest = records.with_prefix(DRAINED_PREFIX).min_by_key(|(_, record)| record.sequence);
     oldest.map(|(key, _)| RecordWrite { key: key.to_owned(), value: None })
 }
 
--- a/controlplane/controller/src/controller/calls.rs
+++ b/controlplane/controller/src/controller/calls.rs
@@ -25,7 +25,7 @@
                 self.accept_command(now, id, CommandRequest::Replace { base, generation, body });
             }
             Call::Fetch if R::should_answer_reads_locally() => {
-                let record = self.replica.committed().get(records::CONFIGURATION_KEY);
+                let record = self.replica.committed_records().get(records::CONFIGURATION_KEY);
                 let body = record.map(|record| record.value.to_vec()).unwrap_or_default();
                 self.answer(id, configuration_response(body));
             }
@@ -96,7 +96,8 @@
     }
 
     fn record_departure(&mut self, now: u64, id: CallId, instance: String, departure: Departure) {
-        let is_committed = records::departure_of(self.replica.committed(), &instance) >= Some(departure);
+        let is_committed =
+            records::departure_of(self.replica.committed_records(), &instance) >= Some(departure);
         if R::should_confirm_departure(is_committed) {
             self.answer(id, Response::accepted());
         }
@@ -107,7 +108,7 @@
 
     fn resolve(&mut self, now: u64, id: CallId, host: &str, region: &str, zone: &str) {
         let region = self.settings.zones.get(zone).map_or(region, String::as_str);
-        let records = self.may_serve_records(now).then(|| self.replica.committed());
+        let records = self.may_serve_records(now).then(|| self.replica.committed_records());
         self.host_regions.refresh(records);
         let regions = self.host_regions.regions_of(host);
         let addresses = directory::addresses_for(&self.leases, now, ClientLocation { region, zone }, regions);
--- a/controlplane/controller/src/controller/gossip.rs
+++ b/controlplane/controller/src/controller/gossip.rs
@@ -57,7 +57,7 @@
         let is_empty = !self.registry.has_changes() && !self.leases.has_changes();
         let gossip = gossip_records::changes(now, &mut self.registry, &mut self.leases);
         let payload = Bytes::from(encode_gossip(&gossip));
-        let replica_peers = self.replica.peers();
+        let replica_peers = self.replica.peer_endpoints();
         let other_peers = self.known_peers.excluding(self.settings.address.endpoint, &replica_peers);
         let replica_peers = replica_peers.into_iter().filter(|_| !is_empty);
         for to in replica_peers.chain(other_peers) {
--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -105,7 +105,7 @@
     /// Passes the committed records to the publisher, also without a quorum. A balancer receives them only if
     /// they are newer than its own, or if it has none and [`Controller::send_update`] permits it.
     fn refresh_replicated(&mut self) {
-        let records = self.replica.committed();
+        let records = self.replica.committed_records();
         let published = self.publisher.versions();
         if let Some(record) = records.get(records::CONFIGURATION_KEY)
             && record.sequence > published.configured
--- a/controlplane/controller/src/controller/replication.rs
+++ b/controlplane/controller/src/controller/replication.rs
@@ -39,7 +39,7 @@
                 Output::Persist { token, write } => self.actions.push(Action::Persist { token, write }),
                 Output::Reply { ticket, result } => self.handle_reply(now, ticket, result),
                 Output::Committed { writes, .. } => self.handle_committed(now, &writes),
-                Output::Replaced => self.handle_replaced(now),
+                Output::RecordsReplaced => self.handle_replaced(now),
             }
         }
     }
@@ -61,7 +61,7 @@
     /// Applies all committed departures to the registry, oldest first. The newest ones are then sent to
     /// balancers for the longest time.
     pub(super) fn apply_departures(&mut self) {
-        let records = self.replica.committed();
+        let records = self.replica.committed_records();
         let sequence = |instance: &str| {
             records.get(&format!("{}{instance}", records::DRAINED_PREFIX)).map_or(0, |record| record.sequence)
         };
@@ -86,7 +86,7 @@
         if self.is_compacting {
             return;
         }
-        if let Some(state) = self.replica.checkpoint_due(log_bytes) {
+        if let Some(state) = self.replica.due_checkpoint(log_bytes) {
             self.is_compacting = true;
             self.actions.push(Action::Compact { state });
         }
@@ -95,7 +95,7 @@
     /// Starts handing over the roles of this controller to others.
     pub(super) fn shut_down(&mut self, now: u64) {
         self.shutting_down = true;
-        self.step_replica(now, Input::Leave);
+        self.step_replica(now, Input::Shutdown);
         self.send_links(now);
     }
 }
--- a/controlplane/controller/src/runtime/disk.rs
+++ b/controlplane/controller/src/runtime/disk.rs
@@ -10,7 +10,9 @@
 use spdlog::warn;
 use tokio::sync::{mpsc as reports, oneshot};
 use whinspindle_replica::DurableWrite;
-use whinspindle_storage::{FolderDirectory, FormatError, Journal, Recovered, StorageError, check_format};
+use whinspindle_storage::{
+    FolderDirectory, FormatError, Journal, RecoveredState, StorageError, check_format,
+};
 
 use super::prefixed_directory::PrefixedDirectory;
 
@@ -75,7 +77,7 @@
 /// The result of [`open`].
 pub struct OpenedDisk {
     pub disk: Disk,
-    pub recovered: Recovered,
+    pub recovered: RecoveredState,
     /// Whether the files were damaged and have been discarded.
     pub was_damaged: bool,
     pub reports: reports::UnboundedReceiver<DiskReport>,
@@ -137,7 +139,7 @@
 struct OpenedJournal {
     files: PrefixedDirectory,
     journal: Journal<PrefixedDirectory>,
-    recovered: Recovered,
+    recovered: RecoveredState,
     was_damaged: bool,
 }
 
@@ -188,7 +190,9 @@
     }
 }
 
-fn open_once(folder: &Path) -> Result<(PrefixedDirectory, Journal<PrefixedDirectory>, Recovered), OpenError> {
+fn open_once(
+    folder: &Path,
+) -> Result<(PrefixedDirectory, Journal<PrefixedDirectory>, RecoveredState), OpenError> {
     let mut files = PrefixedDirectory::new(FolderDirectory::open(folder).map_err(StorageError::from)?);
     check_format(&mut files, FORMAT_VERSION)?;
     let (journal, recovered) = Journal::open(files.clone())?;
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use whinspindle_distribution::Publisher;
-use whinspindle_metrics::Figures;
+use whinspindle_metrics::MetricsSnapshot;
 use whinspindle_registry::{InstanceRegistry, LeaseTable};
 use whinspindle_replica::{Replica, Voter};
 
@@ -41,10 +41,10 @@
 
 /// Formats the status as OpenMetrics text.
 pub fn to_metrics(source: &StatusSource<'_>) -> String {
-    let mut metrics = Figures::default();
+    let mut metrics = MetricsSnapshot::default();
     for (name, value) in fields(source) {
         let name = format!("controller_{name}");
-        metrics.gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
+        metrics.add_gauge(&name, "As in the controller's status", [([].as_slice(), value as f64)]);
     }
     let gauges = [
         (
@@ -60,7 +60,7 @@
         ("controller_chain_length", "Members of the chain", source.replica.view().chain.len()),
     ];
     for (name, help, value) in gauges {
-        metrics.gauge(name, help, [([].as_slice(), value as f64)]);
+        metrics.add_gauge(name, help, [([].as_slice(), value as f64)]);
     }
     metrics.into_text()
 }
@@ -76,7 +76,7 @@
         ("orders_refused", command_counts.refused),
         ("orders_unclear", command_counts.unclear),
         ("committed_sequence", source.replica.committed_sequence()),
-        ("generation", records::current_generation(source.replica.committed())),
+        ("generation", records::current_generation(source.replica.committed_records())),
         ("published_configuration", versions.configured),
         ("published_evacuations", versions.evacuations),
         ("published_instances", versions.instances),
@@ -98,13 +98,13 @@
     let endpoint = |voter: Voter| view.endpoint(voter);
     push_addresses(json, "chain", view.chain.iter().filter_map(|link| endpoint(link.voter)));
     push_addresses(json, "voters", view.voters().into_iter().filter_map(endpoint));
-    push_addresses(json, "peers", replica.peers());
+    push_addresses(json, "peers", replica.peer_endpoints());
     let fatal_losses = replica.fatal_losses();
     push_list(json, "fatal_losses", fatal_losses, |json, kind| push_json_string(json, kind.name()));
 }
 
 fn push_evacuations(json: &mut String, replica: &Replica<CommandApplication>) {
-    let zones = records::evacuated_zones(replica.committed()).zones;
+    let zones = records::evacuated_zones(replica.committed_records()).zones;
     push_list(json, "evacuated_zones", zones, |json, zone| push_json_string(json, &zone));
 }
 
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -202,8 +202,8 @@
         seeds: start.nodes.iter().copied().take(SEEDS).collect(),
         bootstrap: start.is_founding,
         incarnation: start.chance,
-        start: start.chance,
-        tolerance: Tolerance::of_machines(1),
+        start_id: start.chance,
+        tolerance: Tolerance::machines_only(1),
         timing: Timing::default(),
     };
     let (replica, outputs) = Replica::new(replica_settings, CommandApplication, start.recovered, start.now)
@@ -440,7 +440,7 @@
                 continue;
             }
             let call = attempt.call.clone();
-            let at = endpoints[self.random.below(endpoints.len())];
+            let at = endpoints[self.random.next_below(endpoints.len())];
             self.send(index, at, call);
         }
     }
@@ -468,7 +468,7 @@
 
     fn answered(&mut self, at: u64, id: CallId, response: Response) {
         let waits = |attempt: &&mut Attempt| attempt.waiting.is_some_and(|(waiting, _)| waiting == id);
-        if self.lost_answers > 0.0 && self.random.unit() < self.lost_answers {
+        if self.lost_answers > 0.0 && self.random.next_f64() < self.lost_answers {
             return;
         }
         let Some(attempt) = self.attempts.iter_mut().find(waits) else { return };
