--- a/controlplane/controller/examples/load.rs
+++ b/controlplane/controller/examples/load.rs
@@ -1,4 +1,5 @@
-//! One controller under the load of a large deployment: what each kind of event costs, and what balancers are sent.
+//! Simulates the load of a large deployment on one controller. Measures the CPU time of each kind of event,
+//! and the size of the messages to balancers.
 //!
 //! `cargo run --release -p whinspindle-controller --example load -- [instances] [controllers] [balancers]`
 
@@ -17,100 +18,102 @@
 };
 use whinspindle_replica::{Replica, ReplicaSettings, Timing, Tolerance};
 
-/// The other controller that gossip comes from.
+/// The controller from which all gossip is received.
 const PEER: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 2)), 7_700);
-const START: u64 = 1_000_000;
-const LENGTH_MS: u64 = 30_000;
+const START_MS: u64 = 1_000_000;
+const DURATION_MS: u64 = 30_000;
 const STEP_MS: u64 = 50;
-const HEARTBEAT_MS: u64 = 1_200;
-const GOSSIP_MS: u64 = 400;
-const REPORT_MS: u64 = 500;
-/// Instances come in over this time.
-const ARRIVAL_MS: u64 = 6_000;
-/// One instance in so many is another one at each of its heartbeats.
+const HEARTBEAT_INTERVAL_MS: u64 = 1_200;
+const GOSSIP_INTERVAL_MS: u64 = 400;
+const REPORT_INTERVAL_MS: u64 = 500;
+/// The time over which the instances are added.
+const RAMP_UP_MS: u64 = 6_000;
+/// At each heartbeat, one in this number of instances is replaced by a new instance.
 const REPLACEMENT_INTERVAL: u64 = 500;
 
 #[derive(Default)]
 struct Cost {
     events: u64,
-    spent: Duration,
+    elapsed: Duration,
 }
 
-struct Load {
+struct LoadTest {
     controller: Controller,
     now: u64,
     costs: BTreeMap<&'static str, Cost>,
     sent_bytes: u64,
-    largest_burst: u64,
+    largest_burst_bytes: u64,
     updates: u64,
-    applied: BTreeMap<SubscriberId, u64>,
-    calls: u64,
+    applied_instances_versions: BTreeMap<SubscriberId, u64>,
+    last_call_id: u64,
 }
 
-impl Load {
-    fn handle(&mut self, name: &'static str, event: Event) {
-        let begun = Instant::now();
+impl LoadTest {
+    fn handle(&mut self, cost_name: &'static str, event: Event) {
+        let started_at = Instant::now();
         let actions = self.controller.handle(self.now, event);
-        self.note(name, begun.elapsed());
-        self.take(actions);
+        self.add_cost(cost_name, started_at.elapsed());
+        self.perform(actions);
     }
 
-    fn note(&mut self, name: &'static str, spent: Duration) {
-        let cost = self.costs.entry(name).or_default();
+    fn add_cost(&mut self, cost_name: &'static str, elapsed: Duration) {
+        let cost = self.costs.entry(cost_name).or_default();
         cost.events += 1;
-        cost.spent += spent;
+        cost.elapsed += elapsed;
     }
 
-    fn take(&mut self, actions: Vec<Action>) {
-        let mut burst = 0;
+    fn perform(&mut self, actions: Vec<Action>) {
+        let mut burst_bytes = 0;
         for action in actions {
             match action {
                 Action::Persist { token, .. } => {
                     self.handle("persisted", Event::Persisted { token, log_bytes: 0 });
                 }
-                Action::SaveState { .. } => self.handle("remembered", Event::StateSaved),
-                Action::SendBalancer { to, message } => burst += self.send(to, &message),
+                Action::SaveState { .. } => self.handle("state saved", Event::StateSaved),
+                Action::SendBalancer { to, message } => burst_bytes += self.send(to, &message),
                 Action::Answer { .. } | Action::SendPeer { .. } | Action::Compact { .. } => {}
             }
         }
-        self.sent_bytes += burst;
-        self.largest_burst = self.largest_burst.max(burst);
+        self.sent_bytes += burst_bytes;
+        self.largest_burst_bytes = self.largest_burst_bytes.max(burst_bytes);
     }
 
     fn send(&mut self, to: SubscriberId, message: &ToBalancer) -> u64 {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let bytes = encode_to_balancer(message).len() as u64;
-        self.note("encode for a balancer", begun.elapsed());
+        self.add_cost("encode for a balancer", started_at.elapsed());
         if let ToBalancer::Update(update) = message {
             self.updates += 1;
-            let whole = update.instances.as_ref().map(|section| section.version);
-            let changed = update.changes.as_ref().map(|changes| changes.version);
-            if let Some(version) = whole.or(changed) {
-                self.applied.insert(to, version);
+            let snapshot_version = update.instances.as_ref().map(|section| section.version);
+            let changes_version = update.changes.as_ref().map(|changes| changes.version);
+            if let Some(version) = snapshot_version.or(changes_version) {
+                self.applied_instances_versions.insert(to, version);
             }
         }
         bytes
     }
 
-    fn heartbeats(&mut self, numbers: impl Iterator<Item = u64>) {
-        for number in numbers {
-            self.calls += 1;
-            let call =
-                Call::Heartbeat { instance: name(number, self.now), heartbeat: heartbeat(number, self.now) };
-            self.handle("heartbeat", Event::Call { id: CallId(self.calls), call });
+    fn send_heartbeats(&mut self, instance_numbers: impl Iterator<Item = u64>) {
+        for number in instance_numbers {
+            self.last_call_id += 1;
+            let call = Call::Heartbeat {
+                instance: instance_id(number, self.now),
+                heartbeat: heartbeat(number, self.now),
+            };
+            self.handle("heartbeat", Event::Call { id: CallId(self.last_call_id), call });
         }
     }
 
-    fn gossip(&mut self, numbers: impl Iterator<Item = u64>) {
-        let instances = numbers.map(|number| gossip_instance(number, self.now)).collect();
+    fn receive_gossip(&mut self, instance_numbers: impl Iterator<Item = u64>) {
+        let instances = instance_numbers.map(|number| gossip_instance(number, self.now)).collect();
         let gossip = Gossip { scope: GossipScope::Changes, instances, leases: Vec::new() };
         let payload = Bytes::from(encode_gossip(&gossip));
         self.handle("gossip", Event::GossipReceived { from: PEER, payload });
     }
 
-    fn report(&mut self, balancer: u64) {
+    fn receive_report(&mut self, balancer: u64) {
         let subscriber = SubscriberId(balancer);
-        let instances = self.applied.get(&subscriber).copied().unwrap_or_default();
+        let instances = self.applied_instances_versions.get(&subscriber).copied().unwrap_or_default();
         let report = Report {
             node: format!("edge-{balancer}"),
             incarnation: 1,
@@ -127,12 +130,14 @@
     }
 }
 
-/// The present holder of a place: now and then it is another one.
-fn name(number: u64, now: u64) -> String {
-    let beat = now / HEARTBEAT_MS;
-    let replaced =
-        (0..=beat).rev().take(40).find(|beat| (beat * 7 + number).is_multiple_of(REPLACEMENT_INTERVAL));
-    format!("i-{number:05}-{}", replaced.unwrap_or_default())
+/// The id of the instance that currently has this number. The instances are replaced from time to time.
+fn instance_id(number: u64, now: u64) -> String {
+    let interval = now / HEARTBEAT_INTERVAL_MS;
+    let replaced_in = (0..=interval)
+        .rev()
+        .take(40)
+        .find(|interval| (interval * 7 + number).is_multiple_of(REPLACEMENT_INTERVAL));
+    format!("i-{number:05}-{}", replaced_in.unwrap_or_default())
 }
 
 fn address(number: u64) -> SocketAddr {
@@ -155,7 +160,7 @@
 
 fn gossip_instance(number: u64, now: u64) -> GossipInstance {
     GossipInstance {
-        id: name(number, now),
+        id: instance_id(number, now),
         service: "backend-of-models".to_owned(),
         address: address(number),
         zone: "zone-of-halls".to_owned(),
@@ -168,7 +173,7 @@
     }
 }
 
-fn start() -> Load {
+fn start() -> LoadTest {
     let endpoint: SocketAddr = SocketAddr::from(([10, 0, 0, 1], 7700));
     let replica_settings = ReplicaSettings {
         endpoint,
@@ -182,27 +187,27 @@
         timing: Timing::default(),
     };
     let Ok((replica, outputs)) =
-        Replica::new(replica_settings, CommandApplication, (None, Vec::new()), START)
+        Replica::new(replica_settings, CommandApplication, (None, Vec::new()), START_MS)
     else {
         unreachable!("an empty disk can be read")
     };
     let address = ControllerAddress { endpoint, zone: "zone-a".to_owned(), region: "north".to_owned() };
     let zones = [("zone-a".to_owned(), "north".to_owned())].into();
     let settings =
-        ControllerSettings { node: "core-1".to_owned(), address, zones, heartbeat_ms: HEARTBEAT_MS };
-    let (controller, actions) = Controller::new(settings, replica, outputs, START);
-    let mut load = Load {
+        ControllerSettings { node: "core-1".to_owned(), address, zones, heartbeat_ms: HEARTBEAT_INTERVAL_MS };
+    let (controller, actions) = Controller::new(settings, replica, outputs, START_MS);
+    let mut load_test = LoadTest {
         controller,
-        now: START,
+        now: START_MS,
         costs: BTreeMap::new(),
         sent_bytes: 0,
-        largest_burst: 0,
+        largest_burst_bytes: 0,
         updates: 0,
-        applied: BTreeMap::new(),
-        calls: 0,
+        applied_instances_versions: BTreeMap::new(),
+        last_call_id: 0,
     };
-    load.take(actions);
-    load
+    load_test.perform(actions);
+    load_test
 }
 
 fn main() {
@@ -210,37 +215,43 @@
     let instances = sizes.next().unwrap_or(3_000);
     let controllers = sizes.next().unwrap_or(15);
     let balancers = sizes.next().unwrap_or(20);
-    let mut load = start();
-    while load.now < START + LENGTH_MS {
-        let elapsed = load.now - START;
-        let arrived = (instances * elapsed / ARRIVAL_MS).min(instances);
-        let slot = elapsed % HEARTBEAT_MS / STEP_MS;
-        let steps = HEARTBEAT_MS / STEP_MS;
-        load.heartbeats((0..arrived).filter(|n| n % controllers == 0 && n / controllers % steps == slot));
-        let gossip_slot = elapsed % GOSSIP_MS / STEP_MS;
-        for peer in (1..controllers).filter(|peer| peer % (GOSSIP_MS / STEP_MS) == gossip_slot) {
-            let third = elapsed % HEARTBEAT_MS / GOSSIP_MS;
-            load.gossip((0..arrived).filter(|n| n % controllers == peer && n / controllers % 3 == third));
+    let mut load_test = start();
+    while load_test.now < START_MS + DURATION_MS {
+        let elapsed_ms = load_test.now - START_MS;
+        let added = (instances * elapsed_ms / RAMP_UP_MS).min(instances);
+        let heartbeat_step = elapsed_ms % HEARTBEAT_INTERVAL_MS / STEP_MS;
+        let steps_per_heartbeat = HEARTBEAT_INTERVAL_MS / STEP_MS;
+        load_test.send_heartbeats(
+            (0..added)
+                .filter(|n| n % controllers == 0 && n / controllers % steps_per_heartbeat == heartbeat_step),
+        );
+        let gossip_step = elapsed_ms % GOSSIP_INTERVAL_MS / STEP_MS;
+        for peer in (1..controllers).filter(|peer| peer % (GOSSIP_INTERVAL_MS / STEP_MS) == gossip_step) {
+            let gossip_round = elapsed_ms % HEARTBEAT_INTERVAL_MS / GOSSIP_INTERVAL_MS;
+            load_test.receive_gossip(
+                (0..added).filter(|n| n % controllers == peer && n / controllers % 3 == gossip_round),
+            );
         }
-        for balancer in (1..=balancers).filter(|n| n % (REPORT_MS / STEP_MS) == elapsed % REPORT_MS / STEP_MS)
+        for balancer in (1..=balancers)
+            .filter(|n| n % (REPORT_INTERVAL_MS / STEP_MS) == elapsed_ms % REPORT_INTERVAL_MS / STEP_MS)
         {
-            load.report(balancer);
+            load_test.receive_report(balancer);
         }
-        load.handle("tick", Event::Tick);
-        load.now += STEP_MS;
+        load_test.handle("tick", Event::Tick);
+        load_test.now += STEP_MS;
     }
     println!(
-        "{instances} instances, {controllers} controllers, {balancers} balancers at this one, {LENGTH_MS} ms"
+        "{instances} instances, {controllers} controllers, {balancers} balancers at this one, {DURATION_MS} ms"
     );
-    for (name, cost) in &load.costs {
-        let per_event = cost.spent.as_micros() as u64 / cost.events.max(1);
-        let share = cost.spent.as_millis() as f64 * 100.0 / LENGTH_MS as f64;
-        println!("{name}: {} events, {per_event} us each, {share:.2} % of a core", cost.events);
+    for (name, cost) in &load_test.costs {
+        let per_event_us = cost.elapsed.as_micros() as u64 / cost.events.max(1);
+        let core_percent = cost.elapsed.as_millis() as f64 * 100.0 / DURATION_MS as f64;
+        println!("{name}: {} events, {per_event_us} us each, {core_percent:.2} % of a core", cost.events);
     }
     println!(
-        "to balancers: {} updates, {} KB a second, {} KB at once at most",
-        load.updates,
-        load.sent_bytes / LENGTH_MS,
-        load.largest_burst / 1_000
+        "to balancers: {} updates, {} KB per second, at most {} KB at once",
+        load_test.updates,
+        load_test.sent_bytes / DURATION_MS,
+        load_test.largest_burst_bytes / 1_000
     );
 }
--- a/controlplane/controller/src/directory.rs
+++ b/controlplane/controller/src/directory.rs
@@ -36,9 +36,9 @@
 /// fewer than [`MIN_ADDRESSES`], the whole region is used, and if the region has a single balancer, one of
 /// another region is added. If the region has none, all permitted balancers are used.
 ///
-/// Every address is in the client's region or zone, or in one of the host's regions, even if no other
-/// balancer is left: planned maintenance may have stopped the other balancers, and clients cache the response
-/// for longer than that lasts.
+/// Every address is in the client's region or zone, or in one of the host's regions. No other address is
+/// returned, even if no balancer remains there: planned maintenance may have stopped them, and clients keep
+/// using a response after the maintenance is over.
 ///
 /// If the host's requests may not be served in the client's region, the client is directed to balancers in
 /// the host's home regions. Each request would have to be forwarded there in any case, and the client may be
