--- a/controlplane/controller/examples/load.rs
+++ b/controlplane/controller/examples/load.rs
@@ -241,7 +241,7 @@
         load_test.now += STEP_MS;
     }
     println!(
-        "{instances} instances, {controllers} controllers, {balancers} balancers at this one, {DURATION_MS} ms"
+        "{instances} instances, {controllers} controllers, {balancers} balancers connected, {DURATION_MS} ms"
     );
     for (name, cost) in &load_test.costs {
         let per_event_us = cost.elapsed.as_micros() as u64 / cost.events.max(1);
--- a/controlplane/controller/src/commands.rs
+++ b/controlplane/controller/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that modify the replicated records, and their outcomes.
+//! Commands on the replicated records, and their outcomes.
 //!
 //! A [`Command`] is encoded, submitted to the chain and evaluated at its head by [`CommandApplication`],
 //! which answers with an [`Outcome`]. [`records`] defines the keys of the records and reads their values.
--- a/controlplane/controller/src/commands/application.rs
+++ b/controlplane/controller/src/commands/application.rs
@@ -12,7 +12,7 @@
 /// The maximum number of configurations whose repetitions are recognized.
 const MAX_HISTORY: usize = 512;
 /// The maximum number of departures that are kept.
-const MAX_DRAINED: usize = 2048;
+const MAX_DEPARTURES: usize = 2048;
 
 /// The application that the chain replicates. It evaluates commands against the newest records.
 #[derive(Clone, Copy, Debug, Default)]
@@ -119,7 +119,7 @@
 
 /// The write that removes the oldest departure if the maximum number is reached.
 fn departure_eviction(records: &Records) -> Option<RecordWrite> {
-    if records.with_prefix(DRAINED_PREFIX).count() < MAX_DRAINED {
+    if records.with_prefix(DRAINED_PREFIX).count() < MAX_DEPARTURES {
         return None;
     }
     let oldest = records.with_prefix(DRAINED_PREFIX).min_by_key(|(_, record)| record.sequence);
--- a/controlplane/controller/src/controller/submission.rs
+++ b/controlplane/controller/src/controller/submission.rs
@@ -23,8 +23,9 @@
 /// a partition or a paused process, its caller has retried at another controller and closed this connection.
 /// The close is seen during this delay, so the outdated command is not submitted after newer ones.
 const EVACUATION_WAIT_MS: u64 = 100;
-/// The time after its arrival during which a superseded evacuation command is submitted again, based on the
-/// zone's newest record, in milliseconds. Its caller does not retry at another controller before this time.
+/// The time after the arrival of an evacuation command during which it is submitted again if it was
+/// superseded, in milliseconds. It is then based on the zone's newest record. Its caller does not retry at
+/// another controller before this time.
 const EVACUATION_RETRY_WINDOW_MS: u64 = 400;
 
 impl<R: ProtocolRules> Controller<R> {
--- a/controlplane/controller/src/runtime/disk.rs
+++ b/controlplane/controller/src/runtime/disk.rs
@@ -8,7 +8,7 @@
 
 use snafu::{ResultExt, Snafu};
 use spdlog::warn;
-use tokio::sync::{mpsc as reports, oneshot};
+use tokio::sync::{mpsc as async_mpsc, oneshot};
 use whinspindle_replica::DurableWrite;
 use whinspindle_storage::{
     FolderDirectory, FormatError, Journal, RecoveredState, StorageError, check_format,
@@ -80,14 +80,14 @@
     pub recovered: RecoveredState,
     /// Whether the files were damaged and have been discarded.
     pub was_damaged: bool,
-    pub reports: reports::UnboundedReceiver<DiskReport>,
+    pub reports: async_mpsc::UnboundedReceiver<DiskReport>,
 }
 
 /// Starts the disk thread, opens the journal in a folder, and waits until the disk can be read. The saved
 /// state of an earlier process is reported only if `should_restore_state` is true.
 pub async fn open(folder: PathBuf, should_restore_state: bool) -> Result<OpenedDisk, DiskError> {
     let (jobs, job_receiver) = mpsc::channel();
-    let (report_sender, reports) = reports::unbounded_channel();
+    let (report_sender, reports) = async_mpsc::unbounded_channel();
     let (opened_sender, opened) = oneshot::channel();
     let run_thread = move || {
         let opened = match open_journal(&folder) {
@@ -210,7 +210,7 @@
     /// None until the files of the saved state could be opened.
     saved_state: Option<Journal<PrefixedDirectory>>,
     jobs: mpsc::Receiver<Job>,
-    reports: reports::UnboundedSender<DiskReport>,
+    reports: async_mpsc::UnboundedSender<DiskReport>,
 }
 
 /// Log records that are appended together, with a single sync.
