--- a/balancer/fleet-policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -260,7 +260,7 @@
 }
 
 impl<E: Environment, R: MemberRules> Member<E, R> {
-    /// Everything that decides the member's further behaviour, by which the model checker tells states apart.
+    /// All state that decides the member's further behaviour. The model checker compares states by it.
     pub fn state(&self) -> impl std::hash::Hash + '_ {
         let leases = (&self.lease, &self.previous_lease, self.had_lease);
         let records = (
--- a/balancer/fleet-policy/src/member/lease.rs
+++ b/balancer/fleet-policy/src/member/lease.rs
@@ -58,7 +58,7 @@
         self.lease_state_until(now).0
     }
 
-    /// The state of the lease, and until when it lasts if no more messages are received.
+    /// The state of the lease, and the time until which it lasts without further messages.
     pub fn lease_state_until(&self, now: u64) -> (LeaseState, u64) {
         let is_proved = |number: u64| number == 0 || matches!(self.verdicts.get(&number), Some(Ok(())));
         let leases = [Some(&self.lease), self.previous_lease.as_ref()];
@@ -89,9 +89,9 @@
         self.ask_voters(now, self.voters());
     }
 
-    /// Asks the voters that haven't answered again, `RENEWAL_RETRIES` times at most, while those that have
-    /// are no majority. Guards against lost datagrams in large fleets, whose renewal interval is long against
-    /// the lease.
+    /// Repeats the request to voters that haven't answered, up to `RENEWAL_RETRIES` times, until a majority
+    /// has granted the lease. Guards against lost datagrams in large fleets, whose renewal interval is long
+    /// compared with the lease.
     pub(super) fn retry_renewal(&mut self, now: u64) {
         let due_at =
             self.renewal_asked_at + self.settings.renewal_interval_us / 4 * (self.renewal_retries + 1);
--- a/balancer/fleet-policy/tests/wire_fixtures.rs
+++ b/balancer/fleet-policy/tests/wire_fixtures.rs
@@ -91,7 +91,8 @@
     }
 }
 
-/// The messages, each with the part of its fixture's name after the kind.
+/// The messages, each with the suffix of its fixture's name.
+#[allow(clippy::too_many_lines, reason = "a table of cases")]
 fn messages() -> Vec<(&'static str, Message)> {
     let objection = Objection { line: 40_000, reason: "routes[2].to: no such zone: \"nörd\"".to_string() };
     let (voter, other) =
--- a/balancer/operator-file/src/read/route.rs
+++ b/balancer/operator-file/src/read/route.rs
@@ -122,16 +122,16 @@
             && (matches.method.as_deref() != Some("GET") || product.effect == Effect::Idempotent);
         if is_reachable {
             for refusal in proof::prove(&conditions, &settings, &limits) {
-                let rule = match refusal.check.rule() {
+                let rule = match refusal.check.rule_number() {
                     0 => String::new(),
                     rule => format!("rule {rule}: "),
                 };
                 let product_name = &deployment.products[index];
-                let message = format!("{rule}{} (product {product_name:?})", refusal.fault);
+                let message = format!("{rule}{} (product {product_name:?})", refusal.message);
                 // An error that several products have is reported once.
-                if !reported.contains(&(refusal.field, refusal.fault.clone())) {
-                    table.report_error(locations.of(refusal.field), message, refusal.suggestion.clone());
-                    reported.push((refusal.field, refusal.fault));
+                if !reported.contains(&(refusal.field, refusal.message.clone())) {
+                    table.report_error(locations.of(refusal.field), message, refusal.hint.clone());
+                    reported.push((refusal.field, refusal.message));
                 }
             }
         }
--- a/balancer/rollout/src/lib.rs
+++ b/balancer/rollout/src/lib.rs
@@ -101,7 +101,7 @@
     AlreadyChanged,
     /// The release rolls back, and the unit has the old build.
     NotChanged,
-    /// The plan of the release under way is not known here yet.
+    /// This member does not know the plan of the release under way yet.
     PlanUnknown,
     /// The release that the unit should restart for is not under way.
     ReleaseNotUnderWay,
--- a/balancer/rollout/src/slow.rs
+++ b/balancer/rollout/src/slow.rs
@@ -21,8 +21,8 @@
 pub struct SlowThresholds(Vec<Threshold>);
 
 impl SlowThresholds {
-    /// Whether an answer that took `elapsed_us` microseconds is slow, which none is before there were enough
-    /// answers.
+    /// Whether an answer that took `elapsed_us` microseconds is slow. No answer is slow before the first
+    /// threshold has been computed.
     pub fn is_slow(&mut self, product: usize, elapsed_us: u64) -> bool {
         if self.0.len() <= product {
             self.0.resize(product + 1, Threshold::default());
--- a/balancer/routes/src/lib.rs
+++ b/balancer/routes/src/lib.rs
@@ -23,13 +23,13 @@
 /// The servers that may take a route's requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerSelection {
-    /// The names of their zones; empty for any.
+    /// The names of the allowed zones; empty for any zone.
     pub zones: Vec<String>,
-    /// The names of their kinds; empty for any.
+    /// The names of the allowed kinds of servers; empty for any kind.
     pub kinds: Vec<String>,
-    /// Retries stay in the zone of the first execution.
+    /// Whether retries stay in the zone of the first execution.
     pub retries_in_zone: bool,
-    /// Retries stay in the pod of the first execution.
+    /// Whether retries stay in the pod of the first execution.
     pub retries_in_pod: bool,
 }
 
@@ -63,7 +63,7 @@
 pub struct RouteMatch {
     /// The method; none for any method.
     pub method: Option<String>,
-    /// The paths.
+    /// The pattern of the paths.
     pub path: Pattern,
     /// The index of the product in the settings; none for any product.
     pub product: Option<usize>,
--- a/balancer/routes/src/proof.rs
+++ b/balancer/routes/src/proof.rs
@@ -16,23 +16,23 @@
 /// The field of `Conditions` that a refusal is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// `timeout_us`.
+    /// `Conditions::timeout_us`.
     Timeout,
-    /// `execution_timeout_us`.
+    /// `Conditions::execution_timeout_us`.
     ExecutionTimeout,
-    /// `max_executions`.
+    /// `Conditions::max_executions`.
     MaxExecutions,
-    /// `retry_on`.
+    /// `Conditions::retry_on`.
     RetryOn,
-    /// `retry_delay_us`.
+    /// `Conditions::retry_delay_us`.
     RetryDelay,
-    /// `hedge`.
+    /// `Conditions::hedge`.
     Hedge,
-    /// `retry_budget`.
+    /// `Conditions::retry_budget`.
     RetryBudget,
-    /// `max_body_bytes`.
+    /// `Conditions::max_body_bytes`.
     MaxBody,
-    /// `servers`.
+    /// `Conditions::servers`.
     Servers,
 }
 
@@ -74,7 +74,7 @@
 
 impl Check {
     /// The number of the rule that a refused route could break; 0 if it could break none.
-    pub fn rule(self) -> u8 {
+    pub fn rule_number(self) -> u8 {
         match self {
             Check::AnswerTimeout | Check::ExecutionTimeout => 1,
             Check::ExecutionCount
@@ -95,14 +95,14 @@
     /// The field at fault.
     pub field: Field,
     /// What is wrong, with the calculation if there is one.
-    pub fault: String,
+    pub message: String,
     /// The nearest value that would pass.
-    pub suggestion: String,
+    pub hint: String,
 }
 
 impl fmt::Display for Refusal {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
-        write!(to, "{}; {}", self.fault, self.suggestion)
+        write!(to, "{}; {}", self.message, self.hint)
     }
 }
 
--- a/balancer/routes/src/proof/checks.rs
+++ b/balancer/routes/src/proof/checks.rs
@@ -51,13 +51,8 @@
 }
 
 impl Proof<'_> {
-    fn refuse(&mut self, field: Field, fault: impl Into<String>, suggestion: impl Into<String>) {
-        self.refusals.push(Refusal {
-            check: self.check,
-            field,
-            fault: fault.into(),
-            suggestion: suggestion.into(),
-        });
+    fn refuse(&mut self, field: Field, message: impl Into<String>, hint: impl Into<String>) {
+        self.refusals.push(Refusal { check: self.check, field, message: message.into(), hint: hint.into() });
     }
 
     fn check_answer_timeout(&mut self) {
@@ -74,20 +69,20 @@
     fn check_execution_timeout(&mut self) {
         let Conditions { timeout_us, execution_timeout_us, .. } = *self.conditions;
         if execution_timeout_us > timeout_us {
-            let fault = format!(
+            let message = format!(
                 "an execution of {} is longer than its request of {}",
                 ms(execution_timeout_us),
                 ms(timeout_us)
             );
-            self.refuse(Field::ExecutionTimeout, fault, format!("at most {}", ms(timeout_us)));
+            self.refuse(Field::ExecutionTimeout, message, format!("at most {}", ms(timeout_us)));
         }
     }
 
     fn check_execution_count(&mut self) {
         let (executions, allowed) = (self.conditions.max_executions, self.limits.max_executions);
         if executions > allowed {
-            let fault = format!("{executions} executions where the deployment allows {allowed}");
-            self.refuse(Field::MaxExecutions, fault, format!("at most {allowed}"));
+            let message = format!("{executions} executions where the deployment allows {allowed}");
+            self.refuse(Field::MaxExecutions, message, format!("at most {allowed}"));
         }
     }
 
@@ -96,12 +91,12 @@
             return;
         }
         if self.has_retries {
-            let fault = "a non-idempotent request is retried though it may have run";
-            self.refuse(Field::RetryOn, fault, "repeat only after outcomes that never ran");
+            let message = "a non-idempotent request is retried though it may have run";
+            self.refuse(Field::RetryOn, message, "repeat only after outcomes that never ran");
         }
         if self.has_hedging {
-            let fault = "a non-idempotent request is hedged by a second copy";
-            self.refuse(Field::Hedge, fault, "leave it out");
+            let message = "a non-idempotent request is hedged by a second copy";
+            self.refuse(Field::Hedge, message, "leave it out");
         }
     }
 
@@ -112,15 +107,15 @@
             matches!(self.product.effect, Effect::Deduplicated(_)) && (self.has_retries || self.has_hedging);
         if is_deduplicated && self.schedule.last_arrival_us >= self.product.deduplication_us {
             let last_send = self.schedule.send_times_us.last().copied().unwrap_or(0);
-            let fault = format!(
+            let message = format!(
                 "execution {} is sent at {} and arrives by {}, where repeats are forgotten after {}",
                 self.schedule.send_times_us.len(),
                 ms(last_send),
                 ms(self.schedule.last_arrival_us),
                 ms(self.product.deduplication_us)
             );
-            let suggestion = nearest_execution_timeout(self.conditions, self.product, self.limits);
-            self.refuse(Field::ExecutionTimeout, fault, suggestion);
+            let hint = nearest_execution_timeout(self.conditions, self.product, self.limits);
+            self.refuse(Field::ExecutionTimeout, message, hint);
         }
     }
 
@@ -134,8 +129,9 @@
             _ => return,
         };
         if (self.has_retries || self.has_hedging) && !is_within {
-            let fault = format!("a repeat may leave the {scope} whose servers remember the first execution");
-            self.refuse(Field::Servers, fault, format!("repeats = \"{scope}\""));
+            let message =
+                format!("a repeat may leave the {scope} whose servers remember the first execution");
+            self.refuse(Field::Servers, message, format!("repeats = \"{scope}\""));
         }
     }
 
@@ -144,35 +140,35 @@
             return;
         }
         if self.has_hedging {
-            let fault = "second copies are not allowed by the deployment";
-            self.refuse(Field::Hedge, fault, "leave it out");
+            let message = "second copies are not allowed by the deployment";
+            self.refuse(Field::Hedge, message, "leave it out");
         }
         let retries_timeouts = self.conditions.retry_on.timed_out && self.conditions.max_executions > 1;
         if retries_timeouts && !self.limits.can_cancel {
-            let fault = "an execution may still run after its time-out, as the deployment can't cancel it";
-            self.refuse(Field::RetryOn, fault, "not after \"timed-out\"");
+            let message = "an execution may still run after its time-out, as the deployment can't cancel it";
+            self.refuse(Field::RetryOn, message, "not after \"timed-out\"");
         }
     }
 
     fn check_body_size(&mut self) {
         let (largest, allowed) = (self.conditions.max_body_bytes, self.limits.max_body_bytes);
         if largest > allowed {
-            let fault = format!("{largest} bytes, where the deployment takes {allowed}");
-            self.refuse(Field::MaxBody, fault, format!("at most {allowed} B"));
+            let message = format!("{largest} bytes, where the deployment takes {allowed}");
+            self.refuse(Field::MaxBody, message, format!("at most {allowed} B"));
         }
     }
 
     fn check_feasibility(&mut self) {
         let executions = self.conditions.max_executions;
         if executions == 1 && (self.conditions.retry_on != RetryOn::NONE || self.has_hedging) {
-            let fault = "repeats are set, but no execution is left for them";
-            self.refuse(Field::MaxExecutions, fault, "at least 2");
+            let message = "repeats are set, but no execution is left for them";
+            self.refuse(Field::MaxExecutions, message, "at least 2");
         }
         let possible = self.schedule.send_times_us.len();
         if executions > possible {
             let timeout = ms(self.conditions.timeout_us);
-            let fault = format!("of {executions} executions only {possible} can be sent within {timeout}");
-            self.refuse(Field::MaxExecutions, fault, format!("at most {possible}"));
+            let message = format!("of {executions} executions only {possible} can be sent within {timeout}");
+            self.refuse(Field::MaxExecutions, message, format!("at most {possible}"));
         }
     }
 }
--- a/balancer/routes/tests/proof.rs
+++ b/balancer/routes/tests/proof.rs
@@ -107,7 +107,7 @@
         let refusals = prove(&c, &p, &l);
         let checks: Vec<Check> = refusals.iter().map(|refusal| refusal.check).collect();
         assert_eq!(checks, expected.iter().copied().collect::<Vec<_>>(), "{name}: {refusals:?}");
-        assert!(refusals.iter().all(|refusal| !refusal.suggestion.is_empty()), "{name}");
+        assert!(refusals.iter().all(|refusal| !refusal.hint.is_empty()), "{name}");
     }
 }
 
@@ -136,7 +136,7 @@
 fn suggested_value_is_the_largest_that_passes() {
     let (c, p) = (conditions(), ProductSettings { deduplication_us: 1_200 * MS, ..order_product() });
     let refusal = prove(&c, &p, &deployment_limits()).remove(0);
-    assert_eq!(refusal.suggestion, "at most 409.999 ms with 3 executions");
+    assert_eq!(refusal.hint, "at most 409.999 ms with 3 executions");
     for (execution_timeout_us, passes) in [(409_999, true), (410_000, false)] {
         let changed = Conditions { execution_timeout_us, ..c.clone() };
         assert_eq!(prove(&changed, &p, &deployment_limits()).is_empty(), passes, "{execution_timeout_us}");
