--- a/coordination/digests/examples/reconcile.rs
+++ b/coordination/digests/examples/reconcile.rs
@@ -1,4 +1,4 @@
-//! One replica of a sorted map becomes equal to another by asking for digests of ranges.
+//! Makes one replica of a sorted map equal to another by comparing digests of ranges.
 
 use std::collections::BTreeMap;
 use std::error::Error;
--- a/coordination/digests/src/lib.rs
+++ b/coordination/digests/src/lib.rs
@@ -1,17 +1,20 @@
 //! Range digests over a sorted map, to find where two replicas differ.
 //!
-//! Two replicas with the same records in a range have the same digest of it. Where digests differ, the range is narrowed
-//! down, and only the records of small ranges that differ are sent.
+//! Two replicas with the same records in a range have the same digest of it. Where digests differ, the
+//! range is split further, and only the records of small differing ranges are sent.
 //!
-//! For one round trip, send the digests of a [`partition`] and have the other replica list the differing ranges ([`differing_ranges`]). For
-//! as few bytes as possible, let a [`Reconciliation`] narrow the ranges down over several round trips.
+//! To find the differences in one round trip, send the digests of a [`partition`] and let the other replica
+//! compute the [`differing_ranges`]. To send as few bytes as possible, use a [`Reconciliation`], which
+//! takes several round trips.
 //!
 //! ```
 //! use std::collections::BTreeMap;
 //! use whinspindle_digests::{Change, Reconciliation, answer_question};
 //!
-//! let source = BTreeMap::from([("a".to_owned(), (1, b"first".to_vec())), ("b".to_owned(), (2, b"second".to_vec()))]);
-//! let mut target = BTreeMap::from([("a".to_owned(), (1, b"first".to_vec()))]);
+//! let first = ("a".to_owned(), (1, b"first".to_vec()));
+//! let second = ("b".to_owned(), (2, b"second".to_vec()));
+//! let source = BTreeMap::from([first.clone(), second]);
+//! let mut target = BTreeMap::from([first]);
 //! let mut reconciliation = Reconciliation::new();
 //! while let Some(question) = reconciliation.next_question(&target) {
 //!     let answer = answer_question(&source, &question);
--- a/coordination/digests/src/range.rs
+++ b/coordination/digests/src/range.rs
@@ -8,14 +8,14 @@
 /// A half-open range of keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyRange {
-    /// The first key.
+    /// The inclusive start.
     pub start: String,
-    /// The end, which is not part of the range; `None` if there is none.
+    /// The exclusive end; `None` if the range is unbounded.
     pub end: Option<String>,
 }
 
 impl KeyRange {
-    /// All keys.
+    /// The range of all keys.
     pub fn all() -> Self {
         KeyRange::default()
     }
@@ -25,7 +25,7 @@
         self.start.as_str() <= key && self.end.as_deref().is_none_or(|to| key < to)
     }
 
-    /// The entries of a map whose keys are in the range, in their order.
+    /// The entries of a map whose keys are in the range, in key order.
     pub fn entries<'a, R>(
         &self,
         records: &'a BTreeMap<String, R>,
--- a/coordination/digests/tests/digests.rs
+++ b/coordination/digests/tests/digests.rs
@@ -1,4 +1,4 @@
-//! Digests of ranges, and two replicas that become equal by them.
+//! Digests of ranges, and the reconciliation of two replicas.
 
 use std::collections::BTreeMap;
 
@@ -12,18 +12,18 @@
 type Record = (u64, Vec<u8>);
 type Records = BTreeMap<String, Record>;
 
-/// Records by numbers, each with a value of some bytes.
-fn numbered(numbers: impl IntoIterator<Item = u32>, value_bytes: usize) -> Records {
+/// Records with keys made of the numbers, each with a value of `value_bytes` bytes.
+fn numbered_records(numbers: impl IntoIterator<Item = u32>, value_bytes: usize) -> Records {
     let entry =
         |number: u32| (format!("key-{number:06}"), (u64::from(number), vec![number as u8; value_bytes]));
     numbers.into_iter().map(entry).collect()
 }
 
-fn range(from: &str, to: Option<&str>) -> KeyRange {
-    KeyRange { start: from.to_owned(), end: to.map(str::to_owned) }
+fn range(start: &str, end: Option<&str>) -> KeyRange {
+    KeyRange { start: start.to_owned(), end: end.map(str::to_owned) }
 }
 
-fn carry_out(records: &mut Records, changes: Vec<Change<Record>>) {
+fn apply_changes(records: &mut Records, changes: Vec<Change<Record>>) {
     for change in changes {
         match change {
             Change::Write { key, record } => {
@@ -36,9 +36,9 @@
     }
 }
 
-/// What a reconciliation took.
+/// The cost of a reconciliation.
 #[derive(Debug, Default)]
-struct Effort {
+struct Cost {
     rounds: usize,
     records: usize,
     changes: usize,
@@ -46,33 +46,33 @@
     largest_answer_bytes: usize,
 }
 
-fn reconcile(target: &mut Records, source: &Records) -> Effort {
-    let mut effort = Effort::default();
+fn reconcile(target: &mut Records, source: &Records) -> Cost {
+    let mut cost = Cost::default();
     let mut reconciliation = Reconciliation::new();
     while let Some(question) = reconciliation.next_question(target) {
         let answer = answer_question(source, &question);
-        assert!(!answer.ranges.is_empty(), "a question without an answer");
-        effort.rounds += 1;
-        effort.largest_question = effort.largest_question.max(question.ranges.len());
+        assert!(!answer.ranges.is_empty(), "the answer covers no range");
+        cost.rounds += 1;
+        cost.largest_question = cost.largest_question.max(question.ranges.len());
         let sent = answer.ranges.iter().flat_map(|range| match range {
             RangeAnswer::Records(records) => records.as_slice(),
             _ => &[],
         });
-        effort.records += sent.clone().count();
+        cost.records += sent.clone().count();
         let bytes = sent.map(|(key, record)| key.len() + record.1.len()).sum();
-        effort.largest_answer_bytes = effort.largest_answer_bytes.max(bytes);
-        let changes = reconciliation.apply(target, answer).expect("the answer fits");
-        effort.changes += changes.len();
-        carry_out(target, changes);
-        assert!(effort.rounds < 10_000, "no end");
+        cost.largest_answer_bytes = cost.largest_answer_bytes.max(bytes);
+        let changes = reconciliation.apply(target, answer).expect("the answer matches");
+        cost.changes += changes.len();
+        apply_changes(target, changes);
+        assert!(cost.rounds < 10_000, "the reconciliation does not end");
     }
-    effort
+    cost
 }
 
 #[test]
 fn a_digest_covers_keys_sequences_and_values() {
     let all = KeyRange::all();
-    let records = numbered([1, 2, 3], 5);
+    let records = numbered_records([1, 2, 3], 5);
     let original = digest(&records, &all);
     assert_eq!(digest(&records.clone(), &all), original);
 
@@ -84,18 +84,18 @@
     };
     change(&|records| drop(records.remove("key-000002")));
     change(&|records| drop(records.insert("key-000004".to_owned(), (4, Vec::new()))));
-    change(&|records| records.get_mut("key-000001").expect("it is there").0 = 9);
-    change(&|records| records.get_mut("key-000001").expect("it is there").1[0] = 9);
-    change(&|records| records.get_mut("key-000003").expect("it is there").1.truncate(4));
+    change(&|records| records.get_mut("key-000001").expect("the record exists").0 = 9);
+    change(&|records| records.get_mut("key-000001").expect("the record exists").1[0] = 9);
+    change(&|records| records.get_mut("key-000003").expect("the record exists").1.truncate(4));
     changed.push(original);
     for (index, digest) in changed.iter().enumerate() {
-        assert!(!changed[index + 1..].contains(digest), "two states share a digest");
+        assert!(!changed[index + 1..].contains(digest), "two different states have the same digest");
     }
 }
 
 #[test]
 fn a_digest_excludes_other_ranges() {
-    let mut records = numbered(0..10, 5);
+    let mut records = numbered_records(0..10, 5);
     let middle = range("key-000003", Some("key-000006"));
     let before = digest(&records, &middle);
     records.remove("key-000002");
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn odd_ranges_are_empty() {
-    let records = numbered(0..10, 5);
+fn ranges_without_keys_have_the_digest_of_no_records() {
+    let records = numbered_records(0..10, 5);
     for range in
         [range("key-000005", Some("key-000005")), range("key-000007", Some("key-000002")), range("x", None)]
     {
@@ -117,86 +117,90 @@
 }
 
 #[test]
-fn digests_pass_as_bytes() {
-    let digest = digest(&numbered(0..3, 1), &KeyRange::all());
+fn digests_convert_to_bytes_and_back() {
+    let digest = digest(&numbered_records(0..3, 1), &KeyRange::all());
     assert_eq!(Digest::from_bytes(digest.as_bytes()), Some(digest));
     assert_eq!(Digest::from_bytes(&digest.as_bytes()[1..]), None);
 }
 
 #[test]
-fn equal_replicas_take_one_round() {
+fn equal_replicas_need_one_round_trip() {
     for count in [0, 1, 5_000] {
-        let source = numbered(0..count, 20);
-        let effort = reconcile(&mut source.clone(), &source);
-        assert_eq!((effort.rounds, effort.records), (1, 0));
+        let source = numbered_records(0..count, 20);
+        let cost = reconcile(&mut source.clone(), &source);
+        assert_eq!((cost.rounds, cost.records), (1, 0));
     }
 }
 
 #[test]
-fn one_difference_among_many_records_costs_little() {
-    let source = numbered(0..5_000, 100);
+fn one_difference_among_many_records_takes_few_rounds_and_records() {
+    let source = numbered_records(0..5_000, 100);
     for edit in [
         |records: &mut Records| drop(records.remove("key-002222")),
         |records: &mut Records| drop(records.insert("key-002222x".to_owned(), (1, Vec::new()))),
         |records: &mut Records| drop(records.insert("a".to_owned(), (1, Vec::new()))),
         |records: &mut Records| drop(records.insert("z".to_owned(), (1, Vec::new()))),
-        |records: &mut Records| records.get_mut("key-004999").expect("it is there").0 += 1,
+        |records: &mut Records| records.get_mut("key-004999").expect("the record exists").0 += 1,
     ] {
         let mut target = source.clone();
         edit(&mut target);
-        let effort = reconcile(&mut target, &source);
+        let cost = reconcile(&mut target, &source);
         assert_eq!(target, source);
-        assert_eq!(effort.changes, 1);
-        assert!(effort.rounds <= 5, "{effort:?}");
-        assert!(effort.records <= 40, "{effort:?}");
+        assert_eq!(cost.changes, 1);
+        assert!(cost.rounds <= 5, "{cost:?}");
+        assert!(cost.records <= 40, "{cost:?}");
     }
 }
 
 #[test]
-fn an_empty_replica_gets_everything_once() {
-    let source = numbered(0..3_000, 300);
+fn an_empty_replica_receives_each_record_once() {
+    let source = numbered_records(0..3_000, 300);
     let mut target = Records::new();
-    let effort = reconcile(&mut target, &source);
+    let cost = reconcile(&mut target, &source);
     assert_eq!(target, source);
-    assert_eq!(effort.records, source.len());
+    assert_eq!(cost.records, source.len());
 }
 
 #[test]
 fn all_records_may_be_removed() {
-    let mut target = numbered(0..3_000, 300);
-    let effort = reconcile(&mut target, &Records::new());
+    let mut target = numbered_records(0..3_000, 300);
+    let cost = reconcile(&mut target, &Records::new());
     assert!(target.is_empty());
-    assert_eq!(effort.rounds, 1);
+    assert_eq!(cost.rounds, 1);
 }
 
 #[test]
 fn messages_are_bounded() {
-    let source = numbered(0..400, 20_000);
+    let source = numbered_records(0..400, 20_000);
     let mut target = Records::new();
-    let effort = reconcile(&mut target, &source);
+    let cost = reconcile(&mut target, &source);
     assert_eq!(target, source);
-    assert!(effort.largest_answer_bytes <= MAX_ANSWER_BYTES + 20_100, "{effort:?}");
-    assert!(effort.largest_question <= MAX_QUESTION_RANGES, "{effort:?}");
+    assert!(cost.largest_answer_bytes <= MAX_ANSWER_BYTES + 20_100, "{cost:?}");
+    assert!(cost.largest_question <= MAX_QUESTION_RANGES, "{cost:?}");
 }
 
 #[test]
 fn answers_that_do_not_match_are_rejected() {
-    let target = numbered(0..100, 100);
-    let part = |from: &str, to: Option<&str>| RangeDigest::compute(&target, range(from, to));
+    let target = numbered_records(0..100, 100);
+    let part = |start: &str, end: Option<&str>| RangeDigest::compute(&target, range(start, end));
     let (start, end) = (part("", Some("m")), part("m", None));
     let outside = RangeAnswer::Records(vec![("a".to_owned(), (1, Vec::new()))]);
     let mut reconciliation = Reconciliation::new();
-    let mut refuses = |ranges: Vec<RangeAnswer<Record>>| {
+    let mut assert_rejected = |ranges: Vec<RangeAnswer<Record>>| {
         reconciliation.next_question(&target).expect("the records were not compared");
         assert_eq!(reconciliation.apply(&target, Answer { ranges }), Err(UnexpectedAnswer));
     };
-    refuses(vec![RangeAnswer::Same, RangeAnswer::Same]);
-    refuses(vec![RangeAnswer::Parts(vec![])]);
-    refuses(vec![RangeAnswer::Parts(vec![part("", None)])]);
-    refuses(vec![RangeAnswer::Parts(vec![start.clone(), part("n", None)])]);
-    refuses(vec![RangeAnswer::Parts(vec![part("b", Some("m")), end.clone()])]);
-    refuses(vec![RangeAnswer::Parts(vec![start.clone(), part("m", Some("n"))])]);
-    refuses(vec![RangeAnswer::Parts(vec![part("", Some("m")), part("m", Some("a")), part("a", None)])]);
+    assert_rejected(vec![RangeAnswer::Same, RangeAnswer::Same]);
+    assert_rejected(vec![RangeAnswer::Parts(vec![])]);
+    assert_rejected(vec![RangeAnswer::Parts(vec![part("", None)])]);
+    assert_rejected(vec![RangeAnswer::Parts(vec![start.clone(), part("n", None)])]);
+    assert_rejected(vec![RangeAnswer::Parts(vec![part("b", Some("m")), end.clone()])]);
+    assert_rejected(vec![RangeAnswer::Parts(vec![start.clone(), part("m", Some("n"))])]);
+    assert_rejected(vec![RangeAnswer::Parts(vec![
+        part("", Some("m")),
+        part("m", Some("a")),
+        part("a", None),
+    ])]);
 
     reconciliation.next_question(&target).expect("the records were not compared");
     let parts = RangeAnswer::Parts(vec![start, RangeDigest::compute(&Records::new(), end.range)]);
@@ -224,11 +228,12 @@
         let mut pair = Pair { target: Records::new(), source: Records::new() };
         let count = usize::arbitrary(generator) % 600;
         let difference = 1 + u32::arbitrary(generator) % 100;
-        let longest_value = *generator.choose(&[1, 50, 2_000]).expect("not empty");
+        let value_length_bound = *generator.choose(&[1, 50, 2_000]).expect("not empty");
         for _ in 0..count {
             let key =
                 format!("{}{:x}", ["", "a", "é"][usize::arbitrary(generator) % 3], u16::arbitrary(generator));
-            let record = (u64::arbitrary(generator), vec![7; usize::arbitrary(generator) % longest_value]);
+            let record =
+                (u64::arbitrary(generator), vec![7; usize::arbitrary(generator) % value_length_bound]);
             match u32::arbitrary(generator) % difference {
                 0 => drop(pair.target.insert(key, record)),
                 1 => drop(pair.source.insert(key, record)),
@@ -263,10 +268,10 @@
 fn two_maps_become_equal() {
     fn property(pair: Pair) -> bool {
         let Pair { mut target, source } = pair;
-        let effort = reconcile(&mut target, &source);
+        let cost = reconcile(&mut target, &source);
         target == source
-            && effort.largest_question <= MAX_QUESTION_RANGES
-            && effort.largest_answer_bytes <= MAX_ANSWER_BYTES + 4 * 1024
+            && cost.largest_question <= MAX_QUESTION_RANGES
+            && cost.largest_answer_bytes <= MAX_ANSWER_BYTES + 4 * 1024
     }
     QuickCheck::new().tests(1_000).quickcheck(property as fn(Pair) -> bool);
 }
@@ -293,11 +298,11 @@
     fn property(records: BTreeMap<String, Record>, start: String, end: Option<String>) -> bool {
         let range = KeyRange { start, end };
         let parts = split(&records, &range);
-        let borders_meet =
+        let boundaries_match =
             parts.windows(2).all(|pair| pair[0].range.end.as_ref() == Some(&pair[1].range.start));
         let count: usize = parts.iter().map(|part| part.range.entries(&records).count()).sum();
         (1..=FAN_OUT).contains(&parts.len())
-            && borders_meet
+            && boundaries_match
             && parts[0].range.start == range.start
             && parts[parts.len() - 1].range.end == range.end
             && count == range.entries(&records).count()
--- a/coordination/encoding/src/decode_error.rs
+++ b/coordination/encoding/src/decode_error.rs
@@ -1,48 +1,48 @@
-//! Errors of decoding, and the decoding of byte strings of a fixed length.
+//! Decoding errors, and the decoding of IP addresses of a fixed length.
 
 use snafu::{OptionExt, Snafu};
 
-/// Received bytes are not a message of their schema.
+/// Why received bytes could not be decoded as a message of the expected schema.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum DecodeError {
-    /// The bytes are not a Cap'n Proto message, or it is longer to read through than allowed.
-    #[snafu(display("the message is broken"), context(false))]
+    /// The bytes are not a Cap'n Proto message, or reading the message exceeds the traversal limit.
+    #[snafu(display("the message is malformed"), context(false))]
     Malformed {
         /// The error of the decoder.
         source: capnp::Error,
     },
-    /// A text is not UTF-8.
-    #[snafu(display("a text of the message is not UTF-8"), context(false))]
+    /// A text field is not UTF-8.
+    #[snafu(display("a text field of the message is not UTF-8"), context(false))]
     InvalidUtf8 {
-        /// Where the text is not UTF-8.
+        /// The position of the invalid bytes.
         source: std::str::Utf8Error,
     },
-    /// A union or enum holds a variant that this release does not know.
-    #[snafu(display("the message holds a variant that this release does not know"), context(false))]
+    /// A union or enum contains a variant that this release does not support.
+    #[snafu(display("the message contains a variant that this release does not support"), context(false))]
     UnknownVariant {
         /// The number of the variant.
         source: capnp::NotInSchema,
     },
-    /// An IP address has another length than its kind.
-    #[snafu(display("an address of the message has {length} bytes"))]
+    /// The length of an IP address does not match its version.
+    #[snafu(display("an IP address in the message has an invalid length of {length} bytes"))]
     AddressLength {
-        /// Its length in bytes.
+        /// The received length in bytes.
         length: usize,
     },
-    /// A digest has another length.
-    #[snafu(display("a digest of the message has {length} bytes"))]
+    /// A digest has an invalid length.
+    #[snafu(display("a digest in the message has an invalid length of {length} bytes"))]
     DigestLength {
-        /// Its length in bytes.
+        /// The received length in bytes.
         length: usize,
     },
 }
 
-/// The bytes of an IP address.
+/// Converts the bytes of an IP address to an array.
 ///
 /// # Errors
 ///
-/// Their number is another one.
+/// Returns an error if the number of bytes is not `LENGTH`.
 pub fn address_octets<const LENGTH: usize>(octets: &[u8]) -> Result<[u8; LENGTH], DecodeError> {
     octets.try_into().ok().context(AddressLengthSnafu { length: octets.len() })
 }
--- a/coordination/encoding/tests/encoding.rs
+++ b/coordination/encoding/tests/encoding.rs
@@ -1,27 +1,27 @@
-//! What is written can be read; what is cut short or points to the same part again and again is refused.
+//! Messages can be read back; truncated messages and excessive traversal are rejected.
 
 use capnp::message::ReaderOptions;
 use capnp::serialize::write_message_to_words;
 use whinspindle_encoding::{new_message, read_message};
 
-const TEXTS: u32 = 40;
+const TEXT_COUNT: u32 = 40;
 
 fn message_with_texts() -> Vec<u8> {
     let mut message = new_message();
-    let mut texts = message.initn_root::<capnp::text_list::Builder<'_>>(TEXTS);
-    for index in 0..TEXTS {
+    let mut texts = message.initn_root::<capnp::text_list::Builder<'_>>(TEXT_COUNT);
+    for index in 0..TEXT_COUNT {
         texts.set(index, "a text of some length");
     }
     write_message_to_words(&message)
 }
 
 #[test]
-fn what_is_written_can_be_read() {
+fn a_written_message_can_be_read() {
     let bytes = message_with_texts();
     let message = read_message(&bytes).unwrap();
     let texts = message.get_root::<capnp::text_list::Reader<'_>>().unwrap();
-    assert_eq!(texts.len(), TEXTS);
-    assert_eq!(texts.get(TEXTS - 1).unwrap(), "a text of some length");
+    assert_eq!(texts.len(), TEXT_COUNT);
+    assert_eq!(texts.get(TEXT_COUNT - 1).unwrap(), "a text of some length");
 }
 
 #[test]
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn a_message_is_read_through_a_bounded_number_of_times() {
+fn the_number_of_traversals_is_bounded() {
     let bytes = message_with_texts();
     let message = read_message(&bytes).unwrap();
-    let reads_all = || {
+    let read_all_texts = || {
         let texts = message.get_root::<capnp::text_list::Reader<'_>>()?;
         texts.iter().try_for_each(|text| text.map(|_| ()))
     };
-    let most = ReaderOptions::default().nesting_limit as usize;
-    let readings = (0..most).take_while(|_| reads_all().is_ok()).count();
-    assert!((1..most).contains(&readings), "{readings} readings");
+    let max_traversals = ReaderOptions::default().nesting_limit as usize;
+    let traversals = (0..max_traversals).take_while(|_| read_all_texts().is_ok()).count();
+    assert!((1..max_traversals).contains(&traversals), "{traversals} traversals");
 }
