--- a/coordination/storage/src/checkpoint.rs
+++ b/coordination/storage/src/checkpoint.rs
@@ -1,33 +1,32 @@
-//! The encoding of a checkpoint in its slot.
+//! The encoding of a checkpoint in its slot file.
 //!
 //! | bytes | content                                               |
 //! |-------|-------------------------------------------------------|
-//! | 32    | hash of everything after it                           |
+//! | 32    | hash of all following fields and the state            |
 //! | 8     | generation                                            |
 //! | 8     | number of records of the preceding log that it covers |
 //! | 8     | length of the state                                   |
-//! | ...   | the state; older bytes may follow                     |
+//! | ...   | the state; bytes of an older checkpoint may follow    |
 
-/// Length of the hash.
 const HASH_BYTES: usize = blake3::OUT_LEN;
 /// Length of each number in the header.
 const FIELD_BYTES: usize = 8;
 /// Length of everything before the state.
 const HEADER_BYTES: usize = HASH_BYTES + 3 * FIELD_BYTES;
 
-/// A checkpoint that was read back complete.
+/// A complete checkpoint read from a slot.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Checkpoint {
-    /// Grows by one with each checkpoint, from 1 on.
+    /// The number of the checkpoint, counted from 1.
     pub generation: u64,
-    /// The number of records of the preceding log that the state covers. Further records of that log were appended after
-    /// this checkpoint had seemed to fail.
+    /// The number of records of the preceding log that the state covers. The preceding log has more records
+    /// if this checkpoint was reported as failed and records were appended after it.
     pub covered_records: u64,
     /// The state of the state machine.
     pub state: Vec<u8>,
 }
 
-/// The bytes of a slot.
+/// Encodes a checkpoint as the content of a slot.
 pub fn encode(generation: u64, covered_records: u64, state: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES + state.len());
     bytes.extend_from_slice(&[0; HASH_BYTES]);
@@ -40,21 +39,21 @@
     bytes
 }
 
-/// The checkpoint in a slot, if it is complete.
+/// Decodes the checkpoint in a slot; `None` if it is not complete.
 pub fn decode(slot: &[u8]) -> Option<Checkpoint> {
-    let generation = field(slot, 0).filter(|&generation| generation > 0)?;
-    let covered_records = field(slot, 1)?;
-    let state_bytes = usize::try_from(field(slot, 2)?).ok()?;
+    let generation = header_field(slot, 0).filter(|&generation| generation > 0)?;
+    let covered_records = header_field(slot, 1)?;
+    let state_bytes = usize::try_from(header_field(slot, 2)?).ok()?;
     let end = HEADER_BYTES.checked_add(state_bytes)?;
-    let hashed = slot.get(HASH_BYTES..end)?;
-    if blake3::hash(hashed) != slot[..HASH_BYTES] {
+    let hashed_bytes = slot.get(HASH_BYTES..end)?;
+    if blake3::hash(hashed_bytes) != slot[..HASH_BYTES] {
         return None;
     }
     Some(Checkpoint { generation, covered_records, state: slot[HEADER_BYTES..end].to_vec() })
 }
 
-/// A number of the header.
-fn field(slot: &[u8], index: usize) -> Option<u64> {
+/// Decodes a number of the header by its index.
+fn header_field(slot: &[u8], index: usize) -> Option<u64> {
     let start = HASH_BYTES + index * FIELD_BYTES;
     let bytes = slot.get(start..start + FIELD_BYTES)?;
     Some(u64::from_le_bytes(bytes.try_into().ok()?))
--- a/coordination/storage/src/directory.rs
+++ b/coordination/storage/src/directory.rs
@@ -1,4 +1,4 @@
-//! The file operations that a journal needs, as a trait, so that tests can simulate a loss of power.
+//! The file operations that a journal needs. They are a trait so that tests can simulate a loss of power.
 
 use std::io;
 
@@ -6,19 +6,19 @@
 
 /// A folder of files.
 ///
-/// What was written survives a loss of power once the file was synced; before that, each write may be present, missing
-/// or torn. A new file survives once it or the folder was synced.
+/// Written bytes survive a loss of power once the file is synced. Before that, each write may be present,
+/// missing or torn. A new file survives once the file or the folder is synced.
 pub trait Directory {
-    /// The content of a file, or `None` if there is no such file.
+    /// Reads a whole file; `None` if it does not exist.
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DirectoryError>;
 
-    /// Writes at an offset in bytes. The file is created if it is missing, and grows as needed.
+    /// Writes at an offset in bytes. Creates a missing file, and extends the file as needed.
     fn write_at(&mut self, name: &str, offset: u64, bytes: &[u8]) -> Result<(), DirectoryError>;
 
-    /// Truncates a file or extends it by zeros. The file is created if it is missing.
+    /// Truncates a file or extends it with zeros. Creates a missing file.
     fn set_length(&mut self, name: &str, length: u64) -> Result<(), DirectoryError>;
 
-    /// Waits until everything written to a file is durable.
+    /// Waits until all writes to a file are durable.
     fn sync(&mut self, name: &str) -> Result<(), DirectoryError>;
 
     /// Waits until the names of all files are durable.
@@ -37,13 +37,13 @@
     },
 
     /// Another process holds the lock of the folder.
-    #[snafu(display("another process uses `{name}`"))]
+    #[snafu(display("another process has locked `{name}`"))]
     Locked {
         /// The folder.
         name: String,
     },
 
-    /// The file was removed or replaced while it was open: what is written to it is not found after a restart.
+    /// The file was removed or replaced while it was open, so its writes would be missing after a restart.
     #[snafu(display("`{name}` was removed or replaced by another process"))]
     Removed {
         /// The file.
--- a/coordination/storage/src/error.rs
+++ b/coordination/storage/src/error.rs
@@ -8,22 +8,22 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The disk is full. Nothing was lost; the operation may succeed once there is space again.
+    /// The disk is full. No data was lost, and the operation may succeed once there is free space.
     #[snafu(display("the disk is full: {source}"))]
     Full {
         /// The operation that failed.
         source: DirectoryError,
     },
 
-    /// Another process uses the folder.
-    #[snafu(display("the folder is in use: {source}"))]
+    /// Another process has locked the folder.
+    #[snafu(display("the folder is locked: {source}"))]
     Locked {
         /// The operation that failed.
         source: DirectoryError,
     },
 
     /// The files were removed or replaced while the journal was open.
-    #[snafu(display("the files are gone: {source}"))]
+    #[snafu(display("the files of the journal were removed: {source}"))]
     Removed {
         /// The operation that failed.
         source: DirectoryError,
@@ -36,17 +36,17 @@
         source: DirectoryError,
     },
 
-    /// The files are not in a state that a loss of power can leave.
+    /// The content of the files cannot be the result of a loss of power.
     #[snafu(display("`{name}` is damaged"))]
     Damaged {
-        /// The file in which it shows.
+        /// The damaged file.
         name: String,
     },
 
-    /// A record does not fit the log's format.
+    /// A record exceeds the maximum length of the log format.
     #[snafu(display("a record of {length} bytes is too long"))]
     RecordTooLong {
-        /// Its length in bytes.
+        /// The length of the record in bytes.
         length: usize,
     },
 }
--- a/coordination/storage/src/journal.rs
+++ b/coordination/storage/src/journal.rs
@@ -1,4 +1,4 @@
-//! The journal: the order of writes, and recovery after a restart.
+//! The journal: appends, checkpoints, and recovery after a restart.
 
 use snafu::ensure;
 
@@ -7,30 +7,30 @@
 use crate::error::{DamagedSnafu, StorageError};
 use crate::log::{self, Scan};
 
-/// The checkpoint slots; odd and even generations alternate between them.
+/// The checkpoint slots for even and odd generations.
 const SLOT_FILES: [&str; 2] = ["slot-a", "slot-b"];
-/// The log files; odd and even generations alternate between them.
+/// The log files for even and odd generations.
 const LOG_FILES: [&str; 2] = ["log-a", "log-b"];
 
-/// A log of durable records after a durable checkpoint.
+/// A durable checkpoint and the log of durable records after it.
 ///
-/// An operation that fails leaves everything that was durable before in place, and may be retried. Whether its own
-/// records are recovered after a restart is not known until a later operation succeeds: then they are not.
+/// A failed operation keeps all data that was durable before, and may be retried. After a restart, the
+/// records of a failed append may be recovered, unless a later operation has succeeded.
 #[derive(Debug)]
 pub struct Journal<D> {
-    /// The folder of the files.
+    /// The folder of the journal.
     directory: D,
-    /// The generation of the newest checkpoint; 0 while there is none.
+    /// The generation of the newest checkpoint; 0 without a checkpoint.
     generation: u64,
     /// The length of the log in bytes.
-    log_end: u64,
+    log_bytes: u64,
     /// The number of records in the log.
-    log_records: u64,
-    /// Bytes of unknown content may follow the end of the log.
-    tail_is_dirty: bool,
+    log_record_count: u64,
+    /// Bytes of a failed write may follow the end of the log.
+    is_tail_dirty: bool,
 }
 
-/// What a journal holds when it is opened.
+/// The content of a journal when it is opened.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RecoveredState {
     /// The state of the newest checkpoint.
@@ -40,11 +40,11 @@
 }
 
 impl<D: Directory> Journal<D> {
-    /// Opens a journal: creates missing files and recovers what was durable. All that is returned is durable.
+    /// Opens a journal. Creates missing files, and returns the recovered content, all of which is durable.
     ///
     /// # Errors
     ///
-    /// The files are damaged, or an operation of the folder failed.
+    /// Returns an error if the files are damaged or a file operation failed.
     pub fn open(mut directory: D) -> Result<(Self, RecoveredState), StorageError> {
         prepare_files(&mut directory)?;
         let checkpoint = read_newest_checkpoint(&mut directory)?;
@@ -57,22 +57,24 @@
         let journal = Journal {
             directory,
             generation,
-            log_end: scan.end,
-            log_records: scan.records.len() as u64,
-            tail_is_dirty: scan.has_more,
+            log_bytes: scan.end_offset,
+            log_record_count: scan.records.len() as u64,
+            is_tail_dirty: scan.has_trailing_bytes,
         };
         log.extend(scan.records);
         Ok((journal, RecoveredState { checkpoint: checkpoint.map(|checkpoint| checkpoint.state), log }))
     }
 
-    /// Empties the files of a journal that cannot be opened ([`StorageError::Damaged`]), and leaves all others alone.
+    /// Truncates the files of a journal that cannot be opened ([`StorageError::Damaged`]). Other files in
+    /// the folder are not changed.
     ///
-    /// A loss of power in between leaves a journal that is still damaged, or an empty one: the first slot, by which damage
-    /// is recognised, is emptied last, after the logs whose records an emptied journal might take for its own.
+    /// After a loss of power during this operation, the journal is either still damaged or empty. The logs
+    /// are truncated first, because an empty journal might recover their records. The first slot is
+    /// truncated last, because its content is the sign of a damaged journal.
     ///
     /// # Errors
     ///
-    /// An operation of the folder failed.
+    /// Returns an error if a file operation failed.
     pub fn discard(directory: &mut D) -> Result<(), StorageError> {
         for name in LOG_FILES.into_iter().chain(SLOT_FILES.into_iter().rev()) {
             directory.set_length(name, 0)?;
@@ -81,68 +83,69 @@
         Ok(())
     }
 
-    /// Appends records by one write and one sync. They are durable when this returns.
+    /// Appends records with one write and one sync. They are durable when this returns.
     ///
     /// # Errors
     ///
-    /// A record is too long, or an operation of the folder failed.
+    /// Returns an error if a record is too long or a file operation failed.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let mut buffer = Vec::new();
-        for (index, record) in (self.log_records..).zip(records) {
+        for (index, record) in (self.log_record_count..).zip(records) {
             log::encode(self.generation, index, record, &mut buffer)?;
         }
         if buffer.is_empty() {
             return Ok(());
         }
-        self.clean_tail()?;
-        self.tail_is_dirty = true;
-        self.directory.write_at(log_file(self.generation), self.log_end, &buffer)?;
+        self.truncate_tail()?;
+        self.is_tail_dirty = true;
+        self.directory.write_at(log_file(self.generation), self.log_bytes, &buffer)?;
         self.directory.sync(log_file(self.generation))?;
-        self.tail_is_dirty = false;
-        self.log_end += buffer.len() as u64;
-        self.log_records += records.len() as u64;
+        self.is_tail_dirty = false;
+        self.log_bytes += buffer.len() as u64;
+        self.log_record_count += records.len() as u64;
         Ok(())
     }
 
-    /// Makes a state durable that covers every record appended before. The log starts empty after it.
+    /// Writes a durable checkpoint. `state` must include the effects of all appended records. The log is
+    /// empty afterwards.
     ///
     /// # Errors
     ///
-    /// An operation of the folder failed.
+    /// Returns an error if a file operation failed.
     pub fn checkpoint(&mut self, state: &[u8]) -> Result<(), StorageError> {
-        self.clean_tail()?;
+        self.truncate_tail()?;
         let generation = self.generation + 1;
-        let slot = checkpoint::encode(generation, self.log_records, state);
+        let slot = checkpoint::encode(generation, self.log_record_count, state);
         let name = slot_file(generation);
         self.directory.write_at(name, 0, &slot)?;
         self.directory.set_length(name, slot.len() as u64)?;
         self.directory.sync(name)?;
         self.generation = generation;
-        self.log_end = 0;
-        self.log_records = 0;
+        self.log_bytes = 0;
+        self.log_record_count = 0;
         Ok(())
     }
 
-    /// The bytes appended since the last checkpoint.
+    /// The number of bytes appended since the last checkpoint.
     pub fn log_bytes(&self) -> usize {
-        usize::try_from(self.log_end).unwrap_or(usize::MAX)
+        usize::try_from(self.log_bytes).unwrap_or(usize::MAX)
     }
 
-    /// Removes what a failed write may have left before anything is written in its place: otherwise a record of the failed
-    /// write could follow a new one.
-    fn clean_tail(&mut self) -> Result<(), StorageError> {
-        if !self.tail_is_dirty {
+    /// Truncates bytes that a failed write may have left after the log. Otherwise a record of the failed
+    /// write could follow a new record and be recovered.
+    fn truncate_tail(&mut self) -> Result<(), StorageError> {
+        if !self.is_tail_dirty {
             return Ok(());
         }
         let name = log_file(self.generation);
-        self.directory.set_length(name, self.log_end)?;
+        self.directory.set_length(name, self.log_bytes)?;
         self.directory.sync(name)?;
-        self.tail_is_dirty = false;
+        self.is_tail_dirty = false;
         Ok(())
     }
 }
 
-/// The slot of a generation.
+/// The slot of the checkpoint of a generation.
 fn slot_file(generation: u64) -> &'static str {
     SLOT_FILES[usize::from(!generation.is_multiple_of(2))]
 }
@@ -152,19 +155,19 @@
     LOG_FILES[usize::from(!generation.is_multiple_of(2))]
 }
 
-/// Creates missing files, and syncs the others: a process that ended without a loss of power may have left them
-/// unsynced.
+/// Creates missing files. Syncs existing files, because the last process may have ended before it synced
+/// them.
 fn prepare_files<D: Directory>(directory: &mut D) -> Result<(), StorageError> {
-    let mut created = false;
+    let mut has_created_file = false;
     for name in SLOT_FILES.into_iter().chain(LOG_FILES) {
         if directory.read(name)?.is_some() {
             directory.sync(name)?;
         } else {
             directory.set_length(name, 0)?;
-            created = true;
+            has_created_file = true;
         }
     }
-    if created {
+    if has_created_file {
         directory.sync_directory()?;
     }
     Ok(())
@@ -173,20 +176,21 @@
 /// The newest complete checkpoint; `None` in an empty folder.
 fn read_newest_checkpoint<D: Directory>(directory: &mut D) -> Result<Option<Checkpoint>, StorageError> {
     let mut newest: Option<Checkpoint> = None;
-    let mut has_first_slot = false;
+    let mut has_written_first_slot = false;
     for name in SLOT_FILES {
         let slot = directory.read(name)?.unwrap_or_default();
-        has_first_slot |= name == SLOT_FILES[0] && !slot.is_empty();
+        has_written_first_slot |= name == SLOT_FILES[0] && !slot.is_empty();
         let checkpoint = checkpoint::decode(&slot);
         newest = newest.into_iter().chain(checkpoint).max_by_key(|checkpoint| checkpoint.generation);
     }
-    // Generation 1 is in the second slot, and was durable before the first slot was ever written.
-    ensure!(newest.is_some() || !has_first_slot, DamagedSnafu { name: SLOT_FILES[0] });
+    // Generation 1 is in the second slot and was durable before the first slot was written.
+    ensure!(newest.is_some() || !has_written_first_slot, DamagedSnafu { name: SLOT_FILES[0] });
     Ok(newest)
 }
 
-/// The records that were appended to the preceding log after the state of the checkpoint was taken: the write of the
-/// checkpoint was reported as failed, but has reached the disk.
+/// The records of the preceding log that the checkpoint does not cover. There are such records if the write
+/// of the checkpoint was reported as failed although it reached the disk, and records were appended after
+/// it.
 fn read_uncovered_records<D: Directory>(
     directory: &mut D,
     checkpoint: &Checkpoint,
--- a/coordination/storage/src/lib.rs
+++ b/coordination/storage/src/lib.rs
@@ -1,11 +1,13 @@
-//! Durable state: two checkpoint slots written alternately, and a short log after the newest one.
+//! Durable state: two checkpoint slots that are written alternately, and a short log after the newest
+//! checkpoint.
 //!
-//! A [`Journal`] keeps the state of one state machine in a folder. Records are appended to a log; a checkpoint of the
-//! whole state replaces the records before it. Four files of fixed names are used, so nothing is ever renamed or
-//! removed: a checkpoint is written to the slot that holds the older one, and each checkpoint has a log file of its own.
+//! A [`Journal`] stores the state of one state machine in a folder. Records are appended to a log, and a
+//! checkpoint of the whole state replaces the records before it. The journal uses four files with fixed
+//! names and never renames or removes a file. A new checkpoint overwrites the older of the two checkpoints,
+//! and each checkpoint has its own log.
 //!
-//! After a loss of power, each write that was not yet synced may be present, missing or torn. Every record and every
-//! checkpoint therefore carries a hash.
+//! After a loss of power, each write that was not synced may be present, missing or torn. Therefore each
+//! record and each checkpoint contains a hash.
 //!
 //! ```no_run
 //! use whinspindle_storage::{FolderDirectory, Journal};
@@ -14,7 +16,7 @@
 //! let (mut journal, recovered) = Journal::open(folder)?;
 //! println!("{} records after the checkpoint", recovered.log.len());
 //! journal.append(&[b"first".to_vec(), b"second".to_vec()])?;
-//! journal.checkpoint(b"the state with both")?;
+//! journal.checkpoint(b"the state after both records")?;
 //! # Ok::<(), whinspindle_storage::StorageError>(())
 //! ```
 
--- a/coordination/storage/src/log.rs
+++ b/coordination/storage/src/log.rs
@@ -1,13 +1,12 @@
 //! The encoding of records in a log file.
 //!
-//! A record is its length (4 bytes), a hash (16 bytes) and its content. The hash also covers the generation of the log
-//! and the position of the record, so that what an earlier generation left in the file is never taken for a record.
+//! A record consists of its length (4 bytes), a hash (16 bytes) and its content. The hash also covers the
+//! generation of the log and the position of the record, so that bytes left by an earlier generation never
+//! decode as a record.
 
 use crate::error::{RecordTooLongSnafu, StorageError};
 
-/// Length of the length field.
 const LENGTH_BYTES: usize = 4;
-/// Length of the hash.
 const HASH_BYTES: usize = 16;
 /// Length of everything before the content.
 const HEADER_BYTES: usize = LENGTH_BYTES + HASH_BYTES;
@@ -15,15 +14,15 @@
 /// The complete records at the start of a log file.
 #[derive(Debug, Default)]
 pub struct Scan {
-    /// Their contents, oldest first.
+    /// The contents of the records, oldest first.
     pub records: Vec<Vec<u8>>,
     /// The offset in bytes at which the last complete record ends.
-    pub end: u64,
-    /// Whether other bytes follow.
-    pub has_more: bool,
+    pub end_offset: u64,
+    /// Whether other bytes follow the last complete record.
+    pub has_trailing_bytes: bool,
 }
 
-/// Appends a record to a buffer that is written to the log at once.
+/// Appends an encoded record to a buffer.
 pub fn encode(generation: u64, index: u64, record: &[u8], buffer: &mut Vec<u8>) -> Result<(), StorageError> {
     let Ok(length) = u32::try_from(record.len()) else {
         return RecordTooLongSnafu { length: record.len() }.fail();
@@ -34,7 +33,7 @@
     Ok(())
 }
 
-/// Reads the records of one generation.
+/// Decodes the complete records of a generation at the start of a log file.
 pub fn scan(generation: u64, file: &[u8]) -> Scan {
     let mut records = Vec::new();
     let mut rest = file;
@@ -42,10 +41,11 @@
         records.push(record.to_vec());
         rest = remaining;
     }
-    Scan { records, end: (file.len() - rest.len()) as u64, has_more: !rest.is_empty() }
+    Scan { records, end_offset: (file.len() - rest.len()) as u64, has_trailing_bytes: !rest.is_empty() }
 }
 
-/// Splits the first record off the bytes, if it is complete and of this generation and position.
+/// Splits the bytes after the first record; `None` unless it is complete and has this generation and
+/// position.
 fn split_record(generation: u64, index: u64, bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let (header, rest) = bytes.split_at_checked(HEADER_BYTES)?;
     let (length, expected_hash) = header.split_at(LENGTH_BYTES);
@@ -54,7 +54,6 @@
     (hash(generation, index, record) == expected_hash).then_some((record, remaining))
 }
 
-/// The hash of a record.
 fn hash(generation: u64, index: u64, record: &[u8]) -> [u8; HASH_BYTES] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&generation.to_le_bytes());
--- a/coordination/storage/tests/journal.rs
+++ b/coordination/storage/tests/journal.rs
@@ -1,4 +1,4 @@
-//! A journal through losses of power at every step, failing disks and ended processes.
+//! Recovery of a journal after losses of power at every step, disk faults and process restarts.
 
 mod simulation;
 
@@ -6,7 +6,7 @@
 use simulation::{Fault, Files, SimulatedDirectory};
 use whinspindle_storage::{Directory, Journal, RecoveredState, StorageError};
 
-/// The state of the tests: all records ever appended, by their numbers.
+/// The state of the tested state machine: the numbers of all appended records.
 type History = Vec<u32>;
 
 fn record(number: u32) -> Vec<u8> {
@@ -51,8 +51,8 @@
 
 type Visit<'a> = dyn FnMut(Files, &[u32], &[u32]) + 'a;
 
-/// Plays actions and calls `visit` with the files after each operation on the folder, with the records that were
-/// acknowledged before it and those under way.
+/// Runs the actions. After each file operation, calls `visit` with the files, the records acknowledged
+/// before the operation and the records of the append in progress.
 fn explore(files: Files, actions: &[Action], visit: &mut Visit) {
     let directory = SimulatedDirectory::with_files(files);
     directory.start_recording();
@@ -61,9 +61,9 @@
         visit(files, &history, &[]);
     }
     for action in actions {
-        let next = history.iter().max().map_or(0, |last| last + 1);
+        let next_number = history.iter().max().map_or(0, |last| last + 1);
         let batch: Vec<u32> = match action {
-            Append(count) => (next..).take(*count).collect(),
+            Append(count) => (next_number..).take(*count).collect(),
             Checkpoint => Vec::new(),
         };
         match action {
@@ -78,21 +78,22 @@
     visit(directory.files(), &history, &[]);
 }
 
-/// Loses power in all ways and checks that nothing acknowledged is lost and nothing else appears.
-fn check_power_loss(files: &Files, acknowledged: &[u32], under_way: &[u32], next: &mut dyn FnMut(Files)) {
+/// Checks all outcomes of a loss of power: acknowledged records are kept, and only a prefix of the pending
+/// records may follow them. Calls `visit` with the files of each outcome.
+fn check_power_loss(files: &Files, acknowledged: &[u32], pending: &[u32], visit: &mut dyn FnMut(Files)) {
     for files in files.all_after_power_loss() {
         let (_, history) = open(&SimulatedDirectory::with_files(files.clone()));
         let rest = history.strip_prefix(acknowledged);
         assert!(
-            rest.is_some_and(|rest| under_way.starts_with(rest)),
-            "{acknowledged:?} and a part of {under_way:?} became {history:?}"
+            rest.is_some_and(|rest| pending.starts_with(rest)),
+            "acknowledged {acknowledged:?}, pending {pending:?}, recovered {history:?}"
         );
-        next(files);
+        visit(files);
     }
 }
 
 #[test]
-fn an_empty_folder_has_no_state() {
+fn an_empty_folder_has_no_checkpoint_and_no_log() {
     let directory = SimulatedDirectory::default();
     let (journal, recovered) = Journal::open(directory).expect("the disk works");
     assert_eq!(recovered, RecoveredState::default());
@@ -121,26 +122,26 @@
 }
 
 #[test]
-fn an_append_costs_one_sync() {
+fn an_append_takes_one_sync() {
     let directory = SimulatedDirectory::default();
     let (mut journal, _) = open(&directory);
     for append in 0..3 {
-        let before = directory.syncs();
+        let before = directory.sync_count();
         journal.append(&records(&[append, append + 10])).expect("the disk works");
-        assert_eq!(directory.syncs(), before + 1);
+        assert_eq!(directory.sync_count(), before + 1);
     }
-    let before = directory.syncs();
-    journal.append(&[]).expect("nothing to write");
-    assert_eq!(directory.syncs(), before);
+    let before = directory.sync_count();
+    journal.append(&[]).expect("there is nothing to write");
+    assert_eq!(directory.sync_count(), before);
     journal.checkpoint(b"state").expect("the disk works");
-    assert_eq!(directory.syncs(), before + 1);
+    assert_eq!(directory.sync_count(), before + 1);
     journal.append(&records(&[3])).expect("the disk works");
-    assert_eq!(directory.syncs(), before + 2);
+    assert_eq!(directory.sync_count(), before + 2);
 }
 
 #[test]
-fn a_loss_of_power_at_any_step_keeps_what_was_acknowledged() {
-    let first = [
+fn a_loss_of_power_at_any_step_keeps_acknowledged_records() {
+    let actions_before_loss = [
         Append(2),
         Append(1),
         Checkpoint,
@@ -151,20 +152,20 @@
         Append(2),
         Append(1),
     ];
-    let second = [Append(2), Checkpoint, Append(1)];
+    let actions_after_loss = [Append(2), Checkpoint, Append(1)];
     let mut outcomes = 0;
-    explore(Files::default(), &first, &mut |files, acknowledged, under_way| {
-        check_power_loss(&files, acknowledged, under_way, &mut |files| {
-            explore(files, &second, &mut |files, acknowledged, under_way| {
-                check_power_loss(&files, acknowledged, under_way, &mut |_| outcomes += 1);
+    explore(Files::default(), &actions_before_loss, &mut |files, acknowledged, pending| {
+        check_power_loss(&files, acknowledged, pending, &mut |files| {
+            explore(files, &actions_after_loss, &mut |files, acknowledged, pending| {
+                check_power_loss(&files, acknowledged, pending, &mut |_| outcomes += 1);
             });
         });
     });
-    assert!(outcomes > 10_000, "only {outcomes} outcomes were seen");
+    assert!(outcomes > 10_000, "only {outcomes} outcomes were checked");
 }
 
 #[test]
-fn a_full_disk_takes_records_again_once_it_has_space() {
+fn appends_succeed_again_once_a_full_disk_has_space() {
     for takes_effect in [false, true] {
         for after in 0..3 {
             let directory = SimulatedDirectory::default();
@@ -194,11 +195,11 @@
 }
 
 #[test]
-fn records_after_a_checkpoint_that_failed_late_are_kept() {
+fn records_after_a_checkpoint_with_a_failed_sync_are_kept() {
     let directory = SimulatedDirectory::default();
     let (mut journal, _) = open(&directory);
     journal.append(&records(&[0, 1])).expect("the disk works");
-    // The sync reports a failure though all has reached the disk.
+    // The sync reports a failure although all writes have reached the disk.
     directory.set_fault(Some(Fault { after: 2, operations: 1, is_full: false, takes_effect: true }));
     journal.checkpoint(&state(&[0, 1])).expect_err("the sync fails");
     journal.append(&records(&[2])).expect("the disk works");
@@ -213,7 +214,7 @@
 }
 
 #[test]
-fn files_stay_small() {
+fn checkpoints_bound_the_size_of_the_files() {
     let directory = SimulatedDirectory::default();
     let (mut journal, _) = open(&directory);
     for round in 0..50 {
@@ -224,7 +225,7 @@
 }
 
 #[test]
-fn a_damaged_checkpoint_is_not_taken_for_an_empty_disk() {
+fn damaged_checkpoints_are_reported() {
     let directory = SimulatedDirectory::default();
     let (mut journal, _) = open(&directory);
     journal.checkpoint(b"first").expect("the disk works");
@@ -236,7 +237,7 @@
     assert!(matches!(error, StorageError::Damaged { .. }), "{error}");
 }
 
-/// A folder whose two checkpoints are damaged, with logs behind both: of the seventh and the eighth generation.
+/// A folder with the checkpoints and logs of generations 7 and 8, whose checkpoints are both damaged.
 fn damaged_folder() -> Files {
     let directory = SimulatedDirectory::default();
     let (mut journal, _) = open(&directory);
@@ -251,12 +252,12 @@
 }
 
 fn is_damaged(files: &Files) -> bool {
-    let opened = Journal::open(SimulatedDirectory::with_files(files.clone()));
-    matches!(opened, Err(StorageError::Damaged { .. }))
+    let result = Journal::open(SimulatedDirectory::with_files(files.clone()));
+    matches!(result, Err(StorageError::Damaged { .. }))
 }
 
 #[test]
-fn a_loss_of_power_while_a_damaged_journal_is_discarded_leaves_it_damaged_or_empty() {
+fn a_loss_of_power_during_discard_leaves_a_damaged_or_empty_journal() {
     let directory = SimulatedDirectory::with_files(damaged_folder());
     assert!(is_damaged(&directory.files()));
     directory.start_recording();
@@ -271,23 +272,23 @@
             let directory = SimulatedDirectory::with_files(files);
             let (mut journal, history) = open(&directory);
             assert_eq!(history, History::default());
-            // Nor do old records come back with a generation that is reached again.
+            // Old records must not be recovered when their generation is reached again.
             for _ in 0..8 {
                 journal.checkpoint(b"").expect("the disk works");
                 assert_eq!(open(&directory).1, History::default());
             }
         }
     }
-    assert!(outcomes > 8, "only {outcomes} outcomes were seen");
+    assert!(outcomes > 8, "only {outcomes} outcomes were checked");
     assert_eq!(open(&directory).1, History::default());
 }
 
-/// Power is lost in the middle of a checkpoint, again and again: each is written where the torn one lies, never over
-/// the whole one, so that there is always one to go back to, with the log behind it.
+/// Power is lost repeatedly in the middle of a checkpoint. Each new checkpoint overwrites the torn one and
+/// never the complete one, so that a complete checkpoint and its log can always be recovered.
 #[test]
-fn checkpoints_torn_in_succession_leave_the_last_complete_one() {
-    for torn_in_a_row in 1..=4 {
-        for cut_short in 1..8 {
+fn successive_torn_checkpoints_keep_the_last_complete_one() {
+    for torn_checkpoints in 1..=4 {
+        for first_outcome in 1..8 {
             let directory = SimulatedDirectory::default();
             let (mut journal, _) = open(&directory);
             let mut history = vec![0, 1];
@@ -295,8 +296,8 @@
             journal.checkpoint(&state(&history)).expect("the disk works");
             journal.append(&records(&[2])).expect("the disk works");
             history.push(2);
-            for round in 0..torn_in_a_row {
-                // The slot is written by half, and neither its length nor its sync comes.
+            for round in 0..torn_checkpoints {
+                // Half of the slot is written. Its length is not set, and it is not synced.
                 directory.set_fault(Some(Fault {
                     after: 0,
                     operations: 1,
@@ -305,13 +306,13 @@
                 }));
                 journal.checkpoint(&state(&history)).expect_err("power is lost");
                 directory.set_fault(None);
-                directory.lose_power(cut_short + round);
-                let (reopened, found) = open(&directory);
-                assert_eq!(found, history, "{torn_in_a_row} torn in a row");
+                directory.lose_power(first_outcome + round);
+                let (reopened, recovered) = open(&directory);
+                assert_eq!(recovered, history, "{torn_checkpoints} torn checkpoints");
                 journal = reopened;
-                let next = 3 + round as u32;
-                journal.append(&records(&[next])).expect("the disk works");
-                history.push(next);
+                let number = 3 + round as u32;
+                journal.append(&records(&[number])).expect("the disk works");
+                history.push(number);
             }
             journal.checkpoint(&state(&history)).expect("the disk works");
             assert_eq!(open(&directory).1, history);
@@ -324,9 +325,9 @@
     Append(usize),
     Checkpoint,
     LosePower(usize),
-    EndProcess,
-    Fail(Fault),
-    Mend,
+    RestartProcess,
+    InjectFault(Fault),
+    ClearFault,
 }
 
 impl Arbitrary for Step {
@@ -335,36 +336,36 @@
             0..6 => Step::Append(1 + usize::arbitrary(generator) % 3),
             6..9 => Step::Checkpoint,
             9..11 => Step::LosePower(usize::arbitrary(generator)),
-            11 => Step::EndProcess,
-            12..15 => Step::Fail(Fault {
+            11 => Step::RestartProcess,
+            12..15 => Step::InjectFault(Fault {
                 after: usize::arbitrary(generator) % 5,
                 operations: 1 + usize::arbitrary(generator) % 4,
                 is_full: bool::arbitrary(generator),
                 takes_effect: bool::arbitrary(generator),
             }),
-            _ => Step::Mend,
+            _ => Step::ClearFault,
         }
     }
 }
 
-/// A journal with what it has to hold.
+/// A journal and the records that it must recover.
 struct Model {
     directory: SimulatedDirectory,
     journal: Journal<SimulatedDirectory>,
     acknowledged: History,
-    /// Batches that failed since the last operation that succeeded; a part of one of them may be there.
-    failed: Vec<Vec<u32>>,
-    next: u32,
+    /// Batches that failed since the last successful operation. A prefix of one of them may be recovered.
+    failed_batches: Vec<Vec<u32>>,
+    next_number: u32,
 }
 
 impl Model {
     fn new() -> Self {
         let directory = SimulatedDirectory::default();
         let (journal, acknowledged) = open(&directory);
-        Model { directory, journal, acknowledged, failed: Vec::new(), next: 0 }
+        Model { directory, journal, acknowledged, failed_batches: Vec::new(), next_number: 0 }
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match step {
             Step::Append(count) => self.append(*count),
             Step::Checkpoint => self.checkpoint(),
@@ -372,28 +373,28 @@
                 self.directory.lose_power(*outcome);
                 self.reopen();
             }
-            Step::EndProcess => self.reopen(),
-            Step::Fail(fault) => self.directory.set_fault(Some(*fault)),
-            Step::Mend => self.directory.set_fault(None),
+            Step::RestartProcess => self.reopen(),
+            Step::InjectFault(fault) => self.directory.set_fault(Some(*fault)),
+            Step::ClearFault => self.directory.set_fault(None),
         }
     }
 
     fn append(&mut self, count: usize) {
-        let batch: Vec<u32> = (self.next..).take(count).collect();
-        // A batch that failed has its numbers used again: the bytes that it left look like the next batch.
+        let batch: Vec<u32> = (self.next_number..).take(count).collect();
+        // The numbers of a failed batch are reused, so that bytes left by it look like the next batch.
         match self.journal.append(&records(&batch)) {
             Ok(()) => {
-                self.next += count as u32;
+                self.next_number += count as u32;
                 self.acknowledged.extend(batch);
-                self.failed.clear();
+                self.failed_batches.clear();
             }
-            Err(_) => self.failed.push(batch),
+            Err(_) => self.failed_batches.push(batch),
         }
     }
 
     fn checkpoint(&mut self) {
         if self.journal.checkpoint(&state(&self.acknowledged)).is_ok() {
-            self.failed.clear();
+            self.failed_batches.clear();
             assert_eq!(self.journal.log_bytes(), 0);
         }
     }
@@ -402,22 +403,27 @@
         self.directory.set_fault(None);
         let (journal, history) = open(&self.directory);
         let rest = history.strip_prefix(self.acknowledged.as_slice());
-        let is_known = rest
-            .is_some_and(|rest| rest.is_empty() || self.failed.iter().any(|batch| batch.starts_with(rest)));
-        assert!(is_known, "{:?} with {:?} failed became {history:?}", self.acknowledged, self.failed);
-        self.next = history.last().map_or(0, |last| last + 1);
+        let is_expected = rest.is_some_and(|rest| {
+            rest.is_empty() || self.failed_batches.iter().any(|batch| batch.starts_with(rest))
+        });
+        assert!(
+            is_expected,
+            "acknowledged {:?}, failed {:?}, recovered {history:?}",
+            self.acknowledged, self.failed_batches
+        );
+        self.next_number = history.last().map_or(0, |last| last + 1);
         self.acknowledged = history;
-        self.failed.clear();
+        self.failed_batches.clear();
         self.journal = journal;
     }
 }
 
 #[test]
-fn random_sequences_keep_what_was_acknowledged() {
+fn random_steps_keep_acknowledged_records() {
     fn property(steps: Vec<Step>) -> bool {
         let mut model = Model::new();
         for step in &steps {
-            model.play(step);
+            model.run_step(step);
         }
         model.reopen();
         true
@@ -437,9 +443,9 @@
         match Journal::open(directory.clone()) {
             Ok((mut journal, recovered)) => {
                 journal.append(&[b"more".to_vec()]).expect("the disk works");
-                let (_, again) = Journal::open(directory).expect("it was opened before");
+                let (_, reopened) = Journal::open(directory).expect("the journal could be opened before");
                 let log = [recovered.log, vec![b"more".to_vec()]].concat();
-                again == RecoveredState { checkpoint: recovered.checkpoint, log }
+                reopened == RecoveredState { checkpoint: recovered.checkpoint, log }
             }
             Err(error) => matches!(error, StorageError::Damaged { .. }),
         }
--- a/coordination/storage/tests/simulation/mod.rs
+++ b/coordination/storage/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated folder that loses power, with every outcome of the writes that were not synced.
+//! A simulated folder that can lose power, with all possible outcomes of writes that were not synced.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,23 +7,23 @@
 
 use whinspindle_storage::{Directory, DirectoryError};
 
-/// A change of a file that is not durable yet.
+/// A change to a file that is not durable yet.
 #[derive(Clone, Debug)]
 pub enum Change {
     Write { offset: usize, bytes: Vec<u8> },
     SetLength(usize),
 }
 
-/// What a loss of power makes of one change.
+/// The outcome of a loss of power for one change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     Kept,
     Missing,
-    /// Of a write, only the bytes of this range (in eighths) are there.
+    /// Only this range of a write is kept, in eighths of its length.
     Torn(usize, usize),
 }
 
-const OUTCOMES_OF_A_WRITE: [WriteOutcome; 6] = [
+const WRITE_OUTCOMES: [WriteOutcome; 6] = [
     WriteOutcome::Kept,
     WriteOutcome::Missing,
     WriteOutcome::Torn(0, 4),
@@ -31,16 +31,16 @@
     WriteOutcome::Torn(1, 7),
     WriteOutcome::Torn(0, 1),
 ];
-const OUTCOMES_OF_A_LENGTH: [WriteOutcome; 2] = [WriteOutcome::Kept, WriteOutcome::Missing];
+const SET_LENGTH_OUTCOMES: [WriteOutcome; 2] = [WriteOutcome::Kept, WriteOutcome::Missing];
 
-/// Outcomes beyond this number are left out, as evenly as possible.
+/// If there are more outcomes, an evenly spaced subset of about this number is returned.
 const MAX_OUTCOMES: usize = 432;
 
 #[derive(Clone, Debug, Default)]
 struct File {
-    /// The name lasts through a loss of power.
-    is_durable: bool,
-    durable: Vec<u8>,
+    /// The file itself survives a loss of power.
+    is_name_durable: bool,
+    durable_content: Vec<u8>,
     pending: Vec<Change>,
 }
 
@@ -63,8 +63,8 @@
 
     fn possible_outcomes(&self) -> &'static [WriteOutcome] {
         match self {
-            Change::Write { .. } => &OUTCOMES_OF_A_WRITE,
-            Change::SetLength(_) => &OUTCOMES_OF_A_LENGTH,
+            Change::Write { .. } => &WRITE_OUTCOMES,
+            Change::SetLength(_) => &SET_LENGTH_OUTCOMES,
         }
     }
 }
@@ -79,7 +79,7 @@
 
 impl File {
     fn content(&self) -> Vec<u8> {
-        let mut content = self.durable.clone();
+        let mut content = self.durable_content.clone();
         for change in &self.pending {
             change.apply(&mut content, WriteOutcome::Kept);
         }
@@ -88,47 +88,52 @@
 }
 
 impl Files {
-    /// The number of outcomes of a loss of power that differ.
-    pub fn outcomes(&self) -> usize {
+    /// The number of possible outcomes of a loss of power.
+    pub fn outcome_count(&self) -> usize {
         self.choices().product()
     }
 
-    /// For each thing that may go one way or another, the number of its ways.
+    /// The number of outcomes of each file name and each pending change.
     fn choices(&self) -> impl Iterator<Item = usize> {
         self.0.values().flat_map(|file| {
-            let name = if file.is_durable { 1 } else { 2 };
-            std::iter::once(name).chain(file.pending.iter().map(|change| change.possible_outcomes().len()))
+            let name_outcomes = if file.is_name_durable { 1 } else { 2 };
+            std::iter::once(name_outcomes)
+                .chain(file.pending.iter().map(|change| change.possible_outcomes().len()))
         })
     }
 
-    /// The files after a loss of power, by the number of the outcome.
+    /// The files after a loss of power with the outcome of this index.
     pub fn after_power_loss(&self, outcome: usize) -> Files {
         let mut rest = outcome;
-        let mut choose = |ways: usize| {
-            let way = rest % ways;
-            rest /= ways;
-            way
+        let mut choose = |choices: usize| {
+            let choice = rest % choices;
+            rest /= choices;
+            choice
         };
         let mut files = BTreeMap::new();
         for (name, file) in &self.0 {
-            let name_is_lost = !file.is_durable && choose(2) == 1;
-            let mut content = file.durable.clone();
+            let is_name_lost = !file.is_name_durable && choose(2) == 1;
+            let mut content = file.durable_content.clone();
             for change in &file.pending {
                 let possible_outcomes = change.possible_outcomes();
                 change.apply(&mut content, possible_outcomes[choose(possible_outcomes.len())]);
             }
-            if !name_is_lost {
-                files.insert(name.clone(), File { is_durable: true, durable: content, pending: Vec::new() });
+            if !is_name_lost {
+                files.insert(
+                    name.clone(),
+                    File { is_name_durable: true, durable_content: content, pending: Vec::new() },
+                );
             }
         }
         Files(files)
     }
 
-    /// All outcomes of a loss of power, or an even part of them where there are very many.
+    /// The files after each outcome of a loss of power, or after an evenly spaced subset of the outcomes if
+    /// there are many.
     pub fn all_after_power_loss(&self) -> impl Iterator<Item = Files> {
-        let outcomes = self.outcomes();
+        let outcomes = self.outcome_count();
         let step = outcomes.div_ceil(MAX_OUTCOMES);
-        // A step that shares no factor with the numbers of ways meets every way of every choice.
+        // A step that shares no factor with the numbers of choices covers every choice.
         let step = (step..).find(|step| step % 2 != 0 && (*step == 1 || step % 3 != 0)).unwrap_or(1);
         (0..outcomes).step_by(step).map(|outcome| self.after_power_loss(outcome))
     }
@@ -137,21 +142,22 @@
         self.0.values().map(|file| file.content().len()).sum()
     }
 
-    /// Changes one byte of a file.
+    /// Flips one bit of a file.
     pub fn damage(&mut self, name: &str, position: usize) {
         let file = self.0.get_mut(name).expect("the file exists");
-        file.durable[position] ^= 1;
+        file.durable_content[position] ^= 1;
     }
 }
 
-/// How operations that change files fail.
+/// A fault of operations that change files.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// Operations that succeed before.
+    /// The number of operations that succeed before the fault.
     pub after: usize,
+    /// The number of operations that fail.
     pub operations: usize,
     pub is_full: bool,
-    /// A failing operation has taken effect all the same, a write by half.
+    /// A failed operation takes effect nevertheless. Of a failed write, the first half takes effect.
     pub takes_effect: bool,
 }
 
@@ -159,12 +165,12 @@
 struct Disk {
     files: Files,
     fault: Option<Fault>,
-    /// The files after each operation, if they are being recorded.
+    /// The files after each operation, while recording.
     history: Option<Vec<Files>>,
-    syncs: usize,
+    sync_count: usize,
 }
 
-/// Handles share one disk.
+/// A handle to a simulated folder. Clones share the folder.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDirectory(Rc<RefCell<Disk>>);
 
@@ -179,18 +185,18 @@
         self.0.borrow().files.clone()
     }
 
-    pub fn syncs(&self) -> usize {
-        self.0.borrow().syncs
+    pub fn sync_count(&self) -> usize {
+        self.0.borrow().sync_count
     }
 
     pub fn set_fault(&self, fault: Option<Fault>) {
         self.0.borrow_mut().fault = fault;
     }
 
-    /// Loses power, and has it again.
+    /// Simulates a loss of power with one of the possible outcomes.
     pub fn lose_power(&self, outcome: usize) {
         let mut disk = self.0.borrow_mut();
-        disk.files = disk.files.after_power_loss(outcome % disk.files.outcomes());
+        disk.files = disk.files.after_power_loss(outcome % disk.files.outcome_count());
     }
 
     pub fn start_recording(&self) {
@@ -204,7 +210,7 @@
 }
 
 impl Disk {
-    /// Counts an operation; `Some` if it is to fail.
+    /// Counts an operation. Returns the fault if the operation must fail.
     fn next_fault(&mut self) -> Option<Fault> {
         let fault = self.fault.as_mut()?;
         if fault.after > 0 {
@@ -239,10 +245,10 @@
 
     fn sync(&mut self, name: &str) -> Result<(), DirectoryError> {
         let fault = self.next_fault();
-        self.syncs += 1;
+        self.sync_count += 1;
         if fault.is_none_or(|fault| fault.takes_effect) {
-            let file = self.files.0.get_mut(name).expect("only files that exist are synced");
-            *file = File { is_durable: true, durable: file.content(), pending: Vec::new() };
+            let file = self.files.0.get_mut(name).expect("the synced file exists");
+            *file = File { is_name_durable: true, durable_content: file.content(), pending: Vec::new() };
         }
         self.record();
         fault.map_or(Ok(()), |fault| Err(fault_error(name, fault)))
@@ -260,7 +266,7 @@
     if fault.is_full {
         DirectoryError::Full { name }
     } else {
-        DirectoryError::Io { name, source: io::Error::other("refused") }
+        DirectoryError::Io { name, source: io::Error::other("injected fault") }
     }
 }
 
@@ -286,7 +292,7 @@
     fn sync_directory(&mut self) -> Result<(), DirectoryError> {
         let mut disk = self.0.borrow_mut();
         for file in disk.files.0.values_mut() {
-            file.is_durable = true;
+            file.is_name_durable = true;
         }
         disk.record();
         Ok(())
