--- a/coordination/consensus/src/ballot.rs
+++ b/coordination/consensus/src/ballot.rs
@@ -17,7 +17,8 @@
 /// The unique number of a proposal. Ballots are compared field by field, in the order of declaration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Counts the bootstraps of the system. A value accepted in an earlier epoch does not bind a later one.
+    /// The number of the bootstrap that the proposal belongs to. A value accepted in an earlier epoch does
+    /// not bind a later one.
     pub epoch: u64,
     /// The round within the epoch.
     pub round: u64,
--- a/coordination/replica/examples/three_replicas.rs
+++ b/coordination/replica/examples/three_replicas.rs
@@ -1,4 +1,4 @@
-//! Three replicas in one process: messages are handed over at once, and each write to the disk succeeds at once.
+//! Three replicas in one process. Messages are delivered immediately, and disk writes succeed immediately.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::error::Error;
@@ -9,7 +9,7 @@
     Tolerance,
 };
 
-/// The records' meaning: a command `key=value` writes, a command `key` reads.
+/// The application: the command `key=value` writes a record, and the command `key` reads it.
 struct KeyValue;
 
 impl Application for KeyValue {
@@ -39,7 +39,7 @@
     }
 }
 
-/// The replicas, and what is on its way to each.
+/// The replicas and the inputs queued for them.
 struct Cluster {
     replicas: BTreeMap<SocketAddr, Replica<KeyValue>>,
     inputs: VecDeque<(SocketAddr, Input)>,
@@ -47,29 +47,31 @@
 }
 
 impl Cluster {
-    fn take(&mut self, at: SocketAddr, outputs: Vec<Output>) {
+    fn process_outputs(&mut self, endpoint: SocketAddr, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
-                    self.inputs.push_back((to, Input::Message { from: at, message }))
+                    self.inputs.push_back((to, Input::Message { from: endpoint, message }))
                 }
-                Output::Persist { token, .. } => self.inputs.push_back((at, Input::Persisted { token })),
-                Output::Reply { ticket, result } => println!("ticket {ticket} at {at}: {result:?}"),
+                Output::Persist { token, .. } => {
+                    self.inputs.push_back((endpoint, Input::Persisted { token }))
+                }
+                Output::Reply { ticket, result } => println!("ticket {ticket} at {endpoint}: {result:?}"),
                 Output::Committed { .. } | Output::RecordsReplaced => {}
             }
         }
     }
 
-    fn run(&mut self, milliseconds: u64) {
-        let end = self.now + milliseconds;
+    fn run(&mut self, duration_ms: u64) {
+        let end = self.now + duration_ms;
         while self.now < end {
             self.now += 50;
             let ticks = self.replicas.keys().map(|&endpoint| (endpoint, Input::Tick));
             self.inputs.extend(ticks.collect::<Vec<_>>());
-            while let Some((at, input)) = self.inputs.pop_front() {
-                let Some(replica) = self.replicas.get_mut(&at) else { continue };
+            while let Some((endpoint, input)) = self.inputs.pop_front() {
+                let Some(replica) = self.replicas.get_mut(&endpoint) else { continue };
                 let outputs = replica.handle(self.now, input);
-                self.take(at, outputs);
+                self.process_outputs(endpoint, outputs);
             }
         }
     }
@@ -84,14 +86,14 @@
     for &endpoint in &seeds {
         let (replica, outputs) = Replica::new(settings(endpoint, &seeds), KeyValue, (None, Vec::new()), 0)?;
         cluster.replicas.insert(endpoint, replica);
-        cluster.take(endpoint, outputs);
+        cluster.process_outputs(endpoint, outputs);
     }
     cluster.run(1_000);
     cluster.inputs.push_back((seeds[1], Input::Submit { ticket: 1, command: b"colour=blue".to_vec() }));
     cluster.run(1_000);
     cluster.inputs.push_back((seeds[2], Input::Submit { ticket: 2, command: b"colour".to_vec() }));
     cluster.run(1_000);
-    // The head is lost: the two others agree on a view without it and go on.
+    // The head is lost. The two other replicas agree on a view without it and continue.
     cluster.replicas.remove(&seeds[0]);
     cluster.run(3_000);
     cluster.inputs.push_back((seeds[2], Input::Submit { ticket: 3, command: b"colour=green".to_vec() }));
--- a/coordination/replica/src/application.rs
+++ b/coordination/replica/src/application.rs
@@ -1,4 +1,4 @@
-//! The application that a replica is embedded in: it gives commands their meaning.
+//! The interface of the application, which evaluates the replicated commands.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,25 +6,26 @@
 
 /// Evaluates commands into writes and answers.
 pub trait Application {
-    /// Evaluates a command at the head of the chain, on records with the writes of all commands before it.
+    /// Evaluates a command at the head of the chain. `records` include the writes of all earlier commands.
     fn evaluate(&self, records: &Records, command: &[u8]) -> Evaluation;
 }
 
-/// What a command writes and answers.
+/// The result of evaluating a command.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evaluation {
-    /// Its writes; empty for a read.
+    /// The writes of the command; empty for a read.
     pub writes: Vec<RecordWrite>,
-    /// Its answer.
+    /// The answer to the command.
     pub answer: Answer,
 }
 
-/// The answer to a command, once it is committed.
+/// The answer to a command, sent once the command is committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Answer {
-    /// These bytes.
+    /// Fixed bytes.
     Value(Vec<u8>),
-    /// The value of the record with this key when the answer is sent; empty if there is none.
+    /// The value that the record with this key has when the answer is sent; empty if the record does not
+    /// exist.
     Record(String),
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl Answer {
-    /// The bytes of the answer, with these records.
+    /// The bytes of the answer, given the committed records.
     pub fn resolve(&self, records: &Records) -> Vec<u8> {
         match self {
             Answer::Value(value) => value.clone(),
--- a/coordination/replica/src/catch_up.rs
+++ b/coordination/replica/src/catch_up.rs
@@ -1,10 +1,10 @@
-//! The state of a learner that catches up.
+//! The catch-up state of a learner.
 
-/// What a replica outside of the chain waits for.
+/// The catch-up state of a replica outside the chain. Times are in milliseconds of the caller's clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CatchUpState {
-    /// Since when it has been behind the chain, in milliseconds of the caller's clock.
+    /// When the replica fell behind the chain.
     pub behind_since: Option<u64>,
-    /// When it last asked for what it lacks, unless that was answered.
+    /// When the replica sent its last request for missing entries; `None` once it was answered.
     pub requested_at: Option<u64>,
 }
--- a/coordination/replica/src/codec.rs
+++ b/coordination/replica/src/codec.rs
@@ -1,4 +1,5 @@
-//! The encoding of messages. The schema is in `schema/replica.capnp`; names here follow the code, not the schema.
+//! The encoding of messages. Names in this module follow the code, and differ in part from the schema in
+//! `schema/replica.capnp`.
 
 mod agreement;
 mod chain;
@@ -26,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes are not a message of the schema.
+    /// Returns an error if the bytes are not a message of the schema.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         let reader = read_message(bytes)?;
         read(reader.get_root()?)
--- a/coordination/replica/src/codec/agreement.rs
+++ b/coordination/replica/src/codec/agreement.rs
@@ -1,4 +1,4 @@
-//! The encoding of messages of the register.
+//! The encoding of the consensus messages.
 
 use whinspindle_consensus::{Ballot, Voter};
 
--- a/coordination/replica/src/codec/chain.rs
+++ b/coordination/replica/src/codec/chain.rs
@@ -1,4 +1,4 @@
-//! Commands, entries and reads on the wire.
+//! The encoding of commands, entries and reads.
 
 use capnp::struct_list;
 
--- a/coordination/replica/src/codec/parts.rs
+++ b/coordination/replica/src/codec/parts.rs
@@ -1,4 +1,4 @@
-//! The encoding of parts that several messages share.
+//! The encoding of data types that several messages contain.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -15,7 +15,7 @@
 use crate::replica_capnp as wire;
 use crate::view::{ChainLink, Member, View};
 
-/// The length of a list in the schema's type.
+/// The length of a list as a Cap'n Proto list length.
 pub fn length<T>(items: &[T]) -> u32 {
     u32::try_from(items.len()).unwrap_or(u32::MAX)
 }
@@ -62,12 +62,12 @@
 }
 
 pub fn write_report(report: &Report, mut to: wire::report::Builder) {
-    to.set_complete(report.complete);
+    to.set_complete(report.complete_view);
     to.set_committed(report.committed);
 }
 
 pub fn read_report(from: wire::report::Reader) -> Report {
-    Report { complete: from.get_complete(), committed: from.get_committed() }
+    Report { complete_view: from.get_complete(), committed: from.get_committed() }
 }
 
 pub fn write_view(view: &View, mut to: wire::view::Builder) {
--- a/coordination/replica/src/entry.rs
+++ b/coordination/replica/src/entry.rs
@@ -1,4 +1,4 @@
-//! What passes the chain: entries of the history and reads.
+//! The data that passes through the chain: history entries and reads.
 
 use std::net::SocketAddr;
 
@@ -10,37 +10,38 @@
 /// Identifies a submitted command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Origin {
-    /// The replica that it was submitted to.
+    /// The replica that the command was submitted to.
     pub endpoint: SocketAddr,
-    /// The start of the process there: tickets are used again after another start.
+    /// The start ID of that replica's process. A restarted process reuses tickets.
     pub start_id: u64,
-    /// The ticket that it was submitted with.
+    /// The ticket of the command.
     pub ticket: u64,
 }
 
 /// The writes of one command at its position in the history.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// That position.
+    /// The position in the history.
     pub sequence: u64,
-    /// The view in which the head has evaluated the command.
+    /// The view in which the head evaluated the command.
     pub view: u64,
-    /// What it writes.
+    /// The writes of the command.
     pub writes: Vec<RecordWrite>,
-    /// What it answers once it is committed.
+    /// The answer to the command, sent once it is committed.
     pub answer: Answer,
-    /// Where it was submitted.
+    /// Identifies the submitted command.
     pub origin: Origin,
 }
 
-/// A command without writes on its way to the tail.
+/// A command without writes, which is forwarded to the tail.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Read {
-    /// The last entry that it was evaluated on, which must be committed before it is answered.
+    /// The last entry that the read was evaluated on. That entry must be committed before the read is
+    /// answered.
     pub after: u64,
-    /// What it answers.
+    /// The answer to the read.
     pub answer: Answer,
-    /// Where it was submitted.
+    /// Identifies the submitted command.
     pub origin: Origin,
 }
 
@@ -49,23 +50,23 @@
 pub struct Outcome {
     /// The position of the command in the history.
     pub sequence: u64,
-    /// What it answered.
+    /// The answer to the command.
     pub answer: Answer,
-    /// Where it was submitted.
+    /// Identifies the submitted command.
     pub origin: Origin,
 }
 
 impl Entry {
-    /// The approximate size in bytes.
-    pub fn size(&self) -> usize {
-        let write = |write: &RecordWrite| write.key.len() + write.value.as_ref().map_or(0, Vec::len);
-        let answer = match &self.answer {
+    /// The approximate size.
+    pub fn size_bytes(&self) -> usize {
+        let write_bytes = |write: &RecordWrite| write.key.len() + write.value.as_ref().map_or(0, Vec::len);
+        let answer_bytes = match &self.answer {
             Answer::Value(value) => value.len(),
             Answer::Record(key) => key.len(),
         };
-        ENTRY_OVERHEAD + answer + self.writes.iter().map(write).sum::<usize>()
+        ENTRY_OVERHEAD_BYTES + answer_bytes + self.writes.iter().map(write_bytes).sum::<usize>()
     }
 }
 
-/// Bytes of an entry besides its writes and its answer.
-const ENTRY_OVERHEAD: usize = 64;
+/// The size of an entry without its writes and its answer.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
--- a/coordination/replica/src/input.rs
+++ b/coordination/replica/src/input.rs
@@ -1,41 +1,41 @@
-//! What a replica is given.
+//! The inputs of a replica.
 
 use std::net::SocketAddr;
 
 use crate::message::Message;
 
-/// What has happened.
+/// An event that the embedding program passes to a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time has passed; expected at least every 50 ms.
+    /// A periodic timer event, expected at least every 50 ms.
     Tick,
     /// A message has arrived.
     Message {
         /// The endpoint of the sender.
         from: SocketAddr,
-        /// What it sent.
+        /// The received message.
         message: Message,
     },
-    /// A command of a local caller.
+    /// A command from a local caller.
     Submit {
-        /// Identifies the command among those of this process.
+        /// Identifies the command within this process.
         ticket: u64,
-        /// What the application evaluates.
+        /// The command, which the application evaluates.
         command: Vec<u8>,
     },
     /// A write is durable.
     Persisted {
-        /// The token of its [`crate::Output::Persist`].
+        /// The token of the [`crate::Output::Persist`] that requested the write.
         token: u64,
     },
     /// A write failed, or it is unknown whether it is durable.
     PersistFailed {
-        /// The token of its [`crate::Output::Persist`].
+        /// The token of the [`crate::Output::Persist`] that requested the write.
         token: u64,
     },
-    /// An operator answers for it that these voters never come back ([`crate::Replica::forced_reconfiguration`]).
+    /// An operator declares voters permanently lost ([`crate::Replica::forced_reconfiguration`]).
     DeclareLost {
-        /// Their endpoints.
+        /// The endpoints of the lost voters.
         endpoints: Vec<SocketAddr>,
     },
     /// The process is shutting down.
--- a/coordination/replica/src/jitter.rs
+++ b/coordination/replica/src/jitter.rs
@@ -1,13 +1,13 @@
-//! Jitter of delays, from a seed: the same seed yields the same delays.
+//! Deterministic jitter: the same seed always yields the same delays.
 
 /// A pseudorandom generator (G. Marsaglia, "Xorshift RNGs", 2003).
 #[derive(Clone, Debug)]
 pub struct Jitter(u64);
 
 impl Jitter {
-    /// A generator with this seed.
+    /// Creates a generator from a seed.
     pub fn new(seed: u64) -> Jitter {
-        // The generator never leaves state 0, so it must not start there.
+        // An xorshift generator with state 0 returns only zeros.
         Jitter(seed | 1)
     }
 
--- a/coordination/replica/src/lib.rs
+++ b/coordination/replica/src/lib.rs
@@ -1,14 +1,15 @@
-//! Chain replication reconfigured by an agreed membership view, as a state machine.
+//! Chain replication that is reconfigured through membership views, as a deterministic state machine.
 //!
-//! The members of the chain keep the same records. Writes enter at the head, pass every member and are committed and
-//! answered at the tail; reads pass the chain too, so that a member behind a partition never answers one (R. van
-//! Renesse and F. Schneider, "Chain Replication for Supporting High Throughput and Availability", 2004, section 3).
-//! The voters and the chain are in a [`View`], the value of a register of `whinspindle-consensus`. A voter that has
-//! promised a newer view is *fenced*: it takes no part in the chain of the present one any more.
+//! The members of the chain store the same records. Writes enter at the head, pass through every member,
+//! and are committed and answered at the tail. Reads pass through the chain too, so that a partitioned
+//! member never answers a read (R. van Renesse and F. Schneider, "Chain Replication for Supporting High
+//! Throughput and Availability", 2004, section 3). A [`View`] contains the voters and the chain. It is the
+//! value of a register of `whinspindle-consensus`. A voter that has promised a newer view is *fenced*: it
+//! no longer takes part in the chain of the current view.
 //!
-//! Use it where commands must be linearizable and survive the loss of machines. The embedding program implements
-//! [`Application`], and runs a [`Replica`] through its [`Input`]s and [`Output`]s: the crate has no clock, socket, disk
-//! or random source of its own.
+//! Use it where commands must be linearizable and survive the loss of machines. The embedding program
+//! implements [`Application`], and drives a [`Replica`] with [`Input`]s and [`Output`]s. The crate itself
+//! has no clock, socket, disk or random source.
 //!
 //! ```
 //! use whinspindle_replica::{Answer, Application, Evaluation, Input, Output, RecordWrite, Records};
@@ -36,13 +37,15 @@
 //! #     timing: Timing::default(),
 //! # };
 //!
-//! // A system of one replica with an empty disk; its writes are confirmed at the next tick.
+//! // A system of one replica with an empty disk. Its writes are confirmed at the next tick.
 //! let (mut replica, mut outputs) = Replica::new(settings, Register, (None, Vec::new()), 0)?;
 //! outputs.extend(replica.handle(10, Input::Submit { ticket: 1, command: b"value".to_vec() }));
 //! for now in (50..1_000).step_by(50) {
 //!     for output in std::mem::take(&mut outputs) {
 //!         match output {
-//!             Output::Persist { token, .. } => outputs.extend(replica.handle(now, Input::Persisted { token })),
+//!             Output::Persist { token, .. } => {
+//!                 outputs.extend(replica.handle(now, Input::Persisted { token }));
+//!             }
 //!             Output::Reply { ticket, result } => assert_eq!((ticket, result.is_ok()), (1, true)),
 //!             _ => {}
 //!         }
--- a/coordination/replica/src/message.rs
+++ b/coordination/replica/src/message.rs
@@ -14,40 +14,40 @@
 /// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A sign of life.
+    /// A periodic heartbeat.
     Heartbeat(Heartbeat),
-    /// Phase 1: asks a voter to promise to accept nothing of a lower ballot.
+    /// Phase 1: asks a voter to promise to reject lower ballots.
     Prepare {
-        /// The voter that is asked.
+        /// The receiving voter.
         voter: Voter,
         /// The ballot of the proposal.
         ballot: Ballot,
-        /// The newest view known to the proposer.
+        /// The number of the newest view known to the proposer.
         known_view: u64,
     },
-    /// The answer of a voter that promises.
+    /// The answer of a voter that has promised.
     Promise {
-        /// The voter that promises.
+        /// The voter.
         voter: Voter,
         /// The ballot of the proposal.
         ballot: Ballot,
         /// The newest view that the voter has accepted, with its ballot.
         accepted: Option<Box<(Ballot, View)>>,
-        /// How far the log of the voter is.
+        /// The progress of the voter's log.
         report: Report,
     },
     /// Phase 2: asks a voter to accept a view.
     Accept {
-        /// The voter that is asked.
+        /// The receiving voter.
         voter: Voter,
         /// The ballot of the proposal.
         ballot: Ballot,
         /// The proposed view.
         view: View,
     },
-    /// The answer of a voter that accepts.
+    /// The answer of a voter that has accepted.
     Accepted {
-        /// The voter that accepts.
+        /// The voter.
         voter: Voter,
         /// The ballot of the proposal.
         ballot: Ballot,
@@ -56,13 +56,13 @@
     Rejected {
         /// The ballot of the rejected proposal.
         ballot: Ballot,
-        /// The ballot that was promised.
+        /// The promised ballot.
         promised: Ballot,
     },
-    /// The answer to a [`Message::Prepare`] for a voter whose durable state is lost, by the replica that took its place
-    /// at its endpoint with an empty disk.
+    /// The answer to a [`Message::Prepare`] for a voter whose durable state is lost. It is sent by the
+    /// replica that replaced the voter at its endpoint with an empty disk.
     VoterLost {
-        /// The voter that was asked.
+        /// The lost voter.
         voter: Voter,
         /// The ballot of the proposal.
         ballot: Ballot,
@@ -71,20 +71,20 @@
     Decided(Decided),
     /// A command, sent to the head.
     Submit {
-        /// Where it was submitted.
+        /// Identifies the submitted command.
         origin: Origin,
-        /// What the application evaluates.
+        /// The command, which the application evaluates.
         command: Vec<u8>,
     },
-    /// The answer to a command, sent to where it was submitted.
+    /// The answer to a command, sent to the replica that the command was submitted to.
     Replied {
-        /// The start of the process that it was submitted to.
+        /// The start ID of the process that the command was submitted to.
         start_id: u64,
         /// The ticket of the command.
         ticket: u64,
         /// The position in the history of the write, or of the state that was read.
         sequence: u64,
-        /// What the application answered.
+        /// The answer of the application.
         answer: Vec<u8>,
     },
     /// Entries and reads, sent to the successor.
@@ -93,67 +93,69 @@
         view: u64,
         /// Consecutive entries; may be empty.
         entries: Vec<Entry>,
-        /// Reads on their way to the tail.
+        /// Reads to forward to the tail.
         reads: Vec<Read>,
     },
     /// Acknowledges entries to the predecessor.
     Acknowledge {
         /// The view of the sender's session.
         view: u64,
-        /// Entries up to here are durable at the sender.
+        /// The last entry that is durable at the sender.
         last: u64,
-        /// Entries up to here are committed.
+        /// The last entry that is committed.
         committed: u64,
     },
-    /// The state of a member, sent to its predecessor. One that is not complete needs a [`Message::Synchronize`].
+    /// The state of a member, sent to its predecessor. A member with an incomplete log needs a
+    /// [`Message::Synchronize`].
     Resume {
         /// The view of the sender's session.
         view: u64,
-        /// How far its log is.
+        /// The progress of the member's log.
         state: ChainState,
     },
-    /// State transfer to the successor, whose log is complete after it.
+    /// A state transfer to the successor, which makes the successor's log complete.
     Synchronize {
         /// The view of the sender's session.
         view: u64,
-        /// What the successor lacks.
+        /// The state that the successor lacks.
         transfer: Transfer,
     },
-    /// A replica outside of the chain asks for what was committed after its position.
+    /// A request of a replica outside the chain for entries committed after its position.
     Pull {
-        /// That position.
+        /// The committed position of the sender.
         committed: u64,
-        /// The digests of its records.
+        /// The digests of the sender's records.
         digests: Vec<RangeDigest>,
     },
-    /// What was committed, sent to replicas outside of the chain.
+    /// Committed entries and records, sent to a replica outside the chain.
     Learn {
         /// The newest view known to the sender.
         view: u64,
-        /// What was committed up to that view.
+        /// The entries and records committed up to that view.
         transfer: Transfer,
     },
 }
 
-/// The newest heartbeat that was received from a replica.
+/// The newest heartbeat received from a replica.
 ///
-/// Echoed in a heartbeat, it proves to that replica that the sender has composed the heartbeat later.
+/// Each heartbeat echoes the heartbeats that its sender received. The echo proves to the other replica that
+/// the sender wrote its heartbeat after receiving the echoed one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReceivedHeartbeat {
-    /// The replica that sent it.
+    /// The replica that sent the heartbeat.
     pub endpoint: SocketAddr,
-    /// The start of its process.
+    /// The start ID of that replica's process.
     pub start_id: u64,
-    /// When it was sent, by the clock of that replica.
+    /// When the heartbeat was sent, in milliseconds of that replica's clock.
     pub sent_at: u64,
 }
 
-/// A periodic sign of life, with the state of the replica.
+/// A periodic heartbeat with the state of its sender.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Identifies the durable state of the replica.
     pub incarnation: u64,
-    /// Drawn at each start of the process.
+    /// Drawn at random at each start of the process.
     pub start_id: u64,
     /// The zone of the replica.
     pub zone: String,
@@ -161,24 +163,25 @@
     pub region: String,
     /// The number of the newest view known to the replica.
     pub view: u64,
-    /// How far its log is.
+    /// The progress of the replica's log.
     pub report: Report,
-    /// In milliseconds of the sender's monotonic clock; only its own echo is compared with it.
+    /// When the heartbeat was sent, in milliseconds of the sender's monotonic clock. Only the sender
+    /// compares it with other times, when the heartbeat is echoed.
     pub sent_at: u64,
-    /// The newest heartbeats of its live peers.
+    /// The newest heartbeats received from live peers.
     pub received: Vec<ReceivedHeartbeat>,
-    /// It has promised a newer view than the one it knows.
+    /// Whether the replica has promised a newer view than the one it knows.
     pub is_fenced: bool,
-    /// Its disk does not answer in time.
+    /// Whether a write to the replica's disk has failed or exceeded the time-out.
     pub is_stalled: bool,
-    /// It is in graceful shutdown.
+    /// Whether the replica is in graceful shutdown.
     pub is_shutting_down: bool,
-    /// The version of the protocol that the sender speaks, see [`crate::PROTOCOL_VERSION`].
+    /// The protocol version of the sender, see [`crate::PROTOCOL_VERSION`].
     pub protocol: u16,
 }
 
 impl Heartbeat {
-    /// Whether the sender receives heartbeats of the replica at this endpoint.
+    /// Whether the sender receives heartbeats from the replica at this endpoint.
     pub fn receives_from(&self, endpoint: SocketAddr) -> bool {
         self.received.iter().any(|received| received.endpoint == endpoint)
     }
@@ -189,24 +192,24 @@
     }
 }
 
-/// How far the log of a chain member is.
+/// The progress of a chain member's log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ChainState {
-    /// The log holds all that was committed before the view.
+    /// Whether the log contains all entries committed before the view.
     pub is_complete: bool,
     /// The last durable entry.
     pub last: u64,
     /// The last committed entry.
     pub committed: u64,
-    /// The digests of its committed records, if the log is not complete.
+    /// The digests of the committed records, if the log is not complete.
     pub digests: Vec<RangeDigest>,
 }
 
-/// How far the log of a replica is.
+/// The progress of a replica's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Report {
     /// The last view in which the log was durably complete.
-    pub complete: u64,
+    pub complete_view: u64,
     /// The last committed entry.
     pub committed: u64,
 }
--- a/coordination/replica/src/output.rs
+++ b/coordination/replica/src/output.rs
@@ -1,4 +1,4 @@
-//! What a replica returns.
+//! The outputs of a replica.
 
 use std::net::SocketAddr;
 
@@ -8,38 +8,38 @@
 use crate::message::Message;
 use crate::records::RecordWrite;
 
-/// What the embedding program has to do.
+/// An action that the embedding program has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a message.
     Send {
         /// The endpoint of the receiver.
         to: SocketAddr,
-        /// What to send.
+        /// The message.
         message: Message,
     },
-    /// Make a write durable. Writes are carried out in the order in which they are requested.
+    /// Make a write durable. Writes must be carried out in the order in which they are requested.
     Persist {
-        /// Returned with [`crate::Input::Persisted`] or [`crate::Input::PersistFailed`].
+        /// Identifies the write in [`crate::Input::Persisted`] or [`crate::Input::PersistFailed`].
         token: u64,
-        /// What to write.
+        /// The write.
         write: DurableWrite,
     },
-    /// Answer a command that was submitted here.
+    /// Answer a command that was submitted to this replica.
     Reply {
-        /// The ticket that it was submitted with.
+        /// The ticket of the command.
         ticket: u64,
-        /// Its answer.
+        /// The answer, or the reason why there is none.
         result: Result<Reply, SubmitError>,
     },
-    /// [`crate::Replica::committed_records`] has advanced by one command.
+    /// [`crate::Replica::committed_records`] have advanced by one command.
     Committed {
         /// The position of the command in the history.
         sequence: u64,
-        /// What it has written.
+        /// The writes of the command.
         writes: Vec<RecordWrite>,
     },
-    /// [`crate::Replica::committed_records`] was replaced as a whole.
+    /// [`crate::Replica::committed_records`] were replaced by a state transfer.
     RecordsReplaced,
 }
 
@@ -48,11 +48,11 @@
 pub struct Reply {
     /// The position in the history of the write, or of the state that was read.
     pub sequence: u64,
-    /// What the application answered.
+    /// The answer of the application.
     pub answer: Vec<u8>,
 }
 
-/// Why a command has no answer.
+/// Why a command has no answer. The texts are sent to callers in HTTP answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum SubmitError {
     /// The command was never sent, so it has no effect.
--- a/coordination/replica/src/placement.rs
+++ b/coordination/replica/src/placement.rs
@@ -1,25 +1,27 @@
-//! Placement of voters over failure domains, and the losses that leave a majority of them.
+//! Placement of voters in failure domains, and the losses that the voters tolerate.
 
 use std::collections::BTreeMap;
 
-/// The losses that should leave a majority, each kind by itself.
+/// The losses that the voters should tolerate, meaning that a majority remains. Each kind of loss is
+/// considered alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tolerance {
-    /// Number of machines lost at once.
+    /// The number of machines lost at the same time.
     pub machines: usize,
-    /// Number of zones lost at once.
+    /// The number of zones lost at the same time.
     pub zones: usize,
-    /// Number of regions lost at once.
+    /// The number of regions lost at the same time.
     pub regions: usize,
 }
 
 impl Tolerance {
-    /// Tolerance of lost machines; zones and regions are not considered.
+    /// Tolerates lost machines, and no lost zones or regions.
     pub fn machines_only(machines: usize) -> Tolerance {
         Tolerance { machines, zones: 0, regions: 0 }
     }
 
-    /// The least number of voters that can bear the losses, if they are spread evenly over enough failure domains.
+    /// The minimum number of voters that tolerates the losses if they are spread evenly over enough failure
+    /// domains.
     pub fn target_voters(&self) -> usize {
         2 * self.machines.max(self.zones).max(self.regions) + 1
     }
@@ -28,35 +30,36 @@
 /// The zone and region of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FailureDomain {
-    /// Its zone; empty if it is not known.
+    /// The zone; empty if unknown.
     pub zone: String,
-    /// Its region; empty if it is not known.
+    /// The region; empty if unknown.
     pub region: String,
 }
 
 impl FailureDomain {
-    /// Whether it is known: that of a bootstrap member is not until its first heartbeat.
+    /// Whether the zone is known. For a bootstrap member, it is unknown until the first heartbeat.
     pub fn is_known(&self) -> bool {
         !self.zone.is_empty()
     }
 }
 
-/// How unevenly voters are spread; less is better. Regions are compared first, since a region contains whole zones.
+/// How unevenly voters are spread over failure domains; less is better. Regions are compared before zones,
+/// because a region contains whole zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Crowding {
-    /// The sum of the squares of the voters in each region.
+    /// The sum of the squared numbers of voters in each region.
     regions: usize,
-    /// The sum of the squares of the voters in each zone.
+    /// The sum of the squared numbers of voters in each zone.
     zones: usize,
 }
 
 impl Crowding {
-    /// The crowding of voters in these failure domains.
-    pub fn of(failure_domains: &[&FailureDomain]) -> Crowding {
-        let squares = |counts: Vec<usize>| counts.iter().map(|count| count * count).sum();
+    /// Computes the crowding of voters, given the failure domain of each.
+    pub fn compute(failure_domains: &[&FailureDomain]) -> Crowding {
+        let sum_of_squares = |counts: Vec<usize>| counts.iter().map(|count| count * count).sum();
         Crowding {
-            regions: squares(region_counts(failure_domains)),
-            zones: squares(zone_counts(failure_domains)),
+            regions: sum_of_squares(region_counts(failure_domains)),
+            zones: sum_of_squares(zone_counts(failure_domains)),
         }
     }
 }
@@ -64,11 +67,11 @@
 /// A kind of loss that should be tolerated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossKind {
-    /// Lost machines.
+    /// Loss of machines.
     Machines,
-    /// Lost zones.
+    /// Loss of zones.
     Zones,
-    /// Lost regions.
+    /// Loss of regions.
     Regions,
 }
 
@@ -83,7 +86,8 @@
     }
 }
 
-/// The kinds of tolerated losses after which no majority of these voters would be left.
+/// The kinds of losses that should be tolerated but would leave no majority of the voters, given the
+/// failure domain of each voter.
 pub fn fatal_losses(failure_domains: &[&FailureDomain], tolerance: Tolerance) -> Vec<LossKind> {
     let machines = vec![1; failure_domains.len()];
     let kinds = [
@@ -91,26 +95,27 @@
         (LossKind::Zones, zone_counts(failure_domains), tolerance.zones),
         (LossKind::Regions, region_counts(failure_domains), tolerance.regions),
     ];
-    let is_fatal = |counts: Vec<usize>, losses: usize| 2 * largest(counts, losses) >= failure_domains.len();
+    let is_fatal =
+        |counts: Vec<usize>, losses: usize| 2 * sum_of_largest(counts, losses) >= failure_domains.len();
     let fatal = kinds.into_iter().filter(|(_, counts, losses)| is_fatal(counts.clone(), *losses));
     fatal.map(|(kind, _, _)| kind).collect()
 }
 
 /// The sum of the `number` largest counts.
-fn largest(mut counts: Vec<usize>, number: usize) -> usize {
+fn sum_of_largest(mut counts: Vec<usize>, number: usize) -> usize {
     counts.sort_unstable_by_key(|count| std::cmp::Reverse(*count));
     counts.into_iter().take(number).sum()
 }
 
 fn zone_counts(failure_domains: &[&FailureDomain]) -> Vec<usize> {
-    counts(failure_domains.iter().map(|domain| domain.zone.as_str()))
+    count_by_name(failure_domains.iter().map(|domain| domain.zone.as_str()))
 }
 
 fn region_counts(failure_domains: &[&FailureDomain]) -> Vec<usize> {
-    counts(failure_domains.iter().map(|domain| domain.region.as_str()))
+    count_by_name(failure_domains.iter().map(|domain| domain.region.as_str()))
 }
 
-fn counts<'a>(names: impl Iterator<Item = &'a str>) -> Vec<usize> {
+fn count_by_name<'a>(names: impl Iterator<Item = &'a str>) -> Vec<usize> {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for name in names {
         *counts.entry(name).or_default() += 1;
--- a/coordination/replica/src/planning.rs
+++ b/coordination/replica/src/planning.rs
@@ -1,4 +1,5 @@
-//! Planning of the next view from what is known of the replicas: a pure function without time or messages.
+//! Planning of the next view from the known states of the replicas, as a pure function without clock or
+//! messages.
 
 mod chain;
 mod voters;
@@ -12,30 +13,31 @@
 use crate::placement::{FailureDomain, Tolerance};
 use crate::view::{ChainLink, View};
 
-/// A joiner that lacks no more entries than this joins the chain at once.
-const SMALL_LAG: u64 = 64;
+/// A replica that lacks at most this many entries can join the chain immediately.
+const MAX_JOIN_LAG_ENTRIES: u64 = 64;
 
-/// The state of a voter that takes part.
+/// The reported state of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VoterState {
     /// The last view in which its log was durably complete.
-    pub complete: u64,
-    /// Its last committed entry.
+    pub complete_view: u64,
+    /// The last committed entry in its log.
     pub committed: u64,
-    /// It is in graceful shutdown.
+    /// Whether the voter is in graceful shutdown.
     pub is_shutting_down: bool,
-    /// It was reported with a promise: the voter is fenced off from the prepared view and all before it.
+    /// Whether the state was reported with a promise. The voter is then fenced from the prepared view and
+    /// all earlier views.
     pub has_promised: bool,
 }
 
 impl VoterState {
-    /// A state that was reported with a promise.
+    /// Creates a state that was reported with a promise.
     pub fn promised(report: Report, is_shutting_down: bool) -> VoterState {
-        let Report { complete, committed } = report;
-        VoterState { complete, committed, is_shutting_down, has_promised: true }
+        let Report { complete_view, committed } = report;
+        VoterState { complete_view, committed, is_shutting_down, has_promised: true }
     }
 
-    /// A state that was reported without a promise.
+    /// Creates a state that was reported without a promise.
     pub fn reported(report: Report, is_shutting_down: bool) -> VoterState {
         VoterState { has_promised: false, ..VoterState::promised(report, is_shutting_down) }
     }
@@ -44,42 +46,44 @@
 /// A replica that can become a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Where it is reached.
+    /// The endpoint of the replica.
     pub endpoint: SocketAddr,
-    /// Identifies its durable state.
+    /// Identifies the durable state of the replica.
     pub incarnation: u64,
-    /// Its zone and region.
+    /// The zone and region of the replica.
     pub failure_domain: FailureDomain,
-    /// How far its log is.
+    /// The state of the replica.
     pub state: VoterState,
 }
 
-/// What is known of the replicas.
+/// The input of planning: the protocol rules and the known states of the replicas.
 #[derive(Clone, Debug, Default)]
 pub struct PlanningInput {
-    /// The losses that the voters should bear.
+    /// The losses that the voters should tolerate.
     pub tolerance: Tolerance,
-    /// Protocol rule: old and new voters decide together until the new ones have begun.
+    /// Protocol rule: old and new voters decide jointly until a new voter has a complete log.
     pub replaces_voters_jointly: bool,
-    /// Protocol rule: a member of a former chain leads only if it holds all that was committed.
+    /// Protocol rule: a member of a former chain becomes leader only if its log contains all committed
+    /// entries.
     pub requires_complete_leader: bool,
-    /// An operator answers for it that the most advanced of those that take part leads, if none is known to hold all.
+    /// Whether an operator forces the most advanced present voter to become leader if none is known to have a
+    /// complete log.
     pub forces_leader: bool,
-    /// The voters that take part; others are not in the next chain.
+    /// The voters that take part. Only these can be in the next chain.
     pub present: BTreeMap<Voter, VoterState>,
     /// The voters that may be replaced.
     pub lost: BTreeSet<Voter>,
     /// Replicas that can become voters.
     pub candidates: Vec<Candidate>,
-    /// All candidates have been there for a while: no more of them are expected soon.
+    /// Whether all candidates have been connected long enough that no further candidates are expected soon.
     pub has_settled_candidates: bool,
     /// Pairs of endpoints that do not receive heartbeats from each other.
     pub disconnected: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// The zones and regions that heartbeats have reported.
+    /// The failure domains reported in heartbeats.
     pub failure_domains: BTreeMap<SocketAddr, FailureDomain>,
 }
 
-/// The next view; `None` if too few voters take part for a chain that may take writes.
+/// Plans the next view; `None` if too few voters take part for a chain that accepts writes.
 pub fn next_view(prepared: &View, input: &PlanningInput) -> Option<View> {
     let mut plan = Plan {
         next: View { number: prepared.number + 1, ..prepared.clone() },
@@ -93,24 +97,24 @@
     plan.next.accepts_writes(input.tolerance.machines).then_some(plan.next)
 }
 
-/// The next view while it is planned.
+/// The state of planning.
 struct Plan<'a> {
-    /// The view so far.
+    /// The next view as planned so far.
     next: View,
-    /// Voters that take part, also those that are admitted by this plan.
+    /// The voters that take part, including those admitted by this plan.
     present: BTreeMap<Voter, VoterState>,
-    /// What is known of the replicas.
+    /// The input of planning.
     input: &'a PlanningInput,
 }
 
 impl Plan<'_> {
-    /// Removes members that vote no more.
+    /// Removes members that are no longer voters.
     fn remove_former_members(&mut self) {
         let voters = self.next.voters();
         self.next.members.retain(|member| voters.contains(&member.voter));
     }
 
-    /// Takes over the zones and regions that heartbeats have reported.
+    /// Updates the failure domains of the members from the heartbeats.
     fn update_failure_domains(&mut self) {
         for member in &mut self.next.members {
             if let Some(domain) = self.input.failure_domains.get(&member.endpoint) {
@@ -120,9 +124,9 @@
         }
     }
 
-    /// Whether the log of a chain member holds all that was committed.
+    /// Whether the log of a chain member contains all committed entries.
     fn is_complete(&self, link: &ChainLink) -> bool {
-        self.present.get(&link.voter).is_some_and(|state| state.complete >= link.since_view)
+        self.present.get(&link.voter).is_some_and(|state| state.complete_view >= link.since_view)
     }
 
     /// Whether a voter is shutting down.
--- a/coordination/replica/src/protocol_version.rs
+++ b/coordination/replica/src/protocol_version.rs
@@ -1,10 +1,11 @@
 //! Versions of the protocol between replicas.
 //!
-//! Each heartbeat carries the version that its sender speaks. A message that earlier versions cannot read is sent only to
-//! a replica whose heartbeats carry a version that can, so that releases stand beside each other during a rollout.
+//! Each heartbeat contains the protocol version of its sender. A message that earlier versions cannot
+//! decode is sent only to replicas with a version that supports it, so that different releases can run
+//! together during a rollout.
 
-/// The version that this release speaks. Releases that send none speak version 0.
+/// The version of this release. Releases that send no version have version 0.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// The first version that reads [`crate::Message::VoterLost`].
+/// The first version that supports [`crate::Message::VoterLost`].
 pub const MIN_VERSION_FOR_VOTER_LOST: u16 = 1;
--- a/coordination/replica/src/recent_entries.rs
+++ b/coordination/replica/src/recent_entries.rs
@@ -4,42 +4,42 @@
 
 use crate::entry::Entry;
 
-/// The number of entries that are kept at most.
+/// The maximum number of cached entries.
 const MAX_ENTRIES: usize = 256;
-/// The size of the entries that are kept at most, in bytes.
+/// The maximum size of the cached entries.
 const MAX_BYTES: usize = 512 * 1024;
 
 /// Consecutive committed entries, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct RecentEntries {
-    /// The entries.
     entries: VecDeque<Entry>,
-    /// Their size in bytes.
-    bytes: usize,
+    /// The size of the entries.
+    size_bytes: usize,
 }
 
 impl RecentEntries {
-    /// Adds the next entry, and evicts the oldest beyond the limits. After a gap only the new entry is kept.
+    /// Adds the next entry and evicts the oldest entries beyond the limits. After a gap, only the new entry
+    /// is kept.
     pub fn add(&mut self, entry: Entry) {
-        let follows = self.entries.back().is_none_or(|last| last.sequence + 1 == entry.sequence);
-        if !follows {
+        let is_consecutive = self.entries.back().is_none_or(|last| last.sequence + 1 == entry.sequence);
+        if !is_consecutive {
             self.clear();
         }
-        self.bytes += entry.size();
+        self.size_bytes += entry.size_bytes();
         self.entries.push_back(entry);
-        while self.entries.len() > MAX_ENTRIES || self.bytes > MAX_BYTES {
+        while self.entries.len() > MAX_ENTRIES || self.size_bytes > MAX_BYTES {
             let Some(oldest) = self.entries.pop_front() else { return };
-            self.bytes -= oldest.size();
+            self.size_bytes -= oldest.size_bytes();
         }
     }
 
     /// Removes all entries.
     pub fn clear(&mut self) {
         self.entries.clear();
-        self.bytes = 0;
+        self.size_bytes = 0;
     }
 
-    /// All entries after `sequence` up to `committed`, if they are still kept.
+    /// All entries after `sequence` and up to `committed`, if all of them are cached.
     pub fn after(&self, sequence: u64, committed: u64) -> Option<Vec<Entry>> {
         if sequence >= committed {
             return Some(Vec::new());
--- a/coordination/replica/src/records.rs
+++ b/coordination/replica/src/records.rs
@@ -1,4 +1,4 @@
-//! The replicated records: a sorted map, each value with the position in the history that wrote it.
+//! The replicated records: a sorted map of values, each with the position in the history of its last write.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map;
@@ -13,11 +13,11 @@
 pub struct RecordWrite {
     /// The key of the record.
     pub key: String,
-    /// Its new value; `None` removes the record.
+    /// The new value; `None` removes the record.
     pub value: Option<Vec<u8>>,
 }
 
-/// A value, and the position in the history of its write.
+/// A value and the position in the history of its write.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// The position of the write.
@@ -36,7 +36,7 @@
     }
 }
 
-/// All records by their keys.
+/// All records, by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Records {
     by_key: BTreeMap<String, Record>,
@@ -48,14 +48,14 @@
         self.by_key.get(key)
     }
 
-    /// The records whose keys start with the prefix, in the order of their keys.
+    /// The records whose keys start with the prefix, in key order.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Record)> {
         let from = (Bound::Included(prefix), Bound::Unbounded);
         let matching = self.by_key.range::<str, _>(from).take_while(move |(key, _)| key.starts_with(prefix));
         matching.map(|(key, record)| (key.as_str(), record))
     }
 
-    /// All records, in the order of their keys.
+    /// All records, in key order.
     pub fn iter(&self) -> btree_map::Iter<'_, String, Record> {
         self.by_key.iter()
     }
--- a/coordination/replica/src/replica.rs
+++ b/coordination/replica/src/replica.rs
@@ -1,6 +1,6 @@
-//! The replica: its state, how it starts, and what callers can ask of it.
+//! The replica: its state, its start, and its queries.
 //!
-//! The protocol is in the submodules, one concern each.
+//! Each submodule implements one part of the protocol.
 
 mod acceptor;
 mod chain;
@@ -42,24 +42,25 @@
 use crate::view::{Member, View};
 use crate::view_change_state::ViewChange;
 
-/// A longer log is worth a checkpoint even if the replica has not requested one; in bytes.
-const LONGEST_LOG: usize = 256 * 1024;
-/// A replica counts as out of the quorum after being behind others for this long, in milliseconds.
-const LAG_TOLERANCE: u64 = 500;
+/// A longer log should be replaced by a checkpoint even if the replica has not requested one.
+const MIN_SHARED_LOG_LIMIT_BYTES: usize = 256 * 1024;
+/// A replica that has been behind another one for longer does not count as part of the quorum.
+const MAX_LAG_MS: u64 = 500;
 
-/// One replica: the state machine.
+/// The state machine of one replica.
 ///
-/// Create it with [`Replica::new`] from what the disk holds, then pass every input to [`Replica::handle`] and carry out
-/// the outputs. Times are in milliseconds of one monotonic clock of the caller.
+/// Create it with [`Replica::new`] from the content of the disk, then pass every input to
+/// [`Replica::handle`] and carry out the outputs. Times are in milliseconds of one monotonic clock of the
+/// caller.
 #[derive(Clone, Debug)]
-pub struct Replica<A, L = StandardRules> {
-    /// Evaluates commands.
+pub struct Replica<A, Rules = StandardRules> {
+    /// The application, which evaluates commands.
     application: A,
     /// The protocol rules, which have no state.
-    rules: PhantomData<L>,
-    /// The settings it was started with.
+    rules: PhantomData<Rules>,
+    /// The settings of the replica.
     settings: ReplicaSettings,
-    /// The durable state with all records handed out.
+    /// The durable state, including records that are not written yet.
     state: DurableState,
     /// The queue in front of the disk.
     disk: Disk,
@@ -69,48 +70,50 @@
     durable_complete: u64,
     /// Failure detection.
     peers: Peers,
-    /// The part in the chain; `None` outside of it.
+    /// The state as a member of the chain; `None` outside the chain.
     session: Option<Session>,
-    /// The durable or the committed position has changed, which the predecessor must learn.
-    acknowledgement_due: bool,
+    /// Whether the durable or the committed position has changed and must be sent to the predecessor.
+    is_acknowledgement_due: bool,
     /// Recently committed entries, for state transfers.
     recent_entries: RecentEntries,
-    /// Outside of the chain: the state of catching up.
+    /// The catch-up state, used outside the chain.
     catch_up: CatchUpState,
     /// The proposer's state.
     view_change: ViewChange,
-    /// Voters that never come back, as an operator has declared.
+    /// Voters that an operator has declared permanently lost.
     declared_lost: BTreeSet<Voter>,
-    /// The jitter of delays.
+    /// The source of jitter for delays.
     jitter: Jitter,
-    /// The process is in graceful shutdown.
+    /// Whether the process is in graceful shutdown.
     is_shutting_down: bool,
     /// When the next heartbeats are due.
-    heartbeat_due: u64,
-    /// The outputs of the present input.
+    heartbeat_due_at: u64,
+    /// The outputs for the current input.
     outputs: Vec<Output>,
-    /// Commands submitted here without an answer.
+    /// Commands that were submitted to this replica and are not answered yet.
     submissions: Submissions,
-    /// Messages to this replica itself.
+    /// Messages from this replica to itself.
     inbox: VecDeque<Message>,
-    /// The identity is durable.
+    /// Whether the identity is durable, so that the replica takes part in the protocol.
     is_started: bool,
     /// Whether the disk was stalled at the last tick.
     was_stalled: bool,
-    /// A majority of the voters is healthy: the seeds, some of which may be gone for good, are not needed.
+    /// Whether a majority of the voters is healthy. Seeds, which may be permanently lost, are then not
+    /// contacted.
     has_majority_contact: bool,
-    /// Since when this replica has been behind another.
+    /// Since when this replica has been behind another one.
     behind_since: Option<u64>,
 }
 
 impl<A: Application> Replica<A> {
-    /// Starts with what the disk holds: the checkpoint and the records of the log after it.
+    /// Starts a replica with the content of the disk: the checkpoint and the log records after it.
     ///
-    /// What is committed by then is in [`Replica::committed_records`], and not reported by [`Output::Committed`].
+    /// Entries committed before the start are included in [`Replica::committed_records`] and not reported by
+    /// [`Output::Committed`].
     ///
     /// # Errors
     ///
-    /// The checkpoint or a record of the log cannot be decoded.
+    /// Returns an error if the checkpoint or a record of the log cannot be decoded.
     pub fn new(
         settings: ReplicaSettings,
         application: A,
@@ -121,12 +124,12 @@
     }
 }
 
-impl<A: Application, L: ProtocolRules> Replica<A, L> {
-    /// Like [`Replica::new`], under protocol rules of the caller's choice.
+impl<A: Application, Rules: ProtocolRules> Replica<A, Rules> {
+    /// Like [`Replica::new`], with other protocol rules.
     ///
     /// # Errors
     ///
-    /// The checkpoint or a record of the log cannot be decoded.
+    /// Returns an error if the checkpoint or a record of the log cannot be decoded.
     pub fn with_rules(
         settings: ReplicaSettings,
         application: A,
@@ -134,24 +137,25 @@
         now: u64,
     ) -> Result<(Self, Vec<Output>), RecoverError> {
         let (checkpoint, log) = recovered;
-        let state = DurableState::recover(&settings, L::incarnation(&settings), checkpoint.as_deref(), &log)?;
+        let state =
+            DurableState::recover(&settings, Rules::incarnation(&settings), checkpoint.as_deref(), &log)?;
         let log_bytes = log.iter().map(Vec::len).sum();
         let mut replica = Replica {
             application,
             rules: PhantomData,
             disk: Disk::new(log_bytes, checkpoint.as_ref().map_or(0, Vec::len)),
-            durable_last: state.last(),
-            durable_complete: state.complete,
+            durable_last: state.last_sequence(),
+            durable_complete: state.complete_view,
             peers: Peers::new(settings.endpoint, settings.start_id, settings.timing, now),
             session: None,
-            acknowledgement_due: false,
+            is_acknowledgement_due: false,
             recent_entries: RecentEntries::default(),
             catch_up: CatchUpState::default(),
             view_change: ViewChange::default(),
             declared_lost: BTreeSet::new(),
             jitter: Jitter::new(settings.start_id),
             is_shutting_down: false,
-            heartbeat_due: now,
+            heartbeat_due_at: now,
             outputs: Vec::new(),
             submissions: Submissions::default(),
             inbox: VecDeque::new(),
@@ -171,7 +175,7 @@
         Ok((replica, outputs))
     }
 
-    /// Takes part in the protocol, now that the identity is durable.
+    /// Starts taking part in the protocol. Called once the identity is durable.
     fn start(&mut self, now: u64) {
         self.is_started = true;
         self.begin_session(now);
@@ -188,25 +192,25 @@
         self.state.committed
     }
 
-    /// The position of the newest entry in the log, committed or not.
+    /// The position of the newest entry in the log, whether committed or not.
     pub fn newest_sequence(&self) -> u64 {
-        self.state.last()
+        self.state.last_sequence()
     }
 
     /// Whether this replica is up to date and in confirmed contact with a majority of the voters.
     pub fn is_in_quorum(&self, now: u64) -> bool {
         let view = self.view();
-        let me = self.me();
-        let is_agreed = |voter: Voter| {
+        let own_voter = self.own_voter();
+        let is_in_agreement = |voter: Voter| {
             let heartbeat = self.peers.healthy_heartbeat(now, view, voter);
             let is_confirmed =
                 view.endpoint(voter).is_some_and(|endpoint| self.peers.is_confirmed(now, endpoint));
-            let agrees = heartbeat.is_some_and(|heartbeat| heartbeat.view == view.number);
-            me == Some(voter) || (is_confirmed && agrees)
+            let has_same_view = heartbeat.is_some_and(|heartbeat| heartbeat.view == view.number);
+            own_voter == Some(voter) || (is_confirmed && has_same_view)
         };
-        let is_behind = self.behind_since.is_some_and(|since| now > since + LAG_TOLERANCE);
+        let is_behind = self.behind_since.is_some_and(|since| now > since + MAX_LAG_MS);
         let is_synchronized = self.session.as_ref().is_none_or(|session| session.is_complete);
-        view.is_known() && view.has_majority(is_agreed) && is_synchronized && !is_behind
+        view.is_known() && view.has_majority(is_in_agreement) && is_synchronized && !is_behind
     }
 
     /// Whether another replica has reported a later committed position.
@@ -214,18 +218,19 @@
         self.peers.iter().any(|(_, peer)| peer.heartbeat.report.committed > self.state.committed)
     }
 
-    /// The newest view that is known here.
+    /// The newest view known to this replica.
     pub fn view(&self) -> &View {
         &self.state.decided.view
     }
 
-    /// The endpoint, zone and region of each replica that heartbeats arrive from, member of the view or not.
+    /// The endpoint, zone and region of each replica whose heartbeats arrive, whether it is a member of the
+    /// view or not.
     pub fn live_peers(&self, now: u64) -> impl Iterator<Item = (SocketAddr, &str, &str)> {
         let live = self.peers.iter().filter(move |(endpoint, _)| self.peers.is_live(now, **endpoint));
         live.map(|(endpoint, peer)| (*endpoint, peer.heartbeat.zone.as_str(), peer.heartbeat.region.as_str()))
     }
 
-    /// The endpoints that messages may be sent to.
+    /// The endpoints that this replica may send messages to.
     pub fn peer_endpoints(&self) -> Vec<SocketAddr> {
         let members = self.view().members.iter().map(|member| member.endpoint);
         let peer_endpoints = self.peers.iter().map(|(endpoint, _)| *endpoint);
@@ -236,31 +241,32 @@
         endpoints.into_iter().collect()
     }
 
-    /// The encoded state, if a log of `log_bytes` should be replaced by a checkpoint.
+    /// The encoded state, if a checkpoint should replace a log of `log_bytes` bytes.
     ///
-    /// The replica requests checkpoints itself ([`crate::DurableWrite::Checkpoint`]); this is for callers that append to the
-    /// same log more than the replica's records.
+    /// The replica requests checkpoints itself ([`crate::DurableWrite::Checkpoint`]). This method is for
+    /// callers that also append other records to the same log.
     pub fn due_checkpoint(&self, log_bytes: usize) -> Option<Vec<u8>> {
-        let longest = LONGEST_LOG.max(4 * self.disk.checkpoint_bytes());
-        (log_bytes > longest && self.disk.is_idle()).then(|| self.state.encode())
+        let max_log_bytes = MIN_SHARED_LOG_LIMIT_BYTES.max(4 * self.disk.checkpoint_bytes());
+        (log_bytes > max_log_bytes && self.disk.is_idle()).then(|| self.state.encode())
     }
 
-    /// This replica as a voter of the view.
-    fn me(&self) -> Option<Voter> {
-        self.voter_in(self.view())
+    /// The identity of this replica as a voter of the current view.
+    fn own_voter(&self) -> Option<Voter> {
+        self.own_voter_in(self.view())
     }
 
-    /// This replica as a voter of some view. While a voter is replaced at its own endpoint, both are members.
-    fn voter_in(&self, view: &View) -> Option<Voter> {
-        let is_here = |member: &&Member| {
+    /// The identity of this replica as a voter of a view. While a voter is replaced at the same endpoint,
+    /// both the old and the new voter are members, so the incarnation is compared too.
+    fn own_voter_in(&self, view: &View) -> Option<Voter> {
+        let is_own = |member: &&Member| {
             member.endpoint == self.settings.endpoint
-                && L::is_same_incarnation(member.voter.incarnation, self.state.incarnation)
+                && Rules::is_same_incarnation(member.voter.incarnation, self.state.incarnation)
         };
-        view.members.iter().find(is_here).map(|member| member.voter)
+        view.members.iter().find(is_own).map(|member| member.voter)
     }
 
-    /// How far the log is, as heartbeats and promises say.
+    /// The progress of the log, as reported in heartbeats and promises.
     fn report(&self) -> Report {
-        Report { complete: self.state.complete, committed: self.state.committed }
+        Report { complete_view: self.state.complete_view, committed: self.state.committed }
     }
 }
--- a/coordination/replica/src/replica/chain_commit.rs
+++ b/coordination/replica/src/replica/chain_commit.rs
@@ -1,4 +1,4 @@
-//! Commits at the members of the chain, and answers at its tail.
+//! Commits at the members of the chain, and answers at the tail.
 
 use std::collections::VecDeque;
 
@@ -10,15 +10,15 @@
 use crate::output::Output;
 use crate::protocol_rules::ProtocolRules;
 
-impl<A: Application, L: ProtocolRules> Replica<A, L> {
-    /// Commits at the tail: what is durable here is durable at all members.
+impl<A: Application, Rules: ProtocolRules> Replica<A, Rules> {
+    /// Commits the durable entries at the tail, since they are durable at all members.
     pub(super) fn commit_at_tail(&mut self) {
         if self.state.decided.view.accepts_writes(self.settings.tolerance.machines) {
             self.commit_up_to(self.durable_position());
         }
     }
 
-    /// Commits entries that are durable at all members of the chain.
+    /// Commits entries up to a position that are durable at all members of the chain.
     pub(super) fn commit_up_to(&mut self, sequence: u64) {
         let sequence = sequence.min(self.durable_position());
         if sequence <= self.state.committed {
@@ -33,7 +33,7 @@
             }
         }
         self.record(DurableRecord::Committed(sequence), false);
-        self.acknowledgement_due = true;
+        self.is_acknowledgement_due = true;
         if is_tail {
             self.notify_learners(&entries);
         }
@@ -42,26 +42,27 @@
         }
     }
 
-    /// Reports a committed entry to the embedding program, and keeps it for replicas that are slightly behind.
+    /// Reports a committed entry to the embedding program, and caches it for replicas that are slightly
+    /// behind.
     pub(super) fn publish_committed(&mut self, entry: Entry) {
         let Entry { sequence, ref writes, .. } = entry;
         self.outputs.push(Output::Committed { sequence, writes: writes.clone() });
         self.recent_entries.add(entry);
     }
 
-    /// Answers the reads whose entries are committed.
+    /// Answers the reads that were evaluated on committed entries.
     pub(super) fn answer_reads(&mut self) {
         let committed = self.state.committed;
         let Some(session) = &mut self.session else { return };
         let (ready, waiting): (VecDeque<Read>, VecDeque<Read>) =
-            session.reads.drain(..).partition(|read| read.after <= committed);
-        session.reads = waiting;
+            session.waiting_reads.drain(..).partition(|read| read.after <= committed);
+        session.waiting_reads = waiting;
         for read in ready {
             self.reply(read.origin, committed, &read.answer);
         }
     }
 
-    /// Sends an answer to where the command was submitted.
+    /// Sends an answer to the replica that the command was submitted to.
     pub(super) fn reply(&mut self, origin: Origin, sequence: u64, answer: &Answer) {
         let answer = answer.resolve(&self.state.records);
         let Origin { endpoint, start_id, ticket } = origin;
--- a/coordination/replica/src/replica/chain_forwarding.rs
+++ b/coordination/replica/src/replica/chain_forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwarding of entries and reads to the successor, and of acknowledgements to the predecessor.
+//! Forwarding of entries and reads to the successor, and sending of acknowledgements to the predecessor.
 
 use std::net::SocketAddr;
 
@@ -6,26 +6,26 @@
 
 use super::Replica;
 use crate::application::Application;
-use crate::disk::AfterDurable;
+use crate::disk::DeferredAction;
 use crate::durable::DurableRecord;
 use crate::entry::{Entry, Read};
 use crate::message::Message;
 use crate::protocol_rules::ProtocolRules;
 
-/// The size up to which entries are put into one message, in bytes.
+/// Entries are added to a message until it exceeds this size.
 const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// How many times longer a member that is still being brought up to date may take to acknowledge.
-const JOINING_STALL_FACTOR: u64 = 3;
+/// The factor by which the acknowledgement time-out is longer for a member that is still joining.
+const JOINING_TIMEOUT_FACTOR: u64 = 3;
 
-impl<A: Application, L: ProtocolRules> Replica<A, L> {
-    /// Appends an entry to the log; it is forwarded once it is durable.
+impl<A: Application, Rules: ProtocolRules> Replica<A, Rules> {
+    /// Appends an entry to the log. The entry is forwarded once it is durable.
     pub(super) fn add_entry(&mut self, entry: Entry) {
         let sequence = entry.sequence;
         self.record(DurableRecord::Entry(entry), true);
-        self.disk.after_durable(AfterDurable::Entry(sequence));
+        self.disk.defer_until_durable(DeferredAction::Entry(sequence));
     }
 
-    /// Entries and reads arrive from the predecessor.
+    /// Handles entries and reads from the predecessor.
     pub(super) fn on_append(
         &mut self,
         now: u64,
@@ -34,31 +34,31 @@
         entries: Vec<Entry>,
         reads: Vec<Read>,
     ) {
-        let Some(session) = self.active(view) else { return };
+        let Some(session) = self.active_session(view) else { return };
         let Some(predecessor) = &mut session.predecessor else { return };
         if predecessor.endpoint != from {
             return;
         }
         if !session.is_complete {
-            self.resume(now);
+            self.report_state(now);
             return;
         }
         predecessor.has_answered = true;
-        let before = self.state.last();
-        let is_repeated = !entries.is_empty();
+        let last_before = self.state.last_sequence();
+        let has_entries = !entries.is_empty();
         for entry in entries {
-            if entry.sequence == self.state.last() + 1 {
+            if entry.sequence == self.state.last_sequence() + 1 {
                 self.add_entry(entry);
-            } else if entry.sequence > self.state.last() + 1 {
+            } else if entry.sequence > self.state.last_sequence() + 1 {
                 self.mark_predecessor_unanswered();
                 break;
             }
         }
-        self.acknowledgement_due |= is_repeated && self.state.last() == before;
+        self.is_acknowledgement_due |= has_entries && self.state.last_sequence() == last_before;
         self.forward_reads(reads);
     }
 
-    /// Has the next tick send the state of this member to the predecessor again.
+    /// Lets the next tick report the state of this member to the predecessor again.
     fn mark_predecessor_unanswered(&mut self) {
         let session = self.session.as_mut();
         if let Some(predecessor) = session.and_then(|session| session.predecessor.as_mut()) {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Forwards reads at once; at the tail they wait until the entries they were evaluated on are committed.
+    /// Forwards reads immediately. At the tail, they wait until the entries that they were evaluated on are
+    /// committed.
     fn forward_reads(&mut self, reads: Vec<Read>) {
         if reads.is_empty() {
             return;
@@ -74,7 +75,7 @@
         let Some(session) = &mut self.session else { return };
         let view = session.view;
         match session.successor {
-            None => session.reads.extend(reads),
+            None => session.waiting_reads.extend(reads),
             Some(successor) if successor.is_ready => {
                 let message = Message::Append { view, entries: Vec::new(), reads };
                 self.send(successor.endpoint, message);
@@ -83,24 +84,25 @@
         }
     }
 
-    /// Sends the successor the durable entries that it has not been sent, and the reads evaluated on no later ones.
+    /// Sends the successor the durable entries that were not sent yet, and the reads that were evaluated on
+    /// durable entries.
     pub(super) fn forward_entries(&mut self, now: u64) {
         let durable = self.durable_position();
-        let resend = self.settings.timing.resend_interval_ms;
+        let resend_interval_ms = self.settings.timing.resend_interval_ms;
         let Some(session) = &mut self.session else { return };
         let view = session.view;
         let Some(successor) = &mut session.successor else { return };
         if !successor.is_ready {
             return;
         }
-        successor.rewind_unacknowledged(now, resend);
+        successor.rewind_unacknowledged(now, resend_interval_ms);
         let to = successor.endpoint;
-        let from = successor.sent;
-        successor.send(now, durable);
-        let ready = session.reads.iter().take_while(|read| read.after <= durable).count();
-        let reads: Vec<Read> = session.reads.drain(..ready).collect();
-        let entries: Vec<Entry> = self.state.entries(from, durable).cloned().collect();
-        for entries in batches(entries) {
+        let last_sent = successor.last_sent;
+        successor.record_sent(now, durable);
+        let ready = session.waiting_reads.iter().take_while(|read| read.after <= durable).count();
+        let reads: Vec<Read> = session.waiting_reads.drain(..ready).collect();
+        let entries: Vec<Entry> = self.state.entries(last_sent, durable).cloned().collect();
+        for entries in split_into_batches(entries) {
             self.send(to, Message::Append { view, entries, reads: Vec::new() });
         }
         if !reads.is_empty() {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// The successor has made entries durable and knows of a committed position.
+    /// Handles an acknowledgement of the successor, with its durable and its committed position.
     pub(super) fn on_acknowledge(
         &mut self,
         now: u64,
@@ -117,7 +119,7 @@
         last: u64,
         committed: u64,
     ) {
-        let Some(session) = self.active(view) else { return };
+        let Some(session) = self.active_session(view) else { return };
         let Some(successor) = &mut session.successor else { return };
         if successor.endpoint != from {
             return;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Whether this voter is the successor and has not acknowledged in time.
+    /// Whether a voter is the successor and its acknowledgement is overdue.
     pub(super) fn is_acknowledgement_overdue(&self, now: u64, voter: Voter) -> bool {
         let view = &self.state.decided.view;
         let Some(session) = &self.session else { return false };
@@ -136,31 +138,32 @@
         if view.endpoint(voter) != Some(successor.endpoint) {
             return false;
         }
-        let stall = self.settings.timing.chain_stall_timeout_ms;
-        let patience = if successor.is_ready { stall } else { JOINING_STALL_FACTOR * stall };
-        successor.awaiting_since.is_some_and(|since| now > since + patience)
+        let stall_timeout_ms = self.settings.timing.chain_stall_timeout_ms;
+        let timeout_ms =
+            if successor.is_ready { stall_timeout_ms } else { JOINING_TIMEOUT_FACTOR * stall_timeout_ms };
+        successor.awaiting_since.is_some_and(|since| now > since + timeout_ms)
     }
 
-    /// Sends the predecessor the durable and the committed position, if one has changed.
+    /// Sends the durable and the committed position to the predecessor if one of them has changed.
     pub(super) fn acknowledge(&mut self) {
-        if !std::mem::take(&mut self.acknowledgement_due) {
+        if !std::mem::take(&mut self.is_acknowledgement_due) {
             return;
         }
         let (last, committed) = (self.durable_position(), self.state.committed);
-        let Some(session) = self.active_now() else { return };
+        let Some(session) = self.current_active_session() else { return };
         let Some(predecessor) = session.predecessor else { return };
         let view = session.view;
         self.send(predecessor.endpoint, Message::Acknowledge { view, last, committed });
     }
 }
 
-/// Splits entries into messages of a moderate size.
-fn batches(entries: Vec<Entry>) -> Vec<Vec<Entry>> {
+/// Splits entries into batches for messages of limited size.
+fn split_into_batches(entries: Vec<Entry>) -> Vec<Vec<Entry>> {
     let mut batches = Vec::new();
     let mut batch = Vec::new();
     let mut bytes = 0;
     for entry in entries {
-        bytes += entry.size();
+        bytes += entry.size_bytes();
         batch.push(entry);
         if bytes > MAX_MESSAGE_BYTES {
             batches.push(std::mem::take(&mut batch));
--- a/coordination/replica/src/replica/dispatch.rs
+++ b/coordination/replica/src/replica/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch of inputs, messages and due times to the concerns of the protocol.
+//! Dispatch of inputs, messages and timers to the parts of the protocol.
 
 use std::net::SocketAddr;
 
@@ -9,8 +9,8 @@
 use crate::output::{Output, Reply};
 use crate::protocol_rules::ProtocolRules;
 
-impl<A: Application, L: ProtocolRules> Replica<A, L> {
-    /// Processes one input. Returns the outputs, which must be carried out in this order.
+impl<A: Application, Rules: ProtocolRules> Replica<A, Rules> {
+    /// Processes one input. Returns the outputs, which must be carried out in order.
     pub fn handle(&mut self, now: u64, input: Input) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
@@ -19,8 +19,8 @@
                 self.submissions.add(now, ticket, command);
                 self.send_submissions(now);
             }
-            Input::Persisted { token } => self.persisted(now, token),
-            Input::PersistFailed { token } => self.disk.failed(now, token),
+            Input::Persisted { token } => self.on_persisted(now, token),
+            Input::PersistFailed { token } => self.disk.fail_write(now, token),
             Input::DeclareLost { endpoints } => self.declare_lost(now, &endpoints),
             Input::Shutdown => {
                 self.is_shutting_down = true;
@@ -31,7 +31,7 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Does all that follows from the input, and requests the next write.
+    /// Performs the follow-up work of an input, and requests the next write.
     pub(super) fn advance(&mut self, now: u64) {
         if self.is_started {
             self.advance_chain(now);
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Does what is due by time.
+    /// Performs time-based work.
     fn tick(&mut self, now: u64) {
-        for (ticket, error) in self.submissions.expired(now, &self.settings.timing) {
+        for (ticket, error) in self.submissions.take_expired(now, &self.settings.timing) {
             self.outputs.push(Output::Reply { ticket, result: Err(error) });
         }
         if !self.is_started {
             return;
         }
         let is_stalled = self.is_disk_stalled(now);
-        let has_news = is_stalled != self.was_stalled;
+        let has_stall_changed = is_stalled != self.was_stalled;
         self.was_stalled = is_stalled;
-        if has_news || now >= self.heartbeat_due {
+        if has_stall_changed || now >= self.heartbeat_due_at {
             self.send_heartbeats(now);
         }
         self.peers.remove_silent(now);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Sends a message; one to this replica itself goes through the inbox.
+    /// Sends a message. A message to this replica itself is put into the inbox.
     pub(super) fn send(&mut self, to: SocketAddr, message: Message) {
         if to == self.settings.endpoint {
             self.inbox.push_back(message);
--- a/coordination/replica/src/replica/durability.rs
+++ b/coordination/replica/src/replica/durability.rs
@@ -1,51 +1,51 @@
-//! Durable records, and what waits until they are durable.
+//! Durable records, and actions that are deferred until the records are durable.
 
 use super::Replica;
 use crate::application::Application;
-use crate::disk::AfterDurable;
+use crate::disk::DeferredAction;
 use crate::durable::DurableRecord;
 use crate::protocol_rules::ProtocolRules;
 
-impl<A: Application, L: ProtocolRules> Replica<A, L> {
-    /// Applies a record to the durable state and queues it. One that is not urgent is written together with the next
-    /// urgent one.
-    pub(super) fn record(&mut self, record: DurableRecord, urgent: bool) {
-        self.disk.append(record.encode(), urgent);
+impl<A: Application, Rules: ProtocolRules> Replica<A, Rules> {
+    /// Applies a record to the durable state and queues it for writing. A record that is not urgent is
+    /// written together with the next urgent one.
+    pub(super) fn record(&mut self, record: DurableRecord, is_urgent: bool) {
+        self.disk.append(record.encode(), is_urgent);
         self.state.apply(record);
     }
 
-    /// Does something once all records so far are durable.
-    pub(super) fn after_durable(&mut self, now: u64, what: AfterDurable) {
+    /// Runs an action once all records appended so far are durable.
+    pub(super) fn run_when_durable(&mut self, now: u64, action: DeferredAction) {
         if self.disk.is_idle() {
-            self.on_durable(now, what);
+            self.run_deferred(now, action);
         } else {
-            self.disk.after_durable(what);
+            self.disk.defer_until_durable(action);
         }
     }
 
-    /// The write with this token is durable.
-    pub(super) fn persisted(&mut self, now: u64, token: u64) {
-        for what in self.disk.persisted(token) {
-            self.on_durable(now, what);
+    /// Handles that the write with this token is durable.
+    pub(super) fn on_persisted(&mut self, now: u64, token: u64) {
+        for action in self.disk.complete_write(token) {
+            self.run_deferred(now, action);
         }
         if !self.is_started {
             self.start(now);
         }
     }
 
-    /// Does what had to wait for the records before it.
-    fn on_durable(&mut self, now: u64, what: AfterDurable) {
-        match what {
-            AfterDurable::Send { to, message } => self.send(to, *message),
-            AfterDurable::Entry(sequence) => {
+    /// Runs a deferred action, now that all earlier records are durable.
+    fn run_deferred(&mut self, now: u64, action: DeferredAction) {
+        match action {
+            DeferredAction::Send { to, message } => self.send(to, *message),
+            DeferredAction::Entry(sequence) => {
                 self.durable_last = self.durable_last.max(sequence);
-                self.acknowledgement_due = true;
+                self.is_acknowledgement_due = true;
             }
-            AfterDurable::Complete(view) => self.on_complete(now, view),
+            DeferredAction::Complete(view) => self.on_log_complete(now, view),
         }
     }
 
-    /// Whether the disk does not answer in time.
+    /// Whether the last write has failed or the current one exceeds the time-out.
     pub(super) fn is_disk_stalled(&self, now: u64) -> bool {
         self.disk.is_stalled(now, self.settings.timing.disk_stall_timeout_ms)
     }
--- a/coordination/replica/src/replica/learner.rs
+++ b/coordination/replica/src/replica/learner.rs
@@ -1,4 +1,4 @@
-//! Replicas outside of the chain, which learn what it has committed.
+//! Learners: replicas outside the chain that receive committed entries from it.
 
 use std::net::SocketAddr;
 
@@ -12,11 +12,11 @@
 use crate::protocol_rules::ProtocolRules;
 use crate::transfer::Transfer;
 
-/// How long a learner that is behind waits for the tail before it asks, in milliseconds.
-const CATCH_UP_DELAY: u64 = 150;
+/// How long a learner that is behind waits for the tail before it sends a request.
+const CATCH_UP_DELAY_MS: u64 = 150;
 
-impl<A: Application, L: ProtocolRules> Replica<A, L> {
-    /// At the tail: sends what was just committed to the replicas outside of the chain.
+impl<A: Application, Rules: ProtocolRules> Replica<A, Rules> {
+    /// Sends newly committed entries from the tail to the replicas outside the chain.
     pub(super) fn notify_learners(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let base = first.sequence - 1;
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The replicas outside of the chain.
+    /// The endpoints of the replicas outside the chain.
     fn learners(&self) -> Vec<SocketAddr> {
         let view = self.view();
         let is_in_chain = |endpoint: SocketAddr| {
@@ -42,19 +42,20 @@
         self.peers.iter().map(|(endpoint, _)| *endpoint).filter(|endpoint| !is_in_chain(*endpoint)).collect()
     }
 
-    /// A learner asks for what was committed after its position.
+    /// Handles a learner's request for entries committed after its position.
     pub(super) fn on_pull(&mut self, from: SocketAddr, committed: u64, digests: &[RangeDigest]) {
         if committed < self.state.committed {
-            let transfer = self.transfer(committed, digests, false);
+            let transfer = self.build_transfer(committed, digests, false);
             let view = self.view().number;
             self.send(from, Message::Learn { view, transfer });
         }
     }
 
-    /// A learner receives what was committed.
+    /// Handles committed entries and records at a learner.
     ///
-    /// What was committed in a view that is not known here yet must wait: otherwise a member of the chain that takes the
-    /// older view for the present one would learn a committed position at which its own log holds another entry.
+    /// A transfer from a view that this replica does not know yet is ignored. Otherwise a member of the
+    /// chain that still considers an older view current would learn a committed position at which its own
+    /// log has a different entry.
     pub(super) fn on_learn(&mut self, view: u64, transfer: Transfer) {
         if self.session.is_some() || view > self.view().number {
             return;
@@ -74,21 +75,21 @@
         self.catch_up.requested_at = None;
     }
 
-    /// A learner that is behind asks the most advanced member of the chain.
+    /// Sends a request to the most advanced member of the chain if this replica is a learner and behind.
     pub(super) fn tick_catch_up(&mut self, now: u64) {
         if self.session.is_some() {
             return;
         }
-        let Some((source, committed)) = self.most_advanced(now) else { return };
+        let Some((source, committed)) = self.most_advanced_member(now) else { return };
         if committed <= self.state.committed {
             self.catch_up.behind_since = None;
             return;
         }
         let since = *self.catch_up.behind_since.get_or_insert(now);
-        let is_asked =
+        let is_request_pending =
             self.catch_up.requested_at.is_some_and(|at| now < at + self.settings.timing.resend_interval_ms);
         let is_new = self.state.committed == 0;
-        if !is_asked && (is_new || now >= since + CATCH_UP_DELAY) {
+        if !is_request_pending && (is_new || now >= since + CATCH_UP_DELAY_MS) {
             self.catch_up.requested_at = Some(now);
             let digests = range_digests(&self.state.records);
             let committed = self.state.committed;
@@ -96,14 +97,14 @@
         }
     }
 
-    /// The healthy member of the chain with the latest committed position, and that position.
-    fn most_advanced(&self, now: u64) -> Option<(SocketAddr, u64)> {
+    /// The endpoint and the committed position of the most advanced healthy member of the chain.
+    fn most_advanced_member(&self, now: u64) -> Option<(SocketAddr, u64)> {
         let view = self.view();
         let members = view.chain.iter().filter_map(|link| view.member(link.voter));
-        let well = members.filter_map(|member| {
+        let healthy = members.filter_map(|member| {
             let heartbeat = self.peers.healthy_heartbeat(now, view, member.voter)?;
             Some((member.endpoint, heartbeat.report.committed))
         });
-        well.max_by_key(|(_, committed)| *committed)
+        healthy.max_by_key(|(_, committed)| *committed)
     }
 }
--- a/coordination/replica/src/replica/replica_survey.rs
+++ b/coordination/replica/src/replica/replica_survey.rs
@@ -1,4 +1,4 @@
-//! What this replica knows of the others, as the input of planning.
+//! The states of the other replicas as known to this one, as input for planning.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,26 +13,28 @@
 use crate::protocol_rules::ProtocolRules;
 use crate::view::{Member, View};
 
-/// A peer may join once its heartbeats have arrived without a pause for this long, in milliseconds.
-pub(super) const STEADY_CONTACT: u64 = 500;
-/// Others that start at the same time as a candidate are candidates too after this long, in milliseconds.
-const SETTLED_CONTACT: u64 = 3_000;
+/// A peer may join the voters or the chain after its heartbeats have arrived without interruption for this
+/// long.
+pub(super) const STEADY_CONTACT_MS: u64 = 500;
+/// After a candidate has been connected for this long, replicas started at the same time are expected to be
+/// candidates too.
+const SETTLED_CONTACT_MS: u64 = 3_000;
 
-impl<A: Application, L: ProtocolRules> Replica<A, L> {
-    /// The planning input by the heartbeats, as if all healthy voters had promised. Decides whether a proposal is worth
-    /// making.
-    pub(super) fn expected_planning_input(&self, now: u64, me: Voter) -> PlanningInput {
+impl<A: Application, Rules: ProtocolRules> Replica<A, Rules> {
+    /// The planning input according to the heartbeats, as if all healthy voters had promised. It is used to
+    /// decide whether to make a proposal.
+    pub(super) fn expected_planning_input(&self, now: u64, own_voter: Voter) -> PlanningInput {
         let view = self.view();
         let present = view.voters().into_iter().filter_map(|voter| {
-            let state = self.expected_state(now, me, voter)?;
+            let state = self.expected_state(now, own_voter, voter)?;
             Some((voter, state))
         });
         self.planning_input(now, view, present.collect())
     }
 
     /// The state that a voter would report with a promise; `None` if it is not expected to promise.
-    fn expected_state(&self, now: u64, me: Voter, voter: Voter) -> Option<VoterState> {
-        if voter == me {
+    fn expected_state(&self, now: u64, own_voter: Voter, voter: Voter) -> Option<VoterState> {
+        if voter == own_voter {
             return Some(VoterState::promised(self.report(), self.is_shutting_down));
         }
         let view = self.view();
@@ -43,27 +45,28 @@
         }
         let Some(link) = view.chain_link(voter) else {
             let heartbeat = self.peers.healthy_heartbeat(now, view, voter)?;
-            let is_steady = self.peers.get(member.endpoint)?.steady_since + STEADY_CONTACT <= now;
+            let is_steady = self.peers.get(member.endpoint)?.steady_since + STEADY_CONTACT_MS <= now;
             return is_steady.then(|| VoterState::promised(heartbeat.report, heartbeat.is_shutting_down));
         };
-        let is_neighbour = view.predecessor(voter) == Some(me) || view.successor(voter) == Some(me);
-        let is_excused = !is_neighbour && self.peers.is_live_at_another(now, member.endpoint);
-        let is_suspected = self.peers.is_suspected(now, member.endpoint) && !is_excused;
+        let is_neighbour =
+            view.predecessor(voter) == Some(own_voter) || view.successor(voter) == Some(own_voter);
+        let is_live_elsewhere = !is_neighbour && self.peers.is_live_at_connected_peer(now, member.endpoint);
+        let is_suspected = self.peers.is_suspected(now, member.endpoint) && !is_live_elsewhere;
         if is_suspected || self.is_acknowledgement_overdue(now, voter) {
             return None;
         }
-        let not_received = VoterState {
-            complete: link.since_view,
+        let state_without_heartbeat = VoterState {
+            complete_view: link.since_view,
             committed: 0,
             is_shutting_down: false,
             has_promised: true,
         };
-        Some(heartbeat.map_or(not_received, |heartbeat| {
+        Some(heartbeat.map_or(state_without_heartbeat, |heartbeat| {
             VoterState::promised(heartbeat.report, heartbeat.is_shutting_down)
         }))
     }
 
-    /// What is known of the replicas, given the voters that take part.
+    /// Builds the planning input, given the voters that take part.
     pub(super) fn planning_input(
         &self,
         now: u64,
@@ -74,8 +77,8 @@
         let lost = lost.filter(|voter| self.is_lost(now, view, *voter)).collect();
         PlanningInput {
             tolerance: self.settings.tolerance,
-            replaces_voters_jointly: L::replaces_voters_jointly(),
-            requires_complete_leader: L::requires_complete_leader(),
+            replaces_voters_jointly: Rules::replaces_voters_jointly(),
+            requires_complete_leader: Rules::requires_complete_leader(),
             forces_leader: self.is_forced(),
             present,
             lost,
@@ -86,7 +89,7 @@
         }
     }
 
-    /// The failure domains of the members of a view, by their heartbeats.
+    /// The failure domains of the members of a view, according to their heartbeats.
     fn failure_domains(&self, view: &View) -> BTreeMap<SocketAddr, FailureDomain> {
         let received = |member: &Member| {
             let heartbeat = &self.peers.get(member.endpoint)?.heartbeat;
@@ -99,8 +102,8 @@
         failure_domains
     }
 
-    /// The kinds of losses that are to be tolerated but would leave no majority of the voters, as far as their failure
-    /// domains are known.
+    /// The kinds of losses that should be tolerated but would leave no majority of the voters. Empty if a
+    /// failure domain is not known.
     pub fn fatal_losses(&self) -> Vec<LossKind> {
         let view = self.view();
         let received = self.failure_domains(view);
@@ -115,27 +118,29 @@
         if are_known { fatal_losses(&failure_domains, self.settings.tolerance) } else { Vec::new() }
     }
 
-    /// Whether a voter may be replaced: its durable state is gone, or nobody has received its heartbeats for long.
+    /// Whether a voter may be replaced, because its durable state is lost or no replica has received its
+    /// heartbeats for the replacement time-out.
     fn is_lost(&self, now: u64, view: &View, voter: Voter) -> bool {
         let Some(member) = view.member(voter) else { return false };
         let is_silent =
-            self.peers.silent_for(now, member.endpoint) > self.settings.timing.replacement_timeout_ms;
-        let is_gone = is_silent && !self.peers.is_live_at_another(now, member.endpoint);
-        let is_gone =
-            is_gone || self.declared_lost.contains(&voter) || self.peers.has_new_incarnation(member);
-        member.endpoint != self.settings.endpoint && is_gone
+            self.peers.silence_ms(now, member.endpoint) > self.settings.timing.replacement_timeout_ms;
+        let is_lost = is_silent && !self.peers.is_live_at_connected_peer(now, member.endpoint);
+        let is_lost =
+            is_lost || self.declared_lost.contains(&voter) || self.peers.has_new_incarnation(member);
+        member.endpoint != self.settings.endpoint && is_lost
     }
 
-    /// Whether the heartbeats of all replicas that do not vote have arrived for a while.
+    /// Whether the heartbeats of all replicas that are not voters have arrived for at least
+    /// [`SETTLED_CONTACT_MS`].
     fn has_settled_candidates(&self, now: u64, view: &View) -> bool {
         let is_settled = |(endpoint, peer): (&SocketAddr, &Peer)| {
-            peer.steady_since + SETTLED_CONTACT <= now
+            peer.steady_since + SETTLED_CONTACT_MS <= now
                 || view.has_member(*endpoint, peer.heartbeat.incarnation)
         };
         self.peers.iter().all(is_settled)
     }
 
-    /// Healthy replicas that do not vote.
+    /// The healthy replicas that are not voters.
     fn candidates(&self, now: u64, view: &View) -> Vec<Candidate> {
         let mut candidates = Vec::new();
         for (endpoint, peer) in self.peers.iter() {
@@ -144,7 +149,7 @@
                 && !heartbeat.is_stalled
                 && !heartbeat.is_shutting_down;
             if is_healthy
-                && peer.steady_since + STEADY_CONTACT <= now
+                && peer.steady_since + STEADY_CONTACT_MS <= now
                 && !view.has_member(*endpoint, heartbeat.incarnation)
             {
                 candidates.push(Candidate {
@@ -164,10 +169,10 @@
         let received = self.peers.iter().map(|(endpoint, _)| *endpoint);
         let endpoints: Vec<SocketAddr> = members.chain(received).collect();
         let mut disconnected = BTreeSet::new();
-        for (index, one) in endpoints.iter().enumerate() {
-            for other in &endpoints[index + 1..] {
-                if one != other && !self.are_connected(now, *one, *other) {
-                    disconnected.insert((*one, *other));
+        for (index, first) in endpoints.iter().enumerate() {
+            for second in &endpoints[index + 1..] {
+                if first != second && !self.are_connected(now, *first, *second) {
+                    disconnected.insert((*first, *second));
                 }
             }
         }
@@ -175,12 +180,12 @@
     }
 
     /// Whether two replicas receive heartbeats from each other.
-    fn are_connected(&self, now: u64, one: SocketAddr, other: SocketAddr) -> bool {
-        let me = self.settings.endpoint;
-        match (one == me, other == me) {
-            (true, _) => self.peers.is_connected(now, other),
-            (_, true) => self.peers.is_connected(now, one),
-            _ => self.peers.are_mutually_connected(one, other),
+    fn are_connected(&self, now: u64, first: SocketAddr, second: SocketAddr) -> bool {
+        let own_endpoint = self.settings.endpoint;
+        match (first == own_endpoint, second == own_endpoint) {
+            (true, _) => self.peers.is_connected(now, second),
+            (_, true) => self.peers.is_connected(now, first),
+            _ => self.peers.are_mutually_connected(first, second),
         }
     }
 }
--- a/coordination/replica/src/settings.rs
+++ b/coordination/replica/src/settings.rs
@@ -7,21 +7,22 @@
 /// Settings of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// Where the other replicas reach this one.
+    /// The address at which other replicas reach this one.
     pub endpoint: SocketAddr,
     /// The zone of this replica.
     pub zone: String,
     /// The region of this replica.
     pub region: String,
-    /// The endpoints of the bootstrap members, or, later, of some replicas to contact.
+    /// The endpoints of the bootstrap members. After the bootstrap, the endpoints of some replicas to
+    /// contact.
     pub seeds: Vec<SocketAddr>,
     /// Whether the whole system starts for the first time.
     pub bootstrap: bool,
-    /// Drawn at random: the identity taken with an empty disk, unless this is a bootstrap member.
+    /// A random number, used as the incarnation if the disk is empty and this is not a bootstrap member.
     pub incarnation: u64,
-    /// Drawn at random at each start of the process; also the seed of the jitter.
+    /// A random number drawn at each start of the process. Also used as the seed of the jitter.
     pub start_id: u64,
-    /// The losses at once that should not stop writes.
+    /// The simultaneous losses that should not stop writes.
     pub tolerance: Tolerance,
     /// Intervals and time-outs.
     pub timing: Timing,
@@ -30,23 +31,24 @@
 /// Intervals and time-outs, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Interval between two heartbeats to the same peer.
+    /// The interval between two heartbeats to the same peer.
     pub heartbeat_interval_ms: u64,
     /// A peer is suspected after this long without a heartbeat.
     pub suspicion_timeout_ms: u64,
-    /// How long contact with a peer counts, from the sending of the heartbeat that it has answered.
+    /// How long contact with a peer stays confirmed after sending a heartbeat that the peer has echoed.
     pub contact_lifetime_ms: u64,
-    /// A write to the disk that takes longer counts as stalled.
+    /// The disk counts as stalled if a write takes at least this long.
     pub disk_stall_timeout_ms: u64,
-    /// A neighbour in the chain is suspected after this long without a due acknowledgement.
+    /// A neighbour in the chain is suspected if a due acknowledgement is missing for this long.
     pub chain_stall_timeout_ms: u64,
     /// A voter may be replaced after this long without a heartbeat.
     pub replacement_timeout_ms: u64,
-    /// A proposal is abandoned after this long without enough promises and votes.
+    /// A proposal is abandoned if it does not succeed within this time.
     pub round_timeout_ms: u64,
-    /// How long a submitted command may stay without an answer.
+    /// A submitted command fails if it is not answered within this time.
     pub submit_timeout_ms: u64,
-    /// An unanswered message of the chain, of a submission or of a state transfer is sent again after this long.
+    /// An unanswered message of the chain, of a submission or of a state transfer is sent again after this
+    /// time.
     pub resend_interval_ms: u64,
 }
 
--- a/coordination/replica/src/view_change_state.rs
+++ b/coordination/replica/src/view_change_state.rs
@@ -1,4 +1,4 @@
-//! The state of a view change under way.
+//! The state of a view change in progress.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,71 +8,72 @@
 use crate::message::Report;
 use crate::view::View;
 
-/// The backoff doubles a time span at most this often.
+/// The maximum number of times that the backoff doubles a delay.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// A proposal of this replica. Times are in milliseconds of the caller's clock.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Both phases of the register.
+    /// The consensus round, with the state of both phases.
     pub round: Round<View>,
-    /// How far the logs are of the voters that have promised.
+    /// The log progress of the voters that have promised.
     pub reports: BTreeMap<Voter, Report>,
-    /// The endpoints of voters that are known only from what others have accepted.
+    /// The endpoints of voters that are known only from views accepted by other voters.
     pub endpoints: BTreeMap<Voter, SocketAddr>,
-    /// When the proposal was begun.
+    /// When the proposal was started.
     pub started_at: u64,
-    /// When the requests of the present phase were last sent.
+    /// When the requests of the current phase were last sent.
     pub requested_at: u64,
-    /// When enough voters had promised.
-    pub majority_at: Option<u64>,
+    /// When a quorum had promised; `None` before.
+    pub quorum_at: Option<u64>,
 }
 
-/// A view change that is called for, but not proposed yet.
+/// A view change that is needed but not proposed yet.
 #[derive(Clone, Copy, Debug)]
 pub struct PendingChange {
-    /// Since when it has been called for, in milliseconds of the caller's clock.
-    pub since: u64,
-    /// The jitter of its delay, in milliseconds.
-    pub jitter: u64,
+    /// Since when the change has been needed, in milliseconds of the caller's clock.
+    pub pending_since: u64,
+    /// The random part of the delay before the proposal.
+    pub jitter_ms: u64,
 }
 
 /// The proposer's state between and during proposals.
 #[derive(Clone, Debug, Default)]
 pub struct ViewChange {
-    /// The proposal of this replica, if one is under way.
+    /// The current proposal of this replica.
     pub proposal: Option<Proposal>,
-    /// The highest round that any ballot was seen with.
+    /// The highest round of all received ballots.
     pub highest_round: u64,
-    /// The change that is called for.
+    /// The pending view change.
     pub pending: Option<PendingChange>,
     /// The earliest time of the next proposal, in milliseconds of the caller's clock.
     pub not_before: u64,
-    /// Proposals of this replica that failed since the last change of the view.
-    pub failed_rounds: u32,
+    /// The number of failed proposals of this replica since the last view change.
+    pub failed_proposals: u32,
 }
 
 impl ViewChange {
-    /// A newer view was decided: the change under way is void.
-    pub fn decided(&mut self, ballot: Ballot) {
+    /// Handles that a newer view was decided, which cancels the change in progress.
+    pub fn on_decided(&mut self, ballot: Ballot) {
         self.highest_round = self.highest_round.max(ballot.round);
         self.proposal = None;
         self.pending = None;
-        self.failed_rounds = 0;
+        self.failed_proposals = 0;
     }
 
-    /// Too few voters are healthy: proposals that failed say nothing of the time that the next one takes.
-    pub fn lost_contact(&mut self) {
+    /// Resets the backoff, because too few voters are healthy. Earlier failures then do not predict how
+    /// long the next proposal takes.
+    pub fn reset_backoff(&mut self) {
         self.pending = None;
-        self.failed_rounds = 0;
+        self.failed_proposals = 0;
         self.not_before = 0;
     }
 
-    /// A time span with exponential backoff by the failed proposals.
+    /// Applies exponential backoff to a delay, depending on the number of failed proposals.
     ///
-    /// Where links or disks are slow, a proposal with the same time limit would fail like the one before, while the
-    /// chain takes no writes.
-    pub fn with_backoff(&self, span: u64) -> u64 {
-        span << self.failed_rounds.min(MAX_DOUBLINGS)
+    /// With slow links or disks, a proposal with an unchanged time limit would fail like the previous one,
+    /// while the chain accepts no writes.
+    pub fn with_backoff(&self, delay_ms: u64) -> u64 {
+        delay_ms << self.failed_proposals.min(MAX_DOUBLINGS)
     }
 }
--- a/coordination/replica/tests/wire_fixtures.rs
+++ b/coordination/replica/tests/wire_fixtures.rs
@@ -146,7 +146,7 @@
     heartbeat.zone = "zone-a".to_string();
     heartbeat.region = "north".to_string();
     heartbeat.view = 41;
-    heartbeat.report.complete = 40;
+    heartbeat.report.complete_view = 40;
     heartbeat.report.committed = 900;
     heartbeat.sent_at = 123_456_789;
     heartbeat.is_fenced = true;
@@ -184,7 +184,7 @@
     let mut message =
         Message::Promise { voter: voter(2), ballot: ballot(6), accepted, report: Default::default() };
     let Message::Promise { report, .. } = &mut message else { unreachable!("it was made as one") };
-    report.complete = 40;
+    report.complete_view = 40;
     report.committed = 900;
     message
 }
--- a/coordination/storage/src/directory.rs
+++ b/coordination/storage/src/directory.rs
@@ -9,7 +9,7 @@
 /// Written bytes survive a loss of power once the file is synced. Before that, each write may be present,
 /// missing or torn. A new file survives once the file or the folder is synced.
 pub trait Directory {
-    /// Reads a whole file; `None` if it does not exist.
+    /// Reads all bytes of a file; `None` if it does not exist.
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DirectoryError>;
 
     /// Writes at an offset in bytes. Creates a missing file, and extends the file as needed.
--- a/coordination/storage/src/folder.rs
+++ b/coordination/storage/src/folder.rs
@@ -71,7 +71,7 @@
         open_file.is_some() && open_file == identity(fs::metadata(self.path.join(name)))
     }
 
-    /// Reads a whole file; `None` if it does not exist.
+    /// Reads all bytes of a file; `None` if it does not exist.
     fn read_existing(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
         let Some(file) = self.open_existing(name)? else { return Ok(None) };
         let mut content = Vec::new();
