--- a/coordination/replica/src/replica/chain.rs
+++ b/coordination/replica/src/replica/chain.rs
@@ -17,7 +17,7 @@
     /// Begins the session for the adopted or recovered view, if this replica is in its chain.
     pub(super) fn begin_session(&mut self, now: u64) {
         let view = &self.state.decided.view;
-        let link = self.own_voter().and_then(|me| view.chain_link(me).copied());
+        let link = self.own_voter().and_then(|own_voter| view.chain_link(own_voter).copied());
         let is_recorded = link.is_some_and(|link| {
             Rules::complete_view(self.state.complete_view, link.since_view) >= link.since_view
         });
--- a/coordination/replica/src/replica/proposer.rs
+++ b/coordination/replica/src/replica/proposer.rs
@@ -164,9 +164,9 @@
     ) -> Vec<(Voter, VoterState)> {
         let is_silent =
             |voter: &Voter| prepared.chain_position(*voter).is_none() && !reports.contains_key(voter);
-        let me = self.own_voter();
+        let own_voter = self.own_voter();
         let state = |voter: Voter| {
-            if me == Some(voter) {
+            if own_voter == Some(voter) {
                 return Some((voter, VoterState::reported(self.report(), self.is_shutting_down)));
             }
             let heartbeat = self.peers.healthy_heartbeat(now, prepared, voter)?;
