--- a/balancer/discovery/tests/watch.rs
+++ b/balancer/discovery/tests/watch.rs
@@ -237,15 +237,7 @@
         let (mut socket, _) = discovery.next_watch(Duration::from_secs(1)).await;
         let (first_half, second_half) = (&line(5)[..20], &line(5)[20..]);
         socket
-            .write_all(
-                (HEAD.to_string()
-                    + &chunk(
-                        &(line(4)
-                            + "
-" + first_half),
-                    ))
-                    .as_bytes(),
-            )
+            .write_all((HEAD.to_string() + &chunk(&(line(4) + "\n" + first_half))).as_bytes())
             .expect("written");
         poll_until(usize::MAX, || (*received.borrow() == [4]).then_some(())).await;
         let next = Discovery::new();
--- a/balancer/fleet-policy/src/member.rs
+++ b/balancer/fleet-policy/src/member.rs
@@ -74,7 +74,7 @@
     /// The serial number of the last observations sent.
     observations_serial: u32,
     round: Option<OngoingRound>,
-    /// Until when this member begins no ballot, after a voter has refused one.
+    /// The time until which this member starts no ballot after a refusal by a voter.
     backoff_until: u64,
     highest_round: u64,
     next_renewal_at: u64,
--- a/balancer/fleet-policy/src/message.rs
+++ b/balancer/fleet-policy/src/message.rs
@@ -21,7 +21,7 @@
     /// No change is under way.
     #[default]
     NoChange,
-    /// This number of chunks of the policy's text are missing.
+    /// The member still lacks this number of chunks of the policy's text.
     MissingChunks(u64),
     /// The member has proved the policy with this number.
     Ready(u64),
@@ -37,8 +37,8 @@
     Learning,
     /// The member holds a lease for the policy with this number.
     Policy(u64),
-    /// The member's lease has expired, so it may not know the policy in force and follows the settings for a
-    /// partition.
+    /// The member's lease has expired. The member may not know the policy in force, so it follows the
+    /// settings for a partition.
     CutOff,
 }
 
@@ -47,7 +47,7 @@
 pub enum Message {
     /// A follower asks a voter to renew its lease.
     RenewLease {
-        /// The follower's clock in microseconds, from which the lease counts.
+        /// The time of the request by the follower's clock, in microseconds. The lease starts at this time.
         asked_at: u64,
         /// The incarnation of the follower's durable state.
         incarnation: u64,
@@ -64,18 +64,18 @@
     },
     /// A voter grants a lease.
     GrantLease {
-        /// From the request: the follower's clock, from which the lease counts.
+        /// The value of `asked_at` in the follower's request.
         asked_at: u64,
-        /// From the request: the start number of the follower's process.
+        /// The value of `start` in the follower's request.
         start: u64,
         /// The voter that grants the lease.
         voter: Voter,
-        /// The version of the voter sets that the grant counts for.
+        /// The version of the voter sets for which the grant is made.
         voter_set_version: u64,
         /// The policy in force.
         number: u64,
     },
-    /// The record, to a member that has an older one.
+    /// Sends the record to a member that has an older one.
     Update {
         /// The agreed record.
         record: Record,
@@ -151,7 +151,7 @@
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// The answer of a voter that rejects a ballot, since it has promised a higher one.
+    /// The answer of a voter that rejects a ballot because it has promised a higher one.
     Refuse {
         /// The rejected ballot.
         ballot: Ballot,
@@ -179,7 +179,7 @@
     TakeOut {
         /// The unit.
         unit: Unit,
-        /// The number of the release that the unit restarts for; none if it restarts for another cause.
+        /// The number of the release that the unit restarts for; `None` for a restart outside a release.
         release: Option<u64>,
     },
     /// Report that a unit has returned to service.
@@ -215,9 +215,9 @@
     Resume,
     /// Replace a voter by another member.
     ReplaceVoter {
-        /// The member that votes at present.
+        /// The present voter.
         old: u16,
-        /// The member that votes in its place.
+        /// The member that becomes a voter in its place.
         new: u16,
     },
 }
--- a/balancer/fleet-policy/src/record.rs
+++ b/balancer/fleet-policy/src/record.rs
@@ -11,11 +11,12 @@
 
 pub use step::Step;
 
-/// The most units with a grant at once, whatever the limits of the policy, so that the record stays small.
+/// The maximum number of units with a grant at the same time. It applies in addition to the limits of the
+/// policy, and keeps the record small.
 const MAX_GRANTS: usize = 256;
 /// The number of random lower bits of a bootstrap id. The bits above count the bootstraps.
 const RANDOM_BITS: u32 = 48;
-/// The longest text of a policy or plan, in bytes.
+/// The maximum length of the text of a policy or plan, in bytes.
 pub const MAX_TEXT_BYTES: usize = 64 * 1024;
 
 /// The first half of a text's BLAKE3 hash.
@@ -64,7 +65,8 @@
     pub serial: u64,
 }
 
-/// A change of policy under way, which every process that is not absent has to prove.
+/// A change of policy under way. Every process that is not absent has to prove the proposed policy before it
+/// comes into force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     /// The proposed policy.
@@ -80,9 +82,9 @@
     InForce,
     /// An operator withdrew the change.
     Withdrawn,
-    /// This member could not prove the policy.
+    /// The member with this number could not prove the policy.
     Refused(u16),
-    /// The policy was not proved everywhere in time.
+    /// The proposed policy did not come into force before the time-out of the change.
     GivenUp,
 }
 
@@ -102,10 +104,10 @@
     pub unit: Unit,
     /// The request. The supervisor chooses its serial number, so that repeating the request is harmless.
     pub request_id: RequestId,
-    /// The start number of a balancer's process at the time of the grant; a process with another one has
-    /// restarted. 0 for a server.
+    /// The start number of a balancer's process at the time of the grant. A different number later shows that
+    /// the process has restarted. 0 for a server.
     pub process_start: u64,
-    /// The part of a release that the unit restarts for; none if it restarts for another cause.
+    /// The unit's part in the release that it restarts for; `None` for a restart outside a release.
     pub release_part: Option<ReleasePart>,
 }
 
@@ -116,7 +118,7 @@
     pub release: u64,
     /// The unit's index in the plan.
     pub unit_index: u16,
-    /// Whether the unit gets the new build or the old one back.
+    /// Whether the unit gets the new build or returns to the old one.
     pub direction: Direction,
 }
 
@@ -131,7 +133,7 @@
     pub length: u32,
     /// The request that began the release.
     pub request_id: RequestId,
-    /// Whether units get the new build or the old one back.
+    /// Whether units get the new build or return to the old one.
     pub direction: Direction,
     /// The wave whose units may restart now, from 0.
     pub wave: u16,
@@ -184,7 +186,8 @@
     pub version: u64,
     /// The version of the voter sets, which grows with each change of the voters.
     pub voter_set_version: u64,
-    /// The set of voters, or two sets while a voter is replaced. A majority of each is needed.
+    /// The set of voters, or the old and the new set while a voter is replaced. An agreement needs a majority
+    /// of each set.
     pub voter_sets: Vec<Vec<Voter>>,
     /// The policy in force.
     pub policy: Policy,
@@ -202,10 +205,11 @@
     pub last_release_number: u64,
     /// The last releases that ended, the newest at the end.
     pub past_releases: Vec<PastRelease>,
-    /// The last requests about units, releases and voters that were carried out. Guards against carrying out
-    /// a request again that is still in flight, or kept by a voter, after another request has undone it.
+    /// The last requests about units, releases and voters that were carried out. A copy of such a request may
+    /// still be in flight or kept by a voter. The list prevents that it is carried out again after another
+    /// request has undone it.
     pub completed_requests: Vec<RequestId>,
-    /// The highest number that a proposed policy ever had.
+    /// The highest number of any policy proposed so far.
     pub highest_policy_number: u64,
 }
 
@@ -220,7 +224,7 @@
 }
 
 impl Record {
-    /// The position in the order in which records were agreed; a later record has a larger one.
+    /// The sort key of the record. A record that was agreed later has a larger key.
     pub fn order(&self) -> (u64, u64) {
         (self.bootstrap_id, self.version)
     }
@@ -236,7 +240,7 @@
         self.bootstrap_id >> RANDOM_BITS
     }
 
-    /// The id of the next bootstrap; `nonce` has its random bits.
+    /// The id of the next bootstrap. Its random bits are taken from `nonce`.
     pub fn next_bootstrap_id(&self, nonce: u64) -> u64 {
         (self.epoch() + 1) << RANDOM_BITS | nonce & ((1 << RANDOM_BITS) - 1)
     }
@@ -251,7 +255,7 @@
         self.halt.is_none() && self.grant_of(unit).is_none() && self.grants.len() < MAX_GRANTS
     }
 
-    /// The grant by which a unit is out of service.
+    /// The grant of a unit, or `None` if the unit has no grant.
     pub fn grant_of(&self, unit: Unit) -> Option<&RestartGrant> {
         self.grants.iter().find(|grant| grant.unit == unit)
     }
--- a/balancer/fleet-policy/src/record/step.rs
+++ b/balancer/fleet-policy/src/record/step.rs
@@ -1,5 +1,5 @@
-//! The transitions of the record. A voter proposes a `Step`, and `Record::apply_step` applies it to the
-//! record unless it no longer applies.
+//! The transitions of the record. A voter proposes a `Step`, and `Record::apply_step` returns the record
+//! after it, or `None` if the step doesn't apply to the record.
 
 use serde::{Deserialize, Serialize};
 use whinspindle_consensus::Voter;
@@ -28,7 +28,7 @@
     Bootstrap {
         /// The id of this bootstrap.
         bootstrap_id: u64,
-        /// The record from before this bootstrap; the empty record at the first one.
+        /// The record from before this bootstrap. It is empty for the first bootstrap.
         base: Box<Record>,
     },
     /// A change of policy begins.
@@ -37,7 +37,7 @@
         hash: Hash,
         /// The length of the policy's text in bytes.
         length: u32,
-        /// The request for it.
+        /// The request that proposes the policy.
         request_id: RequestId,
     },
     /// The change under way ends.
@@ -67,7 +67,7 @@
         hash: Hash,
         /// The length of the plan's text in bytes.
         length: u32,
-        /// The request for it.
+        /// The request that begins the release.
         request_id: RequestId,
     },
     /// The release advances to another wave.
@@ -83,7 +83,7 @@
     RollBack {
         /// The number of the release.
         number: u64,
-        /// The request for it.
+        /// The request that rolls the release back.
         request_id: RequestId,
     },
     /// The release ends.
@@ -92,7 +92,7 @@
         number: u64,
         /// How the release ends.
         outcome: ReleaseOutcome,
-        /// The request for it; none if the release ends since its last wave is complete.
+        /// The request that ends the release; `None` if it ends because its last wave is complete.
         request_id: Option<RequestId>,
     },
     /// No restart is granted any more.
@@ -102,7 +102,7 @@
     },
     /// Restarts are granted again.
     Resume {
-        /// The request for it.
+        /// The request that resumes the grants.
         request_id: RequestId,
     },
     /// One voter is replaced by another. Both voter sets vote until `SettleVoters`.
@@ -111,7 +111,8 @@
         old: Voter,
         /// The voter that replaces it.
         new: Voter,
-        /// The operator's request; none if a voter has restarted without its durable state.
+        /// The operator's request; `None` if the old voter is replaced because it has restarted without its
+        /// durable state.
         request_id: Option<RequestId>,
     },
     /// The replacement of a voter is complete, and only the new voter set votes.
@@ -119,7 +120,7 @@
 }
 
 impl Record {
-    /// Returns the record after a step, or none if the step doesn't apply or no longer applies.
+    /// Returns the record after a step, or `None` if the step doesn't apply to this record.
     pub fn apply_step(&self, step: &Step) -> Option<Record> {
         let mut next = Record { version: self.version + 1, ..self.clone() };
         next.apply(step)?;
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Marks a request as carried out, or returns none if it was marked before.
+    /// Marks a request as carried out. Returns `None` if it was marked before.
     fn complete_request(&mut self, request_id: RequestId) -> Option<()> {
         if self.completed_requests.contains(&request_id) {
             return None;
@@ -176,7 +177,7 @@
             ..base.clone()
         };
         if base.bootstrap_id != 0 {
-            // Numbers that only lost voters know must not be assigned to other policies.
+            // Skips numbers that only lost voters may know, so that no other policy gets one of them.
             self.highest_policy_number = (base.highest_policy_number / POLICY_NUMBERS_PER_BOOTSTRAP + 1)
                 * POLICY_NUMBERS_PER_BOOTSTRAP;
         }
--- a/balancer/rollout/src/lib.rs
+++ b/balancer/rollout/src/lib.rs
@@ -51,11 +51,12 @@
     pub zone: String,
     /// The number of the server's pod.
     pub pod: usize,
-    /// Whether the server is listed as ready, and is warm.
+    /// Whether the server is listed as ready and has warmed up.
     pub is_in_service: bool,
 }
 
-/// How many units the policy allows out of service at once; none if it sets no limit.
+/// The maximum numbers of units that the policy allows out of service at the same time. `None` stands for no
+/// limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Limits {
     /// The limit on balancers.
@@ -77,7 +78,7 @@
     pub limits: &'a Limits,
     /// Units that were granted a restart and have not returned.
     pub granted: &'a [Unit],
-    /// The numbers of balancers that are not in full service.
+    /// The numbers of the balancers that are absent (silent or not serving), with or without a grant.
     pub absent: &'a BTreeSet<u16>,
     /// The number of balancers.
     pub balancer_count: usize,
@@ -88,7 +89,7 @@
 /// Why a unit may not leave service now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RestartRefusal {
-    /// The policy sets no limit for this kind of unit, and without a limit none may leave.
+    /// The policy sets no limit for this kind of unit. Without a limit, no unit may leave service.
     NoLimit,
     /// The unit is unknown.
     UnknownUnit,
@@ -143,7 +144,8 @@
 }
 
 impl RestartCheck<'_> {
-    /// Checks whether the unit may leave service. The unit itself doesn't count, in case it is out already.
+    /// Checks whether the unit may leave service. The unit itself is not counted, since it may be out of
+    /// service already.
     pub fn check(&self, unit: Unit) -> Result<(), RestartRefusal> {
         match unit {
             Unit::Balancer(number) => self.check_balancer(number),
--- a/balancer/rollout/src/observed_outcomes.rs
+++ b/balancer/rollout/src/observed_outcomes.rs
@@ -41,7 +41,7 @@
         self.server_counts.entry(server).or_default().add(single_outcome(bad));
     }
 
-    /// Counts a client's request that has its final answer, as an outcome of this process itself.
+    /// Counts a client's request after its final answer, as an outcome of this process itself.
     pub fn record_request(&mut self, aborted: bool, late: bool, rejected: bool) {
         let mut bad = [false; SYMPTOMS.len()];
         (bad[FAILED], bad[SLOW], bad[REJECTED]) = (aborted, late, rejected);
--- a/balancer/rollout/src/plan.rs
+++ b/balancer/rollout/src/plan.rs
@@ -5,7 +5,8 @@
 
 use crate::{RestartRefusal, Unit};
 
-/// The most units of a plan, so that the set of changed units fits the fleet's record.
+/// The maximum number of units of a plan. It bounds the size of the set of changed units in the fleet's
+/// record.
 pub const MAX_UNITS: usize = 2048;
 
 /// An operator's plan of a release, parsed from a text that is the same at every member.
@@ -22,10 +23,11 @@
     pub wave_ends: Vec<usize>,
     /// How long each wave is observed after its last unit has returned, in microseconds.
     pub watch_us: u64,
-    /// The largest probability, over the whole release, of a halt of a build that is as good as the old one.
+    /// The maximum probability that the release is halted although its build is as good as the old one. It
+    /// applies to the whole release.
     pub false_halt_probability: f64,
-    /// The build of changed balancers; a balancer that returns with another build counts as unchanged. If
-    /// none, builds are not checked.
+    /// The build of changed balancers. A balancer that returns with another build counts as unchanged. `None`
+    /// if builds are not checked.
     pub build: Option<String>,
 }
 
@@ -49,8 +51,8 @@
         self.0.get(index / 64).is_some_and(|word| word >> (index % 64) & 1 == 1)
     }
 
-    /// Adds the unit with this index to the set if `is_member` is set, and else removes it. Indices from
-    /// `MAX_UNITS` on are ignored.
+    /// Adds the unit with this index to the set if `is_member` is true, and removes it otherwise. Indices
+    /// from `MAX_UNITS` on are ignored.
     pub fn set(&mut self, index: usize, is_member: bool) {
         if index >= MAX_UNITS {
             return;
@@ -79,7 +81,7 @@
     pub wave: usize,
     /// The units that have the new build.
     pub changed: &'a UnitSet,
-    /// The units that are not in full service.
+    /// The units that are out of service.
     pub out_of_service: &'a [Unit],
 }
 
@@ -117,8 +119,8 @@
         }
     }
 
-    /// The phase after the present wave, `watched_us` microseconds after the wave's last unit returned; none
-    /// while the wave is not complete.
+    /// Returns the phase after the present wave, or `None` while the wave is not complete. `watched_us` is
+    /// the time since the wave's last unit returned, in microseconds.
     pub fn next_phase(&self, watched_us: u64) -> Option<NextPhase> {
         let is_out = |index: usize| self.out_of_service.contains(&self.plan.units[index]);
         let range = self.units_of_wave();
@@ -129,7 +131,8 @@
                 let next = if is_last { NextPhase::Complete } else { NextPhase::Wave(self.wave + 1) };
                 (is_complete && watched_us >= self.plan.watch_us).then_some(next)
             }
-            // A rollback doesn't observe its waves, since the bad build in service does more harm than haste.
+            // A rollback doesn't observe its waves: a bad build that stays in service longer does more harm
+            // than a fast rollback.
             Direction::Rollback => {
                 let is_incomplete = (range.start..self.plan.units.len())
                     .any(|index| self.changed.contains(index) || is_out(index));
--- a/balancer/rollout/src/slow.rs
+++ b/balancer/rollout/src/slow.rs
@@ -2,7 +2,7 @@
 //! recent answers for the same product by any server. Changed and unchanged units are compared by the same
 //! threshold, so that load that slows all units down moves the threshold instead of the result of the test.
 
-/// The number of answers that a threshold is computed from, which are new ones each time.
+/// The number of answers that a threshold is computed from. Each threshold uses new answers.
 const ANSWERS_PER_THRESHOLD: usize = 64;
 /// The index of the 90th percentile among the sorted answers.
 const PERCENTILE_90_INDEX: usize = ANSWERS_PER_THRESHOLD * 9 / 10;
--- a/balancer/rollout/src/verdict.rs
+++ b/balancer/rollout/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The test whether changed units do worse than units that are not changed yet at the same time. It is a
+//! The test of whether changed units do worse than units that are still unchanged at the same time. It is a
 //! sequential test with a stated probability of a false halt, and may be evaluated after every window.
 //!
 //! In each window and stratum (zone and kind) the bad outcomes are counted for changed and unchanged units.
@@ -6,9 +6,10 @@
 //! share of changed units in the executions. The outcomes are drawn without replacement, which is dominated
 //! in the convex order by drawing with replacement (W. Hoeffding, 1963, section 6). The likelihood ratio
 //! against the odds multiplied by one of `FACTORS` therefore has a mean of at most one, whatever load or
-//! failures affect both sides. Sums of such products that begin at each window with fixed weights ever
-//! exceed `1 / false_halt_probability` with at most that probability (Ville's inequality; mixtures over the
-//! beginning as in the Shiryaev-Roberts procedure).
+//! failures affect both sides. The test multiplies the ratios from each window on, and sums these products
+//! with fixed weights. The probability that the sum ever exceeds `1 / false_halt_probability` is at most
+//! `false_halt_probability` (Ville's inequality; mixtures over the beginning as in the Shiryaev-Roberts
+//! procedure).
 //!
 //! Bad outcomes come in clusters: a server with a long queue answers all requests of a moment slowly. The bad
 //! outcomes of one unit in one window therefore count as one. The logarithm of the ratio is divided by the
@@ -19,7 +20,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The odds ratios that are tested for. By design, a build that is worse by less than the first is not
+/// The odds ratios that are tested for. By design, a build that is worse by less than the first ratio is not
 /// detected.
 const FACTORS: [f64; 3] = [1.5, 3.0, 9.0];
 /// The kinds of bad outcomes, as verbs of a log line. Each is tested with an equal part of the error
@@ -61,8 +62,8 @@
     pub max_bad_per_unit: [u32; 3],
 }
 
-/// The rows of one member's report, from the stratum of each unit, whether the unit is changed, and its
-/// counts.
+/// Builds the rows of one member's report. Each item of `units` has the stratum of a unit, whether the unit
+/// is changed, and its counts.
 pub fn observation_rows(units: impl Iterator<Item = (u16, bool, OutcomeCounts)>) -> Vec<ObservationRow> {
     let mut rows: BTreeMap<(u16, bool), ObservationRow> = BTreeMap::new();
     for (stratum, changed, count) in units.filter(|(_, _, count)| count.executions > 0) {
@@ -135,8 +136,8 @@
         self.window_count += 1;
         let mut log_ratios = [[0.0; 3]; 3];
         // Windows are evaluated separately, however few executions they have. Guards against comparing
-        // different times: with counts carried over, one side can have the failures of a burst and the other
-        // those of the calm before it.
+        // different times: if counts were carried over, one side could have the failures of a burst, and the
+        // other side those of the calm before it.
         let max_bad_per_unit = std::mem::take(&mut self.max_bad_per_unit);
         for ((_, stratum), [unchanged, changed]) in std::mem::take(&mut self.strata) {
             if unchanged.executions == 0 || changed.executions == 0 {
--- a/balancer/routes/src/lib.rs
+++ b/balancer/routes/src/lib.rs
@@ -40,7 +40,7 @@
     pub timeout_us: u64,
     /// The time-out of one execution, from its send to its end.
     pub execution_timeout_us: u64,
-    /// The most executions of a request, including the first.
+    /// The maximum number of executions of a request, including the first.
     pub max_executions: usize,
     /// The outcomes after which a request is retried.
     pub retry_on: RetryOn,
@@ -52,7 +52,7 @@
     pub hedge: HedgePolicy,
     /// The retry budget, as a fraction of the route's requests.
     pub retry_budget: f64,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
     /// The servers that may take the requests.
     pub servers: ServerSelection,
@@ -104,7 +104,7 @@
 /// The limits of the deployment that the proof needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeploymentLimits {
-    /// The most executions of a request.
+    /// The maximum number of executions of a request.
     pub max_executions: usize,
     /// Whether two executions of a request may be in flight together.
     pub allow_hedging: bool,
@@ -112,10 +112,10 @@
     pub can_cancel: bool,
     /// The time-out for a connection to a server.
     pub connect_timeout_us: u64,
-    /// The largest delay of a timer.
+    /// The maximum delay of a timer.
     pub tick_us: u64,
-    /// The largest network delay to a server, in addition to the connection time-out.
+    /// The maximum network delay to a server, in addition to the connection time-out.
     pub network_delay_us: u64,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
 }
--- a/balancer/routes/src/pattern.rs
+++ b/balancer/routes/src/pattern.rs
@@ -20,7 +20,7 @@
 pub struct Pattern {
     /// The segments, without the star at the end.
     pub segments: Vec<Segment>,
-    /// Whether all paths below match too, which a star at the end says.
+    /// Whether the pattern ends with a star, so that all paths below it match too.
     pub is_prefix: bool,
 }
 
@@ -145,8 +145,9 @@
     }
 }
 
-/// The segments of a request target's path, without its query. None for a path with segments of dots, plain
-/// or escaped, since a server may resolve it to another path.
+/// Splits the path of a request target, without its query, into segments. Returns `None` for a path that
+/// doesn't begin with a slash, and for a path with dot segments (`.` or `..`), plain or escaped, since a
+/// server may resolve it to another path.
 pub fn split_target(target: &str) -> Option<Vec<&str>> {
     let path = target.split(['?', '#']).next().unwrap_or_default();
     let rest = path.strip_prefix('/')?;
--- a/balancer/routes/src/proof.rs
+++ b/balancer/routes/src/proof.rs
@@ -16,23 +16,23 @@
 /// The field of `Conditions` that a refusal is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// `Conditions::timeout_us`.
+    /// The time-out of a request.
     Timeout,
-    /// `Conditions::execution_timeout_us`.
+    /// The time-out of one execution.
     ExecutionTimeout,
-    /// `Conditions::max_executions`.
+    /// The maximum number of executions of a request.
     MaxExecutions,
-    /// `Conditions::retry_on`.
+    /// The outcomes after which a request is retried.
     RetryOn,
-    /// `Conditions::retry_delay_us`.
+    /// The delay before a retry.
     RetryDelay,
-    /// `Conditions::hedge`.
+    /// The policy for sending hedged requests.
     Hedge,
-    /// `Conditions::retry_budget`.
+    /// The limit on retries as a fraction of the requests of the route.
     RetryBudget,
-    /// `Conditions::max_body_bytes`.
+    /// The maximum size of a request body.
     MaxBody,
-    /// `Conditions::servers`.
+    /// The servers that may take the requests of the route.
     Servers,
 }
 
