--- a/controlplane/configuration/src/configuration.rs
+++ b/controlplane/configuration/src/configuration.rs
@@ -222,7 +222,7 @@
 
     /// A value of a service's slow start is negative or not finite.
     #[snafu(display("`{key}` of service `{service}` is {value}, expected a number that is not negative"))]
-    InvalidCold {
+    InvalidSlowStart {
         /// The name of the service.
         service: String,
         /// The key of the value.
@@ -279,7 +279,7 @@
 
 fn check_slow_start(service: &Service, key: &'static str, value: f64) -> Result<(), ConfigurationError> {
     let valid = value.is_finite() && value >= 0.0;
-    ensure!(valid, InvalidColdSnafu { service: &service.name, key, value });
+    ensure!(valid, InvalidSlowStartSnafu { service: &service.name, key, value });
     Ok(())
 }
 
--- a/controlplane/configuration/src/host_regions.rs
+++ b/controlplane/configuration/src/host_regions.rs
@@ -55,7 +55,7 @@
 
     /// The regions in which requests of a host may be served, whichever route they take; none for a host without routes. The
     /// host may have a port.
-    pub fn of(&self, host: &str) -> Option<&ServingRegions> {
+    pub fn serving_regions(&self, host: &str) -> Option<&ServingRegions> {
         self.by_host.get(normalize_host(host).as_ref())
     }
 }
--- a/controlplane/configuration/src/mechanism.rs
+++ b/controlplane/configuration/src/mechanism.rs
@@ -105,7 +105,7 @@
     }
 
     /// Whether it belongs to the controller; all others belong to the proxy.
-    pub fn is_of_controller(self) -> bool {
+    pub fn belongs_to_controller(self) -> bool {
         self == Mechanism::Recall
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// What happens without it, for the help text.
-    pub fn absence(self) -> &'static str {
+    pub fn effect_when_off(self) -> &'static str {
         TABLE[self as usize].2
     }
 }
--- a/controlplane/configuration/tests/extremes.rs
+++ b/controlplane/configuration/tests/extremes.rs
@@ -101,7 +101,7 @@
     ] {
         let failure = parse(&CONFIGURATION.replace(from, to)).expect_err(to);
         assert!(
-            matches!(failure, ConfigurationError::InvalidCold { key: found, .. } if found == key),
+            matches!(failure, ConfigurationError::InvalidSlowStart { key: found, .. } if found == key),
             "{failure}"
         );
     }
--- a/controlplane/configuration/tests/host_regions.rs
+++ b/controlplane/configuration/tests/host_regions.rs
@@ -30,8 +30,8 @@
 #[test]
 fn host_without_home_regions_is_served_everywhere() {
     let regions = parse(&configuration(&[("shop.example", &[]), ("shop.example", &[])]));
-    assert_eq!(regions.of("shop.example"), Some(&ServingRegions::Any));
-    assert!(regions.of("shop.example").is_some_and(|regions| regions.contains("anywhere")));
+    assert_eq!(regions.serving_regions("shop.example"), Some(&ServingRegions::Any));
+    assert!(regions.serving_regions("shop.example").is_some_and(|regions| regions.contains("anywhere")));
 }
 
 #[test]
@@ -44,16 +44,16 @@
         ("desk.example", &["south"]),
     ];
     let regions = parse(&configuration(&routes));
-    assert_eq!(regions.of("shop.example").cloned(), only(&["south"]));
-    assert_eq!(regions.of("desk.example").cloned(), only(&[]), "homes that exclude each other");
-    assert_eq!(regions.of("other.example"), None);
+    assert_eq!(regions.serving_regions("shop.example").cloned(), only(&["south"]));
+    assert_eq!(regions.serving_regions("desk.example").cloned(), only(&[]), "homes that exclude each other");
+    assert_eq!(regions.serving_regions("other.example"), None);
 }
 
 #[test]
 fn hosts_are_compared_without_port_and_case() {
     let regions = parse(&configuration(&[("Shop.example:8443", &["north"])]));
-    assert_eq!(regions.of("shop.EXAMPLE").cloned(), only(&["north"]));
-    assert_eq!(regions.of("shop.example:80").cloned(), only(&["north"]));
+    assert_eq!(regions.serving_regions("shop.EXAMPLE").cloned(), only(&["north"]));
+    assert_eq!(regions.serving_regions("shop.example:80").cloned(), only(&["north"]));
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let whole = Configuration::parse(EXAMPLE.as_bytes()).unwrap();
     let regions = parse(EXAMPLE);
     for route in &whole.routes {
-        let allowed = regions.of(&route.host).expect("the host has a route");
+        let allowed = regions.serving_regions(&route.host).expect("the host has a route");
         let homes = &route.home_regions;
         let elsewhere = "a region that no route names";
         assert_eq!(
@@ -85,7 +85,7 @@
         let allows = |homes: &[String], region: &String| homes.is_empty() || homes.contains(region);
         (0..6).map(|number| format!("r{number}")).all(|region| {
             let expected = allows(&first, &region) && allows(&second, &region);
-            regions.of("h").unwrap().contains(&region) == expected
+            regions.serving_regions("h").unwrap().contains(&region) == expected
         })
     }
 }
--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -23,7 +23,7 @@
     /// Takes the report of a balancer; its first one subscribes it.
     pub(super) fn take_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         let is_new = !self.publisher.subscribers().any(|known| known == subscriber);
-        self.publisher.reported(now, subscriber, report);
+        self.publisher.handle_report(now, subscriber, report);
         self.contact.observe_remote_position(report.applied.configured.max(report.applied.evacuations));
         let changed = self.leases.renew(now, gossip_records::lease_of(report));
         if is_new {
@@ -109,11 +109,11 @@
             && record.sequence > published.configured
         {
             let body = Bytes::from(record.value.to_vec());
-            self.publisher.configure(Configured { sequence: record.sequence, body });
+            self.publisher.set_configured(Configured { sequence: record.sequence, body });
         }
         let EvacuatedZones { sequence, zones } = records::evacuated_zones(records);
         if sequence > published.evacuations {
-            self.publisher.evacuate(Evacuations { sequence, zones });
+            self.publisher.set_evacuations(Evacuations { sequence, zones });
         }
     }
 
--- a/controlplane/controller/src/host_region_cache.rs
+++ b/controlplane/controller/src/host_region_cache.rs
@@ -35,6 +35,6 @@
 
     /// The regions, beside the client's own, of the balancers that may be named to clients of a host.
     pub fn regions_of(&self, host: &str) -> &ServingRegions {
-        self.hosts.of(host).unwrap_or(&OWN_REGION_ONLY)
+        self.hosts.serving_regions(host).unwrap_or(&OWN_REGION_ONLY)
     }
 }
--- a/controlplane/controller/src/runtime/inbound.rs
+++ b/controlplane/controller/src/runtime/inbound.rs
@@ -86,7 +86,7 @@
         node.borrow_mut().peer_frame_received(peer);
         while let Some(frame) = next {
             take_peer_frame(peer, frame, node)?;
-            next = reader.buffered().context(FrameSnafu)?;
+            next = reader.next_buffered().context(FrameSnafu)?;
         }
     }
 }
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -120,7 +120,7 @@
 }
 
 fn push_lag(json: &mut String, summary: &Summary<'_>) {
-    push_list(json, "lagging", summary.publisher.lagging(summary.now), |json, lag| {
+    push_list(json, "lagging", summary.publisher.lags(summary.now), |json, lag| {
         let section = format!("{:?}", lag.section);
         json.push_str("{\"section\":");
         push_json_string(json, &section.to_lowercase());
--- a/controlplane/distribution/examples/publish.rs
+++ b/controlplane/distribution/examples/publish.rs
@@ -6,11 +6,11 @@
 fn main() {
     let subscriber = SubscriberId(1);
     let (mut publisher, mut applied) = (Publisher::new(), AppliedState::new());
-    publisher.configure(Configured { sequence: 1, body: Bytes::from_static(b"{}") });
+    publisher.set_configured(Configured { sequence: 1, body: Bytes::from_static(b"{}") });
     publisher.subscribe(subscriber, Versions::default());
     for now in [0, 10, 20] {
         if now == 20 {
-            publisher.evacuate(Evacuations { sequence: 2, zones: vec!["zone-a".to_owned()] });
+            publisher.set_evacuations(Evacuations { sequence: 2, zones: vec!["zone-a".to_owned()] });
         }
         match publisher.update_for(now, subscriber) {
             Some(update) => {
@@ -21,5 +21,5 @@
             None => println!("at {now} ms: nothing new"),
         }
     }
-    println!("lagging: {:?}", publisher.lagging(2_000).len());
+    println!("lagging: {:?}", publisher.lags(2_000).len());
 }
--- a/controlplane/distribution/src/applied_state.rs
+++ b/controlplane/distribution/src/applied_state.rs
@@ -38,7 +38,7 @@
     }
 
     /// Marks an instance as draining from now on, whatever later lists say.
-    pub fn retire(&mut self, instance: &str) {
+    pub fn mark_draining(&mut self, instance: &str) {
         self.draining.insert(instance);
     }
 
--- a/controlplane/distribution/src/connect.rs
+++ b/controlplane/distribution/src/connect.rs
@@ -12,7 +12,7 @@
 pub enum ConnectError {
     /// The other side did not answer in time.
     #[snafu(display("no connection to {address} within {} ms", limit.as_millis()))]
-    Silent {
+    TimedOut {
         /// The address that was tried.
         address: SocketAddr,
         /// How long it was tried.
@@ -31,7 +31,7 @@
 /// Opens a connection without delayed sends, within a time limit.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, ConnectError> {
     let attempt = timeout(limit, TcpStream::connect(address)).await;
-    let stream = attempt.ok().context(SilentSnafu { address, limit })?.context(RefusedSnafu { address })?;
+    let stream = attempt.ok().context(TimedOutSnafu { address, limit })?.context(RefusedSnafu { address })?;
     stream.set_nodelay(true).context(RefusedSnafu { address })?;
     Ok(stream)
 }
--- a/controlplane/distribution/src/frame.rs
+++ b/controlplane/distribution/src/frame.rs
@@ -151,7 +151,7 @@
     }
 
     /// A further frame that has been received already, without waiting.
-    pub fn buffered(&mut self) -> Result<Option<Frame>, FrameError> {
+    pub fn next_buffered(&mut self) -> Result<Option<Frame>, FrameError> {
         self.decoder.next_frame()
     }
 }
--- a/controlplane/distribution/src/lib.rs
+++ b/controlplane/distribution/src/lib.rs
@@ -11,7 +11,7 @@
 //! let subscriber = SubscriberId(1);
 //! let (mut publisher, mut applied) = (Publisher::new(), AppliedState::new());
 //! publisher.subscribe(subscriber, Versions::default());
-//! publisher.evacuate(Evacuations { sequence: 1, zones: vec!["zone-a".to_owned()] });
+//! publisher.set_evacuations(Evacuations { sequence: 1, zones: vec!["zone-a".to_owned()] });
 //!
 //! let update = publisher.update_for(0, subscriber).expect("there is a new section");
 //! applied.apply(0, update);
--- a/controlplane/distribution/src/publisher.rs
+++ b/controlplane/distribution/src/publisher.rs
@@ -76,7 +76,7 @@
     }
 
     /// Sets the committed configuration; false, and no change, unless it is newer than the present one.
-    pub fn configure(&mut self, section: Configured) -> bool {
+    pub fn set_configured(&mut self, section: Configured) -> bool {
         let newer = self.configured.as_ref().is_none_or(|present| section.sequence > present.sequence);
         if newer {
             self.configured = Some(section);
@@ -85,7 +85,7 @@
     }
 
     /// Sets the committed evacuations; false, and no change, unless they are newer than the present ones.
-    pub fn evacuate(&mut self, section: Evacuations) -> bool {
+    pub fn set_evacuations(&mut self, section: Evacuations) -> bool {
         let newer = self.evacuations.as_ref().is_none_or(|present| section.sequence > present.sequence);
         if newer {
             self.evacuations = Some(section);
@@ -186,7 +186,7 @@
     }
 
     /// Takes a report: subscribes its connection if that is new, and acknowledges what it has applied.
-    pub fn reported(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
+    pub fn handle_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         if !self.subscribers.contains_key(&subscriber) {
             self.subscribe(subscriber, report.applied);
         }
@@ -194,7 +194,7 @@
     }
 
     /// The sections that were sent and have not been acknowledged, for logs and the status.
-    pub fn lagging(&self, now: u64) -> Vec<Lag> {
+    pub fn lags(&self, now: u64) -> Vec<Lag> {
         self.subscribers.iter().flat_map(|(&subscriber, state)| state.lags(now, subscriber)).collect()
     }
 
--- a/controlplane/distribution/tests/frame.rs
+++ b/controlplane/distribution/tests/frame.rs
@@ -100,7 +100,7 @@
         buffer(&[(0, vec![1]), (1, vec![2])]).write_to(&mut near).await.unwrap();
         let mut reader = FrameReader::new(far);
         assert_eq!(reader.next().await.unwrap().unwrap().payload[..], [1]);
-        assert_eq!(reader.buffered().unwrap().unwrap().payload[..], [2]);
-        assert_eq!(reader.buffered().unwrap(), None);
+        assert_eq!(reader.next_buffered().unwrap().unwrap().payload[..], [2]);
+        assert_eq!(reader.next_buffered().unwrap(), None);
     });
 }
--- a/controlplane/distribution/tests/publisher.rs
+++ b/controlplane/distribution/tests/publisher.rs
@@ -32,7 +32,7 @@
 #[test]
 fn a_section_goes_once_to_each_subscriber() {
     let mut publisher = Publisher::new();
-    publisher.configure(configured(4));
+    publisher.set_configured(configured(4));
     subscribed(&mut publisher);
     publisher.subscribe(SECOND, Versions::default());
     assert_eq!(publisher.update_for(0, FIRST), only_configured(4));
@@ -43,18 +43,18 @@
 #[test]
 fn an_older_section_is_not_taken() {
     let mut publisher = Publisher::new();
-    assert!(publisher.configure(configured(4)));
-    assert!(!publisher.configure(configured(4)));
-    assert!(!publisher.configure(configured(3)));
-    assert!(publisher.evacuate(Evacuations { sequence: 5, zones: vec![] }));
-    assert!(!publisher.evacuate(Evacuations { sequence: 5, zones: vec!["a".to_owned()] }));
+    assert!(publisher.set_configured(configured(4)));
+    assert!(!publisher.set_configured(configured(4)));
+    assert!(!publisher.set_configured(configured(3)));
+    assert!(publisher.set_evacuations(Evacuations { sequence: 5, zones: vec![] }));
+    assert!(!publisher.set_evacuations(Evacuations { sequence: 5, zones: vec!["a".to_owned()] }));
     assert_eq!(publisher.versions(), Versions { configured: 4, evacuations: 5, ..Versions::default() });
 }
 
 #[test]
 fn only_what_has_changed_since_is_sent() {
     let mut publisher = Publisher::new();
-    publisher.configure(configured(4));
+    publisher.set_configured(configured(4));
     subscribed(&mut publisher);
     publisher.update_for(0, FIRST);
     publisher.set_fleet(fleet(1));
@@ -65,7 +65,7 @@
 #[test]
 fn a_balancer_that_has_the_configuration_already_is_not_sent_it() {
     let mut publisher = Publisher::new();
-    publisher.configure(configured(4));
+    publisher.set_configured(configured(4));
     publisher.set_fleet(fleet(4));
     let applied = Versions { configured: 4, fleet: 4, ..Versions::default() };
     publisher.subscribe(FIRST, applied);
@@ -78,7 +78,7 @@
 #[test]
 fn an_unacknowledged_section_is_sent_again_after_growing_waits() {
     let mut publisher = Publisher::new();
-    publisher.configure(configured(4));
+    publisher.set_configured(configured(4));
     subscribed(&mut publisher);
     let sent = (0..40_000).step_by(10).filter(|&now| publisher.update_for(now, FIRST).is_some());
     assert_eq!(sent.collect::<Vec<_>>(), [0, 1_000, 3_000, 7_000, 15_000, 23_000, 31_000, 39_000]);
@@ -87,25 +87,25 @@
 #[test]
 fn an_acknowledged_section_is_not_sent_again() {
     let mut publisher = Publisher::new();
-    publisher.configure(configured(4));
+    publisher.set_configured(configured(4));
     subscribed(&mut publisher);
     publisher.update_for(0, FIRST);
     publisher.acknowledge(100, FIRST, applied_configured(4));
     assert!((0..40_000).step_by(10).all(|now| publisher.update_for(now, FIRST).is_none()));
-    assert_eq!(publisher.lagging(40_000), []);
+    assert_eq!(publisher.lags(40_000), []);
 }
 
 #[test]
 fn lagging_subscriber_is_listed_with_its_section() {
     let mut publisher = Publisher::new();
-    publisher.configure(configured(4));
+    publisher.set_configured(configured(4));
     subscribed(&mut publisher);
     publisher.subscribe(SECOND, Versions::default());
     publisher.update_for(0, FIRST);
     publisher.update_for(0, SECOND);
     publisher.acknowledge(100, SECOND, applied_configured(4));
     let lag = Lag { subscriber: FIRST, section: Section::Configured, version: 4, waiting_ms: 600 };
-    assert_eq!(publisher.lagging(600), [lag]);
+    assert_eq!(publisher.lags(600), [lag]);
     assert!(!publisher.is_configured_everywhere(4));
     publisher.acknowledge(700, FIRST, applied_configured(4));
     assert!(publisher.is_configured_everywhere(4));
@@ -119,11 +119,11 @@
         publisher.set_fleet(fleet(version));
         publisher.update_for(now, FIRST);
     }
-    assert_eq!(publisher.lagging(500)[0].waiting_ms, 500);
+    assert_eq!(publisher.lags(500)[0].waiting_ms, 500);
     publisher.acknowledge(500, FIRST, Versions { fleet: 2, ..Versions::default() });
-    assert_eq!(publisher.lagging(600)[0].waiting_ms, 100);
+    assert_eq!(publisher.lags(600)[0].waiting_ms, 100);
     publisher.acknowledge(700, FIRST, Versions { fleet: 3, ..Versions::default() });
-    assert_eq!(publisher.lagging(700), []);
+    assert_eq!(publisher.lags(700), []);
 }
 
 #[test]
@@ -133,7 +133,7 @@
     subscribed(&mut publisher);
     publisher.update_for(0, FIRST);
     publisher.acknowledge(100, FIRST, Versions { fleet: 900, ..Versions::default() });
-    assert_eq!(publisher.lagging(200).len(), 1);
+    assert_eq!(publisher.lags(200).len(), 1);
 }
 
 #[test]
--- a/dataplane/agent/src/guarded_sections.rs
+++ b/dataplane/agent/src/guarded_sections.rs
@@ -138,7 +138,7 @@
     /// Retires deregistered instances, even if the list itself removes no entries.
     fn apply_deregistrations(&mut self, section: &mut Instances) {
         for deregistered in section.list.extract_if(.., |instance| instance.is_ended()) {
-            self.applied_state.retire(&deregistered.id);
+            self.applied_state.mark_draining(&deregistered.id);
         }
     }
 
--- a/dataplane/proxy/src/control_link.rs
+++ b/dataplane/proxy/src/control_link.rs
@@ -127,7 +127,7 @@
     reader: &mut FrameReader<R>,
 ) -> Result<bool, LinkError> {
     let mut has_update = apply(node, frame)?;
-    while let Some(frame) = reader.buffered().context(FrameSnafu)? {
+    while let Some(frame) = reader.next_buffered().context(FrameSnafu)? {
         has_update |= apply(node, frame)?;
     }
     Ok(has_update)
--- a/programs/serving/src/command_line.rs
+++ b/programs/serving/src/command_line.rs
@@ -61,7 +61,7 @@
 
 /// What `whinspindle serving-help` prints.
 pub fn help() -> String {
-    let line = |mechanism: Mechanism| format!("  {:<24}{}\n", mechanism.name(), mechanism.absence());
+    let line = |mechanism: Mechanism| format!("  {:<24}{}\n", mechanism.name(), mechanism.effect_when_off());
     HELP.replace(MECHANISMS, &Mechanism::all().map(line).collect::<String>())
 }
 
--- a/programs/serving/src/command_line/parser.rs
+++ b/programs/serving/src/command_line/parser.rs
@@ -61,7 +61,7 @@
     let without = arguments.opt_value_from_str::<_, String>("--without").context(ArgumentSnafu)?;
     let mechanisms = Mechanisms::without(&without.unwrap_or_default()).context(MechanismSnafu)?;
     let is_controller = program == Program::Controller;
-    match mechanisms.switched_off().find(|mechanism| mechanism.is_of_controller() != is_controller) {
+    match mechanisms.switched_off().find(|mechanism| mechanism.belongs_to_controller() != is_controller) {
         Some(mechanism) => ForeignMechanismSnafu { mechanism }.fail(),
         None => Ok(mechanisms),
     }
--- a/programs/serving/src/daemon.rs
+++ b/programs/serving/src/daemon.rs
@@ -60,7 +60,7 @@
     let mut settings = read_settings(&command.settings)?;
     settings.mechanisms = command.mechanisms;
     for mechanism in settings.mechanisms.switched_off() {
-        warn!("without {}: {}", mechanism.name(), mechanism.absence());
+        warn!("without {}: {}", mechanism.name(), mechanism.effect_when_off());
     }
     let keys = missing_keys(command.program, &settings);
     ensure!(keys.is_empty(), MissingSnafu { path: &command.settings, keys });
--- a/programs/serving/tests/command_line.rs
+++ b/programs/serving/tests/command_line.rs
@@ -98,7 +98,7 @@
 fn the_help_lists_each_mechanism_with_what_its_absence_does() {
     let help = help();
     for mechanism in Mechanism::all() {
-        let line = format!("  {:<24}{}\n", mechanism.name(), mechanism.absence());
+        let line = format!("  {:<24}{}\n", mechanism.name(), mechanism.effect_when_off());
         assert!(help.contains(&line), "{line}");
     }
 }
