--- a/controlplane/configuration/src/configuration.rs
+++ b/controlplane/configuration/src/configuration.rs
@@ -8,16 +8,16 @@
 use crate::json::JsonError;
 use crate::raw_configuration::RawConfiguration;
 
-/// A complete configuration, as one command of an operator carries it.
+/// A complete configuration, as an operator submits it in one command.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// The operator's number of the configuration; rises with each one.
+    /// The number that the operator gives the configuration; each new configuration has a higher one.
     pub generation: u64,
     /// The routes, in the operator's order.
     pub routes: Vec<Route>,
     /// The services, in the operator's order.
     pub services: Vec<Service>,
-    /// Bounds of what clients may send.
+    /// Limits for the requests and connections of clients.
     pub limits: Limits,
     routes_by_host: HashMap<String, HostRoutes>,
 }
@@ -25,58 +25,59 @@
 /// The routes of one host.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct HostRoutes {
-    /// Index into `Configuration::routes`.
+    /// Maps a path prefix to an index into `Configuration::routes`.
     by_prefix: HashMap<String, usize>,
-    /// The distinct lengths of the prefixes, longest first.
+    /// The distinct lengths of the prefixes, in descending order.
     prefix_lengths: Vec<usize>,
 }
 
-/// Whether requests of a route may be retried.
+/// The kind of a route, which determines whether its requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// Idempotent: a request may run more than once.
     Safe,
-    /// A request may run at most once for each attempt of a client.
+    /// Not idempotent: a request may run at most once for each attempt of a client.
     Unsafe,
-    /// The answer is a stream of events; as `Unsafe`, unless the route is resumable.
+    /// The response is a stream of events. Requests are treated like `Unsafe` ones, unless the route is
+    /// resumable.
     Streaming,
 }
 
 /// A service that a route forwards to, and its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
-    /// Index into `Configuration::services`.
+    /// The index of the service in `Configuration::services`.
     pub service: usize,
-    /// The weight among the backends of the route.
+    /// The weight of this backend relative to the other backends of the route.
     pub weight: f64,
 }
 
 /// The handling of requests for a host and a path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The name of the route; host and path prefix if the operator names none.
+    /// The name of the route; by default the host followed by the path prefix.
     pub name: String,
-    /// The host that requests name.
+    /// The host for which the route accepts requests.
     pub host: String,
-    /// The start of the path.
+    /// The prefix of the paths for which the route accepts requests.
     pub path_prefix: String,
-    /// Whether requests may be retried.
+    /// The kind of the route, which determines whether its requests may be retried.
     pub kind: RouteKind,
-    /// The deadline of an answer, in milliseconds.
+    /// The time limit for a response, in milliseconds.
     pub timeout_ms: u64,
-    /// The latency target, in milliseconds; the time-out if the operator names none.
+    /// The latency target, in milliseconds; by default `timeout_ms`.
     pub target_ms: u64,
-    /// The priority of requests; 0 is the highest.
+    /// The priority of requests; 0 is the highest priority.
     pub priority: u8,
-    /// The services that requests are distributed to.
+    /// The services to which requests are distributed.
     pub backends: Vec<Backend>,
-    /// The largest number of upstreams on which one attempt of a client may run.
+    /// The maximum number of upstreams on which one attempt of a client may run.
     pub retries: u32,
-    /// Whether requests have affinity to the upstream whose prefix cache they can use.
+    /// Whether a request prefers the upstream whose prefix cache contains the start of its prompt.
     pub sticky: bool,
     /// Whether a broken stream may be resumed on another upstream.
     pub resumable: bool,
-    /// The target for the time between two events of a stream, in milliseconds.
+    /// The target for the time between two successive events of a stream, in milliseconds.
     pub gap_aim_ms: Option<u64>,
     /// The regions in which requests may be served; empty for all.
     pub home_regions: Vec<String>,
@@ -85,24 +86,24 @@
 /// A set of equivalent upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// The name that routes and heartbeats use.
+    /// The name by which routes and heartbeats refer to the service.
     pub name: String,
-    /// The path of its health check.
+    /// The path of the health check.
     pub health_path: String,
-    /// The largest number of connections of all balancers together to one upstream.
+    /// The maximum number of connections to one upstream, summed over all balancers.
     pub max_conns: u32,
-    /// The length of the slow start, in seconds.
+    /// The duration of the slow start of an upstream, in seconds.
     pub cold_s: f64,
-    /// The requests a second that an upstream bears during its slow start.
+    /// The capacity of an upstream during its slow start, in requests per second.
     pub cold_per_s: f64,
-    /// The batch engine, for a model service.
+    /// The batch engine; `None` for services that don't serve a model.
     pub engine: Option<Engine>,
 }
 
 /// The batch engine of a model service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Engine {
-    /// Requests in one batch.
+    /// The maximum number of requests in one batch.
     pub slots: u32,
     /// The capacity of the KV cache, in tokens.
     pub kv_capacity: u64,
@@ -110,16 +111,16 @@
     pub stride: u32,
 }
 
-/// Bounds of what a client may send, and of the time it may take.
+/// Limits for the requests and connections of clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The largest size of a request's headers.
+    /// The maximum size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// The largest size of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// The time in which the headers have to arrive, in milliseconds.
+    /// The time limit for receiving the headers of a request, in milliseconds.
     pub header_timeout_ms: u64,
-    /// The time for which a connection may be idle, in milliseconds.
+    /// The maximum time for which a connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -134,41 +135,41 @@
     }
 }
 
-/// Why a configuration is invalid.
+/// The reason why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ConfigurationError {
-    /// The document is no JSON object of a configuration.
+    /// The document is not a JSON object with the keys of a configuration.
     #[snafu(display("the configuration can't be read: {source}"))]
     Unreadable {
-        /// What is wrong, and where.
+        /// The error of the JSON parser.
         source: JsonError,
     },
 
-    /// The kind of a route is none of [`RouteKind`].
+    /// The kind of a route is not one of `safe`, `unsafe` and `streaming`.
     #[snafu(display("route `{route}` has the unknown kind `{kind}`"))]
     UnknownKind {
         /// The name of the route.
         route: String,
-        /// The value.
+        /// The unknown kind.
         kind: String,
     },
 
-    /// A route names no service.
+    /// A route has neither a backend nor a split.
     #[snafu(display("route `{route}` names neither a backend nor a split"))]
     NoBackend {
         /// The name of the route.
         route: String,
     },
 
-    /// A route names its services in both ways.
+    /// A route has both a backend and a split.
     #[snafu(display("route `{route}` names both a backend and a split"))]
     BackendAndSplit {
         /// The name of the route.
         route: String,
     },
 
-    /// A route names a service that the configuration lacks.
+    /// A route names a service that the configuration does not define.
     #[snafu(display("route `{route}` names the unknown service `{service}`"))]
     UnknownService {
         /// The name of the route.
@@ -184,11 +185,11 @@
         route: String,
         /// The name of the service.
         service: String,
-        /// The value.
+        /// The invalid weight.
         weight: f64,
     },
 
-    /// The weights of a route are all 0, or not finite together.
+    /// The sum of the weights of a route is 0 or not finite.
     #[snafu(display("the weights of route `{route}` add up to {total}"))]
     InvalidTotalWeight {
         /// The name of the route.
@@ -197,7 +198,7 @@
         total: f64,
     },
 
-    /// A route has the time-out 0.
+    /// The timeout of a route is 0.
     #[snafu(display("`timeout_ms` of route `{route}` is 0"))]
     NoTimeout {
         /// The name of the route.
@@ -220,18 +221,18 @@
         service: String,
     },
 
-    /// A value of a service's slow start is negative or not finite.
+    /// A slow start value of a service is negative or not finite.
     #[snafu(display("`{key}` of service `{service}` is {value}, expected a number that is not negative"))]
     InvalidSlowStart {
         /// The name of the service.
         service: String,
         /// The key of the value.
         key: &'static str,
-        /// The value.
+        /// The invalid value.
         value: f64,
     },
 
-    /// The generation is the highest there is: none could follow.
+    /// The generation is `u64::MAX`, so no later configuration could have a higher one.
     #[snafu(display("no generation is left above {generation}"))]
     LastGeneration {
         /// The generation.
@@ -240,13 +241,14 @@
 }
 
 impl Configuration {
-    /// Parses and validates a configuration. Whether its generation may follow the present one is left to the caller.
+    /// Parses and validates a configuration. The caller checks whether its generation is higher than the
+    /// current one.
     pub fn parse(bytes: &[u8]) -> Result<Configuration, ConfigurationError> {
         let raw: RawConfiguration = crate::json::parse(bytes).context(UnreadableSnafu)?;
-        raw.check()
+        raw.validate()
     }
 
-    /// Builds a configuration from its parts, and validates them.
+    /// Creates a configuration from its parts and validates it.
     pub fn new(
         generation: u64,
         routes: Vec<Route>,
@@ -255,8 +257,8 @@
     ) -> Result<Configuration, ConfigurationError> {
         ensure!(generation < u64::MAX, LastGenerationSnafu { generation });
         for service in &services {
-            check_slow_start(service, "cold_s", service.cold_s)?;
-            check_slow_start(service, "cold_per_s", service.cold_per_s)?;
+            check_slow_start_value(service, "cold_s", service.cold_s)?;
+            check_slow_start_value(service, "cold_per_s", service.cold_per_s)?;
         }
         for route in &routes {
             check_route(route, &services)?;
@@ -265,8 +267,8 @@
         Ok(Configuration { generation, routes, services, limits, routes_by_host })
     }
 
-    /// The route with the longest prefix of the path, as an index into `routes`. The host may have a port; the path comes
-    /// without its query.
+    /// Returns the index in `routes` of the route with the longest matching path prefix. A port in `host` is
+    /// ignored; `path` must not include the query string.
     pub fn find_route(&self, host: &str, path: &str) -> Option<usize> {
         let host_routes = self.routes_by_host.get(normalize_host(host).as_ref())?;
         host_routes
@@ -277,9 +279,13 @@
     }
 }
 
-fn check_slow_start(service: &Service, key: &'static str, value: f64) -> Result<(), ConfigurationError> {
-    let valid = value.is_finite() && value >= 0.0;
-    ensure!(valid, InvalidSlowStartSnafu { service: &service.name, key, value });
+fn check_slow_start_value(
+    service: &Service,
+    key: &'static str,
+    value: f64,
+) -> Result<(), ConfigurationError> {
+    let is_valid = value.is_finite() && value >= 0.0;
+    ensure!(is_valid, InvalidSlowStartSnafu { service: &service.name, key, value });
     Ok(())
 }
 
@@ -292,8 +298,8 @@
             .get(backend.service)
             .with_context(|| UnknownServiceSnafu { route: name, service: backend.service.to_string() })?;
         let weight = backend.weight;
-        let valid = weight.is_finite() && weight >= 0.0;
-        ensure!(valid, InvalidWeightSnafu { route: name, service: &service.name, weight });
+        let is_valid = weight.is_finite() && weight >= 0.0;
+        ensure!(is_valid, InvalidWeightSnafu { route: name, service: &service.name, weight });
     }
     let total: f64 = route.backends.iter().map(|backend| backend.weight).sum();
     ensure!(total.is_finite() && total > 0.0, InvalidTotalWeightSnafu { route: name, total });
@@ -304,8 +310,8 @@
     let mut by_host: HashMap<String, HostRoutes> = HashMap::new();
     for (index, route) in routes.iter().enumerate() {
         let host_routes = by_host.entry(normalize_host(&route.host).into_owned()).or_default();
-        if let Some(first) = host_routes.by_prefix.insert(route.path_prefix.clone(), index) {
-            return SharedPrefixSnafu { first: &routes[first].name, second: &route.name }.fail();
+        if let Some(first_index) = host_routes.by_prefix.insert(route.path_prefix.clone(), index) {
+            return SharedPrefixSnafu { first: &routes[first_index].name, second: &route.name }.fail();
         }
         host_routes.prefix_lengths.push(route.path_prefix.len());
     }
@@ -316,9 +322,9 @@
     Ok(by_host)
 }
 
-/// The host in lower case and without a port.
+/// Converts a host to lower case and removes its port.
 pub(crate) fn normalize_host(host: &str) -> Cow<'_, str> {
-    let name = without_port(host);
+    let name = strip_port(host);
     if name.bytes().any(|byte| byte.is_ascii_uppercase()) {
         Cow::Owned(name.to_ascii_lowercase())
     } else {
@@ -326,7 +332,7 @@
     }
 }
 
-fn without_port(host: &str) -> &str {
+fn strip_port(host: &str) -> &str {
     if host.starts_with('[') {
         return host.find(']').map_or(host, |end| &host[..=end]);
     }
--- a/controlplane/configuration/src/heartbeat.rs
+++ b/controlplane/configuration/src/heartbeat.rs
@@ -1,7 +1,7 @@
-//! The heartbeat of an upstream, as the body of its call.
+//! Heartbeats that upstream instances send to a controller as JSON.
 
-// `DeJson`'s derive writes `return Err(..)` where `?` would do.
-#![allow(clippy::question_mark, reason = "the parsers that nanoserde derives return early in their own way")]
+// The code that `DeJson` derives uses `return Err(..)` in place of `?`.
+#![allow(clippy::question_mark, reason = "code derived by nanoserde")]
 
 use std::net::SocketAddr;
 
@@ -11,61 +11,61 @@
 use crate::json::JsonError;
 use crate::number::{RoundedUp, WholeNumber};
 
-/// Whether an upstream takes new requests.
+/// Whether an upstream instance accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceState {
-    /// It takes new requests.
+    /// The instance accepts new requests.
     Ready,
-    /// It finishes the requests that it has.
+    /// The instance only completes the requests that it has already accepted.
     Draining,
 }
 
-/// What an upstream reports of itself.
+/// The state that an upstream instance reports about itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Heartbeat {
-    /// The name of its service.
+    /// The name of the service to which the instance belongs.
     pub backend: String,
-    /// Where it takes requests.
+    /// The address on which the instance accepts requests.
     pub address: SocketAddr,
-    /// The zone that it runs in.
+    /// The zone in which the instance runs.
     pub zone: String,
-    /// The generation of its software; empty if it names none.
+    /// The generation of the instance's software; empty if the heartbeat doesn't contain one.
     pub generation: String,
-    /// Requests that it handles at once.
+    /// The number of requests that the instance handles concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the instance accepts new requests.
     pub state: InstanceState,
-    /// The remaining time of its slow start, in milliseconds.
+    /// The remaining duration of the instance's slow start, in milliseconds.
     pub slow_start_ms: u64,
-    /// The time left before it is stopped at short notice, in milliseconds.
+    /// The time until the instance is stopped at short notice, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// Rises with each heartbeat.
+    /// A sequence number that increases with each heartbeat.
     pub sequence: u64,
 }
 
-/// Why the body of a heartbeat was refused.
+/// The reason why a heartbeat was rejected.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum HeartbeatError {
-    /// The body is no JSON object of a heartbeat.
+    /// The body is not a JSON object with the keys of a heartbeat.
     #[snafu(display("the heartbeat can't be read: {source}"))]
     Unreadable {
-        /// What is wrong, and where.
+        /// The error of the JSON parser.
         source: JsonError,
     },
 
     /// The address can't be parsed.
     #[snafu(display("`address` is `{address}`: {source}"))]
     InvalidAddress {
-        /// The value.
+        /// The value of `address`.
         address: String,
-        /// What is wrong with it.
+        /// The error of the address parser.
         source: std::net::AddrParseError,
     },
 
-    /// The state is none of [`InstanceState`].
+    /// The state is neither `ready` nor `draining`.
     #[snafu(display("`state` is `{state}`, neither `ready` nor `draining`"))]
     UnknownState {
-        /// The value.
+        /// The value of `state`.
         state: String,
     },
 }
@@ -93,7 +93,7 @@
             address,
             zone: raw.zone,
             generation: raw.generation.unwrap_or_default(),
-            slots: raw.slots.unwrap_or(WholeNumber(1)).saturated(),
+            slots: raw.slots.unwrap_or(WholeNumber(1)).saturating_convert(),
             state: parse_state(&raw.state)?,
             slow_start_ms: raw.cold_ms.unwrap_or_default().0,
             remaining_ms: raw.remaining_ms.map(|remaining| remaining.0),
--- a/controlplane/configuration/src/json.rs
+++ b/controlplane/configuration/src/json.rs
@@ -1,8 +1,9 @@
 //! Strict parsing of JSON documents.
 //!
-//! `nanoserde` accepts more than JSON (comments, trailing commas, text after the document), and it panics or never returns
-//! on some malformed input. The grammar of a document is therefore checked in one pass before `nanoserde` sees it
-//! ([`grammar`]). It also accepts fewer notations of numbers than JSON has: those it would refuse are rewritten.
+//! `nanoserde` accepts more than JSON (comments, trailing commas, text after the document), and it panics or
+//! never returns on some malformed input. The grammar of a document is therefore checked in one pass before
+//! `nanoserde` sees it ([`grammar`]). `nanoserde` also rejects some notations of numbers that JSON allows.
+//! Numbers in these notations are rewritten before it parses the document.
 
 mod grammar;
 
@@ -14,38 +15,38 @@
 
 use self::grammar::{Scanner, check_grammar};
 
-/// The suffix that turns an integer into a fraction.
-const FRACTION: &str = ".0";
+/// The suffix that turns an integer into a floating-point number.
+const FRACTION_SUFFIX: &str = ".0";
 
-/// Why a document could not be read, and where.
+/// The reason why a document can't be parsed, and the position of the error.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum JsonError {
     /// The document is not valid UTF-8.
     #[snafu(display("not UTF-8 from byte {offset} on"))]
     NotText {
-        /// The number of valid bytes before the fault.
+        /// The number of valid bytes before the error.
         offset: usize,
     },
 
-    /// The document is no JSON.
+    /// The document is not valid JSON.
     #[snafu(display("line {line}, column {column}: expected {expected}"))]
     Syntax {
-        /// What the grammar expects there.
+        /// The token or value that the grammar expects at this position.
         expected: &'static str,
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// The column, from 1.
+        /// The column number, starting at 1.
         column: usize,
     },
 
-    /// An object lacks a key.
+    /// A required key of an object is missing.
     #[snafu(display("line {line}, column {column}: `{key}` is missing"))]
     Missing {
-        /// The key.
+        /// The missing key.
         key: String,
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// The column, from 1.
+        /// The column number, starting at 1.
         column: usize,
     },
 
@@ -54,17 +55,17 @@
     Value {
         /// The key of the value.
         key: String,
-        /// What is wrong with it.
+        /// The reason why the value is invalid.
         reason: String,
-        /// The line, from 1.
+        /// The line number, starting at 1.
         line: usize,
-        /// The column, from 1.
+        /// The column number, starting at 1.
         column: usize,
     },
 }
 
 impl JsonError {
-    /// The key at fault, if one is known.
+    /// The key that is missing or has an invalid value, if known.
     pub fn key(&self) -> Option<&str> {
         match self {
             JsonError::Missing { key, .. } | JsonError::Value { key, .. } => Some(key),
@@ -73,7 +74,7 @@
     }
 }
 
-/// Parses a document. Unknown keys are skipped.
+/// Parses a document. Unknown keys are ignored.
 pub(crate) fn parse<T: DeJson>(bytes: &[u8]) -> Result<T, JsonError> {
     let text =
         std::str::from_utf8(bytes).map_err(|error| JsonError::NotText { offset: error.valid_up_to() })?;
@@ -82,19 +83,20 @@
     T::deserialize_json(&text).map_err(|error| value_error(&text, error))
 }
 
-/// The text with these numbers rewritten: without a plus sign, and as a fraction where no integer type can hold it.
+/// Rewrites the numbers at the given ranges: removes plus signs, and appends `.0` to integers that fit no
+/// integer type.
 fn rewrite_numbers<'a>(text: &'a str, numbers: &[Range<usize>]) -> Cow<'a, str> {
     if numbers.is_empty() {
         return Cow::Borrowed(text);
     }
-    let mut rewritten = String::with_capacity(text.len() + numbers.len() * FRACTION.len());
+    let mut rewritten = String::with_capacity(text.len() + numbers.len() * FRACTION_SUFFIX.len());
     let mut end = 0;
     for number in numbers {
         rewritten.push_str(&text[end..number.start]);
         let digits = &text[number.clone()];
         rewritten.push_str(&digits.replace('+', ""));
         if is_integer(digits) {
-            rewritten.push_str(FRACTION);
+            rewritten.push_str(FRACTION_SUFFIX);
         }
         end = number.end;
     }
@@ -119,14 +121,14 @@
         DeJsonErrReason::NoSuchEnum(found) => format!("unknown variant {found}"),
         DeJsonErrReason::OutOfRange(range) => format!("out of range: {range}"),
         DeJsonErrReason::WrongType(found) => format!("wrong type {found}"),
-        DeJsonErrReason::CannotParse(what) => format!("{what} can't be represented"),
+        DeJsonErrReason::CannotParse(value) => format!("{value} can't be represented"),
         reason => format!("{reason:?}"),
     };
     let key = last_key_before(text, error.line, error.col);
     JsonError::Value { key, reason, line, column }
 }
 
-/// The last key of an object that begins before a position; empty if there is none.
+/// Returns the last object key that starts before a position, or an empty string if there is none.
 fn last_key_before(text: &str, line: usize, column: usize) -> String {
     let line_start = if line == 0 { 0 } else { nth_line_start(text, line) };
     let end =
@@ -139,7 +141,7 @@
             continue;
         }
         let start = scanner.position + 1;
-        if scanner.string().is_err() {
+        if scanner.scan_string().is_err() {
             break;
         }
         let string = &text[start..scanner.position - 1];
--- a/controlplane/configuration/src/json/grammar.rs
+++ b/controlplane/configuration/src/json/grammar.rs
@@ -1,13 +1,13 @@
-//! The grammar of JSON, checked in one pass.
+//! A single-pass check of the JSON grammar.
 
 use std::ops::Range;
 
 use super::{JsonError, fits_integer, is_integer};
 
-/// Deeper documents are refused.
+/// The maximum nesting depth of a document.
 const MAX_DEPTH: usize = 128;
 
-/// What the grammar allows next.
+/// The syntax element that the grammar allows next.
 #[derive(Clone, Copy)]
 enum Expected {
     Value,
@@ -18,35 +18,42 @@
     End,
 }
 
-/// The kinds of values that contain others.
+/// A JSON value that contains other values.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Container {
     Object,
     Array,
 }
 
-/// A pass over a document.
+/// Scans a document from start to end.
 pub(super) struct Scanner<'a> {
     text: &'a str,
     bytes: &'a [u8],
     pub(super) position: usize,
-    open: Vec<Container>,
-    /// The numbers whose notation `nanoserde` doesn't support.
-    unsupported: Vec<Range<usize>>,
+    open_containers: Vec<Container>,
+    /// The ranges of numbers whose notation `nanoserde` doesn't support.
+    unsupported_numbers: Vec<Range<usize>>,
 }
 
-/// Checks the grammar of a document; returns the numbers whose notation `nanoserde` doesn't support.
+/// Checks the grammar of a document. Returns the ranges of numbers whose notation `nanoserde` doesn't
+/// support.
 pub(super) fn check_grammar(text: &str) -> Result<Vec<Range<usize>>, JsonError> {
     let mut scanner = Scanner::new(text);
-    match scanner.document() {
-        Ok(()) => Ok(scanner.unsupported),
+    match scanner.scan_document() {
+        Ok(()) => Ok(scanner.unsupported_numbers),
         Err(expected) => Err(scanner.syntax_error(expected)),
     }
 }
 
 impl<'a> Scanner<'a> {
     pub(super) fn new(text: &'a str) -> Self {
-        Scanner { text, bytes: text.as_bytes(), position: 0, open: Vec::new(), unsupported: Vec::new() }
+        Scanner {
+            text,
+            bytes: text.as_bytes(),
+            position: 0,
+            open_containers: Vec::new(),
+            unsupported_numbers: Vec::new(),
+        }
     }
 
     fn syntax_error(&self, expected: &'static str) -> JsonError {
@@ -56,81 +63,81 @@
         JsonError::Syntax { expected, line, column: self.position - line_start + 1 }
     }
 
-    fn document(&mut self) -> Result<(), &'static str> {
+    fn scan_document(&mut self) -> Result<(), &'static str> {
         let mut expected = Expected::Value;
         loop {
             self.skip_whitespace();
             expected = match expected {
-                Expected::FirstElement if self.take(b']') => self.close(),
-                Expected::FirstKey if self.take(b'}') => self.close(),
-                Expected::Value | Expected::FirstElement => self.value()?,
-                Expected::Key | Expected::FirstKey => self.key()?,
-                Expected::Separator => self.separator()?,
+                Expected::FirstElement if self.consume(b']') => self.close_container(),
+                Expected::FirstKey if self.consume(b'}') => self.close_container(),
+                Expected::Value | Expected::FirstElement => self.scan_value()?,
+                Expected::Key | Expected::FirstKey => self.scan_key()?,
+                Expected::Separator => self.scan_separator()?,
                 Expected::End if self.position == self.bytes.len() => return Ok(()),
                 Expected::End => return Err("the end of the document"),
             };
         }
     }
 
-    fn value(&mut self) -> Result<Expected, &'static str> {
+    fn scan_value(&mut self) -> Result<Expected, &'static str> {
         match self.peek() {
-            Some(b'{') => return self.open(Container::Object),
-            Some(b'[') => return self.open(Container::Array),
-            Some(b'"') => self.string()?,
-            Some(b'-' | b'0'..=b'9') => self.number()?,
-            Some(b't') => self.literal("true")?,
-            Some(b'f') => self.literal("false")?,
-            Some(b'n') => self.literal("null")?,
+            Some(b'{') => return self.open_container(Container::Object),
+            Some(b'[') => return self.open_container(Container::Array),
+            Some(b'"') => self.scan_string()?,
+            Some(b'-' | b'0'..=b'9') => self.scan_number()?,
+            Some(b't') => self.scan_literal("true")?,
+            Some(b'f') => self.scan_literal("false")?,
+            Some(b'n') => self.scan_literal("null")?,
             _ => return Err("a value"),
         }
-        Ok(self.after_value())
+        Ok(self.expected_after_value())
     }
 
-    fn open(&mut self, container: Container) -> Result<Expected, &'static str> {
-        if self.open.len() == MAX_DEPTH {
+    fn open_container(&mut self, container: Container) -> Result<Expected, &'static str> {
+        if self.open_containers.len() == MAX_DEPTH {
             return Err("less depth");
         }
         self.position += 1;
-        self.open.push(container);
+        self.open_containers.push(container);
         Ok(match container {
             Container::Object => Expected::FirstKey,
             Container::Array => Expected::FirstElement,
         })
     }
 
-    fn close(&mut self) -> Expected {
-        self.open.pop();
-        self.after_value()
+    fn close_container(&mut self) -> Expected {
+        self.open_containers.pop();
+        self.expected_after_value()
     }
 
-    fn after_value(&self) -> Expected {
-        if self.open.is_empty() { Expected::End } else { Expected::Separator }
+    fn expected_after_value(&self) -> Expected {
+        if self.open_containers.is_empty() { Expected::End } else { Expected::Separator }
     }
 
-    fn key(&mut self) -> Result<Expected, &'static str> {
+    fn scan_key(&mut self) -> Result<Expected, &'static str> {
         if self.peek() != Some(b'"') {
             return Err("a key");
         }
-        self.string()?;
+        self.scan_string()?;
         self.skip_whitespace();
-        if !self.take(b':') {
+        if !self.consume(b':') {
             return Err("`:`");
         }
         Ok(Expected::Value)
     }
 
-    fn separator(&mut self) -> Result<Expected, &'static str> {
-        let object = self.open.last() == Some(&Container::Object);
-        if self.take(b',') {
-            return Ok(if object { Expected::Key } else { Expected::Value });
+    fn scan_separator(&mut self) -> Result<Expected, &'static str> {
+        let is_object = self.open_containers.last() == Some(&Container::Object);
+        if self.consume(b',') {
+            return Ok(if is_object { Expected::Key } else { Expected::Value });
         }
-        if self.take(if object { b'}' } else { b']' }) {
-            return Ok(self.close());
+        if self.consume(if is_object { b'}' } else { b']' }) {
+            return Ok(self.close_container());
         }
-        Err(if object { "`,` or `}`" } else { "`,` or `]`" })
+        Err(if is_object { "`,` or `}`" } else { "`,` or `]`" })
     }
 
-    pub(super) fn string(&mut self) -> Result<(), &'static str> {
+    pub(super) fn scan_string(&mut self) -> Result<(), &'static str> {
         self.position += 1;
         while let Some(byte) = self.peek() {
             match byte {
@@ -138,7 +145,7 @@
                     self.position += 1;
                     return Ok(());
                 }
-                b'\\' => self.escape()?,
+                b'\\' => self.scan_escape()?,
                 0..0x20 => return Err("no control character in a string"),
                 _ => self.position += 1,
             }
@@ -146,7 +153,7 @@
         Err("the end of the string")
     }
 
-    fn escape(&mut self) -> Result<(), &'static str> {
+    fn scan_escape(&mut self) -> Result<(), &'static str> {
         self.position += 1;
         match self.peek() {
             Some(b'"' | b'\\' | b'/' | b'b' | b'f' | b'n' | b'r' | b't') => self.position += 1,
@@ -162,27 +169,27 @@
         Ok(())
     }
 
-    fn number(&mut self) -> Result<(), &'static str> {
+    fn scan_number(&mut self) -> Result<(), &'static str> {
         let start = self.position;
-        self.take(b'-');
-        if !self.take(b'0') {
-            self.digits()?;
+        self.consume(b'-');
+        if !self.consume(b'0') {
+            self.scan_digits()?;
         }
-        if self.take(b'.') {
-            self.digits()?;
+        if self.consume(b'.') {
+            self.scan_digits()?;
         }
-        if self.take(b'e') || self.take(b'E') {
-            let _ = self.take(b'+') || self.take(b'-');
-            self.digits()?;
+        if self.consume(b'e') || self.consume(b'E') {
+            let _ = self.consume(b'+') || self.consume(b'-');
+            self.scan_digits()?;
         }
         let number = &self.text[start..self.position];
         if number.contains('+') || (is_integer(number) && !fits_integer(number)) {
-            self.unsupported.push(start..self.position);
+            self.unsupported_numbers.push(start..self.position);
         }
         Ok(())
     }
 
-    fn digits(&mut self) -> Result<(), &'static str> {
+    fn scan_digits(&mut self) -> Result<(), &'static str> {
         let start = self.position;
         while self.peek().is_some_and(|byte| byte.is_ascii_digit()) {
             self.position += 1;
@@ -190,7 +197,7 @@
         if self.position == start { Err("a digit") } else { Ok(()) }
     }
 
-    fn literal(&mut self, literal: &'static str) -> Result<(), &'static str> {
+    fn scan_literal(&mut self, literal: &'static str) -> Result<(), &'static str> {
         if !self.bytes[self.position..].starts_with(literal.as_bytes()) {
             return Err(literal);
         }
@@ -208,7 +215,7 @@
         self.bytes.get(self.position).copied()
     }
 
-    fn take(&mut self, byte: u8) -> bool {
+    fn consume(&mut self, byte: u8) -> bool {
         let found = self.peek() == Some(byte);
         self.position += usize::from(found);
         found
--- a/controlplane/configuration/src/lib.rs
+++ b/controlplane/configuration/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration, the settings of a process and the heartbeats of upstreams: parsed from JSON and validated.
+//! Parses and validates the JSON documents of the system: the operator's configuration, the settings of a
+//! process, and the heartbeats of upstreams.
 //!
 //! ```
 //! use whinspindle_configuration::Configuration;
--- a/controlplane/configuration/src/mechanism.rs
+++ b/controlplane/configuration/src/mechanism.rs
@@ -1,53 +1,54 @@
-//! Mechanisms of a decision that can be switched off one by one (`--without`), to measure the effect of each.
+//! Mechanisms of the balancer and the controller that `--without` disables one by one, to measure the effect
+//! of each.
 
 use snafu::{OptionExt, Snafu};
 
-/// One mechanism of a decision. The variants have the names of the command line.
+/// A mechanism that can be disabled. The variants are named after the values of `--without`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Upstreams of the own region are preferred.
+    /// Upstreams in the balancer's own region are preferred.
     OwnRegionFirst,
-    /// Upstreams of the own zone are preferred.
+    /// Upstreams in the balancer's own zone are preferred.
     OwnZoneFirst,
     /// The weights of regions are computed from their loads.
     SolvedWeights,
-    /// The weight of a region never falls to zero.
+    /// Each region keeps a minimum weight above zero.
     FloorShare,
-    /// The choice inside a region avoids upstreams with many requests in flight.
+    /// Within a region, upstreams with many requests in flight are avoided.
     PassOver,
-    /// Prompts go to the upstream whose prefix cache has their start.
+    /// Prompts are sent to the upstream whose prefix cache contains their start.
     Holders,
-    /// Large prefixes have one cache owner for all regions.
+    /// A large prefix has one cache owner across all regions.
     HoldersAcrossRegions,
-    /// The requests in flight at a cache owner are bounded.
+    /// The number of requests in flight at a cache owner is bounded.
     HolderBound,
-    /// The prompts that wait for prefill at a cache owner are bounded.
+    /// The amount of prompts that wait for prefill at a cache owner is bounded.
     UnreadBound,
-    /// Failing upstreams are ejected for a while.
+    /// Failing upstreams are ejected temporarily.
     Rests,
-    /// Unreachable zones and regions are passed over.
+    /// Unreachable zones and regions are skipped.
     Reachability,
-    /// An upstream that answers nothing counts as failing.
+    /// An upstream that does not respond is treated as failing.
     Silence,
-    /// Failures seen by other balancers count.
+    /// Failures that other balancers observe are taken into account.
     SharedFailures,
-    /// Own requests in flight can make an upstream full.
+    /// The balancer's own requests in flight can mark an upstream as full.
     FullByOwnSends,
-    /// Requests are rejected where all upstreams are full.
+    /// Requests are rejected if all upstreams are full.
     RefusalWhenFull,
-    /// Requests are rejected where all upstreams are down.
+    /// Requests are rejected if all upstreams are down.
     RefusalWhenDown,
-    /// The time to come back after a rejection depends on its reason.
+    /// The retry delay sent with a rejection depends on its reason.
     RefusalPauses,
-    /// Requests may be retried at an upstream that might run them a second time.
+    /// Requests may be retried on another upstream, which might execute them a second time.
     Repeats,
-    /// Upstreams in slow start get less traffic.
+    /// Upstreams in slow start receive less traffic.
     ColdShares,
     /// Upstreams are assumed to be in slow start after a failure of their zone.
     SuspectedZones,
-    /// Upstreams are sent the priority of requests.
+    /// The priority of a request is forwarded to the upstream.
     Priority,
-    /// A process that has just started queues requests that it can't place yet.
+    /// A process that has just started queues requests for which no upstream is available yet.
     StartWait,
     /// Broken streams are resumed on another upstream.
     Resumption,
@@ -57,7 +58,7 @@
     Recall,
 }
 
-/// The name of each mechanism on the command line, and what happens without it.
+/// The mechanisms, each with its name on the command line and the effect of disabling it.
 const TABLE: [(Mechanism, &str, &str); 25] = [
     (Mechanism::OwnRegionFirst, "own-region-first", "regions are drawn by weight alone"),
     (Mechanism::OwnZoneFirst, "own-zone-first", "zones of the own region are not told apart"),
@@ -99,28 +100,28 @@
 ];
 
 impl Mechanism {
-    /// All mechanisms, in the order of the help text.
+    /// Returns all mechanisms in the order of the help text.
     pub fn all() -> impl Iterator<Item = Mechanism> {
         TABLE.iter().map(|row| row.0)
     }
 
-    /// Whether it belongs to the controller; all others belong to the proxy.
+    /// Whether the mechanism belongs to the controller; all others belong to the proxy.
     pub fn belongs_to_controller(self) -> bool {
         self == Mechanism::Recall
     }
 
-    /// The name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         TABLE[self as usize].1
     }
 
-    /// What happens without it, for the help text.
+    /// Returns a description of the effect of disabling the mechanism, for the help text.
     pub fn effect_when_off(self) -> &'static str {
         TABLE[self as usize].2
     }
 }
 
-/// A name on the command line that is no mechanism.
+/// An error for a name on the command line that is not the name of a mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("unknown mechanism `{name}`; known: {}", known_names()))]
 pub struct UnknownMechanism {
@@ -133,36 +134,36 @@
     names.join(", ")
 }
 
-/// Which mechanisms are on; by default all.
+/// The set of enabled mechanisms; by default all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// A bit for each mechanism that is off.
-    off: u32,
+    /// One bit for each disabled mechanism.
+    disabled_bits: u32,
 }
 
 impl Mechanisms {
-    /// Parses names separated by commas: all mechanisms but these are on.
+    /// Parses a comma-separated list of names. All mechanisms except the named ones are enabled.
     pub fn without(names: &str) -> Result<Mechanisms, UnknownMechanism> {
         names.split(',').map(str::trim).filter(|name| !name.is_empty()).try_fold(
             Mechanisms::default(),
             |mechanisms, name| {
-                let found = Mechanism::all().find(|mechanism| mechanism.name() == name);
-                Ok(mechanisms.switch_off(found.context(UnknownMechanismSnafu { name })?))
+                let mechanism = Mechanism::all().find(|mechanism| mechanism.name() == name);
+                Ok(mechanisms.switch_off(mechanism.context(UnknownMechanismSnafu { name })?))
             },
         )
     }
 
-    /// The same without one more.
+    /// Returns the set with one more mechanism disabled.
     pub fn switch_off(self, mechanism: Mechanism) -> Mechanisms {
-        Mechanisms { off: self.off | bit(mechanism) }
+        Mechanisms { disabled_bits: self.disabled_bits | bit(mechanism) }
     }
 
-    /// Whether a mechanism is on.
+    /// Whether a mechanism is enabled.
     pub fn has(self, mechanism: Mechanism) -> bool {
-        self.off & bit(mechanism) == 0
+        self.disabled_bits & bit(mechanism) == 0
     }
 
-    /// The mechanisms that are off.
+    /// Returns the disabled mechanisms.
     pub fn switched_off(self) -> impl Iterator<Item = Mechanism> {
         Mechanism::all().filter(move |&mechanism| !self.has(mechanism))
     }
--- a/controlplane/configuration/src/raw_configuration.rs
+++ b/controlplane/configuration/src/raw_configuration.rs
@@ -1,7 +1,7 @@
-//! The configuration as it stands in JSON, and its conversion.
+//! The JSON representation of the configuration, and its conversion to [`Configuration`].
 
-// `DeJson`'s derive writes `return Err(..)` where `?` would do.
-#![allow(clippy::question_mark, reason = "the parsers that nanoserde derives return early in their own way")]
+// The code that `DeJson` derives uses `return Err(..)` in place of `?`.
+#![allow(clippy::question_mark, reason = "code derived by nanoserde")]
 
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
 };
 use crate::number::{RoundedUp, WholeNumber};
 
-/// The path of a health check where the operator names none.
+/// The path of the health check if a service does not set `health_path`.
 const DEFAULT_HEALTH_PATH: &str = "/healthz";
 
 #[derive(DeJson)]
@@ -75,8 +75,8 @@
 }
 
 impl RawConfiguration {
-    /// Resolves the names of services and validates every route.
-    pub fn check(self) -> Result<Configuration, ConfigurationError> {
+    /// Replaces names of services with indices and validates the configuration.
+    pub fn validate(self) -> Result<Configuration, ConfigurationError> {
         let services: Vec<Service> = self.services.into_iter().map(RawService::convert).collect();
         let indices = index_services(&services)?;
         let routes = self
@@ -92,8 +92,8 @@
 fn index_services(services: &[Service]) -> Result<HashMap<&str, usize>, ConfigurationError> {
     let mut indices = HashMap::with_capacity(services.len());
     for (index, service) in services.iter().enumerate() {
-        let earlier = indices.insert(service.name.as_str(), index);
-        ensure!(earlier.is_none(), SharedServiceNameSnafu { service: &service.name });
+        let previous = indices.insert(service.name.as_str(), index);
+        ensure!(previous.is_none(), SharedServiceNameSnafu { service: &service.name });
     }
     Ok(indices)
 }
@@ -110,12 +110,12 @@
             kind,
             timeout_ms: self.timeout_ms.0,
             target_ms: self.target_ms.unwrap_or(self.timeout_ms).0,
-            priority: self.priority.unwrap_or_default().saturated(),
+            priority: self.priority.unwrap_or_default().saturating_convert(),
             backends,
-            retries: self.retries.unwrap_or(WholeNumber(1)).saturated(),
+            retries: self.retries.unwrap_or(WholeNumber(1)).saturating_convert(),
             sticky: self.sticky.unwrap_or(false),
             resumable: self.resumable.unwrap_or(false),
-            gap_aim_ms: self.gap_aim_ms.map(|aim| aim.0),
+            gap_aim_ms: self.gap_aim_ms.map(|gap| gap.0),
             home_regions: self.home_regions.unwrap_or_default(),
         })
     }
@@ -127,13 +127,13 @@
     split: Option<Vec<RawBackend>>,
     services: &HashMap<&str, usize>,
 ) -> Result<Vec<Backend>, ConfigurationError> {
-    let raw = match (backend, split) {
+    let raw_backends = match (backend, split) {
         (Some(backend), None) => vec![RawBackend { backend, weight: 1.0 }],
         (None, Some(split)) => split,
         (None, None) => return NoBackendSnafu { route }.fail(),
         (Some(_), Some(_)) => return BackendAndSplitSnafu { route }.fail(),
     };
-    raw.into_iter().map(|backend| backend.convert(route, services)).collect()
+    raw_backends.into_iter().map(|backend| backend.convert(route, services)).collect()
 }
 
 impl RawBackend {
@@ -160,7 +160,7 @@
         Service {
             name: self.name,
             health_path: self.health_path.unwrap_or_else(|| DEFAULT_HEALTH_PATH.to_owned()),
-            max_conns: self.max_conns.unwrap_or(WholeNumber(u64::MAX)).saturated(),
+            max_conns: self.max_conns.unwrap_or(WholeNumber(u64::MAX)).saturating_convert(),
             cold_s: self.cold_s.unwrap_or(0.0),
             cold_per_s: self.cold_per_s.unwrap_or(0.0),
             engine: self.engine.map(RawEngine::convert),
@@ -171,9 +171,9 @@
 impl RawEngine {
     fn convert(self) -> Engine {
         Engine {
-            slots: self.slots.unwrap_or_default().saturated(),
+            slots: self.slots.unwrap_or_default().saturating_convert(),
             kv_capacity: self.kv_capacity.unwrap_or_default().0,
-            stride: self.stride.unwrap_or_default().saturated(),
+            stride: self.stride.unwrap_or_default().saturating_convert(),
         }
     }
 }
@@ -182,8 +182,12 @@
     fn convert(self) -> Limits {
         let default = Limits::default();
         Limits {
-            max_header_bytes: self.max_header_bytes.map_or(default.max_header_bytes, WholeNumber::saturated),
-            max_body_bytes: self.max_body_bytes.map_or(default.max_body_bytes, WholeNumber::saturated),
+            max_header_bytes: self
+                .max_header_bytes
+                .map_or(default.max_header_bytes, WholeNumber::saturating_convert),
+            max_body_bytes: self
+                .max_body_bytes
+                .map_or(default.max_body_bytes, WholeNumber::saturating_convert),
             header_timeout_ms: self.header_timeout_ms.map_or(default.header_timeout_ms, |timeout| timeout.0),
             idle_timeout_ms: self.idle_timeout_ms.map_or(default.idle_timeout_ms, |timeout| timeout.0),
         }
--- a/controlplane/configuration/src/raw_settings.rs
+++ b/controlplane/configuration/src/raw_settings.rs
@@ -1,7 +1,7 @@
-//! The settings as they stand in JSON, and their conversion.
+//! The JSON representation of the settings, and its conversion to [`Settings`].
 
-// `DeJson`'s derive writes `return Err(..)` where `?` would do.
-#![allow(clippy::question_mark, reason = "the parsers that nanoserde derives return early in their own way")]
+// The code that `DeJson` derives uses `return Err(..)` in place of `?`.
+#![allow(clippy::question_mark, reason = "code derived by nanoserde")]
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,13 +18,13 @@
     SettingsFault, Tolerance,
 };
 
-/// The time between two heartbeats of an upstream where the file names none.
+/// The heartbeat interval of upstreams if the file does not set `heartbeat_ms`.
 const DEFAULT_HEARTBEAT_MS: u64 = 1_000;
-/// The longest time that a setting may name: a day. Times are added up without a check for overflow.
-const MAX_MS: u64 = 86_400_000;
+/// The maximum duration of a setting, one day. Durations are added without an overflow check.
+const MAX_DURATION_MS: u64 = 86_400_000;
 
-/// The placeholder for an invalid address; settings with it are never returned.
-const NO_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
+/// Replaces an invalid address until all errors are collected; settings that contain it are never returned.
+const PLACEHOLDER_IP: IpAddr = IpAddr::V4(Ipv4Addr::UNSPECIFIED);
 
 #[derive(DeJson)]
 pub struct RawSettings {
@@ -67,7 +67,7 @@
     regions: Option<WholeNumber>,
 }
 
-/// The value of a bound. Other types of values are accepted under unknown keys.
+/// The value of a key in `bounds`. Values of other types are accepted for unknown keys.
 enum RawBound {
     Number(f64),
     Other,
@@ -84,49 +84,50 @@
     }
 }
 
-/// The faults found so far.
+/// Collects the faults of the settings.
 #[derive(Default)]
 struct Faults(Vec<SettingsFault>);
 
 impl Faults {
-    /// The value; or the default in its place, and its fault is recorded.
-    fn take<T: Default>(&mut self, value: Result<T, SettingsFault>) -> T {
-        self.take_or(T::default(), value)
+    /// Returns the value. On an error, records the fault and returns the default.
+    fn value_or_default<T: Default>(&mut self, value: Result<T, SettingsFault>) -> T {
+        self.value_or(T::default(), value)
     }
 
-    fn take_or<T>(&mut self, otherwise: T, value: Result<T, SettingsFault>) -> T {
+    /// Returns the value. On an error, records the fault and returns the fallback.
+    fn value_or<T>(&mut self, fallback: T, value: Result<T, SettingsFault>) -> T {
         match value {
             Ok(value) => value,
             Err(fault) => {
                 self.0.push(fault);
-                otherwise
+                fallback
             }
         }
     }
 }
 
 impl RawSettings {
-    /// Converts and validates the values; returns all faults.
-    pub fn check(self) -> Result<Settings, Vec<SettingsFault>> {
+    /// Validates and converts the values. Returns all faults if there are any.
+    pub fn validate(self) -> Result<Settings, Vec<SettingsFault>> {
         let mut faults = Faults::default();
-        let zone = faults.take(required("zone", self.zone));
-        let region = faults.take(required("region", self.region));
+        let zone = faults.value_or_default(required("zone", self.zone));
+        let region = faults.value_or_default(required("region", self.region));
         let mut zones = self.zones.unwrap_or_default();
         zones.entry(zone.clone()).or_insert_with(|| region.clone());
         let settings = Settings {
-            node: faults.take(required("node", self.node)),
+            node: faults.value_or_default(required("node", self.node)),
             role: self.role.unwrap_or_default(),
-            ip: faults.take_or(NO_ADDRESS, convert_ip(self.ip)),
+            ip: faults.value_or(PLACEHOLDER_IP, convert_ip(self.ip)),
             zone,
             region,
             zones,
             listen: self.listen.unwrap_or_default().convert(&mut faults),
-            port_range: faults.take(convert_port_range(self.port_range)),
+            port_range: faults.value_or_default(convert_port_range(self.port_range)),
             seeds: convert_seeds(&self.seeds.unwrap_or_default(), &mut faults),
             bootstrap: self.bootstrap.unwrap_or(false),
             limits: self.limits.map(RawLimits::convert).unwrap_or_default(),
             data_dir: self.data_dir.filter(|path| !path.is_empty()).map(PathBuf::from),
-            heartbeat_ms: faults.take(convert_heartbeat(self.heartbeat_ms)),
+            heartbeat_ms: faults.value_or_default(convert_heartbeat(self.heartbeat_ms)),
             tolerate: self.tolerate.map(RawTolerance::convert).unwrap_or_default(),
             bounds: RawBounds(self.bounds.unwrap_or_default()).convert(&mut faults),
             mechanisms: Mechanisms::default(),
@@ -165,24 +166,27 @@
 
 fn convert_seeds(seeds: &[String], faults: &mut Faults) -> Vec<SocketAddr> {
     let parsed = seeds.iter().map(|seed| parse_address("seeds", seed).map(Some));
-    parsed.filter_map(|seed| faults.take(seed)).collect()
+    parsed.filter_map(|seed| faults.value_or_default(seed)).collect()
 }
 
 fn convert_heartbeat(interval: Option<RoundedUp>) -> Result<u64, SettingsFault> {
     let interval = interval.map_or(DEFAULT_HEARTBEAT_MS, |interval| interval.0);
     let value = interval.to_string();
     let expected = "more than 0 and no more than a day";
-    ensure!((1..=MAX_MS).contains(&interval), InvalidValueSnafu { key: "heartbeat_ms", value, expected });
+    ensure!(
+        (1..=MAX_DURATION_MS).contains(&interval),
+        InvalidValueSnafu { key: "heartbeat_ms", value, expected }
+    );
     Ok(interval)
 }
 
 impl RawListen {
     fn convert(self, faults: &mut Faults) -> Listen {
         Listen {
-            front: faults.take(convert_listen("listen.front", self.front)),
-            ready: faults.take(convert_listen("listen.ready", self.ready)),
-            control: faults.take(convert_listen("listen.control", self.control)),
-            directory: faults.take(convert_listen("listen.directory", self.directory)),
+            front: faults.value_or_default(convert_listen("listen.front", self.front)),
+            ready: faults.value_or_default(convert_listen("listen.ready", self.ready)),
+            control: faults.value_or_default(convert_listen("listen.control", self.control)),
+            directory: faults.value_or_default(convert_listen("listen.directory", self.directory)),
         }
     }
 }
@@ -205,48 +209,49 @@
     fn convert(self) -> Tolerance {
         let default = Tolerance::default();
         Tolerance {
-            machines: self.machines.map_or(default.machines, WholeNumber::saturated),
-            zones: self.zones.map_or(default.zones, WholeNumber::saturated),
-            regions: self.regions.map_or(default.regions, WholeNumber::saturated),
+            machines: self.machines.map_or(default.machines, WholeNumber::saturating_convert),
+            zones: self.zones.map_or(default.zones, WholeNumber::saturating_convert),
+            regions: self.regions.map_or(default.regions, WholeNumber::saturating_convert),
         }
     }
 }
 
-/// The bounds by their keys.
+/// The values of `bounds` by key.
 struct RawBounds(BTreeMap<String, RawBound>);
 
 impl RawBounds {
     fn convert(&self, faults: &mut Faults) -> Bounds {
         let default = Bounds::default();
         Bounds {
-            seed_lag_ms: faults.take(self.milliseconds("seed_lag", default.seed_lag_ms)),
-            reuse_after_ms: faults.take(self.milliseconds("reuse_after", default.reuse_after_ms)),
-            contact_ms: faults.take(self.milliseconds("contact", default.contact_ms)),
-            ack_ms: faults.take(self.milliseconds("ack", default.ack_ms)),
-            sync_ms: faults.take(self.milliseconds("sync", default.sync_ms)),
-            drain_ms: faults.take(self.milliseconds("drain", default.drain_ms)),
-            grace_ms: faults.take(self.milliseconds("grace", default.grace_ms)),
-            converge_ms: faults.take(self.milliseconds("converge", default.converge_ms)),
-            downgrade_ms: faults.take(self.milliseconds("downgrade", default.downgrade_ms)),
-            retry_ratio: faults.take(self.number("retry_ratio", default.retry_ratio)),
-            retry_window_ms: faults.take(self.milliseconds("retry_window", default.retry_window_ms)),
-            retry_slack: faults.take(self.number("retry_slack", default.retry_slack)),
-            cold_overrun: faults.take(self.number("cold_overrun", default.cold_overrun)),
-            cold_slack: faults.take(self.number("cold_slack", default.cold_slack)),
-            evac_ms: faults.take(self.milliseconds("evac", default.evac_ms)),
-            recover_ms: faults.take(self.milliseconds("recover", default.recover_ms)),
-            pass_ms: faults.take(self.milliseconds("pass", default.pass_ms)),
-            again_ms: faults.take(self.milliseconds("again", default.again_ms)),
-            ttl_max_ms: faults.take(self.milliseconds("ttl_max", default.ttl_max_ms)),
+            seed_lag_ms: faults.value_or_default(self.duration_ms("seed_lag", default.seed_lag_ms)),
+            reuse_after_ms: faults.value_or_default(self.duration_ms("reuse_after", default.reuse_after_ms)),
+            contact_ms: faults.value_or_default(self.duration_ms("contact", default.contact_ms)),
+            ack_ms: faults.value_or_default(self.duration_ms("ack", default.ack_ms)),
+            sync_ms: faults.value_or_default(self.duration_ms("sync", default.sync_ms)),
+            drain_ms: faults.value_or_default(self.duration_ms("drain", default.drain_ms)),
+            grace_ms: faults.value_or_default(self.duration_ms("grace", default.grace_ms)),
+            converge_ms: faults.value_or_default(self.duration_ms("converge", default.converge_ms)),
+            downgrade_ms: faults.value_or_default(self.duration_ms("downgrade", default.downgrade_ms)),
+            retry_ratio: faults.value_or_default(self.number("retry_ratio", default.retry_ratio)),
+            retry_window_ms: faults
+                .value_or_default(self.duration_ms("retry_window", default.retry_window_ms)),
+            retry_slack: faults.value_or_default(self.number("retry_slack", default.retry_slack)),
+            cold_overrun: faults.value_or_default(self.number("cold_overrun", default.cold_overrun)),
+            cold_slack: faults.value_or_default(self.number("cold_slack", default.cold_slack)),
+            evac_ms: faults.value_or_default(self.duration_ms("evac", default.evac_ms)),
+            recover_ms: faults.value_or_default(self.duration_ms("recover", default.recover_ms)),
+            pass_ms: faults.value_or_default(self.duration_ms("pass", default.pass_ms)),
+            again_ms: faults.value_or_default(self.duration_ms("again", default.again_ms)),
+            ttl_max_ms: faults.value_or_default(self.duration_ms("ttl_max", default.ttl_max_ms)),
         }
     }
 
-    /// A duration, given under `name` with the suffix of its unit.
-    fn milliseconds(&self, name: &str, default: u64) -> Result<u64, SettingsFault> {
+    /// Returns a duration in milliseconds. Its key is `name` followed by `_ms` or `_s`.
+    fn duration_ms(&self, name: &str, default: u64) -> Result<u64, SettingsFault> {
         for (suffix, unit_ms) in [("ms", 1.0), ("s", 1_000.0)] {
             let key = format!("{name}_{suffix}");
             if let Some(number) = self.find(&key)? {
-                return rounded_up(key, number * unit_ms);
+                return round_up_duration(key, number * unit_ms);
             }
         }
         Ok(default)
@@ -272,10 +277,10 @@
     }
 }
 
-fn rounded_up(key: String, milliseconds: f64) -> Result<u64, SettingsFault> {
+fn round_up_duration(key: String, milliseconds: f64) -> Result<u64, SettingsFault> {
     let value = format!("{milliseconds} ms");
     let expected = "no more than a day";
     let key = format!("bounds.{key}");
-    ensure!(milliseconds <= MAX_MS as f64, InvalidValueSnafu { key, value, expected });
+    ensure!(milliseconds <= MAX_DURATION_MS as f64, InvalidValueSnafu { key, value, expected });
     Ok(milliseconds.ceil() as u64)
 }
--- a/controlplane/configuration/src/settings.rs
+++ b/controlplane/configuration/src/settings.rs
@@ -10,80 +10,80 @@
 use crate::mechanism::Mechanisms;
 use crate::raw_settings::RawSettings;
 
-/// The settings of a process, as read at its start.
+/// The settings of a process, which it reads when it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The name of the node.
     pub node: String,
     /// The role of the process.
     pub role: String,
-    /// The address of the machine.
+    /// The IP address of the machine.
     pub ip: IpAddr,
     /// The zone of the machine.
     pub zone: String,
     /// The region of the machine.
     pub region: String,
-    /// The region of each zone, its own included.
+    /// The region of each zone, including the zone of this machine.
     pub zones: BTreeMap<String, String>,
-    /// The addresses that are served to others.
+    /// The addresses on which the process accepts connections of clients, operators and upstreams.
     pub listen: Listen,
-    /// The first and the last port that the processes use among themselves.
+    /// The first and the last port for connections between the processes of the system.
     pub port_range: (u16, u16),
-    /// The control addresses of the first controllers to try.
+    /// The control addresses of the controllers to which the process connects first.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this controller belongs to the first start of the whole system.
+    /// Whether this controller takes part in the initial bootstrap of the system.
     pub bootstrap: bool,
-    /// Limits of the process.
+    /// The resource limits of the process.
     pub limits: MachineLimits,
-    /// The folder for state on the disk.
+    /// The directory for persistent state.
     pub data_dir: Option<PathBuf>,
-    /// The time between two heartbeats of an upstream, in milliseconds.
+    /// The heartbeat interval of upstreams, in milliseconds.
     pub heartbeat_ms: u64,
-    /// The losses that the system is to survive.
+    /// The number of simultaneous failures that the system must tolerate.
     pub tolerate: Tolerance,
-    /// Bounds of the system's behaviour.
+    /// Bounds for the behaviour of the system.
     pub bounds: Bounds,
-    /// The mechanisms that are on; set by the command line, not by the file.
+    /// The enabled mechanisms. The command line sets them, the file can't.
     pub mechanisms: Mechanisms,
 }
 
-/// The addresses of what the role serves to others.
+/// The listening addresses of a process; `None` for endpoints that its role does not serve.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Listen {
-    /// Where a proxy takes requests of clients.
+    /// The address on which a proxy accepts client requests.
     pub front: Option<SocketAddr>,
-    /// Where a proxy serves its readiness.
+    /// The address of a proxy's readiness check.
     pub ready: Option<SocketAddr>,
-    /// Where a controller takes calls of operators and upstreams.
+    /// The address on which a controller accepts calls of operators and upstreams.
     pub control: Option<SocketAddr>,
-    /// Where the directory takes calls of clients.
+    /// The address on which the directory accepts calls of clients.
     pub directory: Option<SocketAddr>,
 }
 
-/// Limits of the process; 0 where the file names none.
+/// The resource limits of a process. A limit is 0 if the file does not set it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineLimits {
-    /// Memory, in megabytes.
+    /// The maximum memory, in megabytes.
     pub memory_mb: u64,
-    /// Open file descriptors.
+    /// The maximum number of open file descriptors.
     pub max_fds: u64,
-    /// Space on the disk, in megabytes.
+    /// The maximum disk space, in megabytes.
     pub disk_mb: u64,
 }
 
-/// The losses that the system is to survive at once: so many machines, or zones, or regions.
+/// The number of simultaneous failures of each kind that the system must tolerate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tolerance {
-    /// The number of machines.
+    /// The number of failed machines.
     pub machines: usize,
-    /// The number of zones.
+    /// The number of failed zones.
     pub zones: usize,
-    /// The number of regions.
+    /// The number of failed regions.
     pub regions: usize,
 }
 
-/// Bounds of the system's behaviour; a default stands for one that the file lacks. The fields have the names of the keys
-/// in the settings.
+/// Bounds for the behaviour of the system. The fields are named after the keys of the settings file; a key
+/// that the file does not contain has a default value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// The value of `seed_lag_ms`, in milliseconds.
@@ -98,21 +98,21 @@
     pub sync_ms: u64,
     /// The value of `drain_ms`, in milliseconds.
     pub drain_ms: u64,
-    /// How long a process in graceful shutdown may finish its requests, in milliseconds.
+    /// The time in which a process in graceful shutdown may complete its requests, in milliseconds.
     pub grace_ms: u64,
     /// The value of `converge_ms`, in milliseconds.
     pub converge_ms: u64,
     /// The value of `downgrade_ms`, in milliseconds.
     pub downgrade_ms: u64,
-    /// The retries allowed for each first attempt.
+    /// The number of retries allowed per first attempt.
     pub retry_ratio: f64,
-    /// The window over which retries are counted, in milliseconds.
+    /// The length of the window in which retries are counted, in milliseconds.
     pub retry_window_ms: u64,
-    /// The retries allowed in a window beside those of the ratio.
+    /// The number of retries allowed in a window in addition to `retry_ratio`.
     pub retry_slack: f64,
-    /// The factor by which traffic to an upstream in slow start may exceed what it bears.
+    /// The factor by which traffic to an upstream in slow start may exceed the upstream's capacity.
     pub cold_overrun: f64,
-    /// The requests by which it may exceed that in addition.
+    /// The number of requests allowed in addition to `cold_overrun`.
     pub cold_slack: f64,
     /// The value of `evac_ms`, in milliseconds.
     pub evac_ms: u64,
@@ -158,25 +158,25 @@
     }
 }
 
-/// Why settings were refused.
+/// The reason why settings were rejected.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 pub enum SettingsError {
-    /// The file is no JSON object of settings.
+    /// The file is not a JSON object with the keys of settings.
     #[snafu(display("the settings can't be read: {source}"))]
     Unreadable {
-        /// What is wrong, and where.
+        /// The error of the JSON parser.
         source: JsonError,
     },
 
     /// Values are missing or invalid.
     #[snafu(display("{}", describe_all(faults)))]
     Invalid {
-        /// All faults, at least one.
+        /// All faults of the file; never empty.
         faults: Vec<SettingsFault>,
     },
 }
 
-/// What is wrong with the value of one key.
+/// A key whose value is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsFault {
@@ -194,7 +194,7 @@
         key: String,
         /// The value.
         value: String,
-        /// What is wrong with it.
+        /// The error of the address parser.
         source: std::net::AddrParseError,
     },
 
@@ -205,7 +205,7 @@
         key: String,
         /// The value.
         value: String,
-        /// What is expected instead.
+        /// A description of the valid values.
         expected: &'static str,
     },
 }
@@ -216,19 +216,21 @@
 }
 
 impl Settings {
-    /// Parses a settings file. Unknown keys are skipped; all invalid values are reported at once.
+    /// Parses a settings file. Unknown keys are ignored; the error lists all invalid values.
     pub fn parse(bytes: &[u8]) -> Result<Settings, SettingsError> {
         let raw: RawSettings = crate::json::parse(bytes).context(UnreadableSnafu)?;
-        raw.check().map_err(|faults| SettingsError::Invalid { faults })
+        raw.validate().map_err(|faults| SettingsError::Invalid { faults })
     }
 
-    /// The address at which the machine with this IP address accepts connections of other machines.
+    /// Returns the address on which the machine with the given IP address accepts connections of other
+    /// machines.
     pub fn internal_endpoint(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.port_range.0)
     }
 
-    /// The loopback address at which the agent serves the proxy of its machine. Machines that are themselves loopback
-    /// addresses of one computer, as in a demonstration, use their own address.
+    /// Returns the loopback address on which the agent accepts the connection of the proxy on the same
+    /// machine. If `ip` is itself a loopback address, as in a demonstration on one computer, that address is
+    /// used.
     pub fn agent_endpoint(&self) -> SocketAddr {
         let loopback = if self.ip.is_loopback() { self.ip } else { IpAddr::from([127, 0, 0, 1]) };
         SocketAddr::new(loopback, self.port_range.0 + 1)
