--- a/controlplane/distribution/examples/publish.rs
+++ b/controlplane/distribution/examples/publish.rs
@@ -1,4 +1,4 @@
-//! A publisher hands sections to a subscriber, which acknowledges what it applies.
+//! Sends sections from a publisher to a subscriber, which acknowledges the sections that it applied.
 
 use bytes::Bytes;
 use whinspindle_distribution::{AppliedState, Configured, Evacuations, Publisher, SubscriberId, Versions};
@@ -21,5 +21,5 @@
             None => println!("at {now} ms: nothing new"),
         }
     }
-    println!("lagging: {:?}", publisher.lags(2_000).len());
+    println!("unacknowledged sections: {:?}", publisher.lags(2_000).len());
 }
--- a/controlplane/distribution/src/applied_state.rs
+++ b/controlplane/distribution/src/applied_state.rs
@@ -1,50 +1,53 @@
-//! The state of a receiver of updates: the newest section of each kind.
+//! The state of a receiver of updates: the current version of each section.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::{Configured, Evacuations, Fleet, Instances, Update, Versions};
 
-/// The number of ids of draining instances that are kept.
+/// The maximum number of IDs of draining instances that are stored.
 const DRAINING_CAPACITY: usize = 4096;
 
-/// The newest sections received. Configurations and evacuations follow the replicated history and only go forward;
-/// instances and fleet are each controller's own view, so the last one received applies.
+/// The current sections of a receiver. Configurations and evacuations follow the replicated history, so older
+/// versions are ignored. For instances and fleet, each controller has its own view, so the last received
+/// version applies.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedState {
     configured: Option<Configured>,
     evacuations: Option<Evacuations>,
     instances: Option<Instances>,
-    instances_at: u64,
+    /// The time at which `instances` was received, in milliseconds.
+    instances_received_at_ms: u64,
     fleet: Option<Fleet>,
     draining: DrainingIds,
 }
 
 impl AppliedState {
-    /// A state without sections.
+    /// Creates a state without sections.
     pub fn new() -> Self {
         AppliedState::default()
     }
 
-    /// Applies the sections of an update that change anything, and returns just these. Changes of instances are not
-    /// applied: they are to be expanded to a list first ([`InstanceChanges::apply_to`](crate::InstanceChanges::apply_to)).
+    /// Applies an update and returns only the sections that changed the state. The caller must first expand
+    /// changes of instances to a complete list
+    /// ([`InstanceChanges::apply_to`](crate::InstanceChanges::apply_to)); they are ignored here.
     pub fn apply(&mut self, now: u64, update: Update) -> Update {
         Update {
-            configured: update.configured.filter(|section| self.take_configured(section)),
-            evacuations: update.evacuations.filter(|section| self.take_evacuations(section)),
-            instances: update.instances.and_then(|section| self.take_instances(now, section)),
-            fleet: update.fleet.filter(|section| self.take_fleet(section)),
+            configured: update.configured.filter(|section| self.apply_configured(section)),
+            evacuations: update.evacuations.filter(|section| self.apply_evacuations(section)),
+            instances: update.instances.and_then(|section| self.apply_instances(now, section)),
+            fleet: update.fleet.filter(|section| self.apply_fleet(section)),
             changes: None,
         }
     }
 
-    /// Marks an instance as draining from now on, whatever later lists say.
+    /// Marks an instance as draining, even if later lists contain it as not draining.
     pub fn mark_draining(&mut self, instance: &str) {
         self.draining.insert(instance);
     }
 
-    /// All sections as of now, for a receiver that has none yet.
+    /// Returns all sections as of `now`, for a receiver that has no sections yet.
     pub fn snapshot(&self, now: u64) -> Update {
-        let elapsed_ms = now.saturating_sub(self.instances_at);
+        let elapsed_ms = now.saturating_sub(self.instances_received_at_ms);
         Update {
             configured: self.configured.clone(),
             evacuations: self.evacuations.clone(),
@@ -54,27 +57,29 @@
         }
     }
 
-    /// The configuration, if one was received.
+    /// Returns the configuration, if one was received.
     pub fn configured(&self) -> Option<&Configured> {
         self.configured.as_ref()
     }
 
-    /// The evacuated zones, if they were received.
+    /// Returns the evacuated zones, if they were received.
     pub fn evacuations(&self) -> Option<&Evacuations> {
         self.evacuations.as_ref()
     }
 
-    /// The instances as they were received; `snapshot` counts the slow starts down.
+    /// Returns the instances as they were received, if they were. Only `snapshot` reduces the remaining slow
+    /// starts by the elapsed time.
     pub fn instances(&self) -> Option<&Instances> {
         self.instances.as_ref()
     }
 
-    /// The state of the fleet, if it was received.
+    /// Returns the state of the fleet, if it was received.
     pub fn fleet(&self) -> Option<&Fleet> {
         self.fleet.as_ref()
     }
 
-    /// The version of each section, 0 without one, as a [`Report`](crate::Report) acknowledges them.
+    /// Returns the version of each section, for the acknowledgement in a [`Report`](crate::Report). The
+    /// version of a missing section is 0.
     pub fn versions(&self) -> Versions {
         Versions {
             configured: self.configured.as_ref().map_or(0, |section| section.sequence),
@@ -84,24 +89,25 @@
         }
     }
 
-    fn take_configured(&mut self, section: &Configured) -> bool {
-        let newer = self.configured.as_ref().is_none_or(|present| section.sequence > present.sequence);
-        if newer {
+    fn apply_configured(&mut self, section: &Configured) -> bool {
+        let is_newer = self.configured.as_ref().is_none_or(|current| section.sequence > current.sequence);
+        if is_newer {
             self.configured = Some(section.clone());
         }
-        newer
+        is_newer
     }
 
-    fn take_evacuations(&mut self, section: &Evacuations) -> bool {
-        let newer = self.evacuations.as_ref().is_none_or(|present| section.sequence > present.sequence);
-        if newer {
+    fn apply_evacuations(&mut self, section: &Evacuations) -> bool {
+        let is_newer = self.evacuations.as_ref().is_none_or(|current| section.sequence > current.sequence);
+        if is_newer {
             self.evacuations = Some(section.clone());
         }
-        newer
+        is_newer
     }
 
-    /// An instance that was draining once stays so, whatever another controller's list says.
-    fn take_instances(&mut self, now: u64, mut section: Instances) -> Option<Instances> {
+    /// Applies a list of instances. An instance that was draining stays draining, even if the list of another
+    /// controller contains it as not draining.
+    fn apply_instances(&mut self, now: u64, mut section: Instances) -> Option<Instances> {
         for instance in &mut section.list {
             if instance.draining {
                 self.draining.insert(&instance.id);
@@ -113,24 +119,24 @@
             return None;
         }
         self.instances = Some(section.clone());
-        self.instances_at = now;
+        self.instances_received_at_ms = now;
         Some(section)
     }
 
-    fn take_fleet(&mut self, section: &Fleet) -> bool {
-        let changed = self.fleet.as_ref() != Some(section);
-        if changed {
+    fn apply_fleet(&mut self, section: &Fleet) -> bool {
+        let is_changed = self.fleet.as_ref() != Some(section);
+        if is_changed {
             self.fleet = Some(section.clone());
         }
-        changed
+        is_changed
     }
 }
 
-/// Ids of instances that were draining; beyond the capacity the oldest are removed.
+/// The IDs of instances that were draining. When the capacity is reached, the oldest ID is removed.
 #[derive(Clone, Debug, Default)]
 struct DrainingIds {
     ids: HashSet<String>,
-    order: VecDeque<String>,
+    insertion_order: VecDeque<String>,
 }
 
 impl DrainingIds {
@@ -142,12 +148,12 @@
         if self.contains(id) {
             return;
         }
-        if self.order.len() == DRAINING_CAPACITY
-            && let Some(oldest) = self.order.pop_front()
+        if self.insertion_order.len() == DRAINING_CAPACITY
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.ids.remove(&oldest);
         }
         self.ids.insert(id.to_owned());
-        self.order.push_back(id.to_owned());
+        self.insertion_order.push_back(id.to_owned());
     }
 }
--- a/controlplane/distribution/src/changes.rs
+++ b/controlplane/distribution/src/changes.rs
@@ -1,18 +1,18 @@
-//! The differences between two lists of instances: computing them, and applying them to the older list.
+//! Computes the changes between two lists of instances, and applies changes to a list.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::{Instance, InstanceChanges, Instances};
 
 impl InstanceChanges {
-    /// The changes from one list to another. Both must be as of the same time: remaining slow starts are compared as they
-    /// are.
+    /// Computes the changes from one list to another. Both must refer to the same point in time, because
+    /// remaining slow starts are compared without adjustment.
     pub fn between(older: &Instances, newer: &Instances) -> InstanceChanges {
-        let known: HashMap<&str, &Instance> =
+        let older_by_id: HashMap<&str, &Instance> =
             older.list.iter().map(|instance| (instance.id.as_str(), instance)).collect();
-        let listed: HashSet<&str> = newer.list.iter().map(|instance| instance.id.as_str()).collect();
-        let differs = |instance: &&Instance| known.get(instance.id.as_str()) != Some(instance);
-        let is_missing = |instance: &&Instance| !listed.contains(instance.id.as_str());
+        let newer_ids: HashSet<&str> = newer.list.iter().map(|instance| instance.id.as_str()).collect();
+        let differs = |instance: &&Instance| older_by_id.get(instance.id.as_str()) != Some(instance);
+        let is_missing = |instance: &&Instance| !newer_ids.contains(instance.id.as_str());
         InstanceChanges {
             base: older.version,
             version: newer.version,
@@ -21,24 +21,25 @@
         }
     }
 
-    /// The number of instances that are changed or removed.
+    /// Returns the number of changed and removed instances.
     pub fn len(&self) -> usize {
         self.changed.len() + self.removed.len()
     }
 
-    /// Whether the lists differ in their versions only.
+    /// Whether the two lists differ only in their versions.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The same changes as of a later time: slow starts have less time left.
+    /// Returns the changes as of a later time, with the remaining slow starts reduced by the elapsed time.
     pub fn aged(&self, elapsed_ms: u64) -> InstanceChanges {
         let mut aged = self.clone();
         aged.changed.iter_mut().for_each(|instance| instance.age(elapsed_ms));
         aged
     }
 
-    /// Turns the older list into the newer one. False, and no change, if these changes don't build on that list.
+    /// Applies the changes to a list. Returns false and leaves the list unchanged if its version is not
+    /// `base`.
     pub fn apply_to(self, instances: &mut Instances) -> bool {
         if instances.version != self.base {
             return false;
--- a/controlplane/distribution/src/codec.rs
+++ b/controlplane/distribution/src/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of messages as the payloads of frames. The schema is in `schema/distribution.capnp`.
+//! Encodes messages as frame payloads and decodes them. The schema is `schema/distribution.capnp`.
 
 mod balancer;
 mod gossip;
--- a/controlplane/distribution/src/codec/balancer.rs
+++ b/controlplane/distribution/src/codec/balancer.rs
@@ -1,4 +1,4 @@
-//! `ToBalancer`: updates and keep-alives.
+//! The codec of [`ToBalancer`]: updates and heartbeats.
 
 use bytes::Bytes;
 use capnp::serialize::write_message_to_words;
@@ -122,23 +122,23 @@
 }
 
 fn read_evacuations(reader: evacuations::Reader<'_>) -> Result<Evacuations, DecodeError> {
-    let zones = read_texts(reader.get_zones()?)?;
+    let zones = read_strings(reader.get_zones()?)?;
     Ok(Evacuations { sequence: reader.get_sequence(), zones })
 }
 
 fn write_instances(mut builder: instances::Builder<'_>, section: &Instances) {
     builder.set_version(section.version);
-    write_list(builder.init_list(section.list.len() as u32), &section.list);
+    write_instance_list(builder.init_list(section.list.len() as u32), &section.list);
 }
 
 fn read_instances(reader: instances::Reader<'_>) -> Result<Instances, DecodeError> {
-    Ok(Instances { version: reader.get_version(), list: read_list(reader.get_list()?)? })
+    Ok(Instances { version: reader.get_version(), list: read_instance_list(reader.get_list()?)? })
 }
 
 fn write_changes(mut builder: instance_changes::Builder<'_>, section: &InstanceChanges) {
     builder.set_base(section.base);
     builder.set_version(section.version);
-    write_list(builder.reborrow().init_changed(section.changed.len() as u32), &section.changed);
+    write_instance_list(builder.reborrow().init_changed(section.changed.len() as u32), &section.changed);
     let mut removed = builder.init_removed(section.removed.len() as u32);
     for (index, id) in (0..).zip(&section.removed) {
         removed.set(index, id);
@@ -146,26 +146,28 @@
 }
 
 fn read_changes(reader: instance_changes::Reader<'_>) -> Result<InstanceChanges, DecodeError> {
-    let removed = read_texts(reader.get_removed()?)?;
-    let changed = read_list(reader.get_changed()?)?;
+    let removed = read_strings(reader.get_removed()?)?;
+    let changed = read_instance_list(reader.get_changed()?)?;
     Ok(InstanceChanges { base: reader.get_base(), version: reader.get_version(), changed, removed })
 }
 
-fn read_texts(reader: text_list::Reader<'_>) -> Result<Vec<String>, DecodeError> {
-    let mut texts = Vec::new();
+fn read_strings(reader: text_list::Reader<'_>) -> Result<Vec<String>, DecodeError> {
+    let mut strings = Vec::new();
     for text in reader {
-        texts.push(text?.to_string()?);
+        strings.push(text?.to_string()?);
     }
-    Ok(texts)
+    Ok(strings)
 }
 
-fn write_list(mut builder: struct_list::Builder<'_, instance::Owned>, list: &[Instance]) {
+fn write_instance_list(mut builder: struct_list::Builder<'_, instance::Owned>, list: &[Instance]) {
     for (index, instance) in (0..).zip(list) {
         write_instance(builder.reborrow().get(index), instance);
     }
 }
 
-fn read_list(reader: struct_list::Reader<'_, instance::Owned>) -> Result<Vec<Instance>, DecodeError> {
+fn read_instance_list(
+    reader: struct_list::Reader<'_, instance::Owned>,
+) -> Result<Vec<Instance>, DecodeError> {
     reader.iter().map(read_instance).collect()
 }
 
@@ -203,6 +205,6 @@
 
 fn read_fleet(reader: fleet::Reader<'_>) -> Result<Fleet, DecodeError> {
     let loads = read_loads(reader.get_loads()?)?;
-    let failing = read_texts(reader.get_failing()?)?;
+    let failing = read_strings(reader.get_failing()?)?;
     Ok(Fleet { version: reader.get_version(), balancers: reader.get_balancers(), loads, failing })
 }
--- a/controlplane/distribution/src/codec/gossip.rs
+++ b/controlplane/distribution/src/codec/gossip.rs
@@ -1,4 +1,4 @@
-//! `Gossip` between controllers.
+//! The codec of [`Gossip`].
 
 use capnp::serialize::write_message_to_words;
 
--- a/controlplane/distribution/src/codec/parts.rs
+++ b/controlplane/distribution/src/codec/parts.rs
@@ -1,4 +1,4 @@
-//! Parts that several messages share.
+//! The codecs of structures that several messages contain.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -61,10 +61,10 @@
 pub(super) fn read_failures(
     reader: struct_list::Reader<'_, instance_failures::Owned>,
 ) -> Result<Vec<InstanceFailures>, DecodeError> {
-    let read = |item: instance_failures::Reader<'_>| {
+    let read_item = |item: instance_failures::Reader<'_>| {
         Ok(InstanceFailures { id: item.get_id()?.to_string()?, failures: item.get_failures() })
     };
-    reader.iter().map(read).collect()
+    reader.iter().map(read_item).collect()
 }
 
 pub(super) fn write_versions(mut builder: versions::Builder<'_>, versions: Versions) {
--- a/controlplane/distribution/src/codec/report.rs
+++ b/controlplane/distribution/src/codec/report.rs
@@ -1,4 +1,4 @@
-//! `Hello` and `Report`.
+//! The codecs of [`Hello`] and [`Report`].
 
 use capnp::serialize::write_message_to_words;
 
--- a/controlplane/distribution/src/connect.rs
+++ b/controlplane/distribution/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opening of TCP connections between processes.
+//! Opens TCP connections between processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,28 +7,28 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Why a connection could not be opened.
+/// The reason why a connection could not be opened.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// The other side did not answer in time.
+    /// The connection was not established within the time limit.
     #[snafu(display("no connection to {address} within {} ms", limit.as_millis()))]
     TimedOut {
-        /// The address that was tried.
+        /// The remote address.
         address: SocketAddr,
-        /// How long it was tried.
+        /// The time limit.
         limit: Duration,
     },
-    /// The other side or the system refused the connection.
+    /// The remote host or the operating system refused the connection.
     #[snafu(display("cannot connect to {address}"))]
     Refused {
-        /// The address that was tried.
+        /// The remote address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Opens a connection without delayed sends, within a time limit.
+/// Opens a connection with `TCP_NODELAY` within a time limit.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<TcpStream, ConnectError> {
     let attempt = timeout(limit, TcpStream::connect(address)).await;
     let stream = attempt.ok().context(TimedOutSnafu { address, limit })?.context(RefusedSnafu { address })?;
--- a/controlplane/distribution/src/frame.rs
+++ b/controlplane/distribution/src/frame.rs
@@ -1,33 +1,34 @@
-//! Framing of messages on a byte stream: four bytes of length, one byte of kind, then the payload. The length counts the
-//! payload only and is bounded, so that a faulty peer can't make the reader allocate without limit.
+//! Frames messages on a byte stream. A frame has a length of four bytes, a kind of one byte, and the payload.
+//! The length is the size of the payload alone. It is bounded, so a faulty peer can't make the reader
+//! allocate without limit.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use snafu::{ResultExt, Snafu, ensure};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The longest payload of a frame, in bytes.
+/// The maximum size of a frame's payload, in bytes.
 pub const MAXIMUM_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
-/// Length and kind.
+/// The size of the length and the kind, in bytes.
 const HEADER_BYTES: usize = 5;
-/// The space that is reserved for a read.
-const READ_BYTES: usize = 8 * 1024;
-/// A write buffer that has grown beyond this is freed once it is empty.
-const KEPT_BUFFER_BYTES: usize = 64 * 1024;
+/// The buffer space that is reserved for each read, in bytes.
+const READ_RESERVE_BYTES: usize = 8 * 1024;
+/// The maximum capacity of an empty write buffer, in bytes; a larger buffer is freed after the write.
+const MAX_RETAINED_BUFFER_BYTES: usize = 64 * 1024;
 
 /// The type of a frame's payload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum FrameKind {
-    /// `Hello`, the first frame of the connecting side.
+    /// [`Hello`](crate::Hello), the first frame of the connecting side.
     Hello = 1,
     /// A message of the replication between controllers.
     Replica = 2,
-    /// `Gossip` between controllers.
+    /// [`Gossip`](crate::Gossip) between controllers.
     Gossip = 3,
-    /// `Report` from a balancer.
+    /// [`Report`](crate::Report) from a balancer.
     Report = 4,
-    /// `ToBalancer`.
+    /// [`ToBalancer`](crate::ToBalancer), a message of the control plane.
     ToBalancer = 5,
 }
 
@@ -53,10 +54,10 @@
     pub payload: Bytes,
 }
 
-/// Why a connection can't go on.
+/// An error that ends a connection.
 #[derive(Debug, Snafu)]
 pub enum FrameError {
-    /// The kind is none of [`FrameKind`].
+    /// The kind byte is not the value of a [`FrameKind`].
     #[snafu(display("a frame of unknown kind {kind}"))]
     UnknownKind {
         /// The byte that was received.
@@ -65,22 +66,22 @@
     /// The payload exceeds [`MAXIMUM_PAYLOAD_BYTES`].
     #[snafu(display("a frame of {length} bytes, above the bound of {MAXIMUM_PAYLOAD_BYTES}"))]
     TooLong {
-        /// The length of the payload.
+        /// The length of the payload, in bytes.
         length: usize,
     },
-    /// The connection ended inside a frame.
+    /// The connection ended before a frame was complete.
     #[snafu(display("the connection ended inside a frame"))]
     Truncated,
     /// Reading failed.
     #[snafu(display("reading from the connection"))]
     Read {
-        /// What the system reports.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// Writing failed.
     #[snafu(display("writing to the connection"))]
     Write {
-        /// What the system reports.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
@@ -92,7 +93,7 @@
 }
 
 impl FrameDecoder {
-    /// The next frame, if all of its bytes have been received.
+    /// Returns the next frame, if all of its bytes have been received.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
         if self.buffer.len() < HEADER_BYTES {
             return Ok(None);
@@ -108,7 +109,7 @@
         Ok(Some(Frame { kind, payload }))
     }
 
-    /// Adds received bytes.
+    /// Appends received bytes.
     pub fn extend(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
@@ -117,8 +118,8 @@
         self.buffer.is_empty()
     }
 
-    fn space(&mut self) -> &mut BytesMut {
-        self.buffer.reserve(READ_BYTES);
+    fn reserve_read_space(&mut self) -> &mut BytesMut {
+        self.buffer.reserve(READ_RESERVE_BYTES);
         &mut self.buffer
     }
 }
@@ -131,18 +132,19 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// A reader of a connection's frames, from its first byte.
+    /// Creates a reader for a connection from which nothing has been read yet.
     pub fn new(reader: R) -> Self {
         FrameReader { reader, decoder: FrameDecoder::default() }
     }
 
-    /// The next frame, or none at an orderly end. Cancel safe: nothing is lost if the future is dropped.
+    /// Waits for the next frame. Returns `None` if the connection ended after a complete frame. Cancel safe:
+    /// no data is lost if the future is dropped.
     pub async fn next(&mut self) -> Result<Option<Frame>, FrameError> {
         loop {
             if let Some(frame) = self.decoder.next_frame()? {
                 return Ok(Some(frame));
             }
-            let count = self.reader.read_buf(self.decoder.space()).await.context(ReadSnafu)?;
+            let count = self.reader.read_buf(self.decoder.reserve_read_space()).await.context(ReadSnafu)?;
             if count == 0 {
                 ensure!(self.decoder.is_empty(), TruncatedSnafu);
                 return Ok(None);
@@ -150,13 +152,13 @@
         }
     }
 
-    /// A further frame that has been received already, without waiting.
+    /// Returns the next frame if it has already been received completely. Does not wait.
     pub fn next_buffered(&mut self) -> Result<Option<Frame>, FrameError> {
         self.decoder.next_frame()
     }
 }
 
-/// Frames that are to be written together.
+/// A buffer of encoded frames that are written together.
 #[derive(Debug, Default)]
 pub struct FrameBuffer {
     bytes: BytesMut,
@@ -173,35 +175,35 @@
         Ok(())
     }
 
-    /// Whether everything has been written.
+    /// Whether all frames have been written.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// The number of bytes that have not been written yet.
+    /// Returns the number of bytes that have not been written yet.
     pub fn pending_bytes(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Drops what has not been written; for a connection that has ended.
+    /// Discards all unwritten bytes, for a connection that has ended.
     pub fn clear(&mut self) {
         self.bytes = BytesMut::new();
     }
 
-    /// The bytes that have not been written yet.
+    /// Returns the bytes that have not been written yet.
     pub fn as_slice(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Writes everything, in one call if the connection accepts that much. Cancel safe: if the future is dropped, the rest
-    /// stays for the next call.
+    /// Writes all buffered bytes, with a single write if the connection accepts them at once. Cancel safe: if
+    /// the future is dropped, the unwritten bytes stay in the buffer.
     pub async fn write_to<W: AsyncWrite + Unpin>(&mut self, writer: &mut W) -> Result<(), FrameError> {
         while !self.bytes.is_empty() {
             let count = writer.write(&self.bytes).await.context(WriteSnafu)?;
             ensure!(count > 0, TruncatedSnafu);
             self.bytes.advance(count);
         }
-        if self.bytes.capacity() > KEPT_BUFFER_BYTES {
+        if self.bytes.capacity() > MAX_RETAINED_BUFFER_BYTES {
             self.clear();
         }
         Ok(())
--- a/controlplane/distribution/src/gossip.rs
+++ b/controlplane/distribution/src/gossip.rs
@@ -1,14 +1,15 @@
-//! Gossip: the soft state that controllers exchange, heartbeats of upstreams and leases of balancers. Times are ages and
-//! remaining times, so that the clocks of two machines need not agree.
+//! Gossip messages. Controllers exchange their soft state with them: heartbeats of upstreams and leases of
+//! balancers. Times are sent as ages and remaining durations, so the clocks of two machines need not agree.
 
 use std::net::SocketAddr;
 
 use crate::{InstanceFailures, RegionLoad};
 
-/// The records of one message: changes since the last one on a connection, or everything on a new one.
+/// A gossip message. On a new connection it contains all records, later only the changes since the last
+/// message.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Gossip {
-    /// What the records cover.
+    /// The selection of records in this message.
     pub scope: GossipScope,
     /// Records of upstream instances.
     pub instances: Vec<GossipInstance>,
@@ -16,66 +17,67 @@
     pub leases: Vec<GossipLease>,
 }
 
-/// What the records of a message cover.
+/// The selection of records in a gossip message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum GossipScope {
-    /// What was reported to the sender since its last message.
+    /// The records that were reported to the sender since its last message.
     #[default]
     Changes,
-    /// All that the sender has observed since it started, a short while ago.
+    /// All records that the sender has observed since it started. It started recently, so records may be
+    /// missing.
     Observed,
-    /// All that is live: the sender has run for long enough to have observed it.
+    /// All live records. The sender has run for long enough to have observed each of them.
     Complete,
-    /// What the sender restored from its disk when it started and has not observed since.
+    /// The records that the sender restored from disk when it started and has not observed since.
     Restored,
 }
 
-/// The newest heartbeat of an upstream that the sender knows.
+/// The newest heartbeat of an upstream instance known to the sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipInstance {
-    /// The id of the instance.
+    /// The ID of the instance.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service to which the instance belongs.
     pub service: String,
-    /// Where it takes requests.
+    /// The address on which the instance accepts requests.
     pub address: SocketAddr,
-    /// The zone that it runs in.
+    /// The zone in which the instance runs.
     pub zone: String,
-    /// Requests that it handles at once.
+    /// The number of requests that the instance handles concurrently.
     pub slots: u32,
-    /// The sequence number of the heartbeat: a higher one is newer.
+    /// The sequence number of the heartbeat; a higher number is newer.
     pub sequence: u64,
-    /// It takes no new requests, now or ever again.
+    /// Whether the instance has permanently stopped accepting new requests.
     pub draining: bool,
-    /// It has deregistered.
+    /// Whether the instance has deregistered.
     pub deregistered: bool,
-    /// The remaining time of its slow start when this was sent, in milliseconds.
+    /// The remaining duration of the slow start when the message was sent, in milliseconds.
     pub slow_start_ms: u64,
-    /// The time since the heartbeat arrived, in milliseconds.
+    /// The time since the heartbeat was received, in milliseconds.
     pub age_ms: u64,
 }
 
-/// The lease of a balancer at the controller that its agent reports to.
+/// The lease of a balancer at the controller to which its agent reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GossipLease {
-    /// The name of the balancer's node.
+    /// The name of the node on which the balancer runs.
     pub node: String,
-    /// Differs for each start of the balancer.
+    /// A number that is different for each start of the balancer.
     pub incarnation: u64,
-    /// The zone that it runs in.
+    /// The zone in which the balancer runs.
     pub zone: String,
-    /// The region of that zone.
+    /// The region of the zone.
     pub region: String,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub front: SocketAddr,
-    /// It can handle requests.
+    /// Whether the balancer can handle requests.
     pub ready: bool,
-    /// It is in graceful shutdown.
+    /// Whether the balancer is in graceful shutdown.
     pub shutting_down: bool,
-    /// The time since the last renewal, in milliseconds.
+    /// The time since the lease was last renewed, in milliseconds.
     pub age_ms: u64,
-    /// The rates of requests that it sends.
+    /// The rates at which the balancer sends requests, by service and region.
     pub sends: Vec<RegionLoad>,
-    /// Instances that have failed requests of it.
+    /// The instances at which requests of the balancer failed recently.
     pub failing: Vec<InstanceFailures>,
 }
--- a/controlplane/distribution/src/lib.rs
+++ b/controlplane/distribution/src/lib.rs
@@ -1,9 +1,10 @@
-//! Distribution of versioned state from the control plane to the balancers over long-lived connections, and the balancers'
-//! reports. One protocol serves both hops: controller to agent, and agent to proxy. The connections between controllers
-//! use the same framing.
+//! Distributes versioned state from the control plane to the balancers over long-lived connections, and
+//! carries the reports of the balancers. Both hops use the same protocol: controller to agent, and agent to
+//! proxy. Connections between controllers use the same framing.
 //!
-//! A [`Publisher`] on the sending side decides what each subscriber is sent; an [`AppliedState`] on the receiving side
-//! holds the newest sections. [`frame`] puts the encoded messages on a byte stream.
+//! On the sending side, a [`Publisher`] selects the sections to send to each subscriber. On the receiving
+//! side, an [`AppliedState`] stores the newest sections. [`frame`] writes the encoded messages to a byte
+//! stream.
 //!
 //! ```
 //! use whinspindle_distribution::{AppliedState, Evacuations, Publisher, SubscriberId, Versions};
--- a/controlplane/distribution/src/message.rs
+++ b/controlplane/distribution/src/message.rs
@@ -1,4 +1,5 @@
-//! The messages of a connection. A section of an update replaces the receiver's former one.
+//! The messages of a connection. Each section of an update replaces the receiver's previous version of that
+//! section.
 
 use std::net::SocketAddr;
 
@@ -7,49 +8,51 @@
 /// The first frame that the connecting side sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hello {
-    /// What the connecting process is.
+    /// The role of the connecting process.
     pub role: Role,
-    /// Where the connecting process accepts connections of other machines.
+    /// The address on which the connecting process accepts connections of other machines.
     pub endpoint: SocketAddr,
 }
 
-/// What the connecting process is to the accepting one.
+/// The role of the connecting process towards the accepting one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Another controller.
     Peer,
-    /// A balancer: an agent at a controller, a proxy at its agent.
+    /// A balancer: an agent that connects to a controller, or a proxy that connects to its agent.
     Balancer,
 }
 
-/// A message from the control plane towards a balancer.
+/// A message from the control plane to a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToBalancer {
-    /// Newer sections.
+    /// Sections that are newer than those of the receiver.
     Update(Update),
     /// A heartbeat with the state of the sender.
     Link(Link),
 }
 
-/// The state of the sender: the answer to the first report, then the heartbeat of the connection, several times a second.
+/// The state of the sender. It is the answer to the first report, and then the heartbeat of the connection,
+/// sent several times a second.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Link {
-    /// The sender is in the chain of the newest view that it knows, and in contact with a majority of the voters.
+    /// Whether the sender is in the replication chain of the newest view known to it and in contact with a
+    /// majority of the voters.
     pub in_quorum: bool,
-    /// The sender is in graceful shutdown: the receiver moves to another controller.
+    /// Whether the sender is in graceful shutdown. If so, the receiver connects to another controller.
     pub shutting_down: bool,
-    /// The controllers that the sender knows, itself included; empty if unchanged since the last heartbeat.
+    /// The controllers known to the sender, including itself; empty if unchanged since the last heartbeat.
     pub controllers: Vec<ControllerAddress>,
 }
 
-/// The address of a controller, and its location.
+/// The address and location of a controller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControllerAddress {
-    /// Where it accepts connections of other machines.
+    /// The address on which the controller accepts connections of other machines.
     pub endpoint: SocketAddr,
-    /// The zone that it runs in.
+    /// The zone in which the controller runs.
     pub zone: String,
-    /// The region of that zone.
+    /// The region of the zone.
     pub region: String,
 }
 
@@ -64,20 +67,22 @@
     pub instances: Option<Instances>,
     /// The state of the fleet of balancers.
     pub fleet: Option<Fleet>,
-    /// Changes of the instances in place of the list, for a receiver that was sent the list that they build on.
+    /// Changes to the list of instances, sent in place of the complete list to a receiver that has the base
+    /// version.
     pub changes: Option<InstanceChanges>,
 }
 
 /// A committed configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configured {
-    /// The position in the replicated history. The receiver ignores one that is not newer than its own.
+    /// The position in the replicated history. The receiver ignores a configuration that is not newer than
+    /// its own.
     pub sequence: u64,
-    /// The operator's JSON, unchanged.
+    /// The JSON document as the operator submitted it.
     pub body: Bytes,
 }
 
-/// All zones that are evacuated now.
+/// The zones that are currently evacuated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     /// The position in the replicated history.
@@ -86,18 +91,18 @@
     pub zones: Vec<String>,
 }
 
-/// All known upstream instances, and entries for some that have ended ([`Instance::ended`]). An agent doesn't forward the
-/// latter to its proxy.
+/// All known upstream instances, and entries for some instances that have ended ([`Instance::ended`]). An
+/// agent does not forward entries of ended instances to its proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Instances {
-    /// The sender's own version of the list.
+    /// The version of the list; each sender numbers its versions independently.
     pub version: u64,
     /// The instances.
     pub list: Vec<Instance>,
 }
 
 impl Instances {
-    /// The same list as of a later time: slow starts have that much less time left.
+    /// Returns the list as of a later time, with the remaining slow starts reduced by the elapsed time.
     pub fn aged(&self, elapsed_ms: u64) -> Instances {
         let mut aged = self.clone();
         aged.list.iter_mut().for_each(|instance| instance.age(elapsed_ms));
@@ -105,45 +110,45 @@
     }
 }
 
-/// The differences between two lists of one sender.
+/// The changes between two versions of the list of instances from the same sender.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InstanceChanges {
-    /// The version of the list that the changes build on.
+    /// The version of the list to which the changes apply.
     pub base: u64,
-    /// The version of the list that they lead to.
+    /// The version of the list after the changes.
     pub version: u64,
-    /// Instances that are new or have changed, ended ones included.
+    /// New and changed instances, including ended ones.
     pub changed: Vec<Instance>,
-    /// Ids that are not in the newer list.
+    /// The IDs of instances that the newer list does not contain.
     pub removed: Vec<String>,
 }
 
-/// One upstream instance.
+/// An upstream instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its id; each start of an upstream has a new one.
+    /// The ID of the instance. Each start of an upstream gets a new ID.
     pub id: String,
-    /// The service that it belongs to.
+    /// The service to which the instance belongs.
     pub service: String,
-    /// Where it takes requests.
+    /// The address on which the instance accepts requests.
     pub address: SocketAddr,
-    /// The zone that it runs in.
+    /// The zone in which the instance runs.
     pub zone: String,
-    /// Requests that it handles at once.
+    /// The number of requests that the instance handles concurrently.
     pub slots: u32,
-    /// It takes no new requests, now or ever again.
+    /// Whether the instance has permanently stopped accepting new requests.
     pub draining: bool,
-    /// The remaining time of its slow start when this was sent, in milliseconds.
+    /// The remaining duration of the slow start when the message was sent, in milliseconds.
     pub slow_start_ms: u64,
 }
 
 impl Instance {
-    /// Counts the remaining slow start down.
+    /// Reduces the remaining slow start by the elapsed time.
     pub fn age(&mut self, elapsed_ms: u64) {
         self.slow_start_ms = self.slow_start_ms.saturating_sub(elapsed_ms);
     }
 
-    /// An entry that says of an instance only that it has ended.
+    /// Creates an entry which states only that the instance with this ID has ended.
     pub fn ended(id: String) -> Instance {
         Instance {
             id,
@@ -156,7 +161,7 @@
         }
     }
 
-    /// Whether this is an entry of [`Instance::ended`].
+    /// Whether this entry was created by [`Instance::ended`].
     pub fn is_ended(&self) -> bool {
         self.draining && self.service.is_empty() && self.address.ip().is_unspecified()
     }
@@ -165,20 +170,21 @@
 /// The state of the fleet of balancers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Fleet {
-    /// The sender's own version of the section.
+    /// The version of the section; each sender numbers its versions independently.
     pub version: u64,
-    /// The number of balancers that may be serving: those with a lease, and those that lost theirs a short while ago.
+    /// The number of balancers that may be serving requests: balancers with a lease, and balancers whose
+    /// lease expired recently.
     pub balancers: u32,
-    /// Requests a second that all balancers together send, by service and region.
+    /// The total request rate of all balancers, by service and region.
     pub loads: Vec<RegionLoad>,
-    /// Ids of instances whose failures several balancers have seen.
+    /// The IDs of instances at which several balancers observed failures.
     pub failing: Vec<String>,
 }
 
-/// Failures of an instance that one balancer has seen a short while ago.
+/// The recent failures of an instance that one balancer observed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceFailures {
-    /// The id of the instance.
+    /// The ID of the instance.
     pub id: String,
     /// The number of failed requests.
     pub failures: u32,
@@ -196,47 +202,47 @@
 /// The rate of requests to the instances of a service in a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionLoad {
-    /// Where the requests go.
+    /// The service and region to which the requests are sent.
     pub target: ServiceRegion,
-    /// Requests a second.
+    /// The number of requests per second.
     pub requests_per_s: f64,
 }
 
-/// The newest version of each section that the receiver has applied; 0 before any.
+/// The newest version of each section that a receiver has applied; 0 if it has not applied any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Versions {
-    /// The sequence of the configuration.
+    /// The sequence number of the configuration.
     pub configured: u64,
-    /// The sequence of the evacuations.
+    /// The sequence number of the evacuations.
     pub evacuations: u64,
     /// The version of the instances.
     pub instances: u64,
-    /// The version of the fleet's state.
+    /// The version of the fleet state.
     pub fleet: u64,
 }
 
-/// A balancer's message towards the control plane: renews its lease and acknowledges updates. Sent right after the hello,
-/// then several times a second, and at once when a section was applied.
+/// A message from a balancer to the control plane that renews its lease and acknowledges updates. It is sent
+/// right after the hello, then several times a second, and immediately after a section was applied.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The name of the balancer's node.
+    /// The name of the node on which the balancer runs.
     pub node: String,
-    /// Differs for each start of the sending process.
+    /// A number that is different for each start of the sending process.
     pub incarnation: u64,
-    /// The zone that it runs in.
+    /// The zone in which the balancer runs.
     pub zone: String,
-    /// The region of that zone.
+    /// The region of the zone.
     pub region: String,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub front: SocketAddr,
-    /// The proxy has a configuration and takes clients.
+    /// Whether the proxy has a configuration and accepts client connections.
     pub ready: bool,
-    /// The machine is in graceful shutdown: no new clients are to be sent to it.
+    /// Whether the machine is in graceful shutdown. If so, no new clients should be directed to it.
     pub shutting_down: bool,
-    /// The newest version of each section that it has applied.
+    /// The newest version of each section that the balancer has applied.
     pub applied: Versions,
-    /// The rates of requests that it sends.
+    /// The rates at which the balancer sends requests, by service and region.
     pub sends: Vec<RegionLoad>,
-    /// Instances that have failed requests of it lately.
+    /// The instances at which requests of the balancer failed recently.
     pub failing: Vec<InstanceFailures>,
 }
--- a/controlplane/distribution/src/publisher.rs
+++ b/controlplane/distribution/src/publisher.rs
@@ -1,7 +1,9 @@
-//! The sender of updates: the newest sections, and what each subscriber was sent and has acknowledged.
+//! The sender of updates. It stores the newest sections, and the versions that each subscriber was sent and
+//! has acknowledged.
 //!
-//! Sections are set as they change; [`Publisher::update_for`] then returns what a subscriber lacks, and its reports
-//! acknowledge what it has applied. A section whose acknowledgement is overdue is sent again.
+//! The owner sets sections when they change. [`Publisher::update_for`] then returns the sections that a
+//! subscriber needs, and the subscriber's reports acknowledge the sections that it has applied. A section
+//! whose acknowledgement is overdue is sent again.
 
 mod delivery;
 
@@ -11,14 +13,15 @@
 use crate::list_budget::ListBudget;
 use crate::{Configured, Evacuations, Fleet, InstanceChanges, Instances, Report, Update, Versions};
 
-/// Changes of the instances are sent in place of the list if the list is longer by more than this factor.
-const MIN_CHANGE_SAVING: usize = 2;
+/// Changes are sent in place of the complete list of instances if the list is longer by more than this
+/// factor.
+const MIN_LIST_TO_CHANGES_RATIO: usize = 2;
 
-/// A connection of a balancer, numbered by the owner of the connections; a number is not used twice.
+/// The ID of a balancer's connection. The owner of the connections assigns it and never reuses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SubscriberId(pub u64);
 
-/// The parts of an update.
+/// A section of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Section {
     /// The configuration.
@@ -31,10 +34,10 @@
     Fleet,
 }
 
-/// A section that a subscriber was sent and has not acknowledged.
+/// A section that was sent to a subscriber but is not acknowledged yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lag {
-    /// The subscriber that lags.
+    /// The subscriber.
     pub subscriber: SubscriberId,
     /// The section.
     pub section: Section,
@@ -44,22 +47,23 @@
     pub waiting_ms: u64,
 }
 
-/// The newest sections and the delivery to each subscriber.
+/// The newest sections and the state of their delivery to each subscriber.
 #[derive(Clone, Debug, Default)]
 pub struct Publisher {
     configured: Option<Configured>,
     evacuations: Option<Evacuations>,
     instances: Option<Instances>,
-    instances_at: u64,
-    /// Limits the complete lists of instances.
+    /// The time at which `instances` was set, in milliseconds.
+    instances_set_at_ms: u64,
+    /// Limits the rate of complete lists of instances.
     list_budget: ListBudget,
-    /// The changes from the previous list to the present one, where these are much shorter.
+    /// The changes from the previous list to the current one, if they are much shorter than the list.
     changes: Option<InstanceChanges>,
     fleet: Option<Fleet>,
     subscribers: BTreeMap<SubscriberId, Subscriber>,
 }
 
-/// One connection: what its balancer has applied, and the delivery of each section.
+/// The sections that a subscriber has applied, and the state of their delivery on its connection.
 #[derive(Clone, Copy, Debug, Default)]
 struct Subscriber {
     applied: Versions,
@@ -70,39 +74,42 @@
 }
 
 impl Publisher {
-    /// A publisher without sections and subscribers.
+    /// Creates a publisher without sections and subscribers.
     pub fn new() -> Self {
         Publisher::default()
     }
 
-    /// Sets the committed configuration; false, and no change, unless it is newer than the present one.
+    /// Sets the committed configuration. Returns false without a change if it is not newer than the current
+    /// one.
     pub fn set_configured(&mut self, section: Configured) -> bool {
-        let newer = self.configured.as_ref().is_none_or(|present| section.sequence > present.sequence);
-        if newer {
+        let is_newer = self.configured.as_ref().is_none_or(|current| section.sequence > current.sequence);
+        if is_newer {
             self.configured = Some(section);
         }
-        newer
+        is_newer
     }
 
-    /// Sets the committed evacuations; false, and no change, unless they are newer than the present ones.
+    /// Sets the committed evacuations. Returns false without a change if they are not newer than the current
+    /// ones.
     pub fn set_evacuations(&mut self, section: Evacuations) -> bool {
-        let newer = self.evacuations.as_ref().is_none_or(|present| section.sequence > present.sequence);
-        if newer {
+        let is_newer = self.evacuations.as_ref().is_none_or(|current| section.sequence > current.sequence);
+        if is_newer {
             self.evacuations = Some(section);
         }
-        newer
+        is_newer
     }
 
-    /// Sets the known instances, as of `now`.
+    /// Sets the known instances as of `now`.
     pub fn set_instances(&mut self, now: u64, section: Instances) {
-        let elapsed_ms = now.saturating_sub(self.instances_at);
+        let elapsed_ms = now.saturating_sub(self.instances_set_at_ms);
         let changes = self
             .instances
             .as_ref()
-            .map(|present| InstanceChanges::between(&present.aged(elapsed_ms), &section));
-        self.changes = changes.filter(|changes| changes.len() * MIN_CHANGE_SAVING < section.list.len());
+            .map(|current| InstanceChanges::between(&current.aged(elapsed_ms), &section));
+        self.changes =
+            changes.filter(|changes| changes.len() * MIN_LIST_TO_CHANGES_RATIO < section.list.len());
         self.instances = Some(section);
-        self.instances_at = now;
+        self.instances_set_at_ms = now;
     }
 
     /// Sets the state of the fleet.
@@ -110,7 +117,7 @@
         self.fleet = Some(section);
     }
 
-    /// The versions of the newest sections.
+    /// Returns the versions of the newest sections.
     pub fn versions(&self) -> Versions {
         Versions {
             configured: self.configured.as_ref().map_or(0, |section| section.sequence),
@@ -120,51 +127,54 @@
         }
     }
 
-    /// Adds a connection, with the versions of its first report. Configurations and evacuations that the balancer has
-    /// applied already are not sent.
+    /// Adds a subscriber with the versions from its first report. A configuration and evacuations that it has
+    /// already applied are not sent.
     pub fn subscribe(&mut self, subscriber: SubscriberId, applied: Versions) {
         self.subscribers.insert(subscriber, Subscriber { applied, ..Subscriber::default() });
     }
 
-    /// Removes a connection.
+    /// Removes a subscriber.
     pub fn unsubscribe(&mut self, subscriber: SubscriberId) {
         self.subscribers.remove(&subscriber);
     }
 
-    /// All connections, in the order of their numbers.
+    /// Returns all subscribers in the order of their IDs.
     pub fn subscribers(&self) -> impl Iterator<Item = SubscriberId> + '_ {
         self.subscribers.keys().copied()
     }
 
-    /// Whether a subscriber has a configuration, sent on this connection or reported as applied.
+    /// Whether a configuration was sent on the connection of a subscriber, or reported by the subscriber as
+    /// applied.
     pub fn has_configuration(&self, subscriber: SubscriberId) -> bool {
         let state = self.subscribers.get(&subscriber);
         state.is_some_and(|state| state.applied.configured > 0 || state.configured.has_been_sent())
     }
 
-    /// The update to send to a subscriber now: sections newer than those sent on this connection, and those whose
-    /// acknowledgement is overdue; none if there is nothing to send. The instances are sent as changes on a connection on
-    /// which the previous list was sent last and no acknowledgement is overdue, otherwise as a complete list.
+    /// Returns the update to send to a subscriber now, or `None` if there is nothing to send. The update
+    /// contains sections that are newer than those sent on this connection, and sections whose
+    /// acknowledgement is overdue. Instances are sent as changes if the previous list was the last one sent
+    /// on the connection and no acknowledgement is overdue, and otherwise as a complete list.
     pub fn update_for(&mut self, now: u64, subscriber: SubscriberId) -> Option<Update> {
         let state = self.subscribers.get_mut(&subscriber)?;
         let configured = self.configured.as_ref().filter(|section| {
             section.sequence > state.applied.configured
-                && state.configured.begin_if_due(now, section.sequence)
+                && state.configured.mark_sent_if_due(now, section.sequence)
         });
         let evacuations = self.evacuations.as_ref().filter(|section| {
             section.sequence > state.applied.evacuations
-                && state.evacuations.begin_if_due(now, section.sequence)
+                && state.evacuations.mark_sent_if_due(now, section.sequence)
         });
         let base = state.instances.assumed_version(now);
         let changes = self.changes.as_ref().filter(|changes| Some(changes.base) == base);
         let list_budget = &mut self.list_budget;
-        let instances = self.instances.as_ref().filter(|_| changes.is_some() || list_budget.has_any(now));
-        let instances = instances.filter(|section| state.instances.begin_if_due(now, section.version));
+        let instances =
+            self.instances.as_ref().filter(|_| changes.is_some() || list_budget.is_available(now));
+        let instances = instances.filter(|section| state.instances.mark_sent_if_due(now, section.version));
         let changes = changes.filter(|_| instances.is_some());
         let instances = instances.filter(|_| changes.is_none());
         list_budget.spend(instances.map_or(0, |section| section.list.len()));
-        let elapsed_ms = now.saturating_sub(self.instances_at);
-        let fleet = self.fleet.as_ref().filter(|section| state.fleet.begin_if_due(now, section.version));
+        let elapsed_ms = now.saturating_sub(self.instances_set_at_ms);
+        let fleet = self.fleet.as_ref().filter(|section| state.fleet.mark_sent_if_due(now, section.version));
         let update = Update {
             configured: configured.cloned(),
             evacuations: evacuations.cloned(),
@@ -175,7 +185,7 @@
         (update != Update::default()).then_some(update)
     }
 
-    /// Takes the versions that a subscriber has applied.
+    /// Records the versions that a subscriber has applied.
     pub fn acknowledge(&mut self, now: u64, subscriber: SubscriberId, applied: Versions) {
         let Some(state) = self.subscribers.get_mut(&subscriber) else { return };
         state.applied = applied;
@@ -185,7 +195,7 @@
         state.fleet.acknowledge(now, applied.fleet);
     }
 
-    /// Takes a report: subscribes its connection if that is new, and acknowledges what it has applied.
+    /// Processes a report: adds the subscriber if it is new, and records the versions that it has applied.
     pub fn handle_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         if !self.subscribers.contains_key(&subscriber) {
             self.subscribe(subscriber, report.applied);
@@ -193,17 +203,17 @@
         self.acknowledge(now, subscriber, report.applied);
     }
 
-    /// The sections that were sent and have not been acknowledged, for logs and the status.
+    /// Returns the sections that were sent but are not acknowledged, for logs and the status.
     pub fn lags(&self, now: u64) -> Vec<Lag> {
         self.subscribers.iter().flat_map(|(&subscriber, state)| state.lags(now, subscriber)).collect()
     }
 
-    /// Whether every subscriber has applied the configuration of this sequence.
+    /// Whether every subscriber has applied the configuration with this sequence number or a newer one.
     pub fn is_configured_everywhere(&self, sequence: u64) -> bool {
         self.subscribers.values().all(|state| state.applied.configured >= sequence)
     }
 
-    /// Whether every subscriber has applied the evacuations of this sequence.
+    /// Whether every subscriber has applied the evacuations with this sequence number or newer ones.
     pub fn is_evacuated_everywhere(&self, sequence: u64) -> bool {
         self.subscribers.values().all(|state| state.applied.evacuations >= sequence)
     }
@@ -219,7 +229,7 @@
         ];
         sections.into_iter().filter_map(move |(section, delivery)| {
             let sent = delivery.unacknowledged()?;
-            let waiting_ms = now.saturating_sub(sent.waiting_since);
+            let waiting_ms = now.saturating_sub(sent.waiting_since_ms);
             Some(Lag { subscriber, section, version: sent.version, waiting_ms })
         })
     }
