--- a/controlplane/configuration/tests/configuration.rs
+++ b/controlplane/configuration/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading, checking and looking up the operator's configuration.
+//! Tests of parsing and validating the operator's configuration, and of looking up routes.
 
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
     Configuration::parse(text.as_bytes())
 }
 
-/// The example with one piece of its text replaced.
+/// Parses the example with one part of its text replaced.
 fn parse_changed(from: &str, to: &str) -> Result<Configuration, ConfigurationError> {
     assert_eq!(EXAMPLE.matches(from).count(), 1, "`{from}` isn't unique in the example");
     parse(&EXAMPLE.replace(from, to))
@@ -26,7 +26,7 @@
 fn json_error_of_change(from: &str, to: &str) -> JsonError {
     match error_of_change(from, to) {
         ConfigurationError::Unreadable { source } => source,
-        error => panic!("readable: {error}"),
+        error => panic!("not a JSON error: {error}"),
     }
 }
 
@@ -38,7 +38,7 @@
             text,
             r#"{comma}{{"name":"r{index}","host":"{host}","path_prefix":"{prefix}","kind":"safe","timeout_ms":1,"backend":"s"}}"#
         )
-        .expect("a string takes everything");
+        .expect("writing to a string never fails");
     }
     text.push_str("]}");
     parse(&text)
@@ -101,8 +101,8 @@
     assert_eq!(configuration.services[0].health_path, "/healthz");
     assert_eq!(configuration.limits, Limits::default());
 
-    let nulls = parse_changed(r#""gap_aim_ms": 301"#, r#""gap_aim_ms": null, "split": null"#);
-    assert_eq!(nulls.expect("null stands for an absent key").routes[1].gap_aim_ms, None);
+    let with_nulls = parse_changed(r#""gap_aim_ms": 301"#, r#""gap_aim_ms": null, "split": null"#);
+    assert_eq!(with_nulls.expect("null stands for an absent key").routes[1].gap_aim_ms, None);
 }
 
 #[test]
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn whole_numbers_may_be_written_as_fractions() {
+fn integers_with_a_zero_fraction_are_accepted() {
     let configuration =
         parse_changed(r#""timeout_ms": 6000"#, r#""timeout_ms": 6000.0"#).expect("a whole number");
     assert_eq!(configuration.routes[0].timeout_ms, 6000);
@@ -142,25 +142,25 @@
     let route = "query".to_owned();
     let key = r#""backend": "chat", "retries""#;
     assert_eq!(error_of_change(key, r#""retries""#), ConfigurationError::NoBackend { route: route.clone() });
-    let empty = error_of_change(key, r#""split": [], "retries""#);
-    assert_eq!(empty, ConfigurationError::NoBackend { route: route.clone() });
-    let both = r#""backend": "chat", "split": [{"backend": "chat", "weight": 1}], "retries""#;
-    assert_eq!(error_of_change(key, both), ConfigurationError::BackendAndSplit { route });
+    let empty_split = error_of_change(key, r#""split": [], "retries""#);
+    assert_eq!(empty_split, ConfigurationError::NoBackend { route: route.clone() });
+    let backend_and_split = r#""backend": "chat", "split": [{"backend": "chat", "weight": 1}], "retries""#;
+    assert_eq!(error_of_change(key, backend_and_split), ConfigurationError::BackendAndSplit { route });
 }
 
 #[test]
-fn weights_have_a_positive_sum() {
-    let zero = parse(
+fn weights_must_have_a_positive_sum() {
+    let zero_weights = parse(
         &EXAMPLE.replace(r#""weight": 90"#, r#""weight": 0"#).replace(r#""weight": 10"#, r#""weight": 0.0"#),
     );
     let route = "draft".to_owned();
-    assert_eq!(zero, Err(ConfigurationError::InvalidTotalWeight { route, total: 0.0 }));
+    assert_eq!(zero_weights, Err(ConfigurationError::InvalidTotalWeight { route, total: 0.0 }));
     for weight in ["-1", "-0.5", "1e999"] {
         let error = error_of_change(r#""weight": 10"#, &format!(r#""weight": {weight}"#));
         assert!(matches!(error, ConfigurationError::InvalidWeight { .. }), "{error}");
     }
-    let one = parse_changed(r#""weight": 10"#, r#""weight": 0"#).expect("one weight is enough");
-    assert_eq!(one.routes[0].backends[1].weight, 0.0);
+    let configuration = parse_changed(r#""weight": 10"#, r#""weight": 0"#).expect("one weight is enough");
+    assert_eq!(configuration.routes[0].backends[1].weight, 0.0);
 }
 
 #[test]
@@ -175,10 +175,10 @@
 
 #[test]
 fn routes_that_share_host_and_prefix_are_refused() {
-    let shared =
+    let result =
         configuration_with_routes(&[("h.example", "/a/"), ("h.example", "/b/"), ("H.example:80", "/a/")]);
     let error = ConfigurationError::SharedPrefix { first: "r0".to_owned(), second: "r2".to_owned() };
-    assert_eq!(shared, Err(error));
+    assert_eq!(result, Err(error));
     assert!(
         configuration_with_routes(&[("a.example", "/a/"), ("b.example", "/a/"), ("a.example", "/a/a/")])
             .is_ok()
@@ -193,13 +193,13 @@
 
 #[test]
 fn unknown_kinds_are_refused() {
-    let error = parse(&EXAMPLE.replace(r#""kind": "streaming""#, r#""kind": "Streaming""#));
+    let result = parse(&EXAMPLE.replace(r#""kind": "streaming""#, r#""kind": "Streaming""#));
     let (route, kind) = ("draft".to_owned(), "Streaming".to_owned());
-    assert_eq!(error, Err(ConfigurationError::UnknownKind { route, kind }));
+    assert_eq!(result, Err(ConfigurationError::UnknownKind { route, kind }));
 }
 
 #[test]
-fn required_keys_that_are_missing_are_named() {
+fn errors_name_missing_required_keys() {
     for (key, from) in [
         ("generation", r#""generation": 7,"#),
         ("path_prefix", r#""path_prefix": "/query/","#),
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn values_of_the_wrong_type_are_named() {
+fn errors_name_keys_with_values_of_the_wrong_type() {
     for (key, from, to) in [
         ("generation", r#""generation": 7,"#, r#""generation": "7","#),
         ("generation", r#""generation": 7,"#, r#""generation": 7.5,"#),
@@ -237,7 +237,7 @@
 fn every_proper_prefix_of_a_document_is_refused() {
     let document = EXAMPLE.trim_end();
     for length in 0..document.len() {
-        assert!(parse(&document[..length]).is_err(), "the first {length} bytes were taken");
+        assert!(parse(&document[..length]).is_err(), "the first {length} bytes were accepted");
     }
 }
 
@@ -273,26 +273,26 @@
         "{\"a\" 1}",
         "\u{0}",
     ] {
-        assert!(parse(text).is_err(), "`{text}` was taken");
+        assert!(parse(text).is_err(), "`{text}` was accepted");
     }
     for text in
         [format!("{EXAMPLE}{{}}"), format!("{EXAMPLE}x"), format!("{EXAMPLE}\0"), format!("/**/{EXAMPLE}")]
     {
-        assert!(parse(&text).is_err(), "`{text}` was taken");
+        assert!(parse(&text).is_err(), "`{text}` was accepted");
     }
     assert!(Configuration::parse(&[b'"', 0xff, b'"']).is_err());
     assert!(parse(&format!("\n{EXAMPLE}\r\n\t ")).is_ok());
 }
 
 #[test]
-fn depth_is_bounded() {
+fn nesting_depth_is_bounded() {
     for depth in [129, 100_000] {
         let nested = format!(
             r#"{{"generation":1,"routes":[],"services":[],"x":{}{}}}"#,
             "[".repeat(depth),
             "]".repeat(depth)
         );
-        assert!(parse(&nested).is_err(), "depth {depth} was taken");
+        assert!(parse(&nested).is_err(), "depth {depth} was accepted");
     }
     let nested =
         format!(r#"{{"generation":1,"routes":[],"services":[],"x":{}{}}}"#, "[".repeat(100), "]".repeat(100));
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn the_longest_prefix_that_begins_the_path_wins() {
+fn route_with_the_longest_matching_prefix_is_found() {
     let configuration = configuration_with_routes(&[
         ("h", "/a/"),
         ("h", "/a/b/"),
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn hosts_match_without_regard_to_case_and_port() {
+fn host_lookup_ignores_case_and_port() {
     let configuration =
         configuration_with_routes(&[("Mixed.Example:80", "/"), ("[2001:DB8::1]:8080", "/")]).expect("valid");
     for host in ["mixed.example", "MIXED.EXAMPLE", "mixed.example:8443", "mixed.example:"] {
@@ -361,16 +361,16 @@
 }
 
 #[test]
-fn lookup_agrees_with_a_search_through_all_routes() {
-    fn property(prefixes: Vec<Path>, path: Path, more: bool) -> TestResult {
+fn route_lookup_matches_linear_search() {
+    fn property(prefixes: Vec<Path>, path: Path, append_suffix: bool) -> TestResult {
         let mut prefixes: Vec<&str> = prefixes.iter().map(|prefix| prefix.0.as_str()).collect();
         prefixes.sort_unstable();
         prefixes.dedup();
         let routes: Vec<(&str, &str)> = prefixes.iter().map(|&prefix| ("h", prefix)).collect();
         let Ok(configuration) = configuration_with_routes(&routes) else { return TestResult::failed() };
-        let path = if more { format!("{}rest", path.0) } else { path.0 };
-        let beginning = (0..prefixes.len()).filter(|&index| path.starts_with(prefixes[index]));
-        let longest = beginning.max_by_key(|&index| prefixes[index].len());
+        let path = if append_suffix { format!("{}rest", path.0) } else { path.0 };
+        let matching = (0..prefixes.len()).filter(|&index| path.starts_with(prefixes[index]));
+        let longest = matching.max_by_key(|&index| prefixes[index].len());
         TestResult::from_bool(configuration.find_route("h", &path) == longest)
     }
     QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Path>, Path, bool) -> TestResult);
@@ -384,11 +384,11 @@
     QuickCheck::new().tests(10_000).quickcheck(property as fn(Vec<u8>) -> bool);
 }
 
-/// A change of one place of a text.
+/// Replaces a range of bytes at one position of a document.
 #[derive(Clone, Debug)]
 struct Mutation {
     position: usize,
-    removed: usize,
+    removed_bytes: usize,
     inserted: Vec<u8>,
 }
 
@@ -404,7 +404,7 @@
         };
         Mutation {
             position: usize::arbitrary(generator),
-            removed: usize::arbitrary(generator) % 12,
+            removed_bytes: usize::arbitrary(generator) % 12,
             inserted,
         }
     }
@@ -416,7 +416,7 @@
         let mut bytes = EXAMPLE.as_bytes().to_vec();
         for mutation in mutations.iter().take(4) {
             let start = mutation.position % (bytes.len() + 1);
-            let end = (start + mutation.removed).min(bytes.len());
+            let end = (start + mutation.removed_bytes).min(bytes.len());
             bytes.splice(start..end, mutation.inserted.iter().copied());
         }
         if let Ok(configuration) = Configuration::parse(&bytes) {
--- a/controlplane/configuration/tests/heartbeat.rs
+++ b/controlplane/configuration/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Reading the body of a heartbeat.
+//! Tests of parsing heartbeats.
 
 use quickcheck::QuickCheck;
 use whinspindle_configuration::{Heartbeat, HeartbeatError, InstanceState};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn invalid_keys_are_named() {
+fn errors_name_invalid_keys() {
     for (key, from, to) in [
         ("seq", r#","seq":4"#, ""),
         ("seq", r#""seq":4"#, r#""seq":-4"#),
@@ -61,7 +61,7 @@
 #[test]
 fn every_proper_prefix_is_refused() {
     for length in 0..EXAMPLE.len() {
-        assert!(parse(&EXAMPLE[..length]).is_err(), "the first {length} bytes were taken");
+        assert!(parse(&EXAMPLE[..length]).is_err(), "the first {length} bytes were accepted");
     }
 }
 
--- a/controlplane/configuration/tests/host_regions.rs
+++ b/controlplane/configuration/tests/host_regions.rs
@@ -1,18 +1,18 @@
-//! The serving regions of hosts, compared with their routes.
+//! Tests of the serving regions of hosts.
 
 use quickcheck::quickcheck;
 use whinspindle_configuration::{Configuration, HostRegions, ServingRegions};
 
 const EXAMPLE: &str = include_str!("data/configuration.json");
 
-/// A configuration with these routes: host and home regions.
+/// Returns a configuration with the given routes, each a host and its home regions.
 fn configuration(routes: &[(&str, &[&str])]) -> String {
     let routes: Vec<String> = routes
         .iter()
         .enumerate()
-        .map(|(index, (host, homes))| {
+        .map(|(index, (host, home_regions))| {
             format!(
-                r#"{{"name":"r{index}","host":"{host}","path_prefix":"/p{index}/","kind":"safe","timeout_ms":1,"backend":"s","home_regions":{homes:?}}}"#
+                r#"{{"name":"r{index}","host":"{host}","path_prefix":"/p{index}/","kind":"safe","timeout_ms":1,"backend":"s","home_regions":{home_regions:?}}}"#
             )
         })
         .collect();
@@ -20,7 +20,7 @@
 }
 
 fn parse(text: &str) -> HostRegions {
-    HostRegions::new(&Configuration::parse(text.as_bytes()).expect("an operator may put this in place"))
+    HostRegions::new(&Configuration::parse(text.as_bytes()).expect("the configuration is valid"))
 }
 
 fn only(regions: &[&str]) -> Option<ServingRegions> {
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn host_without_home_regions_is_served_everywhere() {
+fn host_without_home_regions_is_served_in_any_region() {
     let regions = parse(&configuration(&[("shop.example", &[]), ("shop.example", &[])]));
     assert_eq!(regions.serving_regions("shop.example"), Some(&ServingRegions::Any));
     assert!(regions.serving_regions("shop.example").is_some_and(|regions| regions.contains("anywhere")));
 }
 
 #[test]
-fn a_host_is_served_where_each_of_its_routes_is() {
+fn host_is_served_in_the_common_home_regions_of_its_routes() {
     let routes: [(&str, &[&str]); 5] = [
         ("shop.example", &["north", "south"]),
         ("shop.example", &[]),
@@ -45,7 +45,7 @@
     ];
     let regions = parse(&configuration(&routes));
     assert_eq!(regions.serving_regions("shop.example").cloned(), only(&["south"]));
-    assert_eq!(regions.serving_regions("desk.example").cloned(), only(&[]), "homes that exclude each other");
+    assert_eq!(regions.serving_regions("desk.example").cloned(), only(&[]), "the home regions are disjoint");
     assert_eq!(regions.serving_regions("other.example"), None);
 }
 
@@ -57,32 +57,37 @@
 }
 
 #[test]
-fn every_host_of_the_example_is_known() {
-    let whole = Configuration::parse(EXAMPLE.as_bytes()).unwrap();
+fn example_hosts_are_served_in_their_home_regions_only() {
+    let configuration = Configuration::parse(EXAMPLE.as_bytes()).unwrap();
     let regions = parse(EXAMPLE);
-    for route in &whole.routes {
-        let allowed = regions.serving_regions(&route.host).expect("the host has a route");
-        let homes = &route.home_regions;
-        let elsewhere = "a region that no route names";
+    for route in &configuration.routes {
+        let serving_regions = regions.serving_regions(&route.host).expect("the host has a route");
+        let home_regions = &route.home_regions;
+        let unnamed_region = "a region that no route names";
         assert_eq!(
-            allowed.contains(elsewhere),
-            whole.routes.iter().all(|other| other.home_regions.is_empty())
+            serving_regions.contains(unnamed_region),
+            configuration.routes.iter().all(|other| other.home_regions.is_empty())
         );
-        assert!(homes.is_empty() || !allowed.contains(elsewhere));
+        assert!(home_regions.is_empty() || !serving_regions.contains(unnamed_region));
     }
 }
 
 quickcheck! {
-    /// No region is allowed that any route with homes forbids, and none is missing that all allow.
+    /// A region serves a host exactly if each route of the host has this home region or no home regions.
     fn home_regions_of_two_routes_are_intersected(first: Vec<u8>, second: Vec<u8>) -> bool {
-        let names = |homes: &[u8]| -> Vec<String> { homes.iter().map(|home| format!("r{}", home % 5)).collect() };
+        let names =
+            |ids: &[u8]| -> Vec<String> { ids.iter().map(|id| format!("r{}", id % 5)).collect() };
         let (first, second) = (names(&first), names(&second));
-        let borrowed = |homes: &[String]| -> Vec<&'static str> {
-            homes.iter().map(|home| ["r0", "r1", "r2", "r3", "r4"][usize::from(home.as_bytes()[1] - b'0')]).collect()
+        let static_names = |names: &[String]| -> Vec<&'static str> {
+            names
+                .iter()
+                .map(|name| ["r0", "r1", "r2", "r3", "r4"][usize::from(name.as_bytes()[1] - b'0')])
+                .collect()
         };
-        let text = configuration(&[("h", &borrowed(&first)), ("h", &borrowed(&second))]);
+        let text = configuration(&[("h", &static_names(&first)), ("h", &static_names(&second))]);
         let regions = parse(&text);
-        let allows = |homes: &[String], region: &String| homes.is_empty() || homes.contains(region);
+        let allows =
+            |homes: &[String], region: &String| homes.is_empty() || homes.contains(region);
         (0..6).map(|number| format!("r{number}")).all(|region| {
             let expected = allows(&first, &region) && allows(&second, &region);
             regions.serving_regions("h").unwrap().contains(&region) == expected
--- a/controlplane/configuration/tests/mechanism.rs
+++ b/controlplane/configuration/tests/mechanism.rs
@@ -1,11 +1,11 @@
-//! The list of mechanisms, and sets of those that are on.
+//! Tests of the list of mechanisms and of sets of enabled mechanisms.
 
 use std::collections::BTreeSet;
 
 use whinspindle_configuration::{Mechanism, Mechanisms};
 
 #[test]
-fn table_has_the_order_of_the_mechanisms() {
+fn table_rows_are_in_the_order_of_the_variants() {
     for (index, mechanism) in Mechanism::all().enumerate() {
         assert_eq!(mechanism as usize, index, "{}", mechanism.name());
     }
@@ -19,18 +19,18 @@
 }
 
 #[test]
-fn all_are_on_unless_named() {
+fn all_mechanisms_are_enabled_unless_named() {
     assert_eq!(Mechanisms::without("").unwrap(), Mechanisms::default());
     for mechanism in Mechanism::all() {
-        let others = Mechanisms::without(mechanism.name()).unwrap();
-        let off: Vec<_> = others.switched_off().collect();
-        assert_eq!(off, [mechanism]);
-        assert!(Mechanisms::default().has(mechanism) && !others.has(mechanism));
+        let mechanisms = Mechanisms::without(mechanism.name()).unwrap();
+        let disabled: Vec<_> = mechanisms.switched_off().collect();
+        assert_eq!(disabled, [mechanism]);
+        assert!(Mechanisms::default().has(mechanism) && !mechanisms.has(mechanism));
     }
 }
 
 #[test]
 fn unknown_name_is_reported() {
-    let refused = Mechanisms::without("rests, rest").unwrap_err();
-    assert_eq!(refused.name, "rest");
+    let error = Mechanisms::without("rests, rest").unwrap_err();
+    assert_eq!(error.name, "rest");
 }
--- a/controlplane/configuration/tests/settings.rs
+++ b/controlplane/configuration/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Reading the settings file of a process.
+//! Tests of parsing the settings file of a process.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn internal_addresses_follow_from_the_port_range() {
+fn internal_endpoints_use_the_port_range() {
     let settings = parse(EXAMPLE).expect("the example is valid");
     assert_eq!(settings.internal_endpoint([10, 2, 0, 42].into()).to_string(), "10.2.0.42:7720");
     assert_eq!(settings.agent_endpoint().to_string(), "127.0.0.1:7721");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn invalid_keys_are_named() {
+fn errors_name_invalid_keys() {
     for (key, from, to) in [
         ("node", r#""node": "core-hall1-1","#, ""),
         ("ip", r#""ip": "10.1.0.12""#, r#""ip": "10.1.0""#),
@@ -153,9 +153,11 @@
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
-    let Err(SettingsError::Invalid { faults }) = parse(&text) else { panic!("they were taken") };
-    let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    for key in [
+    let Err(SettingsError::Invalid { faults }) = parse(&text) else {
+        panic!("invalid settings were accepted")
+    };
+    let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    for start in [
         "`node` is missing",
         "`ip` is `10.1.0`",
         "`zone` is missing",
@@ -169,16 +171,20 @@
         "`bounds.grace_s` is `-8.1`",
         "`bounds.retry_ratio` is `no number`",
     ] {
-        assert_eq!(told.iter().filter(|fault| fault.starts_with(key)).count(), 1, "{key} in {told:?}");
+        assert_eq!(
+            messages.iter().filter(|message| message.starts_with(start)).count(),
+            1,
+            "{start} in {messages:?}"
+        );
     }
-    assert_eq!(told.len(), 12, "{told:?}");
+    assert_eq!(messages.len(), 12, "{messages:?}");
     let text = parse(&text).unwrap_err().to_string();
-    assert_eq!(text, told.join("; "));
+    assert_eq!(text, messages.join("; "));
 }
 
-/// Times are added to others: the highest numbers would run over.
+/// Durations are added without an overflow check, so very long ones are rejected.
 #[test]
-fn times_beyond_a_day_are_refused() {
+fn durations_longer_than_a_day_are_rejected() {
     for (from, to) in [
         (r#""heartbeat_ms": 1200"#, r#""heartbeat_ms": 18446744073709551615"#),
         (r#""heartbeat_ms": 1200"#, r#""heartbeat_ms": 86400001"#),
@@ -188,7 +194,7 @@
     ] {
         assert!(parse_changed(from, to).is_err(), "{to}");
     }
-    let day = parse_changed(r#""grace_s": 8.1"#, r#""grace_s": 86400"#).expect("a day is taken");
+    let day = parse_changed(r#""grace_s": 8.1"#, r#""grace_s": 86400"#).expect("a day is accepted");
     assert_eq!(day.bounds.grace_ms, 86_400_000);
 }
 
@@ -196,18 +202,18 @@
 fn every_proper_prefix_is_refused() {
     let document = EXAMPLE.trim_end();
     for length in 0..document.len() {
-        assert!(parse(&document[..length]).is_err(), "the first {length} bytes were taken");
+        assert!(parse(&document[..length]).is_err(), "the first {length} bytes were accepted");
     }
 }
 
 #[test]
 fn changed_bytes_never_panic() {
-    fn property(position: usize, byte: u8, other: usize) -> bool {
+    fn property(position: usize, byte: u8, brace_position: usize) -> bool {
         let mut bytes = EXAMPLE.as_bytes().to_vec();
         let length = bytes.len();
         bytes[position % length] = byte;
         let _ = Settings::parse(&bytes);
-        bytes[other % length] = b'}';
+        bytes[brace_position % length] = b'}';
         let _ = Settings::parse(&bytes);
         true
     }
