--- a/controlplane/configuration/tests/extremes.rs
+++ b/controlplane/configuration/tests/extremes.rs
@@ -116,8 +116,8 @@
     }
 }
 
-/// JSON doesn't define which of two duplicate keys applies. All parsers of the configuration must use the same
-/// one.
+/// JSON doesn't define which of two duplicate keys applies. All parsers of the configuration must use the
+/// same one.
 #[test]
 fn last_of_duplicate_keys_applies() {
     let duplicate = CONFIGURATION.replace("\"generation\": 7,", "\"generation\": 5, \"generation\": 7,");
--- a/controlplane/distribution/tests/common/mod.rs
+++ b/controlplane/distribution/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Random messages.
-#![allow(dead_code, reason = "each test file uses its share")]
+//! Generators of random messages.
+#![allow(dead_code, reason = "each test file uses a part of the generators")]
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -11,191 +11,195 @@
     ServiceRegion, ToBalancer, Update, Versions,
 };
 
-/// A value that quickcheck draws.
+/// A random value that quickcheck generates.
 #[derive(Clone, Debug)]
-pub struct Any<T>(pub T);
+pub struct Random<T>(pub T);
 
-/// How to draw a message.
-pub trait Draw: Clone + std::fmt::Debug + 'static {
-    fn draw(source: &mut Gen) -> Self;
+/// A type of which random values can be generated.
+pub trait Generate: Clone + std::fmt::Debug + 'static {
+    fn generate(generator: &mut Gen) -> Self;
 }
 
-impl<T: Draw> Arbitrary for Any<T> {
-    fn arbitrary(source: &mut Gen) -> Self {
-        Any(T::draw(source))
+impl<T: Generate> Arbitrary for Random<T> {
+    fn arbitrary(generator: &mut Gen) -> Self {
+        Random(T::generate(generator))
     }
 }
 
-pub fn address(source: &mut Gen) -> SocketAddr {
-    SocketAddr::new(IpAddr::arbitrary(source), u16::arbitrary(source))
+pub fn address(generator: &mut Gen) -> SocketAddr {
+    SocketAddr::new(IpAddr::arbitrary(generator), u16::arbitrary(generator))
 }
 
-fn text(source: &mut Gen) -> String {
-    String::arbitrary(source)
+fn random_text(generator: &mut Gen) -> String {
+    String::arbitrary(generator)
 }
 
-fn several<T>(source: &mut Gen, draw: impl Fn(&mut Gen) -> T) -> Vec<T> {
-    let count = usize::arbitrary(source) % 5;
-    (0..count).map(|_| draw(source)).collect()
+fn random_list<T>(generator: &mut Gen, generate: impl Fn(&mut Gen) -> T) -> Vec<T> {
+    let count = usize::arbitrary(generator) % 5;
+    (0..count).map(|_| generate(generator)).collect()
 }
 
-fn option<T>(source: &mut Gen, draw: impl Fn(&mut Gen) -> T) -> Option<T> {
-    bool::arbitrary(source).then(|| draw(source))
+fn random_option<T>(generator: &mut Gen, generate: impl Fn(&mut Gen) -> T) -> Option<T> {
+    bool::arbitrary(generator).then(|| generate(generator))
 }
 
-fn rate(source: &mut Gen) -> f64 {
-    f64::from(u32::arbitrary(source)) / 16.0
+fn random_rate(generator: &mut Gen) -> f64 {
+    f64::from(u32::arbitrary(generator)) / 16.0
 }
 
-fn load(source: &mut Gen) -> RegionLoad {
-    let target = ServiceRegion { service: text(source), region: text(source) };
-    RegionLoad { target, requests_per_s: rate(source) }
+fn random_load(generator: &mut Gen) -> RegionLoad {
+    let target = ServiceRegion { service: random_text(generator), region: random_text(generator) };
+    RegionLoad { target, requests_per_s: random_rate(generator) }
 }
 
-fn versions(source: &mut Gen) -> Versions {
+fn versions(generator: &mut Gen) -> Versions {
     Versions {
-        configured: u64::arbitrary(source),
-        evacuations: u64::arbitrary(source),
-        instances: u64::arbitrary(source),
-        fleet: u64::arbitrary(source),
+        configured: u64::arbitrary(generator),
+        evacuations: u64::arbitrary(generator),
+        instances: u64::arbitrary(generator),
+        fleet: u64::arbitrary(generator),
     }
 }
 
-fn instance(source: &mut Gen) -> Instance {
+fn instance(generator: &mut Gen) -> Instance {
     Instance {
-        id: text(source),
-        service: text(source),
-        address: address(source),
-        zone: text(source),
-        slots: u32::arbitrary(source),
-        draining: bool::arbitrary(source),
-        slow_start_ms: u64::arbitrary(source),
+        id: random_text(generator),
+        service: random_text(generator),
+        address: address(generator),
+        zone: random_text(generator),
+        slots: u32::arbitrary(generator),
+        draining: bool::arbitrary(generator),
+        slow_start_ms: u64::arbitrary(generator),
     }
 }
 
-fn controller(source: &mut Gen) -> ControllerAddress {
-    ControllerAddress { endpoint: address(source), zone: text(source), region: text(source) }
+fn controller(generator: &mut Gen) -> ControllerAddress {
+    ControllerAddress {
+        endpoint: address(generator),
+        zone: random_text(generator),
+        region: random_text(generator),
+    }
 }
 
-impl Draw for Hello {
-    fn draw(source: &mut Gen) -> Self {
-        let role = if bool::arbitrary(source) { Role::Peer } else { Role::Balancer };
-        Hello { role, endpoint: address(source) }
+impl Generate for Hello {
+    fn generate(generator: &mut Gen) -> Self {
+        let role = if bool::arbitrary(generator) { Role::Peer } else { Role::Balancer };
+        Hello { role, endpoint: address(generator) }
     }
 }
 
-impl Draw for Instances {
-    fn draw(source: &mut Gen) -> Self {
-        Instances { version: u64::arbitrary(source), list: several(source, instance) }
+impl Generate for Instances {
+    fn generate(generator: &mut Gen) -> Self {
+        Instances { version: u64::arbitrary(generator), list: random_list(generator, instance) }
     }
 }
 
-impl Draw for InstanceChanges {
-    fn draw(source: &mut Gen) -> Self {
+impl Generate for InstanceChanges {
+    fn generate(generator: &mut Gen) -> Self {
         InstanceChanges {
-            base: u64::arbitrary(source),
-            version: u64::arbitrary(source),
-            changed: several(source, instance),
-            removed: several(source, text),
+            base: u64::arbitrary(generator),
+            version: u64::arbitrary(generator),
+            changed: random_list(generator, instance),
+            removed: random_list(generator, random_text),
         }
     }
 }
 
-impl Draw for Update {
-    fn draw(source: &mut Gen) -> Self {
+impl Generate for Update {
+    fn generate(generator: &mut Gen) -> Self {
         Update {
-            configured: option(source, |source| Configured {
-                sequence: u64::arbitrary(source),
-                body: Bytes::from(Vec::<u8>::arbitrary(source)),
+            configured: random_option(generator, |generator| Configured {
+                sequence: u64::arbitrary(generator),
+                body: Bytes::from(Vec::<u8>::arbitrary(generator)),
             }),
-            evacuations: option(source, |source| Evacuations {
-                sequence: u64::arbitrary(source),
-                zones: several(source, text),
+            evacuations: random_option(generator, |generator| Evacuations {
+                sequence: u64::arbitrary(generator),
+                zones: random_list(generator, random_text),
             }),
-            instances: option(source, Instances::draw),
-            fleet: option(source, |source| Fleet {
-                version: u64::arbitrary(source),
-                balancers: u32::arbitrary(source),
-                loads: several(source, load),
-                failing: several(source, text),
+            instances: random_option(generator, Instances::generate),
+            fleet: random_option(generator, |generator| Fleet {
+                version: u64::arbitrary(generator),
+                balancers: u32::arbitrary(generator),
+                loads: random_list(generator, random_load),
+                failing: random_list(generator, random_text),
             }),
-            changes: option(source, InstanceChanges::draw),
+            changes: random_option(generator, InstanceChanges::generate),
         }
     }
 }
 
-impl Draw for ToBalancer {
-    fn draw(source: &mut Gen) -> Self {
-        if bool::arbitrary(source) {
-            return ToBalancer::Update(Update::draw(source));
+impl Generate for ToBalancer {
+    fn generate(generator: &mut Gen) -> Self {
+        if bool::arbitrary(generator) {
+            return ToBalancer::Update(Update::generate(generator));
         }
         ToBalancer::Link(Link {
-            in_quorum: bool::arbitrary(source),
-            shutting_down: bool::arbitrary(source),
-            controllers: several(source, controller),
+            in_quorum: bool::arbitrary(generator),
+            shutting_down: bool::arbitrary(generator),
+            controllers: random_list(generator, controller),
         })
     }
 }
 
-impl Draw for Report {
-    fn draw(source: &mut Gen) -> Self {
+impl Generate for Report {
+    fn generate(generator: &mut Gen) -> Self {
         Report {
-            node: text(source),
-            incarnation: u64::arbitrary(source),
-            zone: text(source),
-            region: text(source),
-            front: address(source),
-            ready: bool::arbitrary(source),
-            shutting_down: bool::arbitrary(source),
-            applied: versions(source),
-            sends: several(source, load),
-            failing: several(source, failures),
+            node: random_text(generator),
+            incarnation: u64::arbitrary(generator),
+            zone: random_text(generator),
+            region: random_text(generator),
+            front: address(generator),
+            ready: bool::arbitrary(generator),
+            shutting_down: bool::arbitrary(generator),
+            applied: versions(generator),
+            sends: random_list(generator, random_load),
+            failing: random_list(generator, failures),
         }
     }
 }
 
-impl Draw for Gossip {
-    fn draw(source: &mut Gen) -> Self {
+impl Generate for Gossip {
+    fn generate(generator: &mut Gen) -> Self {
         let scopes =
             [GossipScope::Changes, GossipScope::Observed, GossipScope::Complete, GossipScope::Restored];
         Gossip {
-            scope: *source.choose(&scopes).unwrap_or(&GossipScope::Changes),
-            instances: several(source, gossip_instance),
-            leases: several(source, gossip_lease),
+            scope: *generator.choose(&scopes).unwrap_or(&GossipScope::Changes),
+            instances: random_list(generator, gossip_instance),
+            leases: random_list(generator, gossip_lease),
         }
     }
 }
 
-fn gossip_instance(source: &mut Gen) -> GossipInstance {
+fn gossip_instance(generator: &mut Gen) -> GossipInstance {
     GossipInstance {
-        id: text(source),
-        service: text(source),
-        address: address(source),
-        zone: text(source),
-        slots: u32::arbitrary(source),
-        sequence: u64::arbitrary(source),
-        draining: bool::arbitrary(source),
-        deregistered: bool::arbitrary(source),
-        slow_start_ms: u64::arbitrary(source),
-        age_ms: u64::arbitrary(source),
+        id: random_text(generator),
+        service: random_text(generator),
+        address: address(generator),
+        zone: random_text(generator),
+        slots: u32::arbitrary(generator),
+        sequence: u64::arbitrary(generator),
+        draining: bool::arbitrary(generator),
+        deregistered: bool::arbitrary(generator),
+        slow_start_ms: u64::arbitrary(generator),
+        age_ms: u64::arbitrary(generator),
     }
 }
 
-fn gossip_lease(source: &mut Gen) -> GossipLease {
+fn gossip_lease(generator: &mut Gen) -> GossipLease {
     GossipLease {
-        node: text(source),
-        incarnation: u64::arbitrary(source),
-        zone: text(source),
-        region: text(source),
-        front: address(source),
-        ready: bool::arbitrary(source),
-        shutting_down: bool::arbitrary(source),
-        age_ms: u64::arbitrary(source),
-        sends: several(source, load),
-        failing: several(source, failures),
+        node: random_text(generator),
+        incarnation: u64::arbitrary(generator),
+        zone: random_text(generator),
+        region: random_text(generator),
+        front: address(generator),
+        ready: bool::arbitrary(generator),
+        shutting_down: bool::arbitrary(generator),
+        age_ms: u64::arbitrary(generator),
+        sends: random_list(generator, random_load),
+        failing: random_list(generator, failures),
     }
 }
 
-fn failures(source: &mut Gen) -> InstanceFailures {
-    InstanceFailures { id: text(source), failures: u32::arbitrary(source) }
+fn failures(generator: &mut Gen) -> InstanceFailures {
+    InstanceFailures { id: random_text(generator), failures: u32::arbitrary(generator) }
 }
--- a/controlplane/distribution/tests/publisher.rs
+++ b/controlplane/distribution/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! What goes to which subscriber, and who lags behind.
+//! Tests of the selection of sections for each subscriber, of acknowledgements and of resends.
 
 use bytes::Bytes;
 use whinspindle_distribution::{
@@ -25,15 +25,15 @@
     Some(Update { configured: Some(configured(sequence)), ..Update::default() })
 }
 
-fn subscribed(publisher: &mut Publisher) {
+fn subscribe_first(publisher: &mut Publisher) {
     publisher.subscribe(FIRST, Versions::default());
 }
 
 #[test]
-fn a_section_goes_once_to_each_subscriber() {
+fn section_is_sent_once_to_each_subscriber() {
     let mut publisher = Publisher::new();
     publisher.set_configured(configured(4));
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     publisher.subscribe(SECOND, Versions::default());
     assert_eq!(publisher.update_for(0, FIRST), only_configured(4));
     assert_eq!(publisher.update_for(10, FIRST), None);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_older_section_is_not_taken() {
+fn older_sections_are_rejected() {
     let mut publisher = Publisher::new();
     assert!(publisher.set_configured(configured(4)));
     assert!(!publisher.set_configured(configured(4)));
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn only_what_has_changed_since_is_sent() {
+fn only_changed_sections_are_sent() {
     let mut publisher = Publisher::new();
     publisher.set_configured(configured(4));
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     publisher.update_for(0, FIRST);
     publisher.set_fleet(fleet(1));
     let update = Update { fleet: Some(fleet(1)), ..Update::default() };
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_balancer_that_has_the_configuration_already_is_not_sent_it() {
+fn configuration_that_a_balancer_has_applied_is_not_sent() {
     let mut publisher = Publisher::new();
     publisher.set_configured(configured(4));
     publisher.set_fleet(fleet(4));
@@ -71,24 +71,24 @@
     publisher.subscribe(FIRST, applied);
     let update = publisher.update_for(0, FIRST).unwrap();
     assert_eq!(update.configured, None);
-    // The fleet's number may be another controller's, so it says nothing of what the balancer holds.
+    // The reported version of the fleet may be from another controller, so the fleet must be sent.
     assert_eq!(update.fleet, Some(fleet(4)));
 }
 
 #[test]
-fn an_unacknowledged_section_is_sent_again_after_growing_waits() {
+fn unacknowledged_section_is_resent_with_exponential_backoff() {
     let mut publisher = Publisher::new();
     publisher.set_configured(configured(4));
-    subscribed(&mut publisher);
-    let sent = (0..40_000).step_by(10).filter(|&now| publisher.update_for(now, FIRST).is_some());
-    assert_eq!(sent.collect::<Vec<_>>(), [0, 1_000, 3_000, 7_000, 15_000, 23_000, 31_000, 39_000]);
+    subscribe_first(&mut publisher);
+    let send_times = (0..40_000).step_by(10).filter(|&now| publisher.update_for(now, FIRST).is_some());
+    assert_eq!(send_times.collect::<Vec<_>>(), [0, 1_000, 3_000, 7_000, 15_000, 23_000, 31_000, 39_000]);
 }
 
 #[test]
-fn an_acknowledged_section_is_not_sent_again() {
+fn acknowledged_section_is_not_resent() {
     let mut publisher = Publisher::new();
     publisher.set_configured(configured(4));
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     publisher.update_for(0, FIRST);
     publisher.acknowledge(100, FIRST, applied_configured(4));
     assert!((0..40_000).step_by(10).all(|now| publisher.update_for(now, FIRST).is_none()));
@@ -99,7 +99,7 @@
 fn lagging_subscriber_is_listed_with_its_section() {
     let mut publisher = Publisher::new();
     publisher.set_configured(configured(4));
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     publisher.subscribe(SECOND, Versions::default());
     publisher.update_for(0, FIRST);
     publisher.update_for(0, SECOND);
@@ -112,9 +112,9 @@
 }
 
 #[test]
-fn the_wait_counts_from_the_oldest_unacknowledged_version() {
+fn waiting_time_starts_at_the_oldest_unacknowledged_version() {
     let mut publisher = Publisher::new();
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     for (now, version) in [(0, 1), (100, 2), (200, 3)] {
         publisher.set_fleet(fleet(version));
         publisher.update_for(now, FIRST);
@@ -127,20 +127,20 @@
 }
 
 #[test]
-fn a_number_of_another_controller_acknowledges_nothing() {
+fn version_of_another_controller_is_not_an_acknowledgement() {
     let mut publisher = Publisher::new();
     publisher.set_fleet(fleet(5));
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     publisher.update_for(0, FIRST);
     publisher.acknowledge(100, FIRST, Versions { fleet: 900, ..Versions::default() });
     assert_eq!(publisher.lags(200).len(), 1);
 }
 
 #[test]
-fn a_new_connection_is_sent_everything_again() {
+fn new_connection_is_sent_all_sections() {
     let mut publisher = Publisher::new();
     publisher.set_fleet(fleet(5));
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     publisher.update_for(0, FIRST);
     publisher.unsubscribe(FIRST);
     assert_eq!(publisher.update_for(10, FIRST), None);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn slow_starts_count_down_until_they_are_sent() {
+fn remaining_slow_start_is_reduced_until_it_is_sent() {
     let mut publisher = Publisher::new();
     let instance = Instance {
         id: "i-1".to_owned(),
@@ -162,7 +162,7 @@
         slow_start_ms: 3_000,
     };
     publisher.set_instances(1_000, Instances { version: 1, list: vec![instance] });
-    subscribed(&mut publisher);
+    subscribe_first(&mut publisher);
     let update = publisher.update_for(1_800, FIRST).unwrap();
     assert_eq!(update.instances.unwrap().list[0].slow_start_ms, 2_200);
 }
--- a/controlplane/distribution/tests/wire_fixtures.rs
+++ b/controlplane/distribution/tests/wire_fixtures.rs
@@ -1,4 +1,5 @@
-//! Messages and frames as earlier sources sent them: they mean the same, and the same bytes are written again.
+//! Compatibility tests with stored messages and frames of earlier releases. Each is decoded to the expected
+//! message, and the message is encoded to the same bytes.
 
 #[path = "../../../coordination/replica/tests/fixtures/mod.rs"]
 mod fixtures;
@@ -16,25 +17,26 @@
     decode_to_balancer, encode_gossip, encode_hello, encode_report, encode_to_balancer,
 };
 
-fn v4() -> SocketAddr {
+fn ipv4_address() -> SocketAddr {
     "10.1.2.3:7700".parse().unwrap()
 }
 
-fn v6() -> SocketAddr {
+fn ipv6_address() -> SocketAddr {
     "[2001:db8::5:6]:7701".parse().unwrap()
 }
 
-/// The fixture means this message, and this message is written as the fixture.
-fn check<T: Debug + PartialEq, E: Debug>(
+/// Checks that the fixture is decoded to the message, and that the message is encoded to the bytes of the
+/// fixture.
+fn check_fixture<T: Debug + PartialEq, E: Debug>(
     name: &str,
     message: &T,
     encode: impl Fn(&T) -> Vec<u8>,
     decode: impl Fn(&[u8]) -> Result<T, E>,
 ) {
     let stored = fixtures::read(&format!("{name}.bin"), &encode(message));
-    let read = decode(&stored).expect(name);
-    assert_eq!(&read, message, "{name}");
-    assert_eq!(encode(&read), stored, "{name}");
+    let decoded = decode(&stored).expect(name);
+    assert_eq!(&decoded, message, "{name}");
+    assert_eq!(encode(&decoded), stored, "{name}");
 }
 
 fn loads() -> Vec<RegionLoad> {
@@ -54,7 +56,7 @@
     let ready = Instance {
         id: "desk-1".to_owned(),
         service: "desk".to_owned(),
-        address: v4(),
+        address: ipv4_address(),
         zone: "zone-a".to_owned(),
         slots: 6,
         draining: false,
@@ -63,7 +65,7 @@
     let draining = Instance {
         id: "model-7".to_owned(),
         service: "modèle".to_owned(),
-        address: v6(),
+        address: ipv6_address(),
         zone: "zone-c".to_owned(),
         slots: u32::MAX,
         draining: true,
@@ -72,9 +74,9 @@
     vec![ready, draining, Instance::ended("desk-9".to_owned())]
 }
 
-const ROLES: usize = 2;
+const ROLE_COUNT: usize = 2;
 
-fn role(hello: &Hello) -> usize {
+fn role_index(hello: &Hello) -> usize {
     let Hello { role, endpoint: _ } = hello;
     match role {
         Role::Peer => 0,
@@ -83,15 +85,15 @@
 }
 
 #[test]
-fn hellos_are_read_and_written_as_they_were() {
+fn hello_encoding_is_stable() {
     let hellos = [
-        ("hello-peer", Hello { role: Role::Peer, endpoint: v4() }),
-        ("hello-balancer", Hello { role: Role::Balancer, endpoint: v6() }),
+        ("hello-peer", Hello { role: Role::Peer, endpoint: ipv4_address() }),
+        ("hello-balancer", Hello { role: Role::Balancer, endpoint: ipv6_address() }),
     ];
-    let roles: BTreeSet<usize> = hellos.iter().map(|(_, hello)| role(hello)).collect();
-    assert_eq!(roles, (0..ROLES).collect());
+    let roles: BTreeSet<usize> = hellos.iter().map(|(_, hello)| role_index(hello)).collect();
+    assert_eq!(roles, (0..ROLE_COUNT).collect());
     for (name, hello) in &hellos {
-        check(name, hello, encode_hello, decode_hello);
+        check_fixture(name, hello, encode_hello, decode_hello);
     }
 }
 
@@ -101,7 +103,8 @@
         zone: zone.to_owned(),
         region: region.to_owned(),
     };
-    let controllers = vec![controller(v4(), "zone-a", "north"), controller(v6(), "zone-c", "south")];
+    let controllers =
+        vec![controller(ipv4_address(), "zone-a", "north"), controller(ipv6_address(), "zone-c", "south")];
     Link { in_quorum: true, shutting_down: false, controllers }
 }
 
@@ -129,9 +132,9 @@
     }
 }
 
-const TO_BALANCER_KINDS: usize = 2;
+const TO_BALANCER_KIND_COUNT: usize = 2;
 
-fn to_balancer_kind(message: &ToBalancer) -> usize {
+fn to_balancer_kind_index(message: &ToBalancer) -> usize {
     match message {
         ToBalancer::Update(Update { configured: _, evacuations: _, instances: _, fleet: _, changes: _ }) => 0,
         ToBalancer::Link(Link { in_quorum: _, shutting_down: _, controllers: _ }) => 1,
@@ -139,7 +142,7 @@
 }
 
 #[test]
-fn messages_to_balancers_are_read_and_written_as_they_were() {
+fn to_balancer_encoding_is_stable() {
     let empty = Update {
         configured: Some(Configured { sequence: 1, body: Bytes::new() }),
         evacuations: Some(Evacuations::default()),
@@ -152,41 +155,42 @@
         ("to-balancer-link", ToBalancer::Link(link())),
         ("to-balancer-link-leaving", ToBalancer::Link(Link { shutting_down: true, ..Link::default() })),
     ];
-    let kinds: BTreeSet<usize> = messages.iter().map(|(_, message)| to_balancer_kind(message)).collect();
-    assert_eq!(kinds, (0..TO_BALANCER_KINDS).collect());
+    let kinds: BTreeSet<usize> =
+        messages.iter().map(|(_, message)| to_balancer_kind_index(message)).collect();
+    assert_eq!(kinds, (0..TO_BALANCER_KIND_COUNT).collect());
     for (name, message) in &messages {
-        check(name, message, encode_to_balancer, decode_to_balancer);
+        check_fixture(name, message, encode_to_balancer, decode_to_balancer);
     }
 }
 
 #[test]
-fn reports_are_read_and_written_as_they_were() {
+fn report_encoding_is_stable() {
     let report = Report {
         node: "edge-1".to_owned(),
         incarnation: 0x0102_0304_0506_0708,
         zone: "zone-a".to_owned(),
         region: "north".to_owned(),
-        front: v4(),
+        front: ipv4_address(),
         ready: true,
         shutting_down: false,
         applied: Versions { configured: 901, evacuations: 902, instances: 31, fleet: 17 },
         sends: loads(),
         failing: failing(),
     };
-    check("report", &report, encode_report, decode_report);
+    check_fixture("report", &report, encode_report, decode_report);
     let shutting_down = Report {
         node: "edge-2".to_owned(),
         incarnation: 2,
         zone: "zone-c".to_owned(),
         region: "south".to_owned(),
-        front: v6(),
+        front: ipv6_address(),
         ready: false,
         shutting_down: true,
         applied: Versions::default(),
         sends: Vec::new(),
         failing: Vec::new(),
     };
-    check("report-leaving", &shutting_down, encode_report, decode_report);
+    check_fixture("report-leaving", &shutting_down, encode_report, decode_report);
 }
 
 fn gossip(scope: GossipScope) -> Gossip {
@@ -217,19 +221,19 @@
     Gossip {
         scope,
         instances: vec![
-            instance("desk-1", v4(), true, false, 0x0102_0304_0506_0708),
-            instance("desk-2", v6(), false, true, 9),
+            instance("desk-1", ipv4_address(), true, false, 0x0102_0304_0506_0708),
+            instance("desk-2", ipv6_address(), false, true, 9),
         ],
         leases: vec![
-            lease("edge-1", v4(), true, false, 0x1112_1314_1516_1718),
-            lease("edge-2", v6(), false, true, 2),
+            lease("edge-1", ipv4_address(), true, false, 0x1112_1314_1516_1718),
+            lease("edge-2", ipv6_address(), false, true, 2),
         ],
     }
 }
 
-const SCOPES: usize = 4;
+const SCOPE_COUNT: usize = 4;
 
-fn scope(gossip: &Gossip) -> usize {
+fn scope_index(gossip: &Gossip) -> usize {
     let Gossip { scope, instances: _, leases: _ } = gossip;
     match scope {
         GossipScope::Changes => 0,
@@ -240,23 +244,23 @@
 }
 
 #[test]
-fn gossip_is_read_and_written_as_it_was() {
+fn gossip_encoding_is_stable() {
     let gossips = [
         ("gossip-changes", gossip(GossipScope::Changes)),
         ("gossip-heard", gossip(GossipScope::Observed)),
         ("gossip-complete", gossip(GossipScope::Complete)),
         ("gossip-recalled", gossip(GossipScope::Restored)),
     ];
-    let scopes: BTreeSet<usize> = gossips.iter().map(|(_, gossip)| scope(gossip)).collect();
-    assert_eq!(scopes, (0..SCOPES).collect());
+    let scopes: BTreeSet<usize> = gossips.iter().map(|(_, gossip)| scope_index(gossip)).collect();
+    assert_eq!(scopes, (0..SCOPE_COUNT).collect());
     for (name, gossip) in &gossips {
-        check(name, gossip, encode_gossip, decode_gossip);
+        check_fixture(name, gossip, encode_gossip, decode_gossip);
     }
 }
 
-const FRAME_KINDS: usize = 5;
+const FRAME_KIND_COUNT: usize = 5;
 
-fn frame_kind(kind: FrameKind) -> usize {
+fn frame_kind_index(kind: FrameKind) -> usize {
     match kind {
         FrameKind::Hello => 0,
         FrameKind::Replica => 1,
@@ -267,16 +271,16 @@
 }
 
 #[test]
-fn frames_are_read_and_written_as_they_were() {
-    let frames: [(FrameKind, &[u8]); FRAME_KINDS] = [
+fn frame_encoding_is_stable() {
+    let frames: [(FrameKind, &[u8]); FRAME_KIND_COUNT] = [
         (FrameKind::Hello, b"a hello"),
         (FrameKind::Replica, b""),
         (FrameKind::Gossip, &[0xff; 300]),
         (FrameKind::Report, b"\x00\x01\x02"),
         (FrameKind::ToBalancer, b"an update"),
     ];
-    let kinds: BTreeSet<usize> = frames.iter().map(|(kind, _)| frame_kind(*kind)).collect();
-    assert_eq!(kinds, (0..FRAME_KINDS).collect());
+    let kinds: BTreeSet<usize> = frames.iter().map(|(kind, _)| frame_kind_index(*kind)).collect();
+    assert_eq!(kinds, (0..FRAME_KIND_COUNT).collect());
     let mut buffer = FrameBuffer::default();
     for (kind, payload) in frames {
         buffer.push(kind, payload).unwrap();
