--- a/controlplane/configuration/src/configuration.rs
+++ b/controlplane/configuration/src/configuration.rs
@@ -200,23 +200,23 @@
 
     /// The timeout of a route is 0.
     #[snafu(display("`timeout_ms` of route `{route}` is 0"))]
-    NoTimeout {
+    ZeroTimeout {
         /// The name of the route.
         route: String,
     },
 
     /// Two routes have the same host and path prefix.
-    #[snafu(display("routes `{first}` and `{second}` share host and path prefix"))]
-    SharedPrefix {
+    #[snafu(display("routes `{first_route}` and `{second_route}` share host and path prefix"))]
+    DuplicateRoute {
         /// The name of the earlier route.
-        first: String,
+        first_route: String,
         /// The name of the later route.
-        second: String,
+        second_route: String,
     },
 
     /// Two services have the same name.
     #[snafu(display("two services have the name `{service}`"))]
-    SharedServiceName {
+    DuplicateServiceName {
         /// The name of the service.
         service: String,
     },
@@ -234,7 +234,7 @@
 
     /// The generation is `u64::MAX`, so no later configuration could have a higher one.
     #[snafu(display("no generation is left above {generation}"))]
-    LastGeneration {
+    GenerationTooHigh {
         /// The generation.
         generation: u64,
     },
@@ -255,7 +255,7 @@
         services: Vec<Service>,
         limits: Limits,
     ) -> Result<Configuration, ConfigurationError> {
-        ensure!(generation < u64::MAX, LastGenerationSnafu { generation });
+        ensure!(generation < u64::MAX, GenerationTooHighSnafu { generation });
         for service in &services {
             check_slow_start_value(service, "cold_s", service.cold_s)?;
             check_slow_start_value(service, "cold_per_s", service.cold_per_s)?;
@@ -291,7 +291,7 @@
 
 fn check_route(route: &Route, services: &[Service]) -> Result<(), ConfigurationError> {
     let name = &route.name;
-    ensure!(route.timeout_ms > 0, NoTimeoutSnafu { route: name });
+    ensure!(route.timeout_ms > 0, ZeroTimeoutSnafu { route: name });
     ensure!(!route.backends.is_empty(), NoBackendSnafu { route: name });
     for backend in &route.backends {
         let service = services
@@ -311,7 +311,8 @@
     for (index, route) in routes.iter().enumerate() {
         let host_routes = by_host.entry(normalize_host(&route.host).into_owned()).or_default();
         if let Some(first_index) = host_routes.by_prefix.insert(route.path_prefix.clone(), index) {
-            return SharedPrefixSnafu { first: &routes[first_index].name, second: &route.name }.fail();
+            return DuplicateRouteSnafu { first_route: &routes[first_index].name, second_route: &route.name }
+                .fail();
         }
         host_routes.prefix_lengths.push(route.path_prefix.len());
     }
--- a/controlplane/configuration/src/json.rs
+++ b/controlplane/configuration/src/json.rs
@@ -23,7 +23,7 @@
 pub enum JsonError {
     /// The document is not valid UTF-8.
     #[snafu(display("not UTF-8 from byte {offset} on"))]
-    NotText {
+    NotUtf8 {
         /// The number of valid bytes before the error.
         offset: usize,
     },
@@ -69,7 +69,7 @@
     pub fn key(&self) -> Option<&str> {
         match self {
             JsonError::Missing { key, .. } | JsonError::Value { key, .. } => Some(key),
-            JsonError::NotText { .. } | JsonError::Syntax { .. } => None,
+            JsonError::NotUtf8 { .. } | JsonError::Syntax { .. } => None,
         }
     }
 }
@@ -77,7 +77,7 @@
 /// Parses a document. Unknown keys are ignored.
 pub(crate) fn parse<T: DeJson>(bytes: &[u8]) -> Result<T, JsonError> {
     let text =
-        std::str::from_utf8(bytes).map_err(|error| JsonError::NotText { offset: error.valid_up_to() })?;
+        std::str::from_utf8(bytes).map_err(|error| JsonError::NotUtf8 { offset: error.valid_up_to() })?;
     let unsupported = check_grammar(text)?;
     let text = rewrite_numbers(text, &unsupported);
     T::deserialize_json(&text).map_err(|error| value_error(&text, error))
--- a/controlplane/configuration/src/raw_configuration.rs
+++ b/controlplane/configuration/src/raw_configuration.rs
@@ -9,8 +9,8 @@
 use snafu::{OptionExt, ensure};
 
 use crate::configuration::{
-    Backend, BackendAndSplitSnafu, Configuration, ConfigurationError, Engine, Limits, NoBackendSnafu, Route,
-    RouteKind, Service, SharedServiceNameSnafu, UnknownKindSnafu, UnknownServiceSnafu,
+    Backend, BackendAndSplitSnafu, Configuration, ConfigurationError, DuplicateServiceNameSnafu, Engine,
+    Limits, NoBackendSnafu, Route, RouteKind, Service, UnknownKindSnafu, UnknownServiceSnafu,
 };
 use crate::number::{RoundedUp, WholeNumber};
 
@@ -93,7 +93,7 @@
     let mut indices = HashMap::with_capacity(services.len());
     for (index, service) in services.iter().enumerate() {
         let previous = indices.insert(service.name.as_str(), index);
-        ensure!(previous.is_none(), SharedServiceNameSnafu { service: &service.name });
+        ensure!(previous.is_none(), DuplicateServiceNameSnafu { service: &service.name });
     }
     Ok(indices)
 }
--- a/controlplane/configuration/tests/configuration.rs
+++ b/controlplane/configuration/tests/configuration.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn reads_every_field() {
+fn every_field_is_parsed() {
     let configuration = parse(EXAMPLE).expect("the example is valid");
     assert_eq!(configuration.generation, 7);
     assert_eq!(
@@ -166,7 +166,7 @@
 #[test]
 fn zero_timeouts_are_refused() {
     let error = error_of_change(r#""timeout_ms": 6000"#, r#""timeout_ms": 0"#);
-    assert_eq!(error, ConfigurationError::NoTimeout { route: "draft".to_owned() });
+    assert_eq!(error, ConfigurationError::ZeroTimeout { route: "draft".to_owned() });
     assert_eq!(
         json_error_of_change(r#""timeout_ms": 6000"#, r#""timeout_ms": -1"#).key(),
         Some("timeout_ms")
@@ -177,7 +177,8 @@
 fn routes_that_share_host_and_prefix_are_refused() {
     let result =
         configuration_with_routes(&[("h.example", "/a/"), ("h.example", "/b/"), ("H.example:80", "/a/")]);
-    let error = ConfigurationError::SharedPrefix { first: "r0".to_owned(), second: "r2".to_owned() };
+    let error =
+        ConfigurationError::DuplicateRoute { first_route: "r0".to_owned(), second_route: "r2".to_owned() };
     assert_eq!(result, Err(error));
     assert!(
         configuration_with_routes(&[("a.example", "/a/"), ("b.example", "/a/"), ("a.example", "/a/a/")])
@@ -188,7 +189,7 @@
 #[test]
 fn services_that_share_a_name_are_refused() {
     let error = error_of_change(r#""name": "desk""#, r#""name": "chat""#);
-    assert_eq!(error, ConfigurationError::SharedServiceName { service: "chat".to_owned() });
+    assert_eq!(error, ConfigurationError::DuplicateServiceName { service: "chat".to_owned() });
 }
 
 #[test]
--- a/controlplane/configuration/tests/extremes.rs
+++ b/controlplane/configuration/tests/extremes.rs
@@ -108,7 +108,7 @@
     }
     let last_generation = CONFIGURATION.replace("\"generation\": 7", "\"generation\": 18446744073709551615");
     let failure = parse(&last_generation).expect_err("no later generation is possible");
-    assert_eq!(failure, ConfigurationError::LastGeneration { generation: u64::MAX });
+    assert_eq!(failure, ConfigurationError::GenerationTooHigh { generation: u64::MAX });
     for number in ["1e300", "18446744073709551616", "1.8446744073709551616E+19"] {
         let text = CONFIGURATION.replace("\"generation\": 7", &format!("\"generation\": {number}"));
         let failure = parse(&text).expect_err(number);
--- a/controlplane/configuration/tests/heartbeat.rs
+++ b/controlplane/configuration/tests/heartbeat.rs
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn reads_every_field() {
+fn every_field_is_parsed() {
     assert_eq!(parse(EXAMPLE), Ok(example()));
 }
 
 #[test]
-fn reads_a_draining_instance() {
+fn draining_instance_is_parsed() {
     let text = EXAMPLE.replace(r#""ready""#, r#""draining","remaining_ms":1500.2"#);
     let expected = Heartbeat { state: InstanceState::Draining, remaining_ms: Some(1501), ..example() };
     assert_eq!(parse(&text), Ok(expected));
--- a/controlplane/configuration/tests/settings.rs
+++ b/controlplane/configuration/tests/settings.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn reads_every_field() {
+fn every_field_is_parsed() {
     let settings = parse(EXAMPLE).expect("the example is valid");
     assert_eq!(settings.node, "core-hall1-1");
     assert_eq!(settings.role, "keeper");
