--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -111,11 +111,11 @@
             && record.sequence > published.configured
         {
             let body = Bytes::from(record.value.to_vec());
-            self.publisher.configure(Configured { sequence: record.sequence, body });
+            self.publisher.set_configured(Configured { sequence: record.sequence, body });
         }
         let EvacuatedZones { sequence, zones } = records::evacuated_zones(records);
         if sequence > published.evacuations {
-            self.publisher.evacuate(Evacuations { sequence, zones });
+            self.publisher.set_evacuations(Evacuations { sequence, zones });
         }
     }
 
