--- a/controlplane/controller/src/controller/publication.rs
+++ b/controlplane/controller/src/controller/publication.rs
@@ -24,7 +24,7 @@
     /// Handles the report of a balancer. The first report subscribes the balancer.
     pub(super) fn handle_report(&mut self, now: u64, subscriber: SubscriberId, report: &Report) {
         let is_new = !self.publisher.subscribers().any(|known| known == subscriber);
-        self.publisher.reported(now, subscriber, report);
+        self.publisher.handle_report(now, subscriber, report);
         self.quorum_contact
             .observe_remote_position(report.applied.configured.max(report.applied.evacuations));
         let changed = self.leases.renew(now, gossip_records::lease_from_report(report));
--- a/controlplane/controller/src/host_region_cache.rs
+++ b/controlplane/controller/src/host_region_cache.rs
@@ -37,6 +37,6 @@
 
     /// The regions, besides the client's own, to whose balancers the clients of a host may be directed.
     pub fn regions_of(&self, host: &str) -> &ServingRegions {
-        self.hosts.of(host).unwrap_or(&CLIENT_REGION_ONLY)
+        self.hosts.serving_regions(host).unwrap_or(&CLIENT_REGION_ONLY)
     }
 }
--- a/controlplane/controller/src/runtime/inbound.rs
+++ b/controlplane/controller/src/runtime/inbound.rs
@@ -86,7 +86,7 @@
         node.borrow_mut().record_peer_frame(peer);
         while let Some(frame) = current_frame {
             handle_peer_frame(peer, frame, node)?;
-            current_frame = reader.buffered().context(FrameSnafu)?;
+            current_frame = reader.next_buffered().context(FrameSnafu)?;
         }
     }
 }
--- a/controlplane/controller/src/status.rs
+++ b/controlplane/controller/src/status.rs
@@ -120,7 +120,7 @@
 }
 
 fn push_lag(json: &mut String, source: &StatusSource<'_>) {
-    push_list(json, "lagging", source.publisher.lagging(source.now), |json, lag| {
+    push_list(json, "lagging", source.publisher.lags(source.now), |json, lag| {
         let section = format!("{:?}", lag.section);
         json.push_str("{\"section\":");
         push_json_string(json, &section.to_lowercase());
