--- a/dataplane/proxy/src/classify.rs
+++ b/dataplane/proxy/src/classify.rs
@@ -1,45 +1,46 @@
-//! Classifies an upstream's answer by its head alone: whether it belongs to the request, and whether the request has run.
+//! Classifies an upstream's answer by its head: whether it belongs to the request, and whether the request
+//! has run.
 
 use http::header::CONTENT_ENCODING;
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 use crate::headers::{INSTANCE_ID, NOT_RUN, REQUEST_ID, SERVER_STAMP};
 
-/// The class of an answer.
+/// The class of an upstream's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerClass {
     /// A success, once its body is complete.
     Success,
-    /// A failure that is passed back as it is.
+    /// A client or server error, which is passed back unchanged.
     Failure,
-    /// The request did not run: the upstream is full, the deadline passed in its queue, or its model has another version of
-    /// the weights than the one asked for.
+    /// The request did not run, because the upstream is full, the deadline passed in its queue, or its model
+    /// has another version of the weights than the requested one.
     Rejected,
     /// The address belongs to another instance; the request did not run.
     Misdirected,
-    /// No answer to this request, or one that must not be passed on.
+    /// The answer belongs to another request or must not be passed on.
     Unusable,
 }
 
-/// What the answer has to match.
+/// Properties of the attempt that the answer is checked against.
 #[derive(Clone, Copy, Debug)]
 pub struct Expected<'a> {
     /// The request's id, if it has one.
     pub id: Option<&'a HeaderValue>,
     /// The id of the instance that the attempt was meant for.
     pub instance: &'a str,
-    /// The request asks for one version of the weights.
-    pub names_version: bool,
-    /// The connection has carried no answer before, so that this one cannot belong to another request.
-    pub fresh: bool,
+    /// Whether the request asks for a specific version of the weights.
+    pub has_expected_version: bool,
+    /// Whether this is the first answer on the connection, so that it cannot belong to another request.
+    pub is_fresh: bool,
 }
 
-/// Classifies a head.
+/// Classifies an answer by its status and headers.
 pub fn classify(expected: &Expected, status: StatusCode, headers: &HeaderMap) -> AnswerClass {
     let not_run = headers.contains_key(NOT_RUN);
     let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-    let may_lack_id = expected.fresh && (not_run || misdirected);
-    if !belongs(expected.id, headers, may_lack_id) {
+    let may_lack_id = expected.is_fresh && (not_run || misdirected);
+    if !matches_request(expected.id, headers, may_lack_id) {
         return AnswerClass::Unusable;
     }
     if misdirected {
@@ -64,20 +65,21 @@
     if failure { AnswerClass::Failure } else { AnswerClass::Unusable }
 }
 
-fn belongs(id: Option<&HeaderValue>, headers: &HeaderMap, may_lack_id: bool) -> bool {
+fn matches_request(id: Option<&HeaderValue>, headers: &HeaderMap, may_lack_id: bool) -> bool {
     match headers.get(REQUEST_ID) {
-        Some(answered) => Some(answered) == id,
+        Some(answer_id) => Some(answer_id) == id,
         None => id.is_none() || may_lack_id,
     }
 }
 
-/// Whether a 421 comes from the instance that was meant, which has other weights than asked for.
+/// Whether a 421 comes from the intended instance, which then has another version of the weights than
+/// requested.
 fn is_other_version(expected: &Expected, headers: &HeaderMap) -> bool {
-    let answered = headers.get(INSTANCE_ID);
-    answered.map_or(expected.names_version, |id| id.as_bytes() == expected.instance.as_bytes())
+    let answer_id = headers.get(INSTANCE_ID);
+    answer_id.map_or(expected.has_expected_version, |id| id.as_bytes() == expected.instance.as_bytes())
 }
 
-/// Statuses that promise a client that its request has not run.
+/// Whether the status tells a client that its request has not run.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
--- a/dataplane/proxy/src/clients.rs
+++ b/dataplane/proxy/src/clients.rs
@@ -1,7 +1,7 @@
-//! Client connections: accepted up to the capacity, closed after their time-outs or to make way for others, and drained
-//! when the process shuts down.
+//! Client connections are accepted up to the capacity, closed after time-outs or to free capacity, and
+//! drained when the process shuts down.
 //!
-//! [`connection`] holds the state of one connection, its submodule `serving` drives it with hyper.
+//! [`connection`] holds the state of one connection; `serving` drives the connection with hyper.
 
 pub mod connection;
 mod serving;
@@ -17,67 +17,67 @@
 use tokio::time::{Instant, sleep};
 
 use self::connection::{Client, ClientTimeouts};
-use crate::connect::{BoxedSocket, accepted};
+use crate::connect::{BoxedSocket, configure_client_socket};
 use crate::node::Node;
 
-/// Backoff of the listener after an error of the system, such as a lack of descriptors.
+/// Delay before the next accept after a system error, such as running out of file descriptors.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The open connections, by the order in which they were accepted.
+/// The open client connections, keyed by the order in which they were accepted.
 #[derive(Default)]
 pub struct Clients {
     open: RefCell<BTreeMap<u64, Rc<Client>>>,
-    next: Cell<u64>,
-    /// Notified when a connection has ended or has become idle.
+    next_number: Cell<u64>,
+    /// Notified when a connection has closed or has become idle.
     capacity_freed: Notify,
-    /// In shutdown: the time by which the heads of the last requests must be complete.
-    last_complete: Cell<Option<Instant>>,
+    /// During shutdown, the deadline for complete heads of the last requests.
+    head_deadline: Cell<Option<Instant>>,
 }
 
 impl Clients {
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Closes connections whose time-out has passed; to be called regularly.
+    /// Closes connections whose time-out has passed. Must be called periodically.
     pub fn sweep(&self, node: &Node) {
-        let (now, times) = (Instant::now(), ClientTimeouts::of(node));
-        self.open.borrow().values().for_each(|client| client.sweep(now, &times));
+        let (now, timeouts) = (Instant::now(), ClientTimeouts::in_force(node));
+        self.open.borrow().values().for_each(|client| client.sweep(now, &timeouts));
     }
 
-    /// Closes the connection that is needed least: one that only lingers, else the longest idle of those that have had no
-    /// request, else the longest idle of all.
-    fn close_longest_idle(&self) {
+    /// Closes one idle connection: preferably one in lingering close, else the longest idle one without any
+    /// request so far, else the longest idle one.
+    fn evict_least_needed(&self) {
         let open = self.open.borrow();
         let now = Instant::now();
-        let candidates = open.values().filter(|client| client.may_make_way());
+        let candidates = open.values().filter(|client| client.is_evictable());
         let Some(client) = candidates.min_by_key(|client| client.eviction_order(now)) else { return };
-        client.make_way();
+        client.evict();
     }
 
     fn close_all(&self) {
         self.open.borrow().values().for_each(|client| client.close());
     }
 
-    async fn all_ended(&self) {
+    async fn wait_until_all_closed(&self) {
         while self.count() > 0 {
             self.capacity_freed.notified().await;
         }
     }
 
-    async fn wait_for_capacity(&self, most: usize) {
-        while self.count() >= most {
-            self.close_longest_idle();
+    async fn wait_for_capacity(&self, max_connections: usize) {
+        while self.count() >= max_connections {
+            self.evict_least_needed();
             self.capacity_freed.notified().await;
         }
     }
 
-    /// Serves a connection in a task of its own.
+    /// Spawns a task that serves the connection.
     pub fn serve(self: &Rc<Self>, node: &Rc<Node>, socket: BoxedSocket) {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let client = Rc::new(Client::new(ClientTimeouts::of(node).idle));
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let client = Rc::new(Client::new(ClientTimeouts::in_force(node).idle));
         self.open.borrow_mut().insert(number, Rc::clone(&client));
         let (clients, node) = (Rc::clone(self), Rc::clone(node));
         spawn_local(async move {
@@ -88,10 +88,10 @@
     }
 }
 
-/// Accepts connections until the process shuts down, and returns when all clients have their answers.
+/// Accepts connections until the process shuts down, and returns once all connections are closed.
 pub async fn run(listener: TcpListener, node: Rc<Node>, clients: Rc<Clients>) {
-    let accepting_ends = node.shutdown.accepting_ends();
-    tokio::pin!(accepting_ends);
+    let wait_for_accepting_end = node.shutdown.wait_for_accepting_end();
+    tokio::pin!(wait_for_accepting_end);
     loop {
         let accept = async {
             clients.wait_for_capacity(node.capacities.clients).await;
@@ -99,24 +99,24 @@
         };
         tokio::select! {
             socket = accept => match socket {
-                Ok((socket, _)) => clients.serve(&node, accepted(socket)),
-                Err(fault) => {
-                    spdlog::warn!("accept: {fault}");
+                Ok((socket, _)) => clients.serve(&node, configure_client_socket(socket)),
+                Err(error) => {
+                    spdlog::warn!("cannot accept a client connection: {error}");
                     sleep(ACCEPT_BACKOFF).await;
                 }
             },
-            () = &mut accepting_ends => break,
+            () = &mut wait_for_accepting_end => break,
         }
     }
     for socket in whinspindle_metered_sockets::close_listener(listener) {
-        clients.serve(&node, accepted(socket));
+        clients.serve(&node, configure_client_socket(socket));
     }
     finish(&node, &clients).await;
 }
 
-/// Closes all connections gracefully and waits for their end.
+/// Closes all connections gracefully and waits until they are closed.
 pub async fn finish(node: &Node, clients: &Clients) {
-    clients.last_complete.set(Some(Instant::now() + ClientTimeouts::of(node).header));
+    clients.head_deadline.set(Some(Instant::now() + ClientTimeouts::in_force(node).header));
     clients.close_all();
-    clients.all_ended().await;
+    clients.wait_until_all_closed().await;
 }
--- a/dataplane/proxy/src/clients/connection.rs
+++ b/dataplane/proxy/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! The state of one client connection, and which of its time limits has passed.
+//! The state and time limits of a client connection.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,38 +12,40 @@
 use crate::node::Node;
 use crate::request_framing::RequestFraming;
 
-/// A connection is closed this much later than the idle time-out that clients know, so that a close never crosses a
-/// request that was sent in time.
+/// Time added to the idle time-out that clients know, so that a connection is never closed while a request
+/// that was sent in time is in transit.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// The same for the time-out of a request's head.
+/// Time added to the time-out of a request's head that clients know.
 pub(super) const HEADER_MARGIN: Duration = Duration::from_secs(1);
-/// An answer that the client has not read this long after its deadline is given up.
+/// Time after an answer's deadline at which the connection of a client that does not read the answer is
+/// dropped.
 const UNREAD_MARGIN: Duration = Duration::from_secs(1);
-/// Where a connection has to make way for another, one that has been open for so long without a request goes first.
-const UNUSED: Duration = Duration::from_millis(500);
+/// Time without any request after which a new connection is preferred for eviction.
+const UNUSED_TIME: Duration = Duration::from_millis(500);
 
 /// The state of one client connection.
 pub struct Client {
-    /// Since when no request is in progress; none while one is.
+    /// When the connection became idle, or `None` while a request is in progress.
     pub(super) idle_since: Cell<Option<Instant>>,
-    /// No complete head of a request has been received yet.
-    pub(super) fresh: Cell<bool>,
-    /// Deadline of the answer in progress.
+    /// Whether no complete request head has been received yet.
+    pub(super) is_fresh: Cell<bool>,
+    /// The deadline of the answer in progress.
     answer_deadline: Cell<Option<Instant>>,
-    /// The longest idle time-out that has been in force since it was opened.
+    /// The longest idle time-out in effect since the connection was opened.
     idle_timeout: Cell<Duration>,
-    /// Counts bytes; its time is set from the first bytes of a request until the answer.
+    /// Counts bytes. `first_received_at` is set from the first bytes of a request until its answer.
     pub(super) meter: Rc<Meter>,
-    pub(super) head: Rc<RefCell<RequestFraming>>,
-    /// When it was told to close.
-    closing: Cell<Option<Instant>>,
+    pub(super) framing: Rc<RefCell<RequestFraming>>,
+    /// When a graceful close was requested.
+    close_requested_at: Cell<Option<Instant>>,
     pub(super) close: Notify,
     pub(super) drop: Notify,
-    /// It is in lingering close: everything is answered, and only the client's end is waited for.
+    /// Whether the connection is in lingering close: all requests are answered, and the client has yet to
+    /// close.
     pub(super) lingering: Cell<bool>,
 }
 
-/// Marks a connection as busy with a request; it is idle again once this is dropped.
+/// Marks a connection as busy with a request until the marker is dropped.
 pub struct RequestInProgress {
     client: Rc<Client>,
     clients: Rc<Clients>,
@@ -52,23 +54,23 @@
 impl RequestInProgress {
     pub(super) fn begin(client: &Rc<Client>, clients: &Rc<Clients>) -> RequestInProgress {
         client.idle_since.set(None);
-        client.fresh.set(false);
+        client.is_fresh.set(false);
         RequestInProgress { client: Rc::clone(client), clients: Rc::clone(clients) }
     }
 
-    /// When the first bytes of the request were received.
+    /// Returns when the first bytes of the request were received.
     pub fn received(&self) -> Instant {
         self.client.meter.first_received_at.get().unwrap_or_else(Instant::now)
     }
 
     /// Whether the request's head has both `Content-Length` and `Transfer-Encoding`.
     pub fn is_ambiguous(&self) -> bool {
-        self.client.head.borrow().is_ambiguous()
+        self.client.framing.borrow().is_ambiguous()
     }
 
     /// Whether no further request may be served on the connection.
     pub fn is_last(&self) -> bool {
-        self.is_ambiguous() || self.client.head.borrow().is_lost()
+        self.is_ambiguous() || self.client.framing.borrow().is_end_unknown()
     }
 
     /// Sets the deadline of the answer.
@@ -82,7 +84,7 @@
         self.client.idle_since.set(Some(Instant::now()));
         self.client.answer_deadline.set(None);
         self.client.meter.first_received_at.set(None);
-        self.client.head.borrow_mut().restart();
+        self.client.framing.borrow_mut().finish_request();
         self.clients.capacity_freed.notify_one();
     }
 }
@@ -91,12 +93,12 @@
     pub(super) fn new(idle_timeout: Duration) -> Self {
         Client {
             idle_since: Cell::new(Some(Instant::now())),
-            fresh: Cell::new(true),
+            is_fresh: Cell::new(true),
             answer_deadline: Cell::default(),
             idle_timeout: Cell::new(idle_timeout),
             meter: Rc::default(),
-            head: Rc::default(),
-            closing: Cell::default(),
+            framing: Rc::default(),
+            close_requested_at: Cell::default(),
             close: Notify::new(),
             drop: Notify::new(),
             lingering: Cell::default(),
@@ -107,38 +109,39 @@
         self.idle_since.get().is_some()
     }
 
-    /// Whether the head of a request has begun and is incomplete.
-    pub(super) fn has_begun(&self) -> bool {
+    /// Whether an incomplete request head has been received.
+    pub(super) fn has_partial_head(&self) -> bool {
         self.is_idle() && self.meter.first_received_at.get().is_some()
     }
 
-    /// Waits until the connection is to be dropped. A drop that crosses the begin of a request is ignored.
-    pub(super) async fn dropped(&self) {
+    /// Waits for a request to drop the connection. The drop is ignored if a client request has started
+    /// meanwhile.
+    pub(super) async fn wait_for_drop(&self) {
         loop {
             self.drop.notified().await;
-            let unread =
+            let is_answer_unread =
                 self.answer_deadline.get().is_some_and(|deadline| deadline + UNREAD_MARGIN <= Instant::now());
-            if self.is_idle() || unread {
+            if self.is_idle() || is_answer_unread {
                 return;
             }
         }
     }
 
-    /// Whether it can be closed in favour of another connection.
-    pub(super) fn may_make_way(&self) -> bool {
-        self.is_idle() && (self.closing.get().is_none() || self.lingering.get())
+    /// Whether the connection can be closed in favour of another one.
+    pub(super) fn is_evictable(&self) -> bool {
+        self.is_idle() && (self.close_requested_at.get().is_none() || self.lingering.get())
     }
 
-    /// Sorts the connections that may make way, the first to close first: lingering ones, then those without a request
-    /// since they were opened, then the longest idle.
+    /// Returns the sort key for eviction: first connections in lingering close, then connections without any
+    /// request, then the longest idle connections.
     pub(super) fn eviction_order(&self, now: Instant) -> (bool, bool, Option<Instant>) {
         let idle_since = self.idle_since.get();
-        let is_unused = self.fresh.get() && idle_since.is_some_and(|at| at + UNUSED <= now);
+        let is_unused = self.is_fresh.get() && idle_since.is_some_and(|at| at + UNUSED_TIME <= now);
         (!self.lingering.get(), !is_unused, idle_since)
     }
 
-    /// Closes it in favour of another connection; at once where it only lingers.
-    pub(super) fn make_way(&self) {
+    /// Closes the connection in favour of another one, immediately if it is in lingering close.
+    pub(super) fn evict(&self) {
         if self.lingering.get() {
             self.drop.notify_one();
         } else {
@@ -146,35 +149,37 @@
         }
     }
 
-    /// Has it closed gracefully.
+    /// Requests a graceful close.
     pub(super) fn close(&self) {
-        if self.closing.get().is_none() {
-            self.closing.set(Some(Instant::now()));
+        if self.close_requested_at.get().is_none() {
+            self.close_requested_at.set(Some(Instant::now()));
             self.close.notify_one();
         }
     }
 
     /// Closes or drops the connection if one of its time limits has passed.
-    pub(super) fn sweep(&self, now: Instant, times: &ClientTimeouts) {
+    pub(super) fn sweep(&self, now: Instant, timeouts: &ClientTimeouts) {
         let Some(idle_since) = self.idle_since.get() else {
             if self.answer_deadline.get().is_some_and(|deadline| deadline + UNREAD_MARGIN <= now) {
                 self.drop.notify_one();
             }
             return;
         };
-        self.idle_timeout.set(self.idle_timeout.get().max(times.idle));
-        let begun = self.meter.first_received_at.get();
-        let late = begun.is_some_and(|begun| begun + times.header + HEADER_MARGIN <= now);
-        let unclosed = self.closing.get().is_some_and(|at| at.max(idle_since) + times.header <= now);
-        if late || unclosed {
+        self.idle_timeout.set(self.idle_timeout.get().max(timeouts.idle));
+        let first_byte_at = self.meter.first_received_at.get();
+        let is_head_late =
+            first_byte_at.is_some_and(|first_byte_at| first_byte_at + timeouts.header + HEADER_MARGIN <= now);
+        let is_close_late =
+            self.close_requested_at.get().is_some_and(|at| at.max(idle_since) + timeouts.header <= now);
+        if is_head_late || is_close_late {
             self.drop.notify_one();
-        } else if begun.is_none() && idle_since + self.idle_timeout.get() + IDLE_MARGIN <= now {
+        } else if first_byte_at.is_none() && idle_since + self.idle_timeout.get() + IDLE_MARGIN <= now {
             self.close();
         }
     }
 }
 
-/// Time-outs of connections without a request in progress.
+/// Time-outs of connections while no request is in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ClientTimeouts {
     /// From the first byte of a request to the end of its head.
@@ -184,7 +189,7 @@
 }
 
 impl ClientTimeouts {
-    pub(super) fn of(node: &Node) -> Self {
+    pub(super) fn in_force(node: &Node) -> Self {
         let limits = node.limits.borrow();
         ClientTimeouts {
             header: Duration::from_millis(limits.header_timeout_ms()),
--- a/dataplane/proxy/src/clock.rs
+++ b/dataplane/proxy/src/clock.rs
@@ -1,4 +1,4 @@
-//! The steady clock of the process, in milliseconds since its start.
+//! The monotonic clock of the process.
 
 use tokio::time::Instant;
 
@@ -9,17 +9,17 @@
 }
 
 impl Clock {
-    /// A clock that starts at 0 now.
+    /// Creates a clock that reads 0 now.
     pub fn starting_now() -> Self {
         Clock { start: Instant::now() }
     }
 
-    /// The instant of the start.
+    /// Returns the instant at which the clock reads 0.
     pub fn start(&self) -> Instant {
         self.start
     }
 
-    /// Milliseconds since the start.
+    /// Returns the milliseconds since the start.
     pub fn now_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
--- a/dataplane/proxy/src/control_link.rs
+++ b/dataplane/proxy/src/control_link.rs
@@ -1,5 +1,6 @@
-//! The control link to the agent of the machine: receives updates of the control plane, and sends reports. While there is
-//! no agent, the proxy goes on with the last applied state.
+//! The control link to the agent on the same machine, which sends control-plane updates and receives reports.
+//!
+//! While the agent is unavailable, the proxy continues with the last applied state.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,21 +18,21 @@
 
 use crate::node::Node;
 
-/// Time-out of connecting to the agent.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// Backoff between two attempts to connect to the agent.
+/// Time-out for connecting to the agent.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay between attempts to connect to the agent.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest time between two reports.
+/// Maximum time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// The link ends if nothing is received for this time; an agent sends several messages a second.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
+/// The link is closed if nothing is received for this time. An agent sends several messages per second.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a link to the agent ended.
 #[derive(Debug, Snafu)]
 pub enum LinkError {
-    /// Connecting failed.
+    /// The connection to the agent could not be opened.
     #[snafu(display("{source}"))]
-    NoConnection {
+    Connect {
         /// Why.
         source: ConnectError,
     },
@@ -42,46 +43,46 @@
         source: FrameError,
     },
     /// A message could not be decoded.
-    #[snafu(display("a message can't be read: {source}"))]
+    #[snafu(display("cannot decode a message: {source}"))]
     Message {
         /// Why.
         source: DecodeError,
     },
     /// The agent closed the connection.
-    #[snafu(display("the agent ended the connection"))]
+    #[snafu(display("the agent closed the connection"))]
     Ended,
-    /// Nothing was received, or could be written, within the silence limit.
-    #[snafu(display("the agent has been silent"))]
+    /// Nothing was received or could be written within the silence time-out.
+    #[snafu(display("the control link timed out"))]
     Silent,
 }
 
-/// The identity of this process for the control plane.
+/// Identifies this process to the control plane.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity {
-    /// The address on which clients are served.
+    /// The address that serves clients.
     pub front: SocketAddr,
-    /// A number that differs for each start.
+    /// A random number that identifies this start of the process.
     pub incarnation: u64,
 }
 
-/// Keeps the link up as long as the process lives.
+/// Keeps the link connected for the lifetime of the process.
 pub async fn run(node: Rc<Node>, identity: Identity) -> Infallible {
     loop {
-        let Err(fault) = link(&node, identity).await;
-        spdlog::debug!("feed: {fault}");
+        let Err(error) = run_link(&node, identity).await;
+        spdlog::debug!("control link: {error}");
         sleep(RECONNECT_BACKOFF).await;
     }
 }
 
-/// Connects to the agent and follows it until the connection ends.
-async fn link(node: &Node, identity: Identity) -> Result<Infallible, LinkError> {
+/// Connects to the agent and exchanges messages until the connection ends.
+async fn run_link(node: &Node, identity: Identity) -> Result<Infallible, LinkError> {
     let agent = node.settings.agent_endpoint();
-    let stream = connect(agent, CONNECT_LIMIT).await.context(NoConnectionSnafu)?;
+    let stream = connect(agent, CONNECT_TIMEOUT).await.context(ConnectSnafu)?;
     let (reader, writer) = stream.into_split();
     exchange_messages(node, identity, reader, writer).await
 }
 
-/// Exchanges updates and reports over a connection until it ends or exceeds the silence limit.
+/// Receives updates and sends reports until the connection ends or exceeds the silence time-out.
 pub async fn exchange_messages<R, W>(
     node: &Node,
     identity: Identity,
@@ -104,13 +105,13 @@
             frame = reader.next() => {
                 received_at = Instant::now();
                 let frame = frame.context(FrameSnafu)?.ok_or(LinkError::Ended)?;
-                if !apply_all(node, frame, &mut reader)? {
+                if !apply_buffered(node, frame, &mut reader)? {
                     continue;
                 }
             }
             () = node.report_due.notified() => {}
             () = sleep_until(report_due) => {
-                if received_at + SILENCE_LIMIT <= Instant::now() {
+                if received_at + SILENCE_TIMEOUT <= Instant::now() {
                     return SilentSnafu.fail();
                 }
             }
@@ -120,8 +121,8 @@
     }
 }
 
-/// Applies a message and those that are buffered behind it. Returns whether there is an update to acknowledge.
-fn apply_all<R: AsyncRead + Unpin>(
+/// Applies a message and all messages buffered after it. Returns whether there is an update to acknowledge.
+fn apply_buffered<R: AsyncRead + Unpin>(
     node: &Node,
     frame: Frame,
     reader: &mut FrameReader<R>,
@@ -141,15 +142,15 @@
     match decode_to_balancer(&frame.payload).context(MessageSnafu)? {
         ToBalancer::Link(_) => Ok(false),
         ToBalancer::Update(update) => {
-            if let Err(fault) = node.apply(update) {
-                spdlog::error!("a configuration that was taken can't be used: {fault}");
+            if let Err(error) = node.apply(update) {
+                spdlog::error!("cannot apply the received configuration: {error}");
             }
             Ok(true)
         }
     }
 }
 
-/// Writes the present state of the proxy as a report.
+/// Sends the current state of the proxy as a report.
 async fn report<W: AsyncWrite + Unpin>(
     node: &Node,
     identity: Identity,
@@ -169,6 +170,6 @@
         failing: node.router.borrow().failing_instances(node.clock.now_ms()),
     };
     frames.push(FrameKind::Report, &encode_report(&report)).context(FrameSnafu)?;
-    let written = timeout(SILENCE_LIMIT, frames.write_to(writer)).await;
+    let written = timeout(SILENCE_TIMEOUT, frames.write_to(writer)).await;
     written.map_err(|_| LinkError::Silent)?.context(FrameSnafu)
 }
--- a/dataplane/proxy/src/exchange/reading.rs
+++ b/dataplane/proxy/src/exchange/reading.rs
@@ -1,4 +1,4 @@
-//! Reads an upstream's answer before it is passed on: the complete body, or the first events of a stream.
+//! Reads the complete body of an upstream's answer, or the first events of a stream.
 
 use std::future::poll_fn;
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use tokio::time::timeout;
 use whinspindle_routing::Outcome;
 
-use super::{Exchange, OpenAttempt, OpenStream, Opened, StreamRun};
+use super::{Exchange, OpenAttempt, OpenStream, UpstreamAnswer, UpstreamStream};
 use crate::classify::AnswerClass;
 use crate::events::EventSplitter;
-use crate::headers::{VERSIONS, keep_alive_ms, number, retry_after_ms, strip_hop_by_hop};
-use crate::pool::Leased;
+use crate::headers::{VERSIONS, keep_alive_ms, number_header, retry_after_ms, strip_hop_by_hop};
+use crate::pool::LeasedConnection;
 use crate::retry::AttemptEnd;
 
-/// Time-out of reading the body of a rejection, which only serves to reuse the connection.
-const REJECTION_BODY_LIMIT: Duration = Duration::from_millis(20);
-/// The longest answer that is read completely, in bytes.
-const MOST_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Time-out for reading the body of a rejection, which is read only to reuse the connection.
+const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(20);
+/// Maximum size of an answer body that is not a stream, in bytes.
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 const CHUNKED: &[u8] = b"chunked";
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// The classified head of an answer, and the connection on which the body arrives.
-pub(super) struct Answered {
+/// The classified head of an answer, with its body and connection.
+pub(super) struct ClassifiedAnswer {
     pub(super) class: AnswerClass,
     pub(super) head: response::Parts,
     pub(super) body: Incoming,
-    pub(super) leased: Leased,
+    pub(super) leased: LeasedConnection,
 }
 
 impl Exchange {
-    /// Reads an answer until it can be passed on, or is known to be unusable.
+    /// Reads an answer until it can be passed on or turns out to be unusable.
     pub(super) async fn read(
         &mut self,
-        answered: Answered,
+        answer: ClassifiedAnswer,
         mut attempt: OpenAttempt,
-    ) -> Result<Opened, AttemptEnd> {
-        let Answered { class, head, body, mut leased } = answered;
-        // If the head alone says that the request did not run, the body does not matter.
-        let counts = !matches!(class, AnswerClass::Rejected | AnswerClass::Misdirected);
-        self.in_flight = counts;
-        if counts && !is_framed(&self.request.method, &head, &body) {
+    ) -> Result<UpstreamAnswer, AttemptEnd> {
+        let ClassifiedAnswer { class, head, body, mut leased } = answer;
+        // The body of an answer whose head says that the request did not run is irrelevant.
+        let may_have_run = !matches!(class, AnswerClass::Rejected | AnswerClass::Misdirected);
+        self.in_flight = may_have_run;
+        if may_have_run && !is_framed(&self.request.method, &head, &body) {
             attempt.finish(Outcome::ConnectionBroken);
             return Err(AttemptEnd::Broken);
         }
@@ -53,14 +53,14 @@
             return self.read_first_events(head, body, leased, attempt).await;
         }
         if class == AnswerClass::Success {
-            attempt.first_event();
+            attempt.record_first_event();
         }
-        let framed = is_framed(&self.request.method, &head, &body);
-        let body = match (framed, counts) {
+        let has_framing = is_framed(&self.request.method, &head, &body);
+        let body = match (has_framing, may_have_run) {
             (false, _) => None,
             (true, true) => self.read_complete(body, &mut leased).await,
             (true, false) => {
-                timeout(REJECTION_BODY_LIMIT, self.read_complete(body, &mut leased)).await.ok().flatten()
+                timeout(REJECTION_BODY_TIMEOUT, self.read_complete(body, &mut leased)).await.ok().flatten()
             }
         };
         let is_complete = body.is_some();
@@ -80,8 +80,8 @@
         head: response::Parts,
         body: Option<Bytes>,
         attempt: &mut OpenAttempt,
-    ) -> Result<Opened, AttemptEnd> {
-        // The head alone says that the request did not run.
+    ) -> Result<UpstreamAnswer, AttemptEnd> {
+        // These classes say that the request did not run, whether or not the body is complete.
         match class {
             AnswerClass::Misdirected => {
                 attempt.finish(Outcome::Misdirected);
@@ -100,19 +100,19 @@
         };
         let failed = head.status.is_server_error();
         attempt.finish(if failed { Outcome::Failed } else { Outcome::Served });
-        let answer = Response::from_parts(passed_on(head), body);
+        let answer = Response::from_parts(client_head(head), body);
         if !failed {
-            return Ok(Opened::Complete(answer));
+            return Ok(UpstreamAnswer::Complete(answer));
         }
         self.failure = Some(answer);
         Err(AttemptEnd::Failed)
     }
 
-    /// The complete body; none if it broke off or is too long.
-    async fn read_complete(&mut self, mut body: Incoming, leased: &mut Leased) -> Option<Bytes> {
-        let mut memory = self.node.bodies.reserve();
-        let mut first = Bytes::new();
-        let mut rest = BytesMut::new();
+    /// Reads the complete body. Returns `None` if the connection breaks or the body is too long.
+    async fn read_complete(&mut self, mut body: Incoming, leased: &mut LeasedConnection) -> Option<Bytes> {
+        let mut memory = self.node.body_memory.reserve();
+        let mut first_bytes = Bytes::new();
+        let mut remaining_bytes = BytesMut::new();
         loop {
             let frame = match poll_fn(|cx| leased.connection.poll_body(&mut body, cx)).await {
                 Some(Ok(frame)) => frame,
@@ -120,50 +120,54 @@
                 None => break,
             };
             let Ok(data) = frame.into_data() else { continue };
-            let total = first.len() + rest.len() + data.len();
-            if total > MOST_ANSWER_BYTES || !memory.grow_to(total) {
+            let total = first_bytes.len() + remaining_bytes.len() + data.len();
+            if total > MAX_ANSWER_BYTES || !memory.grow_to(total) {
                 return None;
             }
-            if first.is_empty() {
-                first = data;
+            if first_bytes.is_empty() {
+                first_bytes = data;
             } else {
-                rest.extend_from_slice(&data);
+                remaining_bytes.extend_from_slice(&data);
             }
         }
         self._answer_memory = Some(memory);
-        if rest.is_empty() {
-            return Some(first);
+        if remaining_bytes.is_empty() {
+            return Some(first_bytes);
         }
-        Some([first, rest.freeze()].concat().into())
+        Some([first_bytes, remaining_bytes.freeze()].concat().into())
     }
 
     async fn read_first_events(
         &mut self,
         head: response::Parts,
         mut body: Incoming,
-        mut leased: Leased,
+        mut leased: LeasedConnection,
         mut attempt: OpenAttempt,
-    ) -> Result<Opened, AttemptEnd> {
+    ) -> Result<UpstreamAnswer, AttemptEnd> {
         let mut splitter = match self.resume {
             Some(position) => EventSplitter::resuming(position),
-            None => EventSplitter::new(number(&head.headers, &VERSIONS)),
+            None => EventSplitter::new(number_header(&head.headers, &VERSIONS)),
         };
         loop {
             let frame = match poll_fn(|cx| leased.connection.poll_body(&mut body, cx)).await {
                 Some(Ok(frame)) => frame,
                 Some(Err(_)) => break,
                 None => {
-                    let run = StreamRun { leased, body, splitter, attempt };
+                    let run = UpstreamStream { leased, body, splitter, attempt };
                     return Ok(self.ended_stream(head, run).await);
                 }
             };
             let Ok(data) = frame.into_data() else { continue };
             match splitter.push(data) {
-                Ok(first) if first.is_empty() => {}
-                Ok(first) => {
-                    attempt.first_event();
-                    let run = Some(StreamRun { leased, body, splitter, attempt });
-                    return Ok(Opened::Stream(Box::new(OpenStream { head: passed_on(head), first, run })));
+                Ok(first_events) if first_events.is_empty() => {}
+                Ok(first_events) => {
+                    attempt.record_first_event();
+                    let run = Some(UpstreamStream { leased, body, splitter, attempt });
+                    return Ok(UpstreamAnswer::Stream(Box::new(OpenStream {
+                        head: client_head(head),
+                        first_events,
+                        run,
+                    })));
                 }
                 Err(_) => break,
             }
@@ -172,8 +176,8 @@
         Err(AttemptEnd::Broken)
     }
 
-    async fn ended_stream(&self, head: response::Parts, mut run: StreamRun) -> Opened {
-        let first = run.splitter.finish();
+    async fn ended_stream(&self, head: response::Parts, mut run: UpstreamStream) -> UpstreamAnswer {
+        let first_events = run.splitter.finish();
         let mut run = Some(run);
         poll_fn(|cx| {
             if let Some(run) = run.take() {
@@ -182,7 +186,7 @@
             ().into()
         })
         .await;
-        Opened::Stream(Box::new(OpenStream { head: passed_on(head), first, run: None }))
+        UpstreamAnswer::Stream(Box::new(OpenStream { head: client_head(head), first_events, run: None }))
     }
 }
 
@@ -191,29 +195,32 @@
     kind.get(..EVENT_STREAM.len()).is_some_and(|start| start.eq_ignore_ascii_case(EVENT_STREAM))
 }
 
-/// Whether the framing marks the end of the body. A body that lasts until the connection closes can't be told from one
-/// that broke off, one with both `Content-Length` and `Transfer-Encoding` is ambiguous, and another transfer coding than
-/// `chunked` would change its bytes.
+/// Whether the framing marks the end of the body.
+///
+/// A body that is delimited by the connection's close cannot be distinguished from a truncated one, a body
+/// with both `Content-Length` and `Transfer-Encoding` is ambiguous, and a transfer coding other than
+/// `chunked` changes its bytes.
 fn is_framed(method: &Method, head: &response::Parts, body: &Incoming) -> bool {
     let length = head.headers.contains_key(CONTENT_LENGTH);
     let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
-    let coding = codings.next();
-    let chunked = coding.is_none_or(|coding| coding.as_bytes().eq_ignore_ascii_case(CHUNKED));
+    let transfer_coding = codings.next();
+    let chunked = transfer_coding
+        .is_none_or(|transfer_coding| transfer_coding.as_bytes().eq_ignore_ascii_case(CHUNKED));
     if !chunked || codings.next().is_some() {
         return false;
     }
-    let coding = coding.is_some();
+    let transfer_coding = transfer_coding.is_some();
     let bodyless = method == Method::HEAD
         || head.status == StatusCode::NO_CONTENT
         || head.status == StatusCode::NOT_MODIFIED;
-    if length && coding {
+    if length && transfer_coding {
         return false;
     }
-    length || coding || bodyless || body.is_end_stream()
+    length || transfer_coding || bodyless || body.is_end_stream()
 }
 
-/// The head as it is passed to the client.
-fn passed_on(mut head: response::Parts) -> response::Parts {
+/// Converts an upstream's head to the head for the client.
+fn client_head(mut head: response::Parts) -> response::Parts {
     strip_hop_by_hop(&mut head.headers);
     head.version = http::Version::HTTP_11;
     head.extensions = http::Extensions::new();
--- a/dataplane/proxy/src/lib.rs
+++ b/dataplane/proxy/src/lib.rs
@@ -1,10 +1,10 @@
-//! The proxy: a reverse proxy for HTTP/1.1 that forwards each request to an upstream instance and passes its answer or
+//! An HTTP/1.1 reverse proxy that forwards each request to an upstream instance and passes its answer or
 //! event stream back.
 //!
-//! [`run`] is the program. Inside, [`clients`] accepts connections, [`handler`] reads and matches a request, [`exchange`]
-//! makes the attempts at upstreams over connections of the [`pool`], and [`stream`] passes events on. [`control_link`]
-//! receives configurations, endpoint lists and fleet state from the agent of the machine; [`node`] holds what they share.
-//! Everything runs on one thread.
+//! [`run`] is the entry point. [`clients`] accepts connections, [`handler`] reads a request and matches it
+//! with a route, [`exchange`] makes attempts at upstreams over connections of the [`pool`], and [`stream`]
+//! passes events on. [`control_link`] receives configurations, endpoint lists and fleet state from the agent
+//! on the same machine. [`node`] holds the state that these modules share. All tasks run on one thread.
 
 pub mod answers;
 pub mod classify;
@@ -48,16 +48,16 @@
 use crate::control_link::Identity;
 use crate::node::Node;
 
-/// How often time limits are checked.
-const TICK: Duration = Duration::from_millis(500);
+/// Interval of the periodic checks of time limits.
+const TICK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Why the proxy could not start.
 #[derive(Debug, Snafu)]
 pub enum ProxyError {
-    /// The settings lack an address to listen on.
-    #[snafu(display("the settings name no `listen.{name}`"))]
+    /// The settings lack a listen address.
+    #[snafu(display("the setting `listen.{name}` is missing"))]
     NoAddress {
-        /// Name of the missing key in the section `listen`.
+        /// The missing key in the section `listen`.
         name: &'static str,
     },
     /// A listener could not be opened.
@@ -76,32 +76,33 @@
     },
 }
 
-/// Runs the proxy until it is told to shut down and its clients have their answers. Needs a runtime of one thread. Metrics
-/// are served at `metrics`, if given.
+/// Runs the proxy until a shutdown is requested and the clients have been answered.
+///
+/// Needs a single-threaded runtime. Serves metrics at `metrics`, if given.
 pub async fn run(settings: Settings, metrics: Option<MetricsEndpoint>) -> Result<(), ProxyError> {
     LocalSet::new().run_until(serve(settings, metrics)).await
 }
 
 async fn serve(settings: Settings, metrics: Option<MetricsEndpoint>) -> Result<(), ProxyError> {
-    let signals = Signals::catch().context(SignalsSnafu)?;
+    let signals = Signals::register().context(SignalsSnafu)?;
     let front = settings.listen.front.context(NoAddressSnafu { name: "front" })?;
     let ready = settings.listen.ready.context(NoAddressSnafu { name: "ready" })?;
     let front_listener = listen(front).await?;
     let ready_listener = listen(ready).await?;
     let node = Rc::new(Node::new(settings, Box::new(TcpConnect), random_number()));
     let clients = Rc::new(Clients::default());
-    spawn_local(signals.follow(Rc::clone(&node)));
+    spawn_local(signals.handle(Rc::clone(&node)));
     spawn_local(readiness::run(ready_listener, Rc::clone(&node)));
     spawn_local(control_link::run(Rc::clone(&node), Identity { front, incarnation: random_number() }));
     spawn_local(tick(Rc::clone(&node), Rc::clone(&clients)));
     if let Some(endpoint) = metrics {
-        let watched = Rc::clone(&node);
-        let text = Rc::new(move || metrics::text(&watched));
+        let metrics_node = Rc::clone(&node);
+        let text = Rc::new(move || metrics::text(&metrics_node));
         spawn_local(whinspindle_metrics::serve(node.settings.ip, endpoint, text));
     }
     tokio::select! {
         () = clients::run(front_listener, Rc::clone(&node), clients) => {}
-        () = node.shutdown.answering_ends() => spdlog::warn!("stopping with answers under way"),
+        () = node.shutdown.wait_for_answering_end() => spdlog::warn!("shutdown: unfinished answers dropped"),
     }
     Ok(())
 }
@@ -111,7 +112,7 @@
 }
 
 async fn tick(node: Rc<Node>, clients: Rc<Clients>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -120,12 +121,12 @@
     }
 }
 
-/// A number that differs for each start of the process.
+/// Returns a random number.
 fn random_number() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// The signals that the platform sends.
+/// The process signals that the proxy handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -133,7 +134,7 @@
 }
 
 impl Signals {
-    fn catch() -> std::io::Result<Signals> {
+    fn register() -> std::io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
@@ -141,20 +142,20 @@
         })
     }
 
-    async fn follow(mut self, node: Rc<Node>) {
+    async fn handle(mut self, node: Rc<Node>) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => stop(&node),
                 _ = self.interrupt.recv() => stop(&node),
-                // What can change at run time comes from the agent.
-                _ = self.hang_up.recv() => spdlog::info!("settings may have changed"),
+                // No action: settings that can change at run time come from the agent.
+                _ = self.hang_up.recv() => spdlog::info!("SIGHUP received: nothing to reload"),
             }
         }
     }
 }
 
 fn stop(node: &Node) {
-    spdlog::info!("stopping");
+    spdlog::info!("shutdown requested");
     node.shutdown.request();
     node.report_due.notify_one();
 }
--- a/dataplane/proxy/src/metrics.rs
+++ b/dataplane/proxy/src/metrics.rs
@@ -5,7 +5,7 @@
 
 use crate::node::Node;
 
-/// The present metrics as OpenMetrics text.
+/// Returns the current metrics as OpenMetrics text.
 pub fn text(node: &Node) -> String {
     let mut metrics = MetricsSnapshot::default();
     add_requests(&mut metrics, node);
@@ -19,9 +19,9 @@
     let names: Vec<(String, u64)> =
         counts.iter().map(|(event, count)| (event.label().to_owned(), *count)).collect();
     let labels: Vec<[(&str, &str); 1]> = names.iter().map(|(name, _)| [("event", name.as_str())]).collect();
-    let counted = labels.iter().zip(&names).map(|(labels, (_, count))| (labels.as_slice(), *count));
-    metrics.add_counter("requests", "Answers, streams and sends by how they ended", counted);
-    let open = node.pool.open() as f64;
+    let samples = labels.iter().zip(&names).map(|(labels, (_, count))| (labels.as_slice(), *count));
+    metrics.add_counter("requests", "Answers, streams and sends by how they ended", samples);
+    let open = node.pool.open_connections() as f64;
     metrics.add_gauge("upstream_connections", "Open connections to upstreams", [([].as_slice(), open)]);
     let is_ready = if node.is_ready() { 1.0 } else { 0.0 };
     metrics.add_gauge("ready", "1 while the proxy takes clients", [([].as_slice(), is_ready)]);
@@ -29,9 +29,13 @@
 
 fn add_services(metrics: &mut MetricsSnapshot, services: &[ServiceMetrics]) {
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
-    let left =
+    let samples =
         labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.retry_budget_tokens));
-    metrics.add_gauge("repeats_left", "Repeated sends that this balancer's part of the budget allows", left);
+    metrics.add_gauge(
+        "repeats_left",
+        "Repeated sends that this balancer's part of the budget allows",
+        samples,
+    );
     add_choices(metrics, services);
     add_regions(metrics, services, "region_share", "Weight by which the region is drawn", |region| {
         region.weight
@@ -74,12 +78,12 @@
         .iter()
         .map(|(service, reason, _)| [("service", *service), ("reason", reason.as_str())])
         .collect();
-    let counted = labels.iter().zip(&rejections).map(|(labels, (_, _, count))| (labels.as_slice(), *count));
-    metrics.add_counter("refusals", "Requests that were refused, by reason", counted);
+    let samples = labels.iter().zip(&rejections).map(|(labels, (_, _, count))| (labels.as_slice(), *count));
+    metrics.add_counter("refusals", "Requests that were refused, by reason", samples);
     let labels: Vec<_> = services.iter().map(|service| [("service", service.service.as_str())]).collect();
-    let passed =
+    let samples =
         labels.iter().zip(services).map(|(labels, service)| (labels.as_slice(), service.busy_instance_skips));
-    metrics.add_counter("passed_over", "Picks that passed over an upstream for its sends in flight", passed);
+    metrics.add_counter("passed_over", "Picks that passed over an upstream for its sends in flight", samples);
     let prompts: Vec<_> = services
         .iter()
         .flat_map(|service| {
@@ -88,11 +92,11 @@
         })
         .map(|(service, target, count)| ([("service", service), ("to", target)], count))
         .collect();
-    let counted = prompts.iter().map(|(labels, count)| (labels.as_slice(), *count));
+    let samples = prompts.iter().map(|(labels, count)| (labels.as_slice(), *count));
     metrics.add_counter(
         "prompts",
         "Prompts sent to the upstream that is to keep their shared parts, and elsewhere",
-        counted,
+        samples,
     );
 }
 
--- a/dataplane/proxy/src/node.rs
+++ b/dataplane/proxy/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that the parts of the proxy share.
+//! The state shared by the modules of the proxy.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -11,35 +11,35 @@
 
 use crate::clock::Clock;
 use crate::connect::Connect;
-use crate::limits::{Capacities, LimitsInForce, MemoryBudget};
+use crate::limits::{Capacities, EffectiveLimits, MemoryBudget};
 use crate::pool::{Pool, PoolLimits};
 use crate::request_counts::RequestCounts;
 use crate::shutdown::{Shutdown, ShutdownTimes};
 
-/// Fraction of an upstream's connections that all balancers together use.
+/// Fraction of an upstream's `max_conns` that all balancers use together.
 const USED_CONNECTIONS_FRACTION: f64 = 0.9;
 
-/// The state of the process. It is used by one thread; nothing is borrowed across an `await`.
+/// The state of the process. Used by a single thread; no borrow is kept across an `await`.
 pub struct Node {
     /// The settings of the process.
     pub settings: Settings,
     /// The clock of the router.
     pub clock: Clock,
-    /// Descriptors and memory by use.
+    /// Shares of file descriptors and memory.
     pub capacities: Capacities,
-    /// The router.
+    /// Chooses an instance for each attempt.
     pub router: RefCell<Router>,
-    /// Limits of requests that clients may count on.
-    pub limits: RefCell<LimitsInForce>,
+    /// The request limits in effect.
+    pub limits: RefCell<EffectiveLimits>,
     /// Connections to upstreams.
     pub pool: Pool,
-    /// Memory for bodies.
-    pub bodies: MemoryBudget,
-    /// The graceful shutdown.
+    /// The memory budget for bodies.
+    pub body_memory: MemoryBudget,
+    /// The state of the graceful shutdown.
     pub shutdown: Shutdown,
-    /// Notified when a report is due at once.
+    /// Notified when a report must be sent immediately.
     pub report_due: Notify,
-    /// Sections of updates that are in force.
+    /// The sections of updates that have been applied.
     pub applied_state: RefCell<AppliedState>,
     /// Notified when an update has been applied.
     updated: Notify,
@@ -50,10 +50,10 @@
 }
 
 impl Node {
-    /// The state of a process that knows no configuration and no instances yet; `seed` is the router's.
+    /// Creates the state of a process without configuration and instances; `seed` seeds the router.
     pub fn new(settings: Settings, connect: Box<dyn Connect>, seed: u64) -> Self {
         let clock = Clock::starting_now();
-        let capacities = Capacities::of(&settings.limits);
+        let capacities = Capacities::from_limits(&settings.limits);
         let router_settings = RouterSettings {
             zone: settings.zone.clone(),
             region: settings.region.clone(),
@@ -70,8 +70,8 @@
             router: RefCell::new(Router::new(router_settings, clock.now_ms())),
             limits: RefCell::default(),
             pool: Pool::new(connect, PoolLimits { total: capacities.upstreams }),
-            bodies: MemoryBudget::new(capacities.body_bytes),
-            shutdown: Shutdown::new(ShutdownTimes::of(grace)),
+            body_memory: MemoryBudget::new(capacities.body_bytes),
+            shutdown: Shutdown::new(ShutdownTimes::for_grace_period(grace)),
             report_due: Notify::new(),
             applied_state: RefCell::default(),
             updated: Notify::new(),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.borrow().clone()
     }
@@ -96,19 +96,20 @@
         self.configuration.borrow().is_some() && self.applied_state.borrow().instances().is_some()
     }
 
-    /// Waits until a configuration and the instances are known, at most until then.
-    pub async fn informed(&self, until: Instant) {
+    /// Waits until a configuration and the instances are known, or until the given instant.
+    pub async fn wait_until_informed(&self, until: Instant) {
         while !self.is_informed() && timeout_at(until, self.updated.notified()).await.is_ok() {}
     }
 
-    /// The most connections that this process may open to one upstream of a service with this `max_conns`.
-    pub fn most_connections(&self, max_conns: u32) -> usize {
+    /// Returns the maximum number of connections of this process to one upstream of a service with this
+    /// `max_conns`.
+    pub fn max_connections(&self, max_conns: u32) -> usize {
         let allowed =
             f64::from(max_conns) * USED_CONNECTIONS_FRACTION / f64::from(self.balancers.get().max(1));
         (allowed as usize).max(1)
     }
 
-    /// Applies the sections of an update that are newer.
+    /// Applies the sections of an update that are newer than the applied ones.
     pub fn apply(&self, update: Update) -> Result<(), ConfigurationError> {
         let now = self.clock.now_ms();
         let changes = self.applied_state.borrow_mut().apply(now, update);
@@ -137,13 +138,13 @@
         Ok(())
     }
 
-    /// Does what is due by time alone.
+    /// Does periodic work: router updates, closing of idle connections, and the regular log line.
     pub fn tick(&self) {
         self.router.borrow_mut().tick(self.clock.now_ms());
         let router = self.router.borrow();
         self.pool.sweep(|instance| router.target(instance).is_some());
         if let Some(counts) = self.request_counts.tick() {
-            spdlog::info!("requests: {counts}; {} connections to upstreams", self.pool.open());
+            spdlog::info!("requests: {counts}; {} connections to upstreams", self.pool.open_connections());
         }
     }
 }
--- a/dataplane/proxy/src/pool.rs
+++ b/dataplane/proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool: idle connections to upstreams, and the limits of open ones.
+//! A pool of connections to upstreams, with limits on open connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,42 +13,42 @@
 use crate::connect::Connect;
 use crate::connection::UpstreamConnection;
 
-/// A connection is not reused within this time after an answer, so that a surplus answer is noticed.
+/// Minimum time between an answer and the reuse of its connection, so that a surplus answer is detected.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// An idle connection is closed after this fraction of the upstream's keep-alive time.
+/// Fraction of the upstream's keep-alive time after which an idle connection is closed.
 const IDLE_FRACTION: f64 = 0.7;
-/// Keep-alive time of an upstream whose answers give none, which is less than a second.
+/// Assumed keep-alive time of an upstream whose answers give none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(500);
-/// Time-out of connecting; longer than a round trip between regions.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// Time-out for connecting; longer than a round trip between regions.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Why there is no connection to an upstream.
+/// Why no connection to an upstream is available.
 #[derive(Debug, Snafu)]
 pub enum ConnectionError {
-    /// The limit of connections is reached.
-    #[snafu(display("all connections that may be open to the upstream are in use"))]
+    /// The limit of open connections is reached.
+    #[snafu(display("the limit of open connections is reached"))]
     Full,
     /// Connecting timed out.
-    #[snafu(display("the upstream did not take the connection in time"))]
-    Silent,
+    #[snafu(display("connecting to the upstream timed out"))]
+    TimedOut,
     /// The connection was refused or could not be made.
-    #[snafu(display("the upstream did not take the connection"))]
-    Refused {
+    #[snafu(display("cannot connect to the upstream"))]
+    ConnectFailed {
         /// The error of the system.
         source: std::io::Error,
     },
-    /// The connection could not be made ready for HTTP.
-    #[snafu(display("the connection can't be made ready"))]
+    /// The HTTP handshake failed.
+    #[snafu(display("the HTTP handshake failed"))]
     Handshake {
         /// The error of the HTTP library.
         source: hyper::Error,
     },
 }
 
-/// The most connections that may be open.
+/// Limits of open connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolLimits {
-    /// To all upstreams together.
+    /// Maximum number of connections to all upstreams together.
     pub total: usize,
 }
 
@@ -63,30 +63,30 @@
 #[derive(Default)]
 struct InstanceConnections {
     open: Rc<Cell<usize>>,
-    /// The upstream's keep-alive time, as its last answer on any connection gave it.
+    /// The upstream's keep-alive time, from its most recent answer on any connection.
     keep_alive: Option<Duration>,
-    /// Sorted by the time of the last use, the last used one last.
-    idle: Vec<Idle>,
+    /// Sorted by time of last use, the most recently used connection last.
+    idle: Vec<IdleConnection>,
 }
 
-struct Idle {
-    since: Instant,
-    until: Instant,
-    leased: Leased,
+struct IdleConnection {
+    idle_since: Instant,
+    expires_at: Instant,
+    leased: LeasedConnection,
 }
 
-/// A connection in use; it counts as open until it is dropped.
-pub struct Leased {
+/// A connection in use, which counts as open until it is dropped.
+pub struct LeasedConnection {
     /// The connection.
     pub connection: UpstreamConnection,
-    /// The upstream's keep-alive time, as far as its answers give it.
+    /// The upstream's keep-alive time, if its answers give one.
     pub keep_alive: Option<Duration>,
     instance: InstanceKey,
     _slot: Slot,
 }
 
-impl Leased {
-    /// The instance that it is connected to.
+impl LeasedConnection {
+    /// Returns the connected instance.
     pub fn instance(&self) -> InstanceKey {
         self.instance
     }
@@ -114,23 +114,23 @@
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(connect: Box<dyn Connect>, limits: PoolLimits) -> Self {
         Pool { connect, limits, total: Rc::default(), instances: RefCell::default() }
     }
 
-    /// A connection to the instance: an idle one, or a new one if fewer than `most` are open.
+    /// Returns an idle connection to the instance, or opens one if fewer than `max_connections` are open.
     ///
-    /// Without `trusts_idle`, idle connections are closed first: a request that is written to an unreachable upstream may not
-    /// be retried, while a new connection that does not come up costs little time.
+    /// Without `may_use_idle`, idle connections are closed first, since a request that was written to an
+    /// unreachable upstream may not be retried, while a failed attempt to connect takes little time.
     pub async fn lease(
         &self,
         instance: InstanceKey,
         address: SocketAddr,
-        most: usize,
-        trusts_idle: bool,
-    ) -> Result<Leased, ConnectionError> {
-        if !trusts_idle {
+        max_connections: usize,
+        may_use_idle: bool,
+    ) -> Result<LeasedConnection, ConnectionError> {
+        if !may_use_idle {
             self.drop_idle(instance);
         }
         while let Some(mut leased) = self.take_idle(instance) {
@@ -138,28 +138,29 @@
                 return Ok(leased);
             }
         }
-        let place = self.take_slot(instance, most)?;
-        let socket = timeout(CONNECT_LIMIT, self.connect.connect(address)).await;
-        let socket = socket.map_err(|_| ConnectionError::Silent)?.context(RefusedSnafu)?;
+        let slot = self.take_slot(instance, max_connections)?;
+        let socket = timeout(CONNECT_TIMEOUT, self.connect.connect(address)).await;
+        let socket = socket.map_err(|_| ConnectionError::TimedOut)?.context(ConnectFailedSnafu)?;
         let connection = UpstreamConnection::open(socket).await.context(HandshakeSnafu)?;
-        Ok(Leased { connection, keep_alive: None, instance, _slot: place })
+        Ok(LeasedConnection { connection, keep_alive: None, instance, _slot: slot })
     }
 
     /// Returns a connection that may carry another request to the pool.
-    pub fn release(&self, leased: Leased) {
+    pub fn release(&self, leased: LeasedConnection) {
         let mut instances = self.instances.borrow_mut();
         let connections = instances.entry(leased.instance).or_default();
         connections.keep_alive = leased.keep_alive.or(connections.keep_alive);
-        let since = Instant::now();
-        let until = since + connections.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).mul_f64(IDLE_FRACTION);
-        connections.idle.push(Idle { since, until, leased });
+        let idle_since = Instant::now();
+        let expires_at =
+            idle_since + connections.keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).mul_f64(IDLE_FRACTION);
+        connections.idle.push(IdleConnection { idle_since, expires_at, leased });
     }
 
-    /// Closes idle connections whose time is over, and those to instances that are no longer known.
+    /// Closes expired idle connections, and idle connections to unknown instances.
     pub fn sweep(&self, is_known: impl Fn(InstanceKey) -> bool) {
         let now = Instant::now();
         self.instances.borrow_mut().retain(|&instance, connections| {
-            connections.idle.retain(|idle| idle.until > now);
+            connections.idle.retain(|idle| idle.expires_at > now);
             let known = is_known(instance);
             if !known {
                 connections.idle.clear();
@@ -168,8 +169,8 @@
         });
     }
 
-    /// Number of open connections.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open connections.
+    pub fn open_connections(&self) -> usize {
         self.total.get()
     }
 
@@ -179,23 +180,23 @@
         }
     }
 
-    /// The idle connection that was used last, so that surplus ones reach their time-out.
-    fn take_idle(&self, instance: InstanceKey) -> Option<Leased> {
+    /// Takes the most recently used idle connection, so that surplus connections expire.
+    fn take_idle(&self, instance: InstanceKey) -> Option<LeasedConnection> {
         let now = Instant::now();
         let mut instances = self.instances.borrow_mut();
         let connections = instances.get_mut(&instance)?;
-        connections.idle.retain(|idle| idle.until > now);
-        let rested = connections.idle.iter().rposition(|idle| idle.since + REUSE_DELAY <= now)?;
-        Some(connections.idle.remove(rested).leased)
+        connections.idle.retain(|idle| idle.expires_at > now);
+        let index = connections.idle.iter().rposition(|idle| idle.idle_since + REUSE_DELAY <= now)?;
+        Some(connections.idle.remove(index).leased)
     }
 
-    fn take_slot(&self, instance: InstanceKey, most: usize) -> Result<Slot, ConnectionError> {
+    fn take_slot(&self, instance: InstanceKey, max_connections: usize) -> Result<Slot, ConnectionError> {
         if self.total.get() >= self.limits.total && !self.drop_oldest_idle() {
             return FullSnafu.fail();
         }
         let mut instances = self.instances.borrow_mut();
         let connections = instances.entry(instance).or_default();
-        if connections.open.get() >= most {
+        if connections.open.get() >= max_connections {
             return FullSnafu.fail();
         }
         Ok(Slot::take(&self.total, &connections.open))
@@ -205,7 +206,7 @@
     fn drop_oldest_idle(&self) -> bool {
         let mut instances = self.instances.borrow_mut();
         let oldest = instances.values_mut().filter(|connections| !connections.idle.is_empty());
-        let Some(connections) = oldest.min_by_key(|connections| connections.idle[0].since) else {
+        let Some(connections) = oldest.min_by_key(|connections| connections.idle[0].idle_since) else {
             return false;
         };
         connections.idle.remove(0);
--- a/dataplane/proxy/src/readiness.rs
+++ b/dataplane/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness endpoint: `GET /readyz` answers 200 while the proxy takes clients, else 503.
+//! The readiness endpoint. `GET /readyz` answers 200 while the proxy accepts clients, else 503.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 
 const PATH: &str = "/readyz";
 
-/// Serves the endpoint as long as the process lives.
+/// Serves the endpoint for the lifetime of the process.
 pub async fn run(listener: TcpListener, node: Rc<Node>) -> Infallible {
     let respond = Rc::new(move |request: &Request<_>| check(&node, request.uri().path()));
     whinspindle_status_server::serve(listener, respond).await
--- a/dataplane/proxy/src/request.rs
+++ b/dataplane/proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is forwarded, and the route that it matches.
+//! A client's request and its matched route.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,45 +13,45 @@
 use whinspindle_configuration::{Configuration, Route, RouteKind, Service};
 use whinspindle_routing::{InstanceTarget, RequestInfo};
 
-use crate::events::Position;
+use crate::events::StreamPosition;
 use crate::headers::{
-    DEADLINE, EXPECT_INSTANCE, EXPECT_VERSION, LAST_EVENT_ID, PRIORITY, REQUEST_ID, number, number_value,
-    prompt_parts, strip_hop_by_hop, token_counts,
+    DEADLINE, EXPECT_INSTANCE, EXPECT_VERSION, LAST_EVENT_ID, PRIORITY, REQUEST_ID, number_header,
+    number_value, prompt_parts, strip_hop_by_hop, token_counts,
 };
 use crate::retry::RetryPolicy;
 
-/// An answer has to leave this long before the client's deadline.
+/// Time before the client's deadline by which the answer must be sent.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
-/// The deadline of an upstream is this much earlier, for the way back.
+/// Time by which an upstream's deadline is earlier than the proxy's, for the transmission of the answer.
 const UPSTREAM_MARGIN: Duration = Duration::from_millis(10);
-/// The highest number that `Priority` may carry.
-const LEAST_URGENT: u8 = 9;
+/// The largest value of the header `Priority`, which is the lowest priority.
+const LOWEST_PRIORITY: u8 = 9;
 
 /// A complete request of a client.
 pub struct ClientRequest {
-    /// Method.
+    /// The method.
     pub method: Method,
     /// Path and query, unchanged.
     pub target: Uri,
-    /// Host by the `Host` header, or by an absolute target.
+    /// The host from the `Host` header or an absolute target.
     pub host: String,
-    /// Headers without those of the client's connection (hop-by-hop headers).
+    /// The headers without hop-by-hop headers.
     pub headers: HeaderMap,
     /// The complete body.
     pub body: Bytes,
     /// The request's id, if the client gave one.
     pub id: Option<HeaderValue>,
-    /// When its first bytes were received.
-    pub received: Instant,
-    /// How long the client waits, if it says so.
+    /// When the first bytes of the request were received.
+    pub received_at: Instant,
+    /// The client's time-out, if given.
     pub client_timeout: Option<Duration>,
-    /// The facts for the router; the route is filled in at each choice.
-    pub facts: RequestInfo,
+    /// The input of the router, whose route is set for each attempt.
+    pub request_info: RequestInfo,
 }
 
 impl ClientRequest {
-    /// A request of these parts; `received` is when its first bytes were received.
-    pub fn new(parts: Parts, body: Bytes, received: Instant) -> Self {
+    /// Creates a request; `received_at` is when its first bytes were received.
+    pub fn new(parts: Parts, body: Bytes, received_at: Instant) -> Self {
         let mut headers = parts.headers;
         let host = host_of(&parts.uri, &headers);
         strip_hop_by_hop(&mut headers);
@@ -61,56 +61,56 @@
         }
         let (prompt_tokens, max_output_tokens) = token_counts(&headers);
         let prompt = prompt_parts(&headers);
-        let facts = RequestInfo { prompt, prompt_tokens, max_output_tokens, ..RequestInfo::default() };
+        let request_info = RequestInfo { prompt, prompt_tokens, max_output_tokens, ..RequestInfo::default() };
         ClientRequest {
             method: parts.method,
             target: origin_form(&parts.uri),
             host,
             id: headers.get(REQUEST_ID).cloned(),
-            client_timeout: number(&headers, &DEADLINE).map(Duration::from_millis),
-            facts,
+            client_timeout: number_header(&headers, &DEADLINE).map(Duration::from_millis),
+            request_info,
             headers,
             body,
-            received,
+            received_at,
         }
     }
 
-    /// Releases what only another attempt would need.
+    /// Releases the data that only another attempt would need.
     pub fn release(&mut self) {
         self.body = Bytes::new();
         self.headers = HeaderMap::new();
-        self.facts = RequestInfo::default();
+        self.request_info = RequestInfo::default();
     }
 
-    /// The deadline of the answer on a route with this time-out.
+    /// Returns the deadline of the answer on a route with this time-out.
     pub fn deadline(&self, timeout: Duration) -> Instant {
         let client_timeout =
             self.client_timeout.map(|client_timeout| client_timeout.saturating_sub(ANSWER_MARGIN));
-        self.received + client_timeout.map_or(timeout, |client_timeout| client_timeout.min(timeout))
+        self.received_at + client_timeout.map_or(timeout, |client_timeout| client_timeout.min(timeout))
     }
 
-    /// The request as it is forwarded to an upstream.
+    /// Builds the request to forward to an upstream.
     pub fn to_upstream(
         &self,
         target: &InstanceTarget,
-        matched: &MatchedRoute,
+        matched_route: &MatchedRoute,
         deadline: Instant,
-        resume: Option<Position>,
+        resume: Option<StreamPosition>,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
-        let left = deadline.saturating_duration_since(Instant::now()).saturating_sub(UPSTREAM_MARGIN);
-        headers.insert(DEADLINE, number_value(left.as_millis() as u64));
+        let time_left = deadline.saturating_duration_since(Instant::now()).saturating_sub(UPSTREAM_MARGIN);
+        headers.insert(DEADLINE, number_value(time_left.as_millis() as u64));
         if let Ok(id) = HeaderValue::from_str(&target.id) {
             headers.insert(EXPECT_INSTANCE, id);
         }
         if !headers.contains_key(HOST) {
             set_host(&mut headers, &self.host, target.address);
         }
-        if matched.service().engine.is_some() {
-            let priority = matched.route().priority.min(LEAST_URGENT);
+        if matched_route.service().engine.is_some() {
+            let priority = matched_route.route().priority.min(LOWEST_PRIORITY);
             headers.insert(PRIORITY, number_value(priority.into()));
         }
         if let Some(resume) = resume {
@@ -128,7 +128,7 @@
     }
 }
 
-fn set_resume(headers: &mut HeaderMap, resume: Position) {
+fn set_resume(headers: &mut HeaderMap, resume: StreamPosition) {
     if let Some(id) = resume.last_id {
         headers.insert(LAST_EVENT_ID, number_value(id));
     }
@@ -137,13 +137,13 @@
     }
 }
 
-/// The host that a request names.
+/// Returns the host of a request, from the `Host` header or the target.
 pub(crate) fn host_of(uri: &Uri, headers: &HeaderMap) -> String {
     let header = headers.get(HOST).and_then(|host| host.to_str().ok());
     header.or_else(|| uri.authority().map(|authority| authority.as_str())).unwrap_or_default().to_owned()
 }
 
-/// The target in origin form (path and query), as upstreams expect it.
+/// Converts the target to origin form (path and query), as upstreams expect it.
 fn origin_form(uri: &Uri) -> Uri {
     if uri.authority().is_none() {
         return uri.clone();
@@ -151,10 +151,10 @@
     uri.path_and_query().cloned().map_or_else(|| Uri::from_static("/"), Uri::from)
 }
 
-/// The route of a request in one configuration, and the service that was drawn for it.
+/// The route of a request in a configuration, and the service that was chosen at random from its backends.
 #[derive(Clone)]
 pub struct MatchedRoute {
-    /// The configuration under which the request was matched.
+    /// The configuration that contains the route.
     pub configuration: Arc<Configuration>,
     /// Index into the configuration's routes.
     pub route: usize,
@@ -163,17 +163,17 @@
 }
 
 impl MatchedRoute {
-    /// The route.
+    /// Returns the route.
     pub fn route(&self) -> &Route {
         &self.configuration.routes[self.route]
     }
 
-    /// The service.
+    /// Returns the service.
     pub fn service(&self) -> &Service {
         &self.configuration.services[self.service]
     }
 
-    /// The retry policy of the route.
+    /// Returns the retry policy of the route.
     pub fn retry_policy(&self) -> RetryPolicy {
         let route = self.route();
         let idempotent = match route.kind {
@@ -181,11 +181,12 @@
             RouteKind::Unsafe => false,
             RouteKind::Streaming => route.resumable,
         };
-        RetryPolicy { idempotent, most_runs: route.retries.max(1) }
+        RetryPolicy { idempotent, max_runs: route.retries.max(1) }
     }
 
-    /// The route in a newer configuration, if it still has the same service as a backend.
-    pub fn moved_to(&self, newer: &Arc<Configuration>, host: &str, path: &str) -> Option<MatchedRoute> {
+    /// Matches the request in a newer configuration, if the route there still has the same service as a
+    /// backend.
+    pub fn rematch(&self, newer: &Arc<Configuration>, host: &str, path: &str) -> Option<MatchedRoute> {
         let route = newer.find_route(host, path)?;
         let name = &self.service().name;
         let backends = &newer.routes[route].backends;
--- a/dataplane/proxy/src/request_counts.rs
+++ b/dataplane/proxy/src/request_counts.rs
@@ -1,12 +1,12 @@
-//! Counters of how requests and attempts ended, for the metrics and for a regular log line.
+//! Counters of the outcomes of requests and attempts, for the metrics and a periodic log line.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// What is counted. The order is that of the metrics and the log line.
+/// A counted event. Metrics and log lines use the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestEvent {
-    /// A complete answer of an upstream was passed on, or a stream began.
+    /// A complete answer was passed on, or a stream was started.
     Answered,
     /// A stream was passed on to its end.
     StreamComplete,
@@ -14,26 +14,26 @@
     StreamResumed,
     /// A stream ended before it was complete.
     StreamTruncated,
-    /// Answered 503: not run.
+    /// Answered 503: the request has not run.
     Rejected,
-    /// Answered 502: may have run.
+    /// Answered 502: the request may have run.
     BadGateway,
-    /// Answered 504: may have run.
+    /// Answered 504: the request may have run.
     TimedOut,
-    /// Answered with another status of the proxy's own, since the request is invalid.
+    /// Answered with another status by the proxy, since the request is invalid.
     InvalidRequest,
     /// An attempt whose upstream did not run the request.
     AttemptRejected,
-    /// An attempt that reached another instance than the one meant.
+    /// An attempt that reached another instance than the intended one.
     AttemptMisdirected,
-    /// An attempt that broke, or whose answer could not be used.
+    /// An attempt whose connection broke or whose answer was unusable.
     AttemptBroken,
-    /// An attempt of which not a byte was written.
+    /// An attempt that ended before any byte was written.
     AttemptUnsent,
 }
 
 impl RequestEvent {
-    /// The label in the served metrics and in the log.
+    /// Returns the label in metrics and log lines.
     pub fn label(self) -> &'static str {
         match self {
             RequestEvent::Answered => "Answered",
@@ -52,7 +52,7 @@
     }
 }
 
-/// Counters since the start of the process, and their values at the last log line.
+/// Counters since the start of the process, with their values at the last log line.
 #[derive(Default)]
 pub struct RequestCounts {
     totals: RefCell<BTreeMap<RequestEvent, u64>>,
@@ -61,7 +61,7 @@
     ticks: Cell<u32>,
 }
 
-/// Ticks between two log lines.
+/// Number of ticks between two log lines.
 const TICKS_PER_LINE: u32 = 20;
 
 impl RequestCounts {
@@ -70,13 +70,13 @@
         *self.totals.borrow_mut().entry(event).or_default() += 1;
     }
 
-    /// The counters since the start of the process.
+    /// Returns the counters since the start of the process.
     pub fn totals(&self) -> BTreeMap<RequestEvent, u64> {
         self.totals.borrow().clone()
     }
 
-    /// To be called regularly. Returns what has been counted since the last log line once the next one is due, and
-    /// something has been counted.
+    /// Must be called periodically. When a log line is due, returns the events counted since the last one, if
+    /// any.
     pub fn tick(&self) -> Option<String> {
         self.ticks.set(self.ticks.get() + 1);
         if self.ticks.get() < TICKS_PER_LINE {
@@ -85,9 +85,11 @@
         self.ticks.set(0);
         let totals = self.totals();
         let logged = self.logged.replace(totals.clone());
-        let since = |(event, count): (&RequestEvent, &u64)| (*event, count - logged.get(event).unwrap_or(&0));
-        let counts = totals.iter().map(since).filter(|(_, count)| *count > 0);
-        let words: Vec<String> = counts.map(|(event, count)| format!("{} {count}", event.label())).collect();
-        (!words.is_empty()).then(|| words.join(", "))
+        let new_count =
+            |(event, count): (&RequestEvent, &u64)| (*event, count - logged.get(event).unwrap_or(&0));
+        let counts = totals.iter().map(new_count).filter(|(_, count)| *count > 0);
+        let entries: Vec<String> =
+            counts.map(|(event, count)| format!("{} {count}", event.label())).collect();
+        (!entries.is_empty()).then(|| entries.join(", "))
     }
 }
--- a/dataplane/proxy/src/request_framing.rs
+++ b/dataplane/proxy/src/request_framing.rs
@@ -1,8 +1,8 @@
 //! Observes the framing of requests as they are read, to prevent request smuggling.
 //!
-//! The HTTP library passes on only one of `Content-Length` and `Transfer-Encoding`. A request with both may hide another
-//! one behind its end. Bodies are tracked too: a client may pipeline its next request, whose head is then read while the
-//! request before it is in progress.
+//! The HTTP library passes on only one of `Content-Length` and `Transfer-Encoding`. A request with both
+//! headers may hide a second request after its end. Bodies are tracked as well, since a client may pipeline
+//! requests, so that the head of the next request is read while the previous request is in progress.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -12,124 +12,139 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-const LENGTH: &[u8] = b"content-length";
-const CODING: &[u8] = b"transfer-encoding";
-/// Bytes kept of a line: more than the names and numbers that are parsed.
-const LINE_BYTES: usize = 256;
+const CONTENT_LENGTH: &[u8] = b"content-length";
+const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
+/// Maximum number of bytes stored of a line, longer than the names and numbers that are parsed.
+const MAX_LINE_BYTES: usize = 256;
 
 /// The part of a request to which the next byte belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Part {
+enum RequestPart {
     #[default]
     Head,
     Body {
-        left: u64,
+        remaining_bytes: u64,
     },
     ChunkSize,
-    /// Includes the line end behind the chunk.
+    /// The chunk's data and the line end after it.
     Chunk {
-        left: u64,
+        remaining_bytes: u64,
     },
     Trailers,
-    /// The end of the request is unknown. Nothing after it is served.
+    /// The end of the request is unknown, so that no later request is served.
     Unknown,
 }
 
-/// The headers of a head that give the length of the body.
+/// The headers that determine the length of a request's body.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lengths {
-    /// The request line has been read.
+struct LengthHeaders {
+    /// Whether the request line has been read.
     has_begun: bool,
     has_length: bool,
     has_coding: bool,
-    /// None if it can't be parsed.
+    /// The value of `Content-Length`, or `None` if it cannot be parsed.
     length: Option<u64>,
 }
 
-impl Lengths {
+impl LengthHeaders {
     fn take(&mut self, line: &[u8], is_truncated: bool) {
         if !std::mem::replace(&mut self.has_begun, true) {
             return;
         }
         let (name, value) = split_at_colon(line);
-        if name.eq_ignore_ascii_case(LENGTH) {
+        if name.eq_ignore_ascii_case(CONTENT_LENGTH) {
             self.has_length = true;
             self.length = if is_truncated { None } else { number(value, 10) };
         }
-        self.has_coding |= name.eq_ignore_ascii_case(CODING);
+        self.has_coding |= name.eq_ignore_ascii_case(TRANSFER_ENCODING);
     }
 
     fn is_ambiguous(self) -> bool {
         self.has_length && self.has_coding
     }
 
-    fn body(self) -> Part {
+    fn body_part(self) -> RequestPart {
         match self {
-            _ if self.is_ambiguous() => Part::Unknown,
-            Lengths { has_coding: true, .. } => Part::ChunkSize,
-            Lengths { has_length: true, length: None, .. } => Part::Unknown,
-            Lengths { length: None | Some(0), .. } => Part::Head,
-            Lengths { length: Some(left), .. } => Part::Body { left },
+            _ if self.is_ambiguous() => RequestPart::Unknown,
+            LengthHeaders { has_coding: true, .. } => RequestPart::ChunkSize,
+            LengthHeaders { has_length: true, length: None, .. } => RequestPart::Unknown,
+            LengthHeaders { length: None | Some(0), .. } => RequestPart::Head,
+            LengthHeaders { length: Some(remaining_bytes), .. } => RequestPart::Body { remaining_bytes },
         }
     }
 }
 
-/// Tracks the bytes of requests, and which heads have an ambiguous length.
+/// Tracks the framing of requests on a connection, and which heads have an ambiguous length.
 #[derive(Debug, Default)]
 pub struct RequestFraming {
-    part: Part,
-    /// The beginning of the present line.
+    part: RequestPart,
+    /// The beginning of the current line.
     line: Vec<u8>,
-    /// The present line is longer than what is kept of it.
+    /// Whether the current line is longer than its stored beginning.
     is_truncated: bool,
-    lengths: Lengths,
-    /// For each complete head of a request that is not finished, oldest first: whether its length is ambiguous.
+    lengths: LengthHeaders,
+    /// Whether the length is ambiguous, for each unfinished request with a complete head, oldest first.
     heads: VecDeque<bool>,
 }
 
 impl RequestFraming {
-    /// Takes bytes as they are read.
+    /// Processes bytes in the order in which they are read.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             bytes = match self.part {
-                Part::Unknown => return,
-                Part::Body { left } => self.skip(bytes, left, Part::Head, |left| Part::Body { left }),
-                Part::Chunk { left } => self.skip(bytes, left, Part::ChunkSize, |left| Part::Chunk { left }),
-                Part::Head | Part::ChunkSize | Part::Trailers => self.read_line(bytes),
+                RequestPart::Unknown => return,
+                RequestPart::Body { remaining_bytes } => {
+                    self.skip_body(bytes, remaining_bytes, RequestPart::Head, |remaining_bytes| {
+                        RequestPart::Body { remaining_bytes }
+                    })
+                }
+                RequestPart::Chunk { remaining_bytes } => {
+                    self.skip_body(bytes, remaining_bytes, RequestPart::ChunkSize, |remaining_bytes| {
+                        RequestPart::Chunk { remaining_bytes }
+                    })
+                }
+                RequestPart::Head | RequestPart::ChunkSize | RequestPart::Trailers => self.read_line(bytes),
             };
         }
     }
 
-    /// Whether the head of the request in progress has both kinds of length.
+    /// Whether the request in progress has both `Content-Length` and `Transfer-Encoding`.
     pub fn is_ambiguous(&self) -> bool {
         self.heads.front().copied().unwrap_or_default()
     }
 
-    /// Whether the end of the request in progress is unknown, so that none may be served after it.
-    pub fn is_lost(&self) -> bool {
-        self.part == Part::Unknown && self.heads.len() <= 1
+    /// Whether the end of the request in progress is unknown, so that no later request may be served.
+    pub fn is_end_unknown(&self) -> bool {
+        self.part == RequestPart::Unknown && self.heads.len() <= 1
     }
 
-    /// The request in progress is finished.
-    pub fn restart(&mut self) {
+    /// Removes the finished request in progress.
+    pub fn finish_request(&mut self) {
         self.heads.pop_front();
     }
 
-    /// Skips bytes of a body or chunk with `left` bytes to come; returns what follows.
-    fn skip<'a>(&mut self, bytes: &'a [u8], left: u64, then: Part, more: fn(u64) -> Part) -> &'a [u8] {
-        let skipped = usize::try_from(left).map_or(bytes.len(), |left| left.min(bytes.len()));
-        let left = left - skipped as u64;
-        self.part = if left == 0 { then } else { more(left) };
+    /// Skips up to `remaining_bytes` of a body or chunk and returns the bytes after them.
+    fn skip_body<'a>(
+        &mut self,
+        bytes: &'a [u8],
+        remaining_bytes: u64,
+        next_part: RequestPart,
+        same_part: fn(u64) -> RequestPart,
+    ) -> &'a [u8] {
+        let skipped = usize::try_from(remaining_bytes)
+            .map_or(bytes.len(), |remaining_bytes| remaining_bytes.min(bytes.len()));
+        let remaining_bytes = remaining_bytes - skipped as u64;
+        self.part = if remaining_bytes == 0 { next_part } else { same_part(remaining_bytes) };
         &bytes[skipped..]
     }
 
-    /// Takes bytes up to the end of a line; returns what follows.
+    /// Reads up to the end of a line and returns the bytes after it.
     fn read_line<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
         let end = bytes.iter().position(|&byte| byte == b'\n');
-        let piece = &bytes[..end.unwrap_or(bytes.len())];
-        let memory = LINE_BYTES.saturating_sub(self.line.len());
-        self.line.extend_from_slice(&piece[..piece.len().min(memory)]);
-        self.is_truncated |= piece.len() > memory;
+        let line_part = &bytes[..end.unwrap_or(bytes.len())];
+        let free_bytes = MAX_LINE_BYTES.saturating_sub(self.line.len());
+        self.line.extend_from_slice(&line_part[..line_part.len().min(free_bytes)]);
+        self.is_truncated |= line_part.len() > free_bytes;
         let Some(end) = end else { return &[] };
         let line = std::mem::take(&mut self.line);
         let is_truncated = std::mem::take(&mut self.is_truncated);
@@ -137,15 +152,15 @@
         &bytes[end + 1..]
     }
 
-    /// Takes a line, or its beginning.
+    /// Processes a line, which may be truncated.
     fn take_line(&mut self, line: &[u8], is_truncated: bool) {
         match self.part {
-            // Empty lines before a request are passed over.
-            Part::Head if line.is_empty() && self.lengths.has_begun => self.end_head(),
-            Part::Head if line.is_empty() => {}
-            Part::Head => self.lengths.take(line, is_truncated),
-            Part::ChunkSize => self.part = chunk(line, is_truncated),
-            Part::Trailers if line.is_empty() => self.part = Part::Head,
+            // Empty lines before a request line are ignored.
+            RequestPart::Head if line.is_empty() && self.lengths.has_begun => self.end_head(),
+            RequestPart::Head if line.is_empty() => {}
+            RequestPart::Head => self.lengths.take(line, is_truncated),
+            RequestPart::ChunkSize => self.part = part_after_chunk_size(line, is_truncated),
+            RequestPart::Trailers if line.is_empty() => self.part = RequestPart::Head,
             _ => {}
         }
     }
@@ -153,19 +168,19 @@
     fn end_head(&mut self) {
         let lengths = std::mem::take(&mut self.lengths);
         self.heads.push_back(lengths.is_ambiguous());
-        self.part = lengths.body();
+        self.part = lengths.body_part();
     }
 }
 
-/// What follows the line of a chunk's size.
-fn chunk(line: &[u8], is_truncated: bool) -> Part {
+/// Returns the part of the request after a line with a chunk size.
+fn part_after_chunk_size(line: &[u8], is_truncated: bool) -> RequestPart {
     const LINE_END: u64 = 2;
     let size = line.split(|&byte| byte == b';').next().unwrap_or_default();
     let is_complete = !is_truncated || size.len() < line.len();
     match number(size, 16).filter(|_| is_complete) {
-        Some(0) => Part::Trailers,
-        Some(size) => Part::Chunk { left: size.saturating_add(LINE_END) },
-        None => Part::Unknown,
+        Some(0) => RequestPart::Trailers,
+        Some(size) => RequestPart::Chunk { remaining_bytes: size.saturating_add(LINE_END) },
+        None => RequestPart::Unknown,
     }
 }
 
@@ -181,16 +196,16 @@
     u64::from_str_radix(text, radix).ok()
 }
 
-/// A socket whose input is observed.
+/// A socket whose input is passed to [`RequestFraming`].
 pub struct ObservedSocket<S> {
     socket: S,
-    watch: Rc<RefCell<RequestFraming>>,
+    framing: Rc<RefCell<RequestFraming>>,
 }
 
 impl<S> ObservedSocket<S> {
-    /// Observes what is read from a socket.
-    pub fn new(socket: S, watch: Rc<RefCell<RequestFraming>>) -> Self {
-        ObservedSocket { socket, watch }
+    /// Wraps a socket, whose input `framing` processes.
+    pub fn new(socket: S, framing: Rc<RefCell<RequestFraming>>) -> Self {
+        ObservedSocket { socket, framing }
     }
 }
 
@@ -202,9 +217,9 @@
     ) -> Poll<std::io::Result<()>> {
         let before = buf.filled().len();
         let read = Pin::new(&mut self.socket).poll_read(cx, buf);
-        let news = &buf.filled()[before..];
-        if !news.is_empty() {
-            self.watch.borrow_mut().push(news);
+        let new_bytes = &buf.filled()[before..];
+        if !new_bytes.is_empty() {
+            self.framing.borrow_mut().push(new_bytes);
         }
         read
     }
--- a/dataplane/proxy/src/stream.rs
+++ b/dataplane/proxy/src/stream.rs
@@ -1,5 +1,7 @@
-//! The body of a streaming answer: complete events are passed on as they arrive, and a resumable stream that breaks off is
-//! resumed at another upstream inside the same answer.
+//! The body of a streaming answer.
+//!
+//! Complete events are passed on as they arrive. A resumable stream whose connection breaks is resumed at
+//! another upstream within the same answer.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,59 +16,63 @@
 use whinspindle_routing::Outcome;
 
 use crate::answers::StreamTruncated;
-use crate::events::Position;
-use crate::exchange::{ChosenInstance, Exchange, GivenUp, OpenStream, Opened, StreamRun};
+use crate::events::StreamPosition;
+use crate::exchange::{
+    ChosenInstance, Exchange, ExchangeFailure, OpenStream, UpstreamAnswer, UpstreamStream,
+};
 use crate::node::Node;
 use crate::request_counts::RequestEvent;
 
-/// The most bytes of events that are passed on at once.
-const MOST_AT_ONCE: usize = 64 * 1024;
-/// Clients give up a silent stream after the longest of this time, a number of latency targets and a number of event gaps.
-const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Size at which a batch of events is passed on, in bytes.
+const MAX_EVENT_BATCH_BYTES: usize = 64 * 1024;
+/// Clients abort a silent stream after the maximum of this time, [`CLIENT_LATENCY_TARGETS`] times the latency
+/// target, and [`CLIENT_EVENT_GAPS`] times the target gap between events.
+const MIN_CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 const CLIENT_LATENCY_TARGETS: u64 = 4;
 const CLIENT_EVENT_GAPS: u64 = 8;
-/// Fraction of that time after which a silent stream is resumed at another upstream.
+/// Fraction of the clients' time-out after which a silent stream is resumed at another upstream.
 const SILENCE_FRACTION: f64 = 0.6;
 
-/// How long a stream may be silent before it is resumed at another upstream.
+/// Returns the time after which a silent stream is resumed at another upstream.
 pub fn silence_limit(route: &Route) -> Duration {
-    let objectives = Duration::from_millis(route.target_ms.saturating_mul(CLIENT_LATENCY_TARGETS));
-    let pauses = Duration::from_millis(route.gap_aim_ms.unwrap_or(0).saturating_mul(CLIENT_EVENT_GAPS));
-    CLIENT_TIMEOUT.max(objectives).max(pauses).mul_f64(SILENCE_FRACTION)
+    let latency_timeout = Duration::from_millis(route.target_ms.saturating_mul(CLIENT_LATENCY_TARGETS));
+    let gap_timeout = Duration::from_millis(route.gap_aim_ms.unwrap_or(0).saturating_mul(CLIENT_EVENT_GAPS));
+    MIN_CLIENT_TIMEOUT.max(latency_timeout).max(gap_timeout).mul_f64(SILENCE_FRACTION)
 }
 
-type Resumed = (Exchange, Result<Opened, GivenUp>);
+type ResumeResult = (Exchange, Result<UpstreamAnswer, ExchangeFailure>);
 
-enum State {
-    Flowing(Box<Flow>),
-    Resuming(Pin<Box<dyn Future<Output = Resumed>>>),
-    /// The resumption of a silent stream failed: it stays open until its deadline, since silence alone does not end it.
+enum StreamState {
+    Running(Box<ActiveRun>),
+    Resuming(Pin<Box<dyn Future<Output = ResumeResult>>>),
+    /// The resumption of a silent stream failed. The stream stays open until its deadline, since silence is
+    /// not an error.
     Abandoned,
-    /// Hyper writes what it has been given, then the client's connection is closed without the last chunk.
+    /// Hyper writes its buffered data before the client's connection is closed without the last chunk.
     Flushing,
     Truncated,
     Ended,
 }
 
-/// A run in progress, and the exchange of its request.
-struct Flow {
+/// An upstream's stream in progress, and the exchange of its request.
+struct ActiveRun {
     exchange: Exchange,
-    run: StreamRun,
+    run: UpstreamStream,
 }
 
 /// A streaming answer in progress.
 pub struct StreamAnswer {
     node: Rc<Node>,
-    state: State,
-    /// Complete events that have not been passed on yet.
-    ready: Bytes,
-    /// The position after the events that have been passed on.
-    position: Position,
+    state: StreamState,
+    /// Complete events to pass on next.
+    pending_events: Bytes,
+    /// The position after the events passed on so far.
+    position: StreamPosition,
     deadline: Pin<Box<Sleep>>,
-    /// Fires when the stream exceeds the silence limit; only where it may be resumed.
-    silence: Option<SilenceTimer>,
-    /// The resumption in progress follows a silence, not a break.
-    moved_after_silence: bool,
+    /// Expires when the stream exceeds the silence limit. Set only if the stream may be resumed.
+    silence_timer: Option<SilenceTimer>,
+    /// Whether the resumption in progress was caused by silence rather than a broken connection.
+    is_resuming_after_silence: bool,
 }
 
 struct SilenceTimer {
@@ -81,7 +87,8 @@
         SilenceTimer { limit, last_event: now, timer: Box::pin(sleep_until(now + limit)) }
     }
 
-    /// Ready once nothing has been received for the limit. The timer is not reset at each event.
+    /// Ready once the stream has been silent for the limit. The timer is reset lazily rather than at each
+    /// event.
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
             ready!(self.timer.as_mut().poll(cx));
@@ -100,61 +107,61 @@
 }
 
 impl StreamAnswer {
-    /// The answer for a stream that has begun.
+    /// Creates the answer for a stream whose first events have been received.
     pub fn begin(mut exchange: Exchange, open: OpenStream) -> (response::Parts, Self) {
         exchange.release();
         let node = Rc::clone(&exchange.node);
-        let route = exchange.matched().route();
-        let moves = exchange.may_resume() && node.settings.mechanisms.has(Mechanism::SilenceMove);
-        let silence = moves.then(|| SilenceTimer::new(silence_limit(route)));
+        let route = exchange.matched_route().route();
+        let may_resume_silent = exchange.may_resume() && node.settings.mechanisms.has(Mechanism::SilenceMove);
+        let silence_timer = may_resume_silent.then(|| SilenceTimer::new(silence_limit(route)));
         let deadline = Box::pin(sleep_until(exchange.deadline()));
         let position = open.run.as_ref().map(|run| run.splitter.position()).unwrap_or_default();
         let state = match open.run {
-            Some(run) => State::Flowing(Box::new(Flow { exchange, run })),
-            None => State::Ended,
+            Some(run) => StreamState::Running(Box::new(ActiveRun { exchange, run })),
+            None => StreamState::Ended,
         };
         (
             open.head,
             StreamAnswer {
                 node,
                 state,
-                ready: open.first,
+                pending_events: open.first_events,
                 position,
                 deadline,
-                silence,
-                moved_after_silence: false,
+                silence_timer,
+                is_resuming_after_silence: false,
             },
         )
     }
 
     /// Whether the stream has ended.
     pub fn is_ended(&self) -> bool {
-        self.ready.is_empty() && matches!(self.state, State::Ended)
+        self.pending_events.is_empty() && matches!(self.state, StreamState::Ended)
     }
 
-    /// The next complete events; none once the stream is complete.
+    /// Polls for the next complete events; `None` once the stream is complete.
     pub fn poll_events(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamTruncated>>> {
-        if !self.ready.is_empty() {
-            return Poll::Ready(Some(Ok(std::mem::take(&mut self.ready))));
+        if !self.pending_events.is_empty() {
+            return Poll::Ready(Some(Ok(std::mem::take(&mut self.pending_events))));
         }
-        if !matches!(self.state, State::Ended) && self.deadline.as_mut().poll(cx).is_ready() {
-            self.state = State::Ended;
+        if !matches!(self.state, StreamState::Ended) && self.deadline.as_mut().poll(cx).is_ready() {
+            self.state = StreamState::Ended;
             self.node.request_counts.record(RequestEvent::StreamTruncated);
-            return Poll::Ready(Some(Err(StreamTruncated::TimeOver)));
+            return Poll::Ready(Some(Err(StreamTruncated::DeadlineExceeded)));
         }
         loop {
-            let events = match std::mem::replace(&mut self.state, State::Ended) {
-                State::Ended => return Poll::Ready(None),
-                State::Flushing => {
-                    self.state = State::Truncated;
+            let events = match std::mem::replace(&mut self.state, StreamState::Ended) {
+                StreamState::Ended => return Poll::Ready(None),
+                StreamState::Flushing => {
+                    self.state = StreamState::Truncated;
                     cx.waker().wake_by_ref();
                     return Poll::Pending;
                 }
-                State::Truncated => return Poll::Ready(Some(Err(StreamTruncated::Broken))),
-                State::Flowing(flow) => ready!(self.poll_flow(flow, cx)),
-                State::Resuming(resuming) => ready!(self.poll_resuming(resuming, cx)),
-                State::Abandoned => {
-                    self.state = State::Abandoned;
+                StreamState::Truncated => return Poll::Ready(Some(Err(StreamTruncated::Broken))),
+                StreamState::Running(active) => ready!(self.poll_run(active, cx)),
+                StreamState::Resuming(resuming) => ready!(self.poll_resuming(resuming, cx)),
+                StreamState::Abandoned => {
+                    self.state = StreamState::Abandoned;
                     return Poll::Pending;
                 }
             };
@@ -164,19 +171,19 @@
         }
     }
 
-    /// Drives a run. Ready with complete events, or with none if the state has changed.
-    fn poll_flow(&mut self, mut flow: Box<Flow>, cx: &mut Context<'_>) -> Poll<Bytes> {
-        let mut events = Events::default();
-        let broke = loop {
-            if events.length >= MOST_AT_ONCE {
+    /// Polls the upstream's stream. Ready with complete events, or without events if the state has changed.
+    fn poll_run(&mut self, mut active: Box<ActiveRun>, cx: &mut Context<'_>) -> Poll<Bytes> {
+        let mut events = EventBatch::default();
+        let is_broken = loop {
+            if events.length >= MAX_EVENT_BATCH_BYTES {
                 break false;
             }
-            let run = &mut flow.run;
+            let run = &mut active.run;
             let data = match run.leased.connection.poll_body(&mut run.body, cx) {
                 Poll::Pending => break false,
                 Poll::Ready(None) => {
                     events.add(run.splitter.finish());
-                    let Flow { exchange, run } = *flow;
+                    let ActiveRun { exchange, run } = *active;
                     self.node.request_counts.record(RequestEvent::StreamComplete);
                     run.complete(&exchange.node, cx);
                     return Poll::Ready(events.take());
@@ -187,134 +194,134 @@
             match run.splitter.push(data) {
                 Ok(complete) => {
                     events.add(complete);
-                    // Of a chunk with an error, no event is passed on.
+                    // Events of a chunk with an error are not passed on, so they do not advance the position.
                     self.position = run.splitter.position();
                 }
                 Err(_) => break true,
             }
         };
         if events.length > 0 {
-            self.node.router.borrow_mut().record_received(flow.run.leased.instance());
+            self.node.router.borrow_mut().record_received(active.run.leased.instance());
             self.record_events();
         }
-        if broke {
-            self.resume_or_truncate(flow);
+        if is_broken {
+            self.resume_or_truncate(active);
         } else if events.length > 0 {
-            self.state = State::Flowing(flow);
+            self.state = StreamState::Running(active);
         } else {
-            return self.wait(flow, cx);
+            return self.handle_silence(active, cx);
         }
         Poll::Ready(events.take())
     }
 
-    /// Nothing has been received. Resumes a stream beyond the silence limit, if the router grants another upstream.
-    fn wait(&mut self, mut flow: Box<Flow>, cx: &mut Context<'_>) -> Poll<Bytes> {
-        if let Some(silence) = &mut self.silence
-            && silence.poll(cx).is_ready()
+    /// Resumes the stream if it exceeds the silence limit and the router chooses another upstream.
+    fn handle_silence(&mut self, mut active: Box<ActiveRun>, cx: &mut Context<'_>) -> Poll<Bytes> {
+        if let Some(silence_timer) = &mut self.silence_timer
+            && silence_timer.poll(cx).is_ready()
         {
             if self.position.last_id.is_some()
-                && flow.exchange.may_resume()
-                && let Ok(chosen) = flow.exchange.choose()
+                && active.exchange.may_resume()
+                && let Ok(chosen) = active.exchange.choose()
             {
-                self.resume_elsewhere(flow, Some(chosen));
+                self.resume_elsewhere(active, Some(chosen));
                 return Poll::Ready(Bytes::new());
             }
-            silence.restart();
-            let _ = silence.poll(cx);
+            silence_timer.restart();
+            let _ = silence_timer.poll(cx);
         }
-        self.state = State::Flowing(flow);
+        self.state = StreamState::Running(active);
         Poll::Pending
     }
 
     fn poll_resuming(
         &mut self,
-        mut resuming: Pin<Box<dyn Future<Output = Resumed>>>,
+        mut resuming: Pin<Box<dyn Future<Output = ResumeResult>>>,
         cx: &mut Context<'_>,
     ) -> Poll<Bytes> {
         let Poll::Ready((exchange, resumed)) = resuming.as_mut().poll(cx) else {
-            self.state = State::Resuming(resuming);
+            self.state = StreamState::Resuming(resuming);
             return Poll::Pending;
         };
         let open = match resumed {
-            Ok(Opened::Stream(open)) => open,
+            Ok(UpstreamAnswer::Stream(open)) => open,
             other => {
                 spdlog::debug!(
-                    "no upstream took up a stream: {:?}",
-                    other.err().map(|given_up| given_up.failure)
+                    "cannot resume a stream: {:?}",
+                    other.err().map(|exchange_failure| exchange_failure.failure)
                 );
                 self.give_up_resuming();
                 return Poll::Ready(Bytes::new());
             }
         };
-        self.moved_after_silence = false;
+        self.is_resuming_after_silence = false;
         self.node.request_counts.record(RequestEvent::StreamResumed);
         self.record_events();
         if let Some(run) = open.run {
             self.position = run.splitter.position();
-            self.state = State::Flowing(Box::new(Flow { exchange, run }));
+            self.state = StreamState::Running(Box::new(ActiveRun { exchange, run }));
         }
-        Poll::Ready(open.first)
+        Poll::Ready(open.first_events)
     }
 
-    /// The state after a failed resumption.
+    /// Sets the state after a failed resumption.
     fn give_up_resuming(&mut self) {
-        if self.moved_after_silence {
-            self.state = State::Abandoned;
+        if self.is_resuming_after_silence {
+            self.state = StreamState::Abandoned;
             return;
         }
         self.node.request_counts.record(RequestEvent::StreamTruncated);
-        self.state = State::Flushing;
+        self.state = StreamState::Flushing;
     }
 
     fn record_events(&mut self) {
-        if let Some(silence) = &mut self.silence {
-            silence.last_event = Instant::now();
+        if let Some(silence_timer) = &mut self.silence_timer {
+            silence_timer.last_event = Instant::now();
         }
     }
 
-    /// Resumes the stream after a run that broke off, or truncates it.
-    fn resume_or_truncate(&mut self, mut flow: Box<Flow>) {
-        self.log_break(&flow);
-        if self.position.last_id.is_some() && flow.exchange.may_resume() {
-            self.resume_elsewhere(flow, None);
+    /// Resumes a stream whose connection broke, or truncates it.
+    fn resume_or_truncate(&mut self, mut active: Box<ActiveRun>) {
+        self.log_break(&active);
+        if self.position.last_id.is_some() && active.exchange.may_resume() {
+            self.resume_elsewhere(active, None);
             return;
         }
-        flow.run.attempt.finish(Outcome::ConnectionBroken);
+        active.run.attempt.finish(Outcome::ConnectionBroken);
         self.node.request_counts.record(RequestEvent::StreamTruncated);
-        self.state = State::Flushing;
+        self.state = StreamState::Flushing;
     }
 
-    fn log_break(&self, flow: &Flow) {
+    fn log_break(&self, active: &ActiveRun) {
         let router = self.node.router.borrow();
-        if let Some(target) = router.target(flow.run.leased.instance()) {
-            spdlog::debug!("{} broke a stream off after event {:?}", target.id, self.position.last_id);
+        if let Some(target) = router.target(active.run.leased.instance()) {
+            spdlog::debug!("{}: the stream broke after event {:?}", target.id, self.position.last_id);
         }
     }
 
-    /// Ends a run and resumes the stream at another upstream.
-    fn resume_elsewhere(&mut self, flow: Box<Flow>, chosen: Option<ChosenInstance>) {
-        let Flow { mut exchange, mut run } = *flow;
-        self.moved_after_silence = chosen.is_some();
+    /// Ends the current upstream's stream and resumes at another upstream.
+    fn resume_elsewhere(&mut self, active: Box<ActiveRun>, chosen: Option<ChosenInstance>) {
+        let ActiveRun { mut exchange, mut run } = *active;
+        self.is_resuming_after_silence = chosen.is_some();
         run.attempt.finish(Outcome::ConnectionBroken);
-        // The old run must not continue beside the new one.
+        // The old upstream must stop before the new one starts.
         drop(run);
         exchange.resume_after(self.position);
-        self.state = State::Resuming(Box::pin(async move {
+        self.state = StreamState::Resuming(Box::pin(async move {
             let resumed = exchange.open(chosen).await;
             (exchange, resumed)
         }));
     }
 }
 
-/// Complete events that are passed on together.
+/// A batch of complete events.
 #[derive(Default)]
-struct Events {
+struct EventBatch {
     first: Bytes,
     more: BytesMut,
     length: usize,
 }
 
-impl Events {
+impl EventBatch {
     fn add(&mut self, events: Bytes) {
         self.length += events.len();
         if self.first.is_empty() {
--- a/dataplane/proxy/tests/answers.rs
+++ b/dataplane/proxy/tests/answers.rs
@@ -52,7 +52,7 @@
     }
 
     /// As the route says.
-    fn most_runs(self) -> usize {
+    fn max_runs(self) -> usize {
         match self {
             Kind::Unsafe | Kind::Stream => 1,
             Kind::Safe | Kind::Resumable => 2,
@@ -440,7 +440,7 @@
     fn check_upstreams(&self, harness: &Harness) {
         for id in [FIRST, SECOND] {
             let runs = harness.upstreams.runs(id);
-            assert!(runs <= self.kind.most_runs(), "{id} ran {runs} times");
+            assert!(runs <= self.kind.max_runs(), "{id} ran {runs} times");
         }
         for request in harness.upstreams.requests() {
             let id = header(&request, "whinspindle-request-id").unwrap_or_default();
--- a/dataplane/proxy/tests/classify.rs
+++ b/dataplane/proxy/tests/classify.rs
@@ -11,9 +11,9 @@
 
 type Headers<'a> = &'a [(&'static str, &'static str)];
 
-fn class(status: u16, headers: Headers, fresh: bool) -> AnswerClass {
+fn class(status: u16, headers: Headers, is_fresh: bool) -> AnswerClass {
     let id = HeaderValue::from_static("a1");
-    let request = Expected { id: Some(&id), instance: "i-1", names_version: false, fresh };
+    let request = Expected { id: Some(&id), instance: "i-1", has_expected_version: false, is_fresh };
     classify(&request, StatusCode::from_u16(status).expect("a status"), &map(headers))
 }
 
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_request_without_an_id_needs_an_answer_without_one() {
-    let request = Expected { id: None, instance: "i-1", names_version: false, fresh: false };
+    let request = Expected { id: None, instance: "i-1", has_expected_version: false, is_fresh: false };
     let found = |headers| classify(&request, StatusCode::BAD_REQUEST, &map(headers));
     assert_eq!(found(&[NOT_RUN]), AnswerClass::Failure);
     assert_eq!(found(&[ID, NOT_RUN]), AnswerClass::Unusable);
@@ -85,9 +85,9 @@
         (&[ID], true, AnswerClass::Rejected),
         (&[ID], false, AnswerClass::Misdirected),
     ];
-    for &(headers, names_version, expected) in cases {
-        let request = Expected { id: Some(&id), instance: "i-1", names_version, fresh: false };
+    for &(headers, has_expected_version, expected) in cases {
+        let request = Expected { id: Some(&id), instance: "i-1", has_expected_version, is_fresh: false };
         let found = classify(&request, StatusCode::MISDIRECTED_REQUEST, &map(headers));
-        assert_eq!(found, expected, "{headers:?} {names_version}");
+        assert_eq!(found, expected, "{headers:?} {has_expected_version}");
     }
 }
--- a/dataplane/proxy/tests/events.rs
+++ b/dataplane/proxy/tests/events.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use quickcheck::{TestResult, quickcheck};
-use whinspindle_proxy::events::{EventError, EventSplitter, MAXIMUM_EVENT_BYTES, Position};
+use whinspindle_proxy::events::{EventError, EventSplitter, MAX_EVENT_BYTES, StreamPosition};
 
 fn push(splitter: &mut EventSplitter, piece: &str) -> Result<String, EventError> {
     let events = splitter.push(Bytes::copy_from_slice(piece.as_bytes()))?;
@@ -18,7 +18,10 @@
     let mut splitter = EventSplitter::new(None);
     let two = event(1, "a") + &event(2, "b");
     assert_eq!(push(&mut splitter, &two), Ok(two));
-    assert_eq!(splitter.position(), Position { last_id: Some(2), largest_step: Some(1), versions: None });
+    assert_eq!(
+        splitter.position(),
+        StreamPosition { last_id: Some(2), largest_step: Some(1), versions: None }
+    );
     assert!(splitter.finish().is_empty());
 }
 
@@ -59,18 +62,18 @@
     for (first, second) in [(5, 5), (5, 4)] {
         let mut splitter = EventSplitter::new(None);
         let events = event(first, "a") + &event(second, "b");
-        assert_eq!(push(&mut splitter, &events), Err(EventError::NotRising { last: first, id: second }));
+        assert_eq!(push(&mut splitter, &events), Err(EventError::NotIncreasing { last: first, id: second }));
     }
 }
 
 #[test]
 fn a_resumed_run_continues_after_the_first() {
-    let position = Position { last_id: Some(12), largest_step: Some(4), versions: None };
+    let position = StreamPosition { last_id: Some(12), largest_step: Some(4), versions: None };
     let cases = [
         (13, Ok(())),
         (16, Ok(())),
-        (12, Err(EventError::NotRising { last: 12, id: 12 })),
-        (4, Err(EventError::NotRising { last: 12, id: 4 })),
+        (12, Err(EventError::NotIncreasing { last: 12, id: 12 })),
+        (4, Err(EventError::NotIncreasing { last: 12, id: 4 })),
         (17, Err(EventError::Gap { last: 12, id: 17 })),
     ];
     for (id, expected) in cases {
@@ -82,10 +85,13 @@
 #[test]
 fn only_the_first_event_of_a_resumed_run_is_checked_against_the_step() {
     let mut splitter =
-        EventSplitter::resuming(Position { last_id: Some(12), largest_step: Some(1), versions: None });
+        EventSplitter::resuming(StreamPosition { last_id: Some(12), largest_step: Some(1), versions: None });
     let events = event(13, "a") + &event(20, "b");
     assert_eq!(push(&mut splitter, &events), Ok(events));
-    assert_eq!(splitter.position(), Position { last_id: Some(20), largest_step: Some(7), versions: None });
+    assert_eq!(
+        splitter.position(),
+        StreamPosition { last_id: Some(20), largest_step: Some(7), versions: None }
+    );
 }
 
 #[test]
@@ -93,13 +99,13 @@
     let mut splitter = EventSplitter::new(None);
     let events = ": still there\n\ndata: a\n\n";
     assert_eq!(push(&mut splitter, events), Ok(events.to_owned()));
-    assert_eq!(splitter.position(), Position::default());
+    assert_eq!(splitter.position(), StreamPosition::default());
 }
 
 #[test]
 fn an_endless_event_is_rejected() {
     let mut splitter = EventSplitter::new(None);
-    let half = "x".repeat(MAXIMUM_EVENT_BYTES / 2 + 1);
+    let half = "x".repeat(MAX_EVENT_BYTES / 2 + 1);
     assert_eq!(push(&mut splitter, &half), Ok(String::new()));
     assert_eq!(push(&mut splitter, &half), Err(EventError::TooLong));
 }
--- a/dataplane/proxy/tests/request_framing.rs
+++ b/dataplane/proxy/tests/request_framing.rs
@@ -27,7 +27,7 @@
 fn each_request_is_observed_anew() {
     let mut watch = RequestFraming::default();
     watch.push(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    watch.restart();
+    watch.finish_request();
     watch.push(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
     assert!(!watch.is_ambiguous());
 }
@@ -58,7 +58,7 @@
             bytes.as_bytes().chunks(piece).for_each(|bytes| watch.push(bytes));
             for expected in [false, false, false, true] {
                 assert_eq!(watch.is_ambiguous(), expected, "{piece} at once after {first}");
-                watch.restart();
+                watch.finish_request();
             }
         }
     }
@@ -77,7 +77,7 @@
     let body = BOTH;
     watch.push(format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
     assert!(!watch.is_ambiguous());
-    watch.restart();
+    watch.finish_request();
     watch.push(LENGTH.as_bytes());
     assert!(!watch.is_ambiguous());
 }
@@ -93,9 +93,9 @@
     for first in firsts {
         let mut watch = RequestFraming::default();
         watch.push(first.as_bytes());
-        assert!(watch.is_lost(), "what follows can't be told: {first}");
+        assert!(watch.is_end_unknown(), "what follows can't be told: {first}");
         watch.push(BOTH.as_bytes());
-        assert!(watch.is_lost() && !watch.is_ambiguous(), "{first}");
+        assert!(watch.is_end_unknown() && !watch.is_ambiguous(), "{first}");
     }
 }
 
@@ -107,8 +107,8 @@
     for first in [extended, other] {
         let mut watch = RequestFraming::default();
         watch.push([first.as_str(), BOTH].concat().as_bytes());
-        assert!(!watch.is_lost() && !watch.is_ambiguous(), "{first}");
-        watch.restart();
+        assert!(!watch.is_end_unknown() && !watch.is_ambiguous(), "{first}");
+        watch.finish_request();
         assert!(watch.is_ambiguous(), "{first}");
     }
 }
--- a/dataplane/proxy/tests/retry.rs
+++ b/dataplane/proxy/tests/retry.rs
@@ -2,20 +2,20 @@
 
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use whinspindle_proxy::retry::{
-    AttemptEnd, AttemptHistory, Decision, ProxyFailure, RetryPolicy, give_up, may_run_again, next,
-    time_is_over,
+    AttemptEnd, AttemptHistory, Decision, ProxyFailure, RetryPolicy, deadline_failure, decide, final_failure,
+    may_run_again,
 };
 
-const ONCE: RetryPolicy = RetryPolicy { idempotent: false, most_runs: 3 };
-const TWICE: RetryPolicy = RetryPolicy { idempotent: true, most_runs: 2 };
-const IDEMPOTENT_ONCE: RetryPolicy = RetryPolicy { idempotent: true, most_runs: 1 };
+const ONCE: RetryPolicy = RetryPolicy { idempotent: false, max_runs: 3 };
+const TWICE: RetryPolicy = RetryPolicy { idempotent: true, max_runs: 2 };
+const IDEMPOTENT_ONCE: RetryPolicy = RetryPolicy { idempotent: true, max_runs: 1 };
 const REJECTED: Decision = Decision::GiveUp(ProxyFailure::Rejected);
 const BAD_GATEWAY: Decision = Decision::GiveUp(ProxyFailure::BadGateway);
 
 fn after(policy: RetryPolicy, ends: &[AttemptEnd]) -> Decision {
     let mut history = AttemptHistory::default();
     ends.iter().for_each(|&end| history.record(end));
-    next(policy, history, *ends.last().expect("a send"))
+    decide(policy, history, *ends.last().expect("a send"))
 }
 
 #[test]
@@ -56,9 +56,9 @@
     let mut history = AttemptHistory::default();
     history.record(AttemptEnd::Rejected);
     history.record(AttemptEnd::NotSent);
-    assert_eq!(time_is_over(history), ProxyFailure::Rejected);
+    assert_eq!(deadline_failure(history), ProxyFailure::Rejected);
     history.record_run();
-    assert_eq!(time_is_over(history), ProxyFailure::TimedOut);
+    assert_eq!(deadline_failure(history), ProxyFailure::TimedOut);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -73,9 +73,9 @@
 
 quickcheck! {
     /// Plays attempts until a decision ends them.
-    fn runs_stay_within_what_the_route_allows(ends: Vec<AnyEnd>, idempotent: bool, most_runs: u8) -> bool {
-        let policy = RetryPolicy { idempotent, most_runs: u32::from(most_runs).max(1) };
-        let allowed = if idempotent { policy.most_runs } else { 1 };
+    fn runs_stay_within_what_the_route_allows(ends: Vec<AnyEnd>, idempotent: bool, max_runs: u8) -> bool {
+        let policy = RetryPolicy { idempotent, max_runs: u32::from(max_runs).max(1) };
+        let allowed = if idempotent { policy.max_runs } else { 1 };
         let mut history = AttemptHistory::default();
         for AnyEnd(end) in ends {
             if !may_run_again(policy, history) {
@@ -85,12 +85,12 @@
             if history.runs > allowed {
                 return false;
             }
-            match next(policy, history, end) {
+            match decide(policy, history, end) {
                 Decision::Retry => {}
                 Decision::PassBack => return end == AttemptEnd::Failed,
                 Decision::GiveUp(failure) => return (failure == ProxyFailure::Rejected) == (history.runs == 0),
             }
         }
-        (give_up(history) == ProxyFailure::Rejected) == (history.runs == 0)
+        (final_failure(history) == ProxyFailure::Rejected) == (history.runs == 0)
     }
 }
