--- a/dataplane/proxy/tests/answers.rs
+++ b/dataplane/proxy/tests/answers.rs
@@ -1,6 +1,6 @@
-//! All schedules of what an upstream may do with a request, on new and on reused connections, for each kind of route: an
-//! answer goes to the request that it belongs to or to none, a request that may not be retried runs once, and a status that
-//! promises that a request has not run is given only if it has not.
+//! All schedules of an upstream's behavior, on new and reused connections, for each kind of route. Answers go
+//! only to their own requests, a request that may not be retried runs at most once, and a status that says
+//! that a request has not run is given only if this is true.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -14,52 +14,52 @@
 
 const FIRST: &str = "aaaaaaaaaaaaaaa1";
 const SECOND: &str = "bbbbbbbbbbbbbbb2";
-const WARM: &str = "ccccccccccccccc3";
+const WARM_UP: &str = "ccccccccccccccc3";
 const OTHER: &str = "ddddddddddddddd4";
-/// A connection between proxy and upstream that holds less than a request.
-const NARROW: usize = 64;
-const SMALL_BODY: usize = 5;
-const LARGE_BODY: usize = 900;
-/// Between the end of one answer and the next request.
+/// Buffer size of a connection that is smaller than a request.
+const NARROW_PIPE_BYTES: usize = 64;
+const SMALL_BODY_BYTES: usize = 5;
+const LARGE_BODY_BYTES: usize = 900;
+/// Times between the end of an answer and the next request.
 const GAPS_MS: [u64; 3] = [0, 19, 50];
 const SURPLUS_WAITS_MS: [u64; 5] = [0, 10, 49, 50, 51];
-/// More than the last chunk.
-const CUT_OFF: usize = 12;
-const KEPT_UNREAD: Duration = Duration::from_millis(30);
+/// Number of truncated bytes, more than the last chunk.
+const TRUNCATED_BYTES: usize = 12;
+const UNREAD_WAIT: Duration = Duration::from_millis(30);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum RouteKind {
     Unsafe,
     Safe,
     Stream,
     Resumable,
 }
 
-impl Kind {
-    const ALL: [Kind; 4] = [Kind::Unsafe, Kind::Safe, Kind::Stream, Kind::Resumable];
+impl RouteKind {
+    const ALL: [RouteKind; 4] = [RouteKind::Unsafe, RouteKind::Safe, RouteKind::Stream, RouteKind::Resumable];
 
     fn path(self) -> &'static str {
         match self {
-            Kind::Unsafe => "/unsafe/x",
-            Kind::Safe => "/safe/x",
-            Kind::Stream => "/stream/x",
-            Kind::Resumable => "/resumable/x",
+            RouteKind::Unsafe => "/unsafe/x",
+            RouteKind::Safe => "/safe/x",
+            RouteKind::Stream => "/stream/x",
+            RouteKind::Resumable => "/resumable/x",
         }
     }
 
     fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream | Kind::Resumable)
+        matches!(self, RouteKind::Stream | RouteKind::Resumable)
     }
 
-    /// As the route says.
+    /// Maximum number of runs that the route allows.
     fn max_runs(self) -> usize {
         match self {
-            Kind::Unsafe | Kind::Stream => 1,
-            Kind::Safe | Kind::Resumable => 2,
+            RouteKind::Unsafe | RouteKind::Stream => 1,
+            RouteKind::Safe | RouteKind::Resumable => 2,
         }
     }
 
-    /// The head and the body of a good answer, which name the request's id.
+    /// The head and body of a successful answer, with `{id}` for the request's id.
     fn success(self) -> (String, String) {
         let head = format!(
             "HTTP/1.1 200 OK\r\nWhinspindle-Request-Id: {{id}}\r\nWhinspindle-Server-Stamp: {STAMP}\r\n\
@@ -74,12 +74,12 @@
         (format!("{head}Content-Length: {}\r\n\r\n", length(&body)), body)
     }
 
-    fn whole(self) -> String {
+    fn complete_answer(self) -> String {
         let (head, body) = self.success();
         head + &body
     }
 
-    /// A good answer of which the body comes in chunks.
+    /// A successful answer with a chunked body.
     fn in_chunks(self) -> String {
         let (head, body) = self.success();
         if self.is_stream() {
@@ -91,11 +91,11 @@
     }
 }
 
-/// The body by its length or in chunks; of chunks without an end nothing.
-fn complete_body(got: &str) -> String {
-    match header(got, "transfer-encoding") {
-        Some(_) => Some(chunks(got)).filter(|(_, is_complete)| *is_complete).unwrap_or_default().0,
-        None => body(got).to_owned(),
+/// The body of an answer; empty if it is chunked and incomplete.
+fn complete_body(received: &str) -> String {
+    match header(received, "transfer-encoding") {
+        Some(_) => Some(chunks(received)).filter(|(_, is_complete)| *is_complete).unwrap_or_default().0,
+        None => body(received).to_owned(),
     }
 }
 
@@ -103,7 +103,7 @@
     [1, 2, 3].map(|number| format!("id: {number}\ndata: {{id}}\n\n"))
 }
 
-/// The length of a text with an id in place of `{id}`.
+/// The length of a text after an id replaces `{id}`.
 fn length(text: &str) -> usize {
     text.replace("{id}", FIRST).len()
 }
@@ -112,26 +112,27 @@
     text.replace("{id}", id)
 }
 
-/// What an upstream does with a request.
+/// The behavior of an upstream for one request.
 #[derive(Clone, Debug)]
 struct Event {
     name: String,
     script: Script,
-    /// Nothing of it keeps the request from a good answer.
+    /// Whether the request must be answered successfully.
     must_serve: bool,
-    /// How long after its answer the connection ends.
-    ends_after: Duration,
+    /// Time between the answer and the surplus bytes or the close.
+    surplus_after: Duration,
 }
 
 impl Event {
-    /// Whether the next request must be served: surplus bytes arrived long before it, or within the reuse delay.
-    fn spares_next(&self, gap: Duration) -> bool {
-        self.must_serve && (self.ends_after < REUSE_DELAY / 2 || gap < REUSE_DELAY / 2)
+    /// Whether the next request must be served, because surplus bytes arrive well within the reuse delay or the
+    /// request is sent well within it.
+    fn must_serve_next(&self, gap: Duration) -> bool {
+        self.must_serve && (self.surplus_after < REUSE_DELAY / 2 || gap < REUSE_DELAY / 2)
     }
 }
 
 fn event(name: impl Into<String>, script: Script) -> Event {
-    Event { name: name.into(), script, must_serve: false, ends_after: Duration::ZERO }
+    Event { name: name.into(), script, must_serve: false, surplus_after: Duration::ZERO }
 }
 
 fn served(name: impl Into<String>, script: Script) -> Event {
@@ -139,7 +140,7 @@
 }
 
 /// An answer without a body.
-fn bare(status: &str, headers: &str) -> Step {
+fn empty_answer(status: &str, headers: &str) -> Step {
     write(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n"))
 }
 
@@ -147,15 +148,15 @@
 const OTHER_ID: &str = "Whinspindle-Request-Id: ddddddddddddddd4\r\n";
 const NOT_RUN: &str = "Whinspindle-Not-Run: 1\r\n";
 
-fn full(id: &str) -> Step {
-    bare("503 Service Unavailable", &format!("{id}{NOT_RUN}Keep-Alive: timeout=5\r\n"))
+fn overload_rejection(id: &str) -> Step {
+    empty_answer("503 Service Unavailable", &format!("{id}{NOT_RUN}Keep-Alive: timeout=5\r\n"))
 }
 
 fn misdirected(id: &str) -> Step {
-    bare("421 Misdirected Request", id)
+    empty_answer("421 Misdirected Request", id)
 }
 
-fn breaks(kind: Kind) -> Vec<Event> {
+fn broken_answers(kind: RouteKind) -> Vec<Event> {
     let (head, body) = kind.success();
     let half_head = write(&head[..head.len() / 2]);
     let half_body = write(format!("{head}{}", &body[..body.len() / 2]));
@@ -172,7 +173,7 @@
         event("half a body", vec![Step::Run, half_body.clone(), Step::Close]),
         event(
             "chunks that break off",
-            vec![Step::Run, write(&in_chunks[..in_chunks.len() - CUT_OFF]), Step::Close],
+            vec![Step::Run, write(&in_chunks[..in_chunks.len() - TRUNCATED_BYTES]), Step::Close],
         ),
         event(
             "chunks without the last",
@@ -185,7 +186,7 @@
                 Step::BeforeBody,
                 Step::Run,
                 half_head,
-                Step::Wait(KEPT_UNREAD),
+                Step::Wait(UNREAD_WAIT),
                 Step::ReadBody,
                 Step::Close,
             ],
@@ -204,21 +205,21 @@
     ]
 }
 
-fn good_answers(kind: Kind) -> Vec<Event> {
-    let whole = || write(kind.whole());
-    let closing = kind.whole().replacen("Keep-Alive: timeout=5", "Connection: close", 1);
-    let after = |text: &str| vec![Step::Run, write(text), whole()];
+fn good_answers(kind: RouteKind) -> Vec<Event> {
+    let complete_answer = || write(kind.complete_answer());
+    let closing = kind.complete_answer().replacen("Keep-Alive: timeout=5", "Connection: close", 1);
+    let after = |text: &str| vec![Step::Run, write(text), complete_answer()];
     let early = |rest: &[Step]| {
-        let mut script = vec![Step::BeforeBody, Step::Run, whole()];
+        let mut script = vec![Step::BeforeBody, Step::Run, complete_answer()];
         script.extend_from_slice(rest);
         script
     };
     vec![
-        served("a whole answer", vec![Step::Run, whole()]),
+        served("a whole answer", vec![Step::Run, complete_answer()]),
         served("a whole answer that names a close", vec![Step::Run, write(closing.clone()), Step::Close]),
         served("a whole answer that names a close to come", vec![Step::Run, write(closing)]),
         served("a whole answer in chunks", vec![Step::Run, write(kind.in_chunks())]),
-        served("a whole answer and a close", vec![Step::Run, whole(), Step::Close]),
+        served("a whole answer and a close", vec![Step::Run, complete_answer(), Step::Close]),
         served("a continuation", after("HTTP/1.1 100 Continue\r\n\r\n")),
         served("hints", after("HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n")),
         served("two continuations", after("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n")),
@@ -229,91 +230,93 @@
                 write("HTTP/1.1 100 Continue\r\n\r\n"),
                 Step::ReadBody,
                 Step::Run,
-                whole(),
+                complete_answer(),
             ],
         ),
         event("an early answer, the body read at once", early(&[Step::ReadBody])),
-        event("an early answer, the body read later", early(&[Step::Wait(KEPT_UNREAD), Step::ReadBody])),
+        event("an early answer, the body read later", early(&[Step::Wait(UNREAD_WAIT), Step::ReadBody])),
         event("an early answer and a close", early(&[Step::Close])),
-        event("an early answer and silence", early(&[Step::Wait(KEPT_UNREAD), Step::Close])),
+        event("an early answer and silence", early(&[Step::Wait(UNREAD_WAIT), Step::Close])),
     ]
 }
 
-fn refusals() -> Vec<Event> {
+fn rejections() -> Vec<Event> {
     let mut events = Vec::new();
     for (name, id) in [("its id", OWN_ID), ("another id", OTHER_ID), ("no id", "")] {
-        events.push(event(format!("full, with {name}"), vec![full(id)]));
+        events.push(event(format!("full, with {name}"), vec![overload_rejection(id)]));
         events.push(event(format!("misdirected, with {name}"), vec![misdirected(id)]));
-        let early = vec![Step::BeforeBody, full(id), Step::Wait(KEPT_UNREAD), Step::ReadBody];
+        let early = vec![Step::BeforeBody, overload_rejection(id), Step::Wait(UNREAD_WAIT), Step::ReadBody];
         events.push(event(format!("full, early, with {name}"), early));
         events.push(event(
             format!("full, early, and a close, with {name}"),
-            vec![Step::BeforeBody, full(id), Step::Close],
+            vec![Step::BeforeBody, overload_rejection(id), Step::Close],
         ));
         let bodiless = format!("HTTP/1.1 503 Full\r\n{id}{NOT_RUN}Content-Length: 5\r\n\r\n");
         events.push(event(format!("full, without its body, with {name}"), vec![write(bodiless), Step::Hang]));
         let surplus = SURPLUS_WAITS_MS.map(|wait| {
-            let script = vec![full(id), Step::Wait(Duration::from_millis(wait)), full(id)];
+            let script =
+                vec![overload_rejection(id), Step::Wait(Duration::from_millis(wait)), overload_rejection(id)];
             event(format!("full, and again after {wait} ms, with {name}"), script)
         });
         events.extend(surplus);
     }
     for status in ["503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout"] {
-        events.push(event(format!("{status} of a run"), vec![Step::Run, bare(status, OWN_ID)]));
+        events.push(event(format!("{status} of a run"), vec![Step::Run, empty_answer(status, OWN_ID)]));
     }
     events
 }
 
-fn unfit_answers(kind: Kind) -> Vec<Event> {
-    let whole = kind.whole();
+fn unusable_answers(kind: RouteKind) -> Vec<Event> {
+    let complete_answer = kind.complete_answer();
     let (head, body) = kind.success();
-    let with = |header: &str| write(whole.replacen("\r\n", &format!("\r\n{header}\r\n"), 1));
-    let unstamped = whole.replace(&format!("Whinspindle-Server-Stamp: {STAMP}\r\n"), "");
+    let with = |header: &str| write(complete_answer.replacen("\r\n", &format!("\r\n{header}\r\n"), 1));
+    let unstamped = complete_answer.replace(&format!("Whinspindle-Server-Stamp: {STAMP}\r\n"), "");
     let failure = head.replace("200 OK", "500 Oh") + &body;
     let mut events = vec![
-        event("another id", vec![Step::Run, write(with_id(&whole, OTHER))]),
+        event("another id", vec![Step::Run, write(with_id(&complete_answer, OTHER))]),
         event(
             "another id, then its own",
-            vec![Step::Run, write(with_id(&whole, OTHER)), write(whole.clone())],
+            vec![Step::Run, write(with_id(&complete_answer, OTHER)), write(complete_answer.clone())],
         ),
-        event("no id", vec![Step::Run, write(whole.replace(OWN_ID, ""))]),
+        event("no id", vec![Step::Run, write(complete_answer.replace(OWN_ID, ""))]),
         event("no stamp", vec![Step::Run, write(unstamped)]),
         event("an encoding", vec![Step::Run, with("Content-Encoding: gzip")]),
         event("a failure", vec![Step::Run, write(failure)]),
-        event("a redirection", vec![Step::Run, bare("302 Found", OWN_ID)]),
-        event("nothing changed", vec![Step::Run, bare("304 Not Modified", OWN_ID)]),
+        event("a redirection", vec![Step::Run, empty_answer("302 Found", OWN_ID)]),
+        event("nothing changed", vec![Step::Run, empty_answer("304 Not Modified", OWN_ID)]),
     ];
     let second_length = if kind.is_stream() { "Content-Length: 3" } else { "Transfer-Encoding: chunked" };
     events.push(event("two kinds of length", vec![Step::Run, with(second_length), Step::Close]));
     events
 }
 
-/// Complete answers with surplus bytes behind them, also in place of the next answer.
-fn surpluses(kind: Kind) -> Vec<Event> {
-    let whole = kind.whole();
+/// Complete answers with surplus bytes after them, also in place of the next answer.
+fn surplus_answers(kind: RouteKind) -> Vec<Event> {
+    let complete_answer = kind.complete_answer();
     let surplus = [
-        ("the answer again", write(whole.clone())),
-        ("an answer to another", write(with_id(&whole, OTHER))),
-        ("half an answer", write(&whole[..whole.len() / 2])),
+        ("the answer again", write(complete_answer.clone())),
+        ("an answer to another", write(with_id(&complete_answer, OTHER))),
+        ("half an answer", write(&complete_answer[..complete_answer.len() / 2])),
         ("no answer", write("what is this\r\n\r\n")),
         ("a continuation", write("HTTP/1.1 100 Continue\r\n\r\n")),
-        ("a refusal", full(OWN_ID)),
-        ("a refusal without id", full("")),
+        ("a refusal", overload_rejection(OWN_ID)),
+        ("a refusal without id", overload_rejection("")),
         ("a misdirection without id", misdirected("")),
         ("a close", Step::Close),
     ];
     let mut events = Vec::new();
     for (name, more) in surplus {
         for wait in SURPLUS_WAITS_MS {
-            let ends_after = Duration::from_millis(wait);
-            let script = vec![Step::Run, write(whole.clone()), Step::Wait(ends_after), more.clone()];
-            events.push(Event { ends_after, ..served(format!("{name} {wait} ms behind"), script) });
+            let surplus_after = Duration::from_millis(wait);
+            let script =
+                vec![Step::Run, write(complete_answer.clone()), Step::Wait(surplus_after), more.clone()];
+            events.push(Event { surplus_after, ..served(format!("{name} {wait} ms behind"), script) });
         }
     }
     events
 }
 
-/// The same with a reset in the place of each close.
+/// The events, and each event that ends in a close also with a reset instead.
 fn with_resets(events: Vec<Event>) -> Vec<Event> {
     let ends_in_close = |event: &&Event| matches!(event.script.last(), Some(Step::Close));
     let resets = events.iter().filter(ends_in_close).map(|event| {
@@ -327,25 +330,34 @@
     [events, resets].concat()
 }
 
-fn all_events(kind: Kind) -> Vec<Event> {
-    with_resets([breaks(kind), good_answers(kind), refusals(), unfit_answers(kind), surpluses(kind)].concat())
+fn all_events(kind: RouteKind) -> Vec<Event> {
+    with_resets(
+        [
+            broken_answers(kind),
+            good_answers(kind),
+            rejections(),
+            unusable_answers(kind),
+            surplus_answers(kind),
+        ]
+        .concat(),
+    )
 }
 
-/// One schedule of events.
+/// A schedule of an event and its circumstances.
 #[derive(Clone, Debug)]
-struct Order {
-    kind: Kind,
+struct Schedule {
+    kind: RouteKind,
     event: Event,
-    /// Connections to all upstreams have carried an answer before.
+    /// Whether connections to all upstreams have already carried an answer.
     is_reused: bool,
     is_narrow: bool,
     body_bytes: usize,
     gap: Duration,
-    /// The client disconnects this long after its request.
-    leaves: Option<Duration>,
+    /// Time after the request at which the client disconnects.
+    disconnects_after: Option<Duration>,
 }
 
-impl Order {
+impl Schedule {
     fn request(&self, id: &str) -> String {
         let body = id[..1].repeat(self.body_bytes);
         format!(
@@ -358,9 +370,9 @@
 
     async fn play(&self) {
         let harness = Harness::new();
-        harness.upstreams.otherwise(vec![Step::Run, write(self.kind.whole())]);
+        harness.upstreams.default_script(vec![Step::Run, write(self.kind.complete_answer())]);
         if self.is_narrow {
-            harness.upstreams.pipe_bytes.set(Some(NARROW));
+            harness.upstreams.pipe_bytes.set(Some(NARROW_PIPE_BYTES));
         }
         if self.is_reused {
             self.warm_up(&harness).await;
@@ -369,38 +381,38 @@
         harness.upstreams.script(self.event.script.clone());
         let mut client = harness.client();
         client.send(&self.request(FIRST)).await;
-        match self.leaves {
+        match self.disconnects_after {
             Some(time) => {
                 sleep(time).await;
                 drop(client);
             }
             None => {
-                let got = client.answer().await;
-                self.check_answer(&harness, FIRST, &got);
+                let received = client.answer().await;
+                self.check_answer(&harness, FIRST, &received);
                 if self.event.must_serve {
-                    assert_eq!(status(&got), 200, "{got}");
+                    assert_eq!(status(&received), 200, "{received}");
                     assert!(!self.is_reused || harness.upstreams.connections() == connections, "reused");
                 }
             }
         }
         sleep(self.gap).await;
-        let got = harness.ask(&self.request(SECOND)).await;
-        self.check_answer(&harness, SECOND, &got);
-        // The event may be left for the next request by a client that leaves at once.
-        let must_serve = self.leaves.is_none() && self.event.spares_next(self.gap);
-        assert!(!must_serve || status(&got) == 200, "the next is served: {got}");
+        let received = harness.ask(&self.request(SECOND)).await;
+        self.check_answer(&harness, SECOND, &received);
+        // The second request may meet the event if the first client disconnects immediately.
+        let must_serve = self.disconnects_after.is_none() && self.event.must_serve_next(self.gap);
+        assert!(!must_serve || status(&received) == 200, "the next request is served: {received}");
         sleep(REUSE_DELAY).await;
         self.check_upstreams(&harness);
     }
 
-    /// Six requests at once leave an idle connection to each of the three upstreams.
+    /// Sends six concurrent requests, which leaves an idle connection to each of the three upstreams.
     async fn warm_up(&self, harness: &Harness) {
         let mut clients: Vec<Client> = (0..6).map(|_| harness.client()).collect();
         for client in &mut clients {
             let mut script = vec![Step::Wait(SETTLE_TIME * 5)];
-            script.push(write(self.kind.whole()));
+            script.push(write(self.kind.complete_answer()));
             harness.upstreams.script(script);
-            client.send(&self.request(WARM)).await;
+            client.send(&self.request(WARM_UP)).await;
         }
         for client in &mut clients {
             assert_eq!(status(&client.answer().await), 200);
@@ -408,33 +420,33 @@
         sleep(REUSE_DELAY).await;
     }
 
-    fn check_answer(&self, harness: &Harness, id: &str, got: &str) {
-        let code = status(got);
+    fn check_answer(&self, harness: &Harness, id: &str, received: &str) {
+        let code = status(received);
         if matches!(code, 408 | 421 | 429 | 503) {
             assert_eq!(harness.upstreams.runs(id), 0, "{code} promises that it has not run");
         }
-        if let Some(answered) = header(got, "whinspindle-request-id") {
-            assert_eq!(answered, id, "the answer is its own: {got}");
+        if let Some(answered) = header(received, "whinspindle-request-id") {
+            assert_eq!(answered, id, "the answer is its own: {received}");
         }
-        if header(got, "whinspindle-server-stamp").is_some() {
-            assert!(matches!(code, 200 | 500), "a stamp comes with the status of its upstream: {got}");
+        if header(received, "whinspindle-server-stamp").is_some() {
+            assert!(matches!(code, 200 | 500), "a stamp comes with the status of its upstream: {received}");
         }
         if code == 200 {
-            self.check_success(id, got);
+            self.check_success(id, received);
         }
     }
 
-    fn check_success(&self, id: &str, got: &str) {
-        assert_eq!(header(got, "content-encoding"), None, "{got}");
-        assert_eq!(header(got, "whinspindle-server-stamp").as_deref(), Some(STAMP), "{got}");
+    fn check_success(&self, id: &str, received: &str) {
+        assert_eq!(header(received, "content-encoding"), None, "{received}");
+        assert_eq!(header(received, "whinspindle-server-stamp").as_deref(), Some(STAMP), "{received}");
         if !self.kind.is_stream() {
-            assert_eq!(complete_body(got), with_id("{id} is served", id), "the whole body");
+            assert_eq!(complete_body(received), with_id("{id} is served", id), "the whole body");
             return;
         }
-        let whole = with_id(&event_texts().concat(), id);
-        let (events, is_complete) = chunks(got);
-        assert!(whole.starts_with(&events), "a part of its own stream: {got}");
-        assert!(!is_complete || events == whole, "no stream looks complete that is not: {got}");
+        let complete_answer = with_id(&event_texts().concat(), id);
+        let (events, is_complete) = chunks(received);
+        assert!(complete_answer.starts_with(&events), "a part of its own stream: {received}");
+        assert!(!is_complete || events == complete_answer, "an incomplete stream looks complete: {received}");
     }
 
     fn check_upstreams(&self, harness: &Harness) {
@@ -444,30 +456,38 @@
         }
         for request in harness.upstreams.requests() {
             let id = header(&request, "whinspindle-request-id").unwrap_or_default();
-            assert!([FIRST, SECOND, WARM].contains(&id.as_str()), "{request}");
+            assert!([FIRST, SECOND, WARM_UP].contains(&id.as_str()), "{request}");
             assert_eq!(body(&request), id[..1].repeat(self.body_bytes), "its own body");
         }
         for part in harness.upstreams.broken_bodies() {
             let bytes = part.as_bytes();
             let is_own = bytes.iter().all(|byte| *byte == bytes[0] && b"abc".contains(byte));
-            assert!(is_own, "nothing but its own body where a body is due: {part}");
+            assert!(is_own, "a body contains other bytes: {part}");
         }
     }
 }
 
-fn play_orders(leaves: Option<Duration>, gaps: &[u64]) -> usize {
+fn play_schedules(disconnects_after: Option<Duration>, gaps: &[u64]) -> usize {
     let mut played = 0;
-    for kind in Kind::ALL {
+    for kind in RouteKind::ALL {
         for event in all_events(kind) {
             for (is_reused, is_narrow) in [(false, false), (false, true), (true, false), (true, true)] {
-                for body_bytes in [SMALL_BODY, LARGE_BODY] {
+                for body_bytes in [SMALL_BODY_BYTES, LARGE_BODY_BYTES] {
                     for gap in gaps {
                         let gap = Duration::from_millis(*gap);
                         let event = event.clone();
-                        let order = Order { kind, event, is_reused, is_narrow, body_bytes, gap, leaves };
-                        // Shown if a check in it fails.
-                        println!("{kind:?} {:?}: {order:?}", order.event.name);
-                        play(async move { order.play().await });
+                        let schedule = Schedule {
+                            kind,
+                            event,
+                            is_reused,
+                            is_narrow,
+                            body_bytes,
+                            gap,
+                            disconnects_after,
+                        };
+                        // Printed only if a check fails.
+                        println!("{kind:?} {:?}: {schedule:?}", schedule.event.name);
+                        play(async move { schedule.play().await });
                         played += 1;
                     }
                 }
@@ -479,13 +499,13 @@
 
 #[test]
 fn every_schedule_matches_answers_to_requests() {
-    let played = play_orders(None, &GAPS_MS);
-    assert!(played > 5_000, "{played} orders");
+    let played = play_schedules(None, &GAPS_MS);
+    assert!(played > 5_000, "{played} schedules");
 }
 
 #[test]
 fn every_schedule_with_a_disconnect_matches_answers_to_requests() {
     let played: usize =
-        [0, 1, 20].into_iter().map(|time| play_orders(Some(Duration::from_millis(time)), &[0])).sum();
-    assert!(played > 5_000, "{played} orders");
+        [0, 1, 20].into_iter().map(|time| play_schedules(Some(Duration::from_millis(time)), &[0])).sum();
+    assert!(played > 5_000, "{played} schedules");
 }
--- a/dataplane/proxy/tests/callers.rs
+++ b/dataplane/proxy/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Unusual and invalid requests: each is answered, and each answer belongs to its request.
+//! Unusual and invalid requests: each request gets its own answer.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -11,7 +11,7 @@
 };
 use tokio::time::sleep;
 
-/// The time-out of the routes that are not streaming.
+/// Time-out of the routes without streaming.
 const TIMEOUT_MS: u64 = 4000;
 
 fn with_deadline(value: &str) -> String {
@@ -55,7 +55,7 @@
     for value in ["0", "1", "40", "000"] {
         play(async move {
             let harness = Harness::new();
-            harness.upstreams.otherwise(served("no"));
+            harness.upstreams.default_script(served("no"));
             let got = harness.ask(&with_deadline(value)).await;
             assert_eq!(status(&got), 503, "{value}: {got}");
             sleep(REUSE_DELAY).await;
@@ -90,7 +90,7 @@
     }
 }
 
-/// A prompt that nobody can read or that is far too large, on many requests at once.
+/// Invalid or oversized prompt headers, on many concurrent requests.
 #[test]
 fn a_prompt_that_cannot_be_parsed_does_not_stop_its_request() {
     let counts = ["-1", "4294967295,4294967295", "99999999999999999999,1", "a,b,c", ",", "1;2"];
@@ -101,7 +101,7 @@
         play(async move {
             let harness = Harness::new();
             let slow = vec![Step::Wait(REUSE_DELAY), stream_head(), chunk(&event(1)), last_chunk()];
-            harness.upstreams.otherwise(slow);
+            harness.upstreams.default_script(slow);
             let headers =
                 format!("Whinspindle-Token-Count: {tokens}\r\nWhinspindle-Prefix-Hash: {prefix}\r\n");
             let mut clients: Vec<Client> = (0..8).map(|_| harness.client()).collect();
@@ -128,7 +128,7 @@
         let request = request.clone();
         play(async move {
             let harness = Harness::new();
-            harness.upstreams.otherwise(served("no"));
+            harness.upstreams.default_script(served("no"));
             let mut client = harness.client();
             for bytes in request.as_bytes().chunks(piece) {
                 client.send_ignoring_close(std::str::from_utf8(bytes).expect("text")).await;
@@ -186,13 +186,13 @@
 fn a_body_that_is_too_long_gets_no_continue() {
     play(async {
         let harness = Harness::new();
-        harness.upstreams.otherwise(served("no"));
+        harness.upstreams.default_script(served("no"));
         let request = post_with("/unsafe/x", "Expect: 100-continue\r\n").replace("Length: 5", "Length: 1001");
         let mut client = harness.client();
         client.send(request.trim_end_matches("hello")).await;
         let got = client.receive_for(REUSE_DELAY).await;
         assert_eq!(status(&got), 413, "{got}");
-        // What the client sends as that body is no request.
+        // Bytes that the client sends as the rejected body must not be handled as a request.
         client.send_ignoring_close(&post("/unsafe/hidden")).await;
         assert_eq!(client.receive_for(REUSE_DELAY).await, "");
         assert_eq!(harness.upstreams.requests().len(), 0);
@@ -203,7 +203,7 @@
 fn chunks_with_extensions_and_trailers_are_forwarded_as_one_body() {
     play(async {
         let harness = Harness::new();
-        harness.upstreams.otherwise(served("ok"));
+        harness.upstreams.default_script(served("ok"));
         let request = format!(
             "POST /unsafe/x HTTP/1.1\r\nHost: a.example\r\nWhinspindle-Request-Id: {ID}\r\nTrailer: X-Last\r\n\
              Transfer-Encoding: chunked\r\n\r\n3;a=b;c=\"d e\"\r\nhel\r\n02 ; x\r\nlo\r\n0;last\r\n\
@@ -223,7 +223,7 @@
     });
 }
 
-/// Pipelined requests of a client that then closes its side, which counts as a disconnect.
+/// Pipelined requests of a client that then closes its side, which is handled as a disconnect.
 #[test]
 fn a_client_that_closes_its_side_gets_no_answer_of_another_request() {
     play(async {
@@ -244,7 +244,7 @@
     });
 }
 
-/// The system's own headers, and the client's of the same names.
+/// Headers that the proxy sets, also when the client sends headers of the same names.
 #[test]
 fn headers_that_the_proxy_sets_replace_those_of_the_client_and_others_pass() {
     let own = "Whinspindle-Expect-Instance: i-evil\r\nPriority: 9\r\nX-Twice: 1\r\nX-Twice: 2\r\nCookie: a=b\r\n\
@@ -295,7 +295,7 @@
     for pause in ["0.25", "1e300", "NaN", "inf", "-1", "soon", "Wed, 21 Oct 2026 07:28:00 GMT", ""] {
         play(async move {
             let harness = Harness::new();
-            harness.upstreams.otherwise(rejected_until(pause));
+            harness.upstreams.default_script(rejected_until(pause));
             let got = harness.ask(&post("/unsafe/x")).await;
             assert_eq!(status(&got), 503, "{pause}");
             let told: f64 = header(&got, "retry-after").expect("a pause").parse().expect("a number");
@@ -305,7 +305,7 @@
     }
 }
 
-/// The address of an upstream goes to another one between two requests on one connection.
+/// The address of an upstream is reassigned to another one between two requests on the same connection.
 #[test]
 fn an_instance_that_was_replaced_gets_no_more_attempts() {
     for path in ["/unsafe/x", "/safe/x"] {
@@ -317,7 +317,7 @@
             sleep(REUSE_DELAY).await;
             let other = answer("421 Misdirected Request", "Whinspindle-Instance-Id: i-x\r\n", "");
             harness.upstreams.script(vec![other]);
-            harness.upstreams.otherwise(served("elsewhere"));
+            harness.upstreams.default_script(served("elsewhere"));
             for _ in 0..6 {
                 assert_eq!(body(&harness.ask(&post(path)).await), "elsewhere");
                 sleep(REUSE_DELAY).await;
@@ -354,7 +354,7 @@
     });
 }
 
-/// Failures answer HEAD too, without a body.
+/// HEAD requests are answered without a body, also in case of a failure.
 #[test]
 fn requests_for_a_head_alone_get_no_body() {
     for (script, expected) in [
@@ -370,7 +370,7 @@
     ] {
         play(async move {
             let harness = Harness::new();
-            harness.upstreams.otherwise(script);
+            harness.upstreams.default_script(script);
             let head = format!(
                 "HEAD /unsafe/x HTTP/1.1\r\nHost: a.example\r\nWhinspindle-Request-Id: {ID}\r\n\
                  Whinspindle-Deadline-Ms: 3000\r\n\r\n"
@@ -383,14 +383,14 @@
     }
 }
 
-/// What the HTTP library bounds by itself.
+/// The HTTP library limits the number of headers.
 #[test]
 fn a_hundred_headers_pass_both_ways_and_more_are_rejected() {
     // Host, id, deadline and length are the others of the request; id, stamp and length those of the answer.
     for (extra, expected, sent) in [(96, 200, 1), (97, 431, 0)] {
         play(async move {
             let harness = Harness::new();
-            harness.upstreams.otherwise(served("ok"));
+            harness.upstreams.default_script(served("ok"));
             let headers: String = (0..extra).map(|number| format!("X-{number}: 1\r\n")).collect();
             let got = harness.ask(&post_with("/unsafe/x", &headers)).await;
             assert_eq!(
--- a/dataplane/proxy/tests/classify.rs
+++ b/dataplane/proxy/tests/classify.rs
@@ -43,7 +43,8 @@
         (503, &[OTHER_ID, NOT_RUN], Unusable),
         (421, &[ID], Misdirected),
         (421, &[OTHER_ID], Unusable),
-        // Statuses that promise more than the upstream has said can't be passed back.
+        // Statuses that say that the request has not run are passed back only if the upstream has confirmed
+        // it.
         (503, &[ID, STAMP], Unusable),
         (503, &[ID], Unusable),
         (429, &[ID, STAMP], Unusable),
--- a/dataplane/proxy/tests/closes.rs
+++ b/dataplane/proxy/tests/closes.rs
@@ -1,4 +1,5 @@
-//! Requests that cross a close by the proxy: one that is forwarded is answered, any other gets nothing at all.
+//! Races between a request and the proxy's close of its connection: a forwarded request is answered, and any
+//! other request gets no answer.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -12,55 +13,56 @@
 use whinspindle_proxy::clients::finish;
 
 const BODY: &str = "mine";
-const SECOND: &str = "/stream/second";
-const WORK: Duration = Duration::from_millis(60);
-/// The idle time of the configuration and the slack behind it, but for a moment.
+const SECOND_PATH: &str = "/stream/second";
+const ANSWER_DELAY: Duration = Duration::from_millis(60);
+/// Just under the configured idle time-out plus its margin.
 const ALMOST_IDLE: Duration = Duration::from_millis(15_999);
-/// The time for a head and the slack behind it, but for a moment.
-const ALMOST_LATE: Duration = Duration::from_millis(3_999);
+/// Just under the configured header time-out plus its margin.
+const ALMOST_HEAD_TIMEOUT: Duration = Duration::from_millis(3_999);
 
 /// Why the proxy closes a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Close {
-    /// It was idle for too long.
+enum CloseReason {
+    /// The idle time-out has passed.
     Idle,
-    /// The head of its request was not complete in time; the first part of it is sent this long before.
-    LateHead,
+    /// The header time-out has passed since the first bytes of a request.
+    HeadTimeout,
     /// The process shuts down.
-    Stop,
+    Shutdown,
 }
 
-/// When the close is ordered, and how the request lies around it.
+/// The timing of a request relative to the close.
 #[derive(Clone, Copy, Debug)]
-struct Crossing {
-    close: Close,
-    /// Bytes that come before the order.
-    before: usize,
-    /// Turns of other tasks between these bytes and the order, and between the order and the rest.
-    turns: (usize, usize),
-    /// Time between the bytes before and the order.
+struct CloseRace {
+    close: CloseReason,
+    /// Number of bytes of the request that are sent before the close is requested.
+    bytes_before_close: usize,
+    /// Number of yields to other tasks before the close is requested, and between the request and the
+    /// remaining bytes.
+    task_yields: (usize, usize),
+    /// Time between the first bytes and the requested close.
     wait: Duration,
 }
 
-/// What has become of a request.
+/// The result for a request.
 #[derive(Debug, PartialEq)]
-struct Seen {
-    passed_on: bool,
+struct RequestResult {
+    was_forwarded: bool,
     answer: String,
 }
 
-/// A request with time enough for a head that comes in two parts.
-fn second() -> String {
-    post(SECOND).replace("3000", "9000")
+/// A request whose deadline allows for a head sent in two parts.
+fn second_request() -> String {
+    post(SECOND_PATH).replace("3000", "9000")
 }
 
-fn work() -> Script {
+fn delayed_answer() -> Script {
     let mut script = served(BODY);
-    script.insert(0, Step::Wait(WORK));
+    script.insert(0, Step::Wait(ANSWER_DELAY));
     script
 }
 
-async fn kept_connection(harness: &Harness) -> Client {
+async fn reused_connection(harness: &Harness) -> Client {
     let mut client = harness.client();
     harness.upstreams.script(served("first"));
     client.send(&post("/stream/first")).await;
@@ -68,16 +70,16 @@
     client
 }
 
-async fn give_turns(turns: usize) {
-    for _ in 0..turns {
+async fn yield_times(task_yields: usize) {
+    for _ in 0..task_yields {
         yield_now().await;
     }
 }
 
-fn order(harness: &Harness, close: Close) {
+fn request_close(harness: &Harness, close: CloseReason) {
     match close {
-        Close::Idle | Close::LateHead => harness.clients.sweep(&harness.node),
-        Close::Stop => {
+        CloseReason::Idle | CloseReason::HeadTimeout => harness.clients.sweep(&harness.node),
+        CloseReason::Shutdown => {
             harness.node.shutdown.request();
             let (node, clients) = (Rc::clone(&harness.node), Rc::clone(&harness.clients));
             spawn_local(async move { finish(&node, &clients).await });
@@ -85,67 +87,72 @@
     }
 }
 
-async fn cross(crossing: Crossing) -> Seen {
-    let Crossing { close, before, turns, wait } = crossing;
+async fn run_race(race: CloseRace) -> RequestResult {
+    let CloseRace { close, bytes_before_close, task_yields, wait } = race;
     let harness = Harness::new();
-    let mut client = kept_connection(&harness).await;
-    harness.upstreams.script(work());
-    let request = second();
-    let (first, rest) = request.split_at(before);
+    let mut client = reused_connection(&harness).await;
+    harness.upstreams.script(delayed_answer());
+    let request = second_request();
+    let (first, rest) = request.split_at(bytes_before_close);
     match close {
-        Close::Idle => sleep(ALMOST_IDLE + SETTLE_TIME).await,
-        Close::LateHead => {
-            client.send(&first[..before.min(10)]).await;
-            sleep(ALMOST_LATE + SETTLE_TIME).await;
+        CloseReason::Idle => sleep(ALMOST_IDLE + SETTLE_TIME).await,
+        CloseReason::HeadTimeout => {
+            client.send(&first[..bytes_before_close.min(10)]).await;
+            sleep(ALMOST_HEAD_TIMEOUT + SETTLE_TIME).await;
         }
-        Close::Stop => sleep(REUSE_DELAY).await,
+        CloseReason::Shutdown => sleep(REUSE_DELAY).await,
     }
-    let sent = if close == Close::LateHead { before.min(10) } else { 0 };
+    let sent = if close == CloseReason::HeadTimeout { bytes_before_close.min(10) } else { 0 };
     client.send(&first[sent..]).await;
-    give_turns(turns.0).await;
+    yield_times(task_yields.0).await;
     sleep_if_any(wait).await;
-    order(&harness, close);
-    give_turns(turns.1).await;
+    request_close(&harness, close);
+    yield_times(task_yields.1).await;
     client.send_ignoring_close(rest).await;
     let answer = client.receive_for(Duration::from_secs(5)).await;
-    let passed_on = harness.upstreams.requests().iter().any(|request| request.contains(SECOND));
-    Seen { passed_on, answer }
+    let was_forwarded = harness.upstreams.requests().iter().any(|request| request.contains(SECOND_PATH));
+    RequestResult { was_forwarded, answer }
 }
 
-/// A sleep of no time would still let the clock move.
+/// Skips a sleep of zero, which would still advance the clock.
 async fn sleep_if_any(time: Duration) {
     if time > Duration::ZERO {
         sleep(time).await;
     }
 }
 
-fn crossings() -> Vec<Crossing> {
-    let request = second();
+fn races() -> Vec<CloseRace> {
+    let request = second_request();
     let head = request.find("\r\n\r\n").expect("a head") + 4;
-    let mut crossings = Vec::new();
-    for close in [Close::Idle, Close::LateHead, Close::Stop] {
-        for before in [0, 1, 10, 40, head - 1, head, head + 2, request.len()] {
-            for turns in [(0, 0), (0, 1), (1, 0), (1, 1), (0, 3), (3, 0), (3, 3)] {
+    let mut races = Vec::new();
+    for close in [CloseReason::Idle, CloseReason::HeadTimeout, CloseReason::Shutdown] {
+        for bytes_before_close in [0, 1, 10, 40, head - 1, head, head + 2, request.len()] {
+            for task_yields in [(0, 0), (0, 1), (1, 0), (1, 1), (0, 3), (3, 0), (3, 3)] {
                 for wait in [0, 1, 59, 60, 61] {
-                    crossings.push(Crossing { close, before, turns, wait: Duration::from_millis(wait) });
+                    races.push(CloseRace {
+                        close,
+                        bytes_before_close,
+                        task_yields,
+                        wait: Duration::from_millis(wait),
+                    });
                 }
             }
         }
     }
-    crossings
+    races
 }
 
 #[test]
-fn a_request_on_a_kept_connection_that_crosses_a_close_is_answered_if_it_is_passed_on() {
-    let length = second().len();
-    for crossing in crossings() {
+fn a_request_during_a_close_is_answered_if_it_is_forwarded() {
+    let length = second_request().len();
+    for race in races() {
         play(async move {
-            let seen = cross(crossing).await;
-            let is_answered = status(&seen.answer) == 200 && body(&seen.answer) == BODY;
-            assert_eq!(seen.passed_on, is_answered, "{crossing:?}: {seen:?}");
-            assert!(is_answered || seen.answer.is_empty(), "{crossing:?}: {seen:?}");
-            let was_whole = crossing.before == length;
-            assert!(is_answered || !was_whole, "{crossing:?}: it came before the close, {seen:?}");
+            let result = run_race(race).await;
+            let is_answered = status(&result.answer) == 200 && body(&result.answer) == BODY;
+            assert_eq!(result.was_forwarded, is_answered, "{race:?}: {result:?}");
+            assert!(is_answered || result.answer.is_empty(), "{race:?}: {result:?}");
+            let was_complete = race.bytes_before_close == length;
+            assert!(is_answered || !was_complete, "{race:?}: it arrived before the close, {result:?}");
         });
     }
 }
--- a/dataplane/proxy/tests/common/mod.rs
+++ b/dataplane/proxy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A proxy between a scripted client and scripted upstreams, all in one process on a simulated clock.
+//! A proxy between a scripted client and scripted upstreams, in one process with a simulated clock.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -57,7 +57,7 @@
  "limits": {"max_header_bytes": 16384, "max_body_bytes": 1000, "header_timeout_ms": 3000,
   "idle_timeout_ms": 15000}}"#;
 
-/// What an upstream does with a request.
+/// A step of an upstream's script for a request.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Writes bytes; `{id}` stands for the request's id.
@@ -66,13 +66,13 @@
     Wait(Duration),
     /// Closes the connection.
     Close,
-    /// Resets the connection; what was written before still arrives.
+    /// Resets the connection. Data written before still arrives.
     Reset,
     /// Sends nothing until the peer closes.
     Hang,
-    /// First of a script: it is played as soon as the head of a request is there, before its body is read.
+    /// As the first step, starts the script once the head of a request is received, before its body is read.
     BeforeBody,
-    /// Reads the body of a request whose script began before it.
+    /// Reads the body of a request whose script started with `BeforeBody`.
     ReadBody,
     /// Counts a run of the request.
     Run,
@@ -125,21 +125,21 @@
     write("0\r\n\r\n")
 }
 
-/// What upstreams have seen and what they do next.
+/// The state of all upstreams: received requests and scripts to play.
 #[derive(Default)]
 pub struct Upstreams {
     scripts: RefCell<VecDeque<Script>>,
     requests: RefCell<Vec<String>>,
     connections: Cell<usize>,
     open: Cell<usize>,
-    /// Connects that are refused next.
+    /// Number of next connection attempts to refuse.
     pub refusals: Cell<usize>,
-    /// How long a connect takes.
+    /// Time that a connection attempt takes.
     pub connect_time: Cell<Duration>,
     /// Capacity of a connection's buffer, if it is limited.
     pub pipe_bytes: Cell<Option<usize>>,
-    /// What is played for requests that no script is left for.
-    otherwise: RefCell<Option<Script>>,
+    /// The script for requests without their own script.
+    default_script: RefCell<Option<Script>>,
     /// The ids of requests that ran, once for each run.
     runs: RefCell<Vec<String>>,
     /// Incomplete bodies of requests.
@@ -165,9 +165,9 @@
         self.open.get()
     }
 
-    /// Sets the script of requests without one of their own.
-    pub fn otherwise(&self, script: Script) {
-        *self.otherwise.borrow_mut() = Some(script);
+    /// Sets the script for requests without their own script.
+    pub fn default_script(&self, script: Script) {
+        *self.default_script.borrow_mut() = Some(script);
     }
 
     /// How often a request has run.
@@ -175,7 +175,7 @@
         self.runs.borrow().iter().filter(|run| *run == id).count()
     }
 
-    /// What was received of bodies that were incomplete when their connection ended.
+    /// Bodies that were incomplete when their connection ended.
     pub fn broken_bodies(&self) -> Vec<String> {
         self.broken_bodies.borrow().clone()
     }
@@ -185,10 +185,10 @@
         self.open.set(self.open.get() + 1);
         while let Some(head) = read_head(&mut socket).await {
             let script = self.scripts.borrow_mut().pop_front();
-            let script = script.or_else(|| self.otherwise.borrow().clone()).unwrap_or(vec![Step::Hang]);
+            let script = script.or_else(|| self.default_script.borrow().clone()).unwrap_or(vec![Step::Hang]);
             is_reset.set(script.iter().any(|step| matches!(step, Step::Reset)));
             let is_early = matches!(script.first(), Some(Step::BeforeBody));
-            if !is_early && !self.take_body(&head, &mut socket).await {
+            if !is_early && !self.receive_body(&head, &mut socket).await {
                 break;
             }
             if !self.play(script, &head, &mut socket).await {
@@ -198,8 +198,8 @@
         self.open.set(self.open.get() - 1);
     }
 
-    /// Reads and keeps a request whose head is there; false if the connection ends before its end.
-    async fn take_body(&self, head: &str, socket: &mut DuplexStream) -> bool {
+    /// Receives the body and records the request; false if the connection ends before the body is complete.
+    async fn receive_body(&self, head: &str, socket: &mut DuplexStream) -> bool {
         match read_body(head, socket).await {
             Ok(body) => self.requests.borrow_mut().push(format!("{head}{body}")),
             Err(part) => {
@@ -227,7 +227,7 @@
                 }
                 Step::BeforeBody => {}
                 Step::ReadBody => {
-                    if !self.take_body(head, socket).await {
+                    if !self.receive_body(head, socket).await {
                         return false;
                     }
                 }
@@ -238,13 +238,13 @@
     }
 }
 
-/// The proxy's side of a connection, of which the end may be a reset.
-struct Resettable {
+/// The proxy's side of a connection that the peer may reset.
+struct ResettableSocket {
     socket: DuplexStream,
     is_reset: Rc<Cell<bool>>,
 }
 
-impl AsyncRead for Resettable {
+impl AsyncRead for ResettableSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -260,7 +260,7 @@
     }
 }
 
-impl AsyncWrite for Resettable {
+impl AsyncWrite for ResettableSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.socket).poll_write(cx, bytes)
     }
@@ -298,15 +298,15 @@
                 upstreams.refusals.set(refusals - 1);
                 return Err(io::ErrorKind::ConnectionRefused.into());
             }
-            let (near, far) = duplex(upstreams.pipe_bytes.get().unwrap_or(PIPE_BYTES));
+            let (proxy_socket, upstream_socket) = duplex(upstreams.pipe_bytes.get().unwrap_or(PIPE_BYTES));
             let is_reset = Rc::default();
-            spawn_local(upstreams.serve(far, Rc::clone(&is_reset)));
-            Ok(Box::new(Resettable { socket: near, is_reset }) as BoxedSocket)
+            spawn_local(upstreams.serve(upstream_socket, Rc::clone(&is_reset)));
+            Ok(Box::new(ResettableSocket { socket: proxy_socket, is_reset }) as BoxedSocket)
         })
     }
 }
 
-/// The head of a message with the empty line behind it; nothing at the end of the connection.
+/// Reads the head of a message with its empty line; `None` at the end of the connection.
 async fn read_head(socket: &mut DuplexStream) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -315,7 +315,8 @@
     Some(head)
 }
 
-/// The body of a message by length or in chunks, as it came; what there was of it if the connection ends.
+/// Reads the raw body of a message by length or in chunks; an error with the partial body if the connection
+/// ends.
 async fn read_body(head: &str, socket: &mut DuplexStream) -> Result<String, String> {
     let length = header(head, "content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
     let chunked = header(head, "transfer-encoding").is_some();
@@ -343,7 +344,7 @@
     message.split_once("\r\n\r\n").map_or("", |(_, body)| body)
 }
 
-/// The data of a body in chunks, and whether its last chunk has come.
+/// The data of a chunked body, and whether the last chunk was received.
 pub fn chunks(message: &str) -> (String, bool) {
     let (mut data, mut rest) = (String::new(), body(message));
     while let Some((length, after)) = rest.split_once("\r\n") {
@@ -404,7 +405,7 @@
     }
 
     pub fn apply(&self, update: Update) {
-        self.node.apply(update).expect("a good update");
+        self.node.apply(update).expect("a valid update");
     }
 
     pub fn configure(&self, sequence: u64, body: &str) {
@@ -412,7 +413,7 @@
         self.apply(Update { configured: Some(configured), ..Update::default() });
     }
 
-    /// Applies the list of upstreams, of which some are draining.
+    /// Applies a list of upstreams, some of them draining.
     pub fn instances(&self, version: u64, draining: &[&str]) {
         let names = ["plain", "model"];
         let list = names.iter().flat_map(|service| {
@@ -435,19 +436,19 @@
 
     /// Connects a client.
     pub fn client(&self) -> Client {
-        let (near, far) = duplex(PIPE_BYTES);
-        self.clients.serve(&self.node, Box::new(far));
-        Client { socket: near }
+        let (client_socket, proxy_socket) = duplex(PIPE_BYTES);
+        self.clients.serve(&self.node, Box::new(proxy_socket));
+        Client { socket: client_socket }
     }
 
-    /// Sends one request on a connection of its own and reads everything until its end.
+    /// Sends a request on a new connection and returns its answer.
     pub async fn ask(&self, request: &str) -> String {
         let mut client = self.client();
         client.send(request).await;
         client.answer().await
     }
 
-    /// Lets time pass with the regular ticks.
+    /// Advances the time with the periodic ticks.
     pub async fn pass(&self, time: Duration) {
         const TICK: Duration = Duration::from_millis(500);
         let mut left = time;
@@ -471,44 +472,44 @@
         self.socket.write_all(text.as_bytes()).await.expect("the proxy reads");
     }
 
-    /// Closes the sending side; reads on.
+    /// Closes the sending side; the receiving side stays open.
     pub async fn end(&mut self) {
-        self.socket.shutdown().await.expect("the proxy is there");
+        self.socket.shutdown().await.expect("the connection is open");
     }
 
     /// Sends on a connection that may be closed meanwhile.
     pub async fn send_ignoring_close(&mut self, text: &str) {
-        // The test is about bytes that the proxy does not read any more.
+        // Such tests send bytes that the proxy may no longer read.
         let _ = self.socket.write_all(text.as_bytes()).await;
     }
 
-    /// One complete answer, or what was received when the connection ends.
+    /// Reads one complete answer, or all bytes until the connection ends.
     pub async fn answer(&mut self) -> String {
         let mut bytes = Vec::new();
         while let Ok(1..) = self.socket.read_buf(&mut bytes).await {
             let text = String::from_utf8_lossy(&bytes).into_owned();
             let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
             let length = header(head, "content-length").and_then(|length| length.parse::<usize>().ok());
-            let whole = match length {
+            let is_complete = match length {
                 Some(length) => body.len() >= length,
                 None => chunks(&text).1,
             };
-            if whole {
+            if is_complete {
                 return text;
             }
         }
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    /// What is received within a time.
+    /// Reads until nothing is received for the given time or the connection ends.
     pub async fn receive_for(&mut self, time: Duration) -> String {
         let mut bytes = Vec::new();
-        let mut piece = [0; 4096];
-        while let Ok(Ok(count)) = tokio::time::timeout(time, self.socket.read(&mut piece)).await {
+        let mut buffer = [0; 4096];
+        while let Ok(Ok(count)) = tokio::time::timeout(time, self.socket.read(&mut buffer)).await {
             if count == 0 {
                 break;
             }
-            bytes.extend_from_slice(&piece[..count]);
+            bytes.extend_from_slice(&buffer[..count]);
         }
         String::from_utf8_lossy(&bytes).into_owned()
     }
@@ -524,7 +525,7 @@
     post_with(path, "")
 }
 
-/// The same with more headers, each with its line end.
+/// The request of [`post`] with additional headers, each with its line end.
 pub fn post_with(path: &str, headers: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: a.example\r\nWhinspindle-Request-Id: {ID}\r\n{headers}\
@@ -537,8 +538,8 @@
     answer.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
 
-/// Plays on a simulated clock.
-pub fn play<F: Future<Output = ()>>(scene: F) {
+/// Runs a test on a simulated clock.
+pub fn play<F: Future<Output = ()>>(scenario: F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), scene);
+    LocalSet::new().block_on(&runtime.expect("a runtime"), scenario);
 }
--- a/dataplane/proxy/tests/events.rs
+++ b/dataplane/proxy/tests/events.rs
@@ -1,4 +1,4 @@
-//! The splitter of event streams: complete events for any chunks, and rising ids.
+//! The event splitter: complete events for any chunk boundaries, and increasing ids.
 
 use bytes::Bytes;
 use quickcheck::{TestResult, quickcheck};
@@ -52,7 +52,7 @@
     let changed = "versions: 4\n".to_owned() + &event(2, "b");
     assert_eq!(push(&mut splitter, &changed), Ok(changed));
     assert_eq!(splitter.position().versions, Some(4));
-    // A version counts once its event is complete.
+    // A version takes effect once its event is complete.
     assert_eq!(push(&mut splitter, "versions: 5\nid: 3\n"), Ok(String::new()));
     assert_eq!(splitter.position().versions, Some(4));
 }
@@ -110,7 +110,7 @@
     assert_eq!(push(&mut splitter, &half), Err(EventError::TooLong));
 }
 
-/// Splits the text at the places that the cuts name.
+/// Splits the text at the positions in `cuts`.
 fn pieces(text: &str, cuts: &[usize]) -> Vec<String> {
     let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).collect();
     places.extend([0, text.len()]);
--- a/dataplane/proxy/tests/exchange.rs
+++ b/dataplane/proxy/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with complete answers: what is forwarded, what is passed back, and what is retried.
+//! Exchanges with complete answers: forwarding, passing back, and retries.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -83,7 +83,7 @@
             let mut slow = served("first");
             slow.insert(0, Step::Wait(Duration::from_millis(10)));
             harness.upstreams.script(slow);
-            harness.upstreams.otherwise(served("no"));
+            harness.upstreams.default_script(served("no"));
             let mut client = harness.client();
             let first = post("/unsafe/x");
             if wait.is_zero() {
@@ -108,7 +108,7 @@
         post("/unsafe/x").replace("Content-Length: 5", &format!("Content-Length:{}5", " ".repeat(300)));
     play(async {
         let harness = Harness::new();
-        harness.upstreams.otherwise(served("ok"));
+        harness.upstreams.default_script(served("ok"));
         let mut client = harness.client();
         client.send(&format!("{padded}{hidden}")).await;
         let got = client.receive_for(REUSE_DELAY).await;
@@ -181,7 +181,7 @@
         play(async {
             let harness = Harness::new();
             harness.upstreams.script(served("first"));
-            harness.upstreams.otherwise(served("no"));
+            harness.upstreams.default_script(served("no"));
             let mut client = harness.client();
             client.send(&format!("{}{surplus}", post("/unsafe/x"))).await;
             let got = client.receive_for(REUSE_DELAY).await;
@@ -203,7 +203,7 @@
     for path in ["/safe/x", "/unsafe/x", "/stream/x"] {
         play(async {
             let harness = Harness::new();
-            harness.upstreams.otherwise(vec![
+            harness.upstreams.default_script(vec![
                 write(format!("{head}{:x}\r\n{event}\r\n", event.len())),
                 Step::Wait(SETTLE_TIME),
                 Step::Close,
@@ -555,7 +555,7 @@
             sleep(REUSE_DELAY).await;
         }
         assert_eq!(harness.upstreams.connections(), 1);
-        // Seven tenths of the five seconds that the upstream gives.
+        // Longer than 70% of the upstream's keep-alive time of 5 s.
         sleep(Duration::from_millis(3600)).await;
         harness.upstreams.script(served("ok"));
         assert_eq!(status(&harness.ask(&post("/unsafe/x")).await), 200);
@@ -609,7 +609,7 @@
             harness.upstreams.script(served("ok"));
             client.send(&post("/unsafe/x")).await;
             assert_eq!(body(&client.answer().await), "ok");
-            // Four fifths of the idle time.
+            // 80% of the idle time-out.
             harness.pass(Duration::from_secs(12)).await;
         }
         harness.pass(Duration::from_secs(17)).await;
--- a/dataplane/proxy/tests/metrics.rs
+++ b/dataplane/proxy/tests/metrics.rs
@@ -43,7 +43,7 @@
     });
 }
 
-/// The log line counts since the last line, the metrics since the start.
+/// The log line counts events since the last line, and the metrics since the start.
 #[test]
 fn counts_never_fall() {
     play(async {
--- a/dataplane/proxy/tests/reachability.rs
+++ b/dataplane/proxy/tests/reachability.rs
@@ -1,4 +1,4 @@
-//! Attempts at a zone to which connecting has timed out.
+//! Attempts at a zone after a connection attempt has timed out.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -10,11 +10,11 @@
 
 const LONGER_THAN_A_CONNECT_MAY_TAKE: Duration = Duration::from_secs(1);
 
-/// Upstreams that keep idle connections for long; one connection to each of a service is idle.
+/// Creates upstreams with a long keep-alive time and one idle connection to each upstream of a service.
 async fn with_idle_connections() -> Harness {
     let harness = Harness::new();
     let kept = format!("Keep-Alive: timeout=60\r\nWhinspindle-Server-Stamp: {STAMP}\r\n");
-    harness.upstreams.otherwise(vec![Step::Wait(SETTLE_TIME), answer("200 OK", &kept, "ok")]);
+    harness.upstreams.default_script(vec![Step::Wait(SETTLE_TIME), answer("200 OK", &kept, "ok")]);
     let request = post("/unsafe/a");
     let (first, second, third) =
         tokio::join!(harness.ask(&request), harness.ask(&request), harness.ask(&request));
--- a/dataplane/proxy/tests/request_framing.rs
+++ b/dataplane/proxy/tests/request_framing.rs
@@ -1,12 +1,12 @@
-//! Heads with two kinds of length are detected, in any chunks.
+//! Detection of heads with both `Content-Length` and `Transfer-Encoding`, for any chunk boundaries.
 
 use quickcheck::quickcheck;
 use whinspindle_proxy::request_framing::RequestFraming;
 
-fn is_ambiguous(pieces: &[&[u8]]) -> bool {
-    let mut watch = RequestFraming::default();
-    pieces.iter().for_each(|piece| watch.push(piece));
-    watch.is_ambiguous()
+fn is_ambiguous(chunks: &[&[u8]]) -> bool {
+    let mut framing = RequestFraming::default();
+    chunks.iter().for_each(|chunk| framing.push(chunk));
+    framing.is_ambiguous()
 }
 
 #[test]
@@ -25,22 +25,22 @@
 
 #[test]
 fn each_request_is_observed_anew() {
-    let mut watch = RequestFraming::default();
-    watch.push(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
-    watch.finish_request();
-    watch.push(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
-    assert!(!watch.is_ambiguous());
+    let mut framing = RequestFraming::default();
+    framing.push(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+    framing.finish_request();
+    framing.push(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
+    assert!(!framing.is_ambiguous());
 }
 
 quickcheck! {
     fn chunk_boundaries_do_not_matter(cuts: Vec<usize>, both: bool) -> bool {
-        let more = if both { "Content-Length: 5\r\n" } else { "" };
-        let text = format!("POST / HTTP/1.1\r\n{more}Host: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
+        let length_header = if both { "Content-Length: 5\r\n" } else { "" };
+        let text = format!("POST / HTTP/1.1\r\n{length_header}Host: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n");
         let mut places: Vec<usize> = cuts.iter().map(|cut| cut % (text.len() + 1)).collect();
         places.extend([0, text.len()]);
         places.sort_unstable();
-        let pieces: Vec<&[u8]> = places.windows(2).map(|pair| &text.as_bytes()[pair[0]..pair[1]]).collect();
-        is_ambiguous(&pieces) == both
+        let chunks: Vec<&[u8]> = places.windows(2).map(|pair| &text.as_bytes()[pair[0]..pair[1]]).collect();
+        is_ambiguous(&chunks) == both
     }
 }
 
@@ -53,12 +53,12 @@
 fn heads_of_pipelined_requests_are_observed() {
     for first in [LENGTH, CHUNKED, "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "\r\nGET / HTTP/1.1\n\n"] {
         let bytes = [first, LENGTH, CHUNKED, BOTH].concat();
-        for piece in 1..=bytes.len() {
-            let mut watch = RequestFraming::default();
-            bytes.as_bytes().chunks(piece).for_each(|bytes| watch.push(bytes));
+        for chunk in 1..=bytes.len() {
+            let mut framing = RequestFraming::default();
+            bytes.as_bytes().chunks(chunk).for_each(|bytes| framing.push(bytes));
             for expected in [false, false, false, true] {
-                assert_eq!(watch.is_ambiguous(), expected, "{piece} at once after {first}");
-                watch.finish_request();
+                assert_eq!(framing.is_ambiguous(), expected, "{chunk} at once after {first}");
+                framing.finish_request();
             }
         }
     }
@@ -66,20 +66,20 @@
 
 #[test]
 fn a_head_without_carriage_returns_is_observed() {
-    let mut watch = RequestFraming::default();
-    watch.push(BOTH.replace("\r\n", "\n").as_bytes());
-    assert!(watch.is_ambiguous());
+    let mut framing = RequestFraming::default();
+    framing.push(BOTH.replace("\r\n", "\n").as_bytes());
+    assert!(framing.is_ambiguous());
 }
 
 #[test]
 fn a_body_that_resembles_a_head_is_none() {
-    let mut watch = RequestFraming::default();
+    let mut framing = RequestFraming::default();
     let body = BOTH;
-    watch.push(format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
-    assert!(!watch.is_ambiguous());
-    watch.finish_request();
-    watch.push(LENGTH.as_bytes());
-    assert!(!watch.is_ambiguous());
+    framing.push(format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
+    assert!(!framing.is_ambiguous());
+    framing.finish_request();
+    framing.push(LENGTH.as_bytes());
+    assert!(!framing.is_ambiguous());
 }
 
 #[test]
@@ -91,11 +91,11 @@
         lengths.iter().map(|length| LENGTH.replace(" 5", &format!(" {length}"))).collect();
     firsts.push(CHUNKED.replace("3;x=y", &format!("{zeros}3;x=y")));
     for first in firsts {
-        let mut watch = RequestFraming::default();
-        watch.push(first.as_bytes());
-        assert!(watch.is_end_unknown(), "what follows can't be told: {first}");
-        watch.push(BOTH.as_bytes());
-        assert!(watch.is_end_unknown() && !watch.is_ambiguous(), "{first}");
+        let mut framing = RequestFraming::default();
+        framing.push(first.as_bytes());
+        assert!(framing.is_end_unknown(), "what follows can't be told: {first}");
+        framing.push(BOTH.as_bytes());
+        assert!(framing.is_end_unknown() && !framing.is_ambiguous(), "{first}");
     }
 }
 
@@ -105,10 +105,10 @@
     let extended = CHUNKED.replace("3;x=y", &format!("3;x={long}"));
     let other = LENGTH.replace("Content-Length", &format!("X: {long}\r\nContent-Length"));
     for first in [extended, other] {
-        let mut watch = RequestFraming::default();
-        watch.push([first.as_str(), BOTH].concat().as_bytes());
-        assert!(!watch.is_end_unknown() && !watch.is_ambiguous(), "{first}");
-        watch.finish_request();
-        assert!(watch.is_ambiguous(), "{first}");
+        let mut framing = RequestFraming::default();
+        framing.push([first.as_str(), BOTH].concat().as_bytes());
+        assert!(!framing.is_end_unknown() && !framing.is_ambiguous(), "{first}");
+        framing.finish_request();
+        assert!(framing.is_ambiguous(), "{first}");
     }
 }
--- a/dataplane/proxy/tests/retry.rs
+++ b/dataplane/proxy/tests/retry.rs
@@ -22,17 +22,17 @@
 fn the_decision_after_each_end_of_an_attempt() {
     use AttemptEnd::{Broken, Failed, Misdirected, NotSent, Rejected};
     let cases: &[(RetryPolicy, &[AttemptEnd], Decision)] = &[
-        // Nothing ran: another upstream may.
+        // The request has not run, so another upstream may run it.
         (ONCE, &[NotSent], Decision::Retry),
         (ONCE, &[Misdirected], Decision::Retry),
         (ONCE, &[Rejected], Decision::Retry),
         (TWICE, &[NotSent, NotSent, NotSent], Decision::Retry),
-        // Up to the limit of each kind.
+        // The limit of each kind of failed attempt.
         (ONCE, &[NotSent, NotSent, NotSent, NotSent], REJECTED),
         (ONCE, &[Misdirected, Misdirected, Misdirected], REJECTED),
         (ONCE, &[Rejected, Rejected], REJECTED),
         (TWICE, &[Rejected, Rejected], REJECTED),
-        // It may have run: no other upstream may, unless the route says so.
+        // The request may have run, so another upstream may run it only if the route allows it.
         (ONCE, &[Broken], BAD_GATEWAY),
         (ONCE, &[Rejected, Broken], BAD_GATEWAY),
         (ONCE, &[Failed], Decision::PassBack),
@@ -42,7 +42,7 @@
         (TWICE, &[Broken, Failed], Decision::PassBack),
         (IDEMPOTENT_ONCE, &[Broken], BAD_GATEWAY),
         (IDEMPOTENT_ONCE, &[Failed], Decision::PassBack),
-        // After a run the proxy can't promise that the request has not run.
+        // After a possible run, the proxy must not answer that the request has not run.
         (TWICE, &[Broken, Rejected], Decision::Retry),
         (TWICE, &[Broken, Rejected, Rejected], BAD_GATEWAY),
     ];
@@ -72,7 +72,7 @@
 }
 
 quickcheck! {
-    /// Plays attempts until a decision ends them.
+    /// Simulates attempts until a decision ends the request.
     fn runs_stay_within_what_the_route_allows(ends: Vec<AnyEnd>, idempotent: bool, max_runs: u8) -> bool {
         let policy = RetryPolicy { idempotent, max_runs: u32::from(max_runs).max(1) };
         let allowed = if idempotent { policy.max_runs } else { 1 };
--- a/dataplane/proxy/tests/rules.rs
+++ b/dataplane/proxy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Guarantees to clients, upstreams and the platform, each under the sequence of events that challenges it.
+//! Guarantees to clients, upstreams and the platform, each tested under the events that could violate it.
 //! `docs/control-plane-safety.md` (section 8) names the test for each rule.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
@@ -30,7 +30,7 @@
     ))
 }
 
-/// A stream of these events that breaks off.
+/// A stream of these events whose connection then breaks.
 fn broken_stream(ids: impl IntoIterator<Item = u64>) -> Script {
     let mut script = vec![versioned_head("first", 7)];
     script.extend(ids.into_iter().map(|id| chunk(&event(id))));
@@ -48,13 +48,13 @@
         .collect()
 }
 
-/// What comes for a request until its answer or connection ends, which it has to within a minute.
-async fn ask_to_the_end(harness: &Harness, request: &str) -> String {
+/// Sends a request and returns the data received until the answer or connection ends, within a minute.
+async fn ask_with_timeout(harness: &Harness, request: &str) -> String {
     timeout(Duration::from_secs(60), harness.ask(request)).await.expect("an end")
 }
 
-/// The request of `post`, by a client that waits so long.
-fn patient(path: &str, deadline_ms: u64) -> String {
+/// The request of `post` with another client time-out.
+fn with_client_timeout(path: &str, deadline_ms: u64) -> String {
     post(path).replace("Deadline-Ms: 3000", &format!("Deadline-Ms: {deadline_ms}"))
 }
 
@@ -122,10 +122,10 @@
         let harness = Harness::new();
         harness.upstreams.script(vec![Step::Wait(Duration::from_secs(1)), Step::Close]);
         harness.ask(&post("/safe/x")).await;
-        let told = deadlines(&harness);
-        assert_eq!(told.len(), 2);
-        assert!((2_900..=3_000).contains(&told[0]), "{told:?}");
-        assert!((1_900..=2_000).contains(&told[1]), "{told:?}");
+        let deadlines_ms = deadlines(&harness);
+        assert_eq!(deadlines_ms.len(), 2);
+        assert!((2_900..=3_000).contains(&deadlines_ms[0]), "{deadlines_ms:?}");
+        assert!((1_900..=2_000).contains(&deadlines_ms[1]), "{deadlines_ms:?}");
     });
 }
 
@@ -137,23 +137,23 @@
         script.insert(2, Step::Wait(Duration::from_secs(1)));
         harness.upstreams.script(script);
         harness.ask(&post("/resumable/x")).await;
-        let told = deadlines(&harness);
-        assert_eq!(told.len(), 2);
-        assert!((1_900..=2_000).contains(&told[1]), "{told:?}");
+        let deadlines_ms = deadlines(&harness);
+        assert_eq!(deadlines_ms.len(), 2);
+        assert!((1_900..=2_000).contains(&deadlines_ms[1]), "{deadlines_ms:?}");
     });
 }
 
 #[test]
 fn the_timeout_of_a_route_is_the_deadline_where_the_client_gives_none_or_more() {
-    for request in [without_deadline("/safe/x"), patient("/safe/x", 30_000)] {
+    for request in [without_deadline("/safe/x"), with_client_timeout("/safe/x", 30_000)] {
         play(async {
             let harness = Harness::new();
             harness.upstreams.script(vec![Step::Wait(Duration::from_secs(1)), Step::Close]);
-            ask_to_the_end(&harness, &request).await;
-            let told = deadlines(&harness);
-            assert_eq!(told.len(), 2);
-            assert!((3_900..=4_000).contains(&told[0]), "{told:?}");
-            assert!((2_900..=3_000).contains(&told[1]), "{told:?}");
+            ask_with_timeout(&harness, &request).await;
+            let deadlines_ms = deadlines(&harness);
+            assert_eq!(deadlines_ms.len(), 2);
+            assert!((3_900..=4_000).contains(&deadlines_ms[0]), "{deadlines_ms:?}");
+            assert!((2_900..=3_000).contains(&deadlines_ms[1]), "{deadlines_ms:?}");
         });
     }
 }
@@ -261,11 +261,11 @@
         (0..100).for_each(|_| script.extend([write("x"), Step::Wait(Duration::from_millis(200))]));
         harness.upstreams.script(script);
         let start = Instant::now();
-        let got = ask_to_the_end(&harness, &patient("/unsafe/x", 30_000)).await;
-        let held = start.elapsed();
+        let got = ask_with_timeout(&harness, &with_client_timeout("/unsafe/x", 30_000)).await;
+        let elapsed = start.elapsed();
         assert_eq!(status(&got), 504);
         assert_eq!(header(&got, "whinspindle-server-stamp"), None);
-        assert!(held <= Duration::from_millis(4_100), "{held:?}");
+        assert!(elapsed <= Duration::from_millis(4_100), "{elapsed:?}");
     });
 }
 
@@ -274,14 +274,14 @@
     for (path, limit_ms) in [("/unsafe/x", 4_000), ("/stream/x", 15_000)] {
         play(async {
             let harness = Harness::new();
-            let request = patient(path, 60_000);
+            let request = with_client_timeout(path, 60_000);
             let mut client = harness.client();
             let start = Instant::now();
             client.send(&request[..request.len() - 1]).await;
             let got = timeout(Duration::from_secs(90), client.answer()).await.expect("an answer");
-            let held = start.elapsed();
+            let elapsed = start.elapsed();
             assert_eq!(status(&got), 408, "{path}");
-            assert!(held <= Duration::from_millis(limit_ms + 100), "{path}: {held:?}");
+            assert!(elapsed <= Duration::from_millis(limit_ms + 100), "{path}: {elapsed:?}");
             assert_eq!(harness.upstreams.requests().len(), 0);
         });
     }
@@ -297,10 +297,13 @@
         }
         harness.upstreams.script(script);
         let start = Instant::now();
-        let got = ask_to_the_end(&harness, &patient("/stream/x", 60_000)).await;
-        let held = start.elapsed();
+        let got = ask_with_timeout(&harness, &with_client_timeout("/stream/x", 60_000)).await;
+        let elapsed = start.elapsed();
         assert!(!chunks(&got).1, "it does not look complete");
-        assert!(held >= Duration::from_millis(14_900) && held <= Duration::from_millis(15_100), "{held:?}");
+        assert!(
+            elapsed >= Duration::from_millis(14_900) && elapsed <= Duration::from_millis(15_100),
+            "{elapsed:?}"
+        );
         sleep(SETTLE_TIME).await;
         assert_eq!(harness.upstreams.open(), 0);
     });
@@ -312,10 +315,10 @@
         let harness = Harness::new();
         harness.upstreams.script(broken_stream([1]));
         let start = Instant::now();
-        let got = ask_to_the_end(&harness, &patient("/resumable/x", 60_000)).await;
-        let held = start.elapsed();
+        let got = ask_with_timeout(&harness, &with_client_timeout("/resumable/x", 60_000)).await;
+        let elapsed = start.elapsed();
         assert_eq!(chunks(&got), (event(1), false));
-        assert!(held <= Duration::from_millis(15_100), "{held:?}");
+        assert!(elapsed <= Duration::from_millis(15_100), "{elapsed:?}");
         assert_eq!(harness.upstreams.open(), 0);
     });
 }
@@ -354,7 +357,7 @@
         sleep(SETTLE_TIME).await;
         harness.instances(2, &["model-1", "model-2", "model-3"]);
         harness.pass(Duration::from_secs(1)).await;
-        // It has been deregistered.
+        // The upstreams are deregistered.
         harness.apply(whinspindle_distribution::Update {
             instances: Some(whinspindle_distribution::Instances { version: 3, list: Vec::new() }),
             ..Default::default()
@@ -393,18 +396,18 @@
             Step::Close,
         ];
         harness.upstreams.script(script);
-        // The next one has other weights.
+        // The next upstream has another version of the weights.
         harness.upstreams.script(vec![answer("421 Misdirected Request", "Whinspindle-Not-Run: 1\r\n", "")]);
-        let again = "versions: 9\nid: 4\ndata: t4\n\n";
-        let rest = [chunk(&event(3)), chunk(again), last_chunk()];
+        let third_change = "versions: 9\nid: 4\ndata: t4\n\n";
+        let rest = [chunk(&event(3)), chunk(third_change), last_chunk()];
         harness.upstreams.script([vec![versioned_head("third", 8)], rest.to_vec()].concat());
         let got = harness.ask(&post("/resumable/x")).await;
-        assert_eq!(chunks(&got), (event(1) + changed + &event(3) + again, true));
+        assert_eq!(chunks(&got), (event(1) + changed + &event(3) + third_change, true));
         assert_eq!(header(&got, "versions").as_deref(), Some("7"));
         let sent = harness.upstreams.requests();
         let asked: Vec<_> = sent.iter().map(|sent| header(sent, "expect-version")).collect();
         assert_eq!(asked, [None, Some("8".to_owned()), Some("8".to_owned())]);
-        // The one with other weights still serves who asks for no version.
+        // The upstream with another version still serves requests without a version.
         let other = header(&sent[1], "whinspindle-expect-instance").expect("an instance");
         let rest: Vec<String> =
             (1..=3).map(|number| format!("model-{number}")).filter(|id| *id != other).collect();
@@ -432,13 +435,16 @@
     play(async {
         let harness = Harness::new();
         harness.upstreams.script(vec![versioned_head("first", 7), chunk(&event(1)), Step::Hang]);
-        // The other one breaks off as well.
+        // The other upstream's connection breaks as well.
         harness.upstreams.script(vec![Step::Close]);
         let start = Instant::now();
-        let got = ask_to_the_end(&harness, &patient("/resumable/x", 6_000)).await;
-        let held = start.elapsed();
+        let got = ask_with_timeout(&harness, &with_client_timeout("/resumable/x", 6_000)).await;
+        let elapsed = start.elapsed();
         assert_eq!(harness.upstreams.requests().len(), 2);
         assert_eq!(chunks(&got), (event(1), false));
-        assert!(held >= Duration::from_millis(5_900) && held < Duration::from_millis(6_000), "{held:?}");
+        assert!(
+            elapsed >= Duration::from_millis(5_900) && elapsed < Duration::from_millis(6_000),
+            "{elapsed:?}"
+        );
     });
 }
--- a/dataplane/proxy/tests/streams.rs
+++ b/dataplane/proxy/tests/streams.rs
@@ -60,7 +60,7 @@
         let got = harness.ask(&post("/stream/x")).await;
         assert_eq!(chunks(&got), (events(1..=9), true));
         assert!(header(&got, "whinspindle-server-stamp").is_some());
-        // The connection is kept.
+        // The connection stays open.
         sleep(SETTLE_TIME).await;
         assert_eq!(harness.upstreams.open(), 1);
     });
@@ -195,7 +195,7 @@
         let start = Instant::now();
         let got = harness.ask(&post("/resumable/x").replace("3000", "15000")).await;
         assert_eq!(chunks(&got), (events([1, 2]), true));
-        // The client waits for four latency targets.
+        // The client's time-out is four times the latency target.
         assert!(start.elapsed() < Duration::from_millis(4 * 600), "{:?}", start.elapsed());
         sleep(SETTLE_TIME).await;
         assert_eq!(harness.upstreams.open(), 1);
@@ -253,7 +253,8 @@
 }
 
 quickcheck! {
-    /// For any chunks of a stream, complete events are passed on in order, and only a stream that has ended is complete.
+    /// For any chunk boundaries, complete events are passed on in order, and only an ended stream is
+    /// complete.
     fn chunk_boundaries_of_a_stream_do_not_matter(lengths: Vec<u8>, cuts: Vec<usize>, ended: bool) -> bool {
         let mut text = String::new();
         for (id, length) in lengths.iter().enumerate() {
