--- a/dataplane/proxy/tests/exchange.rs
+++ b/dataplane/proxy/tests/exchange.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn nothing_is_served_behind_a_request_whose_end_is_unknown() {
+fn no_request_is_served_after_one_with_an_unknown_end() {
     let hidden = "POST /unsafe/hidden HTTP/1.1\r\nHost: a.example\r\nContent-Length: 5\r\n\
                   Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     let padded =
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn bytes_behind_a_request_that_are_no_request_are_not_forwarded() {
+fn invalid_bytes_after_a_request_are_not_forwarded() {
     for surplus in ["what is this\r\n\r\n", "\r\n\r\nhello", "POST /unsafe/x", "hello\0\0"] {
         play(async {
             let harness = Harness::new();
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn requests_wait_for_no_process_that_has_been_up_for_long() {
+fn requests_do_not_wait_after_the_startup_period() {
     play(async {
         let harness = Harness::empty();
         sleep(Duration::from_millis(1_000)).await;
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_safe_request_is_retried_elsewhere() {
+fn a_safe_request_is_retried_at_another_upstream() {
     play(async {
         let harness = Harness::new();
         harness.upstreams.script(vec![Step::Close]);
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_request_that_did_not_run_goes_elsewhere() {
+fn a_request_that_did_not_run_is_retried_at_another_upstream() {
     for script in [rejected(), misdirected()] {
         play(async {
             let harness = Harness::new();
@@ -443,7 +443,7 @@
 }
 
 #[test]
-fn a_refused_connect_is_no_run() {
+fn a_refused_connection_does_not_count_as_a_run() {
     play(async {
         let harness = Harness::new();
         harness.upstreams.refusals.set(2);
--- a/dataplane/proxy/tests/request_framing.rs
+++ b/dataplane/proxy/tests/request_framing.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_request_is_observed_anew() {
+fn framing_is_reset_for_each_request() {
     let mut framing = RequestFraming::default();
     framing.push(b"POST / HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
     framing.finish_request();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_body_that_resembles_a_head_is_none() {
+fn a_body_that_resembles_a_head_is_not_parsed_as_one() {
     let mut framing = RequestFraming::default();
     let body = BOTH;
     framing.push(format!("POST / HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
--- a/dataplane/proxy/tests/rules.rs
+++ b/dataplane/proxy/tests/rules.rs
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_configuration_without_its_route_ends_no_request() {
+fn removing_a_route_does_not_end_its_requests() {
     let dropped = r#"{"generation": 8, "routes": [], "services": []}"#.to_owned();
     let shorter = CONFIGURATION
         .replace("\"generation\": 7", "\"generation\": 8")
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_draining_upstream_finishes_what_it_has_begun() {
+fn a_draining_upstream_finishes_its_requests() {
     play(async {
         let harness = Harness::new();
         let mut script = vec![versioned_head("first", 7), chunk(&event(1))];
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn a_change_of_weights_passes_and_binds_the_resumed_run() {
+fn a_resumed_stream_requests_the_latest_version_of_the_weights() {
     let changed = "versions: 8\nid: 2\ndata: t2\n\n";
     play(async {
         let harness = Harness::new();
--- a/dataplane/proxy/tests/streams.rs
+++ b/dataplane/proxy/tests/streams.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_silent_resumable_stream_is_resumed_before_its_client_gives_up() {
+fn a_silent_resumable_stream_is_resumed_before_the_client_timeout() {
     play(async {
         let harness = Harness::new();
         let mut script = stream([1]);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_new_configuration_truncates_no_stream() {
+fn a_new_configuration_does_not_truncate_streams() {
     play(async {
         let harness = Harness::new();
         let mut script = stream([1]);
