--- a/dataplane/proxy/tests/exchange.rs
+++ b/dataplane/proxy/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges with complete answers: what is forwarded, what is passed back, and what is retried.
+//! Exchanges with complete answers: forwarding, passing back, and retries.
 
 #[allow(dead_code, reason = "each test file uses a part of it")]
 mod common;
@@ -83,7 +83,7 @@
             let mut slow = served("first");
             slow.insert(0, Step::Wait(Duration::from_millis(10)));
             harness.upstreams.script(slow);
-            harness.upstreams.otherwise(served("no"));
+            harness.upstreams.default_script(served("no"));
             let mut client = harness.client();
             let first = post("/unsafe/x");
             if wait.is_zero() {
@@ -101,14 +101,14 @@
 }
 
 #[test]
-fn nothing_is_served_behind_a_request_whose_end_is_unknown() {
+fn no_request_is_served_after_one_with_an_unknown_end() {
     let hidden = "POST /unsafe/hidden HTTP/1.1\r\nHost: a.example\r\nContent-Length: 5\r\n\
                   Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     let padded =
         post("/unsafe/x").replace("Content-Length: 5", &format!("Content-Length:{}5", " ".repeat(300)));
     play(async {
         let harness = Harness::new();
-        harness.upstreams.otherwise(served("ok"));
+        harness.upstreams.default_script(served("ok"));
         let mut client = harness.client();
         client.send(&format!("{padded}{hidden}")).await;
         let got = client.receive_for(REUSE_DELAY).await;
@@ -176,12 +176,12 @@
 }
 
 #[test]
-fn bytes_behind_a_request_that_are_no_request_are_not_forwarded() {
+fn invalid_bytes_after_a_request_are_not_forwarded() {
     for surplus in ["what is this\r\n\r\n", "\r\n\r\nhello", "POST /unsafe/x", "hello\0\0"] {
         play(async {
             let harness = Harness::new();
             harness.upstreams.script(served("first"));
-            harness.upstreams.otherwise(served("no"));
+            harness.upstreams.default_script(served("no"));
             let mut client = harness.client();
             client.send(&format!("{}{surplus}", post("/unsafe/x"))).await;
             let got = client.receive_for(REUSE_DELAY).await;
@@ -203,7 +203,7 @@
     for path in ["/safe/x", "/unsafe/x", "/stream/x"] {
         play(async {
             let harness = Harness::new();
-            harness.upstreams.otherwise(vec![
+            harness.upstreams.default_script(vec![
                 write(format!("{head}{:x}\r\n{event}\r\n", event.len())),
                 Step::Wait(SETTLE_TIME),
                 Step::Close,
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn requests_wait_for_no_process_that_has_been_up_for_long() {
+fn requests_do_not_wait_after_the_startup_period() {
     play(async {
         let harness = Harness::empty();
         sleep(Duration::from_millis(1_000)).await;
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_safe_request_is_retried_elsewhere() {
+fn a_safe_request_is_retried_at_another_upstream() {
     play(async {
         let harness = Harness::new();
         harness.upstreams.script(vec![Step::Close]);
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_request_that_did_not_run_goes_elsewhere() {
+fn a_request_that_did_not_run_is_retried_at_another_upstream() {
     for script in [rejected(), misdirected()] {
         play(async {
             let harness = Harness::new();
@@ -443,7 +443,7 @@
 }
 
 #[test]
-fn a_refused_connect_is_no_run() {
+fn a_refused_connection_does_not_count_as_a_run() {
     play(async {
         let harness = Harness::new();
         harness.upstreams.refusals.set(2);
@@ -555,7 +555,7 @@
             sleep(REUSE_DELAY).await;
         }
         assert_eq!(harness.upstreams.connections(), 1);
-        // Seven tenths of the five seconds that the upstream gives.
+        // Longer than 70% of the upstream's keep-alive time of 5 s.
         sleep(Duration::from_millis(3600)).await;
         harness.upstreams.script(served("ok"));
         assert_eq!(status(&harness.ask(&post("/unsafe/x")).await), 200);
@@ -609,7 +609,7 @@
             harness.upstreams.script(served("ok"));
             client.send(&post("/unsafe/x")).await;
             assert_eq!(body(&client.answer().await), "ok");
-            // Four fifths of the idle time.
+            // 80% of the idle time-out.
             harness.pass(Duration::from_secs(12)).await;
         }
         harness.pass(Duration::from_secs(17)).await;
