--- a/programs/balancer/src/main.rs
+++ b/programs/balancer/src/main.rs
@@ -50,7 +50,7 @@
 
 fn main() -> ExitCode {
     let arguments: Vec<_> = std::env::args_os().skip(1).collect();
-    if arguments.first().is_some_and(whinspindle_serving::handles) {
+    if arguments.first().is_some_and(whinspindle_serving::is_serving_command) {
         return whinspindle_serving::main(arguments);
     }
     // The platform starts the program by its name alone.
--- a/programs/serving/src/command_line.rs
+++ b/programs/serving/src/command_line.rs
@@ -135,7 +135,7 @@
         /// The address for operators of a controller that is left.
         control: SocketAddr,
         /// The addresses of the voters among the controllers, with commas between them.
-        lost: String,
+        lost_voters: String,
         /// The view whose consequences were read.
         confirmed_view: Option<u64>,
     },
@@ -156,7 +156,7 @@
         /// The new configuration.
         file: PathBuf,
         /// The generation that it is based on.
-        base: u64,
+        base_generation: u64,
     },
     /// Compare a configuration file with the configuration in force.
     ConfigDiff {
@@ -186,28 +186,28 @@
 pub enum CommandLineError {
     /// There are no arguments.
     #[snafu(display("no command is given"))]
-    Missing,
+    MissingCommand,
     /// The command is unknown.
     #[snafu(display("unknown command `{name}`"))]
-    Unknown {
+    UnknownCommand {
         /// Its name.
         name: String,
     },
     /// An option or an operand is missing or malformed.
     #[snafu(display("{source}"))]
-    Argument {
+    InvalidArgument {
         /// Why.
         source: pico_args::Error,
     },
     /// There are more arguments than the command takes.
     #[snafu(display("unexpected argument `{}`", argument.to_string_lossy()))]
-    Surplus {
+    UnexpectedArgument {
         /// The first one of these.
         argument: OsString,
     },
     /// `--without` names an unknown mechanism.
     #[snafu(display("`--without`: {source}"))]
-    Mechanism {
+    UnknownMechanism {
         /// Which one.
         source: UnknownMechanism,
     },
@@ -219,7 +219,7 @@
     },
     /// `--log-level` names no level.
     #[snafu(display("unknown log level `{name}`: error, warn, info or debug"))]
-    Level {
+    UnknownLogLevel {
         /// The name.
         name: String,
     },
--- a/programs/serving/src/command_line/parser.rs
+++ b/programs/serving/src/command_line/parser.rs
@@ -9,8 +9,8 @@
 use whinspindle_configuration::Mechanisms;
 
 use super::{
-    ArgumentSnafu, Command, CommandLineError, DEFAULT_SETTINGS, DaemonCommand, ForeignMechanismSnafu,
-    LogLevel, MechanismSnafu, OperatorCommand, Program, SETTINGS_VARIABLE,
+    Command, CommandLineError, DEFAULT_SETTINGS, DaemonCommand, ForeignMechanismSnafu, InvalidArgumentSnafu,
+    LogLevel, OperatorCommand, Program, SETTINGS_VARIABLE, UnknownMechanismSnafu,
 };
 
 /// Parses the arguments that follow the program's name.
@@ -19,9 +19,9 @@
     if arguments.contains(["-h", "--help"]) {
         return Ok(Command::Help);
     }
-    let name = arguments.subcommand().context(ArgumentSnafu)?;
+    let name = arguments.subcommand().context(InvalidArgumentSnafu)?;
     let command = match name.as_deref() {
-        None => return Err(CommandLineError::Missing),
+        None => return Err(CommandLineError::MissingCommand),
         Some("serving-help") => Command::Help,
         Some("proxy") => daemon(Program::Proxy, &mut arguments)?,
         Some("agent") => daemon(Program::Agent, &mut arguments)?,
@@ -32,18 +32,18 @@
         Some("declare-lost") => declare_lost(&mut arguments)?,
         Some("config") => config(&mut arguments)?,
         Some("evacuate") => evacuate(&mut arguments)?,
-        Some(other) => return Err(CommandLineError::Unknown { name: other.to_owned() }),
+        Some(other) => return Err(CommandLineError::UnknownCommand { name: other.to_owned() }),
     };
     match arguments.finish().into_iter().next() {
-        Some(argument) => Err(CommandLineError::Surplus { argument }),
+        Some(argument) => Err(CommandLineError::UnexpectedArgument { argument }),
         None => Ok(command),
     }
 }
 
 fn daemon(program: Program, arguments: &mut Arguments) -> Result<Command, CommandLineError> {
-    let settings = arguments.opt_value_from_os_str("--settings", path).context(ArgumentSnafu)?;
+    let settings = arguments.opt_value_from_os_str("--settings", path).context(InvalidArgumentSnafu)?;
     let settings = settings.unwrap_or_else(default_settings);
-    let log_level = arguments.opt_value_from_str::<_, String>("--log-level").context(ArgumentSnafu)?;
+    let log_level = arguments.opt_value_from_str::<_, String>("--log-level").context(InvalidArgumentSnafu)?;
     let log_level = log_level.map_or(Ok(LogLevel::Info), level)?;
     let mut daemon =
         DaemonCommand { program, settings, log_level, mechanisms: Mechanisms::default(), metrics: None };
@@ -51,15 +51,15 @@
         daemon.mechanisms = mechanisms(program, arguments)?;
     }
     if program != Program::Directory {
-        daemon.metrics = arguments.opt_value_from_str("--metrics").context(ArgumentSnafu)?;
+        daemon.metrics = arguments.opt_value_from_str("--metrics").context(InvalidArgumentSnafu)?;
     }
     Ok(Command::Daemon(daemon))
 }
 
 /// The mechanisms that are switched on. Each program accepts only the names of its own mechanisms.
 fn mechanisms(program: Program, arguments: &mut Arguments) -> Result<Mechanisms, CommandLineError> {
-    let without = arguments.opt_value_from_str::<_, String>("--without").context(ArgumentSnafu)?;
-    let mechanisms = Mechanisms::without(&without.unwrap_or_default()).context(MechanismSnafu)?;
+    let without = arguments.opt_value_from_str::<_, String>("--without").context(InvalidArgumentSnafu)?;
+    let mechanisms = Mechanisms::without(&without.unwrap_or_default()).context(UnknownMechanismSnafu)?;
     let is_controller = program == Program::Controller;
     match mechanisms.switched_off().find(|mechanism| mechanism.is_of_controller() != is_controller) {
         Some(mechanism) => ForeignMechanismSnafu { mechanism }.fail(),
@@ -69,20 +69,20 @@
 
 fn declare_lost(arguments: &mut Arguments) -> Result<Command, CommandLineError> {
     let control = control(arguments)?;
-    let confirmed_view = arguments.opt_value_from_str("--confirm").context(ArgumentSnafu)?;
-    let lost = arguments.free_from_str().context(ArgumentSnafu)?;
-    Ok(Command::Operator(OperatorCommand::DeclareLost { control, lost, confirmed_view }))
+    let confirmed_view = arguments.opt_value_from_str("--confirm").context(InvalidArgumentSnafu)?;
+    let lost_voters = arguments.free_from_str().context(InvalidArgumentSnafu)?;
+    Ok(Command::Operator(OperatorCommand::DeclareLost { control, lost_voters, confirmed_view }))
 }
 
 fn config(arguments: &mut Arguments) -> Result<Command, CommandLineError> {
-    let verb = arguments.subcommand().context(ArgumentSnafu)?;
+    let verb = arguments.subcommand().context(InvalidArgumentSnafu)?;
     let command = match verb.as_deref() {
         Some("check") => OperatorCommand::ConfigCheck { file: file(arguments)? },
         Some("fetch") => OperatorCommand::ConfigFetch { control: control(arguments)? },
         Some("replace") => {
             let control = control(arguments)?;
-            let base = arguments.value_from_str("--base").context(ArgumentSnafu)?;
-            OperatorCommand::ConfigReplace { control, file: file(arguments)?, base }
+            let base_generation = arguments.value_from_str("--base").context(InvalidArgumentSnafu)?;
+            OperatorCommand::ConfigReplace { control, file: file(arguments)?, base_generation }
         }
         Some("diff") => {
             let control = control(arguments)?;
@@ -94,9 +94,9 @@
 }
 
 fn evacuate(arguments: &mut Arguments) -> Result<Command, CommandLineError> {
-    let verb = arguments.subcommand().context(ArgumentSnafu)?;
+    let verb = arguments.subcommand().context(InvalidArgumentSnafu)?;
     let control = control(arguments)?;
-    let mut zone = || arguments.free_from_str::<String>().context(ArgumentSnafu);
+    let mut zone = || arguments.free_from_str::<String>().context(InvalidArgumentSnafu);
     let command = match verb.as_deref() {
         Some("begin") => OperatorCommand::EvacuateBegin { control, zone: zone()? },
         Some("finish") => OperatorCommand::EvacuateFinish { control, zone: zone()? },
@@ -106,11 +106,11 @@
 }
 
 fn control(arguments: &mut Arguments) -> Result<SocketAddr, CommandLineError> {
-    arguments.value_from_str("--control").context(ArgumentSnafu)
+    arguments.value_from_str("--control").context(InvalidArgumentSnafu)
 }
 
 fn file(arguments: &mut Arguments) -> Result<PathBuf, CommandLineError> {
-    arguments.free_from_os_str(path).context(ArgumentSnafu)
+    arguments.free_from_os_str(path).context(InvalidArgumentSnafu)
 }
 
 fn path(argument: &std::ffi::OsStr) -> Result<PathBuf, std::convert::Infallible> {
@@ -127,10 +127,12 @@
         "warn" => Ok(LogLevel::Warn),
         "info" => Ok(LogLevel::Info),
         "debug" => Ok(LogLevel::Debug),
-        _ => Err(CommandLineError::Level { name }),
+        _ => Err(CommandLineError::UnknownLogLevel { name }),
     }
 }
 
 fn unknown(command: &str, verb: Option<&str>) -> CommandLineError {
-    CommandLineError::Unknown { name: format!("{command} {}", verb.unwrap_or_default()).trim().to_owned() }
+    CommandLineError::UnknownCommand {
+        name: format!("{command} {}", verb.unwrap_or_default()).trim().to_owned(),
+    }
 }
--- a/programs/serving/src/lib.rs
+++ b/programs/serving/src/lib.rs
@@ -1,7 +1,7 @@
 //! Entry point of the serving system: the daemons `proxy`, `agent`, `controller` and `directory`, and the operator's
 //! commands, which call a running controller.
 //!
-//! Only command line, settings, logging and wiring; each daemon has a crate of its own. The binary asks [`handles`] for its
+//! Only command line, settings, logging and wiring; each daemon has a crate of its own. The binary asks [`is_serving_command`] for its
 //! first argument, and passes the arguments to [`main`] if it does.
 
 pub mod command_line;
@@ -22,7 +22,7 @@
 const FAILURE_STATUS: u8 = 1;
 
 /// Whether the first argument names a command of the serving system.
-pub fn handles(argument: &OsString) -> bool {
+pub fn is_serving_command(argument: &OsString) -> bool {
     argument.to_str().is_some_and(|name| command_line::COMMANDS.contains(&name))
 }
 
--- a/programs/serving/src/operator.rs
+++ b/programs/serving/src/operator.rs
@@ -56,12 +56,14 @@
     match command {
         OperatorCommand::Status { control } => ask(*control, Call::get("/status")),
         OperatorCommand::Members { control } => members(*control),
-        OperatorCommand::DeclareLost { control, lost, confirmed_view } => {
-            declare_lost(*control, lost, *confirmed_view)
+        OperatorCommand::DeclareLost { control, lost_voters, confirmed_view } => {
+            declare_lost(*control, lost_voters, *confirmed_view)
         }
         OperatorCommand::ConfigCheck { file } => check(file),
         OperatorCommand::ConfigFetch { control } => ask(*control, Call::get("/Config.Fetch")),
-        OperatorCommand::ConfigReplace { control, file, base } => replace(*control, file, *base),
+        OperatorCommand::ConfigReplace { control, file, base_generation } => {
+            replace(*control, file, *base_generation)
+        }
         OperatorCommand::ConfigDiff { control, file } => difference(*control, file),
         OperatorCommand::EvacuateBegin { control, zone } => {
             ask(*control, Call::post(format!("/Evacuate.Begin/{zone}"), Bytes::new()))
@@ -85,17 +87,17 @@
 fn members(control: SocketAddr) -> Result<String, OperatorError> {
     let status = ask(control, Call::get("/status"))?;
     let status = Status::parse(&status).context(StatusSnafu)?;
-    Ok(status.members())
+    Ok(status.render_members())
 }
 
 fn declare_lost(
     control: SocketAddr,
-    lost: &str,
+    lost_voters: &str,
     confirmed_view: Option<u64>,
 ) -> Result<String, OperatorError> {
     let confirmation = confirmed_view.map(|view| format!("?confirm={view}")).unwrap_or_default();
-    ask(control, Call::post(format!("/Members.DeclareLost/{lost}{confirmation}"), Bytes::new()))?;
-    Ok(format!("{lost} are declared lost: see `members`"))
+    ask(control, Call::post(format!("/Members.DeclareLost/{lost_voters}{confirmation}"), Bytes::new()))?;
+    Ok(format!("{lost_voters} are declared lost: see `members`"))
 }
 
 fn read(file: &Path) -> Result<(Vec<u8>, Configuration), OperatorError> {
@@ -110,10 +112,10 @@
     Ok(format!("generation {}: {routes} routes, {services} services, valid", configuration.generation))
 }
 
-fn replace(control: SocketAddr, file: &Path, base: u64) -> Result<String, OperatorError> {
+fn replace(control: SocketAddr, file: &Path, base_generation: u64) -> Result<String, OperatorError> {
     let (text, configuration) = read(file)?;
     let mut call = Call::post("/Config.Replace", text);
-    call.base_version = Some(base);
+    call.base_version = Some(base_generation);
     ask(control, call)?;
     Ok(format!("generation {} is in place", configuration.generation))
 }
--- a/programs/serving/src/status.rs
+++ b/programs/serving/src/status.rs
@@ -38,7 +38,7 @@
     }
 
     /// The view as a table: one line for each member, with its position in the chain.
-    pub fn members(&self) -> String {
+    pub fn render_members(&self) -> String {
         let quorum = if self.in_quorum == 1 { "in a quorum" } else { "without a quorum" };
         let mut text = format!("{}: {quorum}, view {}, generation {}", self.node, self.view, self.generation);
         _ = write!(text, ", committed up to {}", self.committed_sequence);
--- a/programs/serving/tests/command_line.rs
+++ b/programs/serving/tests/command_line.rs
@@ -113,19 +113,23 @@
             "declare-lost 10.0.0.2:7400,10.0.0.3:7400 --control 10.0.0.1:8166 --confirm 9",
             OperatorCommand::DeclareLost {
                 control,
-                lost: "10.0.0.2:7400,10.0.0.3:7400".to_owned(),
+                lost_voters: "10.0.0.2:7400,10.0.0.3:7400".to_owned(),
                 confirmed_view: Some(9),
             },
         ),
         (
             "declare-lost 10.0.0.2:7400 --control 10.0.0.1:8166",
-            OperatorCommand::DeclareLost { control, lost: "10.0.0.2:7400".to_owned(), confirmed_view: None },
+            OperatorCommand::DeclareLost {
+                control,
+                lost_voters: "10.0.0.2:7400".to_owned(),
+                confirmed_view: None,
+            },
         ),
         ("config fetch --control 10.0.0.1:8166", OperatorCommand::ConfigFetch { control }),
         ("config check a.json", OperatorCommand::ConfigCheck { file: PathBuf::from("a.json") }),
         (
             "config replace a.json --base 7 --control 10.0.0.1:8166",
-            OperatorCommand::ConfigReplace { control, file: PathBuf::from("a.json"), base: 7 },
+            OperatorCommand::ConfigReplace { control, file: PathBuf::from("a.json"), base_generation: 7 },
         ),
         (
             "config diff a.json --control 10.0.0.1:8166",
--- a/programs/serving/tests/status.rs
+++ b/programs/serving/tests/status.rs
@@ -13,7 +13,7 @@
                     10.0.0.1:7000  head\n\
                     10.0.0.2:7000  not in the chain\n\
                     10.0.0.3:7000  tail";
-    assert_eq!(status.members(), expected);
+    assert_eq!(status.render_members(), expected);
 }
 
 #[test]
