--- a/programs/serving/src/command_line.rs
+++ b/programs/serving/src/command_line.rs
@@ -12,12 +12,12 @@
 
 pub use self::parser::parse;
 
-/// Environment variable with the path of the settings file, used without `--settings`.
+/// Environment variable that holds the path of the settings file. `--settings` overrides it.
 pub const SETTINGS_VARIABLE: &str = "WHINSPINDLE_CONFIG";
-/// The settings file without either.
+/// The settings file if neither `--settings` nor the environment variable is given.
 const DEFAULT_SETTINGS: &str = "/etc/whinspindle/boot.json";
 
-/// The first arguments that belong to this crate.
+/// The commands that this crate handles, as they appear in the first argument.
 pub const COMMANDS: [&str; 10] = [
     "proxy",
     "agent",
@@ -32,37 +32,37 @@
 ];
 
 /// Placeholder in the help for the list of mechanisms.
-const MECHANISMS: &str = "{MECHANISMS}";
+const MECHANISMS_PLACEHOLDER: &str = "{MECHANISMS}";
 
 const HELP: &str = "\
 Daemons of the serving system:
   whinspindle proxy       forwards clients' requests to upstreams
-  whinspindle agent       links the proxy of its machine to the control plane
-  whinspindle controller  replicates the configuration, the upstreams and the balancers; answers operators and clients
-  whinspindle directory   forwards clients' look-ups of where to connect to the controller of its machine
-      --settings FILE     settings of the process (else $WHINSPINDLE_CONFIG, else /etc/whinspindle/boot.json)
-      --log-level LEVEL   error, warn, info or debug; info by default
-      --metrics PORT/PATH (not directory) serves metrics on this port of the machine
-      --without NAME,...  (proxy, controller) switches mechanisms off, to measure their effect
-
-Operator's commands, sent to any controller:
-  whinspindle status --control ADDRESS                      the controller's state as JSON
-  whinspindle members --control ADDRESS                     its view: voters and chain
-  whinspindle declare-lost ADDRESS,... --control ADDRESS [--confirm VIEW]  voters never come back, and the rest can't decide
-  whinspindle config check FILE                             checks a configuration
-  whinspindle config fetch --control ADDRESS                the newest acknowledged configuration
-  whinspindle config replace FILE --base N --control ADDRESS  sends a configuration built on generation N
-  whinspindle config diff FILE --control ADDRESS            routes and services that differ from those in force
-  whinspindle evacuate begin|finish ZONE --control ADDRESS  sends nothing more to a zone, or ends that
-
-Mechanisms, and what happens without them (all but `recall` are the proxy's, that one is the controller's):
+  whinspindle agent       connects the proxy on its machine to the control plane
+  whinspindle controller  replicates the configuration and the registries of upstreams and balancers; serves operators and clients
+  whinspindle directory   forwards clients' address lookups to the controller on its machine
+      --settings FILE     settings file (default: $WHINSPINDLE_CONFIG, then /etc/whinspindle/boot.json)
+      --log-level LEVEL   error, warn, info or debug (default: info)
+      --metrics PORT/PATH (not directory) serves metrics on this port and path
+      --without NAME,...  (proxy, controller) disables mechanisms, to measure their effect
+
+Operator commands, sent to any controller:
+  whinspindle status --control ADDRESS                      prints the controller's state as JSON
+  whinspindle members --control ADDRESS                     prints the controller's view: voters and chain
+  whinspindle declare-lost ADDRESS,... --control ADDRESS [--confirm VIEW]  declares voters permanently lost if the others have no quorum
+  whinspindle config check FILE                             validates a configuration file
+  whinspindle config fetch --control ADDRESS                prints the newest acknowledged configuration
+  whinspindle config replace FILE --base N --control ADDRESS  replaces the configuration, based on generation N
+  whinspindle config diff FILE --control ADDRESS            lists routes and services that differ from the active ones
+  whinspindle evacuate begin|finish ZONE --control ADDRESS  starts or ends the evacuation of a zone
+
+Mechanisms, and the effect of disabling each one (`recall` belongs to the controller, all others to the proxy):
 {MECHANISMS}
-Exit status: 0 done; 1 refused or failed; 2 wrong arguments or settings.";
+Exit status: 0 success; 1 rejected or failed; 2 invalid arguments or settings.";
 
-/// What `whinspindle serving-help` prints.
+/// Returns the help text that `whinspindle serving-help` prints.
 pub fn help() -> String {
-    let line = |mechanism: Mechanism| format!("  {:<24}{}\n", mechanism.name(), mechanism.absence());
-    HELP.replace(MECHANISMS, &Mechanism::all().map(line).collect::<String>())
+    let render_line = |mechanism: Mechanism| format!("  {:<24}{}\n", mechanism.name(), mechanism.absence());
+    HELP.replace(MECHANISMS_PLACEHOLDER, &Mechanism::all().map(render_line).collect::<String>())
 }
 
 /// A parsed command line.
@@ -72,7 +72,7 @@
     Help,
     /// Run a daemon.
     Daemon(DaemonCommand),
-    /// Carry out an operator's command.
+    /// Execute an operator command.
     Operator(OperatorCommand),
 }
 
@@ -81,146 +81,146 @@
 pub enum Program {
     /// Forwards requests to upstreams.
     Proxy,
-    /// Links a proxy to the control plane.
+    /// Connects a proxy to the control plane.
     Agent,
     /// Replicates the state of the control plane.
     Controller,
-    /// Answers clients' look-ups of where to connect.
+    /// Forwards clients' address lookups to a controller.
     Directory,
 }
 
 /// A daemon and its options.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DaemonCommand {
-    /// Which daemon.
+    /// The daemon to run.
     pub program: Program,
     /// The settings file.
     pub settings: PathBuf,
-    /// The least severe lines that are logged.
+    /// Minimum severity of the logged lines.
     pub log_level: LogLevel,
-    /// The mechanisms that are switched on.
+    /// The enabled mechanisms.
     pub mechanisms: Mechanisms,
-    /// Where the process serves its metrics, if at all.
+    /// Port and path that serve the metrics. `None` disables them.
     pub metrics: Option<MetricsEndpoint>,
 }
 
-/// The least severe lines that are logged.
+/// Minimum severity of the logged lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Errors alone.
+    /// Errors only.
     Error,
-    /// Warnings as well.
+    /// Warnings and errors.
     Warn,
-    /// Informational lines as well.
+    /// Informational lines, warnings and errors.
     Info,
-    /// Debug lines as well.
+    /// All lines, including debug lines.
     Debug,
 }
 
-/// A call to a controller, or a check of a file.
+/// A call to a controller, or the validation of a file.
 #[derive(Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
     /// Print a controller's state.
     Status {
-        /// The controller's address for operators.
+        /// The operator address of the controller.
         control: SocketAddr,
     },
     /// Print the voters and the chain.
     Members {
-        /// The controller's address for operators.
+        /// The operator address of the controller.
         control: SocketAddr,
     },
-    /// Answer for it that voters never come back, where the others can't decide without them.
+    /// Declare voters permanently lost if the other voters have no quorum without them.
     DeclareLost {
-        /// The address for operators of a controller that is left.
+        /// The operator address of a controller that still runs.
         control: SocketAddr,
-        /// The addresses of the voters among the controllers, with commas between them.
+        /// The addresses of the lost voters, separated by commas.
         lost_voters: String,
-        /// The view whose consequences were read.
+        /// The view for which the operator has confirmed the consequences.
         confirmed_view: Option<u64>,
     },
-    /// Check a configuration file.
+    /// Validate a configuration file.
     ConfigCheck {
-        /// The file.
+        /// The configuration file.
         file: PathBuf,
     },
     /// Print the newest acknowledged configuration.
     ConfigFetch {
-        /// The controller's address for operators.
+        /// The operator address of the controller.
         control: SocketAddr,
     },
     /// Replace the configuration.
     ConfigReplace {
-        /// The controller's address for operators.
+        /// The operator address of the controller.
         control: SocketAddr,
         /// The new configuration.
         file: PathBuf,
-        /// The generation that it is based on.
+        /// The generation on which the new configuration is based.
         base_generation: u64,
     },
-    /// Compare a configuration file with the configuration in force.
+    /// Compare a configuration file with the active configuration.
     ConfigDiff {
-        /// The controller's address for operators.
+        /// The operator address of the controller.
         control: SocketAddr,
-        /// The file.
+        /// The configuration file.
         file: PathBuf,
     },
-    /// Evacuate a zone.
+    /// Begin the evacuation of a zone.
     EvacuateBegin {
-        /// The controller's address for operators.
+        /// The operator address of the controller.
         control: SocketAddr,
         /// The zone.
         zone: String,
     },
     /// End the evacuation of a zone.
     EvacuateFinish {
-        /// The controller's address for operators.
+        /// The operator address of the controller.
         control: SocketAddr,
         /// The zone.
         zone: String,
     },
 }
 
-/// Why arguments are no command.
+/// An error in the command-line arguments.
 #[derive(Debug, Snafu)]
 pub enum CommandLineError {
-    /// There are no arguments.
+    /// No command is given.
     #[snafu(display("no command is given"))]
     MissingCommand,
     /// The command is unknown.
     #[snafu(display("unknown command `{name}`"))]
     UnknownCommand {
-        /// Its name.
+        /// The unknown command.
         name: String,
     },
     /// An option or an operand is missing or malformed.
     #[snafu(display("{source}"))]
     InvalidArgument {
-        /// Why.
+        /// The parser error.
         source: pico_args::Error,
     },
-    /// There are more arguments than the command takes.
+    /// The command does not take this many arguments.
     #[snafu(display("unexpected argument `{}`", argument.to_string_lossy()))]
     UnexpectedArgument {
-        /// The first one of these.
+        /// The first unexpected argument.
         argument: OsString,
     },
     /// `--without` names an unknown mechanism.
     #[snafu(display("`--without`: {source}"))]
     UnknownMechanism {
-        /// Which one.
+        /// The error with the unknown name.
         source: UnknownMechanism,
     },
     /// `--without` names a mechanism of another program.
-    #[snafu(display("`--without`: `{}` is not a mechanism of this program: see `serving-help`", mechanism.name()))]
+    #[snafu(display("`--without`: `{}` is not a mechanism of this program; see `serving-help`", mechanism.name()))]
     ForeignMechanism {
-        /// Which one.
+        /// The mechanism.
         mechanism: Mechanism,
     },
-    /// `--log-level` names no level.
-    #[snafu(display("unknown log level `{name}`: error, warn, info or debug"))]
+    /// `--log-level` names an unknown level.
+    #[snafu(display("unknown log level `{name}`; known: error, warn, info, debug"))]
     UnknownLogLevel {
-        /// The name.
+        /// The unknown level.
         name: String,
     },
 }
--- a/programs/serving/src/lib.rs
+++ b/programs/serving/src/lib.rs
@@ -1,8 +1,8 @@
-//! Entry point of the serving system: the daemons `proxy`, `agent`, `controller` and `directory`, and the operator's
-//! commands, which call a running controller.
+//! Entry point of the serving system: the daemons `proxy`, `agent`, `controller` and `directory`, and the
+//! operator commands, most of which call a running controller.
 //!
-//! Only command line, settings, logging and wiring; each daemon has a crate of its own. The binary asks [`is_serving_command`] for its
-//! first argument, and passes the arguments to [`main`] if it does.
+//! This crate handles the command line, settings, logging and wiring. Each daemon has its own crate. The
+//! binary passes its arguments to [`main`] if [`is_serving_command`] is true for the first one.
 
 pub mod command_line;
 mod daemon;
@@ -16,9 +16,9 @@
 
 use crate::command_line::{Command, help};
 
-/// Exit status for wrong arguments and for settings that cannot be used.
+/// Exit status for invalid arguments or settings.
 const USAGE_STATUS: u8 = 2;
-/// Exit status for a daemon that failed, and for a command that was rejected.
+/// Exit status for a failed daemon or operator command.
 const FAILURE_STATUS: u8 = 1;
 
 /// Whether the first argument names a command of the serving system.
@@ -26,7 +26,7 @@
     argument.to_str().is_some_and(|name| command_line::COMMANDS.contains(&name))
 }
 
-/// Runs the command in the arguments, which exclude the program's name.
+/// Parses and runs a command. The arguments exclude the program name.
 pub fn main(arguments: Vec<OsString>) -> ExitCode {
     let command = match command_line::parse(arguments) {
         Ok(command) => command,
--- a/programs/serving/src/logging.rs
+++ b/programs/serving/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logging of a daemon: lines on standard error, each flushed at once.
+//! Logging of a daemon to standard error. Each line is flushed immediately.
 
 use std::sync::Arc;
 
@@ -8,20 +8,20 @@
 
 use crate::command_line::LogLevel;
 
-/// Sets the default logger of the process, which writes lines of at least this severity.
+/// Sets the default logger of the process. It writes lines of at least the given severity.
 pub fn start(level: LogLevel) -> Result<(), spdlog::Error> {
-    let line = PatternFormatter::new(pattern!("{level} {payload}{eol}"));
-    let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).formatter(line).build()?;
+    let formatter = PatternFormatter::new(pattern!("{level} {payload}{eol}"));
+    let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).formatter(formatter).build()?;
     let logger = Logger::builder()
         .sink(Arc::new(sink))
-        .level_filter(LevelFilter::MoreSevereEqual(severity(level)))
+        .level_filter(LevelFilter::MoreSevereEqual(to_spdlog_level(level)))
         .flush_level_filter(LevelFilter::All)
         .build()?;
     spdlog::set_default_logger(Arc::new(logger));
     Ok(())
 }
 
-fn severity(level: LogLevel) -> Level {
+fn to_spdlog_level(level: LogLevel) -> Level {
     match level {
         LogLevel::Error => Level::Error,
         LogLevel::Warn => Level::Warn,
--- a/programs/serving/tests/command_line.rs
+++ b/programs/serving/tests/command_line.rs
@@ -8,12 +8,12 @@
     Command, CommandLineError, DaemonCommand, LogLevel, OperatorCommand, Program, help, parse,
 };
 
-fn parsed(line: &str) -> Result<Command, CommandLineError> {
+fn parse_line(line: &str) -> Result<Command, CommandLineError> {
     parse(line.split_whitespace().map(OsString::from).collect())
 }
 
 #[test]
-fn a_daemon_takes_its_settings_file_and_log_level() {
+fn daemon_accepts_settings_file_and_log_level() {
     let expected = DaemonCommand {
         program: Program::Controller,
         settings: PathBuf::from("a.json"),
@@ -21,81 +21,82 @@
         mechanisms: Mechanisms::default(),
         metrics: None,
     };
-    let line = parsed("controller --settings a.json --log-level debug").unwrap();
-    assert_eq!(line, Command::Daemon(expected));
+    let command = parse_line("controller --settings a.json --log-level debug").unwrap();
+    assert_eq!(command, Command::Daemon(expected));
 }
 
 #[test]
-fn each_daemon_has_its_name() {
+fn each_daemon_is_selected_by_name() {
     for (name, program) in [
         ("proxy", Program::Proxy),
         ("agent", Program::Agent),
         ("controller", Program::Controller),
         ("directory", Program::Directory),
     ] {
-        let Command::Daemon(daemon) = parsed(name).unwrap() else { panic!("{name} is a daemon") };
+        let Command::Daemon(daemon) = parse_line(name).unwrap() else {
+            panic!("{name} must parse as a daemon")
+        };
         assert_eq!((daemon.program, daemon.log_level), (program, LogLevel::Info));
     }
 }
 
 #[test]
-fn mechanisms_are_switched_off_by_name() {
-    let Command::Daemon(daemon) = parsed("proxy --without holders,rests").unwrap() else {
-        panic!("a daemon")
+fn mechanisms_are_disabled_by_name() {
+    let Command::Daemon(daemon) = parse_line("proxy --without holders,rests").unwrap() else {
+        panic!("the line must parse as a daemon")
     };
-    let off: Vec<_> = daemon.mechanisms.switched_off().collect();
-    assert_eq!(off, [Mechanism::Holders, Mechanism::Rests]);
+    let disabled: Vec<_> = daemon.mechanisms.switched_off().collect();
+    assert_eq!(disabled, [Mechanism::Holders, Mechanism::Rests]);
 }
 
 #[test]
-fn each_program_switches_its_own_mechanisms_off() {
-    let all = Mechanism::all().map(|mechanism| {
+fn each_program_accepts_only_its_own_mechanisms() {
+    let cases = Mechanism::all().map(|mechanism| {
         let name = mechanism.name();
         let (own, other) =
             if mechanism == Mechanism::Recall { ("controller", "proxy") } else { ("proxy", "controller") };
         (format!("{own} --without {name}"), format!("{other} --without {name}"), name)
     });
-    for (accepted, rejected, name) in all {
-        assert!(parsed(&accepted).is_ok(), "{accepted}");
-        let failure = parsed(&rejected).unwrap_err().to_string();
-        assert!(
-            failure.starts_with(&format!("`--without`: `{name}` is not a mechanism of this")),
-            "{failure}"
-        );
+    for (accepted, rejected, name) in cases {
+        assert!(parse_line(&accepted).is_ok(), "{accepted}");
+        let error = parse_line(&rejected).unwrap_err().to_string();
+        assert!(error.starts_with(&format!("`--without`: `{name}` is not a mechanism of this")), "{error}");
     }
     for program in ["agent", "directory"] {
-        let failure = parsed(&format!("{program} --without holders")).unwrap_err().to_string();
-        assert!(failure.contains("--without"), "{failure}");
+        let error = parse_line(&format!("{program} --without holders")).unwrap_err().to_string();
+        assert!(error.contains("--without"), "{error}");
     }
 }
 
 #[test]
-fn all_but_directories_take_an_endpoint_for_metrics() {
+fn all_daemons_except_directory_accept_a_metrics_endpoint() {
     for name in ["proxy", "agent", "controller"] {
         let line = format!("{name} --metrics 9464/metrics");
-        let Command::Daemon(daemon) = parsed(&line).unwrap() else { panic!("a daemon") };
+        let Command::Daemon(daemon) = parse_line(&line).unwrap() else {
+            panic!("the line must parse as a daemon")
+        };
         assert_eq!(daemon.metrics, Some("9464/metrics".parse().unwrap()));
-        let rejected = parsed(&format!("{name} --metrics metrics")).unwrap_err().to_string();
-        assert!(rejected.contains("PORT/PATH"), "{rejected}");
+        let error = parse_line(&format!("{name} --metrics metrics")).unwrap_err().to_string();
+        assert!(error.contains("PORT/PATH"), "{error}");
     }
-    let rejected = parsed("directory --metrics 9464/metrics").unwrap_err().to_string();
-    assert!(rejected.contains("--metrics"), "{rejected}");
+    let error = parse_line("directory --metrics 9464/metrics").unwrap_err().to_string();
+    assert!(error.contains("--metrics"), "{error}");
 }
 
 #[test]
-fn an_unknown_mechanism_is_rejected_with_the_names_of_all() {
-    let rejected = parsed("proxy --without holders,magic").unwrap_err().to_string();
+fn unknown_mechanism_error_lists_all_known_names() {
+    let error = parse_line("proxy --without holders,magic").unwrap_err().to_string();
     assert!(
-        rejected.starts_with("`--without`: unknown mechanism `magic`; known: own-region-first, "),
-        "{rejected}"
+        error.starts_with("`--without`: unknown mechanism `magic`; known: own-region-first, "),
+        "{error}"
     );
     for mechanism in Mechanism::all() {
-        assert!(rejected.contains(mechanism.name()), "{rejected}");
+        assert!(error.contains(mechanism.name()), "{error}");
     }
 }
 
 #[test]
-fn the_help_lists_each_mechanism_with_what_its_absence_does() {
+fn help_lists_each_mechanism_with_the_effect_of_disabling_it() {
     let help = help();
     for mechanism in Mechanism::all() {
         let line = format!("  {:<24}{}\n", mechanism.name(), mechanism.absence());
@@ -104,7 +105,7 @@
 }
 
 #[test]
-fn operator_commands_name_a_controller() {
+fn operator_commands_are_parsed() {
     let control = "10.0.0.1:8166".parse().unwrap();
     let cases = [
         ("status --control 10.0.0.1:8166", OperatorCommand::Status { control }),
@@ -145,13 +146,13 @@
         ),
     ];
     for (line, expected) in cases {
-        assert_eq!(parsed(line).unwrap(), Command::Operator(expected), "{line}");
+        assert_eq!(parse_line(line).unwrap(), Command::Operator(expected), "{line}");
     }
 }
 
 #[test]
-fn arguments_without_a_command_are_rejected() {
-    let rejected = [
+fn invalid_command_lines_are_rejected() {
+    let invalid_lines = [
         "",
         "nothing",
         "status",
@@ -165,13 +166,13 @@
         "proxy surplus",
         "proxy --log-level loud",
     ];
-    for line in rejected {
-        assert!(parsed(line).is_err(), "{line}");
+    for line in invalid_lines {
+        assert!(parse_line(line).is_err(), "{line}");
     }
 }
 
 #[test]
 fn help_takes_precedence() {
-    assert_eq!(parsed("proxy --help").unwrap(), Command::Help);
-    assert_eq!(parsed("serving-help").unwrap(), Command::Help);
+    assert_eq!(parse_line("proxy --help").unwrap(), Command::Help);
+    assert_eq!(parse_line("serving-help").unwrap(), Command::Help);
 }
--- a/programs/serving/tests/status.rs
+++ b/programs/serving/tests/status.rs
@@ -7,7 +7,7 @@
 "voters":["10.0.0.1:7000","10.0.0.2:7000","10.0.0.3:7000"],"peers":[],"balancers":[{"node":"edge-1"}]}"#;
 
 #[test]
-fn members_are_shown_with_their_position_in_the_chain() {
+fn members_are_rendered_with_their_chain_position() {
     let status = Status::parse(STATUS).unwrap();
     let expected = "core-1: in a quorum, view 4, generation 7, committed up to 12\n\
                     10.0.0.1:7000  head\n\
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_truncated_status_is_an_error() {
+fn truncated_status_is_rejected() {
     assert!(Status::parse(&STATUS[..40]).is_err());
     assert!(Status::parse("").is_err());
 }
