--- a/programs/serving/src/command_line.rs
+++ b/programs/serving/src/command_line.rs
@@ -61,7 +61,8 @@
 
 /// Returns the help text that `whinspindle serving-help` prints.
 pub fn help() -> String {
-    let render_line = |mechanism: Mechanism| format!("  {:<24}{}\n", mechanism.name(), mechanism.absence());
+    let render_line =
+        |mechanism: Mechanism| format!("  {:<24}{}\n", mechanism.name(), mechanism.effect_when_off());
     HELP.replace(MECHANISMS_PLACEHOLDER, &Mechanism::all().map(render_line).collect::<String>())
 }
 
--- a/programs/serving/src/daemon.rs
+++ b/programs/serving/src/daemon.rs
@@ -60,7 +60,7 @@
     let mut settings = read_settings(&command.settings)?;
     settings.mechanisms = command.mechanisms;
     for mechanism in settings.mechanisms.switched_off() {
-        warn!("mechanism {} is disabled: {}", mechanism.name(), mechanism.absence());
+        warn!("mechanism {} is disabled: {}", mechanism.name(), mechanism.effect_when_off());
     }
     let keys = missing_keys(command.program, &settings);
     ensure!(keys.is_empty(), MissingKeysSnafu { path: &command.settings, keys });
