--- a/controlplane/controller/tests/api.rs
+++ b/controlplane/controller/tests/api.rs
@@ -21,53 +21,53 @@
 
 fn status(request: &Request<'_>) -> StatusCode {
     match parse(request) {
-        Ok(call) => panic!("{} was taken as {call:?}", request.path),
-        Err(refusal) => Response::from(refusal).status,
+        Ok(call) => panic!("{} was parsed as {call:?}", request.path),
+        Err(error) => Response::from(error).status,
     }
 }
 
 #[test]
-fn a_configuration_names_its_base_and_generation() {
-    let proper =
+fn replace_call_has_base_version_and_generation() {
+    let valid =
         Request { base_version: Some("5"), ..request(&Method::POST, "/Config.Replace", CONFIGURATION) };
     let body = Bytes::from_static(CONFIGURATION.as_bytes());
-    assert_eq!(parse(&proper).unwrap(), Call::Replace { base: 5, generation: 7, body });
+    assert_eq!(parse(&valid).unwrap(), Call::Replace { base: 5, generation: 7, body });
 }
 
 #[test]
-fn a_missing_or_garbled_base_version_is_refused() {
+fn missing_or_malformed_base_version_is_rejected() {
     for base_version in [None, Some(""), Some("five"), Some("-1"), Some("1.5"), Some("99999999999999999999")]
     {
-        let improper = Request { base_version, ..request(&Method::POST, "/Config.Replace", CONFIGURATION) };
-        assert_eq!(status(&improper), StatusCode::BAD_REQUEST, "{base_version:?}");
+        let invalid = Request { base_version, ..request(&Method::POST, "/Config.Replace", CONFIGURATION) };
+        assert_eq!(status(&invalid), StatusCode::BAD_REQUEST, "{base_version:?}");
     }
 }
 
 #[test]
-fn an_invalid_configuration_is_refused_with_a_reason() {
+fn invalid_configuration_is_rejected_with_a_reason() {
     let zero_timeout = CONFIGURATION.replace("\"timeout_ms\":1000", "\"timeout_ms\":0");
     let unknown_service = CONFIGURATION.replace("\"backend\":\"desk\"", "\"backend\":\"other\"");
-    let cut = &CONFIGURATION[..CONFIGURATION.len() - 1];
-    for body in ["", "{}", "[]", cut, &zero_timeout, &unknown_service] {
-        let improper = Request { base_version: Some("0"), ..request(&Method::POST, "/Config.Replace", body) };
-        let response = Response::from(parse(&improper).unwrap_err());
+    let truncated = &CONFIGURATION[..CONFIGURATION.len() - 1];
+    for body in ["", "{}", "[]", truncated, &zero_timeout, &unknown_service] {
+        let invalid = Request { base_version: Some("0"), ..request(&Method::POST, "/Config.Replace", body) };
+        let response = Response::from(parse(&invalid).unwrap_err());
         assert_eq!(response.status, StatusCode::BAD_REQUEST, "{body}");
         assert!(response.body.starts_with(b"{\"error\":\"invalid configuration: "), "{:?}", response.body);
     }
 }
 
 #[test]
-fn heartbeats_are_read_and_checked() {
-    let proper = request(&Method::POST, "/Instances.Heartbeat/i-7", HEARTBEAT);
-    match parse(&proper).unwrap() {
+fn heartbeats_are_parsed_and_validated() {
+    let valid = request(&Method::POST, "/Instances.Heartbeat/i-7", HEARTBEAT);
+    match parse(&valid).unwrap() {
         Call::Heartbeat { instance, heartbeat } => {
             assert_eq!((instance.as_str(), heartbeat.sequence), ("i-7", 4));
         }
-        other => panic!("read as {other:?}"),
+        other => panic!("parsed as {other:?}"),
     }
     for body in ["", "{}", "no json", &HEARTBEAT.replace("ready", "asleep")] {
-        let improper = request(&Method::POST, "/Instances.Heartbeat/i-7", body);
-        assert_eq!(status(&improper), StatusCode::BAD_REQUEST, "{body}");
+        let invalid = request(&Method::POST, "/Instances.Heartbeat/i-7", body);
+        assert_eq!(status(&invalid), StatusCode::BAD_REQUEST, "{body}");
     }
 }
 
@@ -77,12 +77,12 @@
     for path in ["/Instances.Deregister/", "/Instances.Deregister/a/b", &long] {
         assert_eq!(status(&request(&Method::POST, path, "")), StatusCode::BAD_REQUEST, "{path}");
     }
-    let proper = request(&Method::POST, "/Instances.Deregister/i-7", "");
-    assert_eq!(parse(&proper).unwrap(), Call::Deregister { instance: "i-7".to_owned() });
+    let valid = request(&Method::POST, "/Instances.Deregister/i-7", "");
+    assert_eq!(parse(&valid).unwrap(), Call::Deregister { instance: "i-7".to_owned() });
 }
 
 #[test]
-fn the_other_calls_are_read() {
+fn other_calls_are_parsed() {
     let begin = request(&Method::POST, "/Evacuate.Begin/zone-a", "");
     assert_eq!(parse(&begin).unwrap(), Call::Evacuate { zone: "zone-a".to_owned(), evacuated: true });
     let finish = request(&Method::POST, "/Evacuate.Finish/zone-a", "");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn unknown_paths_and_methods_are_refused() {
+fn unknown_paths_and_methods_are_rejected() {
     assert_eq!(status(&request(&Method::GET, "/", "")), StatusCode::NOT_FOUND);
     assert_eq!(status(&request(&Method::POST, "/Config.Other", "")), StatusCode::NOT_FOUND);
     assert_eq!(status(&request(&Method::GET, "/Config.Replace", "")), StatusCode::METHOD_NOT_ALLOWED);
@@ -105,24 +105,24 @@
 }
 
 #[test]
-fn a_reason_is_proper_json() {
+fn error_reason_is_valid_json() {
     let response = Response::failure(StatusCode::BAD_REQUEST, "a \"quote\", a \\ and a\nline");
     let expected = "{\"error\":\"a \\\"quote\\\", a \\\\ and a\\u000aline\"}";
     assert_eq!(response.body, expected);
 }
 
-/// The reason quotes what was sent; it goes to the caller and into the log.
+/// An error reason quotes parts of the request body and is sent to the caller and written to the log.
 #[test]
-fn a_reason_is_short_whatever_was_sent() {
-    for letter in ["k", "\u{1f600}", "\\u0001"] {
-        let kind = letter.repeat(500_000);
-        let sent = CONFIGURATION.replace("\"safe\"", &format!("\"{kind}\""));
-        let refused = parse(&Request {
+fn error_reason_has_a_bounded_length() {
+    for character in ["k", "\u{1f600}", "\\u0001"] {
+        let kind = character.repeat(500_000);
+        let body = CONFIGURATION.replace("\"safe\"", &format!("\"{kind}\""));
+        let result = parse(&Request {
             base_version: Some("6"),
-            body: Bytes::from(sent),
+            body: Bytes::from(body),
             ..request(&Method::POST, "/Config.Replace", "")
         });
-        let response = Response::from(refused.unwrap_err());
+        let response = Response::from(result.unwrap_err());
         assert_eq!(response.status, StatusCode::BAD_REQUEST);
         assert!(response.body.len() < 8192, "{} bytes", response.body.len());
         let text = std::str::from_utf8(&response.body).expect("it is text");
@@ -130,20 +130,21 @@
     }
 }
 
-/// 400 would end the call of an operator whose command may have been taken elsewhere.
+/// The status has to be one that clients retry: after a 400 an operator would give up a command that another
+/// controller may have applied.
 #[test]
-fn a_body_that_could_not_be_read_is_to_be_sent_again() {
-    for (refusal, status) in [
+fn unreadable_body_gets_a_retryable_status() {
+    for (error, status) in [
         (RequestError::UnreadableBody, StatusCode::REQUEST_TIMEOUT),
         (RequestError::Overloaded, StatusCode::SERVICE_UNAVAILABLE),
         (RequestError::ShuttingDown, StatusCode::SERVICE_UNAVAILABLE),
     ] {
-        assert_eq!(Response::from(refusal).status, status);
+        assert_eq!(Response::from(error).status, status);
     }
 }
 
 #[test]
-fn log_describes_operator_commands_and_their_answers() {
+fn log_describes_operator_commands_and_their_responses() {
     let replace = Call::Replace { base: 5, generation: 7, body: Bytes::new() };
     assert_eq!(replace.command_description().as_deref(), Some("configuration 7 on 5"));
     let begin = Call::Evacuate { zone: "zone-a".to_owned(), evacuated: true };
@@ -167,14 +168,14 @@
 }
 
 #[test]
-fn voters_are_declared_lost_by_their_addresses() {
+fn declare_lost_call_has_voter_addresses() {
     let path = "/Members.DeclareLost/10.1.0.2:7400,[2001:db8::1]:7400";
     let lost = vec!["10.1.0.2:7400".parse().unwrap(), "[2001:db8::1]:7400".parse().unwrap()];
     let unconfirmed = Call::DeclareLost { lost: lost.clone(), confirmed_view: None };
     assert_eq!(parse(&request(&Method::POST, path, "")).unwrap(), unconfirmed);
     let confirmed = Request { query: "confirm=12", ..request(&Method::POST, path, "") };
     assert_eq!(parse(&confirmed).unwrap(), Call::DeclareLost { lost, confirmed_view: Some(12) });
-    assert!(is_operator_command(path), "it is in the log of commands");
+    assert!(is_operator_command(path), "it is logged as an operator command");
     let too_many = ["10.1.0.2:7400"; 17].join(",");
     for addresses in ["", "10.1.0.2", "10.1.0.2:7400,", "here:7400", &too_many] {
         let path = format!("/Members.DeclareLost/{addresses}");
--- a/controlplane/controller/tests/commands.rs
+++ b/controlplane/controller/tests/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does to the records, and what repeats and races come to.
+//! The effect of each command on the records, including repeated and concurrent commands.
 
 use whinspindle_controller::commands::records::{
     EvacuatedZones, current_generation, departure_of, departures, evacuated_zones, evacuation_sequence,
@@ -6,7 +6,7 @@
 use whinspindle_controller::commands::{Command, CommandApplication, Departure, Outcome};
 use whinspindle_replica::{Answer, Application, Evaluation, Records};
 
-/// Records that commands are carried out on one after the other.
+/// Replicated records, with the sequence number of the last write.
 #[derive(Default)]
 struct State {
     records: Records,
@@ -18,7 +18,7 @@
         CommandApplication.evaluate(&self.records, &command.encode().expect("a command can be encoded"))
     }
 
-    fn carry_out(&mut self, command: Command) -> Outcome {
+    fn execute(&mut self, command: Command) -> Outcome {
         let evaluation = self.evaluate(command);
         if !evaluation.writes.is_empty() {
             self.sequence += 1;
@@ -28,7 +28,7 @@
     }
 
     fn replace(&mut self, base: u64, generation: u64, body: &str) -> Outcome {
-        self.carry_out(replace(base, generation, body))
+        self.execute(replace(base, generation, body))
     }
 
     fn configuration(&self) -> &[u8] {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_configuration_on_another_base_is_refused() {
+fn configuration_on_another_base_is_refused() {
     let mut state = State::default();
     state.replace(0, 3, "first");
     for base in [0, 1, 2] {
@@ -100,9 +100,10 @@
     assert_eq!(state.configuration(), b"first");
 }
 
-/// Its base may still come, and then a copy of the command would be taken: a clear refusal would be no longer true.
+/// The command must not be refused for good: the base may still be applied, and a delayed copy of the command
+/// would then be applied after it.
 #[test]
-fn configuration_ahead_of_its_base_waits() {
+fn configuration_ahead_of_its_base_is_not_refused_for_good() {
     let mut state = State::default();
     assert_eq!(state.replace(3, 5, "early"), Outcome::BaseNotInPlace { current: 0 });
     assert_eq!(state.replace(0, 3, "first"), Outcome::Applied);
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_generation_that_is_not_above_the_current_one_is_refused() {
+fn generation_not_above_the_current_one_is_refused() {
     let mut state = State::default();
     assert_eq!(state.replace(0, 0, "zero"), Outcome::GenerationTooLow { current: 0 });
     state.replace(0, 5, "first");
@@ -141,13 +142,13 @@
     state.replace(1, 2, "second");
     let sequence = state.sequence;
     assert_eq!(state.replace(1, 2, "second"), Outcome::Applied);
-    assert_eq!(state.replace(0, 1, "first"), Outcome::Applied, "also after a newer one");
+    assert_eq!(state.replace(0, 1, "first"), Outcome::Applied, "even after a newer one");
     assert_eq!(state.sequence, sequence, "without a write");
     assert_eq!(state.configuration(), b"second");
 }
 
 #[test]
-fn retries_are_recognized_for_hundreds_of_configurations_and_no_longer() {
+fn retries_are_recognized_within_the_bounded_history() {
     let mut state = State::default();
     let configurations = 600;
     for generation in 1..=configurations {
@@ -156,10 +157,10 @@
     }
     let repeat =
         |generation: u64| replace(generation - 1, generation, &format!("configuration {generation}"));
-    assert_eq!(state.carry_out(repeat(configurations - 500)), Outcome::Applied);
-    let forgotten = Outcome::HistoryExpired { current: configurations };
-    assert_eq!(state.carry_out(repeat(1)), forgotten, "it was taken, so it is not refused");
-    assert_eq!(state.replace(0, 88, "of a forgotten generation"), forgotten);
+    assert_eq!(state.execute(repeat(configurations - 500)), Outcome::Applied);
+    let expired = Outcome::HistoryExpired { current: configurations };
+    assert_eq!(state.execute(repeat(1)), expired, "it was applied, so it is not refused");
+    assert_eq!(state.replace(0, 88, "of a forgotten generation"), expired);
     assert_eq!(state.replace(88, 88, "never valid"), Outcome::GenerationTooLow { current: configurations });
     assert_eq!(state.replace(0, 89, "of a known one"), Outcome::BaseMismatch { current: configurations });
     assert!(state.records.len() < 520, "the history is bounded");
@@ -175,13 +176,13 @@
 #[test]
 fn evacuations_begin_and_finish() {
     let mut state = State::default();
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 0)), Outcome::Applied);
-    assert_eq!(state.carry_out(evacuate("zone-b", true, 0)), Outcome::Applied);
+    assert_eq!(state.execute(evacuate("zone-a", true, 0)), Outcome::Applied);
+    assert_eq!(state.execute(evacuate("zone-b", true, 0)), Outcome::Applied);
     assert_eq!(
         evacuated_zones(&state.records),
         EvacuatedZones { sequence: 2, zones: vec!["zone-a".to_owned(), "zone-b".to_owned()] }
     );
-    assert_eq!(state.carry_out(evacuate("zone-a", false, 1)), Outcome::Applied);
+    assert_eq!(state.execute(evacuate("zone-a", false, 1)), Outcome::Applied);
     assert_eq!(
         evacuated_zones(&state.records),
         EvacuatedZones { sequence: 3, zones: vec!["zone-b".to_owned()] }
@@ -191,25 +192,26 @@
 #[test]
 fn repeated_evacuation_is_acknowledged_and_changes_nothing() {
     let mut state = State::default();
-    assert_eq!(state.carry_out(evacuate("zone-a", false, 0)), Outcome::Applied, "never evacuated");
+    assert_eq!(state.execute(evacuate("zone-a", false, 0)), Outcome::Applied, "never evacuated");
     assert_eq!(evacuated_zones(&state.records), EvacuatedZones { sequence: 1, zones: Vec::new() });
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 1)), Outcome::Applied);
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 2)), Outcome::Applied);
+    assert_eq!(state.execute(evacuate("zone-a", true, 1)), Outcome::Applied);
+    assert_eq!(state.execute(evacuate("zone-a", true, 2)), Outcome::Applied);
     assert_eq!(
         evacuated_zones(&state.records),
         EvacuatedZones { sequence: 3, zones: vec!["zone-a".to_owned()] }
     );
 }
 
-/// A begin gets no clear answer; the operator takes it back and is acknowledged; then a copy of the begin comes through.
+/// The operator gets no definite answer to a command and sends the opposite one, which is acknowledged. A delayed
+/// copy of the first command must not be applied afterwards.
 #[test]
-fn acknowledged_command_voids_every_copy_of_earlier_ones() {
+fn acknowledged_evacuation_supersedes_delayed_copies_of_earlier_ones() {
     for evacuated in [true, false] {
         let mut state = State::default();
-        state.carry_out(evacuate("zone-a", !evacuated, 0));
-        let held_up = evacuate("zone-a", evacuated, 1);
-        assert_eq!(state.carry_out(evacuate("zone-a", !evacuated, 1)), Outcome::Applied, "nothing to do");
-        assert_eq!(state.carry_out(held_up), Outcome::Superseded { sequence: 2 });
+        state.execute(evacuate("zone-a", !evacuated, 0));
+        let delayed = evacuate("zone-a", evacuated, 1);
+        assert_eq!(state.execute(evacuate("zone-a", !evacuated, 1)), Outcome::Applied, "it changes no state");
+        assert_eq!(state.execute(delayed), Outcome::Superseded { sequence: 2 });
         assert_eq!(evacuated_zones(&state.records).zones.is_empty(), evacuated);
     }
 }
@@ -217,28 +219,32 @@
 #[test]
 fn delayed_command_does_not_undo_a_newer_one() {
     let mut state = State::default();
-    state.carry_out(evacuate("zone-a", true, 0));
-    state.carry_out(evacuate("zone-a", false, 1));
-    assert_eq!(state.carry_out(evacuate("zone-a", true, 0)), Outcome::Superseded { sequence: 2 });
+    state.execute(evacuate("zone-a", true, 0));
+    state.execute(evacuate("zone-a", false, 1));
+    assert_eq!(state.execute(evacuate("zone-a", true, 0)), Outcome::Superseded { sequence: 2 });
     assert_eq!(evacuated_zones(&state.records).zones, Vec::<String>::new());
     let observed_sequence = evacuation_sequence(&state.records, "zone-a");
     assert_eq!(
-        state.carry_out(evacuate("zone-a", true, observed_sequence)),
+        state.execute(evacuate("zone-a", true, observed_sequence)),
         Outcome::Applied,
-        "given anew it counts"
+        "a new command is applied"
     );
 }
 
 #[test]
-fn instance_is_drained_and_deregistered_once() {
+fn repeated_departures_are_written_once() {
     let mut state = State::default();
-    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Applied);
-    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Applied);
+    assert_eq!(state.execute(drain("i-1", Departure::Draining)), Outcome::Applied);
+    assert_eq!(state.execute(drain("i-1", Departure::Draining)), Outcome::Applied);
     assert_eq!(state.sequence, 1);
-    assert_eq!(state.carry_out(drain("i-1", Departure::Deregistered)), Outcome::Applied);
+    assert_eq!(state.execute(drain("i-1", Departure::Deregistered)), Outcome::Applied);
     assert_eq!(departure_of(&state.records, "i-1"), Some(Departure::Deregistered));
-    assert_eq!(state.carry_out(drain("i-1", Departure::Draining)), Outcome::Applied);
-    assert_eq!(departure_of(&state.records, "i-1"), Some(Departure::Deregistered), "an end is for good");
+    assert_eq!(state.execute(drain("i-1", Departure::Draining)), Outcome::Applied);
+    assert_eq!(
+        departure_of(&state.records, "i-1"),
+        Some(Departure::Deregistered),
+        "a deregistration is permanent"
+    );
     assert_eq!(departure_of(&state.records, "i-2"), None);
 }
 
@@ -246,7 +252,7 @@
 fn oldest_departures_are_evicted() {
     let mut state = State::default();
     for number in 0..2_100 {
-        state.carry_out(drain(&format!("i-{number}"), Departure::Draining));
+        state.execute(drain(&format!("i-{number}"), Departure::Draining));
     }
     let known: Vec<&str> = departures(&state.records).map(|(instance, _)| instance).collect();
     assert_eq!(known.len(), 2_048);
--- a/controlplane/controller/tests/failing_instances.rs
+++ b/controlplane/controller/tests/failing_instances.rs
@@ -1,13 +1,13 @@
-//! The instances that are reported to all balancers as failing.
+//! Detection of failing instances from the failures that balancers report.
 
 use std::net::SocketAddr;
 
 use whinspindle_controller::failing_instances;
 use whinspindle_registry::{Lease, ObservedFailures, ServiceSize};
 
-/// A balancer that has seen these failures.
+/// The lease of a balancer that reported these failures.
 fn balancer(number: u8, failures: &[(&str, u32)]) -> Lease {
-    let seen = |&(instance, failed_requests): &(&str, u32)| ObservedFailures {
+    let observed = |&(instance, failed_requests): &(&str, u32)| ObservedFailures {
         instance: instance.to_owned(),
         failed_requests,
     };
@@ -20,11 +20,11 @@
         ready: true,
         shutting_down: false,
         request_rates: Vec::new(),
-        observed_failures: failures.iter().map(seen).collect(),
+        observed_failures: failures.iter().map(observed).collect(),
     }
 }
 
-/// Ten instances of `model`, two of `desk`; the first letter of an id tells which.
+/// The service `model` has ten instances and `desk` has two; the first letter of an id selects the service.
 fn service_of(id: &str) -> Option<ServiceSize<'static>> {
     match id.chars().next()? {
         'm' => Some(ServiceSize { service: "model", instance_count: 10 }),
@@ -33,36 +33,36 @@
     }
 }
 
-fn named(balancers: &[Lease]) -> Vec<String> {
+fn detect(balancers: &[Lease]) -> Vec<String> {
     failing_instances::detect(balancers.iter(), service_of)
 }
 
 #[test]
-fn failures_seen_by_one_balancer_are_not_enough() {
-    assert!(named(&[balancer(1, &[("m1", 50)])]).is_empty());
+fn failures_reported_by_one_balancer_are_not_enough() {
+    assert!(detect(&[balancer(1, &[("m1", 50)])]).is_empty());
 }
 
 #[test]
-fn three_failures_seen_by_two_balancers_are_enough() {
-    assert_eq!(named(&[balancer(1, &[("m1", 1)]), balancer(2, &[("m1", 2)])]), ["m1"]);
-    assert!(named(&[balancer(1, &[("m1", 1)]), balancer(2, &[("m1", 1)])]).is_empty(), "two failures");
+fn three_failures_reported_by_two_balancers_are_enough() {
+    assert_eq!(detect(&[balancer(1, &[("m1", 1)]), balancer(2, &[("m1", 2)])]), ["m1"]);
+    assert!(detect(&[balancer(1, &[("m1", 1)]), balancer(2, &[("m1", 1)])]).is_empty(), "two failures");
 }
 
 #[test]
-fn no_instance_is_named_where_all_fail_occasionally() {
+fn no_instance_is_detected_if_all_fail_occasionally() {
     let all: Vec<(String, u32)> = (0..10).map(|number| (format!("m{number}"), 3)).collect();
     let all: Vec<(&str, u32)> = all.iter().map(|(id, count)| (id.as_str(), *count)).collect();
-    assert!(named(&[balancer(1, &all), balancer(2, &all)]).is_empty());
-    assert!(named(&[balancer(1, &[("d1", 5)]), balancer(2, &[("d1", 5)])]).is_empty(), "one of two");
+    assert!(detect(&[balancer(1, &all), balancer(2, &all)]).is_empty());
+    assert!(detect(&[balancer(1, &[("d1", 5)]), balancer(2, &[("d1", 5)])]).is_empty(), "one of two");
 }
 
 #[test]
-fn outliers_are_named_among_occasional_failures() {
-    let seen = [("m1", 9), ("m2", 9), ("m3", 1), ("m4", 1)];
-    assert_eq!(named(&[balancer(1, &seen), balancer(2, &seen)]), ["m1", "m2"]);
+fn outliers_are_detected_among_occasional_failures() {
+    let failures = [("m1", 9), ("m2", 9), ("m3", 1), ("m4", 1)];
+    assert_eq!(detect(&[balancer(1, &failures), balancer(2, &failures)]), ["m1", "m2"]);
 }
 
 #[test]
-fn unknown_instances_are_not_named() {
-    assert!(named(&[balancer(1, &[("x", 9)]), balancer(2, &[("x", 9)])]).is_empty());
+fn unknown_instances_are_ignored() {
+    assert!(detect(&[balancer(1, &[("x", 9)]), balancer(2, &[("x", 9)])]).is_empty());
 }
