--- a/controlplane/controller/tests/declared_losses.rs
+++ b/controlplane/controller/tests/declared_losses.rs
@@ -1,4 +1,4 @@
-//! Controllers that are gone for good, and an operator who answers for it.
+//! An operator declares voters lost whose machines will not return.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use whinspindle_controller::api::{Call, Response};
 
 const COMMAND_TIMEOUT_MS: u64 = 15_000;
-/// By then a controller has noticed who is gone.
+/// A controller detects the loss of others within this time.
 const NOTICED_MS: u64 = 3_000;
 
 fn declare(lost: u8, confirmed_view: Option<u64>) -> Call {
@@ -19,23 +19,24 @@
     String::from_utf8(response.body.to_vec()).expect("text")
 }
 
-/// The view that the operator is asked to confirm.
+/// The number of the view that the operator has to confirm.
 fn view_to_confirm(response: &Response) -> u64 {
     let text = text(response);
-    let (_, rest) = text.split_once("confirm=").expect("a number to confirm with");
+    let (_, rest) = text.split_once("confirm=").expect("the response names the view to confirm");
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().expect("a number")
 }
 
-/// One of two is gone for good, and another machine has come: the configuration is read, but none is taken, until the
-/// operator has asked twice and read what it means.
+/// One of two controllers is lost for good and another machine has joined. The configuration can be read, but
+/// it can't be replaced until the operator has declared the loss and confirmed the view named in the first
+/// response.
 #[test]
-fn one_of_two_goes_on_after_the_operator_has_asked_twice() {
+fn one_of_two_accepts_commands_after_a_confirmed_loss() {
     let mut fleet = Fleet::start(1, 2);
     fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.pass(1_000);
     let refused = fleet.ask(endpoint(1), declare(2, None)).expect("an answer");
-    assert_eq!(refused.status, StatusCode::CONFLICT, "it is there: {}", text(&refused));
+    assert_eq!(refused.status, StatusCode::CONFLICT, "it is still reachable: {}", text(&refused));
 
     fleet.cluster.remove(endpoint(2));
     fleet.cluster.add(endpoint(3), false);
@@ -63,9 +64,9 @@
     }
 }
 
-/// Two of three are gone: the operator is told that something may be lost.
+/// Two of three controllers are lost for good: the response warns that acknowledged changes may be lost.
 #[test]
-fn the_operator_is_told_what_may_be_lost() {
+fn response_warns_if_acknowledged_changes_may_be_lost() {
     let mut fleet = Fleet::start(2, 3);
     fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.pass(1_000);
@@ -76,11 +77,12 @@
     }
     fleet.pass(NOTICED_MS);
     let incomplete = fleet.ask(endpoint(1), declare(2, None)).expect("an answer");
-    assert_eq!(incomplete.status, StatusCode::CONFLICT, "the third is not named");
-    let both = |confirmed_view| Call::DeclareLost { lost: vec![endpoint(2), endpoint(3)], confirmed_view };
-    let first = fleet.ask(endpoint(1), both(None)).expect("an answer");
+    assert_eq!(incomplete.status, StatusCode::CONFLICT, "the third controller is not declared lost");
+    let declare_both =
+        |confirmed_view| Call::DeclareLost { lost: vec![endpoint(2), endpoint(3)], confirmed_view };
+    let first = fleet.ask(endpoint(1), declare_both(None)).expect("an answer");
     assert!(text(&first).contains("may be lost"), "{}", text(&first));
-    let confirmed = fleet.ask(endpoint(1), both(Some(view_to_confirm(&first)))).expect("an answer");
+    let confirmed = fleet.ask(endpoint(1), declare_both(Some(view_to_confirm(&first)))).expect("an answer");
     assert_eq!(confirmed.status, StatusCode::OK, "{}", text(&confirmed));
     fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
 }
--- a/controlplane/controller/tests/heartbeats.rs
+++ b/controlplane/controller/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and departures that come late, in another command than they were sent, or without a word before.
+//! Heartbeats and departures that arrive late, out of order, or without an earlier announcement.
 
 mod common;
 
@@ -9,24 +9,24 @@
 use whinspindle_controller::api::Call;
 use whinspindle_distribution::Instance;
 
-/// An instance reads no longer answer than this.
-const LONGEST_ANSWER_BYTES: usize = 4096;
+/// An instance reads at most this much of a response.
+const MAX_RESPONSE_BYTES: usize = 4096;
 
-fn list_sent(single: &Single) -> &[Instance] {
+fn newest_list_sent(single: &Single) -> &[Instance] {
     let sent = single.updates.iter().rev().find_map(|(_, update)| update.instances.as_ref());
     sent.map(|instances| instances.list.as_slice()).unwrap_or_default()
 }
 
-/// The instances that balancers were sent last: ids, and whether they are draining.
+/// The ids of the instances in the list that balancers were sent last, and whether they are draining.
 fn instances_sent(single: &Single) -> Vec<(String, bool)> {
-    let listed = list_sent(single).iter().filter(|instance| !instance.is_ended());
+    let listed = newest_list_sent(single).iter().filter(|instance| !instance.is_ended());
     listed.map(|instance| (instance.id.clone(), instance.draining)).collect()
 }
 
 /// The ended instances in the list that balancers were sent last.
-fn ends_sent(single: &Single) -> Vec<String> {
-    let ended = list_sent(single).iter().filter(|instance| instance.is_ended());
-    ended.map(|instance| instance.id.clone()).collect()
+fn ended_instances_sent(single: &Single) -> Vec<String> {
+    let listed = newest_list_sent(single).iter().filter(|instance| instance.is_ended());
+    listed.map(|instance| instance.id.clone()).collect()
 }
 
 fn started_with_a_balancer() -> Single {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_answer_to_a_heartbeat_is_short() {
+fn response_to_a_heartbeat_has_a_bounded_length() {
     let mut single = started_with_a_balancer();
     for number in 1..=200 {
         single.status(heartbeat(&format!("i-{number}"), 1, Ready));
@@ -45,7 +45,7 @@
         let id = single.call(call);
         let answer = single.answer(id).expect("it is answered at once");
         assert_eq!(answer.status, StatusCode::OK);
-        assert!(answer.body.len() <= LONGEST_ANSWER_BYTES);
+        assert!(answer.body.len() <= MAX_RESPONSE_BYTES);
     }
 }
 
@@ -56,17 +56,17 @@
     single.status(heartbeat("i-2", 1, Ready));
     assert_eq!(single.status(deregister("i-1")), StatusCode::OK);
     assert_eq!(instances_sent(&single), [("i-2".to_owned(), false)]);
-    assert_eq!(ends_sent(&single), ["i-1"]);
+    assert_eq!(ended_instances_sent(&single), ["i-1"]);
     for (sequence, state) in [(2, Ready), (9, Ready), (10, Draining)] {
         assert_eq!(single.status(heartbeat("i-1", sequence, state)), StatusCode::OK);
         single.pass(500);
         assert_eq!(instances_sent(&single), [("i-2".to_owned(), false)]);
-        assert_eq!(ends_sent(&single), ["i-1"]);
+        assert_eq!(ended_instances_sent(&single), ["i-1"]);
     }
-    assert_eq!(single.status(deregister("i-1")), StatusCode::OK, "sent again");
+    assert_eq!(single.status(deregister("i-1")), StatusCode::OK, "a retry");
 }
 
-/// A call of one of two instances.
+/// A heartbeat or a deregistration of one of two instances.
 #[derive(Clone, Debug)]
 struct Announcement {
     instance: &'static str,
@@ -104,18 +104,18 @@
 fn acknowledged_departure_is_permanent_in_any_order_of_heartbeats() {
     fn property(announcements: Vec<Announcement>) -> bool {
         let mut single = started_with_a_balancer();
-        let mut left: Vec<(&str, Kind)> = Vec::new();
-        announcements.iter().all(|word| {
-            let acknowledged = single.status(word.call()) == StatusCode::OK;
-            if word.kind != Kind::Ready {
-                left.push((word.instance, word.kind));
+        let mut departed: Vec<(&str, Kind)> = Vec::new();
+        announcements.iter().all(|announcement| {
+            let acknowledged = single.status(announcement.call()) == StatusCode::OK;
+            if announcement.kind != Kind::Ready {
+                departed.push((announcement.instance, announcement.kind));
             }
             single.pass(TICK_MS);
-            let told = instances_sent(&single);
-            let told_to_leave = |&(instance, kind): &(&str, Kind)| {
-                told.iter().all(|(id, draining)| id != instance || (*draining && kind == Kind::Draining))
+            let sent = instances_sent(&single);
+            let is_sent_as_departed = |&(instance, kind): &(&str, Kind)| {
+                sent.iter().all(|(id, draining)| id != instance || (*draining && kind == Kind::Draining))
             };
-            acknowledged && left.iter().all(told_to_leave)
+            acknowledged && departed.iter().all(is_sent_as_departed)
         })
     }
     QuickCheck::new().tests(60).quickcheck(property as fn(Vec<Announcement>) -> bool);
--- a/controlplane/controller/tests/many_balancers.rs
+++ b/controlplane/controller/tests/many_balancers.rs
@@ -1,4 +1,5 @@
-//! What a controller sends when very many balancers and upstreams come together, and what it sends again to peers.
+//! The number and size of a controller's messages when many balancers and upstreams connect at once or a peer
+//! reconnects.
 
 mod common;
 
@@ -9,7 +10,8 @@
 
 const BALANCERS: u8 = 200;
 
-fn fleet_updates(updates: &[(SubscriberId, Update)]) -> usize {
+/// The number of updates that include the fleet section.
+fn count_fleet_updates(updates: &[(SubscriberId, Update)]) -> usize {
     updates.iter().filter(|(_, update)| update.fleet.is_some()).count()
 }
 
@@ -23,19 +25,20 @@
         }
     }
     let balancers = usize::from(BALANCERS);
-    let sent = fleet_updates(&single.updates);
+    let sent = count_fleet_updates(&single.updates);
     assert!(sent <= 4 * balancers, "{sent} messages to {balancers} balancers");
     single.pass(1_000);
     for number in 1..=BALANCERS {
         let to = SubscriberId(u64::from(number));
-        let told = single.updates.iter().rev().filter(|(subscriber, _)| *subscriber == to);
-        let newest = told.filter_map(|(_, update)| update.fleet.as_ref()).next().expect("it is told");
+        let updates = single.updates.iter().rev().filter(|(subscriber, _)| *subscriber == to);
+        let newest =
+            updates.filter_map(|(_, update)| update.fleet.as_ref()).next().expect("an update with the fleet");
         assert_eq!(newest.balancers, u32::from(BALANCERS));
     }
 }
 
 #[test]
-fn new_balancer_gets_everything_at_once_and_causes_no_update_to_others() {
+fn new_balancer_gets_all_sections_at_once_without_updates_to_others() {
     let mut single = Single::in_quorum();
     single.status(replace(0, 3));
     single.status(heartbeat("i-1", 1, Ready));
@@ -49,12 +52,12 @@
     assert!(update.configured.is_some() && update.instances.is_some() && update.fleet.is_some());
     single.updates.clear();
     single.pass(2 * TICK_MS);
-    let told: Vec<(u64, u32)> = single
+    let fleet_sizes: Vec<(u64, u32)> = single
         .updates
         .iter()
         .filter_map(|(to, update)| Some((to.0, update.fleet.as_ref()?.balancers)))
         .collect();
-    assert_eq!(told, [(1, 2), (2, 2)], "both are told of both soon");
+    assert_eq!(fleet_sizes, [(1, 2), (2, 2)], "both balancers get the new fleet size soon");
 }
 
 #[test]
@@ -88,5 +91,9 @@
         snapshots.push(single.peer_bytes > 0);
         single.pass(1_000);
     }
-    assert_eq!(snapshots, [true, false, false, true], "five milliseconds for each instance");
+    assert_eq!(
+        snapshots,
+        [true, false, false, true],
+        "at most one snapshot per five milliseconds for each instance"
+    );
 }
--- a/controlplane/controller/tests/reads.rs
+++ b/controlplane/controller/tests/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the configuration at any controller, in touch or not: the newest, or 503.
+//! A read of the configuration at any controller, partitioned or not, returns the newest one or 503.
 
 mod common;
 
@@ -11,12 +11,12 @@
 use whinspindle_controller::api::Call;
 
 const COMMAND_TIMEOUT_MS: u64 = 15_000;
-/// A loss of contact is noticed within this time, and a return is made up for.
+/// A loss of contact is detected, and a controller that returns catches up, within this time.
 const NOTICED_MS: u64 = 2_000;
 const READS: usize = 40;
 const READ_MS: u64 = 50;
 
-/// Three controllers with configuration 1 everywhere.
+/// Three controllers that all have configuration 1.
 fn started(seed: u64) -> Fleet {
     let mut fleet = Fleet::start(seed, 3);
     fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
@@ -24,29 +24,29 @@
     fleet
 }
 
-/// What a read at a controller is answered: the configuration, or none if it is not sure of the newest.
+/// The configuration that a controller returns, or none if it can't tell whether it has the newest one.
 fn read(fleet: &mut Fleet, at: SocketAddr) -> Option<Bytes> {
     let answer = fleet.ask(at, Call::Fetch)?;
     assert!(matches!(answer.status, StatusCode::OK | StatusCode::SERVICE_UNAVAILABLE), "{answer:?}");
     (answer.status == StatusCode::OK).then_some(answer.body)
 }
 
-/// From the start of the partition on; each of the controllers may be the head or the tail of the chain.
+/// Reads begin right after the partition. Each controller may be the head or the tail of the chain.
 #[test]
-fn partitioned_controller_reads_nothing_older_than_was_acknowledged() {
+fn partitioned_controller_returns_no_superseded_configuration() {
     for seed in 1..=5 {
-        for cut_off in [1, 2, 3].map(endpoint) {
+        for partitioned in [1, 2, 3].map(endpoint) {
             let mut fleet = started(seed);
-            fleet.set_partitioned(cut_off, true);
+            fleet.set_partitioned(partitioned, true);
             fleet.complete(replace(1, 2), COMMAND_TIMEOUT_MS);
             for _ in 0..READS {
-                assert_eq!(read(&mut fleet, cut_off), None, "it can't be sure of the newest");
+                assert_eq!(read(&mut fleet, partitioned), None, "it can't tell whether it has the newest");
                 fleet.pass(READ_MS);
             }
-            fleet.set_partitioned(cut_off, false);
+            fleet.set_partitioned(partitioned, false);
             let mut answers = Vec::new();
             for _ in 0..READS {
-                answers.extend(read(&mut fleet, cut_off));
+                answers.extend(read(&mut fleet, partitioned));
                 fleet.pass(READ_MS);
             }
             assert!(!answers.is_empty(), "it is in contact again");
@@ -55,7 +55,7 @@
     }
 }
 
-/// No half has a majority: one of the three is down.
+/// One of the three controllers is down, and the other two are partitioned from each other.
 #[test]
 fn no_controller_answers_a_read_without_a_majority() {
     let mut fleet = started(1);
@@ -76,9 +76,9 @@
     }
 }
 
-/// Its disk has configuration 1, and the one in force is 2.
+/// The disk of the restarted controller has configuration 1, while configuration 2 is committed.
 #[test]
-fn controller_started_with_an_old_disk_reads_nothing_old() {
+fn controller_started_with_an_old_disk_returns_no_superseded_configuration() {
     for seed in 1..=5 {
         let mut fleet = started(seed);
         fleet.cluster.stop(endpoint(3));
