--- a/controlplane/controller/tests/delayed_commands.rs
+++ b/controlplane/controller/tests/delayed_commands.rs
@@ -10,27 +10,27 @@
 use whinspindle_controller::api::Call;
 use whinspindle_distribution::SubscriberId;
 
-/// A caller's command is answered within this time wherever it goes.
+/// Every controller answers a command within this time.
 const ANSWER_MS: u64 = 1_000;
-/// The core is calm again within this time after a cut.
-const CALM_MS: u64 = 8_000;
-/// All that was under way has come through, or was given up.
-const STARTUP_MS: u64 = 6_000;
+/// The controllers have recovered within this time after a partition.
+const RECOVERY_MS: u64 = 8_000;
+/// Delayed messages and pending commands are delivered or given up within this time.
+const DELIVERY_MS: u64 = 6_000;
 
-/// Links that are cut let everything through once they are healed.
+/// Starts controllers on a network that delays the messages on a cut link until the link is healed.
 fn started(seed: u64, controllers: u8) -> Fleet {
     let mut fleet = Fleet::start(seed, controllers);
     fleet.cluster.network().timing.held_by_cut = 1.0;
     fleet
 }
 
-/// A controller of the chain that isn't its head.
+/// Returns a controller of the chain that isn't its head.
 fn follower(fleet: &mut Fleet) -> SocketAddr {
     fleet.chain(endpoint(1))[1]
 }
 
-/// A controller outside of the chain, which goes on without it.
-fn outsider(fleet: &mut Fleet) -> SocketAddr {
+/// Returns a controller outside of the chain, so that a partition of it doesn't stop the chain.
+fn controller_outside_the_chain(fleet: &mut Fleet) -> SocketAddr {
     let chain = fleet.chain(endpoint(1));
     (1..=5).map(endpoint).find(|at| !chain.contains(at)).expect("three of five are in the chain")
 }
@@ -39,23 +39,23 @@
     fleet.ask(at, call).expect("an answer in time").status
 }
 
-/// The evacuated zones that the balancers of all controllers have in the end.
+/// Returns the evacuated zones that every controller publishes to its balancers.
 fn evacuated_zones(fleet: &mut Fleet) -> Vec<String> {
-    let mut told = Vec::new();
+    let mut published = Vec::new();
     for number in 1..=3 {
         let subscriber = 50 + u64::from(number);
         fleet.report(endpoint(number), subscriber, report(number, "zone-a"));
         fleet.pass(100);
         let mut sent = fleet.updates.iter().rev().filter(|(to, _)| *to == SubscriberId(subscriber));
         let zones = sent.find_map(|(_, update)| Some(update.evacuations.as_ref()?.zones.clone()));
-        told.push(zones.unwrap_or_default());
+        published.push(zones.unwrap_or_default());
     }
-    assert!(told.iter().all(|zones| *zones == told[0]), "controllers disagree: {told:?}");
-    told.remove(0)
+    assert!(published.iter().all(|zones| *zones == published[0]), "controllers disagree: {published:?}");
+    published.remove(0)
 }
 
-/// A command gets no clear answer at a partitioned controller; elsewhere its opposite is acknowledged, which is what
-/// is in place already; then the links are healed.
+/// A partitioned controller gives no definite answer to a command. Another controller acknowledges the
+/// opposite command, which matches the current state, and then the links are healed.
 #[test]
 fn duplicate_evacuation_command_does_not_undo_a_later_one() {
     for (seed, evacuated) in (0..12).flat_map(|seed| [(seed, true), (seed, false)]) {
@@ -70,15 +70,15 @@
         let opposite = fleet.begin_at(elsewhere, evacuate("zone-a", !evacuated));
         fleet.pass(ANSWER_MS + 500);
         fleet.set_partitioned(at, false);
-        fleet.pass(CALM_MS);
+        fleet.pass(RECOVERY_MS);
         let (_, answer) = fleet.attempts[opposite].answered.clone().expect("an answer");
         assert_eq!(answer.status, StatusCode::OK, "seed {seed}");
-        assert_eq!(evacuated_zones(&mut fleet).is_empty(), evacuated, "seed {seed}: the copy was taken");
+        assert_eq!(evacuated_zones(&mut fleet).is_empty(), evacuated, "seed {seed}: the copy was applied");
     }
 }
 
-/// A command reaches the head late, though before its deadline; its caller has been acknowledged elsewhere, and so has
-/// the opposite command since.
+/// A delayed command reaches the head before its deadline. Meanwhile another controller has acknowledged the
+/// same command to its caller, and then the opposite command.
 #[test]
 fn evacuation_command_is_not_resubmitted_after_its_caller_has_moved_on() {
     for seed in 0..12 {
@@ -93,52 +93,57 @@
         assert_eq!(status(&mut fleet, head, evacuate("zone-a", false)), StatusCode::OK, "seed {seed}");
         fleet.pass(650 - fleet.since(first));
         fleet.cluster.heal(at, head);
-        fleet.pass(STARTUP_MS);
-        assert_eq!(evacuated_zones(&mut fleet), Vec::<String>::new(), "seed {seed}: the command was renewed");
+        fleet.pass(DELIVERY_MS);
+        assert_eq!(
+            evacuated_zones(&mut fleet),
+            Vec::<String>::new(),
+            "seed {seed}: the command was resubmitted"
+        );
     }
 }
 
-/// A command on a base that is not in place yet is delayed at one controller and answered at another; its base comes, and
-/// then the copy. Had the answer been a refusal, a refused configuration would be in force.
+/// A command whose base is not yet applied is delayed at one controller and answered by another one. Then the
+/// base is applied, and the delayed copy after it. If the answer had been a refusal, a refused configuration
+/// would be in force.
 #[test]
-fn configuration_that_a_duplicate_may_still_apply_is_not_refused() {
-    let mut brought = 0;
+fn configuration_that_a_delayed_copy_may_apply_is_not_refused() {
+    let mut applied_copies = 0;
     for seed in 0..12 {
         let mut fleet = started(380 + seed, 5);
         assert_eq!(fleet.complete(replace(0, 1), ANSWER_MS).status, StatusCode::OK);
-        let at = outsider(&mut fleet);
+        let at = controller_outside_the_chain(&mut fleet);
         let head = fleet.chain(endpoint(1))[0];
         fleet.set_partitioned(at, true);
-        let held_up = fleet.begin_at(at, replace(2, 3));
-        fleet.abandon(held_up);
+        let delayed = fleet.begin_at(at, replace(2, 3));
+        fleet.abandon(delayed);
         let early = status(&mut fleet, head, replace(2, 3));
-        assert_eq!(early, StatusCode::SERVICE_UNAVAILABLE, "seed {seed}: its base may come");
+        assert_eq!(early, StatusCode::SERVICE_UNAVAILABLE, "seed {seed}: its base may still be applied");
         assert_eq!(status(&mut fleet, head, replace(1, 2)), StatusCode::OK);
         fleet.set_partitioned(at, false);
-        fleet.pass(CALM_MS);
+        fleet.pass(RECOVERY_MS);
         let newest = fleet.complete(Call::Fetch, ANSWER_MS).body;
-        brought += usize::from(newest == configuration(3));
+        applied_copies += usize::from(newest == configuration(3));
         assert_eq!(status(&mut fleet, endpoint(1), replace(2, 3)), StatusCode::OK, "seed {seed}");
         assert_eq!(fleet.complete(Call::Fetch, ANSWER_MS).body, configuration(3));
     }
-    assert!(brought > 0, "no copy came through");
+    assert!(applied_copies > 0, "no delayed copy was applied");
 }
 
-/// A configuration was clearly refused at one controller while a copy of it was delayed at another.
+/// One controller refuses a configuration while a copy of it is delayed at another controller.
 #[test]
 fn duplicate_of_a_refused_configuration_is_not_applied() {
     for seed in 0..12 {
         let mut fleet = started(400 + seed, 5);
         assert_eq!(fleet.complete(replace(0, 1), ANSWER_MS).status, StatusCode::OK);
-        let at = outsider(&mut fleet);
+        let at = controller_outside_the_chain(&mut fleet);
         let head = fleet.chain(endpoint(1))[0];
         fleet.set_partitioned(at, true);
-        let held_up = fleet.begin_at(at, replace(1, 4));
-        fleet.abandon(held_up);
+        let delayed = fleet.begin_at(at, replace(1, 4));
+        fleet.abandon(delayed);
         assert_eq!(status(&mut fleet, head, replace(1, 3)), StatusCode::OK, "seed {seed}");
         assert_eq!(status(&mut fleet, head, replace(1, 4)), StatusCode::PRECONDITION_FAILED, "seed {seed}");
         fleet.set_partitioned(at, false);
-        fleet.pass(CALM_MS);
+        fleet.pass(RECOVERY_MS);
         for number in 1..=5 {
             let newest = fleet.ask(endpoint(number), Call::Fetch).expect("an answer").body;
             assert_eq!(newest, configuration(3), "seed {seed}");
@@ -146,30 +151,33 @@
     }
 }
 
-/// A command that was acknowledged and superseded is delayed once more at a controller that was partitioned.
+/// A copy of an acknowledged command is delayed at a partitioned controller until the command is superseded.
 #[test]
 fn duplicate_of_a_superseded_configuration_is_not_applied() {
     for seed in 0..12 {
         let mut fleet = started(420 + seed, 3);
         let at = follower(&mut fleet);
         fleet.set_partitioned(at, true);
-        let held_up = fleet.begin_at(at, replace(0, 1));
-        fleet.abandon(held_up);
+        let delayed = fleet.begin_at(at, replace(0, 1));
+        fleet.abandon(delayed);
         for generation in 1..=3 {
-            assert_eq!(fleet.complete(replace(generation - 1, generation), CALM_MS).status, StatusCode::OK);
+            assert_eq!(
+                fleet.complete(replace(generation - 1, generation), RECOVERY_MS).status,
+                StatusCode::OK
+            );
         }
         fleet.set_partitioned(at, false);
-        fleet.pass(CALM_MS);
+        fleet.pass(RECOVERY_MS);
         for number in 1..=3 {
             let newest = fleet.ask(endpoint(number), Call::Fetch).expect("an answer").body;
             assert_eq!(newest, configuration(3), "seed {seed}");
-            assert_eq!(status(&mut fleet, endpoint(number), replace(0, 1)), StatusCode::OK, "it was taken");
+            assert_eq!(status(&mut fleet, endpoint(number), replace(0, 1)), StatusCode::OK, "it was applied");
         }
     }
 }
 
-/// More changes than the history and the kept outcomes hold, with checkpoints in between and a restart of all after
-/// them.
+/// Applies more changes than the history and the stored outcomes hold, with checkpoints in between, and then
+/// restarts all controllers.
 #[test]
 fn applied_command_is_not_refused_after_hundreds_of_changes_and_a_restart() {
     let mut fleet = started(460, 3);
@@ -177,7 +185,7 @@
         assert_eq!(fleet.complete(replace(generation - 1, generation), ANSWER_MS).status, StatusCode::OK);
     }
     (1..=3).for_each(|number| fleet.restart(endpoint(number)));
-    fleet.pass(CALM_MS);
+    fleet.pass(RECOVERY_MS);
     for number in 1..=3 {
         let at = endpoint(number);
         for generation in [19, 20, 300, 530] {
--- a/controlplane/controller/tests/directory.rs
+++ b/controlplane/controller/tests/directory.rs
@@ -1,7 +1,8 @@
-//! The balancers that clients are directed to, in each state of their region and of the configuration.
+//! The balancers that the directory returns to clients, by the state of their region and by the
+//! configuration.
 //!
-//! Two balancers run in the region `north` (zones a and b), one in `south` (zone c) and one in `west`, whose zone is
-//! missing in the settings of the controllers.
+//! Two balancers run in the region `north` (zones a and b), one in `south` (zone c) and one in `west`, whose
+//! zone is missing in the settings of the controllers.
 
 mod common;
 
@@ -12,10 +13,10 @@
 use whinspindle_controller::api::{Call, Response};
 use whinspindle_distribution::Report;
 
-const FREE: &str = "free.example";
+const NO_HOME_REGIONS: &str = "free.example";
 const NORTH_AND_SOUTH: &str = "north-and-south.example";
-const SOUTH_ALONE: &str = "south-alone.example";
-const NOWHERE: &str = "nowhere.example";
+const SOUTH_ONLY: &str = "south-alone.example";
+const NO_COMMON_HOME_REGION: &str = "nowhere.example";
 const UNKNOWN: &str = "unknown.example";
 
 const NORTH_A: u8 = 1;
@@ -25,11 +26,11 @@
 const ALL: [u8; 4] = [NORTH_A, NORTH_B, SOUTH, WEST];
 
 /// Region and zone of a client.
-type From = (&'static str, &'static str);
-const FROM_NORTH: From = ("north", "zone-a");
-const FROM_SOUTH: From = ("south", "zone-c");
-const FROM_WEST: From = ("west", "zone-w");
-const FROM_NOWHERE: From = ("", "");
+type ClientLocation = (&'static str, &'static str);
+const FROM_NORTH: ClientLocation = ("north", "zone-a");
+const FROM_SOUTH: ClientLocation = ("south", "zone-c");
+const FROM_WEST: ClientLocation = ("west", "zone-w");
+const FROM_UNKNOWN: ClientLocation = ("", "");
 
 fn balancer(number: u8) -> Report {
     let (zone, region) = match number {
@@ -41,7 +42,7 @@
     Report { zone: zone.to_owned(), region: region.to_owned(), ..report(number, "zone-a") }
 }
 
-/// Replaces the configuration by one with a route for each of these hosts and home regions.
+/// A command for a configuration with one route for each pair of host and home regions.
 fn replace_routes(base: u64, generation: u64, routes: &[(&str, &[&str])]) -> Call {
     let routes: Vec<String> = routes
         .iter()
@@ -59,19 +60,19 @@
 
 fn replace_hosts(base: u64, generation: u64) -> Call {
     let routes: [(&str, &[&str]); 7] = [
-        (FREE, &[]),
+        (NO_HOME_REGIONS, &[]),
         (NORTH_AND_SOUTH, &["north", "south"]),
         (NORTH_AND_SOUTH, &[]),
-        (SOUTH_ALONE, &["north", "south"]),
-        (SOUTH_ALONE, &["south", "west"]),
-        (NOWHERE, &["north"]),
-        (NOWHERE, &["south"]),
+        (SOUTH_ONLY, &["north", "south"]),
+        (SOUTH_ONLY, &["south", "west"]),
+        (NO_COMMON_HOME_REGION, &["north"]),
+        (NO_COMMON_HOME_REGION, &["south"]),
     ];
     replace_routes(base, generation, &routes)
 }
 
-/// The numbers of the balancers that an answer names; none for a refusal.
-fn named(answer: &Response) -> Vec<u8> {
+/// Parses the numbers of the balancers in a response; none if the directory refuses to answer.
+fn returned_balancers(answer: &Response) -> Vec<u8> {
     if answer.status != StatusCode::OK {
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         return Vec::new();
@@ -86,9 +87,9 @@
     numbers.collect()
 }
 
-fn ask(single: &mut Single, host: &str, (region, zone): From) -> Vec<u8> {
+fn ask(single: &mut Single, host: &str, (region, zone): ClientLocation) -> Vec<u8> {
     let id = single.call(resolve_host(host, region, zone));
-    named(single.answer(id).expect("a question is answered at once"))
+    returned_balancers(single.answer(id).expect("a question is answered at once"))
 }
 
 fn shutting_down(number: u8) -> Report {
@@ -99,16 +100,16 @@
     Report { ready: false, ..balancer(number) }
 }
 
-/// A controller that knows of these balancers; the others leave by plan.
-fn with_balancers(staying: &[u8]) -> Single {
-    with_balancers_and(staying, shutting_down)
+/// A controller with these balancers running, while the others shut down.
+fn with_balancers(running: &[u8]) -> Single {
+    with_balancers_and(running, shutting_down)
 }
 
-/// A controller that knows of these balancers; the others report something else.
-fn with_balancers_and(staying: &[u8], others: fn(u8) -> Report) -> Single {
+/// A controller with these balancers running, while the others send a different report.
+fn with_balancers_and(running: &[u8], others: fn(u8) -> Report) -> Single {
     let mut single = Single::in_quorum();
     for number in ALL {
-        let report = if staying.contains(&number) { balancer(number) } else { others(number) };
+        let report = if running.contains(&number) { balancer(number) } else { others(number) };
         single.report(u64::from(number), report);
     }
     single
@@ -116,55 +117,59 @@
 
 #[test]
 fn clients_are_directed_to_their_own_region_and_the_regions_of_their_host_only() {
-    let cases: [(&[u8], From, &str, &[u8]); 28] = [
-        // All run: two of the region are enough; a region of one has another in reserve, where the host allows it.
-        (&ALL, FROM_NORTH, FREE, &[NORTH_A, NORTH_B]),
+    let cases: [(&[u8], ClientLocation, &str, &[u8]); 28] = [
+        // All balancers run. Two of the region are enough; a region with one gets another if the host allows
+        // it.
+        (&ALL, FROM_NORTH, NO_HOME_REGIONS, &[NORTH_A, NORTH_B]),
         (&ALL, FROM_NORTH, NORTH_AND_SOUTH, &[NORTH_A, NORTH_B]),
-        (&ALL, FROM_NORTH, SOUTH_ALONE, &[NORTH_A, NORTH_B]),
-        (&ALL, FROM_SOUTH, SOUTH_ALONE, &[SOUTH]),
-        // A host of another region is reached there; with one balancer there, those of the own region are in reserve.
+        (&ALL, FROM_NORTH, SOUTH_ONLY, &[NORTH_A, NORTH_B]),
+        (&ALL, FROM_SOUTH, SOUTH_ONLY, &[SOUTH]),
+        // A host of another region is served there; with one balancer there, the client's region is the
+        // reserve.
         (&ALL, FROM_WEST, NORTH_AND_SOUTH, &[NORTH_A, NORTH_B, SOUTH]),
         (&[NORTH_A, SOUTH, WEST], FROM_WEST, NORTH_AND_SOUTH, &[NORTH_A, SOUTH]),
-        (&ALL, FROM_WEST, SOUTH_ALONE, &[WEST, SOUTH]),
-        (&ALL, FROM_WEST, NOWHERE, &[WEST]),
-        (&ALL, FROM_NOWHERE, FREE, &ALL),
-        (&ALL, FROM_NOWHERE, NORTH_AND_SOUTH, &[NORTH_A, NORTH_B, SOUTH]),
-        (&ALL, FROM_NOWHERE, NOWHERE, &[]),
-        // One of the region is left.
+        (&ALL, FROM_WEST, SOUTH_ONLY, &[WEST, SOUTH]),
+        (&ALL, FROM_WEST, NO_COMMON_HOME_REGION, &[WEST]),
+        (&ALL, FROM_UNKNOWN, NO_HOME_REGIONS, &ALL),
+        (&ALL, FROM_UNKNOWN, NORTH_AND_SOUTH, &[NORTH_A, NORTH_B, SOUTH]),
+        (&ALL, FROM_UNKNOWN, NO_COMMON_HOME_REGION, &[]),
+        // One balancer of the region is running.
         (&[NORTH_A, SOUTH, WEST], FROM_NORTH, NORTH_AND_SOUTH, &[NORTH_A, SOUTH]),
-        (&[NORTH_A, SOUTH, WEST], FROM_NORTH, SOUTH_ALONE, &[NORTH_A, SOUTH]),
+        (&[NORTH_A, SOUTH, WEST], FROM_NORTH, SOUTH_ONLY, &[NORTH_A, SOUTH]),
         (&[NORTH_A, WEST], FROM_NORTH, NORTH_AND_SOUTH, &[NORTH_A]),
-        (&[NORTH_A, WEST], FROM_NORTH, FREE, &[NORTH_A, WEST]),
-        (&[NORTH_B, SOUTH, WEST], FROM_NORTH, NOWHERE, &[NORTH_B]),
-        // None of the region is left.
-        (&[SOUTH, WEST], FROM_NORTH, FREE, &[SOUTH, WEST]),
+        (&[NORTH_A, WEST], FROM_NORTH, NO_HOME_REGIONS, &[NORTH_A, WEST]),
+        (&[NORTH_B, SOUTH, WEST], FROM_NORTH, NO_COMMON_HOME_REGION, &[NORTH_B]),
+        // No balancer of the region is running.
+        (&[SOUTH, WEST], FROM_NORTH, NO_HOME_REGIONS, &[SOUTH, WEST]),
         (&[SOUTH, WEST], FROM_NORTH, NORTH_AND_SOUTH, &[SOUTH]),
-        (&[SOUTH, WEST], FROM_NORTH, SOUTH_ALONE, &[SOUTH]),
-        (&[SOUTH, WEST], FROM_NORTH, NOWHERE, &[]),
+        (&[SOUTH, WEST], FROM_NORTH, SOUTH_ONLY, &[SOUTH]),
+        (&[SOUTH, WEST], FROM_NORTH, NO_COMMON_HOME_REGION, &[]),
         (&[NORTH_A, NORTH_B], FROM_WEST, NORTH_AND_SOUTH, &[NORTH_A, NORTH_B]),
-        (&[NORTH_A, NORTH_B], FROM_WEST, SOUTH_ALONE, &[]),
-        // None is left in the region and the host's regions: no answer, rather than one that leads elsewhere.
-        (&[WEST], FROM_NORTH, FREE, &[WEST]),
+        (&[NORTH_A, NORTH_B], FROM_WEST, SOUTH_ONLY, &[]),
+        // No balancer runs in the client's or the host's regions: no answer, rather than one in another
+        // region.
+        (&[WEST], FROM_NORTH, NO_HOME_REGIONS, &[WEST]),
         (&[WEST], FROM_NORTH, NORTH_AND_SOUTH, &[]),
-        (&[WEST], FROM_SOUTH, SOUTH_ALONE, &[]),
-        // A host that is not in the configuration.
+        (&[WEST], FROM_SOUTH, SOUTH_ONLY, &[]),
+        // The host is not in the configuration.
         (&ALL, FROM_NORTH, UNKNOWN, &[NORTH_A, NORTH_B]),
         (&[NORTH_B, SOUTH, WEST], FROM_NORTH, UNKNOWN, &[NORTH_B]),
         (&[SOUTH, WEST], FROM_NORTH, UNKNOWN, &[]),
     ];
-    for (staying, from, host, expected) in cases {
+    for (running, from, host, expected) in cases {
         for others in [shutting_down, not_ready] {
-            let mut single = with_balancers_and(staying, others);
+            let mut single = with_balancers_and(running, others);
             assert_eq!(single.status(replace_hosts(0, 3)), StatusCode::OK);
-            let case = format!("{staying:?} stay, a client of {host} from {from:?}");
+            let case = format!("{running:?} running, a client of {host} from {from:?}");
             assert_eq!(ask(&mut single, host, from), expected, "{case}");
         }
     }
 }
 
-/// Whatever the reason for which balancers are missing, and whichever are: nothing outside is named.
+/// Checks every set of lost balancers and every kind of loss: no balancer outside of the permitted regions is
+/// returned.
 #[test]
-fn no_loss_directs_clients_out_of_their_regions() {
+fn lost_balancers_never_direct_clients_out_of_their_regions() {
     let losses: [fn(u8) -> Option<Report>; 3] =
         [|number| Some(shutting_down(number)), |number| Some(not_ready(number)), |_| None];
     for (lost, loss) in (0..16_u8).flat_map(|lost| losses.map(|loss| (lost, loss))) {
@@ -182,17 +187,17 @@
             for from in [FROM_NORTH, FROM_SOUTH, FROM_WEST] {
                 for (host, homes) in [
                     (NORTH_AND_SOUTH, ["north", "south"].as_slice()),
-                    (SOUTH_ALONE, &["south"]),
-                    (NOWHERE, &[]),
+                    (SOUTH_ONLY, &["south"]),
+                    (NO_COMMON_HOME_REGION, &[]),
                 ] {
                     let permitted = |number: &u8| {
                         let region = balancer(*number).region;
                         region == from.0 || homes.contains(&region.as_str())
                     };
-                    let told = ask(&mut single, host, from);
+                    let returned = ask(&mut single, host, from);
                     assert!(
-                        told.iter().all(permitted),
-                        "{lost:04b} lost: {host} from {from:?} gets {told:?}"
+                        returned.iter().all(permitted),
+                        "{lost:04b} lost: {host} from {from:?} gets {returned:?}"
                     );
                 }
             }
@@ -203,24 +208,27 @@
 #[test]
 fn without_a_configuration_clients_stay_in_their_region() {
     let mut single = with_balancers(&[NORTH_A, NORTH_B, SOUTH]);
-    assert_eq!(ask(&mut single, FREE, FROM_NORTH), [NORTH_A, NORTH_B]);
-    assert_eq!(ask(&mut single, FREE, FROM_SOUTH), [SOUTH]);
-    assert!(ask(&mut single, FREE, FROM_WEST).is_empty(), "another controller may know more");
+    assert_eq!(ask(&mut single, NO_HOME_REGIONS, FROM_NORTH), [NORTH_A, NORTH_B]);
+    assert_eq!(ask(&mut single, NO_HOME_REGIONS, FROM_SOUTH), [SOUTH]);
+    assert!(ask(&mut single, NO_HOME_REGIONS, FROM_WEST).is_empty(), "another controller may know more");
 }
 
 #[test]
-fn change_of_home_regions_holds_from_its_acknowledgement_on() {
+fn acknowledged_change_of_home_regions_is_effective_at_once() {
     let mut single = with_balancers(&[NORTH_A, SOUTH, WEST]);
-    assert_eq!(single.status(replace_routes(0, 1, &[(FREE, &["north", "south"])])), StatusCode::OK);
-    assert_eq!(ask(&mut single, FREE, FROM_NORTH), [NORTH_A, SOUTH]);
-    assert_eq!(single.status(replace_routes(1, 2, &[(FREE, &["north", "west"])])), StatusCode::OK);
-    assert_eq!(ask(&mut single, FREE, FROM_NORTH), [NORTH_A, WEST]);
+    assert_eq!(
+        single.status(replace_routes(0, 1, &[(NO_HOME_REGIONS, &["north", "south"])])),
+        StatusCode::OK
+    );
+    assert_eq!(ask(&mut single, NO_HOME_REGIONS, FROM_NORTH), [NORTH_A, SOUTH]);
+    assert_eq!(single.status(replace_routes(1, 2, &[(NO_HOME_REGIONS, &["north", "west"])])), StatusCode::OK);
+    assert_eq!(ask(&mut single, NO_HOME_REGIONS, FROM_NORTH), [NORTH_A, WEST]);
     assert_eq!(single.status(replace_routes(2, 3, &[(UNKNOWN, &[])])), StatusCode::OK);
-    assert_eq!(ask(&mut single, FREE, FROM_NORTH), [NORTH_A], "a host whose routes were removed");
+    assert_eq!(ask(&mut single, NO_HOME_REGIONS, FROM_NORTH), [NORTH_A], "a host whose routes were removed");
 }
 
 #[test]
-fn hosts_with_a_port_are_known() {
+fn hosts_with_a_port_are_recognized() {
     let mut single = with_balancers(&[NORTH_A, SOUTH, WEST]);
     assert_eq!(single.status(replace_hosts(0, 3)), StatusCode::OK);
     assert_eq!(ask(&mut single, "North-And-South.example:8443", FROM_NORTH), [NORTH_A, SOUTH]);
@@ -246,18 +254,19 @@
         fleet.pass(200);
         let ask = |fleet: &mut Fleet, host| {
             let question = resolve_host(host, "west", "zone-w");
-            fleet.ask(endpoint(3), question).map_or_else(Vec::new, |answer| named(&answer))
+            fleet.ask(endpoint(3), question).map_or_else(Vec::new, |answer| returned_balancers(&answer))
         };
         assert_eq!(
             ask(&mut fleet, NORTH_AND_SOUTH),
             [NORTH_A, NORTH_B, SOUTH],
-            "a host that is not at home here"
+            "a host without a home region here"
         );
-        assert!(ask(&mut fleet, FREE).contains(&WEST), "a host that is served here");
+        assert!(ask(&mut fleet, NO_HOME_REGIONS).contains(&WEST), "a host without home regions");
     }
 }
 
-/// The command goes to one controller and the reports to others; one restarts and one comes back with an empty disk.
+/// The command goes to one controller and the reports to another one; one controller restarts, and one
+/// restarts with an empty disk.
 #[test]
 fn every_controller_respects_the_home_regions_at_all_times() {
     let mut fleet = Fleet::start(21, 3);
@@ -280,46 +289,51 @@
         for at in 1..=3 {
             for zone in ["zone-a", "zone-b"] {
                 let question = resolve_host(NORTH_AND_SOUTH, "north", zone);
-                let told = fleet.ask(endpoint(at), question).map_or_else(Vec::new, |answer| named(&answer));
-                assert!(!told.contains(&WEST), "controller {at} names {told:?} to {zone}");
-                answers[usize::from(at) - 1] += usize::from(told == [NORTH_A, SOUTH]);
+                let returned = fleet
+                    .ask(endpoint(at), question)
+                    .map_or_else(Vec::new, |answer| returned_balancers(&answer));
+                assert!(!returned.contains(&WEST), "controller {at} returns {returned:?} to {zone}");
+                answers[usize::from(at) - 1] += usize::from(returned == [NORTH_A, SOUTH]);
             }
         }
     }
-    assert!(answers.iter().all(|&count| count > 5), "all come to answer in full: {answers:?}");
+    assert!(answers.iter().all(|&count| count > 5), "every controller answers completely: {answers:?}");
 }
 
-/// More balancers than an answer may name.
-const MANY: u8 = 200;
-const MOST_NAMED: usize = 64;
+/// More balancers than fit into a response.
+const BALANCER_COUNT: u8 = 200;
+const MAX_RETURNED: usize = 64;
 
 fn southern(number: u8) -> Report {
     Report { zone: "zone-c".to_owned(), region: "south".to_owned(), ..report(number, "zone-c") }
 }
 
 #[test]
-fn zones_share_balancers_of_which_there_are_more_than_an_answer_names() {
+fn zones_spread_over_more_balancers_than_fit_into_a_response() {
     let mut single = Single::in_quorum();
-    assert_eq!(single.status(replace_routes(0, 1, &[(SOUTH_ALONE, &["south"])])), StatusCode::OK);
-    for number in 1..=MANY {
+    assert_eq!(single.status(replace_routes(0, 1, &[(SOUTH_ONLY, &["south"])])), StatusCode::OK);
+    for number in 1..=BALANCER_COUNT {
         single.report(u64::from(number), southern(number));
     }
     let zones =
         ["zone-a", "zone-b", "zone-d", "zone-e", "zone-f", "zone-g", "zone-h", "zone-i", "zone-j", "zone-k"];
-    let mut clients_zones = vec![0; usize::from(MANY) + 1];
+    let mut zone_counts = vec![0; usize::from(BALANCER_COUNT) + 1];
     for zone in zones {
-        let told = ask(&mut single, SOUTH_ALONE, ("north", zone));
-        assert_eq!(told.len(), MOST_NAMED, "{zone}");
-        assert_eq!(ask(&mut single, SOUTH_ALONE, ("north", zone)), told, "clients keep their connections");
-        told.iter().for_each(|&number| clients_zones[usize::from(number)] += 1);
-        let gone = told[0];
-        single.report(u64::from(gone), Report { shutting_down: true, ..southern(gone) });
-        let after = ask(&mut single, SOUTH_ALONE, ("north", zone));
-        let kept = told.iter().filter(|number| after.contains(number)).count();
-        assert_eq!((kept, after.len()), (MOST_NAMED - 1, MOST_NAMED), "{zone}: one goes, one comes");
-        single.report(u64::from(gone), southern(gone));
+        let returned = ask(&mut single, SOUTH_ONLY, ("north", zone));
+        assert_eq!(returned.len(), MAX_RETURNED, "{zone}");
+        assert_eq!(ask(&mut single, SOUTH_ONLY, ("north", zone)), returned, "clients keep their connections");
+        returned.iter().for_each(|&number| zone_counts[usize::from(number)] += 1);
+        let stopped = returned[0];
+        single.report(u64::from(stopped), Report { shutting_down: true, ..southern(stopped) });
+        let after = ask(&mut single, SOUTH_ONLY, ("north", zone));
+        let kept = returned.iter().filter(|number| after.contains(number)).count();
+        assert_eq!((kept, after.len()), (MAX_RETURNED - 1, MAX_RETURNED), "{zone}: one balancer is replaced");
+        single.report(u64::from(stopped), southern(stopped));
     }
-    let reached = clients_zones.iter().filter(|&&zones| zones > 0).count();
-    assert!(reached > 180, "ten zones name {reached} of {MANY} balancers");
-    assert!(clients_zones.iter().all(|&zones| zones <= 9), "none is named to all zones: {clients_zones:?}");
+    let used = zone_counts.iter().filter(|&&zones| zones > 0).count();
+    assert!(used > 180, "ten zones get {used} of {BALANCER_COUNT} balancers");
+    assert!(
+        zone_counts.iter().all(|&zones| zones <= 9),
+        "no balancer is returned to all zones: {zone_counts:?}"
+    );
 }
--- a/controlplane/controller/tests/partitioned_deployment.rs
+++ b/controlplane/controller/tests/partitioned_deployment.rs
@@ -1,4 +1,5 @@
-//! Cuts of twenty seconds with changes meanwhile, seen from edge machines, upstreams and operators.
+//! Partitions of twenty seconds during which commands and departures continue; the invariants of edge
+//! machines, upstreams and operators hold.
 
 mod common;
 
@@ -6,13 +7,14 @@
 use common::fleet::endpoint;
 
 const PARTITION_MS: u64 = 20_000;
-const CALM_MS: u64 = 8_000;
+const RECOVERY_MS: u64 = 8_000;
 const FINAL_COMMANDS_MS: u64 = 10_000;
 
-/// Before, during and right at the end of the cut commands are given and an upstream leaves.
-fn play(seed: u64, controllers: u8, reach: Reach, direction: Direction) -> Vec<String> {
+/// Partitions a controller while operators send commands. Upstreams leave during the partition and right
+/// after it.
+fn run_partition(seed: u64, controllers: u8, reach: Reach, direction: Direction) -> Vec<String> {
     let mut deployment = Deployment::start(seed, controllers, 4, 6);
-    deployment.pass(CALM_MS);
+    deployment.pass(RECOVERY_MS);
     deployment.partition_controller(endpoint(1 + (seed % 3) as u8), reach, direction);
     deployment.pass(1_500);
     deployment.leave(0, false);
@@ -22,18 +24,18 @@
     deployment.heal_all();
     deployment.leave(2, true);
     deployment.leave(3, false);
-    deployment.pass(CALM_MS);
+    deployment.pass(RECOVERY_MS);
     deployment.finish_commands(FINAL_COMMANDS_MS);
-    deployment.pass(CALM_MS);
+    deployment.pass(RECOVERY_MS);
     deployment.check_convergence();
     deployment.problems
 }
 
-fn holds(reach: Reach) {
+fn assert_invariants(reach: Reach) {
     for controllers in [3, 5] {
         for direction in [Direction::Both, Direction::Outward, Direction::Inward] {
             for seed in 0..3 {
-                let problems = play(seed, controllers, reach, direction);
+                let problems = run_partition(seed, controllers, reach, direction);
                 assert!(problems.is_empty(), "{controllers} {direction:?} seed {seed}: {problems:#?}");
             }
         }
@@ -42,20 +44,20 @@
 
 #[test]
 fn controller_partitioned_from_its_peers_only() {
-    holds(Reach::Peers);
+    assert_invariants(Reach::Peers);
 }
 
 #[test]
 fn controller_partitioned_from_balancers_and_upstreams_only() {
-    holds(Reach::Clients);
+    assert_invariants(Reach::Clients);
 }
 
 #[test]
 fn controller_partitioned_from_all() {
-    holds(Reach::All);
+    assert_invariants(Reach::All);
 }
 
 #[test]
 fn controller_partitioned_together_with_nearby_clients() {
-    holds(Reach::Near);
+    assert_invariants(Reach::Near);
 }
--- a/controlplane/controller/tests/rolling_release.rs
+++ b/controlplane/controller/tests/rolling_release.rs
@@ -1,5 +1,5 @@
-//! A release is rolled out over the controllers one by one, and back while it is half done: commands go on, and nothing
-//! is sent that the release before can not read.
+//! A release is rolled out over the controllers one by one and partly rolled back. Commands continue to
+//! succeed, and no message is sent that the previous release can't read.
 
 mod common;
 
@@ -10,25 +10,25 @@
 use whinspindle_distribution::SubscriberId;
 
 const COMMAND_TIMEOUT_MS: u64 = 6_000;
-/// Between two controllers.
+/// Time before and after the restart of a controller.
 const PAUSE_MS: u64 = 3_000;
-/// Between two commands.
+/// Time between two commands.
 const COMMAND_PAUSE_MS: u64 = 250;
 
-/// A rollout, and the generation of the last configuration that was acknowledged.
+/// A rollout, with the generation of the last acknowledged configuration.
 struct Rollout {
     fleet: Fleet,
     generation: u64,
 }
 
 impl Rollout {
-    /// Controllers of the release before.
+    /// Starts controllers of the previous release.
     fn begin(seed: u64, count: u8) -> Rollout {
         Rollout { fleet: Fleet::start_earlier_release(seed, count), generation: 0 }
     }
 
-    /// Configurations are put in place one after the other, each acknowledged, while time passes.
-    fn command_for(&mut self, span_ms: u64) {
+    /// Replaces the configuration repeatedly for a time; each command has to be acknowledged.
+    fn replace_configurations_for(&mut self, span_ms: u64) {
         let end = self.fleet.cluster.now() + span_ms;
         while self.fleet.cluster.now() < end {
             let answer =
@@ -39,15 +39,15 @@
         }
     }
 
-    /// Starts a controller as another release, with commands before and after.
-    fn change(&mut self, number: u8, is_earlier: bool) {
-        self.command_for(PAUSE_MS);
+    /// Restarts a controller as another release, with commands before and after.
+    fn change_release(&mut self, number: u8, is_earlier: bool) {
+        self.replace_configurations_for(PAUSE_MS);
         self.fleet.change_release(endpoint(number), is_earlier);
-        self.command_for(PAUSE_MS);
+        self.replace_configurations_for(PAUSE_MS);
     }
 
-    /// All controllers answer the newest configuration, and send it to a balancer that has none.
-    fn agrees(&mut self, count: u8) {
+    /// Checks that the newest configuration is read, and that every controller sends it to a new balancer.
+    fn check_newest_configuration(&mut self, count: u8) {
         for number in 1..=count {
             let read = self.fleet.complete(Call::Fetch, COMMAND_TIMEOUT_MS);
             assert_eq!(read.body, configuration(self.generation));
@@ -69,40 +69,41 @@
 fn a_release_is_rolled_out_and_back_while_commands_go_on() {
     for seed in 1..=6 {
         let mut rollout = Rollout::begin(seed, 3);
-        rollout.change(1, false);
-        rollout.change(2, false);
-        // Half done: one of them goes back, on the disk that the later release has written.
-        rollout.change(1, true);
-        rollout.agrees(3);
+        rollout.change_release(1, false);
+        rollout.change_release(2, false);
+        // One controller is rolled back, on a disk that the newer release has written.
+        rollout.change_release(1, true);
+        rollout.check_newest_configuration(3);
         for number in [1, 3] {
-            rollout.change(number, false);
+            rollout.change_release(number, false);
         }
-        rollout.agrees(3);
+        rollout.check_newest_configuration(3);
     }
 }
 
-/// Disks are lost while two releases run: nobody tells the release before of a lost voter.
+/// A disk is lost while two releases run: the previous release must not be sent the message about a lost
+/// voter.
 #[test]
-fn disks_are_lost_while_two_releases_run() {
+fn disk_loss_while_two_releases_run_is_tolerated() {
     for seed in 1..=6 {
         for lost in 1..=3 {
             let mut rollout = Rollout::begin(10 + seed, 3);
-            rollout.change(1, false);
+            rollout.change_release(1, false);
             rollout.fleet.cluster.stop(endpoint(lost));
             rollout.fleet.wipe(endpoint(lost));
             rollout.fleet.cluster.start(endpoint(lost));
-            rollout.command_for(PAUSE_MS);
-            rollout.agrees(3);
+            rollout.replace_configurations_for(PAUSE_MS);
+            rollout.check_newest_configuration(3);
         }
     }
 }
 
-/// One of two loses its disk while the other is of the release before: commands wait until that one is replaced too, and
-/// nothing is lost.
+/// One of two controllers loses its disk while the other runs the previous release. Commands are refused
+/// until that one is upgraded too, and no acknowledged configuration is lost.
 #[test]
-fn one_of_two_waits_for_the_rollout_after_the_other_has_lost_its_disk() {
+fn disk_loss_with_two_controllers_is_recovered_after_the_rollout() {
     let mut rollout = Rollout::begin(31, 2);
-    rollout.change(2, false);
+    rollout.change_release(2, false);
     rollout.fleet.cluster.stop(endpoint(2));
     rollout.fleet.wipe(endpoint(2));
     rollout.fleet.cluster.start(endpoint(2));
@@ -111,6 +112,6 @@
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
     rollout.fleet.change_release(endpoint(1), false);
     rollout.fleet.pass(PAUSE_MS);
-    rollout.agrees(2);
-    rollout.command_for(PAUSE_MS);
+    rollout.check_newest_configuration(2);
+    rollout.replace_configurations_for(PAUSE_MS);
 }
