--- a/controlplane/controller/tests/controller.rs
+++ b/controlplane/controller/tests/controller.rs
@@ -1,4 +1,5 @@
-//! A single controller in its chain: when it acknowledges commands, and what it publishes to balancers and clients.
+//! A single controller that is its own quorum: acknowledgement of commands, and publication to balancers and
+//! clients.
 
 mod common;
 
@@ -10,7 +11,7 @@
 use whinspindle_controller::api::Call;
 use whinspindle_distribution::{Report, SubscriberId, Update, Versions};
 
-/// The newest instances that a balancer was sent, as ids and whether they drain or have ended.
+/// The ids in the list of instances that was sent last, and whether they are draining or have ended.
 fn instances_sent(single: &Single) -> Vec<(String, bool)> {
     let sent = single.updates.iter().rev().find_map(|(_, update)| update.instances.as_ref());
     let list = sent.map(|instances| instances.list.as_slice()).unwrap_or_default();
@@ -30,7 +31,7 @@
     list.split(',').map(|address| address.trim_matches('"').to_owned()).collect()
 }
 
-/// A controller with balancers that keep reporting for as long as a test needs.
+/// A controller in a quorum that has received a report from each of these balancers.
 fn started_with_balancers(balancers: &[(u8, &str)]) -> Single {
     let mut single = Single::in_quorum();
     for (number, zone) in balancers {
@@ -68,25 +69,25 @@
     single.finish_writes();
     single.disk_works = true;
     single.pass(2_000);
-    assert_eq!(single.status(replace(0, 3)), StatusCode::OK, "the same order again");
+    assert_eq!(single.status(replace(0, 3)), StatusCode::OK, "a retry of the command");
 }
 
 #[test]
 fn a_configuration_is_replaced_once_and_acknowledged_again() {
     let mut single = Single::in_quorum();
     assert_eq!(single.status(replace(0, 3)), StatusCode::OK);
-    assert_eq!(single.status(replace(0, 3)), StatusCode::OK, "a repeat");
+    assert_eq!(single.status(replace(0, 3)), StatusCode::OK, "a retry");
     assert_eq!(single.status(replace(0, 4)), StatusCode::PRECONDITION_FAILED, "another base is current");
     assert_eq!(single.status(replace(3, 2)), StatusCode::CONFLICT, "not above the current one");
     assert_eq!(single.status(replace(3, 9)), StatusCode::OK);
-    assert_eq!(single.status(replace(0, 3)), StatusCode::OK, "a repeat of an older one");
+    assert_eq!(single.status(replace(0, 3)), StatusCode::OK, "a retry of an older one");
     let id = single.call(Call::Fetch);
     let answer = single.answer(id).expect("a read is answered");
     assert_eq!((answer.status, &answer.body), (StatusCode::OK, &configuration(9)));
 }
 
 #[test]
-fn without_a_configuration_there_is_none_to_fetch() {
+fn fetch_without_a_configuration_is_not_found() {
     let mut single = Single::in_quorum();
     assert_eq!(single.status(Call::Fetch), StatusCode::NOT_FOUND);
 }
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn status_counts_how_commands_were_answered() {
+fn status_counts_command_outcomes() {
     let mut single = Single::in_quorum();
     assert_eq!(single.status(replace(0, 3)), StatusCode::OK);
     assert_eq!(single.status(replace(0, 4)), StatusCode::PRECONDITION_FAILED);
@@ -118,7 +119,7 @@
     assert!(String::from_utf8_lossy(&status).contains(expected), "{status:?}");
 }
 
-/// A delayed request arrives together with the end of its connection, after newer commands.
+/// A delayed request arrives just before its connection is closed, after a newer command.
 #[test]
 fn evacuation_command_of_a_closed_connection_is_not_submitted() {
     let mut single = started_with_balancers(&[(1, "zone-a")]);
@@ -129,15 +130,15 @@
     single.handle(Event::CallDropped { id });
     single.pass(2_000);
     assert_eq!(single.answer(id), None);
-    let mut told = single.updates.iter().filter_map(|(_, update)| update.evacuations.as_ref());
-    assert!(told.all(|evacuations| evacuations.zones.is_empty()), "the held-up command was given");
+    let mut published = single.updates.iter().filter_map(|(_, update)| update.evacuations.as_ref());
+    assert!(published.all(|evacuations| evacuations.zones.is_empty()), "the delayed command was submitted");
 }
 
 #[test]
 fn configuration_ahead_of_its_base_is_applied_after_it() {
     let mut single = Single::in_quorum();
     let early = single.call(replace(3, 5));
-    assert_eq!(single.answer(early), None, "the base may still come");
+    assert_eq!(single.answer(early), None, "the base may still be applied");
     single.pass(300);
     assert_eq!(single.status(replace(0, 3)), StatusCode::OK);
     single.pass(300);
@@ -145,7 +146,7 @@
 
     let early = single.call(replace(9, 11));
     single.pass(1_000);
-    let answer = single.answer(early).expect("an answer before the caller gives up");
+    let answer = single.answer(early).expect("a response before the caller times out");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(
         answer
@@ -158,7 +159,7 @@
     assert_eq!(single.answer(id).map(|answer| &answer.body), Some(&configuration(9)), "it was given up");
 }
 
-/// 600 changes later the history doesn't hold the first any more.
+/// The history no longer holds the first of 600 changes, so a retry of it gets 503 instead of a refusal.
 #[test]
 fn configuration_applied_long_ago_is_never_refused() {
     let mut single = Single::in_quorum();
@@ -178,11 +179,11 @@
     let mut single = Single::in_quorum();
     single.disk_works = false;
     assert_eq!(single.status(heartbeat("i-1", 5, Ready)), StatusCode::OK);
-    assert_eq!(single.status(heartbeat("i-1", 4, Ready)), StatusCode::OK, "a late one");
+    assert_eq!(single.status(heartbeat("i-1", 4, Ready)), StatusCode::OK, "a delayed one");
 }
 
 #[test]
-fn a_draining_instance_is_hidden_before_it_is_acknowledged() {
+fn draining_instance_is_published_before_it_is_acknowledged() {
     let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.call(heartbeat("i-1", 1, Ready));
     assert_eq!(instances_sent(&single), [("i-1".to_owned(), false)]);
@@ -215,7 +216,7 @@
 }
 
 #[test]
-fn a_withdrawn_instance_does_not_wait_for_others() {
+fn draining_instance_is_published_without_batching() {
     let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.status(heartbeat("i-1", 1, Ready));
     single.pass(400);
@@ -230,14 +231,15 @@
     single.call(heartbeat("i-1", 1, Ready));
     single.call(heartbeat("i-2", 1, Ready));
     assert_eq!(single.status(deregister("i-1")), StatusCode::OK);
-    // Its end is published for a while: a balancer that was partitioned may have it as ready.
-    let told = [("i-2".to_owned(), false), ("i-1".to_owned(), true)];
-    assert_eq!(instances_sent(&single), told);
-    assert_eq!(single.status(heartbeat("i-1", 2, Ready)), StatusCode::OK, "a late heartbeat");
-    assert_eq!(instances_sent(&single), told);
-    for beat in 2..33 {
+    // The ended instance stays in the list for a while: a balancer that was partitioned may still have it as
+    // ready.
+    let expected = [("i-2".to_owned(), false), ("i-1".to_owned(), true)];
+    assert_eq!(instances_sent(&single), expected);
+    assert_eq!(single.status(heartbeat("i-1", 2, Ready)), StatusCode::OK, "a delayed heartbeat");
+    assert_eq!(instances_sent(&single), expected);
+    for sequence in 2..33 {
         single.pass(1_000);
-        single.call(heartbeat("i-2", beat, Ready));
+        single.call(heartbeat("i-2", sequence, Ready));
     }
     single.call(heartbeat("i-3", 1, Ready));
     assert_eq!(instances_sent(&single), [("i-2".to_owned(), false), ("i-3".to_owned(), false)]);
@@ -260,7 +262,7 @@
 }
 
 #[test]
-fn a_new_balancer_gets_what_it_lacks() {
+fn new_balancer_gets_only_missing_sections() {
     let mut single = Single::in_quorum();
     single.call(replace(0, 3));
     single.call(heartbeat("i-1", 1, Ready));
@@ -324,9 +326,9 @@
     single.call(heartbeat("i-1", 1, Ready));
     single.pass(1_100);
     let written = single.saved_states.len();
-    for beat in 2..6 {
+    for sequence in 2..6 {
         single.report(1, report(1, "zone-a"));
-        single.call(heartbeat("i-1", beat, Ready));
+        single.call(heartbeat("i-1", sequence, Ready));
         single.pass(400);
     }
     assert_eq!(single.saved_states.len(), written, "nothing has changed");
@@ -336,11 +338,11 @@
     }
     assert_eq!(single.saved_states.len(), written + 1);
     single.pass(900);
-    assert_eq!(single.saved_states.len(), written + 2, "the later changes together");
+    assert_eq!(single.saved_states.len(), written + 2, "later changes are saved together");
 }
 
 #[test]
-fn stalled_write_of_the_saved_state_is_not_followed_by_others() {
+fn state_is_not_saved_again_while_a_write_is_stalled() {
     let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.pass(1_100);
     single.disk_works = false;
@@ -353,7 +355,7 @@
 }
 
 #[test]
-fn state_is_saved_again_once_a_slow_start_in_it_has_ended() {
+fn state_is_saved_again_after_the_end_of_a_slow_start() {
     let mut single = started_with_balancers(&[(1, "zone-a")]);
     let Call::Heartbeat { instance, heartbeat } = heartbeat("i-1", 1, Ready) else { unreachable!() };
     let heartbeat = whinspindle_configuration::Heartbeat { slow_start_ms: 1_500, ..heartbeat };
@@ -366,21 +368,29 @@
 }
 
 #[test]
-fn clients_are_sent_to_balancers_near_them() {
+fn clients_are_directed_to_nearby_balancers() {
     let fleet = [(1, "zone-a"), (2, "zone-a"), (3, "zone-b"), (4, "zone-c")];
     let mut single = started_with_balancers(&fleet);
-    assert_eq!(addresses(&mut single, "north", "zone-a"), ["10.1.0.1:8161", "10.1.0.2:8161"], "the zone's");
+    assert_eq!(
+        addresses(&mut single, "north", "zone-a"),
+        ["10.1.0.1:8161", "10.1.0.2:8161"],
+        "balancers of the zone"
+    );
     let region = ["10.1.0.1:8161", "10.1.0.2:8161", "10.1.0.3:8161"];
-    assert_eq!(addresses(&mut single, "north", "zone-b"), region, "the region's, where the zone has too few");
+    assert_eq!(
+        addresses(&mut single, "north", "zone-b"),
+        region,
+        "balancers of the region, as the zone has too few"
+    );
     assert_eq!(
         addresses(&mut single, "south", "zone-c"),
         ["10.1.0.4:8161"],
-        "no homes are known of the host"
+        "the home regions of the host are unknown"
     );
 }
 
 #[test]
-fn unready_or_departing_or_silent_balancers_get_no_clients() {
+fn unready_departing_and_silent_balancers_get_no_clients() {
     let mut single = started_with_balancers(&[(1, "zone-a"), (2, "zone-a"), (3, "zone-a"), (4, "zone-a")]);
     single.report(2, Report { ready: false, ..report(2, "zone-a") });
     single.report(3, Report { shutting_down: true, ..report(3, "zone-a") });
@@ -391,7 +401,7 @@
     }
     assert_eq!(addresses(&mut single, "north", "zone-a"), ["10.1.0.1:8161"]);
     single.pass(10_000);
-    assert!(addresses(&mut single, "north", "zone-a").is_empty(), "none is known to live");
+    assert!(addresses(&mut single, "north", "zone-a").is_empty(), "no balancer is known to be alive");
 }
 
 #[test]
@@ -407,7 +417,7 @@
 }
 
 #[test]
-fn closed_connection_is_not_answered() {
+fn closed_connection_gets_no_response() {
     let mut single = Single::in_quorum();
     single.disk_works = false;
     let id = single.call(replace(0, 3));
@@ -419,7 +429,7 @@
 }
 
 #[test]
-fn the_status_is_an_object() {
+fn status_is_a_json_object() {
     let mut single = started_with_balancers(&[(1, "zone-a")]);
     single.call(replace(0, 3));
     let id = single.call(Call::Status);
--- a/controlplane/controller/tests/fleet.rs
+++ b/controlplane/controller/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several controllers on a simulated network: what was acknowledged outlives kills, cuts and losses of power, and
-//! every balancer is told wherever it is connected.
+//! Several controllers on a simulated network: acknowledged changes survive crashes, partitions and power
+//! losses, and reach every balancer whichever controller it is connected to.
 
 mod common;
 
@@ -13,14 +13,14 @@
 use whinspindle_controller::api::Call;
 use whinspindle_distribution::{Instance, SubscriberId};
 
-/// While the core is calm a command is acknowledged within this time, wherever it goes.
-const CALM_COMMAND_MS: u64 = 400;
-/// After a start of all controllers balancers are notified of a quorum within this time.
+/// Without faults every controller acknowledges a command within this time.
+const COMMAND_TIMEOUT_MS: u64 = 400;
+/// Balancers are notified of a quorum within this time after the start of all controllers.
 const QUORUM_MS: u64 = 250;
-/// After a start of all controllers balancers are sent the restored state within this time.
+/// Balancers are sent the restored state within this time after the start of all controllers.
 const RESTORE_MS: u64 = 1_000;
 /// A command is acknowledged within this time after a fault.
-const COMMAND_WITH_FAULTS_MS: u64 = 15_000;
+const COMMAND_TIMEOUT_WITH_FAULTS_MS: u64 = 15_000;
 
 fn newest_instance(fleet: &Fleet, subscriber: SubscriberId, id: &str) -> Option<Instance> {
     let mut sent = fleet.updates.iter().rev().filter(|(to, _)| *to == subscriber);
@@ -47,10 +47,13 @@
             deregister(&format!("i-{number}")),
         ];
         for command in commands {
-            let began = fleet.cluster.now();
+            let started_at = fleet.cluster.now();
             let answer = fleet.ask(at, command.clone()).unwrap_or_else(|| panic!("{command:?} at {at}"));
             assert_eq!(answer.status, StatusCode::OK, "{command:?} at {at}: {answer:?}");
-            assert!(fleet.cluster.now() < began + CALM_COMMAND_MS, "{command:?} at {at} took long");
+            assert!(
+                fleet.cluster.now() < started_at + COMMAND_TIMEOUT_MS,
+                "{command:?} at {at} took too long"
+            );
         }
         generation += 2;
     }
@@ -62,18 +65,18 @@
 
 #[test]
 fn balancers_learn_of_controllers_outside_of_the_view() {
-    // Only three of five are voters, where one loss is tolerated.
+    // With a tolerance of one loss, only three of five controllers are voters.
     let mut fleet = Fleet::start(2, 5);
     fleet.report(endpoint(1), 1, report(1, "zone-a"));
     fleet.pass(100);
     let (_, link) = fleet.links.last().expect("the first report is answered");
-    let told: Vec<_> = link.controllers.iter().map(|controller| controller.endpoint).collect();
-    assert_eq!(told, (1..=5).map(endpoint).collect::<Vec<_>>());
+    let endpoints: Vec<_> = link.controllers.iter().map(|controller| controller.endpoint).collect();
+    assert_eq!(endpoints, (1..=5).map(endpoint).collect::<Vec<_>>());
     assert!(link.controllers.iter().all(|controller| !controller.zone.is_empty()));
 }
 
 #[test]
-fn observations_of_one_controller_reach_all_balancers() {
+fn observations_of_one_controller_reach_balancers_of_all() {
     let mut fleet = Fleet::start(2, 5);
     for number in 1..=5 {
         fleet.report(endpoint(number), u64::from(number), report(number, "zone-a"));
@@ -81,22 +84,22 @@
     fleet.ask(endpoint(1), heartbeat("i-1", 1, Ready));
     fleet.pass(300);
     for number in 1..=5 {
-        let told = newest_instance(&fleet, SubscriberId(number), "i-1");
-        assert!(told.is_some_and(|instance| !instance.draining), "balancer {number}");
+        let published = newest_instance(&fleet, SubscriberId(number), "i-1");
+        assert!(published.is_some_and(|instance| !instance.draining), "balancer {number}");
     }
     fleet.ask(endpoint(2), heartbeat("i-1", 2, Draining));
     fleet.ask(endpoint(3), evacuate("zone-c", true));
     fleet.pass(300);
     for number in 1..=5 {
-        let told = newest_instance(&fleet, SubscriberId(number), "i-1");
-        assert!(told.is_some_and(|instance| instance.draining), "balancer {number}");
+        let published = newest_instance(&fleet, SubscriberId(number), "i-1");
+        assert!(published.is_some_and(|instance| instance.draining), "balancer {number}");
         let zones = evacuated_zones(&fleet, SubscriberId(number));
         assert_eq!(zones, Some(vec!["zone-c".to_owned()]), "balancer {number}");
     }
 }
 
 #[test]
-fn every_controller_knows_where_clients_connect() {
+fn every_controller_directs_clients_to_all_balancers() {
     let mut fleet = Fleet::start(3, 5);
     fleet.report(endpoint(1), 1, report(1, "zone-a"));
     fleet.report(endpoint(4), 2, report(2, "zone-a"));
@@ -109,14 +112,14 @@
 }
 
 #[test]
-fn restarted_controller_is_brought_up_to_date_by_the_others() {
+fn restarted_controller_receives_the_state_of_the_others() {
     let mut fleet = Fleet::start(4, 3);
     fleet.ask(endpoint(2), heartbeat("i-1", 1, Ready));
     fleet.ask(endpoint(2), heartbeat("i-2", 1, Draining));
     fleet.restart(endpoint(1));
-    for beat in 2..6 {
+    for sequence in 2..6 {
         fleet.pass(1_000);
-        fleet.ask(endpoint(2), heartbeat("i-1", beat, Ready));
+        fleet.ask(endpoint(2), heartbeat("i-1", sequence, Ready));
     }
     fleet.report(endpoint(1), 1, report(1, "zone-a"));
     fleet.pass(100);
@@ -125,10 +128,11 @@
     assert_eq!(answer.status, StatusCode::OK);
 }
 
-/// Instances and fronts are known everywhere; then all controllers lose power at once, and some their disks.
-fn after_loss_of_power(seed: u64, wiped: &[u8]) -> Fleet {
+/// Starts controllers that all know some instances and a balancer, then restarts all at once, some with a
+/// lost disk.
+fn start_after_power_loss(seed: u64, wiped: &[u8]) -> Fleet {
     let mut fleet = Fleet::start(seed, 3);
-    fleet.complete(replace(0, 1), CALM_COMMAND_MS);
+    fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
     fleet.ask(endpoint(1), heartbeat("i-1", 1, Ready));
     fleet.ask(endpoint(2), heartbeat("i-2", 1, Ready));
     fleet.ask(endpoint(2), heartbeat("i-3", 1, Draining));
@@ -143,7 +147,7 @@
 #[test]
 fn restored_state_is_published_with_the_configuration_after_a_power_loss() {
     for wiped in [&[][..], &[1], &[3]] {
-        let mut fleet = after_loss_of_power(8, wiped);
+        let mut fleet = start_after_power_loss(8, wiped);
         for number in 1..=3 {
             fleet.report(endpoint(number), 10 + u64::from(number), report(number, "zone-a"));
         }
@@ -164,22 +168,22 @@
 #[test]
 fn quorum_is_restored_soon_and_announced_at_once_after_a_power_loss() {
     for seed in 20..40 {
-        let mut fleet = after_loss_of_power(seed, &[]);
+        let mut fleet = start_after_power_loss(seed, &[]);
         for number in 1..=3 {
             fleet.report(endpoint(number), u64::from(number), report(number, "zone-a"));
         }
         fleet.pass(QUORUM_MS);
         for number in 1..=3 {
             let subscriber = SubscriberId(number);
-            let told = fleet.links.iter().any(|(to, link)| *to == subscriber && link.in_quorum);
-            assert!(told, "controller {number}, seed {seed}");
+            let is_notified = fleet.links.iter().any(|(to, link)| *to == subscriber && link.in_quorum);
+            assert!(is_notified, "controller {number}, seed {seed}");
         }
     }
 }
 
 #[test]
 fn clients_are_directed_to_restored_balancers_after_a_power_loss() {
-    let mut fleet = after_loss_of_power(9, &[2]);
+    let mut fleet = start_after_power_loss(9, &[2]);
     fleet.pass(RESTORE_MS);
     for number in 1..=3 {
         let answer = fleet.ask(endpoint(number), resolve("north", "zone-a")).expect("an answer");
@@ -189,15 +193,18 @@
 
 #[test]
 fn restored_state_that_is_not_confirmed_after_a_power_loss_is_dropped() {
-    let mut fleet = after_loss_of_power(10, &[]);
+    let mut fleet = start_after_power_loss(10, &[]);
     fleet.report(endpoint(1), 11, report(1, "zone-a"));
-    for beat in 2..8 {
+    for sequence in 2..8 {
         fleet.pass(1_000);
-        fleet.ask(endpoint(2), heartbeat("i-1", beat, Ready));
+        fleet.ask(endpoint(2), heartbeat("i-1", sequence, Ready));
         fleet.report(endpoint(1), 11, report(1, "zone-a"));
     }
     assert!(newest_instance(&fleet, SubscriberId(11), "i-1").is_some());
-    assert!(newest_instance(&fleet, SubscriberId(11), "i-2").is_none(), "it was lost with the power");
+    assert!(
+        newest_instance(&fleet, SubscriberId(11), "i-2").is_none(),
+        "the instance has not sent another heartbeat"
+    );
 }
 
 #[test]
@@ -207,9 +214,9 @@
     fleet.ask(endpoint(2), heartbeat("i-2", 1, Ready));
     fleet.pass(1_500);
     fleet.cluster.stop(endpoint(1));
-    for beat in 2..8 {
+    for sequence in 2..8 {
         fleet.pass(1_000);
-        fleet.ask(endpoint(2), heartbeat("i-1", beat, Ready));
+        fleet.ask(endpoint(2), heartbeat("i-1", sequence, Ready));
     }
     fleet.report(endpoint(2), 12, report(2, "zone-a"));
     fleet.cluster.start(endpoint(1));
@@ -220,8 +227,8 @@
     fleet.ask(endpoint(1), heartbeat("i-1", 8, Ready));
     fleet.pass(100);
     for subscriber in [SubscriberId(11), SubscriberId(12)] {
-        let told = newest_instance(&fleet, subscriber, "i-2");
-        assert!(told.is_none(), "{subscriber:?}");
+        let published = newest_instance(&fleet, subscriber, "i-2");
+        assert!(published.is_none(), "{subscriber:?}");
     }
     assert!(newest_instance(&fleet, SubscriberId(11), "i-1").is_some());
 }
@@ -236,9 +243,13 @@
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{command:?}");
     }
     let answer = fleet.ask(endpoint(3), heartbeat("i-2", 1, Ready)).expect("an answer");
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "the others would take it for lost");
+    assert_eq!(
+        answer.status,
+        StatusCode::SERVICE_UNAVAILABLE,
+        "the other controllers would treat the instance as lost"
+    );
     fleet.pass(2_000);
-    assert_eq!(fleet.complete(replace(0, 1), COMMAND_WITH_FAULTS_MS).status, StatusCode::OK);
+    assert_eq!(fleet.complete(replace(0, 1), COMMAND_TIMEOUT_WITH_FAULTS_MS).status, StatusCode::OK);
     fleet.set_partitioned(endpoint(3), false);
     fleet.pass(4_000);
     let answer = fleet.ask(endpoint(3), Call::Fetch).expect("an answer");
@@ -249,7 +260,7 @@
 fn controller_shutdown_loses_no_command() {
     for shutting_down in 1..=3 {
         let mut fleet = Fleet::start(6, 3);
-        fleet.complete(replace(0, 1), CALM_COMMAND_MS);
+        fleet.complete(replace(0, 1), COMMAND_TIMEOUT_MS);
         fleet.cluster.command(endpoint(shutting_down), common::fleet::Command::Shutdown);
         let attempt = fleet.begin(replace(1, 2));
         fleet.pass(400);
@@ -262,10 +273,10 @@
     }
 }
 
-/// Two operators, upstreams that leave, and faults by random.
-struct Play {
+/// Concurrent changes of two operators and departures of upstreams under random faults.
+struct Run {
     fleet: Fleet,
-    /// Bodies that were sent, by generation; two operators never send equal ones.
+    /// Bodies that were sent, by generation; no two operators send the same body.
     sent: BTreeMap<u64, Vec<Bytes>>,
     /// Acknowledged configurations as base and generation.
     acknowledged: Vec<(u64, u64, Bytes)>,
@@ -273,9 +284,9 @@
     departed: Vec<String>,
 }
 
-impl Play {
-    fn new(seed: u64) -> Play {
-        Play {
+impl Run {
+    fn new(seed: u64) -> Run {
+        Run {
             fleet: Fleet::start(seed, 5),
             sent: BTreeMap::new(),
             acknowledged: Vec::new(),
@@ -286,18 +297,19 @@
 
     fn run(&mut self, rounds: usize) {
         for round in 0..rounds {
-            let fault = self.fault();
+            let fault = self.inject_fault();
             self.race(round);
             self.evacuate(round);
             self.depart(round);
             let span = self.fleet.random.next_below(1_500) as u64;
             self.fleet.pass(span);
-            self.repair_all(fault);
+            self.repair(fault);
         }
     }
 
-    /// A controller is killed, partitioned, or has lost its disk.
-    fn fault(&mut self) -> (u8, usize) {
+    /// Injects a random fault: one controller is stopped, partitioned or loses its disk, or all restart, or
+    /// none.
+    fn inject_fault(&mut self) -> (u8, usize) {
         let number = 1 + self.fleet.random.next_below(5) as u8;
         let kind = self.fleet.random.next_below(5);
         match kind {
@@ -313,8 +325,9 @@
         (number, kind)
     }
 
-    /// A lost disk counts as a loss until its machine has been back for some seconds.
-    fn repair_all(&mut self, (number, kind): (u8, usize)) {
+    /// Repairs the fault. A lost disk counts as a loss until its controller has been running for some
+    /// seconds.
+    fn repair(&mut self, (number, kind): (u8, usize)) {
         match kind {
             0 => self.fleet.cluster.start(endpoint(number)),
             1 => self.fleet.set_partitioned(endpoint(number), false),
@@ -350,14 +363,14 @@
                 assert_eq!(status, StatusCode::PRECONDITION_FAILED);
             }
         }
-        assert_eq!(winners, 1, "of two changes on one base one wins");
+        assert_eq!(winners, 1, "one of two changes on one base is applied");
     }
 
     fn evacuate(&mut self, round: usize) {
         let zone = ["zone-a", "zone-b", "zone-c"][round % 3];
         let evacuated = !self.evacuated.get(zone).copied().unwrap_or(false);
         assert_eq!(
-            self.fleet.complete(evacuate(zone, evacuated), COMMAND_WITH_FAULTS_MS).status,
+            self.fleet.complete(evacuate(zone, evacuated), COMMAND_TIMEOUT_WITH_FAULTS_MS).status,
             StatusCode::OK
         );
         self.evacuated.insert(zone.to_owned(), evacuated);
@@ -365,21 +378,21 @@
 
     fn depart(&mut self, round: usize) {
         let instance = format!("i-{round}");
-        let answer = self.fleet.complete(heartbeat(&instance, 1, Draining), COMMAND_WITH_FAULTS_MS);
+        let answer = self.fleet.complete(heartbeat(&instance, 1, Draining), COMMAND_TIMEOUT_WITH_FAULTS_MS);
         assert_eq!(answer.status, StatusCode::OK);
         self.departed.push(instance);
     }
 
     fn wait_for(&mut self, attempts: Vec<usize>) {
-        let end = self.fleet.cluster.now() + COMMAND_WITH_FAULTS_MS;
+        let end = self.fleet.cluster.now() + COMMAND_TIMEOUT_WITH_FAULTS_MS;
         while attempts.iter().any(|attempt| self.fleet.attempts[*attempt].answered.is_none()) {
             assert!(self.fleet.cluster.now() < end, "an operator gets no answer");
             self.fleet.pass(50);
         }
     }
 
-    /// All machines lose power; what was acknowledged is there afterwards, at every controller.
-    fn verify_after_loss_of_power(&mut self) {
+    /// Restarts all controllers at once; afterwards every one has all acknowledged changes.
+    fn verify_after_power_loss(&mut self) {
         for number in 1..=5 {
             self.fleet.cluster.stop(endpoint(number));
         }
@@ -416,8 +429,8 @@
 #[test]
 fn acknowledged_commands_survive_random_faults() {
     for seed in 0..24 {
-        let mut play = Play::new(1_000 + seed);
-        play.run(12);
-        play.verify_after_loss_of_power();
+        let mut run = Run::new(1_000 + seed);
+        run.run(12);
+        run.verify_after_power_loss();
     }
 }
--- a/controlplane/controller/tests/random_operators.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -1,5 +1,5 @@
-//! Operators with several commands under way, through faults drawn at random: what was confirmed is a chain, what was
-//! refused is never in force, and what was confirmed is confirmed again however often it is sent.
+//! Operators with several concurrent commands under random faults: the confirmed configurations form a chain,
+//! a refused configuration is never applied, and a retry of a confirmed command is confirmed again.
 
 mod common;
 
@@ -15,21 +15,21 @@
 use whinspindle_distribution::SubscriberId;
 
 const CONTROLLERS: u8 = 5;
-/// Plays in an ordinary run; as many as this variable says otherwise.
-const ORDINARY: u64 = 40;
-/// Plays that have found a fault: 196 found a controller without a vote that gave no command to the chain any more, since
-/// a promise of an earlier view was left over.
+/// Number of seeds of an ordinary run, unless the environment variable sets another number.
+const DEFAULT_RUNS: u64 = 40;
+/// Seeds that have found a fault: with 196 a controller that is no voter stopped forwarding commands to the
+/// chain, since it kept a promise of an earlier view.
 const REGRESSION_SEEDS: [u64; 1] = [196];
 const COUNT_VARIABLE: &str = "WHINSPINDLE_PLAYS";
 const ROUNDS: usize = 8;
-/// An operator gives up a command without a clear answer after this time.
+/// An operator gives up a command without a definite answer after this time.
 const MAX_ANSWER_MS: u64 = 12_000;
-/// One loss at a time is borne. A machine that was out of touch counts as a loss until it has been back for so long, and
-/// so does a disk.
+/// One loss at a time is tolerated. A machine that was unreachable and a disk that was lost count as losses
+/// until this long after their return.
 const RECOVERY_MS: u64 = 6_000;
 const START_MS: u64 = 8_000;
 /// An evacuation command that was given up may still take effect within this time.
-const EVACUATION_ECHO_MS: u64 = 500;
+const ABANDONED_EVACUATION_MS: u64 = 500;
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
 const FAULTS: [Fault; 8] = [
@@ -43,49 +43,49 @@
     Fault::LostAnswers,
 ];
 
-/// The faults of plays in which operators also read the configuration all the time.
-const SPLITS: [Fault; 6] =
+/// The faults of runs in which operators also read the configuration continuously.
+const PARTITION_FAULTS: [Fault; 6] =
     [Fault::Halves, Fault::Apart, Fault::Halves, Fault::Partition, Fault::LossOfPower, Fault::LostAnswers];
-/// Pauses between reads at most.
-const READ_MS: u64 = 150;
+/// Longest pause between two reads.
+const MAX_READ_PAUSE_MS: u64 = 150;
 
 /// An evacuation command, with the time in which it may take effect.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     evacuated: bool,
     attempt: Option<usize>,
-    begun: u64,
-    ended: u64,
+    begins_at: u64,
+    ends_at: u64,
     is_acknowledged: bool,
 }
 
-struct Play {
+struct Run {
     fleet: Fleet,
     checker: OutcomeChecker,
     changes: Vec<Change>,
-    /// Changes whose answers are waited for.
+    /// Changes without an answer so far, with their attempts.
     in_flight: Vec<(Change, usize)>,
     evacuations: BTreeMap<&'static str, Vec<Evacuation>>,
-    sent: usize,
-    /// Reads of the configuration, with the newest generation that had been confirmed before.
+    change_count: usize,
+    /// Attempts to read the configuration, with the newest generation confirmed before each read was sent.
     reads: Vec<(u64, usize)>,
 }
 
-impl Play {
-    fn new(seed: u64) -> Play {
+impl Run {
+    fn new(seed: u64) -> Run {
         let mut fleet = Fleet::start(seed, CONTROLLERS);
         fleet.cluster.network().timing.repetition = 0.05;
         fleet.cluster.network().timing.loss = 0.01;
         let in_service =
-            Evacuation { evacuated: false, attempt: None, begun: 0, ended: 0, is_acknowledged: true };
+            Evacuation { evacuated: false, attempt: None, begins_at: 0, ends_at: 0, is_acknowledged: true };
         let evacuations = ZONES.map(|zone| (zone, vec![in_service])).into();
-        Play {
+        Run {
             fleet,
             checker: OutcomeChecker::default(),
             changes: Vec::new(),
             in_flight: Vec::new(),
             evacuations,
-            sent: 0,
+            change_count: 0,
             reads: Vec::new(),
         }
     }
@@ -93,7 +93,7 @@
     fn run(&mut self) {
         for _ in 0..ROUNDS {
             let fault = FAULTS[self.below(FAULTS.len())];
-            let at = self.anywhere();
+            let at = self.random_controller();
             if matches!(fault, Fault::Wipe) {
                 self.pass(RECOVERY_MS);
             }
@@ -114,11 +114,12 @@
         self.verify();
     }
 
-    /// As `run`, with reads at any controller at any time. Each fault has as long as it takes to be noticed.
-    fn run_split(&mut self) {
+    /// Like `run`, with reads at random controllers all the time. Each fault lasts up to four seconds, long
+    /// enough to be detected.
+    fn run_with_reads(&mut self) {
         for _ in 0..ROUNDS {
-            let fault = SPLITS[self.below(SPLITS.len())];
-            let at = self.anywhere();
+            let fault = PARTITION_FAULTS[self.below(PARTITION_FAULTS.len())];
+            let at = self.random_controller();
             self.send_changes();
             self.read_for(500);
             fault.begin(&mut self.fleet, at);
@@ -136,23 +137,24 @@
     fn read_for(&mut self, span_ms: u64) {
         let end = self.fleet.cluster.now() + span_ms;
         while self.fleet.cluster.now() < end {
-            let at = self.anywhere();
-            let confirmed = self.known();
+            let at = self.random_controller();
+            let confirmed = self.newest_confirmed();
             let attempt = self.fleet.begin_at(at, Call::Fetch);
             self.reads.push((confirmed, attempt));
-            let span = 1 + self.below(READ_MS as usize) as u64;
+            let span = 1 + self.below(MAX_READ_PAUSE_MS as usize) as u64;
             self.pass(span);
             self.check_reads();
         }
     }
 
-    /// No answer is older than what was confirmed before the read was sent. A read without an answer is given up.
+    /// Checks that no read returns an older generation than was confirmed before it was sent. A read without
+    /// an answer is given up.
     fn check_reads(&mut self) {
         for (confirmed, attempt) in std::mem::take(&mut self.reads) {
             match &self.fleet.attempts[attempt].answered {
                 Some((_, answer)) => {
                     let generation = generation_of(answer);
-                    assert!(generation >= confirmed, "{generation} was read, {confirmed} confirmed");
+                    assert!(generation >= confirmed, "{generation} was read, {confirmed} was confirmed");
                 }
                 None if self.fleet.since(attempt) > MAX_ANSWER_MS => self.fleet.abandon(attempt),
                 None => self.reads.push((confirmed, attempt)),
@@ -164,19 +166,19 @@
         self.fleet.random.next_below(bound)
     }
 
-    fn anywhere(&mut self) -> SocketAddr {
+    fn random_controller(&mut self) -> SocketAddr {
         endpoint(1 + self.below(usize::from(CONTROLLERS)) as u8)
     }
 
     /// The newest generation that operators know of.
-    fn known(&self) -> u64 {
+    fn newest_confirmed(&self) -> u64 {
         self.checker.confirmed.iter().map(|change| change.generation).max().unwrap_or(0)
     }
 
     fn send_changes(&mut self) {
         for _ in 0..1 + self.below(3) {
             let change = self.draw_change();
-            let at = self.anywhere();
+            let at = self.random_controller();
             let attempt = self.fleet.begin_at(at, change.call());
             self.changes.push(change.clone());
             self.in_flight.push((change, attempt));
@@ -184,48 +186,48 @@
     }
 
     fn draw_change(&mut self) -> Change {
-        self.sent += 1;
-        let base = self.known();
+        self.change_count += 1;
+        let base = self.newest_confirmed();
         let newest = self.changes.last().cloned();
         match (self.below(10), newest) {
-            // The same once more, however old.
+            // A retry of any earlier command.
             (0..2, Some(_)) => {
                 let index = self.below(self.changes.len());
                 self.changes[index].clone()
             }
-            // The very bytes of another operator.
+            // The same bytes as the newest command.
             (2, Some(newest)) => newest,
-            // The same but for white space.
+            // The newest command with additional white space.
             (3, Some(newest)) => {
                 let mut body = newest.body.to_vec();
                 body.push(b' ');
                 Change { body: Bytes::from(body), ..newest }
             }
-            // On a change that may still be under way, or may have been refused.
+            // Based on a change that may be pending or refused.
             (4, Some(newest)) => self.change(newest.generation),
             _ => self.change(base),
         }
     }
 
     fn change(&mut self, base: u64) -> Change {
-        let above = 1 + self.below(2) as u64;
-        Change::new(base, base + above, &format!("number {}", self.sent))
+        let generation_offset = 1 + self.below(2) as u64;
+        Change::new(base, base + generation_offset, &format!("number {}", self.change_count))
     }
 
-    /// One command at a time for each zone; some are given up.
+    /// Sends at most one command at a time for each zone; some of them are given up.
     fn send_evacuations(&mut self) {
         for zone in ZONES {
             self.conclude_evacuation(zone);
             let latest = *self.evacuations[zone].last().expect("the first state");
             let now = self.fleet.cluster.now();
-            if latest.attempt.is_some() || now < latest.ended || self.below(2) == 0 {
+            if latest.attempt.is_some() || now < latest.ends_at || self.below(2) == 0 {
                 continue;
             }
             let evacuated = self.below(2) == 0;
-            let at = self.anywhere();
+            let at = self.random_controller();
             let attempt = Some(self.fleet.begin_at(at, evacuate(zone, evacuated)));
             let command =
-                Evacuation { evacuated, attempt, begun: now, ended: u64::MAX, is_acknowledged: false };
+                Evacuation { evacuated, attempt, begins_at: now, ends_at: u64::MAX, is_acknowledged: false };
             self.evacuations.get_mut(zone).expect("it is known").push(command);
         }
     }
@@ -237,9 +239,9 @@
         let Some(attempt) = latest.attempt else { return };
         if let Some((at, answer)) = &self.fleet.attempts[attempt].answered {
             assert_eq!(answer.status, StatusCode::OK, "{latest:?} of {zone}");
-            *latest = Evacuation { attempt: None, ended: *at, is_acknowledged: true, ..*latest };
+            *latest = Evacuation { attempt: None, ends_at: *at, is_acknowledged: true, ..*latest };
         } else if gives_up {
-            *latest = Evacuation { attempt: None, ended: now + EVACUATION_ECHO_MS, ..*latest };
+            *latest = Evacuation { attempt: None, ends_at: now + ABANDONED_EVACUATION_MS, ..*latest };
             self.fleet.abandon(attempt);
         }
     }
@@ -259,7 +261,8 @@
         self.in_flight = waiting;
     }
 
-    /// Calm again, and after a loss of power of all, everything is sent once more everywhere.
+    /// After a power loss of all controllers and without further faults, sends every command again and checks
+    /// the answers.
     fn verify(&mut self) {
         for zone in ZONES {
             self.conclude_evacuation(zone);
@@ -269,25 +272,25 @@
         (1..=CONTROLLERS).for_each(|number| self.fleet.cluster.start(endpoint(number)));
         self.fleet.cluster.network().timing.loss = 0.0;
         self.fleet.pass(START_MS);
-        let mut in_force = Vec::new();
+        let mut applied = Vec::new();
         for change in self.changes.clone() {
-            let status = self.answer_in_calm(&change);
+            let status = self.answer_without_faults(&change);
             self.checker.answered(&change, status);
-            assert_eq!(self.answer_in_calm(&change), status, "{change:?}");
+            assert_eq!(self.answer_without_faults(&change), status, "{change:?}");
             if status == StatusCode::SERVICE_UNAVAILABLE {
-                assert!(change.base > self.known(), "no clear answer to {change:?}");
+                assert!(change.base > self.newest_confirmed(), "no clear answer to {change:?}");
             }
-            if status == StatusCode::OK && !in_force.contains(&change) {
-                in_force.push(change);
+            if status == StatusCode::OK && !applied.contains(&change) {
+                applied.push(change);
             }
         }
-        self.verify_chain(in_force);
+        self.verify_chain(applied);
         self.verify_zones();
         self.checker.check_published(&self.fleet);
     }
 
-    fn answer_in_calm(&mut self, change: &Change) -> StatusCode {
-        let at = self.anywhere();
+    fn answer_without_faults(&mut self, change: &Change) -> StatusCode {
+        let at = self.random_controller();
         self.fleet
             .ask(at, change.call())
             .or_else(|| self.fleet.ask(at, change.call()))
@@ -295,31 +298,32 @@
             .status
     }
 
-    fn verify_chain(&mut self, mut in_force: Vec<Change>) {
-        in_force.sort_by_key(|change| change.generation);
+    fn verify_chain(&mut self, mut applied: Vec<Change>) {
+        applied.sort_by_key(|change| change.generation);
         let mut base = 0;
-        for change in &in_force {
-            assert_eq!(change.base, base, "not a chain: {in_force:?}");
+        for change in &applied {
+            assert_eq!(change.base, base, "not a chain: {applied:?}");
             base = change.generation;
         }
-        assert!(in_force.len() > 1, "nothing was confirmed");
-        let newest = in_force.last().expect("one is in force").body.clone();
+        assert!(applied.len() > 1, "nothing was confirmed");
+        let newest = applied.last().expect("one is applied").body.clone();
         assert_eq!(self.fleet.complete(Call::Fetch, MAX_ANSWER_MS).body, newest);
     }
 
-    /// The state of a zone is that of a command after which no other was acknowledged from begin to end.
+    /// The state of each zone has to match a command that no acknowledged command has followed entirely.
     fn verify_zones(&mut self) {
         let subscriber = SubscriberId(100);
         self.fleet.report(endpoint(1), subscriber.0, report(1, "zone-a"));
         self.fleet.pass(200);
         let mut sent = self.fleet.updates.iter().rev().filter(|(to, _)| *to == subscriber);
-        let told = sent.find_map(|(_, update)| Some(update.evacuations.as_ref()?.zones.clone()));
-        let told = told.unwrap_or_default();
+        let published = sent.find_map(|(_, update)| Some(update.evacuations.as_ref()?.zones.clone()));
+        let published = published.unwrap_or_default();
         for (zone, commands) in &self.evacuations {
-            let is_evacuated = told.iter().any(|evacuated| evacuated == zone);
-            let explains = |(place, command): &(usize, &Evacuation)| {
-                let is_undone = |later: &Evacuation| later.is_acknowledged && later.begun >= command.ended;
-                command.evacuated == is_evacuated && !commands[place + 1..].iter().any(is_undone)
+            let is_evacuated = published.iter().any(|evacuated| evacuated == zone);
+            let explains = |(index, command): &(usize, &Evacuation)| {
+                let is_superseded =
+                    |later: &Evacuation| later.is_acknowledged && later.begins_at >= command.ends_at;
+                command.evacuated == is_evacuated && !commands[index + 1..].iter().any(is_superseded)
             };
             let explanation = commands.iter().enumerate().find(explains);
             assert!(explanation.is_some(), "{zone} evacuated: {is_evacuated}, after {commands:?}");
@@ -327,7 +331,7 @@
     }
 }
 
-/// What a read was answered; 0 where there was no configuration yet.
+/// The generation in the response to a read; 0 if there is no configuration yet.
 fn generation_of(answer: &Response) -> u64 {
     if answer.status == StatusCode::NOT_FOUND {
         return 0;
@@ -339,20 +343,20 @@
     digits.parse().expect("a number")
 }
 
-fn count() -> u64 {
-    std::env::var(COUNT_VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(ORDINARY)
+fn run_count() -> u64 {
+    std::env::var(COUNT_VARIABLE).ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_RUNS)
 }
 
 #[test]
 fn reads_and_answers_stay_consistent_through_split_halves() {
-    for seed in 0..count() {
-        Play::new(9_000 + seed).run_split();
+    for seed in 0..run_count() {
+        Run::new(9_000 + seed).run_with_reads();
     }
 }
 
 #[test]
 fn answers_stay_consistent_through_random_faults() {
-    for seed in (0..count()).chain(REGRESSION_SEEDS) {
-        Play::new(4_800 + seed).run();
+    for seed in (0..run_count()).chain(REGRESSION_SEEDS) {
+        Run::new(4_800 + seed).run();
     }
 }
