--- a/controlplane/controller/tests/folder_fixture.rs
+++ b/controlplane/controller/tests/folder_fixture.rs
@@ -1,5 +1,5 @@
-//! The folder of a controller as earlier sources wrote it: it is recovered with the same meaning, and the same bytes
-//! are written again.
+//! Compatibility with the data folder of an earlier release: it is recovered with the same meaning, and the
+//! same calls write the same bytes.
 
 mod common;
 #[path = "../../../coordination/replica/tests/fixtures/mod.rs"]
@@ -30,11 +30,11 @@
     ["slot-a", "slot-b", "log-a", "log-b", "memory-slot-a", "memory-slot-b", "memory-log-a", "memory-log-b"];
 /// The prefix of the files that hold the saved state.
 const SAVED_STATE_PREFIX: &str = "memory-";
-/// The start of the process that wrote the folder, and of the one that reads it.
+/// The start id of the process that wrote the folder, and that of the process that reads it.
 const FIRST_START: u64 = 2;
 const SECOND_START: u64 = 3;
 /// A call is answered within this time.
-const PATIENCE_MS: u64 = 5_000;
+const CALL_TIMEOUT_MS: u64 = 5_000;
 
 /// A folder that is removed at the end of the test.
 struct TemporaryFolder(PathBuf);
@@ -44,7 +44,7 @@
         TemporaryFolder(env::temp_dir().join(format!("whinspindle-controller-{name}-{}", process::id())))
     }
 
-    /// With the files of the fixture.
+    /// A folder with the files of the fixture.
     fn of_fixture(name: &str) -> Self {
         let folder = TemporaryFolder::new(name);
         fs::create_dir_all(&folder.0).expect("the folder can be made");
@@ -61,15 +61,16 @@
     }
 }
 
-/// The files of a folder whose names begin with a prefix, as the process around a controller divides its folder.
-struct Prefixed {
+/// The files of a folder whose names start with a prefix. The controller process shares one folder between
+/// two journals in this way.
+struct PrefixedFolder {
     folder: FolderDirectory,
     prefix: &'static str,
 }
 
-impl Prefixed {
-    fn open(path: &Path, prefix: &'static str) -> Prefixed {
-        Prefixed { folder: FolderDirectory::open(path).expect("the folder can be used"), prefix }
+impl PrefixedFolder {
+    fn open(path: &Path, prefix: &'static str) -> PrefixedFolder {
+        PrefixedFolder { folder: FolderDirectory::open(path).expect("the folder can be used"), prefix }
     }
 
     fn name(&self, name: &str) -> String {
@@ -77,7 +78,7 @@
     }
 }
 
-impl Directory for Prefixed {
+impl Directory for PrefixedFolder {
     fn read(&mut self, name: &str) -> Result<Option<Vec<u8>>, DirectoryError> {
         self.folder.read(&self.name(name))
     }
@@ -99,16 +100,16 @@
     }
 }
 
-/// The journal of the replicated state, or that of the saved state.
-fn open(path: &Path, prefix: &'static str) -> (Journal<Prefixed>, RecoveredState) {
-    Journal::open(Prefixed::open(path, prefix)).expect("the journal can be read")
+/// Opens the journal of the replicated state (no prefix) or that of the saved state.
+fn open(path: &Path, prefix: &'static str) -> (Journal<PrefixedFolder>, RecoveredState) {
+    Journal::open(PrefixedFolder::open(path, prefix)).expect("the journal can be read")
 }
 
 fn endpoint() -> SocketAddr {
     "10.0.0.1:7700".parse().unwrap()
 }
 
-/// A replica that is its own quorum. Each start of a process has another number.
+/// Starts a replica that is its own quorum. Each start of the process needs a new start id.
 fn start_replica(
     recovered: RecoveredState,
     start_id: u64,
@@ -124,8 +125,8 @@
         tolerance: Tolerance::machines_only(0),
         timing: Timing::default(),
     };
-    let found = (recovered.checkpoint, recovered.log);
-    Replica::new(settings, CommandApplication, found, START).expect("the state can be read")
+    let stored = (recovered.checkpoint, recovered.log);
+    Replica::new(settings, CommandApplication, stored, START).expect("the state can be read")
 }
 
 fn start_controller(recovered: RecoveredState, start: u64) -> (Controller, Vec<Action>) {
@@ -141,26 +142,32 @@
     Controller::new(settings, replica, outputs, START)
 }
 
-/// A controller over a journal in a folder; each write is durable at once.
-struct Written {
+/// A controller with a journal in a folder; each write is durable at once.
+struct FolderController {
     controller: Controller,
-    journal: Journal<Prefixed>,
+    journal: Journal<PrefixedFolder>,
     now: u64,
-    /// The next write fails, after which the replica commands a checkpoint.
+    /// The next write fails, after which the replica requests a checkpoint.
     next_write_fails: bool,
     saved_states: Vec<Vec<u8>>,
     answers: Vec<Response>,
 }
 
-impl Written {
-    fn start(path: &Path, start: u64) -> Written {
+impl FolderController {
+    fn start(path: &Path, start: u64) -> FolderController {
         let (journal, recovered) = open(path, "");
         let (controller, actions) = start_controller(recovered, start);
         let (saved_states, answers) = (Vec::new(), Vec::new());
-        let mut written =
-            Written { controller, journal, now: START, next_write_fails: false, saved_states, answers };
-        written.perform(actions);
-        written
+        let mut started = FolderController {
+            controller,
+            journal,
+            now: START,
+            next_write_fails: false,
+            saved_states,
+            answers,
+        };
+        started.perform(actions);
+        started
     }
 
     fn handle(&mut self, event: Event) {
@@ -204,40 +211,40 @@
         }
     }
 
-    /// Gives a call and waits for its answer.
+    /// Sends a call and waits for its successful response.
     fn call(&mut self, call: Call) {
         let id = CallId(self.answers.len() as u64 + 1);
         self.handle(Event::Call { id, call });
-        let end = self.now + PATIENCE_MS;
+        let end = self.now + CALL_TIMEOUT_MS;
         while self.answers.len() < id.0 as usize && self.now < end {
             self.pass(TICK_MS);
         }
-        assert_eq!(self.answers.len() as u64, id.0, "it is answered once");
+        assert_eq!(self.answers.len() as u64, id.0, "the call gets one response");
         let answer = &self.answers[self.answers.len() - 1];
         assert!(answer.status.is_success(), "{answer:?}");
     }
 }
 
-/// Writes the folder of a controller that took commands, before and after a checkpoint, and heard of an instance and a
-/// balancer.
+/// Writes the folder of a controller that applied commands before and after a checkpoint, and received
+/// heartbeats of instances and the report of a balancer.
 fn write_folder(path: &Path) {
-    let mut written = Written::start(path, FIRST_START);
-    written.pass(5_000);
-    written.call(replace(0, 3));
-    written.call(evacuate("zone-b", true));
-    written.call(evacuate("zone-c", true));
-    written.call(deregister("desk-9"));
-    written.next_write_fails = true;
-    written.call(replace(3, 7));
-    written.call(evacuate("zone-c", false));
-    written.call(heartbeat("desk-1", 5, InstanceState::Ready));
-    written.pass(200);
-    written.call(heartbeat("desk-2", 6, InstanceState::Draining));
-    written.pass(150);
-    written.handle(Event::Report { subscriber: SubscriberId(1), report: report(1, "zone-a") });
-    written.pass(2_000);
-    let saved_states = std::mem::take(&mut written.saved_states);
-    drop(written);
+    let mut controller = FolderController::start(path, FIRST_START);
+    controller.pass(5_000);
+    controller.call(replace(0, 3));
+    controller.call(evacuate("zone-b", true));
+    controller.call(evacuate("zone-c", true));
+    controller.call(deregister("desk-9"));
+    controller.next_write_fails = true;
+    controller.call(replace(3, 7));
+    controller.call(evacuate("zone-c", false));
+    controller.call(heartbeat("desk-1", 5, InstanceState::Ready));
+    controller.pass(200);
+    controller.call(heartbeat("desk-2", 6, InstanceState::Draining));
+    controller.pass(150);
+    controller.handle(Event::Report { subscriber: SubscriberId(1), report: report(1, "zone-a") });
+    controller.pass(2_000);
+    let saved_states = std::mem::take(&mut controller.saved_states);
+    drop(controller);
     assert!(saved_states.len() > 1, "both slots of the saved state are written");
     let (mut journal, _) = open(path, SAVED_STATE_PREFIX);
     for state in saved_states {
@@ -246,7 +253,7 @@
 }
 
 #[test]
-fn the_same_folder_is_written_again() {
+fn same_calls_write_the_same_folder() {
     let folder = TemporaryFolder::new("written");
     write_folder(&folder.0);
     for file in FILES {
@@ -256,18 +263,18 @@
     }
 }
 
-/// Keys, sequences and values of all records that are committed.
-fn committed(replica: &Replica<CommandApplication>) -> Vec<(String, u64, Vec<u8>)> {
+/// The keys, sequence numbers and values of all committed records.
+fn committed_records_of(replica: &Replica<CommandApplication>) -> Vec<(String, u64, Vec<u8>)> {
     let records = replica.committed_records().iter();
     records.map(|(key, record)| (key.clone(), record.sequence, record.value.to_vec())).collect()
 }
 
 #[test]
-fn the_replicated_state_is_recovered() {
+fn replicated_state_is_recovered() {
     let folder = TemporaryFolder::of_fixture("state");
     let (_, recovered) = open(&folder.0, "");
-    assert!(recovered.checkpoint.is_some(), "the state of before is in a slot");
-    assert!(!recovered.log.is_empty(), "the commands since are in the log");
+    assert!(recovered.checkpoint.is_some(), "a slot has the checkpoint");
+    assert!(!recovered.log.is_empty(), "the log has the commands after the checkpoint");
     let (replica, _) = start_replica(recovered, SECOND_START);
     let digest = |generation| blake3::hash(&configuration(generation)).as_bytes().to_vec();
     let expected = [
@@ -280,7 +287,10 @@
         ("history/00000000000000000003", 1, digest(3)),
         ("history/00000000000000000007", 5, digest(7)),
     ];
-    assert_eq!(committed(&replica), expected.map(|(key, sequence, value)| (key.to_owned(), sequence, value)));
+    assert_eq!(
+        committed_records_of(&replica),
+        expected.map(|(key, sequence, value)| (key.to_owned(), sequence, value))
+    );
     assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (7, 7));
     let records = replica.committed_records();
     assert_eq!(records::current_generation(records), 7);
@@ -301,24 +311,24 @@
     assert_eq!(view.next_member, 1);
 }
 
-/// The older slot and its log are used where the newer slot is torn.
+/// A truncated newer slot is ignored, and the older slot and its log are used instead.
 #[test]
-fn the_state_is_recovered_by_way_of_the_older_slot() {
+fn state_is_recovered_from_the_older_slot() {
     let folder = TemporaryFolder::of_fixture("older");
     let (_, recovered) = open(&folder.0, "");
-    let (whole, _) = start_replica(recovered, SECOND_START);
-    let torn = folder.0.join("slot-a");
-    let mut bytes = fs::read(&torn).expect("it is there");
+    let (complete, _) = start_replica(recovered, SECOND_START);
+    let newer_slot = folder.0.join("slot-a");
+    let mut bytes = fs::read(&newer_slot).expect("the slot exists");
     bytes.pop();
-    fs::write(&torn, bytes).expect("the folder can be written");
+    fs::write(&newer_slot, bytes).expect("the folder can be written");
     let (_, recovered) = open(&folder.0, "");
     let (replica, _) = start_replica(recovered, SECOND_START);
     assert_eq!((replica.committed_sequence(), replica.newest_sequence()), (4, 4));
     assert_eq!(records::current_generation(replica.committed_records()), 3);
-    assert!(committed(&whole).len() > committed(&replica).len());
+    assert!(committed_records_of(&complete).len() > committed_records_of(&replica).len());
 }
 
-/// The state that the process saves for a restart.
+/// The gossip state that the process saves for a restart.
 fn saved_state() -> Gossip {
     let instance = |id: &str, host, sequence, draining, age_ms| GossipInstance {
         id: id.to_owned(),
@@ -349,7 +359,7 @@
 }
 
 #[test]
-fn the_saved_state_is_restored() {
+fn saved_state_is_restored() {
     let folder = TemporaryFolder::of_fixture("memory");
     let (_, recovered) = open(&folder.0, SAVED_STATE_PREFIX);
     assert!(recovered.log.is_empty());
@@ -359,21 +369,21 @@
 }
 
 #[test]
-fn a_controller_goes_on_from_the_folder() {
+fn controller_continues_from_the_recovered_folder() {
     let folder = TemporaryFolder::of_fixture("controller");
     let (_, recovered) = open(&folder.0, SAVED_STATE_PREFIX);
     let state = Bytes::from(recovered.checkpoint.expect("the state was saved"));
-    let mut written = Written::start(&folder.0, SECOND_START);
-    written.handle(Event::StateRestored { state });
-    assert!(written.controller.has_departed("desk-2"));
-    assert!(written.controller.has_departed("desk-9"));
-    assert!(!written.controller.has_departed("desk-1"));
-    written.pass(5_000);
-    assert!(written.controller.is_in_quorum(written.now));
-    written.call(Call::Fetch);
-    assert_eq!(written.answers[0].body, configuration(7));
-    written.call(replace(7, 8));
-    drop(written);
+    let mut controller = FolderController::start(&folder.0, SECOND_START);
+    controller.handle(Event::StateRestored { state });
+    assert!(controller.controller.has_departed("desk-2"));
+    assert!(controller.controller.has_departed("desk-9"));
+    assert!(!controller.controller.has_departed("desk-1"));
+    controller.pass(5_000);
+    assert!(controller.controller.is_in_quorum(controller.now));
+    controller.call(Call::Fetch);
+    assert_eq!(controller.answers[0].body, configuration(7));
+    controller.call(replace(7, 8));
+    drop(controller);
     let (_, recovered) = open(&folder.0, "");
     let (replica, _) = start_replica(recovered, SECOND_START);
     assert_eq!(records::current_generation(replica.committed_records()), 8);
