--- a/controlplane/controller/tests/common/deployment.rs
+++ b/controlplane/controller/tests/common/deployment.rs
@@ -1,5 +1,5 @@
-//! A simulated deployment: controllers with edge machines, upstreams and operators on a network that can be partitioned
-//! anywhere, observed by the invariant checker.
+//! A simulated deployment: controllers with edge machines, upstreams and operators on a network that can be
+//! partitioned anywhere, observed by the invariant checker.
 
 mod checks;
 mod controller_faults;
@@ -27,48 +27,52 @@
 use super::upstream::Upstream;
 
 const STEP_MS: u64 = 10;
-/// How often each controller is asked where clients connect.
+/// Interval of the directory requests to each controller.
 const RESOLVE_MS: u64 = 500;
 
+/// The machines, the network between them, and the state of the checks.
 pub struct Deployment<R: Rules = StandardRules> {
     pub fleet: Fleet<R::Controller>,
     pub edges: Vec<Edge<R::Agent>>,
     pub upstreams: Vec<Upstream>,
     pub checker: InvariantChecker,
-    /// What broke a rule, the first one of each kind.
+    /// The first violations of the invariants, each with its time.
     pub problems: Vec<String>,
     /// Confirmations to operators and upstreams so far.
     pub acknowledgements: usize,
-    /// The controller that gave the last one.
+    /// The controller that sent the last confirmation.
     pub acknowledged_by: Option<SocketAddr>,
     /// Operators submit no new commands.
-    pub are_operators_resting: bool,
+    pub are_operators_stopped: bool,
     race: Option<Race>,
     zone_command: Option<ZoneCommand>,
-    /// Reads of the configuration that have not been answered.
+    /// Pending reads of the configuration.
     reads: BTreeMap<CallId, Read>,
     read_at: u64,
     /// Delayed heartbeats, with the time at which they arrive.
-    late_heartbeats: Vec<(u64, SocketAddr, Call)>,
-    /// What is drawn for reads and late heartbeats.
+    delayed_heartbeats: Vec<(u64, SocketAddr, Call)>,
+    /// Random numbers for reads and delayed heartbeats.
     random: Pcg,
+    /// Cut links between controllers and clients, as pairs of sender and receiver.
     cuts: BTreeSet<(SocketAddr, SocketAddr)>,
-    /// Lives of the controllers' processes.
+    /// The number of starts of each controller.
     incarnations: BTreeMap<SocketAddr, u64>,
+    /// The time until which each controller's process is paused.
     frozen: BTreeMap<SocketAddr, u64>,
-    /// When what was sent to a frozen process arrives, also if another process has taken its place by then.
+    /// The time at which the messages to a paused process arrive, even if another process has replaced it by
+    /// then.
     thaws: BTreeMap<SocketAddr, u64>,
     voters: Vec<SocketAddr>,
-    /// Controllers whose disk was lost, and which may not be voters again yet.
+    /// Controllers with a lost disk that may not have become voters again.
     pub disks_lost: BTreeSet<SocketAddr>,
     voters_at: u64,
     resolved_at: u64,
     core_disturbed_at: u64,
-    /// When an edge machine was started, stopped, or lost a process.
+    /// The last time at which each edge machine was started or stopped, or lost a process.
     edge_disturbed_at: BTreeMap<SocketAddr, u64>,
-    /// When an edge machine was stopped last.
+    /// The last time at which each edge machine was stopped.
     edge_ended_at: BTreeMap<SocketAddr, u64>,
-    /// When an edge machine stood still, or lacked a path to a controller that serves.
+    /// The last time at which each edge machine was paused or couldn't reach all controllers with a quorum.
     edge_unreached_at: BTreeMap<SocketAddr, u64>,
     upstream_disturbed_at: BTreeMap<SocketAddr, u64>,
     last_subscriber: u64,
@@ -76,13 +80,13 @@
 
 impl Deployment {
     pub fn start(seed: u64, controllers: u8, edges: u8, upstreams: u8) -> Deployment {
-        Deployment::under(seed, controllers, edges, upstreams)
+        Deployment::with_rules(seed, controllers, edges, upstreams)
     }
 }
 
 impl<R: Rules> Deployment<R> {
-    /// Like [`Deployment::start`], under these rules.
-    pub fn under(seed: u64, controllers: u8, edges: u8, upstreams: u8) -> Self {
+    /// Like [`Deployment::start`], with these protocol rules.
+    pub fn with_rules(seed: u64, controllers: u8, edges: u8, upstreams: u8) -> Self {
         let fleet = Fleet::with_rules(seed, controllers);
         let now = fleet.cluster.now();
         let seeds: Vec<SocketAddr> = fleet.cluster.endpoints().into_iter().take(SEEDS).collect();
@@ -94,12 +98,12 @@
             problems: Vec::new(),
             acknowledgements: 0,
             acknowledged_by: None,
-            are_operators_resting: false,
+            are_operators_stopped: false,
             race: None,
             zone_command: None,
             reads: BTreeMap::new(),
             read_at: now,
-            late_heartbeats: Vec::new(),
+            delayed_heartbeats: Vec::new(),
             random: Pcg::new(seed ^ 0x4ead),
             cuts: BTreeSet::new(),
             incarnations: BTreeMap::new(),
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Passes time until a controller has confirmed something, not longer than this.
+    /// Passes time until a controller confirms a call, for at most this long.
     pub fn pass_until_acknowledgement(&mut self, span_ms: u64) {
         let end = self.now() + span_ms;
         let before = self.acknowledgements;
@@ -147,7 +151,7 @@
         self.submit_commands();
         self.fleet.send_waiting();
         self.read_configuration();
-        self.deliver_late_heartbeats();
+        self.deliver_delayed_heartbeats();
         self.call_for_upstreams();
         for occurrence in self.fleet.cluster.run_until(now) {
             self.route(occurrence);
@@ -176,14 +180,16 @@
         }
     }
 
-    pub fn problem(&mut self, problem: String) {
+    /// Records a violation of the invariants.
+    pub fn report_problem(&mut self, problem: String) {
         if self.problems.len() < 10 {
             self.problems.push(format!("at {}: {problem}", self.now()));
         }
     }
 }
 
-fn after<'a>(text: &'a str, key: &str, end: char) -> &'a str {
-    let rest = text.split(key).nth(1).expect("the key is there");
+/// The part of the text between a key and the next end character.
+fn text_between<'a>(text: &'a str, key: &str, end: char) -> &'a str {
+    let rest = text.split(key).nth(1).expect("the text has the key");
     rest.split(end).next().unwrap_or(rest)
 }
--- a/controlplane/controller/tests/common/deployment/controller_faults.rs
+++ b/controlplane/controller/tests/common/deployment/controller_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the controllers: starts, ends, pauses, lost disks and partitions.
+//! Faults of controllers: restarts, pauses, lost disks and partitions.
 
 use std::net::SocketAddr;
 
@@ -14,11 +14,12 @@
     /// Edge machines and upstreams.
     Clients,
     All,
-    /// The other controllers, and every second edge machine and upstream: the others are near and still reach it.
+    /// The other controllers, and every second edge machine and upstream. The remaining clients still reach
+    /// it.
     Near,
 }
 
-/// Which way a cut holds, seen from the machine.
+/// The direction of a partition, seen from the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     Both,
@@ -41,7 +42,7 @@
         self.fleet.cluster.stop(at);
     }
 
-    /// Pauses a controller; one that is paused already stays so for at least as long as before.
+    /// Pauses a controller. If it is already paused, the pause is never shortened.
     pub fn freeze_controller(&mut self, at: SocketAddr, span_ms: u64) {
         self.disturb_core();
         let before = self.frozen.get(&at).copied().unwrap_or(0);
@@ -51,14 +52,14 @@
         self.fleet.cluster.freeze(at, until);
     }
 
-    /// Its disk is lost; it stops.
+    /// Stops a controller and loses its disk.
     pub fn wipe_controller(&mut self, at: SocketAddr) {
         self.stop_controller(at);
         self.fleet.wipe(at);
         self.disks_lost.insert(at);
     }
 
-    /// It is taken out for good, and another one comes with an empty disk.
+    /// Removes a controller for good, and adds one at a new address with an empty disk.
     pub fn replace_controller(&mut self, at: SocketAddr, by: u8) {
         self.disturb_core();
         self.disks_lost.insert(at);
@@ -89,12 +90,12 @@
         }
     }
 
-    /// The controllers are cut into two halves, which all clients reach: those whose bit is set, and the others.
+    /// Partitions the controllers whose bit in `half` is set from the others. All clients reach both halves.
     pub fn halve_controllers(&mut self, half: u64) {
         self.partition_where(|one, other| ((half >> one) ^ (half >> other)) & 1 == 1);
     }
 
-    /// No controller reaches another one; all clients reach all of them.
+    /// Partitions all controllers from each other. All clients reach all of them.
     pub fn scatter_controllers(&mut self) {
         self.partition_where(|_, _| true);
     }
--- a/controlplane/controller/tests/common/deployment/edges.rs
+++ b/controlplane/controller/tests/common/deployment/edges.rs
@@ -1,4 +1,4 @@
-//! Edge machines: their links to controllers, their starts and ends.
+//! Edge machines: their connections to controllers, and their starts and stops.
 
 use whinspindle_agent::{ConnectionId, Input};
 use whinspindle_distribution::{SubscriberId, ToBalancer};
@@ -36,8 +36,8 @@
         let is_running = self.fleet.cluster.is_running(controller);
         let goes_up = !self.cuts.contains(&(edge.address, controller));
         let goes_down = !self.cuts.contains(&(controller, edge.address));
-        let is_standing = wire.accepted_by == Some(incarnation) && is_running;
-        if is_standing {
+        let is_established = wire.accepted_by == Some(incarnation) && is_running;
+        if is_established {
             while goes_up && let Some(report) = wire.upward.front() {
                 let command = Command::Report { subscriber: wire.subscriber, report: report.clone() };
                 if !self.fleet.cluster.command(controller, command) {
@@ -47,7 +47,7 @@
             }
             let arrived = if goes_down { std::mem::take(&mut wire.downward) } else { Default::default() };
             for message in arrived {
-                let actions = self.edges[index].give(now, Input::FromController(connection, message));
+                let actions = self.edges[index].handle_input(now, Input::FromController(connection, message));
                 self.perform(index, actions);
             }
         } else if goes_up && goes_down {
@@ -58,7 +58,7 @@
                 edge.wires.remove(&connection);
                 Input::Closed(connection)
             };
-            let actions = self.edges[index].give(now, input);
+            let actions = self.edges[index].handle_input(now, input);
             self.perform(index, actions);
         }
     }
--- a/controlplane/controller/tests/common/deployment/operators.rs
+++ b/controlplane/controller/tests/common/deployment/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: two commands at a time on one base, and evacuations.
+//! Operators: pairs of concurrent commands on the same base, and evacuations.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -8,14 +8,14 @@
 use crate::common::rules::Rules;
 use crate::common::{configuration, evacuate};
 
-/// Two commands on one base, of which one wins.
+/// Two concurrent commands on the same base, of which one has to be confirmed.
 pub(super) struct Race {
     pub(super) generation: u64,
     pub(super) attempts: [usize; 2],
     bodies: [Bytes; 2],
 }
 
-/// A command for a zone that has no answer yet.
+/// A pending evacuation command.
 pub(super) struct ZoneCommand {
     zone: &'static str,
     evacuated: bool,
@@ -24,7 +24,7 @@
 
 impl<R: Rules> Deployment<R> {
     pub(super) fn submit_commands(&mut self) {
-        if self.are_operators_resting {
+        if self.are_operators_stopped {
             return;
         }
         if self.race.is_none() {
@@ -64,7 +64,7 @@
         {
             let ZoneCommand { zone, evacuated, .. } = *command;
             if answer.status != StatusCode::OK {
-                self.problem(format!("an evacuation was answered {}", answer.status));
+                self.report_problem(format!("an evacuation was answered {}", answer.status));
             }
             self.checker.evacuated(at, zone, evacuated);
             self.zone_command = None;
@@ -86,19 +86,19 @@
             (StatusCode::PRECONDITION_FAILED, StatusCode::OK) => {
                 self.checker.configured(other.0, race.generation);
             }
-            _ => self.problem(format!("of two changes on one base: {statuses:?} {:?}", race.bodies)),
+            _ => self.report_problem(format!("of two changes on one base: {statuses:?} {:?}", race.bodies)),
         }
     }
 
-    /// Waits until no command is under way.
+    /// Stops new commands and waits until no command is pending.
     pub fn finish_commands(&mut self, limit_ms: u64) {
-        self.are_operators_resting = true;
+        self.are_operators_stopped = true;
         let end = self.now() + limit_ms;
         while self.now() < end && (self.race.is_some() || self.zone_command.is_some()) {
             self.step();
         }
         if self.race.is_some() || self.zone_command.is_some() {
-            self.problem(format!("a command has no outcome after {limit_ms} ms"));
+            self.report_problem(format!("a command has no outcome after {limit_ms} ms"));
         }
     }
 }
--- a/controlplane/controller/tests/common/deployment/reachability.rs
+++ b/controlplane/controller/tests/common/deployment/reachability.rs
@@ -1,14 +1,14 @@
-//! Which machines are in contact with which controllers, and since when.
+//! Reachability between controllers and clients, and the times at which it changed.
 
 use std::net::SocketAddr;
 
 use whinspindle_controller::api::Call;
 use whinspindle_controller::{Action, Event};
 
-use super::{Deployment, STEP_MS, after};
+use super::{Deployment, STEP_MS, text_between};
 use crate::common::rules::Rules;
 
-/// How often it is looked up who the voters are.
+/// Interval between updates of the list of voters.
 const VOTERS_MS: u64 = 100;
 
 impl<R: Rules> Deployment<R> {
@@ -50,31 +50,31 @@
         !self.cuts.contains(&(client, at)) && !self.cuts.contains(&(at, client))
     }
 
-    /// Running controllers that reach more than half of the voters, both ways.
+    /// Running controllers that reach a majority of the voters in both directions.
     pub(super) fn serving_controllers(&mut self, now: u64) -> Vec<SocketAddr> {
         let endpoints = self.fleet.cluster.endpoints();
-        let mut runs = endpoints;
-        runs.retain(|at| {
+        let mut running = endpoints;
+        running.retain(|at| {
             self.fleet.cluster.is_running(*at) && self.frozen.get(at).is_none_or(|until| *until <= now)
         });
         let network = self.fleet.cluster.network();
         let mut reaches = |one: SocketAddr, other: SocketAddr| {
             one == other || !(network.is_cut(one, other) || network.is_cut(other, one))
         };
-        let is_intact = |voter: &SocketAddr| runs.contains(voter) && !self.disks_lost.contains(voter);
+        let is_intact = |voter: &SocketAddr| running.contains(voter) && !self.disks_lost.contains(voter);
         let voters: Vec<SocketAddr> = self.voters.iter().copied().filter(is_intact).collect();
         let majority = self.voters.len() / 2 + 1;
         let count = |at: SocketAddr, reaches: &mut dyn FnMut(SocketAddr, SocketAddr) -> bool| {
             voters.iter().filter(|voter| reaches(at, **voter)).count()
         };
         let core: Vec<SocketAddr> =
-            runs.into_iter().filter(|at| count(*at, &mut reaches) >= majority).collect();
-        // Voters that reach a majority each, yet not each other, are no quorum.
+            running.into_iter().filter(|at| count(*at, &mut reaches) >= majority).collect();
+        // Fewer voters than a majority are no quorum, even if each of them reaches a majority.
         let agreeing = core.iter().filter(|at| voters.contains(at)).count();
         if agreeing >= majority { core } else { Vec::new() }
     }
 
-    /// Those of the newest view that a running controller knows.
+    /// The voters of the newest view that any running controller reports.
     fn find_voters(&mut self, now: u64) -> Vec<SocketAddr> {
         let mut newest = (0, self.voters.clone());
         for at in self.fleet.cluster.endpoints() {
@@ -84,11 +84,13 @@
             let id = self.fleet.next_call();
             let Some(process) = self.fleet.cluster.process_mut(at) else { continue };
             let actions = process.controller.handle(now, Event::Call { id, call: Call::Status });
-            let [Action::Answer { response, .. }] = &actions[..] else { panic!("a status is one answer") };
+            let [Action::Answer { response, .. }] = &actions[..] else {
+                panic!("a status call has one response")
+            };
             let status = std::str::from_utf8(&response.body).expect("a status is text");
-            let view = after(status, "\"view\":", ',').parse().expect("a number");
+            let view = text_between(status, "\"view\":", ',').parse().expect("a number");
             if view > newest.0 {
-                let voters = after(status, "\"voters\":[", ']');
+                let voters = text_between(status, "\"voters\":[", ']');
                 let voters = voters.split(',').filter(|voter| !voter.is_empty());
                 let voters = voters.map(|voter| voter.trim_matches('"').parse().expect("an address"));
                 newest = (view, voters.collect());
--- a/controlplane/controller/tests/common/deployment/reads.rs
+++ b/controlplane/controller/tests/common/deployment/reads.rs
@@ -1,15 +1,15 @@
-//! Reads of the configuration at any controller, whatever its state.
+//! Reads of the configuration at random controllers in any state.
 
 use std::net::SocketAddr;
 
 use http::StatusCode;
 use whinspindle_controller::api::{Call, Response};
 
-use super::{Deployment, after};
+use super::{Deployment, text_between};
 use crate::common::fleet::Command;
 use crate::common::rules::Rules;
 
-/// How often an operator reads the configuration at some controller.
+/// Interval between two reads of the configuration.
 const READ_MS: u64 = 170;
 
 /// A read of the configuration at one controller.
@@ -45,18 +45,19 @@
         raced.map_or(0, |race| race.generation).max(self.checker.newest_generation())
     }
 
-    /// An answer that is older than what was acknowledged before the read was sent is never right. 503 always is.
+    /// Checks that a read returns no older generation than was acknowledged before it was sent. 503 is always
+    /// allowed.
     pub(super) fn take_read(&mut self, read: Read, response: &Response) {
         let text = String::from_utf8_lossy(&response.body);
         let generation = match response.status {
-            StatusCode::OK => after(&text, "\"generation\":", ',').parse().expect("a number"),
+            StatusCode::OK => text_between(&text, "\"generation\":", ',').parse().expect("a number"),
             StatusCode::NOT_FOUND => 0,
             _ => return,
         };
         if generation < read.acknowledged {
             let Read { at, sent_at, acknowledged } = read;
             let read = format!("{at} was asked at {sent_at} and read {generation}");
-            self.problem(format!("{read}, {acknowledged} was acknowledged"));
+            self.report_problem(format!("{read}, {acknowledged} was acknowledged"));
         }
     }
 }
--- a/controlplane/controller/tests/common/deployment/upstreams.rs
+++ b/controlplane/controller/tests/common/deployment/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams: what they call, and the answers that come back.
+//! Calls of upstreams to controllers, and the responses to them.
 
 use std::net::SocketAddr;
 
@@ -11,9 +11,10 @@
 use crate::common::rules::Rules;
 use crate::common::upstream::{Phase, Upstream};
 
-/// The share of heartbeats of which a copy comes late, and how late at most.
-const LATE_RATIO: f64 = 0.05;
-const MAX_LATE_MS: usize = 6_000;
+/// The share of heartbeats with a delayed copy.
+const DELAYED_RATIO: f64 = 0.05;
+/// The longest delay of a copy.
+const MAX_DELAY_MS: usize = 6_000;
 
 impl<R: Rules> Deployment<R> {
     pub(super) fn call_for_upstreams(&mut self) {
@@ -30,26 +31,26 @@
             }
             self.upstreams[index].waiting = Some((id, at, now));
             if reaches {
-                self.schedule_late_copy(now, &call);
+                self.schedule_delayed_copy(now, &call);
                 self.fleet.cluster.command(at, Command::Call { id, call });
             }
         }
     }
 
-    /// Now and then a copy of a heartbeat arrives seconds later, at any controller.
-    fn schedule_late_copy(&mut self, now: u64, call: &Call) {
-        if matches!(call, Call::Heartbeat { .. }) && self.random.next_f64() < LATE_RATIO {
+    /// Schedules a delayed copy of some heartbeats to a random controller.
+    fn schedule_delayed_copy(&mut self, now: u64, call: &Call) {
+        if matches!(call, Call::Heartbeat { .. }) && self.random.next_f64() < DELAYED_RATIO {
             let endpoints = self.fleet.cluster.endpoints();
             let at = endpoints[self.random.next_below(endpoints.len())];
-            let due = now + self.random.next_below(MAX_LATE_MS) as u64;
-            self.late_heartbeats.push((due, at, call.clone()));
+            let due = now + self.random.next_below(MAX_DELAY_MS) as u64;
+            self.delayed_heartbeats.push((due, at, call.clone()));
         }
     }
 
-    /// Their callers have gone on, so that nobody takes the answers.
-    pub(super) fn deliver_late_heartbeats(&mut self) {
+    /// The callers have already moved on, so the responses are dropped.
+    pub(super) fn deliver_delayed_heartbeats(&mut self) {
         let now = self.now();
-        let due: Vec<_> = self.late_heartbeats.extract_if(.., |(due, ..)| *due <= now).collect();
+        let due: Vec<_> = self.delayed_heartbeats.extract_if(.., |(due, ..)| *due <= now).collect();
         for (_, at, call) in due {
             let id = self.fleet.next_call();
             self.fleet.cluster.command(at, Command::Call { id, call });
@@ -67,7 +68,7 @@
         }
         let waits = |upstream: &Upstream| upstream.waiting.is_some_and(|(waiting, ..)| waiting == id);
         let Some(index) = self.upstreams.iter().position(waits) else {
-            self.fleet.take(at, Answer::Response { id, response });
+            self.fleet.record(at, Answer::Response { id, response });
             return;
         };
         let upstream = &mut self.upstreams[index];
@@ -84,9 +85,9 @@
         upstream.acknowledged(at);
     }
 
-    pub fn leave(&mut self, index: usize, says_draining: bool) {
+    pub fn leave(&mut self, index: usize, announces_draining: bool) {
         let now = self.now();
         let count = self.upstreams.len();
-        self.upstreams[index % count].leave(now, says_draining);
+        self.upstreams[index % count].leave(now, announces_draining);
     }
 }
--- a/controlplane/controller/tests/common/edge.rs
+++ b/controlplane/controller/tests/common/edge.rs
@@ -1,4 +1,5 @@
-//! An edge machine: the agent and what its proxy holds, with the agent's connections to the controllers.
+//! A simulated edge machine: the agent with its connections to controllers, and the state that its proxy has
+//! applied.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{IpAddr, SocketAddr};
@@ -8,45 +9,48 @@
 
 use super::zones;
 
-/// How often a proxy reports without news.
+/// Interval between reports of a proxy without changes.
 const REPORT_MS: u64 = 500;
 const GRACE_MS: u64 = 8_000;
 
-/// A connection of the agent, with what is on its way.
+/// A connection of the agent to a controller, with the messages in flight.
 pub struct Wire {
     pub controller: SocketAddr,
     pub subscriber: SubscriberId,
-    /// The incarnation of the controller's process that accepted it; none while it is being made.
+    /// The incarnation of the controller process that accepted the connection; none before that.
     pub accepted_by: Option<u64>,
+    /// Messages to the controller.
     pub upward: VecDeque<Report>,
+    /// Messages to the agent.
     pub downward: VecDeque<ToBalancer>,
 }
 
-/// What an edge machine wants of the network.
+/// Requests of an edge machine to the network.
 pub enum EdgeAction {
     Connect(ConnectionId, SocketAddr),
     Closed(Wire),
 }
 
-/// What the proxy process holds.
+/// The state of the proxy process.
 #[derive(Default)]
 struct Proxy {
     applied: AppliedState,
     report_at: u64,
 }
 
+/// An edge machine, whose agent and proxy may each be stopped.
 pub struct Edge<L> {
     pub number: u8,
     pub address: SocketAddr,
     pub wires: BTreeMap<ConnectionId, Wire>,
-    /// What the settings name.
+    /// The seed controllers in the settings.
     pub seeds: Vec<SocketAddr>,
     agent: Option<Agent<L>>,
     proxy: Option<Proxy>,
     incarnations: u64,
     pub frozen_until: u64,
-    /// The newest position of a configuration that a proxy has reported to the running agent.
-    pub reported: u64,
+    /// The newest sequence number of a configuration that a proxy has reported to the running agent.
+    pub newest_reported: u64,
 }
 
 impl<L: ProtocolRules> Edge<L> {
@@ -60,7 +64,7 @@
             proxy: None,
             incarnations: 0,
             frozen_until: 0,
-            reported: 0,
+            newest_reported: 0,
         }
     }
 
@@ -68,7 +72,7 @@
         self.agent.is_some() && self.proxy.is_some()
     }
 
-    /// What the proxy holds, if it runs.
+    /// The state that the proxy has applied, if it is running.
     pub fn applied(&self) -> Option<&AppliedState> {
         self.proxy.as_ref().map(|proxy| &proxy.applied)
     }
@@ -78,7 +82,7 @@
             return Vec::new();
         }
         self.incarnations += 1;
-        self.reported = 0;
+        self.newest_reported = 0;
         let (zone, region) = self.location();
         let settings = AgentSettings {
             node: self.node(),
@@ -92,7 +96,7 @@
         self.agent = Some(Agent::with_rules(now, settings));
         let mut actions = Vec::new();
         if self.proxy.is_some() {
-            actions = self.give(now, Input::ProxyConnected);
+            actions = self.handle_input(now, Input::ProxyConnected);
         }
         actions
     }
@@ -102,10 +106,10 @@
             return Vec::new();
         }
         self.proxy = Some(Proxy { applied: AppliedState::new(), report_at: now });
-        self.give(now, Input::ProxyConnected)
+        self.handle_input(now, Input::ProxyConnected)
     }
 
-    /// The kernel closes the connections of a process that has ended.
+    /// Stops the agent; its connections are closed.
     pub fn stop_agent(&mut self) -> Vec<EdgeAction> {
         self.agent = None;
         std::mem::take(&mut self.wires).into_values().map(EdgeAction::Closed).collect()
@@ -113,31 +117,31 @@
 
     pub fn stop_proxy(&mut self, now: u64) -> Vec<EdgeAction> {
         self.proxy = None;
-        self.give(now, Input::ProxyClosed)
+        self.handle_input(now, Input::ProxyClosed)
     }
 
-    /// Lets the agent and the proxy do what is due.
+    /// Sends a report and runs the agent if they are due.
     pub fn tick(&mut self, now: u64) -> Vec<EdgeAction> {
         let mut actions = Vec::new();
         if self.proxy.as_ref().is_some_and(|proxy| now >= proxy.report_at) {
             actions.extend(self.report(now));
         }
         if self.agent.as_ref().is_some_and(|agent| now >= agent.next_wake(now)) {
-            actions.extend(self.give(now, Input::Tick));
+            actions.extend(self.handle_input(now, Input::Tick));
         }
         actions
     }
 
-    pub fn give(&mut self, now: u64, input: Input) -> Vec<EdgeAction> {
+    pub fn handle_input(&mut self, now: u64, input: Input) -> Vec<EdgeAction> {
         let Some(agent) = &mut self.agent else { return Vec::new() };
         let mut outputs = agent.handle(now, input);
         if outputs.contains(&Output::ReadSettings) {
             outputs.extend(agent.handle(now, Input::SeedsReloaded(self.seeds.clone())));
         }
-        outputs.into_iter().filter_map(|output| self.carry_out(now, output)).collect()
+        outputs.into_iter().filter_map(|output| self.execute(now, output)).collect()
     }
 
-    fn carry_out(&mut self, now: u64, output: Output) -> Option<EdgeAction> {
+    fn execute(&mut self, now: u64, output: Output) -> Option<EdgeAction> {
         match output {
             Output::Connect { connection, endpoint } => {
                 return Some(EdgeAction::Connect(connection, endpoint));
@@ -181,16 +185,16 @@
             failing: Vec::new(),
         };
         if self.agent.is_some() {
-            self.reported = self.reported.max(applied.configured);
+            self.newest_reported = self.newest_reported.max(applied.configured);
         }
-        self.give(now, Input::FromProxy(report))
+        self.handle_input(now, Input::FromProxy(report))
     }
 
     fn node(&self) -> String {
         format!("edge-{}", self.number)
     }
 
-    /// Its zone and region.
+    /// The zone and the region of the machine.
     pub fn location(&self) -> (String, String) {
         let zones = zones();
         let (zone, region) = zones.iter().nth(usize::from(self.number) % zones.len()).unwrap();
--- a/controlplane/controller/tests/common/fleet.rs
+++ b/controlplane/controller/tests/common/fleet.rs
@@ -1,4 +1,5 @@
-//! Several controllers on a simulated network with simulated disks, and callers that try one after the other.
+//! Several controllers on a simulated network with simulated disks, and callers that retry at other
+//! controllers.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -15,21 +16,21 @@
 use whinspindle_distribution::frame::FrameKind;
 use whinspindle_distribution::{ControllerAddress, Link, Report, SubscriberId, ToBalancer, Update};
 use whinspindle_lab_simulated_cluster::{
-    Cluster, DiskTiming, Effect, Event as Happening, NetworkTiming, Pcg, Process, Start,
+    Cluster, DiskTiming, Effect, Event as ProcessEvent, NetworkTiming, Pcg, Process, Start,
 };
 use whinspindle_replica::{DurableWrite, Message, Replica, ReplicaSettings, Timing, Tolerance};
 
 use super::instance_lists::InstanceLists;
 use super::{HEARTBEAT_MS, zones};
 
-/// The seeds are the first so many controllers that there are.
+/// This many controllers, the first in the list, are the seeds.
 pub const SEEDS: usize = 3;
-/// A caller takes a controller for silent after this time.
-const PATIENCE_MS: u64 = 1_000;
-/// The token of writes that the replica didn't command.
-const COMPACTION: u64 = u64::MAX;
+/// A call without a response times out after this time.
+const CALL_TIMEOUT_MS: u64 = 1_000;
+/// The token of compactions, which are not requested by the replica.
+const COMPACTION_TOKEN: u64 = u64::MAX;
 
-/// A frame, with the incarnation of its sender's process: a new one means a new connection.
+/// A frame with the incarnation of the process that sent it. A new incarnation means a new connection.
 #[derive(Clone)]
 pub struct Frame {
     incarnation: u64,
@@ -37,6 +38,7 @@
     payload: Bytes,
 }
 
+/// Inputs to a controller from outside of the cluster.
 pub enum Command {
     Call {
         id: CallId,
@@ -56,15 +58,16 @@
     Shutdown,
 }
 
+/// Outputs of a controller to callers and balancers.
 pub enum Answer {
     Response { id: CallId, response: Response },
     Update { subscriber: SubscriberId, update: Update },
     Link { subscriber: SubscriberId, link: Link },
 }
 
-/// What each controller remembers on its disk, beside the journal of the cluster.
+/// The saved state of each controller, which is stored separately from the journal of the cluster.
 type SavedStates = Rc<RefCell<HashMap<SocketAddr, Vec<u8>>>>;
-/// Controllers whose next start is that of the release before the one whose protocol has versions.
+/// Controllers whose next start simulates the last release without protocol versions.
 type EarlierReleases = Rc<RefCell<BTreeSet<SocketAddr>>>;
 
 /// One controller of the fleet.
@@ -74,7 +77,8 @@
     saved_states: SavedStates,
     incarnation: u64,
     incarnations: HashMap<SocketAddr, u64>,
-    /// A stand-in for the release before: it sends no version of its protocol, and can't read what came with it.
+    /// Simulates the last release without protocol versions: it sends no version and can't read newer
+    /// messages.
     is_earlier_release: bool,
 }
 
@@ -83,34 +87,37 @@
     type Command = Command;
     type Answer = Answer;
 
-    fn handle(&mut self, now: u64, event: Happening<Self>) -> Vec<Effect<Self>> {
+    fn handle(&mut self, now: u64, event: ProcessEvent<Self>) -> Vec<Effect<Self>> {
         let actions = match event {
-            Happening::Tick => {
+            ProcessEvent::Tick => {
                 let mut actions = self.controller.handle(now, Event::StateSaved);
                 actions.extend(self.controller.handle(now, Event::Tick));
                 actions
             }
-            Happening::Message { from, message } => self.receive(now, from, message),
-            Happening::Command(Command::Call { id, call }) => {
+            ProcessEvent::Message { from, message } => self.receive(now, from, message),
+            ProcessEvent::Command(Command::Call { id, call }) => {
                 self.controller.handle(now, Event::Call { id, call })
             }
-            Happening::Command(Command::Report { subscriber, report }) => {
+            ProcessEvent::Command(Command::Report { subscriber, report }) => {
                 self.controller.handle(now, Event::Report { subscriber, report })
             }
-            Happening::Command(Command::Closed { subscriber }) => {
+            ProcessEvent::Command(Command::Closed { subscriber }) => {
                 self.controller.handle(now, Event::SubscriberClosed { subscriber })
             }
-            Happening::Command(Command::Reconnected { peer }) => {
+            ProcessEvent::Command(Command::Reconnected { peer }) => {
                 self.controller.handle(now, Event::PeerConnected { peer })
             }
-            Happening::Command(Command::Shutdown) => self.controller.handle(now, Event::Shutdown),
-            Happening::Persisted { token: COMPACTION } | Happening::PersistFailed { token: COMPACTION } => {
+            ProcessEvent::Command(Command::Shutdown) => self.controller.handle(now, Event::Shutdown),
+            ProcessEvent::Persisted { token: COMPACTION_TOKEN }
+            | ProcessEvent::PersistFailed { token: COMPACTION_TOKEN } => {
                 self.controller.handle(now, Event::Compacted)
             }
-            Happening::Persisted { token } => {
+            ProcessEvent::Persisted { token } => {
                 self.controller.handle(now, Event::Persisted { token, log_bytes: 0 })
             }
-            Happening::PersistFailed { token } => self.controller.handle(now, Event::PersistFailed { token }),
+            ProcessEvent::PersistFailed { token } => {
+                self.controller.handle(now, Event::PersistFailed { token })
+            }
         };
         self.effects(actions)
     }
@@ -125,7 +132,7 @@
         let event = match frame.kind {
             FrameKind::Replica => {
                 let message = Message::decode(&frame.payload).expect("a message of a replica");
-                let message = if self.is_earlier_release { as_read_earlier(message) } else { message };
+                let message = if self.is_earlier_release { to_earlier_release(message) } else { message };
                 Event::ReplicaMessage { from, message }
             }
             FrameKind::Gossip => Event::GossipReceived { from, payload: frame.payload },
@@ -144,7 +151,7 @@
             Action::Answer { id, response } => Effect::Answer(Answer::Response { id, response }),
             Action::SendPeer { to, kind: FrameKind::Replica, payload } if self.is_earlier_release => {
                 let message = Message::decode(&payload).expect("a message of a replica");
-                let payload = Bytes::from(as_read_earlier(message).encode());
+                let payload = Bytes::from(to_earlier_release(message).encode());
                 let frame = Frame { incarnation: self.incarnation, kind: FrameKind::Replica, payload };
                 Effect::Send { to, message: frame }
             }
@@ -163,7 +170,7 @@
             Action::Persist { token, write: DurableWrite::Checkpoint(state) } => {
                 Effect::Checkpoint { token, state }
             }
-            Action::Compact { state } => Effect::Checkpoint { token: COMPACTION, state },
+            Action::Compact { state } => Effect::Checkpoint { token: COMPACTION_TOKEN, state },
             Action::SaveState { state } => {
                 self.saved_states.borrow_mut().insert(self.endpoint, state);
                 return None;
@@ -172,10 +179,10 @@
     }
 }
 
-/// A message as the release before the versions of the protocol sends and reads it.
-fn as_read_earlier(message: Message) -> Message {
+/// Converts a message to the form that the last release without protocol versions sends and reads.
+fn to_earlier_release(message: Message) -> Message {
     match message {
-        Message::VoterLost { .. } => panic!("the release before can't read {message:?}"),
+        Message::VoterLost { .. } => panic!("the earlier release can't read {message:?}"),
         Message::Heartbeat(mut heartbeat) => {
             heartbeat.protocol = 0;
             Message::Heartbeat(heartbeat)
@@ -223,20 +230,21 @@
     (node, effects)
 }
 
-/// A call that a caller sends to one controller after the other until it gets a clear answer.
+/// A call that is retried at other controllers until there is a definite response.
 pub struct Attempt {
     pub call: Call,
     pub first_sent_at: u64,
     pub answered: Option<(u64, Response)>,
     pub is_abandoned: bool,
+    /// The pending call, with the time at which it was sent.
     waiting: Option<(CallId, u64)>,
 }
 
-/// Controllers, callers and what balancers were sent.
+/// Controllers, callers, and the messages that balancers were sent.
 pub struct Fleet<L: ProtocolRules = StandardRules> {
     pub cluster: Cluster<Node<L>>,
     pub random: Pcg,
-    /// Share of the answers that don't reach their callers.
+    /// The share of responses that don't reach their callers.
     pub lost_answers: f64,
     pub attempts: Vec<Attempt>,
     /// The updates that balancers were sent, with complete lists of instances.
@@ -251,24 +259,24 @@
 }
 
 impl Fleet {
-    /// Controllers that have found each other.
+    /// Starts controllers and waits until they have discovered each other.
     pub fn start(seed: u64, count: u8) -> Fleet {
         Fleet::with_rules(seed, count)
     }
 
-    /// The same, of the release before the one whose protocol has versions.
+    /// Like [`Fleet::start`], with controllers of the last release without protocol versions.
     pub fn start_earlier_release(seed: u64, count: u8) -> Fleet {
-        Fleet::of_releases(seed, count, (1..=count).map(endpoint).collect())
+        Fleet::with_earlier_releases(seed, count, (1..=count).map(endpoint).collect())
     }
 }
 
 impl<L: ProtocolRules> Fleet<L> {
     /// Like [`Fleet::start`], under rules of the caller's choice.
     pub fn with_rules(seed: u64, count: u8) -> Self {
-        Fleet::of_releases(seed, count, BTreeSet::new())
+        Fleet::with_earlier_releases(seed, count, BTreeSet::new())
     }
 
-    fn of_releases(seed: u64, count: u8, earlier: BTreeSet<SocketAddr>) -> Self {
+    fn with_earlier_releases(seed: u64, count: u8, earlier: BTreeSet<SocketAddr>) -> Self {
         let earlier_releases: EarlierReleases = Rc::new(RefCell::new(earlier));
         let earlier = Rc::clone(&earlier_releases);
         let saved_states = SavedStates::default();
@@ -301,7 +309,7 @@
         fleet
     }
 
-    /// Begins a call; its place among the attempts.
+    /// Begins a call and returns its index in `attempts`.
     pub fn begin(&mut self, call: Call) -> usize {
         let first_sent_at = self.cluster.now();
         self.attempts.push(Attempt {
@@ -314,31 +322,31 @@
         self.attempts.len() - 1
     }
 
-    /// Begins a call that goes to this controller first, if it runs.
+    /// Begins a call that is sent to this controller first, if it is running.
     pub fn begin_at(&mut self, at: SocketAddr, call: Call) -> usize {
         let attempt = self.begin(call.clone());
         self.send(attempt, at, call);
         attempt
     }
 
-    /// The caller of this attempt sends its call no more.
+    /// Ends the retries of an attempt.
     pub fn abandon(&mut self, attempt: usize) {
         self.attempts[attempt].is_abandoned = true;
     }
 
-    /// Lets time pass; callers go on to another controller where they get no clear answer.
+    /// Passes time. Callers retry at another controller until they get a definite response.
     pub fn pass(&mut self, span_ms: u64) {
         let end = self.cluster.now() + span_ms;
         while self.cluster.now() < end {
             self.send_waiting();
             let answers = self.cluster.run_until((self.cluster.now() + 20).min(end));
             for occurrence in answers {
-                self.take(occurrence.at, occurrence.answer);
+                self.record(occurrence.at, occurrence.answer);
             }
         }
     }
 
-    /// Makes a call and waits for its clear answer.
+    /// Sends a call and waits for its definite response.
     pub fn complete(&mut self, call: Call, limit_ms: u64) -> Response {
         let attempt = self.begin(call.clone());
         let end = self.cluster.now() + limit_ms;
@@ -349,33 +357,35 @@
         self.attempts[attempt].answered.clone().unwrap().1
     }
 
-    /// Makes a call at one controller; none if that gives no clear answer in time.
+    /// Sends a call to one controller and returns its response, or none if it doesn't respond in time.
     pub fn ask(&mut self, at: SocketAddr, call: Call) -> Option<Response> {
         let id = self.next_call();
         self.cluster.command(at, Command::Call { id, call });
-        let end = self.cluster.now() + PATIENCE_MS;
-        let mut clear = None;
-        while clear.is_none() && self.cluster.now() < end {
+        let end = self.cluster.now() + CALL_TIMEOUT_MS;
+        let mut definite = None;
+        while definite.is_none() && self.cluster.now() < end {
             for occurrence in self.cluster.run_until(self.cluster.now() + 20) {
                 match occurrence.answer {
-                    Answer::Response { id: answered, response } if answered == id => clear = Some(response),
-                    other => self.take(occurrence.at, other),
+                    Answer::Response { id: answered, response } if answered == id => {
+                        definite = Some(response)
+                    }
+                    other => self.record(occurrence.at, other),
                 }
             }
         }
-        clear
+        definite
     }
 
-    /// The chain that a controller reports, the head first.
+    /// The chain that a controller reports, starting with the head.
     pub fn chain(&mut self, at: SocketAddr) -> Vec<SocketAddr> {
-        let status = self.ask(at, Call::Status).expect("the status is told at once").body;
+        let status = self.ask(at, Call::Status).expect("the status is returned at once").body;
         let text = String::from_utf8(status.to_vec()).expect("text");
         let (_, rest) = text.split_once("\"chain\":[").expect("the chain");
         let (list, _) = rest.split_once(']').expect("its end");
         list.split(',').map(|address| address.trim_matches('"').parse().expect("an address")).collect()
     }
 
-    /// The time since a call was sent first.
+    /// The time in milliseconds since a call was first sent.
     pub fn since(&self, attempt: usize) -> u64 {
         self.cluster.now() - self.attempts[attempt].first_sent_at
     }
@@ -384,7 +394,7 @@
         self.cluster.command(at, Command::Report { subscriber: SubscriberId(subscriber), report });
     }
 
-    /// Starts a controller again on its disk, as the present release or as the one before.
+    /// Restarts a controller with its disk, as the current release or as the earlier one.
     pub fn change_release(&mut self, at: SocketAddr, is_earlier: bool) {
         if is_earlier {
             self.earlier_releases.borrow_mut().insert(at);
@@ -401,17 +411,17 @@
         self.cluster.start(at);
     }
 
-    /// The disk of a stopped controller is lost.
+    /// Loses the disk of a stopped controller.
     pub fn wipe(&mut self, at: SocketAddr) {
         self.cluster.wipe(at);
         self.saved_states.borrow_mut().remove(&at);
     }
 
-    /// Cuts a controller off from all others, or joins it again.
-    pub fn set_partitioned(&mut self, at: SocketAddr, cut_off: bool) {
+    /// Partitions a controller from all others, or heals the partition.
+    pub fn set_partitioned(&mut self, at: SocketAddr, is_partitioned: bool) {
         for other in self.cluster.endpoints().into_iter().filter(|other| *other != at) {
             for (from, to) in [(at, other), (other, at)] {
-                if cut_off {
+                if is_partitioned {
                     self.cluster.cut(from, to);
                 } else {
                     self.cluster.heal(from, to);
@@ -420,7 +430,8 @@
         }
     }
 
-    /// Joins a controller that was cut off for so long that its connections have ended: they are made again.
+    /// Heals the partition of a controller whose connections have ended meanwhile, and establishes them
+    /// again.
     pub fn rejoin(&mut self, at: SocketAddr) {
         self.set_partitioned(at, false);
         for other in self.cluster.endpoints().into_iter().filter(|other| *other != at) {
@@ -429,14 +440,14 @@
         }
     }
 
-    /// Sends the calls of which no answer is awaited.
+    /// Sends the calls that have no pending request.
     pub fn send_waiting(&mut self) {
         let now = self.cluster.now();
         let endpoints = self.cluster.endpoints();
         for index in 0..self.attempts.len() {
             let attempt = &self.attempts[index];
-            let waits = attempt.waiting.is_some_and(|(_, since)| now < since + PATIENCE_MS);
-            if attempt.answered.is_some() || attempt.is_abandoned || waits {
+            let is_waiting = attempt.waiting.is_some_and(|(_, since)| now < since + CALL_TIMEOUT_MS);
+            if attempt.answered.is_some() || attempt.is_abandoned || is_waiting {
                 continue;
             }
             let call = attempt.call.clone();
@@ -451,10 +462,10 @@
         self.attempts[attempt].waiting = running.then_some((id, self.cluster.now()));
     }
 
-    /// Takes what a controller has answered or sent.
-    pub fn take(&mut self, at: u64, answer: Answer) {
+    /// Records a response or a message of a controller.
+    pub fn record(&mut self, at: u64, answer: Answer) {
         match answer {
-            Answer::Response { id, response } => self.answered(at, id, response),
+            Answer::Response { id, response } => self.record_response(at, id, response),
             Answer::Update { subscriber, update } => {
                 self.sent.push((subscriber, ToBalancer::Update(update.clone())));
                 self.updates.push((subscriber, self.lists.expand(subscriber, update)));
@@ -466,12 +477,12 @@
         }
     }
 
-    fn answered(&mut self, at: u64, id: CallId, response: Response) {
-        let waits = |attempt: &&mut Attempt| attempt.waiting.is_some_and(|(waiting, _)| waiting == id);
+    fn record_response(&mut self, at: u64, id: CallId, response: Response) {
+        let is_waiting = |attempt: &&mut Attempt| attempt.waiting.is_some_and(|(waiting, _)| waiting == id);
         if self.lost_answers > 0.0 && self.random.next_f64() < self.lost_answers {
             return;
         }
-        let Some(attempt) = self.attempts.iter_mut().find(waits) else { return };
+        let Some(attempt) = self.attempts.iter_mut().find(is_waiting) else { return };
         attempt.waiting = None;
         if response.status != StatusCode::SERVICE_UNAVAILABLE {
             attempt.answered = Some((at, response));
--- a/controlplane/controller/tests/common/instance_lists.rs
+++ b/controlplane/controller/tests/common/instance_lists.rs
@@ -1,5 +1,5 @@
-//! The instances of each connection of a balancer, whole: the changes that are sent are put into the list before, as an
-//! agent does.
+//! The complete list of instances on each connection of a balancer: changes are applied to the previous list,
+//! as an agent does.
 
 use std::collections::HashMap;
 
@@ -12,11 +12,12 @@
 }
 
 impl InstanceLists {
-    /// The update with the complete list in place of the changes, which have to build on the list sent before.
+    /// Replaces the changes in an update with the complete list. The changes have to apply to the previous
+    /// list.
     pub fn expand(&mut self, to: SubscriberId, mut update: Update) -> Update {
         if let Some(changes) = update.changes.take() {
             let sent = self.sent.get_mut(&to).expect("changes follow a list");
-            assert!(changes.apply_to(sent), "changes build on the list before");
+            assert!(changes.apply_to(sent), "changes apply to the previous list");
             update.instances = Some(sent.clone());
         }
         if let Some(section) = &update.instances {
--- a/controlplane/controller/tests/common/invariant_checker.rs
+++ b/controlplane/controller/tests/common/invariant_checker.rs
@@ -1,26 +1,29 @@
-//! What was acknowledged, and whether a balancer that is in touch handles requests by it.
+//! Records acknowledged changes and checks that connected balancers have applied them.
 
 use std::collections::BTreeMap;
 
 use whinspindle_distribution::AppliedState;
 
-/// A machine is in touch if nothing has disturbed it or the core for this long.
+/// A machine is in contact if no fault has affected it or the controllers for this long.
 pub const CONTACT_MS: u64 = 4_000;
-/// A balancer in touch has what was acknowledged this long ago.
+/// A balancer in contact has every configuration that was acknowledged at least this long ago.
 pub const CONVERGE_MS: u64 = 2_500;
+/// A balancer in contact sends no requests to an instance this long after its departure was acknowledged.
 const DRAIN_MS: u64 = 2_500;
+/// A balancer in contact has the state of a zone this long after it was acknowledged.
 const EVACUATE_MS: u64 = 5_000;
-/// An upstream that could call any controller for this long is known everywhere.
+/// An upstream is known to all balancers in contact once it has reached all controllers for this long.
 pub const KNOWN_MS: u64 = 6_000;
 
+/// The acknowledged changes so far.
 #[derive(Clone, Debug, Default)]
 pub struct InvariantChecker {
-    /// Acknowledged generations with the time, oldest first.
+    /// Acknowledged generations with the times of their acknowledgement, oldest first.
     configurations: Vec<(u64, u64)>,
-    /// The newest acknowledged state of a zone, and since when no command for it is under way.
+    /// The acknowledged state of each zone without a pending command, with the time of its acknowledgement.
     zones: BTreeMap<String, (u64, bool)>,
-    /// Upstreams of which a controller has acknowledged that they leave.
-    left: BTreeMap<String, u64>,
+    /// Upstreams whose departure a controller has acknowledged, with the time.
+    departures: BTreeMap<String, u64>,
 }
 
 impl InvariantChecker {
@@ -32,7 +35,7 @@
         self.configurations.last().map_or(0, |(_, generation)| *generation)
     }
 
-    /// From now on the zone's state is open.
+    /// Records that a command for the zone is pending, so that its state is undetermined.
     pub fn evacuating(&mut self, zone: &str) {
         self.zones.remove(zone);
     }
@@ -46,14 +49,14 @@
     }
 
     pub fn left(&mut self, at: u64, upstream: &str) {
-        self.left.entry(upstream.to_owned()).or_insert(at);
+        self.departures.entry(upstream.to_owned()).or_insert(at);
     }
 
     pub fn departed_upstreams(&self) -> impl Iterator<Item = &String> {
-        self.left.keys()
+        self.departures.keys()
     }
 
-    /// Whether what a balancer in touch holds is as new as it has to be.
+    /// Checks that a balancer in contact has all changes that were acknowledged long enough ago.
     pub fn check(&self, now: u64, applied: &AppliedState) -> Result<(), String> {
         self.check_configuration(now, applied)?;
         self.check_evacuations(now, applied)?;
@@ -72,9 +75,9 @@
 
     fn check_evacuations(&self, now: u64, applied: &AppliedState) -> Result<(), String> {
         for (zone, (at, evacuated)) in &self.zones {
-            let holds = applied.evacuations().is_some_and(|section| section.zones.contains(zone));
-            if at + EVACUATE_MS < now && holds != *evacuated {
-                return Err(format!("{zone} evacuated: {holds}, acknowledged: {evacuated}"));
+            let is_evacuated = applied.evacuations().is_some_and(|section| section.zones.contains(zone));
+            if at + EVACUATE_MS < now && is_evacuated != *evacuated {
+                return Err(format!("{zone} evacuated: {is_evacuated}, acknowledged: {evacuated}"));
             }
         }
         Ok(())
@@ -82,7 +85,7 @@
 
     fn check_departures(&self, now: u64, applied: &AppliedState) -> Result<(), String> {
         let listed = applied.instances().map_or(&[][..], |section| &section.list);
-        let is_due = |id: &String| self.left.get(id).is_some_and(|at| at + DRAIN_MS < now);
+        let is_due = |id: &String| self.departures.get(id).is_some_and(|at| at + DRAIN_MS < now);
         match listed.iter().find(|instance| !instance.draining && is_due(&instance.id)) {
             Some(instance) => Err(format!("{} takes requests, though it has left", instance.id)),
             None => Ok(()),
@@ -90,7 +93,7 @@
     }
 }
 
-/// The generation of the configuration that a balancer holds, 0 without one.
+/// The generation of the configuration that a balancer has applied, or 0 without one.
 pub fn applied_generation(applied: &AppliedState) -> u64 {
     let Some(section) = applied.configured() else { return 0 };
     let text = std::str::from_utf8(&section.body).expect("a configuration is text");
--- a/controlplane/controller/tests/common/mod.rs
+++ b/controlplane/controller/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A controller alone in its chain, driven by hand: the disk answers when the test says so.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A single controller that is its own quorum. Tests control its clock and when writes to its disk complete.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod deployment;
 pub mod edge;
@@ -25,13 +25,14 @@
 };
 use whinspindle_replica::{Replica, ReplicaSettings, Timing, Tolerance};
 
-/// The clock of a test starts above zero, as that of a process does.
+/// The time in milliseconds at which tests start. The clock of a process doesn't start at zero either.
 pub const START: u64 = 1_000_000;
 pub const TICK_MS: u64 = 50;
 pub const HEARTBEAT_MS: u64 = 1_000;
 /// How long an evacuation command waits before it is submitted.
 pub const EVACUATION_WAIT_MS: u64 = 100;
 
+/// A controller with its pending disk writes and all that it has sent.
 pub struct Single {
     pub controller: Controller,
     pub now: u64,
@@ -41,7 +42,7 @@
     pub answers: HashMap<CallId, Response>,
     /// The updates that balancers were sent, with complete lists of instances.
     pub updates: Vec<(SubscriberId, Update)>,
-    /// Changes of instances as they were sent.
+    /// The changes of instances in all updates, in the order in which they were sent.
     pub changes_sent: Vec<InstanceChanges>,
     /// Bytes of all messages to other controllers.
     pub peer_bytes: usize,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Makes durable what waits for the disk.
+    /// Completes all queued writes.
     pub fn finish_writes(&mut self) {
         while let Some(token) = self.queued_writes.pop_front() {
             let actions = self.controller.handle(self.now, Event::Persisted { token, log_bytes: 0 });
@@ -139,16 +140,16 @@
         id
     }
 
-    /// The status of a call that is answered without the passing of time.
+    /// The status of a call that is answered immediately.
     pub fn status(&mut self, call: Call) -> StatusCode {
         let id = self.call(call);
         self.answer(id).expect("the call is answered at once").status
     }
 
-    /// The status of an evacuation command, which is given to the chain after a short wait.
+    /// The status of an evacuation command, which is submitted to the chain after a short wait.
     pub fn evacuation_status(&mut self, zone: &str, evacuated: bool) -> StatusCode {
         let id = self.call(evacuate(zone, evacuated));
-        assert_eq!(self.answer(id), None, "it is given at once");
+        assert_eq!(self.answer(id), None, "the command is submitted without the wait");
         self.pass(EVACUATION_WAIT_MS);
         self.answer(id).expect("the command is answered after the wait").status
     }
@@ -165,8 +166,8 @@
         for action in actions {
             match action {
                 Action::Answer { id, response } => {
-                    let earlier = self.answers.insert(id, response);
-                    assert!(earlier.is_none(), "{id:?} was answered twice");
+                    let previous = self.answers.insert(id, response);
+                    assert!(previous.is_none(), "{id:?} was answered twice");
                 }
                 Action::SendBalancer { to, message: ToBalancer::Update(update) } => {
                     self.changes_sent.extend(update.changes.clone());
@@ -188,7 +189,7 @@
         .into()
 }
 
-/// A configuration of no routes.
+/// A configuration without routes.
 pub fn configuration(generation: u64) -> Bytes {
     let limits = r#"{"max_header_bytes":16384,"max_body_bytes":4096,"header_timeout_ms":3000,"idle_timeout_ms":15000}"#;
     Bytes::from(format!(r#"{{"generation":{generation},"routes":[],"services":[],"limits":{limits}}}"#))
@@ -218,7 +219,8 @@
     Call::Heartbeat { instance: instance.to_owned(), heartbeat }
 }
 
-/// The heartbeat of an instance with an address of its own among thousands.
+/// The heartbeat of an instance whose address is derived from a number, so that thousands have different
+/// ones.
 pub fn heartbeat_at(instance: &str, number: u16) -> Call {
     let Call::Heartbeat { instance, mut heartbeat } = heartbeat(instance, 1, InstanceState::Ready) else {
         unreachable!("it is a heartbeat")
@@ -232,7 +234,7 @@
     Call::Deregister { instance: instance.to_owned() }
 }
 
-/// The question of a client of a host that no configuration names.
+/// The directory request of a client for a host that is in no configuration.
 pub fn resolve(region: &str, zone: &str) -> Call {
     resolve_host("unknown.example", region, zone)
 }
@@ -241,7 +243,7 @@
     Call::Resolve { host: host.to_owned(), region: region.to_owned(), zone: zone.to_owned() }
 }
 
-/// The report of a balancer that takes clients.
+/// The report of a balancer that is ready for clients.
 pub fn report(number: u8, zone: &str) -> Report {
     Report {
         node: format!("edge-{number}"),
--- a/controlplane/controller/tests/common/operators.rs
+++ b/controlplane/controller/tests/common/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' changes, the faults that they meet, and what their answers must not contradict.
+//! Configuration changes of operators, faults of controllers, and a checker for the answers to operators.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,29 +10,30 @@
 use super::configuration;
 use super::fleet::Fleet;
 
-/// How long a fault lasts.
+/// The duration of a fault.
 pub const FAULT_MS: u64 = 3_000;
 
+/// A fault of one controller or of all of them.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// Killed, and started again later.
+    /// The controller is killed and started again at the end.
     Kill,
-    /// Partitioned both ways; what was sent comes through later, or not.
+    /// The controller is partitioned both ways; messages are delayed or lost.
     Partition,
-    /// It receives messages of the others, and its own are lost.
+    /// The controller receives messages of the others, but its own are delayed or lost.
     OneWayPartition,
     Freeze,
-    /// Killed, and its disk is lost.
+    /// The controller is killed and its disk is lost.
     Wipe,
-    /// Its disk doesn't answer.
+    /// The disk of the controller completes no writes.
     StalledDisk,
-    /// All are killed at once, and start again.
-    LossOfPower,
-    /// All controllers are cut into two halves: one has an even number of them, the other an odd one.
-    Halves,
-    /// Each is partitioned from all others, so that none has a majority.
-    Apart,
-    /// The first answers don't reach the callers.
+    /// All controllers are restarted at once.
+    PowerLoss,
+    /// The controllers with even indices are partitioned from those with odd indices.
+    SplitHalves,
+    /// Every controller is partitioned from all others, so that there is no quorum.
+    IsolateAll,
+    /// No answers reach the callers during the fault.
     LostAnswers,
 }
 
@@ -40,7 +41,7 @@
     fleet.cluster.endpoints().into_iter().filter(move |other| *other != at)
 }
 
-/// Cuts those controllers off from each other of which the numbers say so.
+/// Cuts the links between all controllers for whose indices `is_cut` returns true.
 fn partition_where(fleet: &mut Fleet, is_cut: impl Fn(usize, usize) -> bool) {
     let endpoints = fleet.cluster.endpoints();
     for (one, from) in endpoints.iter().enumerate() {
@@ -64,10 +65,10 @@
                 fleet.cluster.stop(at);
                 fleet.wipe(at);
             }
-            Fault::Halves => partition_where(fleet, |one, other| (one + other) % 2 == 1),
-            Fault::Apart => partition_where(fleet, |_, _| true),
+            Fault::SplitHalves => partition_where(fleet, |one, other| (one + other) % 2 == 1),
+            Fault::IsolateAll => partition_where(fleet, |_, _| true),
             Fault::StalledDisk => fleet.cluster.disk(at).expect("it has a disk").stall(until),
-            Fault::LossOfPower => fleet.cluster.endpoints().into_iter().for_each(|at| fleet.restart(at)),
+            Fault::PowerLoss => fleet.cluster.endpoints().into_iter().for_each(|at| fleet.restart(at)),
             Fault::LostAnswers => fleet.lost_answers = 1.0,
         }
     }
@@ -77,14 +78,14 @@
             Fault::Kill | Fault::Wipe => fleet.cluster.start(at),
             Fault::Partition => fleet.set_partitioned(at, false),
             Fault::OneWayPartition => others(fleet, at).for_each(|other| fleet.cluster.heal(at, other)),
-            Fault::Halves | Fault::Apart => fleet.cluster.heal_all(),
+            Fault::SplitHalves | Fault::IsolateAll => fleet.cluster.heal_all(),
             Fault::LostAnswers => fleet.lost_answers = 0.0,
-            Fault::Freeze | Fault::StalledDisk | Fault::LossOfPower => {}
+            Fault::Freeze | Fault::StalledDisk | Fault::PowerLoss => {}
         }
     }
 }
 
-/// A configuration of one operator.
+/// A command of one operator to replace the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Change {
     pub base: u64,
@@ -104,7 +105,7 @@
     }
 }
 
-/// What operators were answered, and what it must not contradict.
+/// The changes that were confirmed or refused to operators, which must not contradict each other.
 #[derive(Default)]
 pub struct OutcomeChecker {
     pub confirmed: BTreeSet<Change>,
@@ -112,7 +113,7 @@
 }
 
 impl OutcomeChecker {
-    pub fn answered(&mut self, change: &Change, status: StatusCode) {
+    pub fn record_answer(&mut self, change: &Change, status: StatusCode) {
         match status {
             StatusCode::OK => {
                 self.confirmed.insert(change.clone());
@@ -124,24 +125,29 @@
         }
         assert!(self.confirmed.is_disjoint(&self.refused), "confirmed and refused: {change:?}");
         let bases: BTreeSet<u64> = self.confirmed.iter().map(|change| change.base).collect();
-        assert_eq!(bases.len(), self.confirmed.len(), "two confirmed on one base: {:?}", self.confirmed);
+        assert_eq!(
+            bases.len(),
+            self.confirmed.len(),
+            "two changes confirmed on one base: {:?}",
+            self.confirmed
+        );
     }
 
-    /// No configuration that was sent to a balancer was refused to its operator.
+    /// Checks that no balancer was sent a configuration that was refused to its operator.
     pub fn check_published(&self, fleet: &Fleet) {
         let published = fleet.updates.iter().filter_map(|(_, update)| update.configured.as_ref());
         for configured in published {
             let refused = self.refused.iter().find(|change| change.body == configured.body);
-            assert_eq!(refused, None, "refused and in force");
+            assert_eq!(refused, None, "refused and published");
         }
     }
 
-    /// Sends the same command to every controller; each has to give the expected answer.
-    pub fn sent_everywhere(&mut self, fleet: &mut Fleet, change: &Change, expected: StatusCode) {
+    /// Sends the same command to every controller and checks that each gives the expected answer.
+    pub fn send_to_all(&mut self, fleet: &mut Fleet, change: &Change, expected: StatusCode) {
         for at in fleet.cluster.endpoints() {
             let answer = fleet.ask(at, change.call()).expect("an answer in time");
             assert_eq!(answer.status, expected, "{change:?} at {at}: {answer:?}");
-            self.answered(change, answer.status);
+            self.record_answer(change, answer.status);
         }
     }
 }
--- a/controlplane/controller/tests/common/rules.rs
+++ b/controlplane/controller/tests/common/rules.rs
@@ -1,15 +1,15 @@
-//! The protocol rules that controllers and agents run under: the standard ones, or one replaced by a fault.
+//! Protocol rules for controllers and agents: the standard ones, and variants with a deliberate fault.
 
 use whinspindle_agent as agent;
 use whinspindle_controller as controller;
 
-/// Which rules hold in a play.
+/// The rules of the controllers and agents in a simulation.
 pub trait Rules: Clone + std::fmt::Debug {
     type Controller: controller::ProtocolRules + 'static;
     type Agent: agent::ProtocolRules + 'static;
 }
 
-/// As the programs keep them.
+/// The rules of the production programs.
 #[derive(Clone, Debug)]
 pub struct StandardRules;
 
@@ -18,7 +18,7 @@
     type Agent = agent::StandardRules;
 }
 
-/// A controller serves its records to balancers whatever its contact with the others.
+/// A controller serves its records to balancers even without a quorum.
 #[derive(Clone, Debug)]
 pub struct ServesRecordsWithoutQuorum;
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// An agent without records accepts the first ones that it is sent, also those of a partitioned controller.
+/// An agent without records accepts the first ones that it is sent, even from a partitioned controller.
 #[derive(Clone, Debug)]
 pub struct AcceptsAnyFirstRecords;
 
@@ -67,7 +67,7 @@
     type Agent = agent::StandardRules;
 }
 
-/// A controller answers a read of the configuration by what it knows itself.
+/// A controller answers a read of the configuration from its own records, without asking the chain.
 #[derive(Clone, Debug)]
 pub struct AnswersReadsLocally;
 
--- a/controlplane/controller/tests/common/sources.rs
+++ b/controlplane/controller/tests/common/sources.rs
@@ -1,14 +1,14 @@
-//! The sources of the workspace, for tests that hold pages to them.
+//! The source files of the workspace, for tests that check the documentation against them.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The text of each source file by its path from the root of the workspace.
+/// The text of each source file, by its path relative to the root of the workspace.
 pub struct Sources(pub BTreeMap<String, String>);
 
 impl Sources {
-    /// Those of these folders.
+    /// Reads all source files in these folders.
     pub fn read(folders: &[&str]) -> Sources {
         let mut sources = Sources(BTreeMap::new());
         for folder in folders {
--- a/controlplane/controller/tests/common/upstream.rs
+++ b/controlplane/controller/tests/common/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream: calls one controller after the other until its call is acknowledged; departs when the test says so.
+//! A simulated upstream. It tries one controller after the other until its call is acknowledged.
 
 use std::net::SocketAddr;
 
@@ -8,19 +8,20 @@
 
 use super::HEARTBEAT_MS;
 
-/// A controller that has not answered by then is given up.
-const PATIENCE_MS: u64 = 1_000;
-/// Between a failure and the call of the next controller.
+/// A call without an answer fails after this time.
+const CALL_TIMEOUT_MS: u64 = 1_000;
+/// Delay between a failed call and the call of the next controller.
 const RETRY_BACKOFF_MS: u64 = 20;
-/// How long one that leaves serves on.
-pub const LINGER_MS: u64 = 3_000;
+/// An upstream with an acknowledged departure serves for this long before it deregisters.
+pub const DRAINING_MS: u64 = 3_000;
 
+/// The phases of an upstream from its start to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Serving,
-    /// It says that it is draining.
+    /// Its heartbeats announce that it is draining.
     Draining,
-    /// It says that it ends.
+    /// It sends its deregistration.
     Deregistering,
     Ended,
 }
@@ -29,11 +30,12 @@
     pub id: String,
     pub address: SocketAddr,
     pub phase: Phase,
-    /// When a controller acknowledged that it leaves.
+    /// The time at which a controller acknowledged the departure.
     pub departure_acknowledged_at: Option<u64>,
     sequence: u64,
-    /// Which controller it calls, counted among those there are.
+    /// The index of the controller to call, modulo the number of controllers.
     pub target: usize,
+    /// The pending call, with its controller and the time at which it was sent.
     pub waiting: Option<(CallId, SocketAddr, u64)>,
     due_at: u64,
 }
@@ -52,26 +54,26 @@
         }
     }
 
-    /// Some say first that they drain, others end at once.
-    pub fn leave(&mut self, now: u64, says_draining: bool) {
+    /// Begins the departure, either with draining or with an immediate deregistration.
+    pub fn leave(&mut self, now: u64, announces_draining: bool) {
         if self.phase == Phase::Serving {
-            self.phase = if says_draining { Phase::Draining } else { Phase::Deregistering };
+            self.phase = if announces_draining { Phase::Draining } else { Phase::Deregistering };
             self.due_at = now;
             self.waiting = None;
         }
     }
 
-    /// The call that is to be made now.
+    /// The call that is due now, if any.
     pub fn due_call(&mut self, now: u64) -> Option<Call> {
         if let Some((.., since)) = self.waiting
-            && now >= since + PATIENCE_MS
+            && now >= since + CALL_TIMEOUT_MS
         {
             self.failed(now);
         }
         if self.waiting.is_some() || now < self.due_at || self.phase == Phase::Ended {
             return None;
         }
-        if self.phase == Phase::Draining && self.has_lingered(now) {
+        if self.phase == Phase::Draining && self.has_drained(now) {
             self.phase = Phase::Deregistering;
         }
         self.sequence += 1;
@@ -99,8 +101,8 @@
         self.due_at = now + RETRY_BACKOFF_MS;
     }
 
-    fn has_lingered(&self, now: u64) -> bool {
-        self.departure_acknowledged_at.is_some_and(|at| now >= at + LINGER_MS)
+    fn has_drained(&self, now: u64) -> bool {
+        self.departure_acknowledged_at.is_some_and(|at| now >= at + DRAINING_MS)
     }
 
     fn heartbeat(&self, state: InstanceState) -> Call {
--- a/controlplane/controller/tests/random_operators.rs
+++ b/controlplane/controller/tests/random_operators.rs
@@ -39,13 +39,19 @@
     Fault::Freeze,
     Fault::Wipe,
     Fault::StalledDisk,
-    Fault::LossOfPower,
+    Fault::PowerLoss,
     Fault::LostAnswers,
 ];
 
 /// The faults of runs in which operators also read the configuration continuously.
-const PARTITION_FAULTS: [Fault; 6] =
-    [Fault::Halves, Fault::Apart, Fault::Halves, Fault::Partition, Fault::LossOfPower, Fault::LostAnswers];
+const PARTITION_FAULTS: [Fault; 6] = [
+    Fault::SplitHalves,
+    Fault::IsolateAll,
+    Fault::SplitHalves,
+    Fault::Partition,
+    Fault::PowerLoss,
+    Fault::LostAnswers,
+];
 /// Longest pause between two reads.
 const MAX_READ_PAUSE_MS: u64 = 150;
 
@@ -251,7 +257,7 @@
         let (now, mut waiting) = (self.fleet.cluster.now(), Vec::new());
         for (change, attempt) in std::mem::take(&mut self.in_flight) {
             if let Some((_, answer)) = &self.fleet.attempts[attempt].answered {
-                self.checker.answered(&change, answer.status);
+                self.checker.record_answer(&change, answer.status);
             } else if now > self.fleet.attempts[attempt].first_sent_at + MAX_ANSWER_MS {
                 self.fleet.abandon(attempt);
             } else {
@@ -275,7 +281,7 @@
         let mut applied = Vec::new();
         for change in self.changes.clone() {
             let status = self.answer_without_faults(&change);
-            self.checker.answered(&change, status);
+            self.checker.record_answer(&change, status);
             assert_eq!(self.answer_without_faults(&change), status, "{change:?}");
             if status == StatusCode::SERVICE_UNAVAILABLE {
                 assert!(change.base > self.newest_confirmed(), "no clear answer to {change:?}");
--- a/controlplane/controller/tests/schedules.rs
+++ b/controlplane/controller/tests/schedules.rs
@@ -1,6 +1,7 @@
-//! Schedules of faults drawn at random over controllers with edge machines, upstreams and operators: no acknowledged
-//! configuration, evacuation or departure is lost, balancers in touch have the newest and never go back, no controller
-//! answers a read with less than was acknowledged before, and of two commands on one base one is confirmed.
+//! Random schedules of faults over controllers with edge machines, upstreams and operators. No acknowledged
+//! configuration, evacuation or departure is lost; connected balancers have the newest records and never go
+//! back to older ones; no read returns an older configuration than was acknowledged before; and one of two
+//! commands on the same base is confirmed.
 
 mod common;
 
@@ -8,16 +9,16 @@
     AcceptsAnyFirstRecords, AnswersReadsLocally, ConfirmsHeartbeatWithoutQuorum,
     ConfirmsUncommittedDeparture, PartitionedControllerServesRecords, Rules, StandardRules,
 };
-use common::schedule::{Overlapping, Schedule, Starting, play};
+use common::schedule::{OverlappingFaults, Schedule, StartingEdges, run_schedule};
 use quickcheck::{Arbitrary, Gen};
 
-/// Schedules of each kind in an ordinary run; more are drawn if the variable says so.
-const ORDINARY: usize = 120;
+/// Number of schedules of each kind, unless the environment variable sets another number.
+const DEFAULT_COUNT: usize = 120;
 const COUNT_VARIABLE: &str = "WHINSPINDLE_SCHEDULES";
-/// The first seed of the draw; another one, for other schedules, if the variable says so.
+/// The first seed, unless the environment variable sets another one.
 const FIRST_SEED: u64 = 1;
 const SEED_VARIABLE: &str = "WHINSPINDLE_SEED";
-/// Schedules are played side by side.
+/// Number of threads that run schedules in parallel.
 const THREADS: usize = 2;
 const SIZE: usize = 24;
 
@@ -25,12 +26,13 @@
     std::env::var(variable).ok().and_then(|text| text.parse().ok())
 }
 
-/// The smallest schedule made from this one by leaving out steps that still goes wrong, with what goes wrong.
-fn smallest(schedule: Schedule, fault: String) -> (Schedule, String) {
-    let found =
-        schedule.shrink().find_map(|shorter| Some((shorter.clone(), play::<StandardRules>(&shorter).err()?)));
+/// Shrinks a failing schedule by removing steps, and returns the smallest failing one with its problem.
+fn shrink_to_smallest(schedule: Schedule, fault: String) -> (Schedule, String) {
+    let found = schedule
+        .shrink()
+        .find_map(|shorter| Some((shorter.clone(), run_schedule::<StandardRules>(&shorter).err()?)));
     match found {
-        Some((shorter, fault)) => smallest(shorter, fault),
+        Some((shorter, fault)) => shrink_to_smallest(shorter, fault),
         None => (schedule, fault),
     }
 }
@@ -40,85 +42,95 @@
 }
 
 fn overlapping(seed: u64) -> Schedule {
-    Overlapping::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed)).0
+    OverlappingFaults::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed)).0
 }
 
 fn starting(seed: u64) -> Schedule {
-    Starting::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed)).0
+    StartingEdges::arbitrary(&mut Gen::from_size_and_seed(SIZE, seed)).0
 }
 
-/// Plays as many schedules as the environment says.
-fn are_tolerated(draw: fn(u64) -> Schedule) {
-    let count = from_environment(COUNT_VARIABLE).unwrap_or(ORDINARY);
+/// Runs the configured number of schedules and panics with the smallest failing one.
+fn assert_tolerated(draw: fn(u64) -> Schedule) {
+    let count = from_environment(COUNT_VARIABLE).unwrap_or(DEFAULT_COUNT);
     let first = from_environment(SEED_VARIABLE).unwrap_or(FIRST_SEED);
-    let play_share = move |share: usize| {
+    let run_share = move |share: usize| {
         for number in (share..count).step_by(THREADS) {
             let seed = first + number as u64;
             let schedule = draw(seed);
-            if let Err(fault) = play::<StandardRules>(&schedule) {
-                let (schedule, fault) = smallest(schedule, fault);
+            if let Err(fault) = run_schedule::<StandardRules>(&schedule) {
+                let (schedule, fault) = shrink_to_smallest(schedule, fault);
                 panic!("seed {seed}: {fault}\n{schedule:#?}");
             }
         }
     };
     std::thread::scope(|scope| {
         for share in 0..THREADS {
-            scope.spawn(move || play_share(share));
+            scope.spawn(move || run_share(share));
         }
     });
 }
 
 #[test]
 fn any_schedule_is_tolerated() {
-    are_tolerated(ordinary);
+    assert_tolerated(ordinary);
 }
 
-/// Machines start without a configuration while controllers are partitioned.
+/// Edge machines start without a configuration while controllers are partitioned.
 #[test]
 fn any_schedule_of_starting_machines_is_tolerated() {
-    are_tolerated(starting);
+    assert_tolerated(starting);
 }
 
-/// The controllers are cut into two halves, or all from each other, and more of them are away than may be, though no
-/// more disks are lost.
+/// Controllers are split into two halves or all isolated from each other. More of them are unavailable than
+/// the tolerance allows, though no more disks are lost than that.
 #[test]
 fn any_schedule_of_split_halves_and_overlapping_losses_is_tolerated() {
-    are_tolerated(overlapping);
+    assert_tolerated(overlapping);
 }
 
-/// What is planted shows first at `seed`, and as `problem`; the standard rules bear all schedules up to there.
-fn is_detected<R: Rules>(draw: fn(u64) -> Schedule, seed: u64, problem: &str) {
+/// Checks that a deliberate fault in the rules is first detected at `seed` as `problem`, while the standard
+/// rules pass all schedules up to that seed.
+fn assert_detected<R: Rules>(draw: fn(u64) -> Schedule, seed: u64, problem: &str) {
     for earlier in FIRST_SEED..=seed {
-        play::<StandardRules>(&draw(earlier)).unwrap();
+        run_schedule::<StandardRules>(&draw(earlier)).unwrap();
     }
-    let shown = (FIRST_SEED..=seed).find_map(|earlier| Some((earlier, play::<R>(&draw(earlier)).err()?)));
-    let (first, shown) = shown.expect("no schedule shows the fault");
-    assert_eq!(first, seed, "{shown}");
-    assert!(shown.contains(problem), "{shown}");
+    let detection =
+        (FIRST_SEED..=seed).find_map(|earlier| Some((earlier, run_schedule::<R>(&draw(earlier)).err()?)));
+    let (first, detected) = detection.expect("no schedule detects the fault");
+    assert_eq!(first, seed, "{detected}");
+    assert!(detected.contains(problem), "{detected}");
 }
 
-/// A machine that starts beside such a controller handles requests by an old configuration.
+/// An edge machine that starts while only such a controller is reachable uses an old configuration.
 #[test]
 fn partitioned_controller_that_serves_records_is_detected() {
-    is_detected::<PartitionedControllerServesRecords>(starting, 22, "edge 2, in reach, holds configuration");
+    assert_detected::<PartitionedControllerServesRecords>(
+        starting,
+        22,
+        "edge 2, in reach, holds configuration",
+    );
 }
 
 #[test]
 fn agent_that_accepts_first_records_of_a_partitioned_controller_is_detected() {
-    is_detected::<AcceptsAnyFirstRecords>(starting, 22, "edge 2, in reach, holds configuration");
+    assert_detected::<AcceptsAnyFirstRecords>(starting, 22, "edge 2, in reach, holds configuration");
 }
 
 #[test]
 fn departure_confirmed_before_its_commit_is_detected() {
-    is_detected::<ConfirmsUncommittedDeparture>(ordinary, 19, "has forgotten that u-5 left");
+    assert_detected::<ConfirmsUncommittedDeparture>(ordinary, 19, "has forgotten that u-5 left");
 }
 
 #[test]
 fn heartbeat_confirmed_by_a_partitioned_controller_is_detected() {
-    is_detected::<ConfirmsHeartbeatWithoutQuorum>(overlapping, 12, "edge 1 doesn't know u-3, which serves");
+    assert_detected::<ConfirmsHeartbeatWithoutQuorum>(
+        overlapping,
+        12,
+        "edge 1 doesn't know u-3, which serves",
+    );
 }
 
 #[test]
 fn controller_that_answers_reads_locally_is_detected() {
-    is_detected::<AnswersReadsLocally>(overlapping, 1, "and read ");
+    assert_detected::<AnswersReadsLocally>(overlapping, 1, "and read ");
 }
--- a/controlplane/controller/tests/two_operators.rs
+++ b/controlplane/controller/tests/two_operators.rs
@@ -1,5 +1,5 @@
-//! Two operators on one base, with every kind of fault at every time offset: one is confirmed, stays so
-//! however often and wherever it is sent again, and the other is never in force.
+//! Two operators send changes on the same base, with every kind of fault at every time offset. One change is
+//! confirmed, also on every retry at any controller, and the other one is never applied.
 
 mod common;
 
@@ -11,15 +11,15 @@
 use http::StatusCode;
 
 const CONTROLLERS: u8 = 3;
-/// A command passes a calm chain of three within this time: the faults come at each of these moments.
+/// Without faults a chain of three completes a command within this time; faults begin at offsets up to it.
 const MAX_COMMAND_MS: u64 = 60;
 const OFFSET_STEP_MS: usize = 2;
-/// A command is answered within this time after a fault.
-const COMMAND_WITH_FAULTS_MS: u64 = 15_000;
-/// After a start of all controllers there is a quorum within this time.
+/// A command gets a definite answer within this time after a fault.
+const COMMAND_TIMEOUT_WITH_FAULTS_MS: u64 = 15_000;
+/// Controllers form a quorum within this time after all have started.
 const START_MS: u64 = 4_000;
 
-fn everywhere() -> impl Iterator<Item = SocketAddr> {
+fn all_controllers() -> impl Iterator<Item = SocketAddr> {
     (1..=CONTROLLERS).map(endpoint)
 }
 
@@ -33,7 +33,7 @@
 }
 
 fn wait_for(fleet: &mut Fleet, attempts: &[usize]) -> Vec<StatusCode> {
-    let end = fleet.cluster.now() + COMMAND_WITH_FAULTS_MS;
+    let end = fleet.cluster.now() + COMMAND_TIMEOUT_WITH_FAULTS_MS;
     while attempts.iter().any(|attempt| fleet.attempts[*attempt].answered.is_none()) {
         assert!(fleet.cluster.now() < end, "an operator gets no answer");
         fleet.pass(20);
@@ -43,8 +43,8 @@
 }
 
 fn lose_power(fleet: &mut Fleet) {
-    everywhere().for_each(|at| fleet.cluster.stop(at));
-    everywhere().for_each(|at| fleet.cluster.start(at));
+    all_controllers().for_each(|at| fleet.cluster.stop(at));
+    all_controllers().for_each(|at| fleet.cluster.start(at));
     fleet.pass(START_MS);
     for number in 1..=CONTROLLERS {
         fleet.report(endpoint(number), 10 + u64::from(number), report(number, "zone-a"));
@@ -52,43 +52,45 @@
     fleet.pass(100);
 }
 
-/// Two commands on one base, of one number or of two, go to the first or to the last members of the chain.
-fn race(seed: u64, fault: Fault, place: usize, moment: u64) {
+/// Sends two commands on the same base, with equal or different generations, to the first two or the last two
+/// members of the chain, and injects a fault at a member of the chain.
+fn race(seed: u64, fault: Fault, chain_index: usize, offset_ms: u64) {
     let mut fleet = started(seed);
     let chain = fleet.chain(endpoint(1));
-    let at = chain[place];
+    let at = chain[chain_index];
     let (one_at, other_at) = if seed.is_multiple_of(2) { (chain[0], chain[1]) } else { (chain[1], chain[2]) };
-    let changes = [Change::new(1, 2, "one"), Change::new(1, 2 + moment / OFFSET_STEP_MS as u64 % 2, "other")];
+    let changes =
+        [Change::new(1, 2, "one"), Change::new(1, 2 + offset_ms / OFFSET_STEP_MS as u64 % 2, "other")];
     let attempts = [fleet.begin_at(one_at, changes[0].call()), fleet.begin_at(other_at, changes[1].call())];
-    fleet.pass(moment);
+    fleet.pass(offset_ms);
     fault.begin(&mut fleet, at);
     fleet.pass(FAULT_MS);
     fault.end(&mut fleet, at);
     let statuses = wait_for(&mut fleet, &attempts);
 
     let mut checker = OutcomeChecker::default();
-    changes.iter().zip(&statuses).for_each(|(change, status)| checker.answered(change, *status));
+    changes.iter().zip(&statuses).for_each(|(change, status)| checker.record_answer(change, *status));
     let winner = usize::from(statuses[0] != StatusCode::OK);
     assert_eq!(statuses[winner], StatusCode::OK, "one is confirmed");
     assert_eq!(statuses[1 - winner], StatusCode::PRECONDITION_FAILED, "the other is refused");
 
     fleet.pass(2 * FAULT_MS);
-    checker.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
+    checker.send_to_all(&mut fleet, &changes[winner], StatusCode::OK);
     lose_power(&mut fleet);
-    checker.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
-    checker.sent_everywhere(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
+    checker.send_to_all(&mut fleet, &changes[winner], StatusCode::OK);
+    checker.send_to_all(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
     let current = changes[winner].generation;
-    checker.sent_everywhere(&mut fleet, &Change::new(current, current + 1, "next"), StatusCode::OK);
-    checker.sent_everywhere(&mut fleet, &changes[winner], StatusCode::OK);
-    checker.sent_everywhere(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
+    checker.send_to_all(&mut fleet, &Change::new(current, current + 1, "next"), StatusCode::OK);
+    checker.send_to_all(&mut fleet, &changes[winner], StatusCode::OK);
+    checker.send_to_all(&mut fleet, &changes[1 - winner], StatusCode::PRECONDITION_FAILED);
     checker.check_published(&fleet);
 }
 
 fn race_at_every_offset(fault: Fault) {
-    for moment in (0..MAX_COMMAND_MS).step_by(OFFSET_STEP_MS) {
-        for place in 0..usize::from(CONTROLLERS) {
-            let seed = 100 + moment + place as u64;
-            race(seed, fault, place, moment);
+    for offset_ms in (0..MAX_COMMAND_MS).step_by(OFFSET_STEP_MS) {
+        for chain_index in 0..usize::from(CONTROLLERS) {
+            let seed = 100 + offset_ms + chain_index as u64;
+            race(seed, fault, chain_index, offset_ms);
         }
     }
 }
@@ -125,7 +127,7 @@
 
 #[test]
 fn one_of_two_is_confirmed_where_all_controllers_lose_power() {
-    race_at_every_offset(Fault::LossOfPower);
+    race_at_every_offset(Fault::PowerLoss);
 }
 
 #[test]
