--- a/coordination/replica/tests/common/clients.rs
+++ b/coordination/replica/tests/common/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that ask replicas and write down what they see.
+//! Clients that send commands to replicas and record the history of their operations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use whinspindle_lab_simulated_cluster::{Cluster, Occurrence, Pcg};
 use whinspindle_replica::{ProtocolRules, SubmitError};
 
-use super::history::{Answered, Asked, Operation};
+use super::history::{Asked, Operation, Response};
 use super::node::{ClientAnswer, Command, Node};
 
-/// A command that a replica was asked for.
+/// One submission of an operation's command to a replica.
 struct Attempt {
     operation: usize,
     begun: u64,
@@ -19,21 +19,21 @@
 #[derive(Default)]
 pub struct Clients {
     pub operations: Vec<Operation>,
-    /// Attempts without an answer, by where they were made and their tickets.
-    waiting: BTreeMap<(SocketAddr, u64), Attempt>,
-    /// Operations that were asked for more than once.
+    /// Unanswered attempts, by the endpoint of the replica and the ticket.
+    pending: BTreeMap<(SocketAddr, u64), Attempt>,
+    /// Operations that were submitted more than once.
     repeated: BTreeSet<usize>,
-    /// Operations that certainly had no effect.
-    void: Vec<usize>,
-    /// The last ticket of each process, which begins with 1 after each start.
+    /// Operations that are known to have had no effect.
+    ineffective: Vec<usize>,
+    /// The last ticket of each process, by endpoint and start; the first ticket is 1.
     tickets: BTreeMap<(SocketAddr, u64), u64>,
-    done_twice: bool,
-    /// Values that were seen or written, by register.
-    guesses: BTreeMap<String, String>,
+    duplicate_swap_seen: bool,
+    /// The last known value of each register, the basis of the next swap.
+    known_values: BTreeMap<String, String>,
 }
 
 impl Clients {
-    /// Begins an operation at a replica, if one runs there.
+    /// Begins an operation at a replica, if the replica is running.
     pub fn begin<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
@@ -63,28 +63,28 @@
             return false;
         }
         self.tickets.insert((at, start), ticket);
-        // A ticket of an earlier process there will not be answered any more.
-        self.waiting.insert((at, ticket), Attempt { operation, begun });
+        // This may overwrite a ticket of an earlier process, which is never answered.
+        self.pending.insert((at, ticket), Attempt { operation, begun });
         true
     }
 
-    /// Asks another replica for each swap and read that has no answer after so long: a swap finds its own value if it
-    /// took effect before.
-    pub fn ask_again<L: ProtocolRules>(
+    /// Submits each swap and read that is unanswered after `after` milliseconds to another replica. A repeated
+    /// swap reads its own value if the first attempt took effect.
+    pub fn retry_unanswered<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
         at: SocketAddr,
         after: u64,
     ) {
         let now = cluster.now();
-        let is_late = |(key, attempt): (&(SocketAddr, u64), &Attempt)| {
+        let operation_to_retry = |(key, attempt): (&(SocketAddr, u64), &Attempt)| {
             let operation = &self.operations[attempt.operation];
             let may_repeat = operation.ended.is_none() && !matches!(operation.asked, Asked::Put(_));
             let is_due = now >= attempt.begun + after && key.0 != at;
             (is_due && may_repeat && !self.repeated.contains(&attempt.operation)).then_some(attempt.operation)
         };
-        let late: Vec<usize> = self.waiting.iter().filter_map(is_late).collect();
-        for operation in late {
+        let operations_to_retry: Vec<usize> = self.pending.iter().filter_map(operation_to_retry).collect();
+        for operation in operations_to_retry {
             let Operation { register, asked, .. } = &self.operations[operation];
             let command = asked.command(register);
             if self.attempt(cluster, at, operation, &command) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Begins an operation drawn at random, also one that guesses the present value.
+    /// Begins a random operation: a put, a swap of the last known value or a get.
     pub fn begin_any<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
@@ -103,7 +103,7 @@
     ) {
         let register = format!("register-{}", random.next_below(registers));
         let new = format!("v{}", self.operations.len() + 1);
-        let old = self.guesses.get(&register).cloned().unwrap_or("-".to_string());
+        let old = self.known_values.get(&register).cloned().unwrap_or("-".to_string());
         let asked = match random.next_below(4) {
             0 => Asked::Put(new),
             1 | 2 => Asked::Swap { old, new },
@@ -112,42 +112,42 @@
         self.begin(cluster, at, &register, asked);
     }
 
-    /// Lets time pass and writes down the answers.
+    /// Runs the cluster until this time and records the answers.
     pub fn run_until<L: ProtocolRules>(&mut self, cluster: &mut Cluster<Node<L>>, until: u64) {
         for occurrence in cluster.run_until(until) {
-            self.note(occurrence);
+            self.record_occurrence(occurrence);
         }
     }
 
-    fn note(&mut self, occurrence: Occurrence<ClientAnswer>) {
+    fn record_occurrence(&mut self, occurrence: Occurrence<ClientAnswer>) {
         let Occurrence { at, endpoint, answer: ClientAnswer { ticket, result } } = occurrence;
-        let Some(attempt) = self.waiting.remove(&(endpoint, ticket)) else { return };
+        let Some(attempt) = self.pending.remove(&(endpoint, ticket)) else { return };
         match result {
-            Ok(reply) => self.note_answer(at, &attempt, &reply.answer),
+            Ok(reply) => self.record_answer(at, &attempt, &reply.answer),
             Err(SubmitError::NoQuorum) if !self.repeated.contains(&attempt.operation) => {
-                self.void.push(attempt.operation);
+                self.ineffective.push(attempt.operation);
             }
             Err(_) => {}
         }
     }
 
-    fn note_answer(&mut self, at: u64, attempt: &Attempt, answer: &[u8]) {
+    fn record_answer(&mut self, at: u64, attempt: &Attempt, answer: &[u8]) {
         let operation = &mut self.operations[attempt.operation];
         let answered = operation.asked.answered(answer);
-        let guess = match (&operation.asked, &answered) {
-            (_, Answered::Value(value) | Answered::Refused(value)) => Some(value.clone()),
-            (Asked::Put(new) | Asked::Swap { new, .. }, Answered::Done) => Some(new.clone()),
+        let known_value = match (&operation.asked, &answered) {
+            (_, Response::Value(value) | Response::Refused(value)) => Some(value.clone()),
+            (Asked::Put(new) | Asked::Swap { new, .. }, Response::Done) => Some(new.clone()),
             _ => None,
         };
-        if let Some(guess) = guess {
-            self.guesses.insert(operation.register.clone(), guess);
+        if let Some(known_value) = known_value {
+            self.known_values.insert(operation.register.clone(), known_value);
         }
         let is_first = operation.ended.is_none();
         let is_repeated = self.repeated.contains(&attempt.operation);
-        if is_first && (!is_repeated || answered == Answered::Done) {
+        if is_first && (!is_repeated || answered == Response::Done) {
             operation.ended = Some((at, answered));
-        } else if answered != Answered::Done {
-            // The other attempt may have taken effect: this one is an operation of its own that has found a value.
+        } else if answered != Response::Done {
+            // The other attempt may have taken effect, so this one is a separate operation that read a value.
             let (register, asked) = (operation.register.clone(), operation.asked.clone());
             self.operations.push(Operation {
                 register,
@@ -156,29 +156,31 @@
                 ended: Some((at, answered)),
             });
         } else {
-            self.done_twice = true;
+            self.duplicate_swap_seen = true;
         }
     }
 
-    /// Whether a swap was done by both of its attempts.
-    pub fn is_done_twice(&self) -> bool {
-        self.done_twice
+    /// Whether both attempts of a swap took effect.
+    pub fn has_duplicate_swap(&self) -> bool {
+        self.duplicate_swap_seen
     }
 
-    /// What there is to judge: all but operations without effect.
+    /// The operations to check: all except those known to have had no effect.
     pub fn history(&self) -> Vec<Operation> {
         let indexed = self.operations.iter().enumerate();
         indexed
-            .filter(|(index, _)| !self.void.contains(index))
+            .filter(|(index, _)| !self.ineffective.contains(index))
             .map(|(_, operation)| operation.clone())
             .collect()
     }
 
+    /// The number of answered operations.
     pub fn answered(&self) -> usize {
         self.operations.iter().filter(|operation| operation.ended.is_some()).count()
     }
 
-    /// Asks one replica until it answers a write; returns how long that took, at most `longest`.
+    /// Submits a write to one replica and waits up to `longest` milliseconds for the answer. Returns the time
+    /// until the answer.
     pub fn write_within<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
--- a/coordination/replica/tests/common/history.rs
+++ b/coordination/replica/tests/common/history.rs
@@ -1,14 +1,14 @@
-//! The judge: whether what clients saw can be put in one order that agrees with real time and with the meaning of
-//! registers. It knows nothing of replicas.
+//! A linearizability checker for registers. It decides whether the operations of the clients have a total order
+//! that agrees with real time and with the semantics of a register. It is independent of the replicas.
 //!
-//! All values that are written are different, and every answer but that of a put tells the value that it found. So
-//! each value has one operation that wrote it, followed by those that found it, and a swap follows those that found
-//! its old value. A put and all that follows from it stand together; what is left to find is an order of these
-//! blocks (P. Gibbons and E. Korach, "Testing Shared Memories", 1997).
+//! All written values are different, and every answer except that of a put tells the value that the operation
+//! found. Each value therefore has one operation that wrote it, followed by the operations that read it, and a
+//! swap follows the operations that read its old value. A put and the chain of swaps that builds on it form a
+//! block, and the checker only has to order the blocks (P. Gibbons and E. Korach, "Testing Shared Memories", 1997).
 
 use std::collections::BTreeMap;
 
-/// What was asked of one register.
+/// A request to one register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Asked {
     Put(String),
@@ -16,17 +16,17 @@
     Get,
 }
 
-/// What was answered.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Answered {
+pub enum Response {
     Done,
-    /// The swap found this value.
+    /// A swap was rejected because the register had this value.
     Refused(String),
     Value(String),
 }
 
 impl Asked {
-    /// The command as [`super::node::Registers`] takes it.
+    /// Formats the command for [`super::node::Registers`].
     pub fn command(&self, register: &str) -> String {
         match self {
             Asked::Put(new) => format!("put {register} {new}"),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// What the bytes of an answer say.
-    pub fn answered(&self, answer: &[u8]) -> Answered {
+    /// Parses the bytes of an answer.
+    pub fn answered(&self, answer: &[u8]) -> Response {
         let text = String::from_utf8_lossy(answer).to_string();
         match (self, text.as_str()) {
-            (Asked::Get, _) => Answered::Value(text),
-            (_, "done") => Answered::Done,
-            _ => Answered::Refused(text),
+            (Asked::Get, _) => Response::Value(text),
+            (_, "done") => Response::Done,
+            _ => Response::Refused(text),
         }
     }
 }
@@ -52,11 +52,11 @@
     pub register: String,
     pub asked: Asked,
     pub begun: u64,
-    /// When and what was answered; none if the outcome is unknown.
-    pub ended: Option<(u64, Answered)>,
+    /// The time and the content of the response; `None` if the outcome is unknown.
+    pub ended: Option<(u64, Response)>,
 }
 
-/// The value of a register that was never written.
+/// The initial value of a register.
 const EMPTY: &str = "-";
 
 impl Operation {
@@ -64,25 +64,25 @@
         self.ended.as_ref().is_some_and(|(at, _)| *at < other.begun)
     }
 
-    /// The value that it found; none if it did not look, or nobody knows.
-    fn observed(&self) -> Option<&str> {
+    /// The value that the operation read; `None` for a put and for a get without a response.
+    fn read_value(&self) -> Option<&str> {
         match (&self.asked, &self.ended) {
-            (_, Some((_, Answered::Value(value) | Answered::Refused(value)))) => Some(value),
+            (_, Some((_, Response::Value(value) | Response::Refused(value)))) => Some(value),
             (Asked::Swap { old, .. }, _) => Some(old),
             _ => None,
         }
     }
 
-    /// The value that it wrote, if it had an effect.
-    fn wrote(&self) -> Option<&str> {
+    /// The value that the operation wrote, or may have written if its outcome is unknown.
+    fn written_value(&self) -> Option<&str> {
         match (&self.asked, &self.ended) {
-            (Asked::Put(new) | Asked::Swap { new, .. }, None | Some((_, Answered::Done))) => Some(new),
+            (Asked::Put(new) | Asked::Swap { new, .. }, None | Some((_, Response::Done))) => Some(new),
             _ => None,
         }
     }
 }
 
-/// Checks all registers.
+/// Checks that the operations on each register are linearizable.
 pub fn check(operations: &[Operation]) -> Result<(), String> {
     let mut by_register: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
     for operation in operations {
@@ -99,15 +99,16 @@
     Ok(())
 }
 
-/// Leaves out operations with an unknown outcome whose value nobody has found: they may as well have had no effect.
+/// Removes operations with an unknown outcome whose value was never read: they may have had no effect.
 fn remove_unobserved(operations: &mut Vec<&Operation>) {
     loop {
         let observed: Vec<String> =
-            operations.iter().filter_map(|operation| operation.observed().map(str::to_string)).collect();
+            operations.iter().filter_map(|operation| operation.read_value().map(str::to_string)).collect();
         let count = operations.len();
         operations.retain(|operation| {
-            let is_observed =
-                operation.wrote().is_some_and(|value| observed.iter().any(|observed| observed == value));
+            let is_observed = operation
+                .written_value()
+                .is_some_and(|value| observed.iter().any(|observed| observed == value));
             operation.ended.is_some() || is_observed
         });
         if operations.len() == count {
@@ -116,85 +117,90 @@
     }
 }
 
-/// The operations on one value: the one that wrote it, and those that only found it.
+/// The operations on one value: the operation that wrote it and the operations that only read it.
 #[derive(Default)]
-struct Stage<'a> {
+struct ValueOperations<'a> {
     writer: Option<&'a Operation>,
     readers: Vec<&'a Operation>,
 }
 
 fn check_register(operations: &[&Operation]) -> Result<(), String> {
-    let mut stages: BTreeMap<&str, Stage> = BTreeMap::from([(EMPTY, Stage::default())]);
+    let mut by_value: BTreeMap<&str, ValueOperations> = BTreeMap::from([(EMPTY, ValueOperations::default())]);
     for operation in operations {
-        if let Some(value) = operation.wrote() {
-            stages.entry(value).or_default().writer = Some(operation);
+        if let Some(value) = operation.written_value() {
+            by_value.entry(value).or_default().writer = Some(operation);
         }
     }
-    let mut next: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut successors: BTreeMap<&str, &str> = BTreeMap::new();
     for operation in operations {
-        let Some(observed) = operation.observed() else { continue };
-        let Some(stage) = stages.get_mut(observed) else { return Err(format!("nobody wrote {observed}")) };
-        match operation.wrote() {
-            None => stage.readers.push(operation),
+        let Some(observed) = operation.read_value() else { continue };
+        let Some(group) = by_value.get_mut(observed) else {
+            return Err(format!("{observed} was read but never written"));
+        };
+        match operation.written_value() {
+            None => group.readers.push(operation),
             Some(new) => {
-                if next.insert(observed, new).is_some() {
+                if successors.insert(observed, new).is_some() {
                     return Err(format!("{observed} was swapped twice"));
                 }
             }
         }
     }
-    let swapped: Vec<&str> = next.values().copied().collect();
-    let first = stages.keys().filter(|value| !swapped.contains(*value));
-    let blocks = first.map(|value| block(value, &stages, &next)).collect::<Result<Vec<_>, _>>()?;
-    order(blocks)
+    let swapped: Vec<&str> = successors.values().copied().collect();
+    let first_values = by_value.keys().filter(|value| !swapped.contains(*value));
+    let blocks = first_values
+        .map(|value| collect_block(value, &by_value, &successors))
+        .collect::<Result<Vec<_>, _>>()?;
+    check_block_order(blocks)
 }
 
-/// The operations of a value and of all that follow from it by swaps, after a check of their order.
-fn block<'a>(
+/// Collects the operations on a value and on all values swapped in after it. Checks their real-time order.
+fn collect_block<'a>(
     first: &'a str,
-    stages: &BTreeMap<&'a str, Stage<'a>>,
-    next: &BTreeMap<&'a str, &'a str>,
+    by_value: &BTreeMap<&'a str, ValueOperations<'a>>,
+    successors: &BTreeMap<&'a str, &'a str>,
 ) -> Result<Block<'a>, String> {
     let mut members: Vec<&Operation> = Vec::new();
     let mut value = first;
     loop {
-        let stage = &stages[value];
-        for group in [stage.writer.as_slice(), stage.readers.as_slice()] {
-            for later in group {
+        let group = &by_value[value];
+        for members_of_value in [group.writer.as_slice(), group.readers.as_slice()] {
+            for later in members_of_value {
                 if let Some(earlier) = members.iter().find(|earlier| later.ends_before(earlier)) {
-                    return Err(format!("{later:?} ended before {earlier:?} began, yet it follows"));
+                    return Err(format!("{later:?} ended before {earlier:?} began, but has to follow it"));
                 }
             }
-            members.extend(group);
+            members.extend(members_of_value);
         }
-        match next.get(value) {
+        match successors.get(value) {
             Some(following) => value = following,
-            None => return Ok(Block { is_beginning: first == EMPTY, members }),
+            None => return Ok(Block { has_initial_value: first == EMPTY, members }),
         }
     }
 }
 
+/// A put, the swaps that build on its value, and the reads of these values.
 struct Block<'a> {
-    /// Holds the empty value, which was there before all others.
-    is_beginning: bool,
+    /// The block starts with the initial value of the register.
+    has_initial_value: bool,
     members: Vec<&'a Operation>,
 }
 
 impl Block<'_> {
     fn must_precede(&self, other: &Block) -> bool {
         let ends = |one: &&Operation| other.members.iter().any(|later| one.ends_before(later));
-        self.is_beginning || self.members.iter().any(ends)
+        self.has_initial_value || self.members.iter().any(ends)
     }
 }
 
-/// Looks for an order of the blocks.
-fn order(mut blocks: Vec<Block>) -> Result<(), String> {
+/// Checks that the blocks have an order that agrees with real time.
+fn check_block_order(mut blocks: Vec<Block>) -> Result<(), String> {
     while !blocks.is_empty() {
         let is_first = |candidate: &Block| {
             blocks.iter().all(|other| std::ptr::eq(other, candidate) || !other.must_precede(candidate))
         };
         let Some(first) = blocks.iter().position(is_first) else {
-            return Err("values that were put stand in a circle".to_string());
+            return Err("the real-time order of the put values is cyclic".to_string());
         };
         blocks.remove(first);
     }
--- a/coordination/replica/tests/common/mod.rs
+++ b/coordination/replica/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Clusters of replicas in a simulated network, their clients, and the judge of what the clients saw.
+//! Clusters of replicas in a simulated network, their clients and a linearizability checker.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod changes;
--- a/coordination/replica/tests/common/schedule.rs
+++ b/coordination/replica/tests/common/schedule.rs
@@ -263,7 +263,7 @@
     fn ask(&mut self) {
         let endpoints = self.cluster.endpoints();
         let at = endpoints[self.random.next_below(endpoints.len())];
-        self.clients.ask_again(&mut self.cluster, at, RETRY_AFTER);
+        self.clients.retry_unanswered(&mut self.cluster, at, RETRY_AFTER);
         if self.clients.operations.len() < self.workload.operations {
             self.clients.begin_any(&mut self.cluster, &mut self.random, at, self.workload.registers);
         }
@@ -473,7 +473,7 @@
         self.mend();
         let at = self.node(self.next_address);
         let recovered = self.clients.write_within(&mut self.cluster, at, 2 * ACKNOWLEDGED_WITHIN);
-        if self.clients.is_done_twice() {
+        if self.clients.has_duplicate_swap() {
             return Err("a swap was done twice: not linearizable".to_string());
         }
         if recovered.is_none() {
--- a/coordination/replica/tests/fault_free.rs
+++ b/coordination/replica/tests/fault_free.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: stable members, writes at the head, answers from the tail.
+//! Operation without faults: stable membership, writes at the head, answers from the tail.
 
 mod common;
 
