--- a/coordination/replica/tests/common/changes.rs
+++ b/coordination/replica/tests/common/changes.rs
@@ -1,4 +1,4 @@
-//! A stream of large changes that doesn't stop, and what must hold at every moment of it.
+//! A continuous stream of large changes, and the invariants that are checked while it runs.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,56 +11,59 @@
     endpoint, newest_change, remembers_change,
 };
 
-/// Between two looks at all replicas, in milliseconds.
-const LOOK: u64 = 10;
-/// Commands that are under way at once while the kept records are filled.
-const BATCH: usize = 64;
+/// The time between two checks of all replicas.
+const CHECK_INTERVAL_MS: u64 = 10;
+/// The number of concurrent commands while the kept records are filled.
+const BATCH_SIZE: usize = 64;
 
-/// How a stream of changes is played.
+/// The parameters of a stream of changes.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Between two changes, in milliseconds.
+    /// The time between two changes, in milliseconds.
     pub interval: u64,
     pub body_bytes: usize,
     pub network: NetworkTiming,
     pub disks: DiskTiming,
 }
 
-/// A cluster under changes, with an observer of every view and every acknowledgement.
+/// A cluster under changes. It tracks every view and every acknowledgement.
 pub struct Changes {
     pub cluster: Cluster<Node<StandardRules>>,
     load: Load,
-    /// Replicas that callers don't use.
+    /// Replicas to which callers send no commands.
     pub avoided: Vec<SocketAddr>,
     next_change: u64,
     next_ticket: u64,
-    next_due: u64,
-    waiting: BTreeMap<u64, u64>,
-    /// The newest acknowledged change, and the newest position in the history that an answer told.
+    next_change_at: u64,
+    pending: BTreeMap<u64, u64>,
+    /// The number of the newest acknowledged change.
     pub acknowledged: u64,
+    /// The greatest sequence in an answer.
     pub answered_sequence: u64,
     pub acknowledgements: usize,
-    /// When the last change was acknowledged, and the longest time between two.
-    last_at: u64,
+    /// The time of the last acknowledgement.
+    last_acknowledged_at: u64,
+    /// The longest time between two acknowledgements, in milliseconds.
     pub longest_pause: u64,
     newest_view: View,
+    /// The number of observed view changes.
     pub views: usize,
 }
 
 impl Changes {
-    /// A cluster in which the kept records of all kinds have rolled over already.
+    /// A cluster in which the oldest records of both kinds have already been dropped.
     pub fn rolled_over(seed: u64, count: usize, tolerated_losses: usize, load: Load) -> Changes {
         let mut changes = Changes::new(seed, count, tolerated_losses, load);
         changes.pass(1_500);
-        for first in (0..KEPT_DRAINED + BATCH).step_by(BATCH) {
-            let commands = (first..first + BATCH).map(|number| format!("drain instance-{number}"));
+        for first in (0..KEPT_DRAINED + BATCH_SIZE).step_by(BATCH_SIZE) {
+            let commands = (first..first + BATCH_SIZE).map(|number| format!("drain instance-{number}"));
             changes.submit_all(commands.collect());
         }
-        for first in (0..KEPT_CHANGES + BATCH).step_by(BATCH) {
-            let commands = (first..first + BATCH).map(|number| format!("change {} small", number + 1));
+        for first in (0..KEPT_CHANGES + BATCH_SIZE).step_by(BATCH_SIZE) {
+            let commands = (first..first + BATCH_SIZE).map(|number| format!("change {} small", number + 1));
             changes.submit_all(commands.collect());
         }
-        changes.next_change = (KEPT_CHANGES + 2 * BATCH) as u64;
+        changes.next_change = (KEPT_CHANGES + 2 * BATCH_SIZE) as u64;
         changes
     }
 
@@ -72,12 +75,12 @@
             avoided: Vec::new(),
             next_change: 1,
             next_ticket: 0,
-            next_due: 0,
-            waiting: BTreeMap::new(),
+            next_change_at: 0,
+            pending: BTreeMap::new(),
             acknowledged: 0,
             answered_sequence: 0,
             acknowledgements: 0,
-            last_at: 0,
+            last_acknowledged_at: 0,
             longest_pause: 0,
             newest_view: View::default(),
             views: 0,
@@ -93,53 +96,54 @@
         self.pass(200);
     }
 
-    /// Lets time pass without changes.
+    /// Runs the cluster for `span` milliseconds without new changes.
     pub fn pass(&mut self, span: u64) {
         let until = self.cluster.now() + span;
         while self.cluster.now() < until {
-            let next = (self.cluster.now() + LOOK).min(until);
-            let told = self.cluster.run_until(next);
-            self.look(told);
+            let next = (self.cluster.now() + CHECK_INTERVAL_MS).min(until);
+            let occurrences = self.cluster.run_until(next);
+            self.observe(occurrences);
         }
     }
 
-    /// Lets time pass under changes.
+    /// Runs the cluster for `span` milliseconds under changes.
     pub fn run(&mut self, span: u64) {
         let until = self.cluster.now() + span;
-        self.next_due = self.next_due.max(self.cluster.now());
-        self.last_at = self.cluster.now();
+        self.next_change_at = self.next_change_at.max(self.cluster.now());
+        self.last_acknowledged_at = self.cluster.now();
         while self.cluster.now() < until {
-            if self.next_due <= self.cluster.now() {
-                self.change();
-                self.next_due += self.load.interval;
+            if self.next_change_at <= self.cluster.now() {
+                self.submit_change();
+                self.next_change_at += self.load.interval;
             }
-            self.pass(LOOK);
+            self.pass(CHECK_INTERVAL_MS);
         }
     }
 
-    /// Lets time pass under changes until something holds; returns how long that took.
+    /// Runs the cluster under changes until a condition holds; returns the time it took, at most about
+    /// `longest`.
     pub fn run_until(&mut self, longest: u64, holds: impl Fn(&Changes) -> bool) -> Result<u64, String> {
-        let begun = self.cluster.now();
+        let started_at = self.cluster.now();
         while !holds(self) {
-            if self.cluster.now() >= begun + longest {
+            if self.cluster.now() >= started_at + longest {
                 return Err(format!("not within {longest} ms:\n{}", self.describe()));
             }
-            self.run(LOOK);
+            self.run(CHECK_INTERVAL_MS);
         }
-        Ok(self.cluster.now() - begun)
+        Ok(self.cluster.now() - started_at)
     }
 
-    /// So many changes come at once.
+    /// Submits `count` changes at once.
     pub fn burst(&mut self, count: usize) {
         for _ in 0..count {
-            self.change();
+            self.submit_change();
         }
     }
 
-    /// Sends the next change to the next replica in turn.
-    fn change(&mut self) {
-        let used = |at: &SocketAddr| self.cluster.is_running(*at) && !self.avoided.contains(at);
-        let used: Vec<SocketAddr> = self.cluster.endpoints().into_iter().filter(used).collect();
+    /// Submits the next change to the running replicas in turn.
+    fn submit_change(&mut self) {
+        let is_used = |at: &SocketAddr| self.cluster.is_running(*at) && !self.avoided.contains(at);
+        let used: Vec<SocketAddr> = self.cluster.endpoints().into_iter().filter(is_used).collect();
         if used.is_empty() {
             return;
         }
@@ -150,21 +154,21 @@
         let command = format!("change {number} {}", self.body(number));
         let at = used[number as usize % used.len()];
         if self.cluster.command(at, Command::Submit { ticket, command }) {
-            self.waiting.insert(ticket, number);
+            self.pending.insert(ticket, number);
         }
     }
 
     fn body(&self, number: u64) -> String {
-        let word = format!("route-{number};");
-        word.repeat(self.load.body_bytes / word.len() + 1)
+        let pattern = format!("route-{number};");
+        pattern.repeat(self.load.body_bytes / pattern.len() + 1)
     }
 
-    fn look(&mut self, told: Vec<Occurrence<ClientAnswer>>) {
-        for occurrence in told {
-            self.note(occurrence);
+    fn observe(&mut self, occurrences: Vec<Occurrence<ClientAnswer>>) {
+        for occurrence in occurrences {
+            self.record_answer(occurrence);
         }
-        let running: Vec<SocketAddr> = self.cluster.endpoints();
-        for at in running {
+        let endpoints: Vec<SocketAddr> = self.cluster.endpoints();
+        for at in endpoints {
             let Some(node) = self.cluster.process(at) else { continue };
             let view = node.replica.view();
             if view.number > self.newest_view.number {
@@ -175,20 +179,21 @@
         self.check_head();
     }
 
-    fn note(&mut self, occurrence: Occurrence<ClientAnswer>) {
+    fn record_answer(&mut self, occurrence: Occurrence<ClientAnswer>) {
         let ClientAnswer { ticket, result } = occurrence.answer;
         let Ok(reply) = result else { return };
         self.answered_sequence = self.answered_sequence.max(reply.sequence);
-        let Some(number) = self.waiting.remove(&ticket) else { return };
+        let Some(number) = self.pending.remove(&ticket) else { return };
         if reply.answer == b"done" {
             self.acknowledged = self.acknowledged.max(number);
             self.acknowledgements += 1;
-            self.longest_pause = self.longest_pause.max(occurrence.at.saturating_sub(self.last_at));
-            self.last_at = occurrence.at;
+            self.longest_pause =
+                self.longest_pause.max(occurrence.at.saturating_sub(self.last_acknowledged_at));
+            self.last_acknowledged_at = occurrence.at;
         }
     }
 
-    /// The head of the newest view has everything that was ever answered.
+    /// Checks that the head of the newest view has every answered command.
     fn check_head(&self) {
         let view = &self.newest_view;
         let Some(head) = view.head().and_then(|head| view.endpoint(head)) else { return };
@@ -197,7 +202,7 @@
             let newest = node.replica.newest_sequence();
             assert!(
                 newest >= self.answered_sequence,
-                "the head of view {} has {newest}, {} was answered\n{}",
+                "the head of view {} has {newest}, but {} was answered\n{}",
                 view.number,
                 self.answered_sequence,
                 self.describe()
@@ -205,7 +210,7 @@
         }
     }
 
-    /// Whether a replica is in the chain of the newest view and has all that was acknowledged.
+    /// Whether a replica is in the chain of the newest view and has all acknowledged changes.
     pub fn is_caught_up(&self, at: SocketAddr) -> bool {
         let Some(node) = self.cluster.process(at) else { return false };
         let view = node.replica.view();
@@ -216,7 +221,7 @@
             && newest_change(node.replica.committed_records()) >= self.acknowledged
     }
 
-    /// The replicas that are no members of the chain of the newest view.
+    /// The replicas outside the chain of the newest view.
     pub fn outside_of_the_chain(&self) -> Vec<SocketAddr> {
         let view = &self.newest_view;
         let is_inside = |at: &SocketAddr| {
@@ -225,27 +230,31 @@
         self.cluster.endpoints().into_iter().filter(|at| !is_inside(at)).collect()
     }
 
-    /// How many committed commands a replica lacks that another has.
+    /// The number of commands by which a replica lags behind the newest committed sequence.
     pub fn lag(&self, at: SocketAddr) -> u64 {
         let committed =
             |at: SocketAddr| self.cluster.process(at).map_or(0, |node| node.replica.committed_sequence());
-        let most = self.cluster.endpoints().into_iter().map(committed).max().unwrap_or(0);
-        most - committed(at)
+        let newest_committed = self.cluster.endpoints().into_iter().map(committed).max().unwrap_or(0);
+        newest_committed - committed(at)
     }
 
-    /// Whether a replica, in the chain or not, has all that was acknowledged.
+    /// Whether a replica, in the chain or not, has all acknowledged changes.
     pub fn follows(&self, at: SocketAddr) -> bool {
         let Some(node) = self.cluster.process(at) else { return false };
         newest_change(node.replica.committed_records()) >= self.acknowledged
     }
 
-    /// Nothing that was acknowledged is lost, and what replaced it is whole.
+    /// Checks that no acknowledged change is lost, that the newest one is intact and that all replicas agree.
     pub fn check_nothing_lost(&self) {
         for at in self.cluster.endpoints() {
             let node = self.cluster.process(at).expect("all run");
             let records = node.replica.committed_records();
             let newest = newest_change(records);
-            assert!(newest >= self.acknowledged, "{at} has {newest} of {}", self.acknowledged);
+            assert!(
+                newest >= self.acknowledged,
+                "{at} has change {newest}, {} is acknowledged",
+                self.acknowledged
+            );
             assert!(remembers_change(records, self.acknowledged) || self.acknowledged == 0);
             let body = records.get(CONFIGURATION).map(|record| record.value.to_vec()).unwrap_or_default();
             assert_eq!(String::from_utf8_lossy(&body), self.body(newest), "at {at}");
@@ -254,6 +263,7 @@
         }
     }
 
+    /// Cuts all links of a replica.
     pub fn isolate(&mut self, at: SocketAddr) {
         for other in self.cluster.endpoints().into_iter().filter(|other| *other != at) {
             self.cluster.cut(at, other);
@@ -261,7 +271,7 @@
         }
     }
 
-    /// All lose power at once, and have it again.
+    /// Stops all replicas at once and starts them a second later.
     pub fn lose_all_power(&mut self) {
         for at in self.cluster.endpoints() {
             self.cluster.stop(at);
@@ -272,7 +282,7 @@
         }
     }
 
-    /// What the replicas that run have sent, and how much of it for those that lag.
+    /// The total traffic of all running replicas.
     pub fn sent(&self) -> Sent {
         let mut sum = Sent::default();
         for at in self.cluster.endpoints() {
--- a/coordination/replica/tests/common/clients.rs
+++ b/coordination/replica/tests/common/clients.rs
@@ -6,13 +6,13 @@
 use whinspindle_lab_simulated_cluster::{Cluster, Occurrence, Pcg};
 use whinspindle_replica::{ProtocolRules, SubmitError};
 
-use super::history::{Asked, Operation, Response};
+use super::history::{Operation, Request, Response};
 use super::node::{ClientAnswer, Command, Node};
 
 /// One submission of an operation's command to a replica.
 struct Attempt {
     operation: usize,
-    begun: u64,
+    started_at: u64,
 }
 
 /// All clients of a cluster.
@@ -39,12 +39,17 @@
         cluster: &mut Cluster<Node<L>>,
         at: SocketAddr,
         register: &str,
-        asked: Asked,
+        request: Request,
     ) {
-        let begun = cluster.now();
+        let started_at = cluster.now();
         let operation = self.operations.len();
-        if self.attempt(cluster, at, operation, &asked.command(register)) {
-            self.operations.push(Operation { register: register.to_string(), asked, begun, ended: None });
+        if self.attempt(cluster, at, operation, &request.command(register)) {
+            self.operations.push(Operation {
+                register: register.to_string(),
+                request,
+                started_at,
+                completion: None,
+            });
         }
     }
 
@@ -58,18 +63,18 @@
         let Some(start) = cluster.process(at).map(|node| node.start) else { return false };
         let ticket = self.tickets.get(&(at, start)).copied().unwrap_or(0) + 1;
         let submit = Command::Submit { ticket, command: command.to_string() };
-        let begun = cluster.now();
+        let started_at = cluster.now();
         if !cluster.command(at, submit) {
             return false;
         }
         self.tickets.insert((at, start), ticket);
         // This may overwrite a ticket of an earlier process, which is never answered.
-        self.pending.insert((at, ticket), Attempt { operation, begun });
+        self.pending.insert((at, ticket), Attempt { operation, started_at });
         true
     }
 
-    /// Submits each swap and read that is unanswered after `after` milliseconds to another replica. A repeated
-    /// swap reads its own value if the first attempt took effect.
+    /// Submits each swap and read that is unanswered after `after` milliseconds to another replica. A
+    /// repeated swap reads its own value if the first attempt took effect.
     pub fn retry_unanswered<L: ProtocolRules>(
         &mut self,
         cluster: &mut Cluster<Node<L>>,
@@ -79,14 +84,14 @@
         let now = cluster.now();
         let operation_to_retry = |(key, attempt): (&(SocketAddr, u64), &Attempt)| {
             let operation = &self.operations[attempt.operation];
-            let may_repeat = operation.ended.is_none() && !matches!(operation.asked, Asked::Put(_));
-            let is_due = now >= attempt.begun + after && key.0 != at;
+            let may_repeat = operation.completion.is_none() && !matches!(operation.request, Request::Put(_));
+            let is_due = now >= attempt.started_at + after && key.0 != at;
             (is_due && may_repeat && !self.repeated.contains(&attempt.operation)).then_some(attempt.operation)
         };
         let operations_to_retry: Vec<usize> = self.pending.iter().filter_map(operation_to_retry).collect();
         for operation in operations_to_retry {
-            let Operation { register, asked, .. } = &self.operations[operation];
-            let command = asked.command(register);
+            let Operation { register, request, .. } = &self.operations[operation];
+            let command = request.command(register);
             if self.attempt(cluster, at, operation, &command) {
                 self.repeated.insert(operation);
             }
@@ -104,12 +109,12 @@
         let register = format!("register-{}", random.next_below(registers));
         let new = format!("v{}", self.operations.len() + 1);
         let old = self.known_values.get(&register).cloned().unwrap_or("-".to_string());
-        let asked = match random.next_below(4) {
-            0 => Asked::Put(new),
-            1 | 2 => Asked::Swap { old, new },
-            _ => Asked::Get,
+        let request = match random.next_below(4) {
+            0 => Request::Put(new),
+            1 | 2 => Request::Swap { old, new },
+            _ => Request::Get,
         };
-        self.begin(cluster, at, &register, asked);
+        self.begin(cluster, at, &register, request);
     }
 
     /// Runs the cluster until this time and records the answers.
@@ -133,27 +138,27 @@
 
     fn record_answer(&mut self, at: u64, attempt: &Attempt, answer: &[u8]) {
         let operation = &mut self.operations[attempt.operation];
-        let answered = operation.asked.answered(answer);
-        let known_value = match (&operation.asked, &answered) {
+        let answered = operation.request.parse_response(answer);
+        let known_value = match (&operation.request, &answered) {
             (_, Response::Value(value) | Response::Refused(value)) => Some(value.clone()),
-            (Asked::Put(new) | Asked::Swap { new, .. }, Response::Done) => Some(new.clone()),
+            (Request::Put(new) | Request::Swap { new, .. }, Response::Done) => Some(new.clone()),
             _ => None,
         };
         if let Some(known_value) = known_value {
             self.known_values.insert(operation.register.clone(), known_value);
         }
-        let is_first = operation.ended.is_none();
+        let is_first = operation.completion.is_none();
         let is_repeated = self.repeated.contains(&attempt.operation);
         if is_first && (!is_repeated || answered == Response::Done) {
-            operation.ended = Some((at, answered));
+            operation.completion = Some((at, answered));
         } else if answered != Response::Done {
             // The other attempt may have taken effect, so this one is a separate operation that read a value.
-            let (register, asked) = (operation.register.clone(), operation.asked.clone());
+            let (register, request) = (operation.register.clone(), operation.request.clone());
             self.operations.push(Operation {
                 register,
-                asked,
-                begun: attempt.begun,
-                ended: Some((at, answered)),
+                request,
+                started_at: attempt.started_at,
+                completion: Some((at, answered)),
             });
         } else {
             self.duplicate_swap_seen = true;
@@ -176,7 +181,7 @@
 
     /// The number of answered operations.
     pub fn answered(&self) -> usize {
-        self.operations.iter().filter(|operation| operation.ended.is_some()).count()
+        self.operations.iter().filter(|operation| operation.completion.is_some()).count()
     }
 
     /// Submits a write to one replica and waits up to `longest` milliseconds for the answer. Returns the time
@@ -187,18 +192,18 @@
         at: SocketAddr,
         longest: u64,
     ) -> Option<u64> {
-        let begun = cluster.now();
+        let started_at = cluster.now();
         let new = format!("v{}", self.operations.len() + 1);
         let index = self.operations.len();
-        self.begin(cluster, at, "register-0", Asked::Put(new));
+        self.begin(cluster, at, "register-0", Request::Put(new));
         if self.operations.len() == index {
             return None;
         }
-        while cluster.now() < begun + longest {
+        while cluster.now() < started_at + longest {
             let until = cluster.now() + 10;
             self.run_until(cluster, until);
-            if let Some((ended, _)) = self.operations[index].ended {
-                return Some(ended - begun);
+            if let Some((completion, _)) = self.operations[index].completion {
+                return Some(completion - started_at);
             }
         }
         None
--- a/coordination/replica/tests/common/faulty.rs
+++ b/coordination/replica/tests/common/faulty.rs
@@ -1,9 +1,10 @@
-//! Faults planted in the place of the rules.
+//! Faulty protocol rules. Tests replace the standard rules with these to show that the checks detect each
+//! fault.
 
 use whinspindle_consensus::RegisterValue;
 use whinspindle_replica::{ConsensusRules, ProtocolRules, ReplicaSettings, StandardConsensusRules, Voter};
 
-/// A member acknowledges, passes on and commits what its disk does not have yet.
+/// A member acknowledges, forwards and commits entries before they are durable on its disk.
 #[derive(Clone, Debug)]
 pub struct AcknowledgesTooEarly;
 impl ProtocolRules for AcknowledgesTooEarly {
@@ -14,7 +15,7 @@
     }
 }
 
-/// The head answers reads itself.
+/// The head answers reads itself instead of the tail.
 #[derive(Clone, Debug)]
 pub struct HeadAnswersReads;
 impl ProtocolRules for HeadAnswersReads {
@@ -25,7 +26,7 @@
     }
 }
 
-/// A bootstrap member whose disk was lost takes the identity that it had.
+/// A bootstrap member that lost its disk takes its old identity again.
 #[derive(Clone, Debug)]
 pub struct KeepsIdentityWithoutDisk;
 impl ProtocolRules for KeepsIdentityWithoutDisk {
@@ -36,7 +37,7 @@
     }
 }
 
-/// The tail answers reads that are submitted to it itself.
+/// The tail answers reads submitted to it without involving the rest of the chain.
 #[derive(Clone, Debug)]
 pub struct TailAnswersReads;
 impl ProtocolRules for TailAnswersReads {
@@ -47,7 +48,7 @@
     }
 }
 
-/// A command that was sent again is carried out again.
+/// A command that is sent twice is executed twice.
 #[derive(Clone, Debug)]
 pub struct AppliesDuplicates;
 impl ProtocolRules for AppliesDuplicates {
@@ -58,7 +59,7 @@
     }
 }
 
-/// The tickets of a process are taken for those of the process before it.
+/// The tickets of a restarted process are confused with the tickets of its predecessor.
 #[derive(Clone, Debug)]
 pub struct ReusesTickets;
 impl ProtocolRules for ReusesTickets {
@@ -69,7 +70,7 @@
     }
 }
 
-/// A member that joins the chain counts as complete before it has all.
+/// A member that joins the chain counts as complete before it has received all records.
 #[derive(Clone, Debug)]
 pub struct CompletesTooEarly;
 impl ProtocolRules for CompletesTooEarly {
@@ -80,7 +81,7 @@
     }
 }
 
-/// A replica answers for the voter that had its endpoint before its disk was lost.
+/// A replica answers messages for the voter that used its endpoint before the disk was lost.
 #[derive(Clone, Debug)]
 pub struct AnswersForOldIncarnation;
 impl ProtocolRules for AnswersForOldIncarnation {
@@ -91,7 +92,7 @@
     }
 }
 
-/// Records are transferred without the outcomes of the commands that made them.
+/// Records are transferred without the outcomes of the commands that wrote them.
 #[derive(Clone, Debug)]
 pub struct TransfersNoOutcomes;
 impl ProtocolRules for TransfersNoOutcomes {
@@ -102,7 +103,7 @@
     }
 }
 
-/// Contact with a peer counts from the arrival of an answer, not from the sending of what it answers.
+/// Contact with a peer counts from the arrival of an answer, not from the sending of the request.
 #[derive(Clone, Debug)]
 pub struct CountsContactFromArrival;
 impl ProtocolRules for CountsContactFromArrival {
@@ -113,7 +114,7 @@
     }
 }
 
-/// A promise is given before it is on the disk, and gone after a restart.
+/// A promise is given without being written to the disk and is lost in a restart.
 #[derive(Clone, Debug)]
 pub struct ForgetsPromises;
 impl ProtocolRules for ForgetsPromises {
@@ -124,7 +125,7 @@
     }
 }
 
-/// Voters are replaced in one step, by the votes of the new ones alone.
+/// Voters are replaced in one step, by the votes of the new voters alone.
 #[derive(Clone, Debug)]
 pub struct ReplacesVotersAtOnce;
 impl ProtocolRules for ReplacesVotersAtOnce {
@@ -135,16 +136,16 @@
     }
 }
 
-/// Only the voters that are written have to accept, not those that were found.
+/// Only the voter sets of the proposed value have to accept it, not those of the prepared value.
 #[derive(Clone, Debug)]
 pub struct NewVotersAlone;
 impl ConsensusRules for NewVotersAlone {
-    fn voter_sets_to_write<V: RegisterValue>(_found: &V, written: &V) -> Vec<Vec<Voter>> {
-        written.voter_sets().to_vec()
+    fn voter_sets_to_write<V: RegisterValue>(_prepared: &V, proposed: &V) -> Vec<Vec<Voter>> {
+        proposed.voter_sets().to_vec()
     }
 }
 
-/// Any number of voters decides once all others are lost, fewer than half too.
+/// Any number of voters, even fewer than half, can decide once all other voters are lost.
 #[derive(Clone, Debug)]
 pub struct FewDecide;
 impl ProtocolRules for FewDecide {
@@ -155,12 +156,12 @@
 #[derive(Clone, Debug)]
 pub struct AnyNumberDecides;
 impl ConsensusRules for AnyNumberDecides {
-    fn is_quorum(votes: usize, lost: usize, of: usize) -> bool {
-        Self::is_majority(votes, of) || (votes > 0 && votes + lost == of)
+    fn is_quorum(votes: usize, lost: usize, voters: usize) -> bool {
+        Self::is_majority(votes, voters) || (votes > 0 && votes + lost == voters)
     }
 }
 
-/// A replica says that a voter at its endpoint is lost, also one that took its own place.
+/// A replica reports a voter at its endpoint as lost, even if that voter is its own successor.
 #[derive(Clone, Debug)]
 pub struct ReportsSuccessorAsLost;
 impl ProtocolRules for ReportsSuccessorAsLost {
@@ -171,7 +172,8 @@
     }
 }
 
-/// A replica that answers reads alone does so although an entry of its log may have been committed without its knowledge.
+/// A replica that answers reads alone does so even if an entry of its log may have been committed without its
+/// knowledge.
 #[derive(Clone, Debug)]
 pub struct AnswersAloneTooEarly;
 impl ProtocolRules for AnswersAloneTooEarly {
@@ -182,7 +184,7 @@
     }
 }
 
-/// A member of a former chain leads though it has not all that was committed.
+/// A member of a former chain becomes leader although it lacks committed entries.
 #[derive(Clone, Debug)]
 pub struct TakesIncompleteLeaders;
 impl ProtocolRules for TakesIncompleteLeaders {
@@ -193,7 +195,7 @@
     }
 }
 
-/// A member that is left out of the chain drops the entries that it does not know to be committed.
+/// A member that is removed from the chain drops the entries that it does not know to be committed.
 #[derive(Clone, Debug)]
 pub struct DropsEntriesWhenLeftOut;
 impl ProtocolRules for DropsEntriesWhenLeftOut {
--- a/coordination/replica/tests/common/history.rs
+++ b/coordination/replica/tests/common/history.rs
@@ -1,16 +1,17 @@
-//! A linearizability checker for registers. It decides whether the operations of the clients have a total order
-//! that agrees with real time and with the semantics of a register. It is independent of the replicas.
+//! A linearizability checker for registers. It decides whether the operations of the clients have a total
+//! order that agrees with real time and with the semantics of a register. It is independent of the replicas.
 //!
-//! All written values are different, and every answer except that of a put tells the value that the operation
-//! found. Each value therefore has one operation that wrote it, followed by the operations that read it, and a
-//! swap follows the operations that read its old value. A put and the chain of swaps that builds on it form a
-//! block, and the checker only has to order the blocks (P. Gibbons and E. Korach, "Testing Shared Memories", 1997).
+//! All written values are different, and every answer except that of a put contains the value that the
+//! operation read. Each value therefore has one operation that wrote it, followed by the operations that read
+//! it, and a swap follows the operations that read its old value. A put and the chain of swaps that builds on
+//! it form a block, and the checker only has to order the blocks (P. Gibbons and E. Korach, "Testing Shared
+//! Memories", 1997).
 
 use std::collections::BTreeMap;
 
 /// A request to one register.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Asked {
+pub enum Request {
     Put(String),
     Swap { old: String, new: String },
     Get,
@@ -25,21 +26,21 @@
     Value(String),
 }
 
-impl Asked {
+impl Request {
     /// Formats the command for [`super::node::Registers`].
     pub fn command(&self, register: &str) -> String {
         match self {
-            Asked::Put(new) => format!("put {register} {new}"),
-            Asked::Swap { old, new } => format!("swap {register} {old} {new}"),
-            Asked::Get => format!("get {register}"),
+            Request::Put(new) => format!("put {register} {new}"),
+            Request::Swap { old, new } => format!("swap {register} {old} {new}"),
+            Request::Get => format!("get {register}"),
         }
     }
 
     /// Parses the bytes of an answer.
-    pub fn answered(&self, answer: &[u8]) -> Response {
+    pub fn parse_response(&self, answer: &[u8]) -> Response {
         let text = String::from_utf8_lossy(answer).to_string();
         match (self, text.as_str()) {
-            (Asked::Get, _) => Response::Value(text),
+            (Request::Get, _) => Response::Value(text),
             (_, "done") => Response::Done,
             _ => Response::Refused(text),
         }
@@ -50,10 +51,10 @@
 #[derive(Clone, Debug)]
 pub struct Operation {
     pub register: String,
-    pub asked: Asked,
-    pub begun: u64,
+    pub request: Request,
+    pub started_at: u64,
     /// The time and the content of the response; `None` if the outcome is unknown.
-    pub ended: Option<(u64, Response)>,
+    pub completion: Option<(u64, Response)>,
 }
 
 /// The initial value of a register.
@@ -61,22 +62,22 @@
 
 impl Operation {
     pub fn ends_before(&self, other: &Operation) -> bool {
-        self.ended.as_ref().is_some_and(|(at, _)| *at < other.begun)
+        self.completion.as_ref().is_some_and(|(at, _)| *at < other.started_at)
     }
 
     /// The value that the operation read; `None` for a put and for a get without a response.
     fn read_value(&self) -> Option<&str> {
-        match (&self.asked, &self.ended) {
+        match (&self.request, &self.completion) {
             (_, Some((_, Response::Value(value) | Response::Refused(value)))) => Some(value),
-            (Asked::Swap { old, .. }, _) => Some(old),
+            (Request::Swap { old, .. }, _) => Some(old),
             _ => None,
         }
     }
 
     /// The value that the operation wrote, or may have written if its outcome is unknown.
     fn written_value(&self) -> Option<&str> {
-        match (&self.asked, &self.ended) {
-            (Asked::Put(new) | Asked::Swap { new, .. }, None | Some((_, Response::Done))) => Some(new),
+        match (&self.request, &self.completion) {
+            (Request::Put(new) | Request::Swap { new, .. }, None | Some((_, Response::Done))) => Some(new),
             _ => None,
         }
     }
@@ -90,7 +91,7 @@
     }
     for (register, mut operations) in by_register {
         remove_unobserved(&mut operations);
-        operations.sort_by_key(|operation| operation.begun);
+        operations.sort_by_key(|operation| operation.started_at);
         check_register(&operations).map_err(|fault| {
             let lines: Vec<String> = operations.iter().map(|operation| format!("{operation:?}")).collect();
             format!("{register} is not linearizable: {fault}\n{}", lines.join("\n"))
@@ -109,7 +110,7 @@
             let is_observed = operation
                 .written_value()
                 .is_some_and(|value| observed.iter().any(|observed| observed == value));
-            operation.ended.is_some() || is_observed
+            operation.completion.is_some() || is_observed
         });
         if operations.len() == count {
             return;
--- a/coordination/replica/tests/common/node.rs
+++ b/coordination/replica/tests/common/node.rs
@@ -10,11 +10,12 @@
     Tolerance, Voter,
 };
 
-/// Registers: `put KEY VALUE`, `swap KEY OLD NEW` and `get KEY`. An empty register is `-`. A swap of another value
-/// than the present one is refused with the present one.
+/// An application with registers: `put KEY VALUE`, `swap KEY OLD NEW` and `get KEY`. An empty register reads
+/// as `-`. A swap whose old value differs from the current value is rejected with the current value.
 ///
-/// `change NUMBER BODY` replaces the configuration by one with a greater number and keeps a short record of it;
-/// `drain NAME` keeps one of an instance. Of both kinds the oldest are dropped, as a controller does.
+/// `change NUMBER BODY` replaces the configuration if the number is greater than the current one, and adds a
+/// short record to the history. `drain NAME` adds a record of a drained instance. The oldest records of both
+/// kinds are dropped, as in a controller.
 #[derive(Clone, Debug)]
 pub struct Registers;
 
@@ -50,9 +51,9 @@
 const GENERATION: &str = "generation";
 const HISTORY: &str = "history/";
 const DRAINED: &str = "drained/";
-/// Changes of which a record is kept.
+/// The number of changes in the history.
 pub const KEPT_CHANGES: usize = 512;
-/// Drained instances of which a record is kept.
+/// The number of drained instances that are kept.
 pub const KEPT_DRAINED: usize = 2_048;
 
 /// The number of the newest change, 0 before the first.
@@ -61,7 +62,7 @@
     record.and_then(|record| String::from_utf8_lossy(&record.value).parse().ok()).unwrap_or(0)
 }
 
-/// Whether a change is among those of which a record is kept.
+/// Whether the history still contains a change.
 pub fn remembers_change(records: &Records, number: u64) -> bool {
     records.get(&format!("{HISTORY}{number:020}")).is_some()
 }
@@ -93,7 +94,7 @@
     Evaluation { writes, answer: Answer::Value(b"done".to_vec()) }
 }
 
-/// What a client asks a replica.
+/// A command to a replica.
 #[derive(Clone, Debug)]
 pub enum Command {
     Submit {
@@ -103,28 +104,28 @@
     Leave,
     /// An operator forces a reconfiguration without the voters at these endpoints.
     DeclareLost(Vec<SocketAddr>),
-    /// Writes the whole state to the disk, as a shell does whose log is long.
+    /// Writes a checkpoint to the disk, as the replica's host process does when the log is long.
     Checkpoint,
 }
 
-/// An event of the protocol at a replica that faults may wait for.
+/// A protocol event at a replica that can trigger a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProtocolEvent {
-    /// It was asked for a promise.
+    /// The replica received a request for a promise.
     Prepare,
-    /// It was asked for its vote for a view.
+    /// The replica received a request to vote for a view.
     Accept,
-    /// It sent its vote.
+    /// The replica sent its vote.
     Accepted,
-    /// It was told of a view that was agreed on.
+    /// The replica received a decided view.
     Decided,
-    /// It was sent entries by its predecessor.
+    /// The replica received entries from its predecessor.
     Append,
-    /// It acknowledged entries to its predecessor.
+    /// The replica acknowledged entries to its predecessor.
     Acknowledge,
-    /// It sent an answer to a caller.
+    /// The replica sent an answer to a caller.
     Reply,
-    /// It was sent what it lacks.
+    /// The replica received the records that it lacks.
     Synchronize,
 }
 
@@ -161,33 +162,33 @@
     }
 }
 
-/// What a client is told.
+/// The answer to a client's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientAnswer {
     pub ticket: u64,
     pub result: Result<Reply, SubmitError>,
 }
 
-/// Of the writes that the replica has not ordered.
-const SHELL_TOKEN: u64 = 0;
+/// The token of checkpoints that the replica did not request.
+const HOST_TOKEN: u64 = 0;
 
-/// A replica, and what an observer of its outputs knows of its records.
+/// A replica and the state that is tracked from its outputs.
 pub struct Node<L = StandardRules> {
     pub replica: Replica<Registers, L>,
-    /// Another one after each start.
+    /// The start ID, which changes with each start.
     pub start: u64,
-    /// None after a replacement.
+    /// The last committed sequence in the outputs; `None` after the records were replaced.
     committed: Option<u64>,
     pub sent: Sent,
     /// How often each event has occurred.
     event_counts: BTreeMap<ProtocolEvent, u64>,
 }
 
-/// What a replica has sent since its start, in bytes on the wire.
+/// Traffic that a replica has sent since its start, in bytes on the wire.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sent {
     pub bytes: u64,
-    /// Answers to members and others that lag and need ranges of records.
+    /// Messages with ranges of records for replicas that lag behind.
     pub transfers: u64,
     pub transfer_bytes: u64,
 }
@@ -253,8 +254,8 @@
                     effects.push(Effect::Answer(ClientAnswer { ticket, result }))
                 }
                 Output::Committed { sequence, .. } => {
-                    let follows = self.committed.is_none_or(|committed| sequence == committed + 1);
-                    assert!(follows, "commits are told one by one");
+                    let is_next = self.committed.is_none_or(|committed| sequence == committed + 1);
+                    assert!(is_next, "commits are reported one by one");
                     self.committed = Some(sequence);
                 }
                 Output::RecordsReplaced => self.committed = None,
@@ -285,7 +286,7 @@
             Event::Command(Command::Checkpoint) => {
                 let state = self.replica.due_checkpoint(usize::MAX);
                 return state
-                    .map(|state| Effect::Checkpoint { token: SHELL_TOKEN, state })
+                    .map(|state| Effect::Checkpoint { token: HOST_TOKEN, state })
                     .into_iter()
                     .collect();
             }
@@ -309,15 +310,15 @@
 fn number(endpoint: SocketAddr) -> usize {
     match endpoint.ip() {
         IpAddr::V4(ip) => ip.octets()[3] as usize - 1,
-        IpAddr::V6(_) => unreachable!("all endpoints are of the fourth version"),
+        IpAddr::V6(_) => unreachable!("all endpoints are IPv4"),
     }
 }
 
-/// Nodes that a new one is told of.
+/// The number of seeds that a new node gets.
 const SEEDS: usize = 3;
 
-/// A cluster of this many bootstrap replicas, three of which at most are seeds; all are started. Each has a zone and a
-/// region of its own.
+/// Starts a cluster of `count` bootstrap replicas, at most three of which are seeds. Each replica has a zone
+/// and a region of its own.
 pub fn cluster<L: ProtocolRules + 'static>(
     seed: u64,
     count: usize,
@@ -327,7 +328,7 @@
     cluster_with_disks(seed, count, tolerated_losses, network, DiskTiming::default())
 }
 
-/// Like [`cluster`], with disks of this speed.
+/// Like [`cluster`], with the given disk timing.
 pub fn cluster_with_disks<L: ProtocolRules + 'static>(
     seed: u64,
     count: usize,
@@ -335,15 +336,16 @@
     network: NetworkTiming,
     disks: DiskTiming,
 ) -> Cluster<Node<L>> {
-    let own = |number: usize| failure_domain(&format!("zone-{number}"), &format!("region-{number}"));
-    start_cluster(seed, count, Tolerance::machines_only(tolerated_losses), network, disks, own)
+    let separate_domain =
+        |number: usize| failure_domain(&format!("zone-{number}"), &format!("region-{number}"));
+    start_cluster(seed, count, Tolerance::machines_only(tolerated_losses), network, disks, separate_domain)
 }
 
 pub fn failure_domain(zone: &str, region: &str) -> FailureDomain {
     FailureDomain { zone: zone.to_string(), region: region.to_string() }
 }
 
-/// Like [`cluster`], with failure domains and a tolerance of the caller's choice.
+/// Like [`cluster`], with the given failure domains and tolerance.
 pub fn cluster_at<L: ProtocolRules + 'static>(
     seed: u64,
     count: usize,
@@ -391,7 +393,7 @@
 }
 
 impl<L: ProtocolRules> Node<L> {
-    /// One line for the message of a failed test.
+    /// Describes the node in one line for the message of a failed test.
     pub fn describe(&self, now: u64) -> String {
         let view = self.replica.view();
         let link = |link: &ChainLink| format!("{}/{}", link.voter.member, link.since_view);
--- a/coordination/replica/tests/exhaustive/initial_states.rs
+++ b/coordination/replica/tests/exhaustive/initial_states.rs
@@ -1,125 +1,132 @@
-//! States from which the searches depart.
+//! The initial states of the searches.
 
 use whinspindle_replica::{Message, ProtocolRules};
 
-use crate::common::history::Asked;
-use crate::model::{Action, Budget, FOUR, Model, Order, THREE, TWO};
+use crate::common::history::Request;
+use crate::model::{Action, Budget, FOUR, Model, ScheduledRequest, THREE, TWO};
 use crate::search::play;
 
-/// Faults without end, but for losses of what is durable.
-pub const AMPLE: Budget =
+/// Practically unlimited faults, except for one lost disk and one replacement.
+pub const FULL_BUDGET: Budget =
     Budget { losses: 9, duplicates: 9, crashes: 9, cuts: 9, lost_disks: 1, replacements: 1, passes: u8::MAX };
 
-/// Like it, where all disks that may be lost are.
-pub const NO_MORE_LOST: Budget = Budget { lost_disks: 0, replacements: 0, ..AMPLE };
+/// Like [`FULL_BUDGET`], after all tolerated disks have been lost.
+pub const NO_LOST_DISKS: Budget = Budget { lost_disks: 0, replacements: 0, ..FULL_BUDGET };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialState {
     /// Empty disks.
     Empty,
-    /// Three voters in the chain, and nothing was asked for yet.
+    /// Three voters in the chain, before the first request.
     Steady,
-    /// The last member is down, and the others have gone on without it.
+    /// The last member is down, and the others have continued without it.
     OneDown,
-    /// The first two members don't hear each other; both are heard by the third.
-    Apart,
-    /// The head is down, and the view without it is voted for.
+    /// The first two members are disconnected from each other; the third is connected to both.
+    Disconnected,
+    /// The head is down, and the vote for a view without it is in progress.
     HeadLost,
-    /// The last member is gone for good, and an empty machine has come in its place.
+    /// The last member was replaced by an empty machine.
     Replaced,
-    /// The joint voters of before and after the replacement of the head are voted for.
-    Joint,
-    /// The last member is cut off, and a replica that did not vote may take its place.
-    CutOff,
-    /// The first member was cut off and is to join the second, which alone is complete: the last one is cut off. What
-    /// those two have committed has not been told to the first.
-    Alone,
-    /// Two voters, and nothing was asked for yet.
+    /// The head was replaced, and the vote for the joint voter sets is in progress.
+    JointVoters,
+    /// The last member is partitioned, and a replica that was not a voter can replace it.
+    Partitioned,
+    /// The second member is the only complete one. The last member is partitioned, and the first was
+    /// partitioned and now joins the second without knowing which entries the other two have committed.
+    OneComplete,
+    /// Two voters, before the first request.
     Two,
-    /// One of two voters has lost its disk, and the other asks about it.
+    /// One of two voters has lost its disk, and a question about the lost voter is in flight.
     HalfOfTwoLost,
-    /// The same, while both voters of after it are voted for.
+    /// One of two voters has lost its disk, and the vote for the joint voter sets is in progress.
     HalfOfTwoReplaced,
-    /// Two of four voters have lost their disks, and the others ask about them.
+    /// Two of four voters have lost their disks, and a question about a lost voter is in flight.
     HalfOfFourLost,
 }
 
 impl InitialState {
     pub fn model<L: ProtocolRules>(self) -> Model<L> {
-        let empty = Model::<L>::new(THREE, orders(THREE.members), AMPLE);
-        let two = || Model::<L>::new(TWO, orders(TWO.members), NO_MORE_LOST);
+        let empty = Model::<L>::new(THREE, scheduled_requests(THREE.members), FULL_BUDGET);
+        let two = || Model::<L>::new(TWO, scheduled_requests(TWO.members), NO_LOST_DISKS);
         let crash = |machine| Action::Crash { machine, writes: true };
         match self {
             InitialState::Empty => empty,
             InitialState::Steady => pass(empty, 2),
-            InitialState::OneDown => pass(suffer(pass(empty, 2), &[crash(2)]), 4),
-            InitialState::Apart => {
+            InitialState::OneDown => pass(apply_actions(pass(empty, 2), &[crash(2)]), 4),
+            InitialState::Disconnected => {
                 let cut = [Action::Cut((0, 1)), Action::Cut((1, 0))];
-                pass(suffer(pass(empty, 2), &cut), 1)
+                pass(apply_actions(pass(empty, 2), &cut), 1)
             }
             InitialState::HeadLost => {
-                let model = suffer(pass(empty, 3), &[crash(0)]);
-                go_on(model, |model| model.carries(|message| matches!(message, Message::Accept { .. })))
+                let model = apply_actions(pass(empty, 3), &[crash(0)]);
+                run_until(model, |model| {
+                    model.has_in_flight(|message| matches!(message, Message::Accept { .. }))
+                })
             }
-            InitialState::Replaced => pass(suffer(pass(empty, 2), &[Action::Replace(2)]), 3),
-            InitialState::Joint => {
-                let model = suffer(pass(empty, 4), &[Action::Replace(0)]);
-                go_on(model, |model| model.carries(is_joint))
+            InitialState::Replaced => pass(apply_actions(pass(empty, 2), &[Action::Replace(2)]), 3),
+            InitialState::JointVoters => {
+                let model = apply_actions(pass(empty, 4), &[Action::Replace(0)]);
+                run_until(model, |model| model.has_in_flight(is_joint))
             }
-            InitialState::CutOff => {
+            InitialState::Partitioned => {
                 let mut model = empty;
                 model.add().expect("a start breaks nothing");
-                pass(suffer(pass(model, 4), &[Action::Isolate(2)]), 3)
+                pass(apply_actions(pass(model, 4), &[Action::Isolate(2)]), 3)
             }
-            InitialState::Alone => {
-                let model = pass(suffer(pass(empty, 2), &[Action::Isolate(0)]), 5);
-                go_on_untaught(suffer(model, &[Action::Heal, Action::Isolate(2)]))
+            InitialState::OneComplete => {
+                let model = pass(apply_actions(pass(empty, 2), &[Action::Isolate(0)]), 5);
+                run_until_join_without_records(apply_actions(model, &[Action::Heal, Action::Isolate(2)]))
             }
             InitialState::Two => pass(two(), 2),
-            InitialState::HalfOfTwoLost => go_on(lose_half(two(), &[1]), |model| model.carries(asks_of_lost)),
-            InitialState::HalfOfTwoReplaced => go_on(lose_half(two(), &[1]), |model| model.carries(is_joint)),
+            InitialState::HalfOfTwoLost => {
+                run_until(lose_disks(two(), &[1]), |model| model.has_in_flight(is_about_lost_voter))
+            }
+            InitialState::HalfOfTwoReplaced => {
+                run_until(lose_disks(two(), &[1]), |model| model.has_in_flight(is_joint))
+            }
             InitialState::HalfOfFourLost => {
-                let four = Model::<L>::new(FOUR, orders(FOUR.members), NO_MORE_LOST);
-                go_on(lose_half(four, &[1, 3]), |model| model.carries(asks_of_lost))
+                let four = Model::<L>::new(FOUR, scheduled_requests(FOUR.members), NO_LOST_DISKS);
+                run_until(lose_disks(four, &[1, 3]), |model| model.has_in_flight(is_about_lost_voter))
             }
         }
     }
 }
 
-/// Goes on until a view of two is voted for; nobody is told of what was committed.
-fn go_on_untaught<L: ProtocolRules>(mut model: Model<L>) -> Model<L> {
+/// Runs until the vote for a view with a joining member is in progress, and loses all messages that transfer
+/// committed records.
+fn run_until_join_without_records<L: ProtocolRules>(mut model: Model<L>) -> Model<L> {
     let is_voted_for = |message: &Message| matches!(message, Message::Accept { view, .. } if view.chain.iter().any(|link| link.since_view == view.number));
-    while !model.carries(is_voted_for) {
+    while !model.has_in_flight(is_voted_for) {
         let next = match model.ordinary() {
             Action::Deliver(link)
-                if model.brings(link, |message| matches!(message, Message::Learn { .. })) =>
+                if model.oldest_matches(link, |message| matches!(message, Message::Learn { .. })) =>
             {
                 Action::Lose(link)
             }
             next => next,
         };
-        model = suffer(model, &[next]);
+        model = apply_actions(model, &[next]);
         if next == Action::Pass {
             model.heal().expect("a start breaks nothing");
         }
     }
-    model.budget = AMPLE;
+    model.budget = FULL_BUDGET;
     model
 }
 
-/// After an order these lose their disks, and start again with empty ones.
-fn lose_half<L: ProtocolRules>(model: Model<L>, lost: &[usize]) -> Model<L> {
+/// Runs past the first request, then restarts the given machines with empty disks.
+fn lose_disks<L: ProtocolRules>(model: Model<L>, lost: &[usize]) -> Model<L> {
     let mut model = pass(model, 4);
-    model.budget.lost_disks = AMPLE.lost_disks * 2;
+    model.budget.lost_disks = FULL_BUDGET.lost_disks * 2;
     let lose = lost.iter().map(|machine| Action::LoseDisk(*machine));
     let start = lost.iter().map(|machine| Action::Start(*machine));
     let actions: Vec<Action> = lose.chain(start).collect();
-    let mut model = suffer(model, &actions);
-    model.budget = NO_MORE_LOST;
+    let mut model = apply_actions(model, &actions);
+    model.budget = NO_LOST_DISKS;
     model
 }
 
-fn asks_of_lost(message: &Message) -> bool {
+fn is_about_lost_voter(message: &Message) -> bool {
     matches!(message, Message::VoterLost { .. })
 }
 
@@ -127,17 +134,17 @@
     matches!(message, Message::Accept { view, .. } if view.voter_sets.len() == 2)
 }
 
-/// Two orders on one base, and reads in between and at the end.
-fn orders(machines: usize) -> Vec<Order> {
+/// Two swaps of the same old value, with reads between them and at the end.
+fn scheduled_requests(machines: usize) -> Vec<ScheduledRequest> {
     let swap = |after, machine, new: &str| {
-        let asked = Asked::Swap { old: "-".to_string(), new: new.to_string() };
-        Order { after, machine: machine % machines, asked }
+        let request = Request::Swap { old: "-".to_string(), new: new.to_string() };
+        ScheduledRequest { after, machine: machine % machines, request }
     };
-    let get = |after, machine| Order { after, machine: machine % machines, asked: Asked::Get };
+    let get = |after, machine| ScheduledRequest { after, machine: machine % machines, request: Request::Get };
     vec![swap(3, 0, "one"), swap(6, 1, "two"), get(9, 2), get(16, 1), get(16, 2), get(16, 0)]
 }
 
-fn suffer<L: ProtocolRules>(mut model: Model<L>, actions: &[Action]) -> Model<L> {
+fn apply_actions<L: ProtocolRules>(mut model: Model<L>, actions: &[Action]) -> Model<L> {
     for action in actions {
         model.act(*action).expect("one fault breaks nothing");
     }
@@ -146,9 +153,9 @@
 
 fn pass<L: ProtocolRules>(model: Model<L>, passes: u64) -> Model<L> {
     let until = model.passed + passes;
-    go_on(model, |model| model.passed >= until)
+    run_until(model, |model| model.passed >= until)
 }
 
-fn go_on<L: ProtocolRules>(model: Model<L>, is_wanted: impl Fn(&Model<L>) -> bool) -> Model<L> {
-    play(model, &[], is_wanted).expect("the ordinary schedule breaks nothing")
+fn run_until<L: ProtocolRules>(model: Model<L>, is_reached: impl Fn(&Model<L>) -> bool) -> Model<L> {
+    play(model, &[], is_reached).expect("the ordinary schedule breaks nothing")
 }
--- a/coordination/replica/tests/exhaustive/model.rs
+++ b/coordination/replica/tests/exhaustive/model.rs
@@ -1,4 +1,4 @@
-//! Replicas, their disks and the messages between them, one event after the other.
+//! A model of replicas, their disks and the messages between them that executes one action at a time.
 
 mod choices;
 mod machine;
@@ -13,14 +13,14 @@
 
 pub use self::choices::{Action, Budget};
 use self::machine::Machine;
-use crate::common::history::Asked;
+use crate::common::history::Request;
 use crate::common::node::{Registers, endpoint};
 use crate::observer::{Observer, hash_of};
 
-/// How many machines there are at first, and how many of them may be lost.
+/// The initial number of machines and the tolerated number of losses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Core {
-    /// Founding members, all of them voters and in the chain.
+    /// Founding members, which are all voters and in the chain.
     pub members: usize,
     pub losses: usize,
 }
@@ -29,13 +29,14 @@
 pub const TWO: Core = Core { members: 2, losses: 1 };
 pub const FOUR: Core = Core { members: 4, losses: 2 };
 
-/// How far the clock goes in one step, in milliseconds. It is coarse so that searches get to view changes.
-const CLOCK_STEP: u64 = 300;
-/// How many steps of the clock a crash, a cut or a delay lasts in a schedule with departures.
-const SPAN: u64 = 5;
-const LATE: u64 = 2;
+/// The clock advances this far in one step. A coarse clock lets searches reach view changes.
+const CLOCK_STEP_MS: u64 = 300;
+/// The number of clock steps that a crash or a cut lasts in a schedule with departures.
+const FAULT_STEPS: u64 = 5;
+/// The number of clock steps by which a message is delayed.
+const DELAY_STEPS: u64 = 2;
 
-/// Spans that suit the coarse clock.
+/// Timeouts that suit the coarse clock.
 const TIMING: Timing = Timing {
     heartbeat_interval_ms: 1,
     suspicion_timeout_ms: 400,
@@ -48,10 +49,10 @@
     resend_interval_ms: 200,
 };
 
-/// A direction of a link, by the numbers of the machines.
+/// A directed link from one machine to another, by number.
 pub type Link = (usize, usize);
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 struct InFlightMessage {
     order: u64,
@@ -59,16 +60,16 @@
     message: Rc<Message>,
 }
 
-/// What a caller asks.
+/// A request that a client submits during a schedule.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// Where nothing goes wrong, it is asked for after so many steps of the clock.
+pub struct ScheduledRequest {
+    /// The clock step after which the request is submitted in the ordinary schedule.
     pub after: u64,
     pub machine: usize,
-    pub asked: Asked,
+    pub request: Request,
 }
 
-/// Machines in the middle of a schedule.
+/// The state of all machines and links at a point of a schedule.
 #[derive(Clone)]
 pub struct Model<L> {
     core: Core,
@@ -76,38 +77,38 @@
     pub passed: u64,
     pub machines: Vec<Rc<Machine<L>>>,
     links: BTreeMap<Link, VecDeque<InFlightMessage>>,
-    /// Messages that arrive later, and when.
-    late: Vec<(u64, Link, InFlightMessage)>,
-    /// Links that are cut, and until when.
+    /// Delayed messages, with the clock step at which they can arrive again.
+    delayed: Vec<(u64, Link, InFlightMessage)>,
+    /// Links that are cut, with the clock step at which they heal.
     cuts: BTreeMap<Link, u64>,
     down_until: BTreeMap<usize, u64>,
-    asked: BTreeSet<usize>,
-    /// The machine that was asked, by ticket.
-    asked_at: Vec<usize>,
-    orders: Rc<Vec<Order>>,
+    submitted: BTreeSet<usize>,
+    /// The machine to which a request was submitted, by ticket.
+    submitted_to: Vec<usize>,
+    scheduled_requests: Rc<Vec<ScheduledRequest>>,
     pub observer: Observer,
     pub budget: Budget,
-    posted: u64,
+    sent_messages: u64,
 }
 
 impl<L: ProtocolRules> Model<L> {
     /// Founding members with empty disks.
-    pub fn new(core: Core, orders: Vec<Order>, budget: Budget) -> Model<L> {
+    pub fn new(core: Core, scheduled_requests: Vec<ScheduledRequest>, budget: Budget) -> Model<L> {
         let mut model = Model {
             core,
             steps: 0,
             passed: 0,
             machines: (0..core.members).map(|_| Rc::new(Machine::empty())).collect(),
             links: BTreeMap::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             cuts: BTreeMap::new(),
             down_until: BTreeMap::new(),
-            asked: BTreeSet::new(),
-            asked_at: Vec::new(),
-            orders: Rc::new(orders),
+            submitted: BTreeSet::new(),
+            submitted_to: Vec::new(),
+            scheduled_requests: Rc::new(scheduled_requests),
             observer: Observer::default(),
             budget,
-            posted: 0,
+            sent_messages: 0,
         };
         for machine in 0..core.members {
             model.start(machine).expect("a start breaks nothing");
@@ -122,17 +123,17 @@
     }
 
     fn now(&self) -> u64 {
-        1_000 + self.passed * CLOCK_STEP
+        1_000 + self.passed * CLOCK_STEP_MS
     }
 
     pub fn is_running(&self, machine: usize) -> bool {
         self.machines[machine].replica.is_some()
     }
 
-    /// Carries out an action; says what is broken by it.
+    /// Executes an action; returns the violated invariant, if any.
     pub fn act(&mut self, action: Action) -> Result<(), String> {
         self.steps += 1;
-        self.pay_for(action);
+        self.charge_budget(action);
         match action {
             Action::Deliver(link) => {
                 let in_flight = self.take(link);
@@ -148,7 +149,7 @@
             }
             Action::Delay(link) => {
                 let in_flight = self.take(link);
-                self.late.extend(in_flight.map(|in_flight| (self.passed + LATE, link, in_flight)));
+                self.delayed.extend(in_flight.map(|in_flight| (self.passed + DELAY_STEPS, link, in_flight)));
             }
             Action::Written(machine) => self.written(machine)?,
             Action::Crash { machine, writes } => self.stop(machine, writes),
@@ -165,14 +166,14 @@
             Action::Cut(link) => self.cut(link),
             Action::Isolate(machine) => self.isolate(machine),
             Action::Heal => self.cuts.clear(),
-            Action::Ask { machine, order } => self.ask(machine, order)?,
+            Action::Submit { machine, request } => self.submit(machine, request)?,
             Action::Pass => self.pass()?,
         }
         Ok(())
     }
 
-    /// Takes from the budget what an action costs.
-    fn pay_for(&mut self, action: Action) {
+    /// Subtracts the cost of an action from the budget.
+    fn charge_budget(&mut self, action: Action) {
         let budget = &mut self.budget;
         match action {
             Action::Lose(_) | Action::Delay(_) => budget.losses -= 1,
@@ -186,7 +187,7 @@
             | Action::Written(_)
             | Action::Start(_)
             | Action::Heal
-            | Action::Ask { .. } => {}
+            | Action::Submit { .. } => {}
         }
     }
 
@@ -208,9 +209,9 @@
         self.handle(to, Input::Message { from: endpoint(from), message })
     }
 
-    /// What is on its way into a cut is lost, also what is sent later.
+    /// Cuts a link. Messages in flight on the link are lost, and so are messages sent while it is cut.
     fn cut(&mut self, link: Link) {
-        self.cuts.insert(link, self.passed + SPAN);
+        self.cuts.insert(link, self.passed + FAULT_STEPS);
         self.links.remove(&link);
     }
 
@@ -224,11 +225,11 @@
     fn stop(&mut self, number: usize, writes: bool) {
         let machine = self.machine(number);
         machine.replica = None;
-        let under_way = machine.writing.take();
-        if let Some((_, write)) = under_way.filter(|_| writes) {
+        let current_write = machine.writing.take();
+        if let Some((_, write)) = current_write.filter(|_| writes) {
             machine.write(write);
         }
-        self.down_until.insert(number, self.passed + SPAN);
+        self.down_until.insert(number, self.passed + FAULT_STEPS);
     }
 
     fn start(&mut self, number: usize) -> Result<(), String> {
@@ -252,7 +253,7 @@
         let (replica, outputs) = Replica::with_rules(settings, Registers, machine.disk.clone(), now)
             .map_err(|error| error.to_string())?;
         machine.replica = Some(replica);
-        self.carry_out(number, outputs)
+        self.apply_outputs(number, outputs)
     }
 
     fn replace(&mut self, number: usize) -> Result<(), String> {
@@ -262,19 +263,20 @@
         self.add()
     }
 
-    fn ask(&mut self, machine: usize, order: usize) -> Result<(), String> {
-        self.asked.insert(order);
-        let asked = self.orders[order].asked.clone();
-        let command = asked.command(crate::observer::REGISTER).into_bytes();
-        let ticket = self.observer.ask(self.steps, asked);
-        self.asked_at.push(machine);
+    fn submit(&mut self, machine: usize, index: usize) -> Result<(), String> {
+        self.submitted.insert(index);
+        let request = self.scheduled_requests[index].request.clone();
+        let command = request.command(crate::observer::REGISTER).into_bytes();
+        let ticket = self.observer.record_request(self.steps, request);
+        self.submitted_to.push(machine);
         self.handle(machine, Input::Submit { ticket, command })
     }
 
     fn pass(&mut self) -> Result<(), String> {
         self.passed += 1;
-        let (due, late) = std::mem::take(&mut self.late).into_iter().partition(|(at, ..)| *at <= self.passed);
-        self.late = late;
+        let (due, delayed) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|(at, ..)| *at <= self.passed);
+        self.delayed = delayed;
         let due: Vec<(u64, Link, InFlightMessage)> = due;
         for (_, link, in_flight) in due {
             self.links.entry(link).or_default().push_front(in_flight);
@@ -287,7 +289,7 @@
         Ok(())
     }
 
-    /// In a schedule with departures: what was down or cut for long is well again.
+    /// In a schedule with departures: ends the cuts that are due and restarts the machines that are due.
     pub fn heal(&mut self) -> Result<(), String> {
         let passed = self.passed;
         self.cuts.retain(|_, until| *until > passed);
@@ -307,33 +309,33 @@
         let now = self.now();
         let Some(replica) = &mut self.machine(number).replica else { return Ok(()) };
         let outputs = replica.handle(now, input);
-        self.carry_out(number, outputs)
+        self.apply_outputs(number, outputs)
     }
 
-    fn carry_out(&mut self, number: usize, outputs: Vec<Output>) -> Result<(), String> {
+    fn apply_outputs(&mut self, number: usize, outputs: Vec<Output>) -> Result<(), String> {
         let mut heartbeats = Vec::new();
         for output in outputs {
             match output {
                 Output::Send { to, message: message @ Message::Heartbeat(_) } => {
                     heartbeats.push((to, message))
                 }
-                Output::Send { to, message } => self.post(number, to, message),
+                Output::Send { to, message } => self.enqueue(number, to, message),
                 Output::Persist { token, write } => {
                     self.machine(number).writing = Some((token, write));
                 }
                 Output::Reply { ticket, result: Ok(reply) } => {
-                    self.observer.answered(self.steps, ticket, &reply)?;
+                    self.observer.record_answer(self.steps, ticket, &reply)?;
                 }
                 Output::Reply { .. } | Output::RecordsReplaced => {}
-                Output::Committed { sequence, writes } => self.observer.committed(sequence, writes)?,
+                Output::Committed { sequence, writes } => self.observer.record_commit(sequence, writes)?,
             }
         }
         if let Some(replica) = &self.machines[number].replica {
-            self.observer.stands_at(replica.committed_sequence(), replica.committed_records())?;
-            self.observer.adopted(replica.view())?;
+            self.observer.check_records(replica.committed_sequence(), replica.committed_records())?;
+            self.observer.record_view(replica.view())?;
         }
         for (to, message) in heartbeats {
-            self.tell(number, to, message)?;
+            self.deliver_heartbeat(number, to, message)?;
         }
         Ok(())
     }
@@ -342,52 +344,57 @@
         (0..self.machines.len()).find(|number| endpoint(*number) == at)
     }
 
-    fn post(&mut self, from: usize, to: std::net::SocketAddr, message: Message) {
+    fn enqueue(&mut self, from: usize, to: std::net::SocketAddr, message: Message) {
         let Some(to) = self.number(to) else { return };
         if self.cuts.contains_key(&(from, to)) {
             return;
         }
-        self.posted += 1;
+        self.sent_messages += 1;
         let in_flight = InFlightMessage {
-            order: self.posted,
+            order: self.sent_messages,
             digest: hash_of(message.encode()),
             message: Rc::new(message),
         };
         self.links.entry((from, to)).or_default().push_back(in_flight);
     }
 
-    /// Heartbeats arrive at once.
-    fn tell(&mut self, from: usize, to: std::net::SocketAddr, message: Message) -> Result<(), String> {
+    /// Delivers a heartbeat at once.
+    fn deliver_heartbeat(
+        &mut self,
+        from: usize,
+        to: std::net::SocketAddr,
+        message: Message,
+    ) -> Result<(), String> {
         let Some(to) = self.number(to).filter(|to| !self.cuts.contains_key(&(from, *to))) else {
             return Ok(());
         };
         self.handle(to, Input::Message { from: endpoint(from), message })
     }
 
-    /// The machine, to be changed.
+    /// A mutable reference to a machine. Its cached fingerprint is cleared.
     fn machine(&mut self, number: usize) -> &mut Machine<L> {
         let machine = Rc::make_mut(&mut self.machines[number]);
         machine.fingerprint = OnceCell::new();
         machine
     }
 
-    /// Whether such a message is on its way.
-    pub fn carries(&self, is_meant: impl Fn(&Message) -> bool) -> bool {
-        self.links.values().flatten().any(|in_flight| is_meant(&in_flight.message))
+    /// Whether a matching message is in flight.
+    pub fn has_in_flight(&self, matches: impl Fn(&Message) -> bool) -> bool {
+        self.links.values().flatten().any(|in_flight| matches(&in_flight.message))
     }
 
-    /// Machines of which a caller waits for an answer.
-    pub fn awaited(&self) -> BTreeSet<usize> {
-        self.observer.unanswered().into_iter().map(|ticket| self.asked_at[ticket]).collect()
+    /// Machines with unanswered requests.
+    pub fn machines_with_unanswered_requests(&self) -> BTreeSet<usize> {
+        self.observer.unanswered().into_iter().map(|ticket| self.submitted_to[ticket]).collect()
     }
 
-    /// Whether the oldest message of the link is such a message.
-    pub fn brings(&self, link: Link, is_meant: impl Fn(&Message) -> bool) -> bool {
+    /// Whether the oldest message of the link matches.
+    pub fn oldest_matches(&self, link: Link, matches: impl Fn(&Message) -> bool) -> bool {
         let oldest = self.links.get(&link).and_then(VecDeque::front);
-        oldest.is_some_and(|in_flight| is_meant(&in_flight.message))
+        oldest.is_some_and(|in_flight| matches(&in_flight.message))
     }
 
-    /// The links in the order in which their messages were sent, which the ordinary action depends on.
+    /// The links in the order in which their messages were sent. The next ordinary action depends on it.
     pub fn order_of_links(&self) -> Vec<Link> {
         let in_flight = self
             .links
@@ -397,7 +404,7 @@
         in_order.into_values().collect()
     }
 
-    /// A number by which two states are told apart.
+    /// A hash that identifies the state.
     pub fn fingerprint(&self) -> u64 {
         let machines: Vec<u64> = self.machines.iter().map(|machine| machine.fingerprint()).collect();
         let digests = |(link, in_flight): (&Link, &VecDeque<InFlightMessage>)| {
@@ -405,9 +412,9 @@
             (!digests.is_empty()).then_some((*link, digests))
         };
         let links: Vec<(Link, Vec<u64>)> = self.links.iter().filter_map(digests).collect();
-        let late: Vec<(u64, Link, u64)> =
-            self.late.iter().map(|(at, link, in_flight)| (*at, *link, in_flight.digest)).collect();
-        let faults = (&self.cuts, &self.down_until, &self.asked, self.budget, self.passed);
-        hash_of((machines, links, late, faults, self.observer.fingerprint()))
+        let delayed: Vec<(u64, Link, u64)> =
+            self.delayed.iter().map(|(at, link, in_flight)| (*at, *link, in_flight.digest)).collect();
+        let faults = (&self.cuts, &self.down_until, &self.submitted, self.budget, self.passed);
+        hash_of((machines, links, delayed, faults, self.observer.fingerprint()))
     }
 }
--- a/coordination/replica/tests/exhaustive/model/choices.rs
+++ b/coordination/replica/tests/exhaustive/model/choices.rs
@@ -1,51 +1,52 @@
-//! What may happen next in a world.
+//! The actions that are possible in a state of the model.
 
 use std::collections::VecDeque;
 
 use whinspindle_replica::ProtocolRules;
 
-use super::{InFlightMessage, Link, Model, Order};
+use super::{InFlightMessage, Link, Model, ScheduledRequest};
 
-/// Something that happens.
+/// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// The oldest message of the link arrives.
     Deliver(Link),
+    /// The oldest message of the link is lost.
     Lose(Link),
-    /// It arrives, and will do so again.
+    /// The oldest message of the link arrives, and a copy of it arrives again.
     Duplicate(Link),
-    /// It will arrive after a while, later ones before it.
+    /// The oldest message of the link is delayed, and newer messages overtake it.
     Delay(Link),
-    /// The write under way is done.
+    /// The current write completes.
     Written(usize),
-    /// The process ends; the write under way may be done.
+    /// The process stops. The current write completes if `writes` is set.
     Crash {
         machine: usize,
         writes: bool,
     },
-    /// The process ends, and another one starts at once.
+    /// The process stops, and another one starts at once.
     Restart {
         machine: usize,
         writes: bool,
     },
-    /// The process ends and the disk is lost.
+    /// The process stops, and the disk is lost.
     LoseDisk(usize),
     Start(usize),
-    /// The machine is gone for good; another one comes.
+    /// The machine is removed for good, and another one is added.
     Replace(usize),
     Cut(Link),
     Isolate(usize),
     Heal,
-    /// A caller asks the replica on this machine.
-    Ask {
+    /// A client submits a request to the replica on this machine.
+    Submit {
         machine: usize,
-        order: usize,
+        request: usize,
     },
-    /// Time passes; whoever is connected hears the other's heartbeat.
+    /// The clock advances by one step, and connected replicas exchange heartbeats.
     Pass,
 }
 
-/// What may still happen.
+/// The number of faults of each kind and of clock steps that may still happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
     pub losses: u8,
@@ -58,14 +59,17 @@
 }
 
 impl<L: ProtocolRules> Model<L> {
-    /// What may happen now.
+    /// All actions that are possible now.
     pub fn actions(&self) -> Vec<Action> {
         let mut actions = self.actions_on_messages();
         for number in 0..self.machines.len() {
             actions.extend(self.actions_on_machine(number));
         }
-        let orders = self.unasked();
-        actions.extend(orders.map(|(order, Order { machine, .. })| Action::Ask { machine: *machine, order }));
+        let requests = self.pending_requests();
+        actions.extend(requests.map(|(request, ScheduledRequest { machine, .. })| Action::Submit {
+            machine: *machine,
+            request,
+        }));
         if !self.cuts.is_empty() {
             actions.push(Action::Heal);
         }
@@ -105,7 +109,7 @@
         actions
     }
 
-    /// What may happen to a running machine beside its work.
+    /// The faults that are possible at a running machine.
     fn faults_of(&self, number: usize, is_writing: bool) -> Vec<Action> {
         let budget = self.budget;
         let mut actions = Vec::new();
@@ -129,32 +133,36 @@
         actions
     }
 
-    /// Orders that may be asked for now.
-    fn unasked(&self) -> impl Iterator<Item = (usize, &Order)> {
-        let orders = self.orders.iter().enumerate();
-        orders.filter(|(order, what)| !self.asked.contains(order) && self.is_running(what.machine))
+    /// Requests that were not submitted yet and whose machine is running.
+    fn pending_requests(&self) -> impl Iterator<Item = (usize, &ScheduledRequest)> {
+        let requests = self.scheduled_requests.iter().enumerate();
+        requests
+            .filter(|(index, request)| !self.submitted.contains(index) && self.is_running(request.machine))
     }
 
-    /// What happens where nothing goes wrong: the disks are quick, messages arrive in the order in which they were
-    /// sent, and time passes once there is nothing else to do.
+    /// The next action without faults: disks write at once, messages arrive in the order in which they were
+    /// sent, and the clock advances only when nothing else can happen.
     pub fn ordinary(&self) -> Action {
         if let Some(number) = self.machines.iter().position(|machine| machine.writing.is_some()) {
             return Action::Written(number);
         }
-        if let Some(link) = self.oldest() {
+        if let Some(link) = self.link_of_oldest_message() {
             return Action::Deliver(link);
         }
-        let due = self.unasked().find(|(_, order)| order.after <= self.passed);
-        due.map_or(Action::Pass, |(order, Order { machine, .. })| Action::Ask { machine: *machine, order })
+        let due = self.pending_requests().find(|(_, request)| request.after <= self.passed);
+        due.map_or(Action::Pass, |(request, ScheduledRequest { machine, .. })| Action::Submit {
+            machine: *machine,
+            request,
+        })
     }
 
-    fn oldest(&self) -> Option<Link> {
-        let first =
+    fn link_of_oldest_message(&self) -> Option<Link> {
+        let oldest_of_link =
             |(link, in_flight): (&Link, &VecDeque<InFlightMessage>)| Some((in_flight.front()?.order, *link));
-        self.links.iter().filter_map(first).min().map(|(_, link)| link)
+        self.links.iter().filter_map(oldest_of_link).min().map(|(_, link)| link)
     }
 
-    /// What may go wrong in the place of the ordinary action.
+    /// The faults that may happen instead of the ordinary action.
     pub fn departures(&self, ordinary: Action) -> Vec<Action> {
         let mut departures = match ordinary {
             Action::Deliver(link) => {
--- a/coordination/replica/tests/exhaustive/model/machine.rs
+++ b/coordination/replica/tests/exhaustive/model/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: its replica, its disk and the write under way.
+//! A machine with its replica, its disk and its current write.
 
 use std::cell::OnceCell;
 
@@ -7,16 +7,16 @@
 use crate::common::node::Registers;
 use crate::observer::hash_of;
 
-/// One machine and the process on it.
+/// A machine and the replica process on it.
 #[derive(Clone, Debug)]
 pub struct Machine<L> {
     pub replica: Option<Replica<Registers, L>>,
     pub(super) disk: (Option<Vec<u8>>, Vec<Vec<u8>>),
-    /// The write under way.
+    /// The token and the content of the current write.
     pub(super) writing: Option<(u64, DurableWrite)>,
     pub(super) starts: u64,
     pub(super) is_gone: bool,
-    /// Made when it is asked for.
+    /// Computed on first use.
     pub(super) fingerprint: OnceCell<u64>,
 }
 
@@ -28,12 +28,12 @@
 
     pub(super) fn fingerprint(&self) -> u64 {
         let Machine { replica, disk, writing, starts, is_gone, fingerprint } = self;
-        let under_way = writing.as_ref().map(|(token, write)| match write {
+        let current_write = writing.as_ref().map(|(token, write)| match write {
             DurableWrite::Append(records) => (*token, false, hash_of(records)),
             DurableWrite::Checkpoint(state) => (*token, true, hash_of(state)),
         });
-        // Of the replica, only its text tells all.
-        let state = || hash_of((format!("{replica:?}"), disk, under_way, starts, is_gone));
+        // Only the debug text of a replica covers its whole state.
+        let state = || hash_of((format!("{replica:?}"), disk, current_write, starts, is_gone));
         *fingerprint.get_or_init(state)
     }
 
--- a/coordination/replica/tests/fault_free.rs
+++ b/coordination/replica/tests/fault_free.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::clients::Clients;
-use common::history::{Asked, check};
+use common::history::{Request, check};
 use common::node::{cluster, endpoint};
 use whinspindle_lab_simulated_cluster::NetworkTiming;
 use whinspindle_replica::StandardRules;
@@ -18,7 +18,7 @@
         assert!(took.is_some_and(|took| took < 150), "replica {number} took {took:?}");
     }
     for number in 0..3 {
-        clients.begin(&mut cluster, endpoint(number), "register-0", Asked::Get);
+        clients.begin(&mut cluster, endpoint(number), "register-0", Request::Get);
     }
     let until = cluster.now() + 1_000;
     clients.run_until(&mut cluster, until);
--- a/coordination/replica/tests/faults.rs
+++ b/coordination/replica/tests/faults.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use common::clients::Clients;
-use common::history::{Asked, check};
+use common::history::{Request, check};
 use common::node::{Command, Node, cluster, endpoint};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming, Pcg};
 
@@ -40,7 +40,7 @@
         let took = clients.write_within(cluster, at, 6_000);
         let took = took.unwrap_or_else(|| panic!("{name}: no write at {at}\n{}", describe(cluster)));
         longest = longest.max(took);
-        clients.begin(cluster, at, "register-0", Asked::Get);
+        clients.begin(cluster, at, "register-0", Request::Get);
     }
     let until = cluster.now() + 1_000;
     clients.run_until(cluster, until);
@@ -244,7 +244,7 @@
         let (mut cluster, mut clients) = stable_cluster((one * REPLICAS + other) as u64, REPLICAS, 2);
         let took = clients.write_within(&mut cluster, endpoint(other), 1_000);
         assert!(took.is_some(), "acknowledged before the loss");
-        clients.begin(&mut cluster, endpoint(one), "register-0", Asked::Get);
+        clients.begin(&mut cluster, endpoint(one), "register-0", Request::Get);
         let instant = cluster.now() + (one + 3 * other) as u64 % 20;
         clients.run_until(&mut cluster, instant);
         (0..REPLICAS).for_each(|number| cluster.stop(endpoint(number)));
--- a/coordination/replica/tests/fence.rs
+++ b/coordination/replica/tests/fence.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use common::clients::Clients;
-use common::history::{Asked, check};
+use common::history::{Request, check};
 use common::node::{cluster, endpoint};
 use whinspindle_lab_simulated_cluster::NetworkTiming;
 use whinspindle_replica::{Message, StandardRules};
@@ -31,7 +31,7 @@
         counter.set(counter.get() + usize::from(is_taught));
         from == head || (to == head && !is_taught)
     });
-    clients.begin(&mut cluster, head, "register-0", Asked::Put("never-left".to_string()));
+    clients.begin(&mut cluster, head, "register-0", Request::Put("never-left".to_string()));
     let until = cluster.now() + 2_500;
     clients.run_until(&mut cluster, until);
     for number in [1, 2, 1] {
--- a/coordination/replica/tests/forced_reconfiguration.rs
+++ b/coordination/replica/tests/forced_reconfiguration.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use common::clients::Clients;
-use common::history::{Asked, check};
+use common::history::{Request, check};
 use common::node::{Command, Node, cluster, endpoint};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::{ForcedReconfiguration, ReconfigurationError, StandardRules};
@@ -81,7 +81,7 @@
             for number in [left, 2] {
                 assert!(play.writes(number, ACKNOWLEDGED_WITHIN), "seed {seed}, {left}, at {number}");
             }
-            play.clients.begin(&mut play.cluster, endpoint(2), "register-0", Asked::Get);
+            play.clients.begin(&mut play.cluster, endpoint(2), "register-0", Request::Get);
             play.pass(1_000);
             check(&play.clients.history()).unwrap();
         }
--- a/coordination/replica/tests/linearizability_checker.rs
+++ b/coordination/replica/tests/linearizability_checker.rs
@@ -2,22 +2,22 @@
 
 mod common;
 
-use common::history::{Asked, Operation, Response, check};
+use common::history::{Operation, Request, Response, check};
 
-fn put(value: &str, begun: u64, ended: Option<u64>) -> Operation {
-    operation(Asked::Put(value.to_string()), begun, ended.map(|at| (at, Response::Done)))
+fn put(value: &str, started_at: u64, completion: Option<u64>) -> Operation {
+    operation(Request::Put(value.to_string()), started_at, completion.map(|at| (at, Response::Done)))
 }
 
-fn get(value: &str, begun: u64, ended: u64) -> Operation {
-    operation(Asked::Get, begun, Some((ended, Response::Value(value.to_string()))))
+fn get(value: &str, started_at: u64, completion: u64) -> Operation {
+    operation(Request::Get, started_at, Some((completion, Response::Value(value.to_string()))))
 }
 
-fn swap(old: &str, new: &str, begun: u64, ended: Option<(u64, Response)>) -> Operation {
-    operation(Asked::Swap { old: old.to_string(), new: new.to_string() }, begun, ended)
+fn swap(old: &str, new: &str, started_at: u64, completion: Option<(u64, Response)>) -> Operation {
+    operation(Request::Swap { old: old.to_string(), new: new.to_string() }, started_at, completion)
 }
 
-fn operation(asked: Asked, begun: u64, ended: Option<(u64, Response)>) -> Operation {
-    Operation { register: "r".to_string(), asked, begun, ended }
+fn operation(request: Request, started_at: u64, completion: Option<(u64, Response)>) -> Operation {
+    Operation { register: "r".to_string(), request, started_at, completion }
 }
 
 #[test]
--- a/coordination/replica/tests/overlapping_losses.rs
+++ b/coordination/replica/tests/overlapping_losses.rs
@@ -7,7 +7,7 @@
 
 use common::clients::Clients;
 use common::faulty::{DropsEntriesWhenLeftOut, TakesIncompleteLeaders};
-use common::history::{Asked, check};
+use common::history::{Request, check};
 use common::node::{Node, cluster, endpoint};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::{Message, ProtocolRules, StandardRules};
@@ -75,7 +75,7 @@
         let number = self.clients.operations.len();
         let register = format!("register-{}", number % REGISTERS);
         let new = format!("v{}", number + 1);
-        let asked = if number.is_multiple_of(5) { Asked::Get } else { Asked::Put(new) };
+        let asked = if number.is_multiple_of(5) { Request::Get } else { Request::Put(new) };
         self.clients.begin(&mut self.cluster, endpoint(number % 3), &register, asked);
     }
 
@@ -150,7 +150,7 @@
         }
         for number in 0..REGISTERS {
             let register = format!("register-{number}");
-            self.clients.begin(&mut self.cluster, joiner, &register, Asked::Get);
+            self.clients.begin(&mut self.cluster, joiner, &register, Request::Get);
         }
         let until = self.cluster.now() + 1_000;
         self.clients.run_until(&mut self.cluster, until);
--- a/coordination/replica/tests/repair.rs
+++ b/coordination/replica/tests/repair.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 use common::clients::Clients;
-use common::history::{Asked, check};
+use common::history::{Request, check};
 use common::node::{Command, Node, cluster_at, endpoint, failure_domain};
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::Tolerance;
@@ -257,7 +257,7 @@
         let endpoints = self.cluster.endpoints();
         let at = endpoints[self.asked % endpoints.len()];
         let new = format!("v{}", self.clients.operations.len() + 1);
-        let asked = if self.asked.is_multiple_of(5) { Asked::Get } else { Asked::Put(new) };
+        let asked = if self.asked.is_multiple_of(5) { Request::Get } else { Request::Put(new) };
         self.clients.begin(&mut self.cluster, at, &register(self.asked % REGISTERS), asked);
         self.asked += 1;
     }
@@ -328,7 +328,7 @@
         return fail(&play, "no write is acknowledged any more");
     }
     for number in 0..REGISTERS {
-        play.clients.begin(&mut play.cluster, at, &register(number), Asked::Get);
+        play.clients.begin(&mut play.cluster, at, &register(number), Request::Get);
     }
     let until = play.cluster.now() + 1_000;
     play.clients.run_until(&mut play.cluster, until);
--- a/coordination/replica/tests/small_cores.rs
+++ b/coordination/replica/tests/small_cores.rs
@@ -7,7 +7,7 @@
 
 use common::clients::Clients;
 use common::faulty::{AnswersAloneTooEarly, FewDecide, KeepsIdentityWithoutDisk, ReportsSuccessorAsLost};
-use common::history::{Asked, check};
+use common::history::{Request, check};
 use common::node::{Node, Registers, cluster, endpoint};
 use whinspindle_consensus::Ballot;
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
@@ -82,7 +82,7 @@
     /// Whether no answer contradicts another.
     fn agrees(&mut self) -> Result<(), String> {
         for number in 0..self.core.machines {
-            self.clients.begin(&mut self.cluster, endpoint(number), "register-0", Asked::Get);
+            self.clients.begin(&mut self.cluster, endpoint(number), "register-0", Request::Get);
         }
         self.pass(1_000);
         check(&self.clients.history())
@@ -95,7 +95,7 @@
 
     fn reads_of(&mut self, number: usize, register: &str) -> bool {
         let answered = self.clients.answered();
-        self.clients.begin(&mut self.cluster, endpoint(number), register, Asked::Get);
+        self.clients.begin(&mut self.cluster, endpoint(number), register, Request::Get);
         self.pass(200);
         check(&self.clients.history()).unwrap_or_else(|fault| panic!("{fault}"));
         self.clients.answered() > answered
@@ -103,15 +103,15 @@
 
     /// Whether no write is answered at any of these replicas.
     fn rests(&mut self, numbers: &[usize]) -> bool {
-        self.answers_nothing(numbers, || Asked::Put("late".to_string()))
+        self.answers_nothing(numbers, || Request::Put("late".to_string()))
     }
 
     /// Whether neither a read nor a write is answered at any of these replicas.
     fn answers_nobody(&mut self, numbers: &[usize]) -> bool {
-        self.answers_nothing(numbers, || Asked::Get) && self.rests(numbers)
+        self.answers_nothing(numbers, || Request::Get) && self.rests(numbers)
     }
 
-    fn answers_nothing(&mut self, numbers: &[usize], asked: impl Fn() -> Asked) -> bool {
+    fn answers_nothing(&mut self, numbers: &[usize], asked: impl Fn() -> Request) -> bool {
         for number in numbers {
             self.clients.begin(&mut self.cluster, endpoint(*number), "register-0", asked());
         }
