--- a/coordination/replica/tests/overlapping_losses.rs
+++ b/coordination/replica/tests/overlapping_losses.rs
@@ -1,5 +1,6 @@
-//! The only complete member of a chain loses its disk while the other joins, and the third, which was complete before, is
-//! cut off: one disk of three is lost, so that commands are taken again, and nothing acknowledged is lost.
+//! The only complete member of a chain loses its disk while another member joins, and the third, which was
+//! complete before, is partitioned. Only one disk of three is lost, so commands must be accepted again, and
+//! no acknowledged command may be lost.
 
 mod common;
 
@@ -12,31 +13,31 @@
 use whinspindle_lab_simulated_cluster::{Cluster, NetworkTiming};
 use whinspindle_replica::{Message, ProtocolRules, StandardRules};
 
-/// Each order of roles is played with so many seeds.
+/// The number of seeds for each assignment of roles.
 const SEEDS: u64 = 12;
-/// All bootstrap members are in the chain by then, in milliseconds.
-const STABLE_AFTER: u64 = 2_000;
-/// A chain without a member that is cut off, and a chain with one that is back, are agreed on within this.
-const AGREED: u64 = 6_000;
-/// The lost disk is replaced by an empty one after this.
-const WIPED_FOR: u64 = 500;
-/// Once all machines are there again, a write is acknowledged within this.
-const ACKNOWLEDGED_WITHIN: u64 = 3_000;
-/// Between two commands.
-const PAUSE: u64 = 7;
-/// The judge's work grows fast with the operations on one register.
+/// The time by which all bootstrap members are in the chain.
+const STABILIZATION_SPAN_MS: u64 = 2_000;
+/// The time within which a chain without a partitioned member, or with a reconnected one, is decided.
+const DECISION_TIMEOUT_MS: u64 = 6_000;
+/// The time after which the lost disk is replaced by an empty one.
+const DISK_REPLACEMENT_MS: u64 = 500;
+/// The time within which a write is acknowledged after all machines are running and connected.
+const ACKNOWLEDGE_TIMEOUT_MS: u64 = 3_000;
+/// The time between two commands.
+const COMMAND_INTERVAL_MS: u64 = 7;
+/// The cost of the linearizability check grows fast with the number of operations on one register.
 const REGISTERS: usize = 12;
 
-/// Which replica has which fault.
+/// The replica that each fault hits.
 #[derive(Clone, Copy, Debug)]
 struct Roles {
-    /// Partitioned first; then it joins.
+    /// Is partitioned first and joins later.
     joiner: SocketAddr,
-    /// In all chains; then its disk is lost.
+    /// Is in all chains and then loses its disk.
     wiped: SocketAddr,
-    /// Partitioned once the joiner is back.
+    /// Is partitioned after the joiner is reconnected.
     partitioned: SocketAddr,
-    /// Whether that one is notified of what the others have committed before it is partitioned.
+    /// Whether `partitioned` learns the committed sequence before it is partitioned.
     is_notified: bool,
 }
 
@@ -54,36 +55,36 @@
     cluster: Cluster<Node<L>>,
     clients: Clients,
     roles: Roles,
-    asks_at: u64,
+    next_command_at: u64,
 }
 
 impl<L: ProtocolRules + 'static> Play<L> {
-    /// Lets time pass while clients ask the replicas in turn.
+    /// Runs the cluster for `span` milliseconds while clients send commands to the replicas in turn.
     fn pass(&mut self, span: u64) {
         let until = self.cluster.now() + span;
         while self.cluster.now() < until {
             let next = self.cluster.now() + 1;
             self.clients.run_until(&mut self.cluster, next);
-            if self.cluster.now() >= self.asks_at {
-                self.asks_at = self.cluster.now() + PAUSE;
-                self.ask();
+            if self.cluster.now() >= self.next_command_at {
+                self.next_command_at = self.cluster.now() + COMMAND_INTERVAL_MS;
+                self.submit_command();
             }
         }
     }
 
-    fn ask(&mut self) {
+    fn submit_command(&mut self) {
         let number = self.clients.operations.len();
         let register = format!("register-{}", number % REGISTERS);
         let new = format!("v{}", number + 1);
-        let asked = if number.is_multiple_of(5) { Request::Get } else { Request::Put(new) };
-        self.clients.begin(&mut self.cluster, endpoint(number % 3), &register, asked);
+        let request = if number.is_multiple_of(5) { Request::Get } else { Request::Put(new) };
+        self.clients.begin(&mut self.cluster, endpoint(number % 3), &register, request);
     }
 
     fn pass_until(&mut self, holds: impl Fn(&Self) -> bool) -> Result<(), String> {
-        let longest = self.cluster.now() + AGREED;
+        let deadline = self.cluster.now() + DECISION_TIMEOUT_MS;
         while !holds(self) {
-            if self.cluster.now() >= longest {
-                return Err(format!("not within {AGREED} ms\n{}", self.describe()));
+            if self.cluster.now() >= deadline {
+                return Err(format!("not within {DECISION_TIMEOUT_MS} ms\n{}", self.describe()));
             }
             self.pass(1);
         }
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Whether the chain that a replica knows has one other and itself for members.
+    /// Whether the chain in the view of a replica consists of that replica and `other`.
     fn is_in_chain_with(&self, at: SocketAddr, other: SocketAddr) -> bool {
         let Some(node) = self.cluster.process(at) else { return false };
         let view = node.replica.view();
@@ -106,20 +107,20 @@
         chain.len() == 2 && chain.contains(&Some(at)) && chain.contains(&Some(other))
     }
 
-    /// Two go on without the joiner; then the joiner and one of them are to go on, and that one loses its disk before
-    /// it has brought the joiner up to date.
-    fn lose(&mut self) -> Result<(), String> {
+    /// Two members continue without the joiner. Then the joiner forms a chain with one of them, which loses
+    /// its disk before it has transferred its records to the joiner.
+    fn cause_overlapping_losses(&mut self) -> Result<(), String> {
         let Roles { joiner, wiped, partitioned, is_notified } = self.roles;
-        self.pass(STABLE_AFTER);
+        self.pass(STABILIZATION_SPAN_MS);
         self.isolate(joiner);
         self.pass_until(|play| {
             play.is_in_chain_with(wiped, partitioned) && play.is_in_chain_with(partitioned, wiped)
         })?;
-        let tells =
+        let reports_commits =
             |message: &Message| matches!(message, Message::Acknowledge { .. } | Message::Heartbeat(_));
         self.cluster
             .network()
-            .withhold(move |_, to, message| !is_notified && to == partitioned && tells(message));
+            .withhold(move |_, to, message| !is_notified && to == partitioned && reports_commits(message));
         let answered = self.clients.answered();
         self.pass_until(|play| play.clients.answered() >= answered + 8)?;
 
@@ -132,18 +133,18 @@
         self.pass_until(|play| play.is_in_chain_with(joiner, wiped))?;
         self.cluster.stop(wiped);
         self.cluster.wipe(wiped);
-        self.pass(WIPED_FOR);
+        self.pass(DISK_REPLACEMENT_MS);
         self.cluster.network().withhold_nothing();
         self.cluster.start(wiped);
         self.cluster.heal_all();
         Ok(())
     }
 
-    /// Writes are acknowledged by all, and all that was acknowledged is there.
-    fn serves(&mut self) -> Result<(), String> {
+    /// Checks that all replicas acknowledge writes and that no acknowledged command is lost.
+    fn check_service(&mut self) -> Result<(), String> {
         let Roles { joiner, wiped, partitioned, .. } = self.roles;
         for at in [joiner, wiped, partitioned] {
-            if self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGED_WITHIN).is_none() {
+            if self.clients.write_within(&mut self.cluster, at, ACKNOWLEDGE_TIMEOUT_MS).is_none() {
                 check(&self.clients.history())?;
                 return Err(format!("no write is acknowledged at {at}\n{}", self.describe()));
             }
@@ -169,33 +170,35 @@
 fn play<L: ProtocolRules + 'static>(seed: u64, roles: Roles) -> Result<(), String> {
     let network = NetworkTiming { shortest: 1, longest: 10, ..NetworkTiming::default() };
     let cluster = cluster(seed, 3, 1, network);
-    let mut play = Play::<L> { cluster, clients: Clients::default(), roles, asks_at: 0 };
-    play.lose().and_then(|()| play.serves()).map_err(|fault| format!("seed {seed}, {roles:?}: {fault}"))
+    let mut play = Play::<L> { cluster, clients: Clients::default(), roles, next_command_at: 0 };
+    play.cause_overlapping_losses()
+        .and_then(|()| play.check_service())
+        .map_err(|fault| format!("seed {seed}, {roles:?}: {fault}"))
 }
 
-fn all_plays() -> impl Iterator<Item = (u64, Roles)> {
+fn all_runs() -> impl Iterator<Item = (u64, Roles)> {
     (0..SEEDS).flat_map(|seed| all_roles().into_iter().map(move |roles| (seed, roles)))
 }
 
 #[test]
-fn a_member_of_the_chain_before_leads_where_no_other_has_everything() {
-    for (seed, roles) in all_plays() {
+fn a_member_of_the_former_chain_leads_if_no_other_is_complete() {
+    for (seed, roles) in all_runs() {
         play::<StandardRules>(seed, roles).unwrap_or_else(|fault| panic!("{fault}"));
     }
 }
 
-/// Whether one of the plays shows a history that has no order.
-fn loses_something<L: ProtocolRules + 'static>() -> bool {
-    all_plays()
+/// Whether one of the runs leads to a history that is not linearizable.
+fn loses_commands<L: ProtocolRules + 'static>() -> bool {
+    all_runs()
         .any(|(seed, roles)| play::<L>(seed, roles).is_err_and(|fault| fault.contains("not linearizable")))
 }
 
 #[test]
 fn an_incomplete_leader_is_detected() {
-    assert!(loses_something::<TakesIncompleteLeaders>());
+    assert!(loses_commands::<TakesIncompleteLeaders>());
 }
 
 #[test]
 fn entries_dropped_by_a_member_outside_of_the_chain_are_detected() {
-    assert!(loses_something::<DropsEntriesWhenLeftOut>());
+    assert!(loses_commands::<DropsEntriesWhenLeftOut>());
 }
