--- a/coordination/replica/tests/fence.rs
+++ b/coordination/replica/tests/fence.rs
@@ -1,4 +1,4 @@
-//! The fence of `Learn`: what was committed in a view that a replica does not know yet waits until it does.
+//! The fence of `Learn`: a replica applies records committed in a newer view only after it knows that view.
 
 mod common;
 
@@ -11,10 +11,11 @@
 use whinspindle_lab_simulated_cluster::NetworkTiming;
 use whinspindle_replica::{Message, StandardRules};
 
-/// The head is silent, and hears nothing but what others have committed without it: it does not know the view in which
-/// it is no member of the chain. Where its own log holds an entry that never left it, theirs holds another.
+/// The head is isolated except for incoming `Learn` messages, so it does not know the view whose chain
+/// excludes it. Its log has an entry that it never sent, at a sequence where the other logs have a different
+/// entry.
 #[test]
-fn a_head_does_not_take_its_own_entry_for_one_that_others_have_committed() {
+fn an_isolated_head_does_not_commit_its_own_entry_in_place_of_the_committed_one() {
     let mut cluster = cluster::<StandardRules>(1, 3, 1, NetworkTiming::default());
     let mut clients = Clients::default();
     clients.run_until(&mut cluster, 2_000);
@@ -24,12 +25,12 @@
     clients.run_until(&mut cluster, until);
     let before = cluster.process(head).unwrap().replica.committed_records().clone();
 
-    let taught = Rc::new(Cell::new(0));
-    let counter = Rc::clone(&taught);
+    let learn_messages = Rc::new(Cell::new(0));
+    let counter = Rc::clone(&learn_messages);
     cluster.network().withhold(move |from, to, message| {
-        let is_taught = to == head && matches!(message, Message::Learn { .. });
-        counter.set(counter.get() + usize::from(is_taught));
-        from == head || (to == head && !is_taught)
+        let is_learn = to == head && matches!(message, Message::Learn { .. });
+        counter.set(counter.get() + usize::from(is_learn));
+        from == head || (to == head && !is_learn)
     });
     clients.begin(&mut cluster, head, "register-0", Request::Put("never-left".to_string()));
     let until = cluster.now() + 2_500;
@@ -40,11 +41,14 @@
     let until = cluster.now() + 100;
     clients.run_until(&mut cluster, until);
 
-    assert!(taught.get() >= 3, "only {} were taught", taught.get());
+    assert!(learn_messages.get() >= 3, "only {} Learn messages arrived", learn_messages.get());
     let replica = &cluster.process(head).unwrap().replica;
-    assert!(replica.newest_sequence() > replica.committed_sequence(), "its own entry waits in its log");
-    assert_eq!(replica.view().number, 1, "it knows no other view");
-    assert_eq!(*replica.committed_records(), before, "what it can't place is not taken in");
+    assert!(
+        replica.newest_sequence() > replica.committed_sequence(),
+        "its own entry is uncommitted in its log"
+    );
+    assert_eq!(replica.view().number, 1, "it knows no newer view");
+    assert_eq!(*replica.committed_records(), before, "records of an unknown view are not applied");
 
     cluster.network().withhold_nothing();
     let until = cluster.now() + 6_000;
