--- a/programs/balancer/tests/races.rs
+++ b/programs/balancer/tests/races.rs
@@ -369,7 +369,7 @@
     });
     drop(client);
     // The execution is over before its connection could come up.
-    log_says(&mut log, "called off, request Nothing");
+    log_says(&mut log, "called off, request NotStarted");
     drop(queued);
     late.set_nonblocking(true).expect("non-blocking");
     while let Ok((mut socket, _)) = late.accept() {
